--- a/crates/decide/benches/placement.rs
+++ b/crates/decide/benches/placement.rs
@@ -2,7 +2,6 @@
 //!
 //! `two levels` is what the product does: 20 servers a node, at most 16 nodes a cell, and for a spill
 //! one look at every other cell. `flat` ranks all servers at once, for comparison.
-#![allow(missing_docs)]
 
 use std::hint::black_box;
 
--- a/crates/ingress/benches/online.rs
+++ b/crates/ingress/benches/online.rs
@@ -1,6 +1,5 @@
 //! Time and allocations of a placement decision, of choosing a prompt's home, and of each event that
 //! is passed on.
-#![allow(missing_docs)]
 
 use std::hint::black_box;
 use std::sync::Arc;
--- a/crates/online/benches/relay.rs
+++ b/crates/online/benches/relay.rs
@@ -1,7 +1,6 @@
 //! Processor time of the online path of one node, from a submission to its last frame: admission, both
 //! placements, dispatch and relay of 120 tokens, with engines that answer at once. What remains of a
 //! request is the links and the engine's HTTP.
-#![allow(missing_docs)]
 
 #[path = "../tests/support/mod.rs"]
 mod support;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod prompt;
 
 /// Generated message types. See the `.proto` files for the meaning of each field.
-#[allow(missing_docs, clippy::all, clippy::pedantic)]
+#[allow(clippy::all, clippy::pedantic)]
 pub mod messages {
     include!("generated/dappleyard.v1.rs");
 }
