--- a/crates/cluster/src/cadence.rs
+++ b/crates/cluster/src/cadence.rs
@@ -1,59 +1,59 @@
-//! What a node tells in which round. Pure.
+//! Schedule of the gossip messages: which of them are due in which round.
 
 use std::time::Duration;
 
-/// Time between two rounds.
+/// Interval between two rounds.
 pub(crate) const ROUND: Duration = Duration::from_millis(25);
-/// Heartbeats to nodes of the own zone and to delegates: each 150 ms.
+/// Heartbeats to nodes of the own zone and to its delegates: every 150 ms.
 const HEARTBEAT_EVERY: u32 = 6;
-/// Heartbeats to nodes of other zones: each 450 ms.
+/// Heartbeats to nodes of other zones: every 450 ms.
 const FAR_EVERY: u32 = 18;
-/// A delegate passes life signs on each 450 ms. A sign then passes two delegates in 0.9 s at most, and one
-/// datagram may be lost before a node counts as silent after 2.5 s.
+/// Delegates forward liveness records every 450 ms. A record that crosses two delegates arrives
+/// within 0.9 s, which leaves time for one lost datagram before the 2.5 s timeout of a node.
 const SIGNS_EVERY: u32 = 18;
-/// A delegate tells other zones of all servers each 600 ms, so that one message may be lost before what was
-/// told is forgotten, after 1,500 ms.
+/// Delegates send the sums of all servers to other zones every 600 ms, so that one message may be
+/// lost before the receiver drops the previous ones after 1,500 ms.
 const ALL_EVERY: u32 = 24;
-/// Nodes that a delegate tells in one round in the mean: 800 messages a second. A zone of 20 nodes is told each
-/// 25 ms, so that fewer requests of a wave go to servers that are full by then; a larger one is told less often,
-/// since its delegates have callers of their own to serve.
+/// Average number of nodes to which a delegate sends in one round: 800 messages a second. A zone of
+/// up to 20 nodes is updated every 25 ms, which limits requests to servers that have just filled
+/// up; larger zones are updated less often to bound the load on the delegates.
 const NODES_IN_ROUND: usize = 20;
-/// Most rounds from one message of a delegate to the next in a zone of some size: 75 ms.
+/// Longest interval between two summaries to a zone below `LARGE_ZONE_NODES`: 75 ms.
 const MOST_ROUNDS: u32 = 3;
-/// The same in a larger zone: 150 ms. A zone of 200 nodes before 2,000 servers has forty servers for each
-/// node, and four nodes in the mean that use the same one: news of each other matter less the larger a zone is, and cost
-/// its delegates 1,300 messages a second instead of 2,600.
+/// The same in a large zone: 150 ms. Nodes of a large zone share few servers with each other, so
+/// their loads matter less to each other, and the delegates send half as many messages.
 const LARGE_ZONE_ROUNDS: u32 = 2 * MOST_ROUNDS;
-/// Nodes of a zone from which it is one of these.
+/// Number of other nodes from which a zone counts as large.
 const LARGE_ZONE: usize = 80;
-/// Heartbeats in such a zone: each 300 ms, eight before a node counts as silent. What changes of a node's work is told at once
-/// beside them, so a heartbeat is a life sign there, and two delegates hear 660 a second each from 200 nodes instead of 1,300.
+/// Heartbeats in a large zone: every 300 ms, eight before a node counts as down. Load changes are
+/// sent immediately, so heartbeats only need to show liveness here.
 const LARGE_ZONE_HEARTBEAT: u32 = 2 * HEARTBEAT_EVERY;
-/// Heartbeats to far nodes, or life signs to random ones, from such a zone: each 900 ms.
+/// Heartbeats to other zones, or to random nodes, from a large zone: every 900 ms.
 const LARGE_ZONE_FAR: u32 = 2 * FAR_EVERY;
 
-/// Rounds from one message to another region to the next: 75 ms, as long as a zone of some size waits for its own.
-/// Every round with life signs or all servers is one of these.
+/// Interval between two messages to another region: 75 ms. Every round with liveness records or all
+/// sums is one of these.
 const REGION_ROUNDS: u32 = MOST_ROUNDS;
 
-/// What is due in one round.
+/// Messages that are due in one round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Duties {
-    /// A heartbeat to near nodes or to the delegates.
+    /// Heartbeat to the nodes of the own zone or to its delegates.
     pub heartbeat: bool,
-    /// A heartbeat to far nodes, or a life sign to a random one.
+    /// Heartbeat to nodes of other zones, or to a random node.
     pub far: bool,
-    /// A delegate's sums to its zone and to other zones.
+    /// Load sums of a delegate to its zone and to other zones.
     pub sums: bool,
-    /// Life signs with them.
+    /// Liveness records with the sums.
     pub signs: bool,
-    /// The sums to other zones hold all servers, not only those that have changed.
+    /// The sums to other zones cover all servers instead of the changed ones only.
     pub all: bool,
-    /// The sums go to other regions too.
+    /// The sums go to other regions as well.
     pub regions: bool,
 }
 
-/// Rounds until the next one in which a node has something to tell; a delegate of a large fleet tells sums too.
+/// Rounds until the next one in which a message is due. `sends_sums` is set for a delegate of a
+/// large fleet.
 pub fn rounds_until_due(round: u32, zone_nodes: usize, tells_sums: bool) -> u32 {
     let is_due = |rounds: &u32| {
         let duties = duties(round.wrapping_add(*rounds), zone_nodes);
@@ -63,7 +63,7 @@
     (1..longest).find(is_due).unwrap_or(longest)
 }
 
-/// What is due in a round, in a zone of so many other nodes.
+/// Messages due in a round, in a zone with this many other nodes.
 pub fn duties(round: u32, zone_nodes: usize) -> Duties {
     let (heartbeat, far, rounds) = match zone_nodes >= LARGE_ZONE {
         true => (LARGE_ZONE_HEARTBEAT, LARGE_ZONE_FAR, LARGE_ZONE_ROUNDS),
--- a/crates/cluster/src/crash_news.rs
+++ b/crates/cluster/src/crash_news.rs
@@ -1,7 +1,8 @@
-//! News of requests under which servers ended: every node must know of them before the caller comes again.
+//! Spreads records of requests that crashed servers, so that every node knows them before the
+//! caller retries.
 //!
-//! In a small fleet each node tells all others. In a large one it tells the delegates of its zone; these tell their
-//! zone and the delegates of other zones. Nothing is sent while nothing is known.
+//! In a small fleet each node sends them to all others. In a large fleet it sends them to the
+//! delegates of its zone, which forward them to their zone and to the delegates of other zones.
 
 use std::net::SocketAddr;
 
@@ -13,14 +14,14 @@
 use crate::large_fleet::FANOUT;
 use crate::messages::PacketKind;
 
-/// Records in one message in a small fleet: about 2.5 KB.
+/// Maximum records per message in a small fleet: about 2.5 KB.
 const RECORDS_IN_SMALL: usize = 24;
-/// Records in one message in a large fleet: 32 KB a second to each node at most.
+/// Maximum records per message in a large fleet: at most 32 KB a second to each node.
 const RECORDS_IN_LARGE: usize = 8;
 
 impl Gossip {
-    /// Tells what is new, each 25 ms. In a large fleet, where a delegate tells its whole zone, fewer at a time: told each
-    /// 75 ms, three at a time as many, news took so long by way of two delegates that a run began in the meantime.
+    /// Sends new records. Called in every round: a longer interval would let a retry reach a node
+    /// that does not know the record yet.
     pub(crate) fn tell_crashes(&self, duties: Duties) {
         let large = self.peers.is_large();
         let most = match large {
@@ -43,8 +44,8 @@
         targets.map(|(address, _)| address).collect()
     }
 
-    /// In a large fleet: the delegates of the zone; from a delegate, the zone and the delegates of other zones; where
-    /// no delegate is heard, nodes chosen at random.
+    /// Targets in a large fleet: the delegates of the own zone; from a delegate, its zone and the
+    /// delegates of other zones; without a live delegate, random nodes.
     fn crash_news_targets(&self) -> Vec<SocketAddr> {
         let roster = self.peers.roster();
         if roster.own_place().is_none() {
@@ -62,7 +63,8 @@
         told.map(|peer| peer.address).collect()
     }
 
-    /// Takes news of another node. Delegates pass on what they did not know, and all nodes while no delegate is heard.
+    /// Merges records of another node. Delegates forward what they did not know, and so do all
+    /// nodes while no delegate is heard.
     pub(crate) fn receive_crash_news(&self, news: CrashNews) {
         let passes_on = self.peers.is_large() && (self.peers.is_delegate() || !self.is_told());
         for refused in self.crashes.merge(news, passes_on) {
--- a/crates/cluster/src/crash_rows.rs
+++ b/crates/cluster/src/crash_rows.rs
@@ -1,7 +1,7 @@
-//! Requests that run no more, in the row store: a fleet that has lost all of its nodes at once still knows them.
+//! Stores refused requests in the row store, so that they survive a restart of the whole fleet.
 //!
-//! They are written when they are refused, which is rare, and read once by each process as it begins; in between nodes
-//! tell each other. A fleet without such requests spends one call for each start of a node.
+//! A request is written when it is refused. Each process reads the table once at startup;
+//! afterwards the nodes exchange records among themselves.
 
 use std::time::Duration;
 
@@ -11,14 +11,13 @@
 use dappleyard_model::{EventLog, Row, RowKey, RowStore, StoreError, Transaction};
 use prost::Message;
 
-/// Table of requests that run no more.
+/// Table of refused requests.
 pub const CRASHES_TABLE: &str = "crashes";
-/// Rows read by one call.
 const PAGE_ROWS: usize = 500;
-/// Pause after a call that the store did not answer.
+/// Delay before a failed store call is retried.
 const PAUSE: Duration = Duration::from_millis(400);
 
-/// Reads what the store holds, then keeps the store up to date, until the process ends.
+/// Reads the table, then writes changes to the store until the process ends.
 pub async fn keep_refused(crashes: &CrashTable, store: &dyn RowStore, log: &EventLog) {
     while let Err(error) = read_all(crashes, store, log).await {
         log.write(
@@ -70,7 +69,7 @@
         remove(store, &old, log).await;
         let last = read.rows.last().filter(|_| read.more);
         match last {
-            // The next key after it.
+            // The smallest key after the last one.
             Some(last) => from = format!("{}\u{1}", last.key),
             None => return Ok(()),
         }
@@ -81,7 +80,8 @@
     Duration::from_millis(record.age_ms) >= KEPT_REFUSED
 }
 
-/// The record of a row, as old as it is by the store's clock.
+/// Decodes a row; the age of its record includes the time since it was written, by the store's
+/// clock.
 fn decode(row: &Row, now_ms: u64) -> Option<CrashRecord> {
     let stored = StoredRefusal::decode(row.value.clone()?).ok()?;
     let mut record = stored.record?;
@@ -89,7 +89,7 @@
     Some(record)
 }
 
-/// Removes rows that are too old; another node that begins does the same if this fails.
+/// Removes expired rows. On failure the next node that starts tries again.
 async fn remove(store: &dyn RowStore, old: &[&Row], log: &EventLog) {
     for row in old {
         let key = RowKey::new(CRASHES_TABLE, "", row.key.clone());
@@ -105,7 +105,7 @@
     }
 }
 
-/// Writes the row of a request that runs no more, or removes it.
+/// Writes the row of a refused request, or removes it when there is no record.
 async fn write(
     store: &dyn RowStore,
     request: &Fingerprint,
@@ -116,7 +116,7 @@
     let read = store.read(CRASHES_TABLE, "", &key.key, &behind, 1).await?;
     let transaction = match record {
         Some(mut record) => {
-            // Runs that are under way now are over when this is read.
+            // Current runs will have ended by the time this is read.
             record.runs.clear();
             let stored = StoredRefusal {
                 record: Some(record),
--- a/crates/cluster/src/directory.rs
+++ b/crates/cluster/src/directory.rs
@@ -1,9 +1,9 @@
-//! Which nodes a caller is sent to. Pure.
+//! Selects the node addresses that a caller may connect to.
 //!
-//! A caller keeps an answer for some seconds, and chooses one of its addresses at random for each new
-//! connection. So an answer names the nodes of the caller's zone; where these are few, others of the
-//! region, and those of other regions only where the region has hardly any. Bytes between zones are paid for,
-//! and an address that does not answer costs the caller a second.
+//! A caller keeps an answer for some seconds and picks a random address from it for each new
+//! connection. The answer holds nodes of the caller's zone; if these are few, other nodes of the
+//! region; and nodes of other regions only if the region has hardly any. Traffic between zones is
+//! billed, and an unreachable address costs the caller a second.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,64 +11,60 @@
 use dappleyard_model::{Distance, Places, RegionName, Tolerated};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most addresses of one answer.
+/// Maximum number of addresses in one answer.
 const MOST_ADDRESSES: usize = 64;
-/// Nodes that a caller should be able to choose among before another region is named.
+/// Number of nodes below which an answer is filled up from other regions.
 const FEW: usize = 3;
-/// Nodes of the zone for each node of another one named beside them, where the deployment is to bear the loss
-/// of a zone: a caller whose whole zone is gone reaches no directory of it either, and has only the answer that it
-/// keeps. While a zone of 22 nodes was without power for 4 s of a simulated day, 425 requests of its callers
-/// failed with 2 others named, and 295 with 8.
+/// Nodes of the caller's zone for each spare node of another zone, if the deployment must tolerate
+/// the loss of a zone: callers of a lost zone reach no directory and have only the cached answer.
 const NODES_PER_SPARE: usize = 3;
-/// Silence of most nodes of a zone after which nobody is sent to them. Signs of the nodes of another zone
-/// come by its delegates and those of the own zone, each of which tells them every 450 ms; one datagram may
-/// be lost. A single node is given up later, after 2.5 s in a large fleet.
+/// Age of the newest liveness record of most nodes of a zone after which callers are no longer sent
+/// to them. Records of another zone pass its delegates and those of the own zone, which forward
+/// them every 450 ms; one datagram may be lost. A single node times out later, after 2.5 s in a
+/// large fleet.
 const ZONE_SILENCE: Duration = Duration::from_millis(1_350);
-/// Nodes of a zone whose silence together has one cause; fewer may be one restart.
+/// Minimum number of silent nodes that counts as a zone failure; fewer may be restarting.
 const TOGETHER: usize = 2;
-/// Age of the newest sign of a node in another region above which no caller is sent there: two steps of 450 ms,
-/// one of them lost, and the way.
+/// Maximum age of the liveness record of a node in another region: two forwarding intervals of 450
+/// ms, one more for a lost datagram, and the network delay.
 const FAR_AGE: Duration = Duration::from_millis(1_500);
-/// Age up to which nodes that were ready are named by a node whose zone seems cut off. Operators count on it that
-/// a node that is gone for several seconds is named no longer.
+/// Maximum age of nodes listed by a node whose zone seems cut off. Operators rely on a node being
+/// listed no longer once it has been gone for several seconds.
 const LAST_KNOWN: Duration = Duration::from_millis(4_500);
 
-/// A node that callers may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FrontNode {
-    /// Address for callers.
     pub address: String,
-    /// Zone.
     pub zone: String,
-    /// Time since the newest sign of it.
+    /// Time since its newest liveness record.
     pub age: Duration,
-    /// It is believed to take requests; otherwise it did when it was last heard.
+    /// Accepts requests; otherwise it did when it was last heard.
     pub ready: bool,
-    /// Its machine can carry more than its callers.
+    /// Its machine has capacity beyond its own callers.
     pub strong: bool,
 }
 
-/// What an answer rests on beside the nodes.
+/// Deployment facts that an answer depends on, besides the nodes.
 #[derive(Debug, Clone, Copy)]
 pub struct Ground<'a> {
     /// Zone of the node that answers.
     pub own_zone: &'a str,
-    /// All zones, and the region of each.
+    /// The region of each zone.
     pub places: &'a Places,
-    /// What the deployment is to bear.
+    /// Failures that the deployment must tolerate.
     pub tolerated: Tolerated,
 }
 
-/// Who asks.
+/// The caller of a query.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Asked<'a> {
-    /// Zone of the caller, when it tells.
+    /// Zone of the caller, if it is known.
     pub zone: Option<&'a str>,
-    /// Regions whose nodes may be named; `None` stands for all.
+    /// Regions whose nodes may be listed; `None` allows all.
     pub regions: Option<&'a BTreeSet<RegionName>>,
 }
 
-/// Addresses for a caller, in order.
+/// Addresses for a caller, sorted.
 pub fn addresses_for(asked: Asked<'_>, ground: Ground<'_>, nodes: &[FrontNode]) -> Vec<String> {
     let allowed = |node: &&FrontNode| {
         asked.regions.is_none_or(|regions| {
@@ -90,7 +86,7 @@
     addresses
 }
 
-/// Nodes of one zone.
+/// Node counts of one zone.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCounts {
     nodes: usize,
@@ -98,12 +94,11 @@
 }
 
 impl ZoneCounts {
-    /// Half of the nodes or more fell silent.
+    /// At least half of the nodes are silent.
     fn is_hit(self) -> bool {
         self.silent >= TOGETHER && self.silent * 2 >= self.nodes
     }
 
-    /// All of the nodes fell silent.
     fn is_silent(self) -> bool {
         self.is_hit() && self.silent == self.nodes
     }
@@ -123,8 +118,8 @@
     zones
 }
 
-/// Whether the zone of the node that answers seems cut off: it hears no other one, which are more than may be
-/// lost at once. Where there are two zones, nobody can tell.
+/// Whether the zone of the answering node seems partitioned: all other zones are silent, and they
+/// are more than may fail at once. With two zones this cannot be told.
 fn is_cut_off(zones: &BTreeMap<&str, ZoneCounts>, ground: Ground<'_>) -> bool {
     let others = zones.iter().filter(|(zone, _)| **zone != ground.own_zone);
     let others: Vec<ZoneCounts> = others.map(|(_, counts)| *counts).collect();
@@ -132,7 +127,7 @@
     others.len() > most_lost && others.iter().all(|counts| counts.is_silent())
 }
 
-/// The nodes that may be named at all.
+/// The nodes that an answer may list.
 fn usable<'a>(
     nodes: &[&'a FrontNode],
     zones: &BTreeMap<&str, ZoneCounts>,
@@ -146,14 +141,14 @@
     let is_hit = |zone: &str| zones.get(zone).is_some_and(|counts| counts.is_hit());
     let in_touch = |node: &&&FrontNode| !(is_silent(node) && is_hit(&node.zone));
     let heard: Vec<&FrontNode> = ready.iter().filter(in_touch).copied().collect();
-    // Old news is better than none.
+    // Stale nodes are better than an empty answer.
     match heard.is_empty() {
         true => ready,
         false => heard,
     }
 }
 
-/// The nodes for callers of a zone.
+/// The nodes for callers of a zone, nearest first.
 fn near<'a>(
     zone: &str,
     ground: Ground<'_>,
@@ -163,7 +158,8 @@
     let at = |distance: Distance| -> Vec<&'a FrontNode> {
         let there = |node: &&&FrontNode| ground.places.distance(zone, &node.zone) == distance;
         let mut there: Vec<&FrontNode> = nodes.iter().filter(there).copied().collect();
-        // Each zone has an order of its own, so that the callers of several zones go to different nodes.
+        // The order depends on the caller's zone, which spreads the callers of several zones over
+        // different nodes.
         there.sort_by_key(|node| (!node.strong, order(zone, node)));
         there
     };
@@ -188,7 +184,7 @@
     chosen
 }
 
-/// How many nodes of the other zones of the region are named beside those of the zone.
+/// Number of nodes of other zones of the region to list besides those of the caller's zone.
 fn wanted(own: &[&FrontNode], region: &[&FrontNode], tolerated: Tolerated, cut_off: bool) -> usize {
     let zones: BTreeSet<&str> = region.iter().map(|node| node.zone.as_str()).collect();
     let usual = region.len().div_ceil(zones.len().max(1));
@@ -198,9 +194,9 @@
     };
     match own.len() {
         0 => region.len(),
-        // What a zone that is cut off cannot do, such as taking jobs, others can.
+        // A partitioned zone cannot do some work, such as taking jobs, that others can.
         count if cut_off => count,
-        // A zone of which most is gone: the rest must not bear all of its callers.
+        // Most of the zone is gone; the remaining nodes must not serve all of its callers.
         count if count * 2 < usual => usual - count,
         _ => spares,
     }
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -6,74 +6,71 @@
 use dappleyard_model::{EventLog, Feed, Row, RowStore, Rows, StoreError};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long the store may hold a call that waits for changes.
+/// Maximum time for which the store may hold a call that waits for changes.
 const WAIT: Duration = Duration::from_millis(2_000);
-/// Rows read by one call.
 const PAGE_ROWS: usize = 500;
-/// Times that one page is asked for.
 const PAGE_TRIES: usize = 8;
-/// First pause after a failed call.
 const FIRST_PAUSE: Duration = Duration::from_millis(40);
-/// Longest pause after failed calls.
 const LONGEST_PAUSE: Duration = Duration::from_millis(400);
 
-/// What the store told of itself with an answer.
+/// State of the store as of one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Contact {
-    /// Everything up to this revision is known.
+    /// Everything up to this revision has been received.
     pub revision: u64,
-    /// Steady clock of the store, as of now.
+    /// Monotonic clock of the store at the time of the call of `contact`, milliseconds.
     pub now_ms: u64,
-    /// Time since the store said so; more than nothing when another node passed it on.
+    /// Time since the store answered; greater than zero if another node relayed the answer.
     pub age: Duration,
 }
 
 impl Contact {
-    /// Up to when everything is known, on this machine's clock; `None` before that clock began.
+    /// Local time up to which all changes are known; `None` if it precedes the local clock's
+    /// origin.
     pub fn known_at(&self) -> Option<Instant> {
         Instant::now().checked_sub(self.age)
     }
 }
 
-/// What follows a table.
+/// Receiver of the rows and changes of a table.
 pub trait TableSink {
-    /// The table.
+    /// Name of the table.
     fn table(&self) -> &'static str;
 
-    /// Whether the table has more partitions than the one without a name.
+    /// Whether the table has named partitions besides the unnamed one.
     fn is_partitioned(&self) -> bool;
 
-    /// Shortest time between two calls for changes. In a table that changes all the time each call
-    /// is answered at once, and the calls would only be bounded by the store's latency.
+    /// Minimum interval between two calls for changes. In a busy table each call returns at once,
+    /// so the call rate would otherwise be limited by the store's latency only.
     fn pace(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// How long the store may hold a call that waits for changes.
+    /// Maximum time for which the store may hold a call that waits for changes.
     fn wait(&self) -> Duration {
         WAIT
     }
 
-    /// The whole table as of a revision. Rows that the sink holds at a later revision stay.
+    /// Replaces the table by its rows as of a revision. Rows held at a later revision stay.
     fn replace(&self, rows: Vec<Row>, revision: u64);
 
-    /// One changed row.
+    /// Applies one changed row; a row without a value was removed.
     fn change(&self, row: Row);
 
-    /// The store answered; everything up to a revision was applied.
+    /// Called after the store answered and all changes up to its revision were applied.
     fn contact(&self, contact: &Contact);
 
-    /// Revision up to which the whole table is held already.
+    /// Revision up to which the sink already holds the whole table.
     fn held(&self) -> Option<u64> {
         None
     }
 
-    /// A row as nodes keep it and tell it to each other: with what matters of its value, where that is less than the whole.
+    /// Reduces a row to the part of its value that nodes keep and exchange.
     fn digest(&self, row: Row) -> Row {
         row
     }
 
-    /// What matters of a row as it is kept: a change that leaves it alike is no change.
+    /// Hash of the relevant part of a digest: rows with equal hashes count as unchanged.
     fn essence(&self, row: &Row) -> u64 {
         row.value.as_ref().map_or(0, |value| xxh3_64(value))
     }
@@ -89,8 +86,8 @@
         let asked = Instant::now();
         let outcome = match whole {
             false => read_whole(store, sink, revision).await,
-            // After a failure the store is asked to answer at once, so that contact is known again
-            // without waiting for a change.
+            // After a failure the store is asked to answer at once, so that contact is
+            // re-established without waiting for a change.
             true if !healthy => read_changes(store, sink, revision, Duration::ZERO).await,
             true => read_changes(store, sink, revision, sink.wait()).await,
         };
@@ -109,7 +106,7 @@
                 continue;
             }
             Err(StoreError::Compacted) => {
-                // The store answers: nothing is gained by a long pause.
+                // The store is reachable, so no long backoff is needed.
                 whole = false;
                 pause = FIRST_PAUSE;
             }
@@ -137,7 +134,7 @@
     let wait_ms = wait.as_millis() as u64;
     let feed: Feed = store.feed(sink.table(), after, wait_ms).await?;
     if feed.revision < after {
-        // The history begins anew below what is known: read the table whole.
+        // The revisions restarted below the known one: read the whole table.
         return Err(StoreError::Compacted);
     }
     for row in feed.rows {
@@ -151,8 +148,8 @@
     Ok(feed.revision)
 }
 
-/// Reads one page, more than once if need be: a read that begins anew at its first page whenever
-/// one of many fails never ends where all nodes start at once.
+/// Reads one page, with retries: restarting the whole read after each failed page might never
+/// complete while all nodes start at once.
 async fn read_page(
     store: &dyn RowStore,
     table: &'static str,
@@ -171,13 +168,13 @@
     store.read(table, part, from, "", PAGE_ROWS).await
 }
 
-/// A pause of about this length: nodes that failed together must not come back together.
+/// Adds jitter to a delay, so that nodes which failed together do not retry together.
 fn scattered(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.5..1.5))
 }
 
-/// Reads a table whole. The revision to follow from is that of the first page. So partitions are listed after that page:
-/// one that begins later is a change behind that revision, and one that began before is among them.
+/// Reads the whole table; returns the revision of the first page, from which to follow. Partitions
+/// are listed after that page: a partition created later appears as a change after the revision.
 async fn read_whole(
     store: &dyn RowStore,
     sink: &dyn TableSink,
@@ -196,7 +193,7 @@
     Ok(first.revision)
 }
 
-/// Reads the rows of one partition; what the store said with the first page.
+/// Appends the rows of one partition to `rows`; returns the store's state as of the first page.
 async fn read_part(
     store: &dyn RowStore,
     table: &'static str,
@@ -210,7 +207,10 @@
         let page = read_page(store, table, part, &from).await?;
         if page.revision < known {
             return Err(StoreError::Unavailable {
-                reason: format!("read at {} is older than {known}", page.revision),
+                reason: format!(
+                    "read at revision {} is older than known revision {known}",
+                    page.revision
+                ),
             });
         }
         let contact = *first.get_or_insert(Contact {
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -1,9 +1,10 @@
-//! Messages over UDP: who is there, and what work each node has at which server.
+//! Gossip over UDP: liveness of the nodes, and the load that each of them puts on the servers.
 //!
 //! In a small fleet every node sends heartbeats to every other. In a large one it sends them to the
-//! delegates of its zone; these sum up, tell each other across zones, and tell each node of their
-//! zone what all the others do. Where no delegate is heard, heartbeats go to random nodes and relay
-//! what was heard, so that a fleet that has lost its delegates finds new ones.
+//! delegates of its zone. These aggregate them, exchange the sums with delegates of other zones,
+//! and send each node of their zone the load of all others. Without a live delegate, heartbeats go
+//! to random nodes and relay liveness records, so that the remaining nodes can select new
+//! delegates.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,46 +28,40 @@
 use crate::view::View;
 use crate::zone_digest::ZoneDigest;
 
-/// Time after which a delegate that says nothing is not counted on.
+/// Time without a summary after which a node assumes that it has no live delegate.
 const DELEGATE_SILENCE: Duration = Duration::from_millis(600);
-/// Nodes that there may be while no row of any is known: a node that has just begun must not take the
-/// whole of each quota for its own.
+/// Fleet size assumed while no node row is known, so that a starting node does not use the whole of
+/// each quota.
 const UNKNOWN_FLEET: usize = 64;
-/// Longest datagram.
+/// Maximum datagram size.
 const DATAGRAM_BYTES: usize = 16 * 1024;
 
-/// Who sends the heartbeats.
+/// Identity and address of the sending node.
 #[derive(Debug, Clone)]
 pub struct GossipSettings {
-    /// Name of this node.
     pub name: String,
-    /// Zone of this node.
     pub zone: String,
-    /// Number of this life of the process.
+    /// Number of this run of the process.
     pub life: u64,
-    /// Address to send from and to listen on.
+    /// Local address for sending and receiving.
     pub address: SocketAddr,
 }
 
-/// What the messages tell of, and what they change.
+/// The tables that messages are built from and applied to.
 pub struct GossipTables {
-    /// The other nodes.
     pub peers: Arc<PeerTable>,
-    /// Work at servers.
     pub loads: Arc<LoadTable>,
-    /// Quotas of tenants.
     pub quotas: Arc<QuotaTable>,
-    /// Requests under which servers ended.
+    /// Requests that crashed servers.
     pub crashes: Arc<CrashTable>,
-    /// Configuration and servers.
     pub view: Arc<View>,
-    /// Whether the store answers this node's own calls.
+    /// Whether the store answers direct calls of this node.
     pub health: Arc<StoreHealth>,
-    /// The node takes no new work and will end.
+    /// The node is draining and will shut down.
     pub leaving: Arc<AtomicBool>,
 }
 
-/// Messages of one node.
+/// Gossip endpoint of one node.
 pub struct Gossip {
     pub(crate) settings: GossipSettings,
     pub(crate) socket: UdpSocket,
@@ -77,27 +72,27 @@
     pub(crate) view: Arc<View>,
     pub(crate) health: Arc<StoreHealth>,
     pub(crate) leaving: Arc<AtomicBool>,
-    /// When a delegate of the own zone last told of the fleet.
+    /// When a delegate of the own zone last sent a summary.
     pub(crate) told: Cell<Option<Instant>>,
-    /// Servers that other nodes use, by the number of the node; none stand for all.
+    /// Servers used by other nodes, by node number; an empty list stands for all.
     pub(crate) used: RefCell<HashMap<u64, Vec<u32>>>,
     /// Addresses of the other delegates of the own zone, as of the last round.
     pub(crate) near_delegates: RefCell<Vec<SocketAddr>>,
     /// Other nodes of the own zone that are alive, as of the last round.
     pub(crate) zone_nodes: Cell<usize>,
-    /// What other zones of the region were told of this one.
+    /// Sums of this zone last sent to the other zones of the region.
     pub(crate) digest: RefCell<ZoneDigest>,
-    /// What zones of other regions were told.
+    /// Sums of this zone last sent to other regions.
     pub(crate) region_digest: RefCell<ZoneDigest>,
-    /// Messages about loads that were sent.
+    /// Sequence number of the last load message sent.
     pub(crate) sequence: Cell<u64>,
     pub(crate) changes_told: Cell<u64>,
-    /// The newest message about loads from each node: its life, and its place in that life.
+    /// Run and sequence number of the newest load message of each node.
     pub(crate) newest: RefCell<HashMap<u64, (u64, u64)>>,
 }
 
 impl Gossip {
-    /// Opens the socket.
+    /// Binds the socket.
     pub async fn open(settings: GossipSettings, tables: GossipTables) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(settings.address).await?;
         Ok(Self {
@@ -122,7 +117,7 @@
         })
     }
 
-    /// Where messages are received.
+    /// Local address of the socket.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -142,14 +137,14 @@
                     rounds = self.rounds_to_next(round);
                     next = Instant::now() + ROUND * rounds;
                 }
-                // News of requests under which servers end are told in the very next round.
+                // Records of crashing requests are sent in the very next round.
                 () = self.crashes.more_news(), if rounds > 1 => {
                     rounds = 1;
                     next = next.min(Instant::now() + ROUND);
                 }
                 () = self.loads.changed(), if !pace.is_pending() => pace.note_change(),
                 () = dappleyard_clock::sleep_until(pace.next()), if pace.is_pending() => {
-                    // The others must not fill the same slots.
+                    // Sent early to keep other nodes from filling the same slots.
                     pace.note_told(Instant::now());
                     self.send_change();
                 }
@@ -162,8 +157,8 @@
         }
     }
 
-    /// Rounds until the next one in which there is something to tell. A node that is no delegate sleeps through
-    /// most: it wakes seven times a second for messages of its own instead of 40 times.
+    /// Rounds until the next one in which a message is due. Skipping idle rounds cuts the wakeups
+    /// of a node that is not a delegate from 40 to 7 a second.
     fn rounds_to_next(&self, round: u32) -> u32 {
         if self.crashes.has_news() {
             return 1;
@@ -188,7 +183,7 @@
         }
     }
 
-    /// Tells the quotas which part of the fleet's requests this node knows of.
+    /// Reports to the quotas which share of the fleet's requests this node knows.
     fn note_standing(&self) {
         if let Some(configuration) = self.view.configuration() {
             self.quotas.adopt(&configuration);
@@ -207,14 +202,14 @@
         self.quotas.set_standing(sums, share);
     }
 
-    /// Whether a delegate has told of the fleet lately.
+    /// Whether a delegate has sent a summary recently.
     pub(crate) fn is_told(&self) -> bool {
         let told = self.told.get();
         told.is_some_and(|at| at.elapsed() < DELEGATE_SILENCE)
     }
 
-    /// Tells of changed work at once: all nodes in a small fleet, the delegates of the zone in a large
-    /// one.
+    /// Sends changed loads immediately: to all nodes in a small fleet, to the delegates of the zone
+    /// in a large one.
     fn send_change(&self) {
         self.changes_told.set(self.changes_told.get() + 1);
         let change = PacketKind::LoadChange(LoadChange {
@@ -233,7 +228,7 @@
         self.send(change, self.near_delegates.borrow().iter().copied());
     }
 
-    /// How often changed work was told beside the heartbeats.
+    /// Number of load changes sent outside of heartbeats.
     pub fn changes_told(&self) -> u64 {
         self.changes_told.get()
     }
@@ -255,7 +250,8 @@
         let packet = Packet { kind: Some(kind) };
         let bytes = packet.encode_to_vec();
         for target in targets {
-            // A datagram that is lost is made good by the next one; one that never fits is not.
+            // The next message makes up for a lost datagram, but not for one that is always too
+            // long.
             if let Err(error) = self.socket.try_send_to(&bytes, target) {
                 self.peers.log.write("datagram_not_sent", || {
                     serde_json::json!({"to": target.to_string(), "bytes": bytes.len(),
@@ -299,7 +295,7 @@
         })
     }
 
-    /// A summary that names its sender and tells nothing yet.
+    /// An empty summary with the identity of its sender.
     pub(crate) fn summary(&self) -> Summary {
         Summary {
             name: self.settings.name.clone(),
--- a/crates/cluster/src/large_fleet.rs
+++ b/crates/cluster/src/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Who tells whom in a fleet in which not every node hears every other: nodes tell the delegates of their zone,
-//! delegates tell their zone and the delegates of other zones.
+//! Message routing in a large fleet: nodes send to the delegates of their zone; delegates send to
+//! their zone and to the delegates of other zones.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::roster::Roster;
 use crate::zone_digest::ZoneDigest;
 
-/// Random nodes that a heartbeat goes to where no delegate is heard.
+/// Number of random nodes that receive a heartbeat while no delegate is heard.
 pub(crate) const FANOUT: usize = 6;
 
 impl Gossip {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Sends this node's loads to the delegates of its zone. A life sign goes to a random node now
-    /// and then, and to several while no delegate is heard.
+    /// Sends this node's loads to the delegates of its zone. A random node gets a heartbeat at
+    /// times, and several random nodes do while no delegate is heard.
     fn send_to_delegates(&self, far_too: bool) {
         let message = self.heartbeat(true, None);
         self.send(message, self.near_delegates.borrow().iter().copied());
@@ -55,7 +55,7 @@
         self.send_at_random(fanout);
     }
 
-    /// As a delegate, tells each node of the zone what all others do.
+    /// As a delegate, sends each node of the zone the load of all others.
     fn tell_zone(&self, roster: &Roster, duties: Duties) {
         let (signs, more) = self.due_signs(None, duties);
         let evacuated = match duties.signs {
@@ -75,7 +75,7 @@
         let sums = sums.into_iter().zip(self.loads.demand.sums_without(&all));
         for (peer, (loads, demands)) in near.iter().zip(sums) {
             let message = match delegates.contains(&peer.name) {
-                // The other delegate sums up itself.
+                // The other delegate aggregates loads itself.
                 true => self.heartbeat(true, signs.clone()),
                 false => PacketKind::Summary(Summary {
                     levels: self.quotas.levels_for(node_number(&peer.name)),
@@ -93,7 +93,8 @@
         self.send_more(more, &told);
     }
 
-    /// Life signs of the nodes of one zone, or of all, when they are due: those that go with another message, and the rest.
+    /// Liveness records of one zone, or of all, if they are due: the first batch, which is attached
+    /// to another message, and the remaining ones.
     fn due_signs(&self, zone: Option<&str>, duties: Duties) -> (Option<LifeSigns>, Vec<LifeSigns>) {
         if !duties.signs {
             return (None, Vec::new());
@@ -114,9 +115,8 @@
         }
     }
 
-    /// As a delegate, tells the delegates of other zones what this zone does: nodes of other zones
-    /// use some servers of this one, and the other way round, and what they do not hear of they take
-    /// for free.
+    /// As a delegate, sends the load sums of this zone to the delegates of other zones, whose nodes
+    /// use some servers of this zone too.
     fn tell_other_zones(&self, roster: &Roster, duties: Duties) {
         let (near, far) = self.other_delegates(roster);
         self.tell_delegates(near, &self.digest, duties);
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Delegates of other zones that this delegate tells: all of the region, and its part of those of other regions.
+    /// Delegates of other zones to which this delegate sends: all of the own region, and its share
+    /// of those of other regions.
     pub(crate) fn other_delegates<'a>(
         &self,
         roster: &'a Roster,
@@ -147,7 +148,7 @@
         (near.collect(), far.collect())
     }
 
-    /// Tells some delegates of other zones what this one does, as far as they do not know it.
+    /// Sends some delegates of other zones the sums that they do not have yet.
     fn tell_delegates(
         &self,
         delegates: Vec<&RelayPeer>,
@@ -173,16 +174,15 @@
         self.send_more(more, &told);
     }
 
-    /// As a delegate, tells the delegates of zones that have fallen silent who lives here. They are those that the
-    /// zone itself chose before. Once a cut between zones heals, both sides know of all nodes of the other after
-    /// 0.6 s; by heartbeats to random nodes alone it took up to 3 s, and nodes of the one side took over jobs that
-    /// run at the other.
+    /// As a delegate, sends the liveness records of this zone to the last known delegates of silent
+    /// zones. Without it, the two sides of a healed partition rediscover each other slowly, and one
+    /// side may take over jobs that still run on the other.
     fn tell_silent_zones(&self) {
         let delegates = self.peers.silent_delegates();
         if delegates.is_empty() {
             return;
         }
-        // Loads are told again once the zone is heard.
+        // Loads are sent again once the zone is heard.
         let told: Vec<SocketAddr> = delegates.iter().map(|node| node.address).collect();
         let mut signs = self.peers.life_signs(Some(&self.settings.zone)).into_iter();
         let message = self.heartbeat(false, signs.next());
@@ -190,7 +190,7 @@
         self.send_more(signs.collect(), &told);
     }
 
-    /// Sends life signs to nodes chosen at random; where no delegate is heard they relay others.
+    /// Sends a heartbeat to random nodes; with `FANOUT` nodes it relays liveness records.
     fn send_at_random(&self, fanout: usize) {
         if fanout == 0 {
             return;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a node knows of configuration, servers, loads and peers.
+//! A node's view of configuration, servers, loads and peers.
 //!
-//! Liveness comes from heartbeats between nodes; addresses and everything that must be right come
-//! from the row store.
+//! Liveness comes from heartbeats between nodes; addresses and all data that requires consistency
+//! come from the row store.
 
 mod cadence;
 mod cold_loads;
--- a/crates/cluster/src/life_signs.rs
+++ b/crates/cluster/src/life_signs.rs
@@ -1,4 +1,4 @@
-//! Life signs: when the newest message of each node came, told on between nodes of a large fleet.
+//! Liveness records: the newest known message of each node, relayed between nodes of a large fleet.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use crate::messages::{LifeSign, LifeSigns};
 use crate::peers::{FAR_SILENCE, Peer, PeerTable, RELAYED_SILENCE};
 
-/// Nodes of which one heartbeat relays when they were heard.
+/// Liveness records relayed by a heartbeat to random nodes.
 const RELAYED: usize = 32;
 
-/// Life signs of one message: about 4 KB. A message that told of all nodes of a fleet would outgrow a datagram at 1,900 nodes,
-/// be cut off and then say nothing at all.
+/// Maximum liveness records per message, about 4 KB. The records of a fleet of 1,900 nodes would
+/// exceed a datagram.
 const SIGNS_IN_MESSAGE: usize = 400;
 
-/// Number that stands for one life of a node in relayed entries.
+/// Identifies one run of a node in liveness records.
 fn life_number(name: &str, life: u64) -> u32 {
     xxh3_64_with_seed(name.as_bytes(), life) as u32
 }
 
 impl PeerTable {
-    /// Life signs of the nodes of one zone, or of all zones, in as many messages as they take.
+    /// Liveness records of one zone, or of all zones, split into messages.
     pub fn life_signs(&self, zone: Option<&str>) -> Vec<LifeSigns> {
         let wanted = |peer: &Peer| zone.is_none_or(|zone| peer.row.zone == zone);
         let signs = self.recent_signs(wanted);
@@ -33,7 +33,7 @@
             .collect()
     }
 
-    /// Life signs of some nodes, chosen at random.
+    /// Liveness records of some random nodes.
     pub(crate) fn some_life_signs(&self) -> LifeSigns {
         let signs = self.recent_signs(|_| true);
         let chosen = signs.choose_multiple(&mut rand::rng(), RELAYED);
@@ -57,7 +57,7 @@
         recent.collect()
     }
 
-    /// Takes over the life signs that another node knows of.
+    /// Merges the liveness records of another node.
     pub fn take_life_signs(&self, signs: &LifeSigns) {
         if signs.nodes.is_empty() {
             return;
@@ -74,7 +74,7 @@
                 continue;
             };
             if peer.heard.is_none() {
-                // A node that others hear takes requests unless its row says otherwise.
+                // A node heard by others counts as ready unless its row says otherwise.
                 peer.ready = true;
             }
             let returns = peer
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -1,110 +1,103 @@
-//! Messages between nodes, and the row with which a node makes itself known.
+//! Messages between nodes, and the row with which a node registers.
 
 use dappleyard_crashes::CrashNews;
 use dappleyard_room::Demand;
 use dappleyard_tenants::{CreditLevel, PassedCount};
 use prost::{Message, Oneof};
 
-/// Row of one node.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct NodeRow {
-    /// Number of this life of the process.
+    /// Number of this run of the process.
     #[prost(fixed64, tag = "1")]
     pub life: u64,
-    /// Address for callers.
     #[prost(string, tag = "2")]
     pub front: String,
-    /// Zone.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Address for messages between nodes.
+    /// Address for traffic between nodes.
     #[prost(string, tag = "4")]
     pub peer: String,
-    /// The node takes no new work and will end.
+    /// The node is draining and will shut down.
     #[prost(bool, tag = "5")]
     pub leaving: bool,
-    /// The machine has the processor and link that duties for a whole zone take.
+    /// The machine has the capacity to act as a delegate.
     #[prost(bool, tag = "6")]
     pub strong: bool,
 }
 
-/// Work of one node at one server.
+/// Load of one node at one server.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadEntry {
-    /// Hash of the server's identifier.
     #[prost(fixed32, tag = "1")]
     pub server: u32,
-    /// Online requests under way.
+    /// Online requests in flight.
     #[prost(uint32, tag = "2")]
     pub online: u32,
-    /// Batch items under way.
+    /// Batch items in flight.
     #[prost(uint32, tag = "3")]
     pub batch: u32,
-    /// Prompt tokens that the server has yet to read.
+    /// Prompt tokens that the server has yet to prefill.
     #[prost(uint32, tag = "4")]
     pub unread_tokens: u32,
-    /// The node found the server silent or broken lately.
+    /// The node recently found the server unresponsive or failing.
     #[prost(bool, tag = "5")]
     pub suspect: bool,
-    /// Time since any byte came from the server to the node, plus one; 0 when none ever did.
+    /// Time since the node last received a byte from the server, plus one; 0 if it never has.
     #[prost(uint32, tag = "6")]
     pub heard_ms: u32,
-    /// Requests that failed there in the last seconds.
+    /// Requests that failed at the server in the last seconds.
     #[prost(uint32, tag = "7")]
     pub failed: u32,
-    /// Requests that were served there in the last seconds.
+    /// Requests that the server completed in the last seconds.
     #[prost(uint32, tag = "8")]
     pub served: u32,
-    /// Time since the newest question to the server was asked that told how cold it is, plus one; 0 when none was
-    /// lately.
+    /// Time since the newest probe of the server's cold start was sent, plus one; 0 without a
+    /// recent one.
     #[prost(uint32, tag = "9")]
     pub asked_ms: u32,
-    /// How much longer the server was cold then.
+    /// Remaining cold time of the server as of that probe.
     #[prost(uint32, tag = "10")]
     pub cold_ms: u32,
-    /// The node waits for the server for longer than its answers take, if not yet for so long that it is silent.
+    /// The node has waited for the server for longer than its answers usually take, but not long
+    /// enough to count it as unresponsive.
     #[prost(bool, tag = "11")]
     pub doubted: bool,
-    /// Age of the newest word of the server of how long work takes there, plus one; 0 when there is none of the last
-    /// moment.
+    /// Age of the newest pace reported by the server, plus one; 0 without a recent one.
     #[prost(uint32, tag = "12")]
     pub pace_age_ms: u32,
-    /// That word: 100 is as usual.
+    /// The reported pace in percent of the usual duration.
     #[prost(uint32, tag = "13")]
     pub pace_percent: u32,
-    /// Age of the newest measure of how much longer its answers take than it says, plus one; 0 when there is none of
-    /// the last moment.
+    /// Age of the newest measurement of how much longer answers take than the reported pace
+    /// implies, plus one; 0 without a recent one.
     #[prost(uint32, tag = "14")]
     pub excess_pace_age_ms: u32,
-    /// That measure: 100 is as long as it says.
+    /// The measured duration in percent of the one that the reported pace implies.
     #[prost(uint32, tag = "15")]
     pub excess_pace_percent: u32,
 }
 
-/// The newest messages of other nodes that the sender knows of. The lists run side by side: one
-/// entry of each for each node.
+/// Liveness records: the newest known message of each node, as parallel lists.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LifeSigns {
-    /// Hashes of the nodes' names and lives.
+    /// Hashes of the nodes' names and run numbers.
     #[prost(fixed32, repeated, tag = "1")]
     pub nodes: Vec<u32>,
-    /// Sequence numbers of the messages. Only a greater one than known says that a node lives: an
-    /// age alone, passed round between nodes, loses the time on the way and never ends.
+    /// Sequence numbers of the messages. Only a higher one proves that a node is alive: ages alone
+    /// would be relayed forever, since they omit the network delay.
     #[prost(uint64, repeated, tag = "2")]
     pub sequences: Vec<u64>,
-    /// Times since those messages came, as far as the sender knows.
+    /// Times since those messages arrived anywhere, as far as the sender knows.
     #[prost(uint32, repeated, tag = "3")]
     pub ages_ms: Vec<u32>,
 }
 
-/// One life sign.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LifeSign {
-    /// Hash of the node's name and life.
+    /// Hash of the node's name and run number.
     pub node: u32,
-    /// Sequence number of its newest known message.
     pub sequence: u64,
-    /// Time since that came.
+    /// Time since that message arrived.
     pub age_ms: u32,
 }
 
@@ -121,7 +114,7 @@
 }
 
 impl LifeSigns {
-    /// The signs one by one; what has no counterpart in the other lists is passed over.
+    /// The records; excess elements of a longer list are ignored.
     pub fn iter(&self) -> impl Iterator<Item = LifeSign> + '_ {
         let numbers = self.nodes.iter().zip(&self.sequences);
         numbers
@@ -134,47 +127,44 @@
     }
 }
 
-/// Heartbeat of one node.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Heartbeat {
-    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Number of this life of the sender.
+    /// Number of this run of the sender.
     #[prost(fixed64, tag = "2")]
     pub life: u64,
-    /// The sender takes requests.
+    /// The sender accepts requests.
     #[prost(bool, tag = "3")]
     pub ready: bool,
-    /// The sender will end.
+    /// The sender is shutting down.
     #[prost(bool, tag = "4")]
     pub leaving: bool,
     /// Time since the store last answered the sender.
     #[prost(uint32, tag = "5")]
     pub store_age_ms: u32,
-    /// Work of the sender.
+    /// Loads of the sender.
     #[prost(message, repeated, tag = "6")]
     pub loads: Vec<LoadEntry>,
-    /// Time since the store last answered a call of the sender itself, plus one; 0 when it never
-    /// has.
+    /// Time since the store last answered a direct call of the sender, plus one; 0 if it never has.
     #[prost(uint32, tag = "8")]
     pub direct_age_ms: u32,
-    /// Hashes of the servers that the sender uses, when it does not use all.
+    /// Hashes of the servers used by the sender, if it does not use all.
     #[prost(fixed32, repeated, tag = "9")]
     pub used: Vec<u32>,
-    /// Items of jobs that wait for a server at the sender.
+    /// Batch items waiting for a server at the sender.
     #[prost(uint32, tag = "10")]
     pub waiting: u32,
-    /// The loads are told; otherwise this is a life sign only.
+    /// The message carries loads; otherwise it only shows liveness.
     #[prost(bool, tag = "11")]
     pub tells_loads: bool,
-    /// Counts the sender's messages; loads in one that is older than the newest are passed over.
+    /// Sequence number of the message; loads in a message older than the newest are ignored.
     #[prost(uint64, tag = "12")]
     pub sequence: u64,
-    /// Life signs of other nodes, in fleets where not every node hears every other.
+    /// Liveness records of other nodes, in large fleets.
     #[prost(message, optional, tag = "13")]
     pub signs: Option<LifeSigns>,
-    /// Requests of tenants that the sender let pass.
+    /// Requests of each tenant admitted by the sender.
     #[prost(message, repeated, tag = "14")]
     pub passed: Vec<PassedCount>,
     /// Online demand of the sender.
@@ -182,81 +172,80 @@
     pub demands: Vec<Demand>,
 }
 
-/// What still runs at the servers of an evacuated zone, over all nodes.
+/// Work still in flight at the servers of an evacuated zone, over all nodes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ZoneWork {
-    /// Hash of the zone's name.
     #[prost(fixed64, tag = "1")]
     pub zone: u64,
-    /// Online requests under way.
+    /// Online requests in flight.
     #[prost(uint32, tag = "2")]
     pub online: u32,
-    /// Batch items under way.
+    /// Batch items in flight.
     #[prost(uint32, tag = "3")]
     pub batch: u32,
 }
 
-/// Loads and life signs that a delegate of a zone has summed.
+/// Loads and liveness records aggregated by a delegate.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Summary {
-    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Number of this life of the sender.
+    /// Number of this run of the sender.
     #[prost(fixed64, tag = "2")]
     pub life: u64,
-    /// The loads are those of the sender's zone, for delegates of other zones; otherwise they are
-    /// those of the whole fleet but for the receiver's own.
+    /// The loads are those of the sender's zone, for delegates of other zones; otherwise those of
+    /// the whole fleet except the receiver.
     #[prost(bool, tag = "3")]
     pub of_zone: bool,
-    /// Sums.
+    /// Load sums.
     #[prost(message, repeated, tag = "4")]
     pub loads: Vec<LoadEntry>,
-    /// Items of jobs that wait for a server at the nodes whose loads are summed.
+    /// Batch items waiting for a server at the aggregated nodes.
     #[prost(uint32, tag = "6")]
     pub waiting: u32,
-    /// Counts the sender's messages.
+    /// Sequence number of the message.
     #[prost(uint64, tag = "7")]
     pub sequence: u64,
-    /// Life signs of other nodes; not in every summary.
+    /// Liveness records of other nodes; not in every summary.
     #[prost(message, optional, tag = "8")]
     pub signs: Option<LifeSigns>,
-    /// The sums are those that have changed since the summary before; otherwise they are all.
+    /// The sums are those that changed since the previous summary; otherwise all sums.
     #[prost(bool, tag = "9")]
     pub changes_only: bool,
-    /// Requests of tenants that the sender's zone let pass, for delegates of other zones.
+    /// Requests of each tenant admitted by the sender's zone, for delegates of other zones.
     #[prost(message, repeated, tag = "10")]
     pub passed: Vec<PassedCount>,
-    /// Low credit of tenants, for the nodes of the sender's zone.
+    /// Remaining credit of tenants that are low on it, for the nodes of the sender's zone.
     #[prost(message, repeated, tag = "11")]
     pub levels: Vec<CreditLevel>,
-    /// Thousandths of the nodes of the sender's zone that told it a moment ago what they let pass.
+    /// Share of the zone's nodes, in thousandths, that recently reported the requests they
+    /// admitted.
     #[prost(uint32, tag = "12")]
     pub heard_permille: u32,
-    /// What still runs in evacuated zones, for the nodes of the sender's zone; not in every summary.
+    /// Work still in flight in evacuated zones, for the nodes of the sender's zone; not in every
+    /// summary.
     #[prost(message, repeated, tag = "20")]
     pub evacuated: Vec<ZoneWork>,
-    /// Online demand of the nodes whose loads are summed.
+    /// Online demand of the aggregated nodes.
     #[prost(message, repeated, tag = "21")]
     pub demands: Vec<Demand>,
 }
 
-/// Work of one node at the servers where it has changed since the node last told of it.
+/// Loads of one node at the servers where they changed since its last message.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadChange {
-    /// Hash of the sender's name.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// Number of this life of the sender.
+    /// Number of this run of the sender.
     #[prost(fixed64, tag = "2")]
     pub life: u64,
-    /// Counts the sender's messages about its loads, heartbeats included.
+    /// Sequence number of the message, shared with heartbeats.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The work there now; servers without any are named too.
+    /// Current loads, including those that became zero.
     #[prost(message, repeated, tag = "4")]
     pub loads: Vec<LoadEntry>,
-    /// Requests of tenants that the sender let pass.
+    /// Requests of each tenant admitted by the sender.
     #[prost(message, repeated, tag = "5")]
     pub passed: Vec<PassedCount>,
     /// Online demand of the sender.
@@ -264,24 +253,23 @@
     pub demands: Vec<Demand>,
 }
 
-/// Life signs alone: those that had no room beside what else their teller said.
+/// Liveness records that did not fit into the message they belong to.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct MoreSigns {
-    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Number of this life of the sender.
+    /// Number of this run of the sender.
     #[prost(fixed64, tag = "2")]
     pub life: u64,
-    /// Counts the sender's messages.
+    /// Sequence number of the message.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// Life signs of other nodes.
+    /// Liveness records of other nodes.
     #[prost(message, optional, tag = "4")]
     pub signs: Option<LifeSigns>,
 }
 
-/// What a datagram carries.
+/// Content of a datagram.
 #[derive(Clone, PartialEq, Eq, Oneof)]
 pub(crate) enum PacketKind {
     #[prost(message, tag = "1")]
--- a/crates/cluster/src/peer_rows.rs
+++ b/crates/cluster/src/peer_rows.rs
@@ -1,4 +1,4 @@
-//! Feeds the rows of the nodes into the table of nodes.
+//! Applies the rows of the node table to the peer table.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,8 +11,8 @@
 use crate::messages::NodeRow;
 use crate::peers::{NODES_TABLE, Peer, PeerTable};
 
-/// Place of a node's row. Each zone has a partition of its own: one that holds all nodes takes 300 writes a second, which
-/// is 3 s when a thousand nodes begin, and a node that begins needs those of its zone first.
+/// Key of a node's row. Each zone has its own partition, which spreads the writes of many nodes
+/// that start at once and lets a starting node read its own zone first.
 pub fn node_key(zone: &str, name: &str) -> RowKey {
     RowKey::new(NODES_TABLE, zone, name)
 }
@@ -20,7 +20,8 @@
 impl PeerTable {
     fn put(peers: &mut HashMap<String, Peer>, row: &Row) {
         let Some(value) = &row.value else {
-            // The row that an earlier version of the program left in another partition is not the node's own.
+            // A row left in another partition by an earlier version of the program does not stand
+            // for the node.
             let own = peers
                 .get(&row.key)
                 .is_some_and(|peer| peer.part == row.part);
--- a/crates/cluster/src/peers.rs
+++ b/crates/cluster/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes: their rows, and when they were last heard.
+//! Peer table: the rows of the other nodes and when each was last heard.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,65 +16,62 @@
 use crate::strangers::Stranger;
 use dappleyard_clock::Instant;
 
-/// Table of the nodes' rows.
+/// Name of the table of node rows.
 pub const NODES_TABLE: &str = "nodes";
-/// Silence after which a node of the own zone counts as down.
+/// Silence after which a node of the own zone counts as down in a small fleet.
 const NEAR_SILENCE: Duration = Duration::from_millis(700);
-/// Silence after which a node of another zone counts as down.
+/// Silence after which a node of another zone counts as down in a small fleet.
 pub(crate) const FAR_SILENCE: Duration = Duration::from_millis(1600);
-/// Most nodes of a fleet in which every node hears every other.
+/// Maximum number of nodes of a small fleet, in which every node hears every other.
 pub const ALL_HEARD: usize = 24;
-/// Silence after which a node counts as down in a larger fleet, where heartbeats are relayed.
+/// Silence after which a node counts as down in a large fleet, where heartbeats are relayed.
 pub(crate) const RELAYED_SILENCE: Duration = Duration::from_millis(2_500);
-/// Time that a node has from the moment its row is seen to its first heartbeat.
+/// Time allowed from the discovery of a node's row to its first heartbeat.
 const FIRST_HEARTBEAT: Duration = Duration::from_millis(1600);
-/// Time without a sign after which a node is taken for gone for good.
+/// Silence after which a node counts as gone permanently.
 pub(crate) const FORGOTTEN: Duration = Duration::from_secs(60);
-/// A node that has had no answer of the store for this long can commit nothing.
+/// Silence of the store after which a node counts as isolated from it.
 const STORE_SILENCE: Duration = Duration::from_millis(3200);
 
-/// When the store last answered the sender of a heartbeat itself.
+/// When the store last answered a direct call of the sender.
 pub(crate) fn direct_answer(heartbeat: &Heartbeat, now: Instant) -> Option<Instant> {
     let age_ms = u64::from(heartbeat.direct_age_ms.checked_sub(1)?);
     now.checked_sub(Duration::from_millis(age_ms))
 }
 
-/// What is believed of a node.
+/// Liveness of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerStatus {
-    /// It is heard and takes requests.
+    /// Alive and accepting requests.
     Ready,
-    /// It is heard or was just started, and takes no requests.
+    /// Alive or just started, and not accepting requests.
     Present,
-    /// It is heard, but the store does not answer it.
+    /// Alive, but without contact to the store.
     Isolated,
-    /// It has fallen silent, or it is not known.
+    /// Silent or unknown.
     Down,
-    /// Another process runs under its name.
+    /// Superseded by another run of the process with the same name.
     Replaced,
 }
 
-/// A node that can run jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Worker {
-    /// Name.
     pub name: String,
-    /// Zone.
     pub zone: String,
 }
 
 pub(crate) struct Peer {
-    /// Number that stands for its row as it is: name, life, zone, addresses and strength.
+    /// Hash of its name and row.
     pub(crate) number: u64,
     pub(crate) row: NodeRow,
-    /// Partition in which the row stands.
+    /// Partition of the row.
     pub(crate) part: String,
     pub(crate) revision: u64,
     pub(crate) address: Option<SocketAddr>,
     pub(crate) seen: Instant,
-    /// When its newest message is known to have come, here or at another node.
+    /// When its newest known message arrived, here or at another node.
     pub(crate) heard: Option<Instant>,
-    /// Number of that message.
+    /// Sequence number of that message.
     pub(crate) sequence: u64,
     pub(crate) ready: bool,
     pub(crate) leaving: bool,
@@ -84,22 +81,22 @@
 }
 
 impl Peer {
-    /// Whether the node may still be there: it was heard, or its row seen, not long ago.
+    /// Whether the node was heard, or its row discovered, within `FORGOTTEN`.
     pub(crate) fn is_recent(&self, now: Instant) -> bool {
         now.duration_since(self.last()) < FORGOTTEN
     }
 
-    /// When it was last heard, or its row seen.
+    /// When it was last heard or its row was discovered.
     pub(crate) fn last(&self) -> Instant {
         self.heard.unwrap_or(self.seen).max(self.seen)
     }
 
-    /// Whether the node took requests when it was last heard.
+    /// Whether the node accepted requests when it was last heard.
     fn took_requests(&self) -> bool {
         self.heard.is_some() && self.ready && !(self.leaving || self.row.leaving)
     }
 
-    /// Takes a message of the node for known since some time; an older one than known says nothing.
+    /// Records the arrival of a message; one that is older than the newest known is ignored.
     pub(crate) fn note_message(&mut self, sequence: u64, at: Instant) {
         if self.heard.is_none() || sequence > self.sequence {
             self.sequence = sequence;
@@ -108,30 +105,28 @@
     }
 }
 
-/// A node that may pass calls to the store on.
+/// A node that may relay calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayPeer {
-    /// Name.
     pub name: String,
-    /// Zone.
     pub zone: String,
-    /// Address for calls between nodes.
+    /// Address for traffic between nodes.
     pub address: SocketAddr,
-    /// When the store last answered it, as far as is known.
+    /// When the store last answered a direct call of it, as far as is known.
     pub answered: Option<Instant>,
-    /// Its machine can carry duties for a whole zone.
+    /// Its machine has the capacity to act as a delegate.
     pub strong: bool,
 }
 
-/// The nodes that are known, this one included.
+/// The known nodes, including this one.
 pub struct PeerTable {
     pub(crate) own_name: String,
     pub(crate) own_zone: String,
     pub(crate) peers: Mutex<HashMap<String, Peer>>,
-    /// Senders of heartbeats while no row of a node is known. Locked after `peers`.
+    /// Senders of heartbeats while no node row is known. Locked after `peers`.
     pub(crate) strangers: Mutex<HashMap<String, Stranger>>,
     pub(crate) changed: Notify,
-    /// Counts the changes after which a roster is no longer true: nodes that come or leave.
+    /// Incremented by each change that invalidates the roster: nodes that join or leave.
     changes: AtomicU64,
     /// Never locked together with `peers`.
     pub(crate) roster: Mutex<HeldRoster>,
@@ -139,7 +134,7 @@
 }
 
 impl PeerTable {
-    /// A table that knows no node yet.
+    /// Creates an empty table.
     pub fn new(own_name: &str, own_zone: &str, log: Arc<EventLog>) -> Self {
         Self {
             own_name: own_name.to_owned(),
@@ -153,12 +148,12 @@
         }
     }
 
-    /// Counts the changes after which a roster is no longer true.
+    /// Number of changes that invalidated the roster.
     pub(crate) fn changes(&self) -> u64 {
         self.changes.load(Ordering::Acquire)
     }
 
-    /// A node came or left.
+    /// Records that a node joined or left.
     pub(crate) fn note_change(&self) {
         self.changes.fetch_add(1, Ordering::Release);
     }
@@ -168,7 +163,7 @@
         self.changed.notified().await;
     }
 
-    /// What is believed of the life of a node.
+    /// Status of one run of a node.
     pub fn status(&self, name: &str, life: u64) -> PeerStatus {
         let peers = self.peers.lock();
         match peers.get(name) {
@@ -178,7 +173,7 @@
         }
     }
 
-    /// The nodes that can run jobs, this one included when it is fit.
+    /// The nodes that can run jobs, including this one if `own_fit` is set.
     pub fn workers(&self, own_fit: bool) -> Vec<Worker> {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -197,8 +192,8 @@
         others.chain(own).collect()
     }
 
-    /// Nodes that callers may be sent to, this one left out: those that take requests, and those that did when
-    /// they were last heard.
+    /// The other nodes that callers may be sent to: those that accept requests, and silent ones
+    /// that did when they were last heard.
     pub fn front_nodes(&self) -> Vec<FrontNode> {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -221,7 +216,7 @@
         taking.collect()
     }
 
-    /// Where to send heartbeats: address, and whether the node is in the own zone.
+    /// Heartbeat targets: address, and whether the node is in the own zone.
     pub fn heartbeat_targets(&self) -> Vec<(SocketAddr, bool)> {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -233,13 +228,14 @@
             .collect()
     }
 
-    /// Whether a node is alive and stays, in a fleet of some size.
+    /// Whether a node is alive and not shutting down.
     fn stays(&self, peer: &Peer, now: Instant, fleet: usize) -> bool {
         let leaves = peer.row.leaving || peer.leaving;
         !leaves && self.judge(peer, now, fleet) != PeerStatus::Down
     }
 
-    /// Sum over the numbers of the nodes that are alive and stay: the same for the same nodes.
+    /// Sum of the row hashes of the nodes that are alive and not shutting down; changes with this
+    /// set.
     pub(crate) fn sum_of_alive(&self) -> u64 {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -249,7 +245,8 @@
         alive.fold(0_u64, |sum, peer| sum.wrapping_add(peer.number))
     }
 
-    /// The other nodes that are alive and stay.
+    /// The other nodes that are alive and not shutting down; while no row is known, those that sent
+    /// heartbeats.
     pub fn relay_peers(&self) -> Vec<RelayPeer> {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -272,13 +269,13 @@
             .collect()
     }
 
-    /// Number of nodes that have a row, this one included.
+    /// Number of nodes with a row, including this one.
     pub fn listed(&self) -> usize {
         self.peers.lock().len()
     }
 
-    /// Number of nodes that have a row and were heard or began within the last minute, this one
-    /// included: the row of a machine that is gone for good may stay.
+    /// Number of nodes that were heard or registered within the last minute, including this one.
+    /// Rows of machines that are gone permanently do not count.
     pub fn expected(&self) -> usize {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -289,7 +286,7 @@
         others.count() + 1
     }
 
-    /// Number of nodes that are heard, this one included.
+    /// Number of nodes that are alive, including this one.
     pub fn count(&self) -> usize {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -300,7 +297,7 @@
         others.count() + 1
     }
 
-    /// Takes a heartbeat; whether it is of a life that is known.
+    /// Applies a heartbeat; returns whether its sender is a known run of a node.
     pub fn heard(&self, heartbeat: &Heartbeat) -> bool {
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(&heartbeat.name) else {
@@ -333,18 +330,17 @@
         true
     }
 
-    /// Whether the fleet is so large that not every node hears every other.
+    /// Whether the fleet is large: not every node hears every other.
     pub fn is_large(&self) -> bool {
         self.peers.lock().len() > ALL_HEARD
     }
 
-    /// Zone of a node.
     pub(crate) fn zone_of(&self, name: &str) -> Option<String> {
         let peers = self.peers.lock();
         peers.get(name).map(|peer| peer.row.zone.clone())
     }
 
-    /// Takes the sender of a message for alive; whether it is of a life that is known.
+    /// Records a message of a node; returns whether it is a known run.
     pub(crate) fn heard_from(&self, name: &str, life: u64, sequence: u64) -> bool {
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(name).filter(|peer| peer.row.life == life) else {
@@ -354,7 +350,7 @@
         true
     }
 
-    /// Writes a record for each node that has fallen silent since the last call.
+    /// Logs each node that went down since the last call.
     pub(crate) fn log_silent(&self) {
         let now = Instant::now();
         let mut peers = self.peers.lock();
--- a/crates/cluster/src/receiving.rs
+++ b/crates/cluster/src/receiving.rs
@@ -1,4 +1,4 @@
-//! What a node takes from the messages of others.
+//! Handling of received gossip messages.
 
 use std::net::SocketAddr;
 
@@ -32,7 +32,7 @@
             Some(PacketKind::LoadChange(change)) => self.receive_change(change),
             Some(PacketKind::CrashNews(news)) => self.receive_crash_news(news),
             Some(PacketKind::MoreSigns(more)) => self.receive_more_signs(&more),
-            // Of a later version of the program.
+            // Sent by a later version of the program.
             None => {}
         }
     }
@@ -46,7 +46,7 @@
         }
         let large = self.peers.is_large();
         let summed = self.is_told();
-        // A life sign sent at random tells nothing of loads.
+        // In a large fleet loads come from summaries, or from heartbeats that carry them.
         let delegate = self.peers.is_delegate();
         if large && ((summed && !delegate) || !heartbeat.tells_loads) {
             return;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Whether the items that a node tells of wait for the same servers as this node's own: those of other
-    /// regions wait for other servers.
+    /// Whether a node's waiting items compete with this node's own. Items in other regions wait for
+    /// other servers.
     fn waits_near(&self, name: &str) -> bool {
         let ways = self.view.ways();
         if !ways.has_regions() {
@@ -88,7 +88,7 @@
         ways.is_near(&zone)
     }
 
-    /// Whether a message about loads is newer than all before it from its node.
+    /// Whether a load message is newer than all earlier ones of its node; records it if so.
     fn is_newest(&self, node: u64, life: u64, sequence: u64) -> bool {
         let mut newest = self.newest.borrow_mut();
         let held = newest.entry(node).or_default();
@@ -101,7 +101,7 @@
 
     fn receive_change(&self, change: LoadChange) {
         let listens = !self.peers.is_large() || self.peers.is_delegate();
-        // A heartbeat makes a life known before its changes count.
+        // Changes are ignored until a heartbeat of the same run has arrived.
         let newest = self.newest.borrow().get(&change.node).copied();
         let known = newest.is_some_and(|(life, _)| life == change.life);
         if listens && known && self.is_newest(change.node, change.life, change.sequence) {
@@ -153,7 +153,7 @@
                 self.loads.demand.set_source(Source::Fleet, summary.demands);
                 self.loads.set_source(Source::Fleet, summary.loads);
             }
-            // Two nodes may for a moment think differently of who the delegates are.
+            // Nodes may briefly disagree on the delegates.
             _ => {}
         }
     }
--- a/crates/cluster/src/roster.rs
+++ b/crates/cluster/src/roster.rs
@@ -1,9 +1,7 @@
-//! The nodes that are alive and stay, and who the delegates among them are: looked up for every datagram and every
-//! look at the store, so they are worked out once for many look-ups.
+//! Roster of the live nodes and the delegates of each zone.
 //!
-//! Worked out anew, the names and zones of all nodes are copied and sorted. That costs time for each node of the fleet, and
-//! it was done for each datagram, of which a delegate receives some for each node of its zone: the cost grew with the
-//! square of the fleet.
+//! It is needed for every datagram, and computing it copies and sorts all nodes. A large fleet
+//! therefore caches it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,24 +12,23 @@
 use crate::delegates::{Candidate, delegates};
 use crate::peers::{PeerTable, RelayPeer};
 
-/// How long a roster of a large fleet is taken for true when nobody came or left. A silence of seconds makes a node leave;
-/// it is noticed later by this much at most. Then the nodes are looked through, and the roster is worked out anew only when it
-/// would be another one.
+/// Time for which a cached roster of a large fleet is used without a check of the live nodes, if no
+/// node joined or left. It delays the detection of a silent node.
 const ROSTER_LIFE: Duration = Duration::from_millis(100);
 
-/// The nodes that are alive and stay, as of one moment.
+/// Snapshot of the nodes that are alive and not shutting down.
 #[derive(Debug)]
 pub struct Roster {
     own_zone: String,
     own_name: String,
-    /// The other nodes.
+    /// The other nodes, sorted by name.
     pub peers: Vec<RelayPeer>,
-    /// Delegates of each zone, this node included.
+    /// Delegates by zone, including this node.
     delegates: BTreeMap<String, Vec<String>>,
 }
 
 impl Roster {
-    /// A roster of other nodes, in the order of their names, and of this one.
+    /// Builds the roster of the other nodes and this one.
     fn new(mut peers: Vec<RelayPeer>, own: &RelayPeer) -> Self {
         peers.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         let mut zones: BTreeMap<&str, Vec<Candidate<'_>>> = BTreeMap::new();
@@ -60,13 +57,13 @@
         self.delegates.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// Place of this node among the delegates of its zone; `None` when it is none of them.
+    /// Index of this node among the delegates of its zone; `None` if it is not a delegate.
     pub fn own_place(&self) -> Option<usize> {
         let own = self.delegates(&self.own_zone);
         own.iter().position(|name| *name == self.own_name)
     }
 
-    /// Another node, by its name.
+    /// Finds another node by name.
     pub fn peer(&self, name: &str) -> Option<&RelayPeer> {
         let place = self
             .peers
@@ -74,13 +71,13 @@
         self.peers.get(place.ok()?)
     }
 
-    /// The delegates of a zone but for this node.
+    /// The delegates of a zone except this node.
     pub fn delegate_peers(&self, zone: &str) -> impl Iterator<Item = &RelayPeer> {
         let names = self.delegates(zone).iter();
         names.filter_map(|name| self.peer(name))
     }
 
-    /// Zones in which nodes are alive.
+    /// Zones with live nodes.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.delegates.keys().map(String::as_str)
     }
@@ -91,24 +88,24 @@
     }
 }
 
-/// The roster worked out last.
+/// Cache of the last roster.
 #[derive(Default)]
 pub(crate) struct HeldRoster {
     held: Option<Held>,
 }
 
 struct Held {
-    /// When it was last found true.
+    /// When it was last found up to date.
     looked: Instant,
-    /// Changes of the table as of then.
+    /// Change count of the peer table at that time.
     changes: u64,
-    /// Sum over the numbers of the nodes in it.
+    /// `sum_of_alive` of the nodes in it.
     sum: u64,
     roster: Arc<Roster>,
 }
 
 impl PeerTable {
-    /// The nodes that are alive and stay, now or a moment ago. In a small fleet it is worked out for each look-up.
+    /// The current roster; in a large fleet up to `ROSTER_LIFE` old.
     pub fn roster(&self) -> Arc<Roster> {
         let changes = self.changes();
         let large = self.is_large();
@@ -150,7 +147,7 @@
         self.roster().own_place().is_some()
     }
 
-    /// The delegates of a zone among the nodes that are alive and stay, this one included.
+    /// Names of the delegates of a zone, including this node.
     pub fn delegates(&self, zone: &str) -> Vec<String> {
         self.roster().delegates(zone).to_vec()
     }
--- a/crates/cluster/src/store_clock.rs
+++ b/crates/cluster/src/store_clock.rs
@@ -1,29 +1,28 @@
-//! How long an answer of the store was on its way, from the store's steady clock.
+//! Estimates the transit time of store answers from the store's monotonic clock.
 //!
-//! Every answer names the store's clock. The quickest answer seen tells how that clock stands to this
-//! machine's; what another answer lags behind that is time that it spent in queues, in a slow store or
-//! in a process that stood still. Knowledge is older by that time than its arrival says.
+//! Each answer carries the store's clock. The fastest answer seen gives the offset between that
+//! clock and the local one; the lag of any other answer against this offset is time spent in
+//! queues, in a slow store or in a suspended process, and adds to the age of the data.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 use parking_lot::Mutex;
 
-/// By how much two steady clocks may drift apart, milliseconds in a second: ten times the drift of
-/// common quartz clocks. The quickest answer is forgotten at this rate.
+/// Maximum drift between two monotonic clocks, milliseconds per second; ten times that of common
+/// quartz clocks. The known offset expires at this rate.
 const DRIFT_MS_PER_S: f64 = 1.0;
-/// An answer that seems to have been on its way for longer says that the store's clock was set anew:
-/// no connection holds an answer for a minute.
+/// A longer transit time means that the store's clock was reset.
 const LONGEST_WAY_MS: f64 = 60_000.0;
 
 #[derive(Debug, Clone, Copy)]
 struct Quickest {
-    /// This machine's clock, less the store's, when the quickest answer came.
+    /// Local clock minus the store's clock when the fastest answer arrived.
     offset_ms: f64,
     at: Instant,
 }
 
-/// The store's clock as this node knows it, shared by all threads.
+/// Estimate of the store's clock, shared by all threads.
 #[derive(Debug)]
 pub struct StoreClock {
     origin: Instant,
@@ -40,8 +39,8 @@
 }
 
 impl StoreClock {
-    /// Time that an answer which came now was on its way, beyond the quickest one known; `now_ms` is
-    /// the store's clock that it names.
+    /// Transit time of an answer that arrived now, relative to the fastest known one. `now_ms` is
+    /// the store's clock in the answer.
     pub fn time_on_way(&self, now_ms: u64) -> Duration {
         let now = Instant::now();
         let offset_ms = now.duration_since(self.origin).as_secs_f64() * 1_000.0 - now_ms as f64;
--- a/crates/cluster/src/strangers.rs
+++ b/crates/cluster/src/strangers.rs
@@ -1,5 +1,5 @@
-//! Nodes that are heard before the row of any node is known: one that starts while the store is away learns from
-//! them.
+//! Senders of heartbeats known before any node row is, so that a node that starts during an outage
+//! of the store can use them as relays.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,6 @@
 use crate::messages::Heartbeat;
 use crate::peers::{FAR_SILENCE, PeerTable, RelayPeer, direct_answer};
 
-/// A node that is heard before its row is known.
 pub(crate) struct Stranger {
     pub(crate) address: SocketAddr,
     pub(crate) heard: Instant,
@@ -16,8 +15,7 @@
 }
 
 impl PeerTable {
-    /// Notes who sends heartbeats while this node knows no row of any node: one that starts while
-    /// the store is away learns from them.
+    /// Records the sender of a heartbeat while no node row is known.
     pub fn meet(&self, heartbeat: &Heartbeat, address: SocketAddr) {
         let peers = self.peers.lock();
         if !peers.is_empty() || heartbeat.name == self.own_name {
--- a/crates/cluster/src/view.rs
+++ b/crates/cluster/src/view.rs
@@ -16,10 +16,10 @@
 use crate::ways::Ways;
 use dappleyard_clock::Instant;
 
-/// The servers of one service, as they were sorted last.
+/// The server set of one service, as last built.
 struct KnownSet {
     set: Arc<ServerSet>,
-    /// A server of the service has changed since.
+    /// A server of the service has changed since the set was built.
     stale: bool,
 }
 
@@ -27,23 +27,23 @@
 pub(crate) struct Known {
     configuration: Option<Arc<Configuration>>,
     pub(crate) evacuations: Evacuations,
-    /// Servers that are listed, by name: sets of them are built in this order.
+    /// Listed servers with their revisions, by name; server sets are built in this order.
     pub(crate) servers: BTreeMap<String, (u64, Arc<ServerRecord>)>,
-    /// The start before the one that is listed, by name.
+    /// The previous run of a listed server, by name.
     pub(crate) earlier_starts: HashMap<String, Arc<ServerRecord>>,
-    /// Entries that name no server to use, by name, and what is wrong with each.
+    /// Invalid entries by name, with the cause.
     pub(crate) refused: HashMap<String, String>,
     by_service: HashMap<String, KnownSet>,
     sets_built: u64,
     pub(crate) servers_read: bool,
-    /// Up to when the configuration is known.
+    /// Time up to which all configuration changes are known.
     configuration_contact: Option<Instant>,
-    /// Up to when the servers are known.
+    /// Time up to which all server changes are known.
     pub(crate) servers_contact: Option<Instant>,
 }
 
 impl Known {
-    /// A start of a server that is listed.
+    /// Finds a listed run of a server by its identifier.
     fn server(&self, id: &str) -> Option<&Arc<ServerRecord>> {
         let names = [id, ServerRecord::instance_of(id)];
         let mut listed = names.into_iter().filter_map(|name| self.servers.get(name));
@@ -61,12 +61,12 @@
 }
 
 impl View {
-    /// A view that knows nothing yet, of a node in a deployment of one region.
+    /// Creates an empty view for a node in a deployment of one region.
     pub fn new(node: &str, zone: &str, log: Arc<EventLog>) -> Self {
         Self::with_ways(node, Arc::new(Ways::within(zone)), log)
     }
 
-    /// A view that knows nothing yet, of a node from which these ways begin.
+    /// Creates an empty view for a node with the given distances to other zones.
     pub fn with_ways(node: &str, ways: Arc<Ways>, log: Arc<EventLog>) -> Self {
         Self {
             own: Standpoint::with_ways(node, ways),
@@ -76,22 +76,21 @@
         }
     }
 
-    /// The ways from this node to the servers of each zone.
+    /// Distances from this node to the servers of each zone.
     pub fn ways(&self) -> &Arc<Ways> {
         self.own.ways()
     }
 
-    /// Where records go.
     pub(crate) fn log(&self) -> &EventLog {
         &self.log
     }
 
-    /// The configuration in force, or `None` before the first one.
+    /// The active configuration; `None` before the first one.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.known.lock().configuration.clone()
     }
 
-    /// Servers of a service that take new work.
+    /// Servers of a service that accept new work.
     pub fn servers(&self, service: &str) -> Arc<ServerSet> {
         let mut known = self.known.lock();
         match known.by_service.get(service) {
@@ -101,8 +100,8 @@
         }
     }
 
-    /// Sets of servers built so far. In a large fleet each costs a look at thousands of servers, so
-    /// they are built when asked for, not at each change.
+    /// Number of server sets built so far. Building one iterates over all servers, so sets are
+    /// built lazily instead of at each change.
     pub fn sets_built(&self) -> u64 {
         self.known.lock().sets_built
     }
@@ -122,12 +121,12 @@
         set
     }
 
-    /// A server by its identifier, leaving ones included.
+    /// Finds a server by its identifier, including draining ones.
     pub fn server(&self, id: &str) -> Option<Arc<ServerRecord>> {
         self.known.lock().server(id).cloned()
     }
 
-    /// Why a server gets no new work; `None` when it may get some.
+    /// Why a server gets no new work; `None` if it may get some.
     pub fn exclusion(&self, id: &str) -> Option<Exclusion> {
         let known = self.known.lock();
         match known.server(id) {
@@ -136,7 +135,8 @@
         }
     }
 
-    /// Whether another start is listed under the name or at the address of a server that nobody said would leave.
+    /// Whether a server that was not draining has been replaced by another run with its name or
+    /// address.
     pub fn is_replaced(&self, server: &ServerRecord) -> bool {
         let known = self.known.lock();
         if let Some(earlier) = known.earlier_starts.get(&server.instance)
@@ -160,7 +160,7 @@
         evacuated.then_some(Exclusion::ZoneEvacuated)
     }
 
-    /// Numbers of the servers that this node uses, when it does not use all.
+    /// Hashes of the servers used by this node, for services of which it does not use all.
     pub(crate) fn used_servers(&self) -> Vec<u32> {
         let known = self.known.lock();
         let sets = known.by_service.values().map(|held| &held.set);
@@ -170,27 +170,26 @@
         used.map(|server| server_number(&server.id)).collect()
     }
 
-    /// Whether requests can be served: configuration and servers are known.
+    /// Whether configuration and servers are known, so that requests can be served.
     pub fn is_ready(&self) -> bool {
         let known = self.known.lock();
         known.configuration.is_some() && known.servers_read
     }
 
-    /// Age of what is known of configuration and servers, the older of the two; `None` before both
-    /// are known.
+    /// Age of the configuration or the servers, whichever is older; `None` before both are known.
     pub fn store_age(&self) -> Option<Duration> {
         let known = self.known.lock();
         let older = known.configuration_contact?.min(known.servers_contact?);
         Some(older.elapsed())
     }
 
-    /// Age of what is known of the configuration; `None` before any is known.
+    /// Age of the configuration; `None` before it is known.
     pub fn configuration_age(&self) -> Option<Duration> {
         let known = self.known.lock();
         known.configuration_contact.map(|at| at.elapsed())
     }
 
-    /// Notes up to when the operators' rows are known.
+    /// Records the time up to which the configuration table is known.
     pub(crate) fn note_contact(&self, contact: &Contact) {
         let mut known = self.known.lock();
         known.configuration_contact = known.configuration_contact.max(contact.known_at());
@@ -224,7 +223,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes a server's entry over; whether anything but its revision is new.
+    /// Applies a server entry; returns whether anything besides its revision changed.
     pub(crate) fn put_server(known: &mut Known, server: ServerRecord, revision: u64) -> bool {
         let mut server = server;
         if let Some((at, held)) = known.servers.get_mut(&server.instance) {
@@ -233,7 +232,7 @@
             }
             *at = revision;
             if held.id == server.id {
-                // A start that leaves does not come back.
+                // A draining run never becomes ready again.
                 server.draining |= held.draining;
             } else {
                 let earlier = held.clone();
@@ -250,13 +249,13 @@
         true
     }
 
-    /// Forgets a server that is listed no more; whether it was.
+    /// Removes a server; returns whether it was listed.
     pub(crate) fn remove_server(known: &mut Known, instance: &str) -> bool {
         known.earlier_starts.remove(instance);
         known.servers.remove(instance).is_some()
     }
 
-    /// The sets of all services are to be built anew.
+    /// Invalidates the server sets of all services.
     pub(crate) fn all_stale(known: &mut Known) {
         known
             .by_service
@@ -274,7 +273,7 @@
         }
     }
 
-    /// The set of a service is to be built anew.
+    /// Invalidates the server set of a service.
     pub(crate) fn stale(known: &mut Known, service: &str) {
         match known.by_service.get_mut(service) {
             Some(held) => held.stale = true,
--- a/crates/cluster/src/zone_delegates.rs
+++ b/crates/cluster/src/zone_delegates.rs
@@ -1,4 +1,4 @@
-//! Which nodes are the delegates of a zone, as one node knows the others.
+//! Delegates of silent zones.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -8,7 +8,7 @@
 use crate::peers::{PeerTable, RelayPeer};
 
 impl PeerTable {
-    /// The delegates of other zones of which no node is heard, as these zones chose them when all was well.
+    /// The last known delegates of the other zones of which no node is alive.
     pub fn silent_delegates(&self) -> Vec<RelayPeer> {
         let silent = self.silent_zones();
         let chosen = silent.values().flat_map(|nodes| {
@@ -25,7 +25,7 @@
         chosen.collect()
     }
 
-    /// The nodes of other zones of which none is heard, as they were last known.
+    /// The last known nodes of the other zones of which no node is alive.
     fn silent_zones(&self) -> BTreeMap<String, Vec<RelayPeer>> {
         let now = Instant::now();
         let alive = self.roster();
@@ -52,7 +52,7 @@
         zones
     }
 
-    /// Whether this node's own row says that it can carry duties for its zone.
+    /// Whether this node's row marks it as strong enough to act as a delegate.
     pub(crate) fn is_strong(&self) -> bool {
         let peers = self.peers.lock();
         peers.get(&self.own_name).is_some_and(|own| own.row.strong)
--- a/crates/cluster/src/zone_digest.rs
+++ b/crates/cluster/src/zone_digest.rs
@@ -1,37 +1,36 @@
-//! What a delegate tells the delegates of other zones of its own zone's work: the sums that have
-//! changed, and all of them now and then, since a datagram may be lost.
+//! Load sums that a delegate sends to other zones: the changed ones, and periodically all of them,
+//! since a datagram may be lost.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
 use crate::messages::LoadEntry;
 
-/// Servers told of in one message at most, so that it stays one datagram of about 9 KB.
+/// Maximum servers per message, so that it fits into one datagram of about 9 KB.
 pub const SERVERS_TOLD: usize = 500;
 
-/// Sums of one message.
+/// Load sums of one message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ToldSums {
-    /// The sums.
     pub loads: Vec<LoadEntry>,
-    /// Only sums that have changed are among them.
+    /// Only changed sums are included.
     pub changes_only: bool,
 }
 
-/// Requests and items by which the work at a server must have changed to be told to another region. Work
-/// there goes by it only when its own region has no room, and then a slot or two more matter little.
+/// Minimum change of the requests and items at a server that is sent to another region. Other
+/// regions only send work there once they are full, and then small changes matter little.
 const CHANGE_TOLD: u32 = 2;
 
-/// The sums that were told last.
+/// The sums sent last.
 #[derive(Debug, Default)]
 pub struct ZoneDigest {
     told: HashMap<u32, LoadEntry>,
-    /// Only sums that have changed by much are told between two whole ones.
+    /// Only large changes are sent between two full messages.
     coarse: bool,
 }
 
 impl ZoneDigest {
-    /// What another region is told: only sums that have changed by much, and all now and then.
+    /// Creates a digest for other regions, which only sends large changes between full messages.
     pub fn coarse() -> Self {
         Self {
             coarse: true,
@@ -39,8 +38,8 @@
         }
     }
 
-    /// The sums of the next message, when `sums` are those of all servers with work. With `all` every one is
-    /// told, changed or not.
+    /// Selects the sums of the next message. `sums` covers all servers with work; with `all`,
+    /// unchanged ones are included.
     pub fn next(&mut self, mut sums: Vec<LoadEntry>, all: bool) -> ToldSums {
         let changes_only = !all;
         if changes_only {
@@ -49,7 +48,7 @@
         } else {
             self.told.clear();
         }
-        // Where the message cannot hold all, the busiest go first; the others stay untold.
+        // If not all fit, the busiest servers are sent; the others stay pending.
         if sums.len() > SERVERS_TOLD {
             sums.sort_by_key(|sum| Reverse(sum.online + sum.batch));
             sums.truncate(SERVERS_TOLD);
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Adds the servers that were told to have work and have none now.
+    /// Adds the servers that were sent with work and have none now.
     fn add_idle(&self, sums: &mut Vec<LoadEntry>) {
         let busy: HashSet<u32> = sums.iter().map(|sum| sum.server).collect();
         let idle = self.told.keys().filter(|server| !busy.contains(server));
@@ -73,8 +72,8 @@
         }));
     }
 
-    /// Whether a sum differs from what was told. When a server was last heard, how much it served, and small changes
-    /// of its pace come all the time and are told with the rest.
+    /// Whether a sum differs from the one sent last. Fields that change all the time do not count:
+    /// the time since a server was heard, its completed requests, and small changes of its pace.
     fn is_news(&self, sum: &LoadEntry) -> bool {
         let held = self.told.get(&sum.server);
         if self.coarse {
@@ -82,7 +81,7 @@
         }
         held.is_none_or(|held| {
             let (heard_ms, served) = (sum.heard_ms, sum.served);
-            // The age of one question only grows; a lower one is of a newer question.
+            // The age of one probe only grows; a lower one belongs to a newer probe.
             let asked_again =
                 sum.asked_ms > 0 && (held.asked_ms == 0 || sum.asked_ms < held.asked_ms);
             let (asked_ms, cold_ms) = (sum.asked_ms, sum.cold_ms);
@@ -106,7 +105,7 @@
     }
 }
 
-/// Whether a sum differs by so much from what was told that another region should know.
+/// Whether a sum changed enough to be sent to another region.
 fn is_much(held: &LoadEntry, sum: &LoadEntry) -> bool {
     let online = held.online.abs_diff(sum.online);
     let work = (held.online + held.batch).abs_diff(sum.online + sum.batch);
--- a/crates/cluster/tests/cadence.rs
+++ b/crates/cluster/tests/cadence.rs
@@ -1,11 +1,11 @@
-//! What is told how often.
+//! Message frequencies of the gossip schedule.
 
 use dappleyard_cluster::{Duties, duties, rounds_until_due};
 use googletest::prelude::*;
 
 /// Rounds of 25 ms in a second.
 const SECOND: u32 = 40;
-/// Rounds from which all cadences begin anew.
+/// Rounds after which the schedule repeats.
 const WHOLE: u32 = 72;
 
 fn times(zone_nodes: usize, rounds: u32, of: impl Fn(&Duties) -> bool) -> usize {
@@ -54,7 +54,7 @@
             duties.heartbeat || duties.far || (tells_sums && duties.sums)
         };
         let due: Vec<u32> = (1..=WHOLE).filter(is_due).collect();
-        // No round with something to tell is left out, and no other one is visited.
+        // Exactly the rounds with a due message are visited.
         expect_that!(visited, eq(&due));
     }
 }
@@ -64,7 +64,7 @@
     expect_that!(times(5, WHOLE, |duties| duties.heartbeat), eq(12));
     expect_that!(times(5, WHOLE, |duties| duties.far), eq(4));
     expect_that!(times(79, WHOLE, |duties| duties.heartbeat), eq(12));
-    // In a large zone half as many, and a random life sign goes with some of them.
+    // A large zone sends half as many, and some of them go to a random node as well.
     expect_that!(times(200, WHOLE, |duties| duties.heartbeat), eq(6));
     expect_that!(
         times(200, WHOLE, |duties| duties.heartbeat && duties.far),
--- a/crates/cluster/tests/crash_news.rs
+++ b/crates/cluster/tests/crash_news.rs
@@ -1,4 +1,4 @@
-//! News of requests under which servers ended, over real datagrams on loopback.
+//! Records of requests that crash servers, over UDP on loopback.
 
 mod support;
 
@@ -17,7 +17,8 @@
     })
 }
 
-/// One server ends under the request at each of three nodes; all nodes learn of all three.
+/// Records one crash at each of three nodes, and checks that all nodes refuse the request, and
+/// allow it again after a success.
 async fn all_learn(places: Places, count: usize) {
     let nodes = fleet_in(&places, count).await;
     until("the nodes hear each other", || {
@@ -30,7 +31,7 @@
     }
     let refuses = |node: &TestNode| node.crashes.permit(&request()) == Permit::Refused;
     until("all nodes refuse it", || nodes.iter().all(refuses)).await;
-    // One of them served it all the same, with a run that it had under way.
+    // One node completes a run of it that was already in progress.
     expect_that!(nodes[count - 1].crashes.forgive(&request()), eq(true));
     let allows = |node: &TestNode| node.crashes.permit(&request()) == Permit::Free;
     until("all nodes allow it again", || nodes.iter().all(allows)).await;
--- a/crates/cluster/tests/directory.rs
+++ b/crates/cluster/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which nodes callers are sent to.
+//! Selection of the node addresses for callers.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     }
 }
 
-/// So many nodes of a zone, of an age.
+/// `count` nodes of a zone, last heard `age_ms` ago.
 fn nodes(zone: &str, count: usize, age_ms: u64) -> Vec<FrontNode> {
     let nodes = (0..count).map(|number| FrontNode {
         age: Duration::from_millis(age_ms),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Addresses of an answer by zone: how many begin so.
+/// Number of addresses in a zone.
 fn of(zone: &str, addresses: &[String]) -> usize {
     let begin = |address: &&String| address.starts_with(zone);
     addresses.iter().filter(begin).count()
@@ -119,11 +119,11 @@
     let all = ["n2", "s1", "s2", "w1", "w2"].map(|zone| nodes(zone, 14, 400));
     let answer = regions.answer("n1", &all.concat());
     expect_that!((of("n2", &answer), answer.len()), eq((14, 14)));
-    // A region with hardly any node is filled up, and not with the whole world.
+    // A region with hardly any node is filled up, but only up to three nodes.
     let few = [nodes("n2", 1, 400), nodes("s1", 14, 400)].concat();
     let answer = regions.answer("n1", &few);
     expect_that!((of("n2", &answer), answer.len()), eq((1, 3)));
-    // A region without any node has the nodes that were heard of lately.
+    // A region without any node is given the recently heard nodes of other regions.
     let far = [nodes("s1", 14, 400), nodes("w1", 14, 1_900)].concat();
     let answer = regions.answer("n1", &far);
     expect_that!((of("s1", &answer), answer.len()), eq((14, 14)));
@@ -136,7 +136,7 @@
         zones: 0,
         own: "n2",
     };
-    // The nodes that are left do not bear all callers of their zone.
+    // The few remaining nodes must not serve all callers of their zone.
     let all = [nodes("n1", 2, 400), nodes("n2", 14, 400)].concat();
     let answer = zones.answer("n1", &all);
     expect_that!((of("n1", &answer), of("n2", &answer)), eq((2, 12)));
@@ -155,15 +155,16 @@
     let all = ["a", "b", "c"].map(|zone| nodes(zone, 22, 400)).concat();
     let answer = zones.answer("a", &all);
     expect_that!((of("a", &answer), answer.len()), eq((22, 30)));
-    // The same ones each time: callers give up connections to what an answer no longer names.
+    // The answer is stable: callers close connections to addresses that it no longer lists.
     let mut turned = all.clone();
     turned.reverse();
     expect_that!(zones.answer("a", &turned), eq(&answer));
-    // A large zone leaves room for them.
+    // A large zone leaves room for spare addresses.
     let large = [nodes("a", 100, 400), nodes("b", 100, 400)].concat();
     let answer = zones.answer("a", &large);
     expect_that!((of("a", &answer), answer.len()), eq((48, 64)));
-    // Where no zone is to be lost nobody pays for bytes between zones.
+    // Without zone-loss tolerance no spare addresses are listed, since traffic between zones is
+    // billed.
     zones.zones = 0;
     expect_that!(zones.answer("a", &all).len(), eq(22));
 }
@@ -175,13 +176,14 @@
         zones: 1,
         own: "b",
     };
-    // All nodes of a zone were last heard before news of them could have been lost once.
+    // All nodes of a zone have been silent for longer than one lost datagram explains.
     let mut all = nodes("a", 22, 1_400);
     all.extend(nodes("b", 22, 400));
     all.extend(nodes("c", 22, 800));
     let answer = zones.answer("a", &all);
     expect_that!((of("a", &answer), of("b", &answer)), eq((0, 22)));
-    // One of them is heard again, then most of them are: the rest may be news that was lost.
+    // One of them is heard again, then most of them: the silence of the others may be lost
+    // datagrams.
     all[0].age = Duration::from_millis(50);
     let answer = zones.answer("a", &all);
     expect_that!(
@@ -208,15 +210,15 @@
             })
             .collect()
     };
-    // More zones are silent than may be lost at once: it is this zone that is cut off. Its callers may choose
-    // nodes of the others as well.
+    // More zones are silent than may fail at once, so this zone is the one cut off. Callers may use
+    // the last known nodes of the other zones.
     let all = [nodes("a", 22, 100), lost("b", 3_000), lost("c", 3_000)].concat();
     let answer = zones.answer("a", &all);
     expect_that!((of("a", &answer), answer.len()), eq((22, 44)));
-    // What was last heard long ago is not named.
+    // Nodes last heard too long ago are not listed.
     let all = [nodes("a", 22, 100), lost("b", 5_000), lost("c", 5_000)].concat();
     expect_that!(zones.answer("a", &all).len(), eq(22));
-    // One silent zone is lost, and not named.
+    // A single silent zone counts as lost and is not listed.
     let all = [nodes("a", 22, 100), lost("b", 3_000), nodes("c", 22, 400)].concat();
     expect_that!(of("b", &zones.answer("a", &all)), eq(0));
 }
--- a/crates/cluster/tests/follow.rs
+++ b/crates/cluster/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following a table through outages and forgotten histories, in virtual time.
+//! Following a table through outages and compaction, in virtual time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -90,7 +90,7 @@
         tokio::time::sleep(Duration::from_secs(5)).await;
         rows.set_down(false);
         let back = Instant::now();
-        // Nothing changes in the table meanwhile.
+        // The table does not change in between.
         tokio::time::sleep(Duration::from_millis(600)).await;
         expect_that!(sink.contact.get().is_some_and(|at| at >= back), eq(true));
     });
@@ -157,7 +157,7 @@
             rows.write(TABLE, "", &format!("key-{}", number % 7), "1");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        // Two seconds of changes at a pace of 200 ms.
+        // Two seconds of changes, with 200 ms between calls.
         expect_that!(rows.feeds() - before, le(11));
         tokio::time::sleep(Duration::from_millis(210)).await;
         expect_that!(keys(&sink).len(), eq(7));
@@ -165,7 +165,7 @@
     });
 }
 
-/// A store in which a partition begins right after the partitions were listed.
+/// A store that gains a partition right after the partitions are listed.
 struct BeginsAfterListing(EmulatedRows);
 
 #[async_trait(?Send)]
--- a/crates/cluster/tests/gossip.rs
+++ b/crates/cluster/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Loads and life signs between nodes, over real datagrams on loopback.
+//! Exchange of loads and liveness records between nodes, over UDP on loopback.
 
 mod support;
 
@@ -34,7 +34,8 @@
         until("the item is known", || all_know(&nodes, 0, 1)).await;
         drop(first);
         until("its end is known", || all_know(&nodes, 0, 0)).await;
-        // The beginning and the end of an online request are told like those of an item.
+        // The start and the end of an online request are sent immediately, like those of a batch
+        // item.
         let before = nodes[0].gossip.changes_told();
         let request = nodes[0].loads.begin(&server(), WorkKind::Online, 10);
         until("the request is known", || all_know(&nodes, 1, 0)).await;
@@ -70,7 +71,7 @@
             })
         };
         expect_that!(all_cold(), eq(false));
-        // Not every node hears every other: delegates pass the word on, also where no node has work there.
+        // Delegates must relay the record also to nodes without work at the server.
         until("the node knows its peers", || nodes[7].peers.count() > 24).await;
         let asked = dappleyard_clock::Instant::now();
         nodes[7].loads.note_checked("i-1", asked, cold);
@@ -91,7 +92,7 @@
     });
 }
 
-/// Row of one of many servers, as the platform writes it.
+/// A server row in the platform's format.
 fn server_row(number: usize) -> Row {
     let value = format!(
         r#"{{"service":"llm","address":"10.0.0.1:{}","zone":"{}","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"seq":1}}"#,
@@ -110,7 +111,7 @@
 fn far_servers() {
     on_local(async {
         let nodes = fleet(36).await;
-        // So many that each node uses those of its own zone and a few others.
+        // Enough servers that each node uses only some of those in other zones.
         let rows: Vec<Row> = (0..90).map(server_row).collect();
         for node in &nodes {
             let sink = ServersSink {
@@ -118,7 +119,7 @@
                 dialect: Arc::new(PlatformDialect),
             };
             sink.replace(rows.clone(), 1);
-            // The sets of servers are built when asked for.
+            // Server sets are built lazily.
             expect_that!(node.view.servers("llm").is_large(), eq(true));
         }
         let used = nodes[0].view.servers("llm").used.clone();
@@ -135,7 +136,7 @@
     });
 }
 
-/// What still runs in an evacuated zone is known at each node, also at those that are told of few servers.
+/// Nodes that receive loads of only a few servers still learn what runs in an evacuated zone.
 #[gtest]
 fn evacuated_work() {
     on_local(async {
@@ -199,7 +200,7 @@
             node.task.take().expect("a task").abort();
         }
         nodes.retain(|node| !lost.contains(&node.name));
-        // Others take their place; what the lost ones had under way is forgotten.
+        // New delegates are selected; the loads of the lost ones are dropped.
         until("new delegates sum up", || all_know(&nodes, 30, 30)).await;
         let down = |node: &TestNode| {
             let mut names = lost.iter();
@@ -212,7 +213,7 @@
     });
 }
 
-/// Whether each of some nodes takes each of some others for what is said.
+/// Whether all of `nodes` assign `status` to all others in `of`.
 fn all_believe(nodes: &[&TestNode], of: &[&TestNode], status: PeerStatus) -> bool {
     let believes = |node: &&TestNode| {
         let mut others = of.iter().filter(|other| other.name != node.name);
@@ -232,7 +233,7 @@
         }
         let (lost, rest): (Vec<&TestNode>, Vec<&TestNode>) =
             nodes.iter().partition(|node| node.zone == "north");
-        // The work of the zone is forgotten, and its nodes are down.
+        // The loads of the zone are dropped, and its nodes count as down.
         until("the loads of the rest are known", || {
             rest.iter()
                 .all(|node| node.loads.summary("i-1").online == 24)
@@ -261,13 +262,14 @@
     });
 }
 
-/// Every node lets requests of one tenant pass; all of them come to know of all.
+/// Checks that nodes which admit requests of one tenant share its credit.
 async fn credit_is_shared(places: Places, count: usize) {
     let nodes = fleet_in(&places, count).await;
     nodes.iter().for_each(configured);
     let all_heard = || nodes.iter().all(|node| node.peers.count() == count);
     until("all nodes are heard", all_heard).await;
-    // Whoever sums takes what it hears first for known to others before.
+    // Counts in the first message of a node are taken as already known to others, so wait until all
+    // have sent one.
     tokio::time::sleep(Duration::from_millis(1_700)).await;
     let tenant = "a".parse().expect("a name");
     let mut passed = 0;
@@ -277,7 +279,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
-    // A burst of 100, half of a tolerance of 30, and what was on its way.
+    // A burst of 100, half of a tolerance of 30, and what was in transit.
     expect_that!(passed, le(100 + 30));
     let used_up = || {
         let level = |node: &TestNode| node.quotas.level(&tenant).unwrap_or(f64::MAX);
--- a/crates/cluster/tests/life_signs.rs
+++ b/crates/cluster/tests/life_signs.rs
@@ -1,4 +1,4 @@
-//! Life signs that nodes pass round.
+//! Liveness records relayed between nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use googletest::prelude::*;
 use prost::Message;
 
-/// Nodes of a fleet in which not every node hears every other.
+/// Size of a large fleet, in which not every node hears every other.
 const NODES: usize = 40;
-/// Time that a message between two nodes takes here, queues included.
+/// Latency of a message between two nodes, queues included.
 const WAY: Duration = Duration::from_millis(20);
 
 fn table(own: &str) -> PeerTable {
@@ -48,7 +48,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn signs_passed_round() {
-    // Three nodes tell each other of a fourth, each as soon as it hears. The fourth is lost.
+    // Three nodes relay the liveness of a fourth, lost one. The relaying must not keep it alive.
     let tables = [table("node-1"), table("node-2"), table("node-3")];
     beat(&tables[0], "node-0", 7);
     let mut alive_ms = 0;
@@ -65,7 +65,7 @@
             alive_ms = (round + 1) * WAY.as_millis() as usize;
         }
     }
-    // The silence that counts, and the way to each of the others once.
+    // The timeout, and the latency to each of the others once.
     assert_that!(alive_ms, le(2_500 + 3 * WAY.as_millis() as usize));
     for table in &tables {
         assert_that!(table.status("node-0", 1), eq(PeerStatus::Down));
@@ -100,7 +100,7 @@
 
 #[test]
 fn compact_signs() {
-    // Signs of the largest fleet that is aimed at fit into one datagram of 16 KB with its loads.
+    // Records of a large fleet fit into one datagram of 16 KB together with its loads.
     let signs: LifeSigns = (0..390)
         .map(|number| LifeSign {
             node: u32::MAX - number,
@@ -110,7 +110,7 @@
         .collect();
     assert_that!(signs.encoded_len(), lt(4_000));
     assert_that!(signs.iter().count(), eq(390));
-    // Lists of unlike length, as a broken sender might send them, are read as far as they go.
+    // Lists of different lengths, as a faulty sender might send, are read up to the shortest.
     let broken = LifeSigns {
         nodes: vec![1, 2],
         sequences: vec![1],
--- a/crates/cluster/tests/scale.rs
+++ b/crates/cluster/tests/scale.rs
@@ -1,4 +1,4 @@
-//! What a fleet of 2,000 nodes before 20,000 servers costs one node: counted in messages and bytes, not timed.
+//! Cost per node, in messages and bytes, of a fleet of 2,000 nodes with 20,000 servers.
 
 use std::sync::Arc;
 
@@ -14,9 +14,9 @@
 const NODES: usize = 2_000;
 const SERVERS: usize = 20_000;
 const ZONES: [&str; 5] = ["north", "south", "west", "east", "centre"];
-/// Longest datagram that a node receives whole.
+/// Maximum datagram size.
 const DATAGRAM_BYTES: usize = 16 * 1024;
-/// What one server may take of the bytes that a node gets when it begins.
+/// Maximum bytes per server in the data sent to a starting node.
 const SERVER_BYTES: usize = 96;
 
 fn node_row(number: usize, life: u64) -> Row {
@@ -63,13 +63,13 @@
     let first = peers.roster();
     expect_that!(first.peers.len(), eq(NODES - 1));
     expect_that!(first.delegates("south").len(), eq(2));
-    // A heartbeat of a node that is known to live, and all that is asked about delegates, build none.
+    // Heartbeats of live nodes and delegate lookups reuse the cached roster.
     (1..NODES).for_each(|number| beat(&peers, number, 1));
     let heard = peers.roster();
     (1..NODES).for_each(|number| beat(&peers, number, 2));
     peers.is_delegate();
     expect_that!(Arc::ptr_eq(&heard, &peers.roster()), eq(true));
-    // One that leaves does.
+    // The removal of a node builds a new one.
     let gone = node_row(7, 1);
     peers.change(Row {
         value: None,
@@ -87,7 +87,7 @@
     let told: usize = messages.iter().map(|signs| signs.nodes.len()).sum();
     expect_that!(told, eq(NODES - 1));
     for signs in messages {
-        // Half of a datagram is left for what the same message says beside them.
+        // Half of a datagram is left for the other fields of the message.
         expect_that!(signs.encoded_len(), le(DATAGRAM_BYTES / 2));
     }
 }
@@ -118,7 +118,7 @@
     );
     expect_that!(set.all.is_sorted_by(|a, b| a.id <= b.id), eq(true));
     expect_that!(set.homes.is_sorted_by(|a, b| a.id <= b.id), eq(true));
-    // One that the node does not use may go without a change of those that it uses.
+    // Removing an unused server does not change the used ones.
     let unused = set.all.iter().find(|server| !set.used.contains(server));
     let unused = unused.expect("most are not used");
     let left = all.into_iter().filter(|server| server.id != unused.id);
@@ -160,7 +160,7 @@
         .map(|row| row.value.as_ref().map_or(0, Bytes::len) + row.key.len())
         .sum();
     expect_that!(bytes / SERVERS, le(SERVER_BYTES));
-    // A digest is its own digest, and says what the entry says.
+    // A digest is idempotent and keeps the relevant fields of the entry.
     expect_that!(sink.digest(digests[0].clone()), eq(&digests[0]));
     sink.replace(digests, SERVERS as u64);
     let known = view.servers("llm");
--- a/crates/cluster/tests/store_clock.rs
+++ b/crates/cluster/tests/store_clock.rs
@@ -1,4 +1,4 @@
-//! Age of what the store or another node tells.
+//! Transit time of store answers.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     let way_ms = clock.time_on_way(told).as_millis();
     assert_that!(way_ms, ge(895));
     assert_that!(way_ms, le(900));
-    // A quick answer is as new as it says.
+    // A fast answer has no transit time.
     pass(100).await;
     assert_that!(clock.time_on_way(store_ms()).as_millis(), le(1));
 }
@@ -29,7 +29,7 @@
 async fn quicker_answers() {
     let (clock, began) = (StoreClock::default(), Instant::now());
     let store_ms = || 70_000 + began.elapsed().as_millis() as u64;
-    // The first answer was slow: only a quicker one shows it.
+    // The first answer was slow, which only a faster one reveals.
     let slow = store_ms();
     pass(300).await;
     assert_that!(clock.time_on_way(slow), eq(Duration::ZERO));
@@ -44,7 +44,7 @@
     let clock = StoreClock::default();
     assert_that!(clock.time_on_way(900_000), eq(Duration::ZERO));
     pass(1_000).await;
-    // A store that begins its clock anew is not believed to be 15 minutes away.
+    // A reset of the store's clock does not count as a transit time.
     assert_that!(clock.time_on_way(10), eq(Duration::ZERO));
     pass(1_000).await;
     assert_that!(clock.time_on_way(1_010).as_millis(), le(1));
--- a/crates/cluster/tests/support/mod.rs
+++ b/crates/cluster/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes that talk to each other over datagrams on loopback.
+//! Nodes that exchange gossip over UDP on loopback.
 #![allow(dead_code)]
 
 use std::rc::Rc;
@@ -35,7 +35,7 @@
     pub task: Option<tokio::task::JoinHandle<()>>,
 }
 
-/// Each zone in a region of its own.
+/// Puts each zone into its own region.
 pub fn regions() -> Places {
     let zones = ZONES.into_iter();
     zones
@@ -130,7 +130,7 @@
     }
 }
 
-/// Each node begins one request and one item at the same server.
+/// Starts one request and one batch item per node, all at the same server.
 pub fn work(nodes: &[TestNode]) -> Vec<InFlight> {
     let begin = |node: &TestNode| {
         [WorkKind::Online, WorkKind::Batch].map(|kind| node.loads.begin(&server(), kind, 10))
@@ -145,7 +145,7 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("did not come: {what}");
+    panic!("timed out waiting until {what}");
 }
 
 pub fn all_know(nodes: &[TestNode], online: u32, batch: u32) -> bool {
--- a/crates/cluster/tests/zone_digest.rs
+++ b/crates/cluster/tests/zone_digest.rs
@@ -1,4 +1,4 @@
-//! What delegates tell other zones.
+//! Load sums sent to other zones.
 
 use dappleyard_cluster::{LoadEntry, SERVERS_TOLD, ZoneDigest, duties};
 use googletest::prelude::*;
@@ -21,7 +21,7 @@
     let second = digest.next(vec![sum(1, 1, 80), sum(2, 3, 9)], false);
     expect_that!(second.changes_only, eq(true));
     expect_that!(second.loads, eq(&vec![sum(2, 3, 9)]));
-    // A server without work is told once.
+    // A server that became idle is sent once.
     let third = digest.next(vec![sum(1, 1, 90)], false);
     expect_that!(third.loads, eq(&vec![sum(2, 0, 0)]));
     let fourth = digest.next(vec![sum(1, 1, 90)], false);
@@ -31,7 +31,7 @@
 #[gtest]
 fn all_now_and_then() {
     let mut digest = ZoneDigest::default();
-    // In the product's own rounds, of a zone that is told in each of them.
+    // Uses the real schedule of a small zone, which is updated in every round.
     let whole = (0..72)
         .map(|round| digest.next(vec![sum(1, 1, 5)], duties(round, 5).all))
         .filter(|told| !told.changes_only && told.loads.len() == 1);
@@ -48,7 +48,7 @@
     let first = digest.next(sums.clone(), true);
     expect_that!(first.loads.len(), eq(SERVERS_TOLD));
     expect_that!(first.loads[0].server, eq(servers - 1));
-    // What did not fit is told next.
+    // The remaining sums are sent next.
     let second = digest.next(sums, false);
     expect_that!(second.loads.len(), eq(40));
 }
