--- a/crates/cluster/src/peers.rs
+++ b/crates/cluster/src/peers.rs
@@ -13,7 +13,7 @@
 use crate::directory::FrontNode;
 use crate::messages::{Heartbeat, NodeRow};
 use crate::roster::HeldRoster;
-use crate::strangers::Stranger;
+use crate::unlisted::Stranger;
 use dappleyard_clock::Instant;
 
 /// Name of the table of node rows.
