--- a/crates/cluster/src/cadence.rs
+++ b/crates/cluster/src/cadence.rs
@@ -3,37 +3,37 @@
 use std::time::Duration;
 
 /// Interval between two rounds.
-pub(crate) const ROUND: Duration = Duration::from_millis(25);
+pub(crate) const ROUND_INTERVAL: Duration = Duration::from_millis(25);
 /// Heartbeats to nodes of the own zone and to its delegates: every 150 ms.
-const HEARTBEAT_EVERY: u32 = 6;
+const HEARTBEAT_ROUNDS: u32 = 6;
 /// Heartbeats to nodes of other zones: every 450 ms.
-const FAR_EVERY: u32 = 18;
+const FAR_HEARTBEAT_ROUNDS: u32 = 18;
 /// Delegates forward liveness records every 450 ms. A record that crosses two delegates arrives
 /// within 0.9 s, which leaves time for one lost datagram before the 2.5 s timeout of a node.
-const SIGNS_EVERY: u32 = 18;
+const LIVENESS_ROUNDS: u32 = 18;
 /// Delegates send the sums of all servers to other zones every 600 ms, so that one message may be
 /// lost before the receiver drops the previous ones after 1,500 ms.
-const ALL_EVERY: u32 = 24;
+const FULL_SUMS_ROUNDS: u32 = 24;
 /// Average number of nodes to which a delegate sends in one round: 800 messages a second. A zone of
 /// up to 20 nodes is updated every 25 ms, which limits requests to servers that have just filled
 /// up; larger zones are updated less often to bound the load on the delegates.
-const NODES_IN_ROUND: usize = 20;
-/// Longest interval between two summaries to a zone below `LARGE_ZONE_NODES`: 75 ms.
-const MOST_ROUNDS: u32 = 3;
+const NODES_PER_ROUND: usize = 20;
+/// Longest interval between the load sums of a zone below `LARGE_ZONE_NODES`: 75 ms.
+const MAX_SUMS_ROUNDS: u32 = 3;
 /// The same in a large zone: 150 ms. Nodes of a large zone share few servers with each other, so
 /// their loads matter less to each other, and the delegates send half as many messages.
-const LARGE_ZONE_ROUNDS: u32 = 2 * MOST_ROUNDS;
+const LARGE_ZONE_SUMS_ROUNDS: u32 = 2 * MAX_SUMS_ROUNDS;
 /// Number of other nodes from which a zone counts as large.
-const LARGE_ZONE: usize = 80;
+const LARGE_ZONE_NODES: usize = 80;
 /// Heartbeats in a large zone: every 300 ms, eight before a node counts as down. Load changes are
 /// sent immediately, so heartbeats only need to show liveness here.
-const LARGE_ZONE_HEARTBEAT: u32 = 2 * HEARTBEAT_EVERY;
+const LARGE_ZONE_HEARTBEAT_ROUNDS: u32 = 2 * HEARTBEAT_ROUNDS;
 /// Heartbeats to other zones, or to random nodes, from a large zone: every 900 ms.
-const LARGE_ZONE_FAR: u32 = 2 * FAR_EVERY;
+const LARGE_ZONE_FAR_ROUNDS: u32 = 2 * FAR_HEARTBEAT_ROUNDS;
 
 /// Interval between two messages to another region: 75 ms. Every round with liveness records or all
 /// sums is one of these.
-const REGION_ROUNDS: u32 = MOST_ROUNDS;
+const REGION_ROUNDS: u32 = MAX_SUMS_ROUNDS;
 
 /// Messages that are due in one round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,30 +54,38 @@
 
 /// Rounds until the next one in which a message is due. `sends_sums` is set for a delegate of a
 /// large fleet.
-pub fn rounds_until_due(round: u32, zone_nodes: usize, tells_sums: bool) -> u32 {
+pub fn rounds_until_due(round: u32, zone_nodes: usize, sends_sums: bool) -> u32 {
     let is_due = |rounds: &u32| {
         let duties = duties(round.wrapping_add(*rounds), zone_nodes);
-        duties.heartbeat || (tells_sums && duties.sums)
+        duties.heartbeat || (sends_sums && duties.sums)
     };
-    let longest = LARGE_ZONE_HEARTBEAT;
-    (1..longest).find(is_due).unwrap_or(longest)
+    let max_rounds = LARGE_ZONE_HEARTBEAT_ROUNDS;
+    (1..max_rounds).find(is_due).unwrap_or(max_rounds)
 }
 
 /// Messages due in a round, in a zone with this many other nodes.
 pub fn duties(round: u32, zone_nodes: usize) -> Duties {
-    let (heartbeat, far, rounds) = match zone_nodes >= LARGE_ZONE {
-        true => (LARGE_ZONE_HEARTBEAT, LARGE_ZONE_FAR, LARGE_ZONE_ROUNDS),
+    let (heartbeat, far, rounds) = match zone_nodes >= LARGE_ZONE_NODES {
+        true => (
+            LARGE_ZONE_HEARTBEAT_ROUNDS,
+            LARGE_ZONE_FAR_ROUNDS,
+            LARGE_ZONE_SUMS_ROUNDS,
+        ),
         false => {
-            let rounds = zone_nodes.div_ceil(NODES_IN_ROUND) as u32;
-            (HEARTBEAT_EVERY, FAR_EVERY, rounds.clamp(1, MOST_ROUNDS))
+            let rounds = zone_nodes.div_ceil(NODES_PER_ROUND) as u32;
+            (
+                HEARTBEAT_ROUNDS,
+                FAR_HEARTBEAT_ROUNDS,
+                rounds.clamp(1, MAX_SUMS_ROUNDS),
+            )
         }
     };
     Duties {
         heartbeat: round.is_multiple_of(heartbeat),
         far: round.is_multiple_of(far),
         sums: round.is_multiple_of(rounds),
-        signs: round.is_multiple_of(SIGNS_EVERY),
-        all: round.is_multiple_of(ALL_EVERY),
+        signs: round.is_multiple_of(LIVENESS_ROUNDS),
+        all: round.is_multiple_of(FULL_SUMS_ROUNDS),
         regions: round.is_multiple_of(REGION_ROUNDS),
     }
 }
--- a/crates/cluster/src/crash_rows.rs
+++ b/crates/cluster/src/crash_rows.rs
@@ -11,25 +11,24 @@
 use dappleyard_model::{EventLog, Row, RowKey, RowStore, StoreError, Transaction};
 use prost::Message;
 
-/// Table of refused requests.
 pub const CRASHES_TABLE: &str = "crashes";
 const PAGE_ROWS: usize = 500;
 /// Delay before a failed store call is retried.
-const PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Reads the table, then writes changes to the store until the process ends.
 pub async fn keep_refused(crashes: &CrashTable, store: &dyn RowStore, log: &EventLog) {
-    while let Err(error) = read_all(crashes, store, log).await {
+    while let Err(error) = read_table(crashes, store, log).await {
         log.write(
             "refused_requests_unread",
             || serde_json::json!({"cause": error.to_string()}),
         );
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     loop {
         let (request, record) = crashes.next_unstored().await;
         let refused = record.is_some();
-        match write(store, &request, record).await {
+        match write_row(store, &request, record).await {
             Ok(()) => log.write(
                 "refused_request_stored",
                 || serde_json::json!({"fingerprint": request.short(), "refused": refused}),
@@ -39,13 +38,13 @@
                     serde_json::json!({"fingerprint": request.short(), "cause": error.to_string()})
                 });
                 crashes.store_later(request);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn read_all(
+async fn read_table(
     crashes: &CrashTable,
     store: &dyn RowStore,
     log: &EventLog,
@@ -53,11 +52,13 @@
     let mut from = String::new();
     loop {
         let read = store.read(CRASHES_TABLE, "", &from, "", PAGE_ROWS).await?;
-        let (old, held): (Vec<&Row>, Vec<&Row>) = read
+        let (expired, current): (Vec<&Row>, Vec<&Row>) = read
             .rows
             .iter()
-            .partition(|row| decode(row, read.now_ms).is_none_or(|record| is_old(&record)));
-        let records = held.into_iter().filter_map(|row| decode(row, read.now_ms));
+            .partition(|row| decode(row, read.now_ms).is_none_or(|record| is_expired(&record)));
+        let records = current
+            .into_iter()
+            .filter_map(|row| decode(row, read.now_ms));
         let records: Vec<CrashRecord> = records.collect();
         if !records.is_empty() {
             log.write(
@@ -66,7 +67,7 @@
             );
         }
         crashes.merge(CrashNews { records }, false);
-        remove(store, &old, log).await;
+        remove_expired(store, &expired, log).await;
         let last = read.rows.last().filter(|_| read.more);
         match last {
             // The smallest key after the last one.
@@ -76,7 +77,7 @@
     }
 }
 
-fn is_old(record: &CrashRecord) -> bool {
+fn is_expired(record: &CrashRecord) -> bool {
     Duration::from_millis(record.age_ms) >= KEPT_REFUSED
 }
 
@@ -89,9 +90,10 @@
     Some(record)
 }
 
-/// Removes expired rows. On failure the next node that starts tries again.
-async fn remove(store: &dyn RowStore, old: &[&Row], log: &EventLog) {
-    for row in old {
+/// Removes rows that are expired or cannot be decoded. On failure the next node that starts tries
+/// again.
+async fn remove_expired(store: &dyn RowStore, expired: &[&Row], log: &EventLog) {
+    for row in expired {
         let key = RowKey::new(CRASHES_TABLE, "", row.key.clone());
         let removal = Transaction::default()
             .expect(key.clone(), row.revision)
@@ -106,14 +108,14 @@
 }
 
 /// Writes the row of a refused request, or removes it when there is no record.
-async fn write(
+async fn write_row(
     store: &dyn RowStore,
     request: &Fingerprint,
     record: Option<CrashRecord>,
 ) -> Result<(), StoreError> {
     let key = RowKey::new(CRASHES_TABLE, "", request.to_string());
-    let behind = format!("{}\u{1}", key.key);
-    let read = store.read(CRASHES_TABLE, "", &key.key, &behind, 1).await?;
+    let end = format!("{}\u{1}", key.key);
+    let read = store.read(CRASHES_TABLE, "", &key.key, &end, 1).await?;
     let transaction = match record {
         Some(mut record) => {
             // Current runs will have ended by the time this is read.
--- a/crates/cluster/src/delegates.rs
+++ b/crates/cluster/src/delegates.rs
@@ -5,16 +5,16 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Delegates per zone; the second one covers the loss of the first.
-const DELEGATES: usize = 2;
+const DELEGATES_PER_ZONE: usize = 2;
 
 /// Processor capacity required of a delegate, thousandths of a core.
-const DELEGATE_CORE_MILLIS: u32 = 250;
+const MIN_CORE_MILLIS: u32 = 250;
 /// Bandwidth required of a delegate.
-const DELEGATE_LINK_MBPS: u32 = 100;
+const MIN_LINK_MBPS: u32 = 100;
 
 /// Whether a machine has the capacity to act as a delegate.
 pub fn is_strong(resources: Resources) -> bool {
-    resources.core_millis >= DELEGATE_CORE_MILLIS && resources.link_mbps >= DELEGATE_LINK_MBPS
+    resources.core_millis >= MIN_CORE_MILLIS && resources.link_mbps >= MIN_LINK_MBPS
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,19 +31,20 @@
         .map(|node| (!node.strong, xxh3_64(node.name.as_bytes()), node.name))
         .collect();
     ranked.sort_unstable();
-    let chosen = ranked.into_iter().take(DELEGATES);
+    let chosen = ranked.into_iter().take(DELEGATES_PER_ZONE);
     chosen.map(|(_, _, name)| name).collect()
 }
 
 /// Delegates of a zone in another region to which one of `senders` delegates sends. Each of them
 /// receives from one sender where the counts allow, which limits traffic between regions. After the
 /// loss of a sender its receivers get no updates until the loss is detected.
-pub fn told_by(own: usize, tellers: usize, there: Vec<&str>) -> Vec<&str> {
-    let (tellers, told) = (tellers.max(1), there.len().max(1));
-    let pairs = there.into_iter().enumerate();
-    let is_told = |place: usize| place % tellers == own || own % told == place;
+pub fn told_by(own_index: usize, senders: usize, receivers: Vec<&str>) -> Vec<&str> {
+    let (senders, receiver_count) = (senders.max(1), receivers.len().max(1));
+    let pairs = receivers.into_iter().enumerate();
+    let is_receiver =
+        |index: usize| index % senders == own_index || own_index % receiver_count == index;
     pairs
-        .filter(|(place, _)| is_told(*place))
+        .filter(|(index, _)| is_receiver(*index))
         .map(|(_, name)| name)
         .collect()
 }
--- a/crates/cluster/src/directory.rs
+++ b/crates/cluster/src/directory.rs
@@ -12,9 +12,9 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Maximum number of addresses in one answer.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// Number of nodes below which an answer is filled up from other regions.
-const FEW: usize = 3;
+const MIN_CHOICES: usize = 3;
 /// Nodes of the caller's zone for each spare node of another zone, if the deployment must tolerate
 /// the loss of a zone: callers of a lost zone reach no directory and have only the cached answer.
 const NODES_PER_SPARE: usize = 3;
@@ -22,18 +22,19 @@
 /// to them. Records of another zone pass its delegates and those of the own zone, which forward
 /// them every 450 ms; one datagram may be lost. A single node times out later, after 2.5 s in a
 /// large fleet.
-const ZONE_SILENCE: Duration = Duration::from_millis(1_350);
+const ZONE_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_350);
 /// Minimum number of silent nodes that counts as a zone failure; fewer may be restarting.
-const TOGETHER: usize = 2;
+const MIN_SILENT_NODES: usize = 2;
 /// Maximum age of the liveness record of a node in another region: two forwarding intervals of 450
 /// ms, one more for a lost datagram, and the network delay.
-const FAR_AGE: Duration = Duration::from_millis(1_500);
+const MAX_FAR_AGE: Duration = Duration::from_millis(1_500);
 /// Maximum age of nodes listed by a node whose zone seems cut off. Operators rely on a node being
 /// listed no longer once it has been gone for several seconds.
-const LAST_KNOWN: Duration = Duration::from_millis(4_500);
+const MAX_LAST_KNOWN_AGE: Duration = Duration::from_millis(4_500);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FrontNode {
+    /// Address for callers.
     pub address: String,
     pub zone: String,
     /// Time since its newest liveness record.
@@ -65,28 +66,27 @@
 }
 
 /// Addresses for a caller, sorted.
-pub fn addresses_for(asked: Asked<'_>, ground: Ground<'_>, nodes: &[FrontNode]) -> Vec<String> {
+pub fn addresses_for(query: Asked<'_>, context: Ground<'_>, nodes: &[FrontNode]) -> Vec<String> {
     let allowed = |node: &&FrontNode| {
-        asked.regions.is_none_or(|regions| {
-            let region = ground.places.region(&node.zone);
+        query.regions.is_none_or(|regions| {
+            let region = context.places.region(&node.zone);
             region.is_some_and(|region| regions.contains(region))
         })
     };
     let allowed: Vec<&FrontNode> = nodes.iter().filter(allowed).collect();
-    let zones = count_zones(&allowed);
-    let cut_off = is_cut_off(&zones, ground);
-    let usable = usable(&allowed, &zones, cut_off);
-    let mut chosen = match asked.zone {
+    let zones = count_by_zone(&allowed);
+    let partitioned = seems_partitioned(&zones, context);
+    let usable = usable(&allowed, &zones, partitioned);
+    let mut chosen = match query.zone {
         None => usable,
-        Some(zone) => near(zone, ground, cut_off, &usable),
+        Some(zone) => nearest(zone, context, partitioned, &usable),
     };
-    chosen.truncate(MOST_ADDRESSES);
+    chosen.truncate(MAX_ADDRESSES);
     let mut addresses: Vec<String> = chosen.iter().map(|node| node.address.clone()).collect();
     addresses.sort();
     addresses
 }
 
-/// Node counts of one zone.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCounts {
     nodes: usize,
@@ -95,20 +95,20 @@
 
 impl ZoneCounts {
     /// At least half of the nodes are silent.
-    fn is_hit(self) -> bool {
-        self.silent >= TOGETHER && self.silent * 2 >= self.nodes
+    fn is_mostly_silent(self) -> bool {
+        self.silent >= MIN_SILENT_NODES && self.silent * 2 >= self.nodes
     }
 
     fn is_silent(self) -> bool {
-        self.is_hit() && self.silent == self.nodes
+        self.is_mostly_silent() && self.silent == self.nodes
     }
 }
 
 fn is_silent(node: &FrontNode) -> bool {
-    node.age > ZONE_SILENCE
+    node.age > ZONE_SILENCE_TIMEOUT
 }
 
-fn count_zones<'a>(nodes: &[&'a FrontNode]) -> BTreeMap<&'a str, ZoneCounts> {
+fn count_by_zone<'a>(nodes: &[&'a FrontNode]) -> BTreeMap<&'a str, ZoneCounts> {
     let mut zones: BTreeMap<&str, ZoneCounts> = BTreeMap::new();
     for node in nodes {
         let counts = zones.entry(&node.zone).or_default();
@@ -120,27 +120,31 @@
 
 /// Whether the zone of the answering node seems partitioned: all other zones are silent, and they
 /// are more than may fail at once. With two zones this cannot be told.
-fn is_cut_off(zones: &BTreeMap<&str, ZoneCounts>, ground: Ground<'_>) -> bool {
-    let others = zones.iter().filter(|(zone, _)| **zone != ground.own_zone);
+fn seems_partitioned(zones: &BTreeMap<&str, ZoneCounts>, context: Ground<'_>) -> bool {
+    let others = zones.iter().filter(|(zone, _)| **zone != context.own_zone);
     let others: Vec<ZoneCounts> = others.map(|(_, counts)| *counts).collect();
-    let most_lost = ground.tolerated.zones.max(1) as usize;
-    others.len() > most_lost && others.iter().all(|counts| counts.is_silent())
+    let max_lost_zones = context.tolerated.zones.max(1) as usize;
+    others.len() > max_lost_zones && others.iter().all(|counts| counts.is_silent())
 }
 
 /// The nodes that an answer may list.
 fn usable<'a>(
     nodes: &[&'a FrontNode],
     zones: &BTreeMap<&str, ZoneCounts>,
-    cut_off: bool,
+    partitioned: bool,
 ) -> Vec<&'a FrontNode> {
-    let last_known = |node: &&&FrontNode| node.ready || node.age <= LAST_KNOWN;
-    if cut_off {
+    let last_known = |node: &&&FrontNode| node.ready || node.age <= MAX_LAST_KNOWN_AGE;
+    if partitioned {
         return nodes.iter().filter(last_known).copied().collect();
     }
     let ready: Vec<&FrontNode> = nodes.iter().filter(|node| node.ready).copied().collect();
-    let is_hit = |zone: &str| zones.get(zone).is_some_and(|counts| counts.is_hit());
-    let in_touch = |node: &&&FrontNode| !(is_silent(node) && is_hit(&node.zone));
-    let heard: Vec<&FrontNode> = ready.iter().filter(in_touch).copied().collect();
+    let is_mostly_silent = |zone: &str| {
+        zones
+            .get(zone)
+            .is_some_and(|counts| counts.is_mostly_silent())
+    };
+    let is_reachable = |node: &&&FrontNode| !(is_silent(node) && is_mostly_silent(&node.zone));
+    let heard: Vec<&FrontNode> = ready.iter().filter(is_reachable).copied().collect();
     // Stale nodes are better than an empty answer.
     match heard.is_empty() {
         true => ready,
@@ -149,35 +153,35 @@
 }
 
 /// The nodes for callers of a zone, nearest first.
-fn near<'a>(
+fn nearest<'a>(
     zone: &str,
-    ground: Ground<'_>,
-    cut_off: bool,
+    context: Ground<'_>,
+    partitioned: bool,
     nodes: &[&'a FrontNode],
 ) -> Vec<&'a FrontNode> {
     let at = |distance: Distance| -> Vec<&'a FrontNode> {
-        let there = |node: &&&FrontNode| ground.places.distance(zone, &node.zone) == distance;
+        let there = |node: &&&FrontNode| context.places.distance(zone, &node.zone) == distance;
         let mut there: Vec<&FrontNode> = nodes.iter().filter(there).copied().collect();
         // The order depends on the caller's zone, which spreads the callers of several zones over
         // different nodes.
-        there.sort_by_key(|node| (!node.strong, order(zone, node)));
+        there.sort_by_key(|node| (!node.strong, hash_order(zone, node)));
         there
     };
     let mut own = at(Distance::SameZone);
-    own.sort_by_key(|node| order(zone, node));
+    own.sort_by_key(|node| hash_order(zone, node));
     let region = at(Distance::SameRegion);
-    let wanted = wanted(&own, &region, ground.tolerated, cut_off);
-    own.truncate(MOST_ADDRESSES - wanted.min(MOST_ADDRESSES / 4));
+    let spare_count = spare_count(&own, &region, context.tolerated, partitioned);
+    own.truncate(MAX_ADDRESSES - spare_count.min(MAX_ADDRESSES / 4));
     let mut chosen = own;
-    chosen.extend(region.into_iter().take(wanted));
-    if chosen.len() < FEW {
+    chosen.extend(region.into_iter().take(spare_count));
+    if chosen.len() < MIN_CHOICES {
         let mut far = at(Distance::OtherRegion);
-        if !cut_off && far.iter().any(|node| node.age <= FAR_AGE) {
-            far.retain(|node| node.age <= FAR_AGE);
+        if !partitioned && far.iter().any(|node| node.age <= MAX_FAR_AGE) {
+            far.retain(|node| node.age <= MAX_FAR_AGE);
         }
         let missing = match chosen.is_empty() {
             true => far.len(),
-            false => FEW - chosen.len(),
+            false => MIN_CHOICES - chosen.len(),
         };
         chosen.extend(far.into_iter().take(missing));
     }
@@ -185,9 +189,14 @@
 }
 
 /// Number of nodes of other zones of the region to list besides those of the caller's zone.
-fn wanted(own: &[&FrontNode], region: &[&FrontNode], tolerated: Tolerated, cut_off: bool) -> usize {
+fn spare_count(
+    own: &[&FrontNode],
+    region: &[&FrontNode],
+    tolerated: Tolerated,
+    partitioned: bool,
+) -> usize {
     let zones: BTreeSet<&str> = region.iter().map(|node| node.zone.as_str()).collect();
-    let usual = region.len().div_ceil(zones.len().max(1));
+    let average_nodes = region.len().div_ceil(zones.len().max(1));
     let spares = match tolerated.zones {
         0 => 0,
         _ => own.len().div_ceil(NODES_PER_SPARE),
@@ -195,14 +204,14 @@
     match own.len() {
         0 => region.len(),
         // A partitioned zone cannot do some work, such as taking jobs, that others can.
-        count if cut_off => count,
+        count if partitioned => count,
         // Most of the zone is gone; the remaining nodes must not serve all of its callers.
-        count if count * 2 < usual => usual - count,
+        count if count * 2 < average_nodes => average_nodes - count,
         _ => spares,
     }
 }
 
-fn order(zone: &str, node: &FrontNode) -> u64 {
+fn hash_order(zone: &str, node: &FrontNode) -> u64 {
     xxh3_64_with_seed(
         node.address.as_bytes(),
         xxh3_64_with_seed(zone.as_bytes(), 0),
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -7,11 +7,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Maximum time for which the store may hold a call that waits for changes.
-const WAIT: Duration = Duration::from_millis(2_000);
+const MAX_WAIT: Duration = Duration::from_millis(2_000);
 const PAGE_ROWS: usize = 500;
-const PAGE_TRIES: usize = 8;
-const FIRST_PAUSE: Duration = Duration::from_millis(40);
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const PAGE_ATTEMPTS: usize = 8;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(40);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 /// State of the store as of one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +34,6 @@
 
 /// Receiver of the rows and changes of a table.
 pub trait TableSink {
-    /// Name of the table.
     fn table(&self) -> &'static str;
 
     /// Whether the table has named partitions besides the unnamed one.
@@ -48,7 +47,7 @@
 
     /// Maximum time for which the store may hold a call that waits for changes.
     fn wait(&self) -> Duration {
-        WAIT
+        MAX_WAIT
     }
 
     /// Replaces the table by its rows as of a revision. Rows held at a later revision stay.
@@ -79,13 +78,13 @@
 /// Follows a table until the process ends.
 pub async fn follow(store: &dyn RowStore, sink: &dyn TableSink, log: &EventLog) {
     let mut revision = sink.held().unwrap_or(0);
-    let mut pause = FIRST_PAUSE;
-    let mut whole = sink.held().is_some();
+    let mut backoff = INITIAL_BACKOFF;
+    let mut synced = sink.held().is_some();
     let mut healthy = true;
     loop {
-        let asked = Instant::now();
-        let outcome = match whole {
-            false => read_whole(store, sink, revision).await,
+        let started = Instant::now();
+        let outcome = match synced {
+            false => read_table(store, sink, revision).await,
             // After a failure the store is asked to answer at once, so that contact is
             // re-established without waiting for a change.
             true if !healthy => read_changes(store, sink, revision, Duration::ZERO).await,
@@ -99,16 +98,16 @@
                     });
                 }
                 healthy = true;
-                whole = true;
+                synced = true;
                 revision = reached.max(revision);
-                pause = FIRST_PAUSE;
-                dappleyard_clock::sleep_until(asked + sink.pace()).await;
+                backoff = INITIAL_BACKOFF;
+                dappleyard_clock::sleep_until(started + sink.pace()).await;
                 continue;
             }
             Err(StoreError::Compacted) => {
                 // The store is reachable, so no long backoff is needed.
-                whole = false;
-                pause = FIRST_PAUSE;
+                synced = false;
+                backoff = INITIAL_BACKOFF;
             }
             Err(error) => {
                 if healthy {
@@ -120,8 +119,8 @@
                 healthy = false;
             }
         }
-        tokio::time::sleep(scattered(pause)).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(with_jitter(backoff)).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
@@ -156,36 +155,36 @@
     part: &str,
     from: &str,
 ) -> Result<Rows, StoreError> {
-    let mut pause = FIRST_PAUSE;
-    for _ in 1..PAGE_TRIES {
+    let mut backoff = INITIAL_BACKOFF;
+    for _ in 1..PAGE_ATTEMPTS {
         match store.read(table, part, from, "", PAGE_ROWS).await {
             Err(StoreError::Unavailable { .. } | StoreError::Ambiguous { .. }) => {}
             outcome => return outcome,
         }
-        tokio::time::sleep(scattered(pause)).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(with_jitter(backoff)).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
     store.read(table, part, from, "", PAGE_ROWS).await
 }
 
 /// Adds jitter to a delay, so that nodes which failed together do not retry together.
-fn scattered(pause: Duration) -> Duration {
-    pause.mul_f64(rand::random_range(0.5..1.5))
+fn with_jitter(backoff: Duration) -> Duration {
+    backoff.mul_f64(rand::random_range(0.5..1.5))
 }
 
 /// Reads the whole table; returns the revision of the first page, from which to follow. Partitions
 /// are listed after that page: a partition created later appears as a change after the revision.
-async fn read_whole(
+async fn read_table(
     store: &dyn RowStore,
     sink: &dyn TableSink,
     known: u64,
 ) -> Result<u64, StoreError> {
     let mut rows = Vec::new();
-    let first = read_part(store, sink.table(), "", known, &mut rows).await?;
+    let first = read_partition(store, sink.table(), "", known, &mut rows).await?;
     if sink.is_partitioned() {
         let parts = store.parts(sink.table()).await?;
         for part in parts.iter().filter(|part| !part.is_empty()) {
-            read_part(store, sink.table(), part, known, &mut rows).await?;
+            read_partition(store, sink.table(), part, known, &mut rows).await?;
         }
     }
     sink.replace(rows, first.revision);
@@ -194,7 +193,7 @@
 }
 
 /// Appends the rows of one partition to `rows`; returns the store's state as of the first page.
-async fn read_part(
+async fn read_partition(
     store: &dyn RowStore,
     table: &'static str,
     part: &str,
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -19,22 +19,21 @@
 use prost::Message;
 use tokio::net::UdpSocket;
 
-use crate::cadence::{ROUND, duties, rounds_until_due};
+use crate::cadence::{ROUND_INTERVAL, duties, rounds_until_due};
 use crate::health::StoreHealth;
 use crate::loads::{LoadTable, node_number};
-use crate::messages::{Heartbeat, LifeSigns, LoadChange, Packet, PacketKind, Summary};
+use crate::messages::{Heartbeat, LivenessRecords, LoadChange, Packet, PacketKind, Summary};
 use crate::pace::ChangePace;
 use crate::peers::PeerTable;
 use crate::view::View;
 use crate::zone_digest::ZoneDigest;
 
 /// Time without a summary after which a node assumes that it has no live delegate.
-const DELEGATE_SILENCE: Duration = Duration::from_millis(600);
+const DELEGATE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Fleet size assumed while no node row is known, so that a starting node does not use the whole of
 /// each quota.
-const UNKNOWN_FLEET: usize = 64;
-/// Maximum datagram size.
-const DATAGRAM_BYTES: usize = 16 * 1024;
+const ASSUMED_FLEET_SIZE: usize = 64;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
 /// Identity and address of the sending node.
 #[derive(Debug, Clone)]
@@ -73,22 +72,22 @@
     pub(crate) health: Arc<StoreHealth>,
     pub(crate) leaving: Arc<AtomicBool>,
     /// When a delegate of the own zone last sent a summary.
-    pub(crate) told: Cell<Option<Instant>>,
+    pub(crate) last_summary_at: Cell<Option<Instant>>,
     /// Servers used by other nodes, by node number; an empty list stands for all.
-    pub(crate) used: RefCell<HashMap<u64, Vec<u32>>>,
+    pub(crate) used_servers_by_node: RefCell<HashMap<u64, Vec<u32>>>,
     /// Addresses of the other delegates of the own zone, as of the last round.
     pub(crate) near_delegates: RefCell<Vec<SocketAddr>>,
     /// Other nodes of the own zone that are alive, as of the last round.
     pub(crate) zone_nodes: Cell<usize>,
     /// Sums of this zone last sent to the other zones of the region.
-    pub(crate) digest: RefCell<ZoneDigest>,
+    pub(crate) zone_digest: RefCell<ZoneDigest>,
     /// Sums of this zone last sent to other regions.
     pub(crate) region_digest: RefCell<ZoneDigest>,
     /// Sequence number of the last load message sent.
     pub(crate) sequence: Cell<u64>,
-    pub(crate) changes_told: Cell<u64>,
+    pub(crate) changes_sent: Cell<u64>,
     /// Run and sequence number of the newest load message of each node.
-    pub(crate) newest: RefCell<HashMap<u64, (u64, u64)>>,
+    pub(crate) newest_sequences: RefCell<HashMap<u64, (u64, u64)>>,
 }
 
 impl Gossip {
@@ -105,15 +104,15 @@
             view: tables.view,
             health: tables.health,
             leaving: tables.leaving,
-            told: Cell::new(None),
-            used: RefCell::default(),
+            last_summary_at: Cell::new(None),
+            used_servers_by_node: RefCell::default(),
             near_delegates: RefCell::default(),
             zone_nodes: Cell::new(0),
-            digest: RefCell::default(),
+            zone_digest: RefCell::default(),
             region_digest: RefCell::new(ZoneDigest::coarse()),
             sequence: Cell::new(0),
-            changes_told: Cell::new(0),
-            newest: RefCell::default(),
+            changes_sent: Cell::new(0),
+            newest_sequences: RefCell::default(),
         })
     }
 
@@ -124,7 +123,7 @@
 
     /// Sends and receives messages until the process ends.
     pub async fn run(&self) {
-        let mut buffer = vec![0_u8; DATAGRAM_BYTES];
+        let mut buffer = vec![0_u8; MAX_DATAGRAM_BYTES];
         let mut round = 0_u32;
         let mut rounds = 1;
         let mut next = Instant::now();
@@ -135,12 +134,12 @@
                     round = round.wrapping_add(rounds);
                     self.send_round(round);
                     rounds = self.rounds_to_next(round);
-                    next = Instant::now() + ROUND * rounds;
+                    next = Instant::now() + ROUND_INTERVAL * rounds;
                 }
                 // Records of crashing requests are sent in the very next round.
                 () = self.crashes.more_news(), if rounds > 1 => {
                     rounds = 1;
-                    next = next.min(Instant::now() + ROUND);
+                    next = next.min(Instant::now() + ROUND_INTERVAL);
                 }
                 () = self.loads.changed(), if !pace.is_pending() => pace.note_change(),
                 () = dappleyard_clock::sleep_until(pace.next()), if pace.is_pending() => {
@@ -163,55 +162,55 @@
         if self.crashes.has_news() {
             return 1;
         }
-        let tells_sums = self.peers.is_large() && self.peers.is_delegate();
-        rounds_until_due(round, self.zone_nodes.get(), tells_sums)
+        let sends_sums = self.peers.is_large() && self.peers.is_delegate();
+        rounds_until_due(round, self.zone_nodes.get(), sends_sums)
     }
 
     fn send_round(&self, round: u32) {
         let duties = duties(round, self.zone_nodes.get());
         if duties.heartbeat {
-            self.note_standing();
+            self.update_quota_share();
         }
         if self.peers.is_large() {
             self.send_large_round(duties);
         } else if duties.heartbeat {
             self.send_to_all(duties.far);
         }
-        self.tell_crashes(duties);
+        self.send_crash_news(duties);
         if duties.far {
             self.peers.log_silent();
         }
     }
 
     /// Reports to the quotas which share of the fleet's requests this node knows.
-    fn note_standing(&self) {
+    fn update_quota_share(&self) {
         if let Some(configuration) = self.view.configuration() {
             self.quotas.adopt(&configuration);
         }
         let expected = match self.peers.listed() {
-            0 => UNKNOWN_FLEET,
+            0 => ASSUMED_FLEET_SIZE,
             _ => self.peers.expected(),
         };
-        let sums = !self.peers.is_large() || self.peers.is_delegate();
-        let known = match (sums, self.is_told()) {
+        let aggregates = !self.peers.is_large() || self.peers.is_delegate();
+        let known = match (aggregates, self.has_recent_summary()) {
             (true, _) => self.peers.count(),
             (false, true) => expected,
             (false, false) => 1,
         };
         let share = (known as f64 / expected as f64).min(1.0);
-        self.quotas.set_standing(sums, share);
+        self.quotas.set_standing(aggregates, share);
     }
 
-    /// Whether a delegate has sent a summary recently.
-    pub(crate) fn is_told(&self) -> bool {
-        let told = self.told.get();
-        told.is_some_and(|at| at.elapsed() < DELEGATE_SILENCE)
+    /// Whether a delegate of the own zone sent a summary within `DELEGATE_TIMEOUT`.
+    pub(crate) fn has_recent_summary(&self) -> bool {
+        let last_summary_at = self.last_summary_at.get();
+        last_summary_at.is_some_and(|at| at.elapsed() < DELEGATE_TIMEOUT)
     }
 
     /// Sends changed loads immediately: to all nodes in a small fleet, to the delegates of the zone
     /// in a large one.
     fn send_change(&self) {
-        self.changes_told.set(self.changes_told.get() + 1);
+        self.changes_sent.set(self.changes_sent.get() + 1);
         let change = PacketKind::LoadChange(LoadChange {
             node: node_number(&self.settings.name),
             life: self.settings.life,
@@ -229,8 +228,8 @@
     }
 
     /// Number of load changes sent outside of heartbeats.
-    pub fn changes_told(&self) -> u64 {
-        self.changes_told.get()
+    pub fn changes_sent(&self) -> u64 {
+        self.changes_sent.get()
     }
 
     pub(crate) fn next_sequence(&self) -> u64 {
@@ -239,9 +238,9 @@
         sequence
     }
 
-    fn send_to_all(&self, far_too: bool) {
+    fn send_to_all(&self, include_far: bool) {
         let targets = self.peers.heartbeat_targets().into_iter();
-        let targets = targets.filter(|(_, near)| *near || far_too);
+        let targets = targets.filter(|(_, near)| *near || include_far);
         let message = self.heartbeat(true, None);
         self.send(message, targets.map(|(address, _)| address));
     }
@@ -261,7 +260,7 @@
         }
     }
 
-    pub(crate) fn heartbeat(&self, with_loads: bool, signs: Option<LifeSigns>) -> PacketKind {
+    pub(crate) fn heartbeat(&self, with_loads: bool, signs: Option<LivenessRecords>) -> PacketKind {
         let store_age = self.view.store_age().unwrap_or(Duration::from_secs(3600));
         PacketKind::Heartbeat(Heartbeat {
             name: self.settings.name.clone(),
--- a/crates/cluster/src/large_fleet.rs
+++ b/crates/cluster/src/large_fleet.rs
@@ -10,7 +10,7 @@
 use crate::delegates::told_by;
 use crate::gossip::Gossip;
 use crate::loads::node_number;
-use crate::messages::{LifeSigns, MoreSigns, PacketKind, Summary};
+use crate::messages::{ExtraLiveness, LivenessRecords, PacketKind, Summary};
 use crate::peers::RelayPeer;
 use crate::roster::Roster;
 use crate::zone_digest::ZoneDigest;
@@ -29,11 +29,11 @@
         *self.near_delegates.borrow_mut() = others.map(|peer| peer.address).collect();
         if roster.own_place().is_some() {
             if duties.sums {
-                self.tell_zone(&roster, duties);
-                self.tell_other_zones(&roster, duties);
+                self.send_zone_summaries(&roster, duties);
+                self.send_to_other_zones(&roster, duties);
             }
             if duties.heartbeat {
-                self.tell_silent_zones();
+                self.send_to_silent_zones();
             }
             if duties.far {
                 self.send_at_random(1);
@@ -45,24 +45,24 @@
 
     /// Sends this node's loads to the delegates of its zone. A random node gets a heartbeat at
     /// times, and several random nodes do while no delegate is heard.
-    fn send_to_delegates(&self, far_too: bool) {
+    fn send_to_delegates(&self, include_far: bool) {
         let message = self.heartbeat(true, None);
         self.send(message, self.near_delegates.borrow().iter().copied());
-        let fanout = match self.is_told() {
-            true => usize::from(far_too),
+        let fanout = match self.has_recent_summary() {
+            true => usize::from(include_far),
             false => FANOUT,
         };
         self.send_at_random(fanout);
     }
 
     /// As a delegate, sends each node of the zone the load of all others.
-    fn tell_zone(&self, roster: &Roster, duties: Duties) {
-        let (signs, more) = self.due_signs(None, duties);
+    fn send_zone_summaries(&self, roster: &Roster, duties: Duties) {
+        let (signs, more) = self.due_liveness(None, duties);
         let evacuated = match duties.signs {
             true => self.view.evacuated_work(&self.loads),
             false => Vec::new(),
         };
-        let used = self.used.borrow();
+        let used = self.used_servers_by_node.borrow();
         let delegates = roster.delegates(&self.settings.zone);
         let near: Vec<&RelayPeer> = roster.near().collect();
         let numbers: Vec<(u64, &[u32])> = near
@@ -89,23 +89,27 @@
             };
             self.send(message, [peer.address].into_iter());
         }
-        let told: Vec<SocketAddr> = near.iter().map(|peer| peer.address).collect();
-        self.send_more(more, &told);
+        let addresses: Vec<SocketAddr> = near.iter().map(|peer| peer.address).collect();
+        self.send_extra_liveness(more, &addresses);
     }
 
     /// Liveness records of one zone, or of all, if they are due: the first batch, which is attached
     /// to another message, and the remaining ones.
-    fn due_signs(&self, zone: Option<&str>, duties: Duties) -> (Option<LifeSigns>, Vec<LifeSigns>) {
+    fn due_liveness(
+        &self,
+        zone: Option<&str>,
+        duties: Duties,
+    ) -> (Option<LivenessRecords>, Vec<LivenessRecords>) {
         if !duties.signs {
             return (None, Vec::new());
         }
-        let mut signs = self.peers.life_signs(zone).into_iter();
+        let mut signs = self.peers.liveness_records(zone).into_iter();
         (signs.next(), signs.collect())
     }
 
-    fn send_more(&self, signs: Vec<LifeSigns>, targets: &[SocketAddr]) {
+    fn send_extra_liveness(&self, signs: Vec<LivenessRecords>, targets: &[SocketAddr]) {
         for signs in signs {
-            let message = PacketKind::MoreSigns(MoreSigns {
+            let message = PacketKind::ExtraLiveness(ExtraLiveness {
                 name: self.settings.name.clone(),
                 life: self.settings.life,
                 sequence: self.next_sequence(),
@@ -117,11 +121,11 @@
 
     /// As a delegate, sends the load sums of this zone to the delegates of other zones, whose nodes
     /// use some servers of this zone too.
-    fn tell_other_zones(&self, roster: &Roster, duties: Duties) {
+    fn send_to_other_zones(&self, roster: &Roster, duties: Duties) {
         let (near, far) = self.other_delegates(roster);
-        self.tell_delegates(near, &self.digest, duties);
+        self.send_zone_sums(near, &self.zone_digest, duties);
         if duties.regions && !far.is_empty() {
-            self.tell_delegates(far, &self.region_digest, duties);
+            self.send_zone_sums(far, &self.region_digest, duties);
         }
     }
 
@@ -139,17 +143,17 @@
             .into_iter()
             .flat_map(|other| roster.delegate_peers(other));
         let own = roster.own_place().unwrap_or_default();
-        let tellers = roster.delegates(zone).len();
+        let senders = roster.delegates(zone).len();
         let far = far.into_iter().flat_map(|other| {
             let there = roster.delegates(other).iter().map(String::as_str);
-            told_by(own, tellers, there.collect())
+            told_by(own, senders, there.collect())
         });
         let far = far.filter_map(|name| roster.peer(name));
         (near.collect(), far.collect())
     }
 
     /// Sends some delegates of other zones the sums that they do not have yet.
-    fn tell_delegates(
+    fn send_zone_sums(
         &self,
         delegates: Vec<&RelayPeer>,
         digest: &RefCell<ZoneDigest>,
@@ -157,7 +161,7 @@
     ) {
         let zone = &self.settings.zone;
         let told = digest.borrow_mut().next(self.loads.zone_sums(), duties.all);
-        let (signs, more) = self.due_signs(Some(zone), duties);
+        let (signs, more) = self.due_liveness(Some(zone), duties);
         let message = PacketKind::Summary(Summary {
             of_zone: true,
             loads: told.loads,
@@ -169,25 +173,28 @@
             signs,
             ..self.summary()
         });
-        let told: Vec<SocketAddr> = delegates.iter().map(|peer| peer.address).collect();
-        self.send(message, told.iter().copied());
-        self.send_more(more, &told);
+        let addresses: Vec<SocketAddr> = delegates.iter().map(|peer| peer.address).collect();
+        self.send(message, addresses.iter().copied());
+        self.send_extra_liveness(more, &addresses);
     }
 
     /// As a delegate, sends the liveness records of this zone to the last known delegates of silent
     /// zones. Without it, the two sides of a healed partition rediscover each other slowly, and one
     /// side may take over jobs that still run on the other.
-    fn tell_silent_zones(&self) {
+    fn send_to_silent_zones(&self) {
         let delegates = self.peers.silent_delegates();
         if delegates.is_empty() {
             return;
         }
         // Loads are sent again once the zone is heard.
-        let told: Vec<SocketAddr> = delegates.iter().map(|node| node.address).collect();
-        let mut signs = self.peers.life_signs(Some(&self.settings.zone)).into_iter();
+        let addresses: Vec<SocketAddr> = delegates.iter().map(|node| node.address).collect();
+        let mut signs = self
+            .peers
+            .liveness_records(Some(&self.settings.zone))
+            .into_iter();
         let message = self.heartbeat(false, signs.next());
-        self.send(message, told.iter().copied());
-        self.send_more(signs.collect(), &told);
+        self.send(message, addresses.iter().copied());
+        self.send_extra_liveness(signs.collect(), &addresses);
     }
 
     /// Sends a heartbeat to random nodes; with `FANOUT` nodes it relays liveness records.
@@ -198,7 +205,7 @@
         let targets = self.peers.heartbeat_targets();
         let chosen = targets.choose_multiple(&mut rand::rng(), fanout);
         let message = match fanout == FANOUT {
-            true => self.heartbeat(true, Some(self.peers.some_life_signs())),
+            true => self.heartbeat(true, Some(self.peers.sample_liveness_records())),
             false => self.heartbeat(false, None),
         };
         self.send(message, chosen.map(|(address, _)| *address));
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -58,7 +58,9 @@
 pub use gossip::{Gossip, GossipSettings, GossipTables};
 pub use health::StoreHealth;
 pub use loads::{InFlight, LoadTable, WorkKind, node_number};
-pub use messages::{Heartbeat, LifeSign, LifeSigns, LoadChange, LoadEntry, NodeRow, ZoneWork};
+pub use messages::{
+    Heartbeat, LivenessRecord, LivenessRecords, LoadChange, LoadEntry, NodeRow, ZoneWork,
+};
 pub use orders::ConfigurationSink;
 pub use outcomes::{Ejection, OutcomeCounts, Outcomes};
 pub use pace::ChangePace;
@@ -74,5 +76,5 @@
 pub use view::View;
 pub use waiting::{Allowance, WaitingItems};
 pub use ways::{WayWeights, Ways};
-pub use zone_digest::{SERVERS_TOLD, ZoneDigest};
+pub use zone_digest::{MAX_SERVERS_PER_MESSAGE, ZoneDigest};
 pub use zone_suspicion::{ServerSign, SuspicionChange, ZoneSuspicion};
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -10,6 +10,7 @@
     /// Number of this run of the process.
     #[prost(fixed64, tag = "1")]
     pub life: u64,
+    /// Address for callers.
     #[prost(string, tag = "2")]
     pub front: String,
     #[prost(string, tag = "3")]
@@ -28,6 +29,7 @@
 /// Load of one node at one server.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadEntry {
+    /// Hash of the server's identifier.
     #[prost(fixed32, tag = "1")]
     pub server: u32,
     /// Online requests in flight.
@@ -77,9 +79,9 @@
     pub excess_pace_percent: u32,
 }
 
-/// Liveness records: the newest known message of each node, as parallel lists.
+/// The newest known message of each node, as parallel lists.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct LifeSigns {
+pub struct LivenessRecords {
     /// Hashes of the nodes' names and run numbers.
     #[prost(fixed32, repeated, tag = "1")]
     pub nodes: Vec<u32>,
@@ -93,7 +95,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LifeSign {
+pub struct LivenessRecord {
     /// Hash of the node's name and run number.
     pub node: u32,
     pub sequence: u64,
@@ -101,8 +103,8 @@
     pub age_ms: u32,
 }
 
-impl FromIterator<LifeSign> for LifeSigns {
-    fn from_iter<I: IntoIterator<Item = LifeSign>>(signs: I) -> Self {
+impl FromIterator<LivenessRecord> for LivenessRecords {
+    fn from_iter<I: IntoIterator<Item = LivenessRecord>>(signs: I) -> Self {
         let mut lists = Self::default();
         for sign in signs {
             lists.nodes.push(sign.node);
@@ -113,13 +115,13 @@
     }
 }
 
-impl LifeSigns {
+impl LivenessRecords {
     /// The records; excess elements of a longer list are ignored.
-    pub fn iter(&self) -> impl Iterator<Item = LifeSign> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = LivenessRecord> + '_ {
         let numbers = self.nodes.iter().zip(&self.sequences);
         numbers
             .zip(&self.ages_ms)
-            .map(|((node, sequence), age_ms)| LifeSign {
+            .map(|((node, sequence), age_ms)| LivenessRecord {
                 node: *node,
                 sequence: *sequence,
                 age_ms: *age_ms,
@@ -163,7 +165,7 @@
     pub sequence: u64,
     /// Liveness records of other nodes, in large fleets.
     #[prost(message, optional, tag = "13")]
-    pub signs: Option<LifeSigns>,
+    pub signs: Option<LivenessRecords>,
     /// Requests of each tenant admitted by the sender.
     #[prost(message, repeated, tag = "14")]
     pub passed: Vec<PassedCount>,
@@ -175,6 +177,7 @@
 /// Work still in flight at the servers of an evacuated zone, over all nodes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ZoneWork {
+    /// Hash of the zone's name.
     #[prost(fixed64, tag = "1")]
     pub zone: u64,
     /// Online requests in flight.
@@ -208,7 +211,7 @@
     pub sequence: u64,
     /// Liveness records of other nodes; not in every summary.
     #[prost(message, optional, tag = "8")]
-    pub signs: Option<LifeSigns>,
+    pub signs: Option<LivenessRecords>,
     /// The sums are those that changed since the previous summary; otherwise all sums.
     #[prost(bool, tag = "9")]
     pub changes_only: bool,
@@ -234,6 +237,7 @@
 /// Loads of one node at the servers where they changed since its last message.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadChange {
+    /// Hash of the sender's name.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
     /// Number of this run of the sender.
@@ -255,7 +259,7 @@
 
 /// Liveness records that did not fit into the message they belong to.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct MoreSigns {
+pub struct ExtraLiveness {
     #[prost(string, tag = "1")]
     pub name: String,
     /// Number of this run of the sender.
@@ -266,7 +270,7 @@
     pub sequence: u64,
     /// Liveness records of other nodes.
     #[prost(message, optional, tag = "4")]
-    pub signs: Option<LifeSigns>,
+    pub signs: Option<LivenessRecords>,
 }
 
 /// Content of a datagram.
@@ -281,7 +285,7 @@
     #[prost(message, tag = "4")]
     CrashNews(CrashNews),
     #[prost(message, tag = "5")]
-    MoreSigns(MoreSigns),
+    ExtraLiveness(ExtraLiveness),
 }
 
 /// One datagram.
--- a/crates/cluster/src/peer_rows.rs
+++ b/crates/cluster/src/peer_rows.rs
@@ -18,7 +18,7 @@
 }
 
 impl PeerTable {
-    fn put(peers: &mut HashMap<String, Peer>, row: &Row) {
+    fn apply_row(peers: &mut HashMap<String, Peer>, row: &Row) {
         let Some(value) = &row.value else {
             // A row left in another partition by an earlier version of the program does not stand
             // for the node.
@@ -34,29 +34,29 @@
             return;
         };
         let address = node.peer.parse().ok();
-        let number = xxh3_64_with_seed(value, xxh3_64(row.key.as_bytes()));
+        let row_hash = xxh3_64_with_seed(value, xxh3_64(row.key.as_bytes()));
         match peers.get_mut(&row.key) {
             Some(peer) if peer.revision >= row.revision => {}
             Some(peer) if peer.row.life == node.life => {
                 peer.row = node;
-                peer.number = number;
+                peer.row_hash = row_hash;
                 peer.part.clone_from(&row.part);
                 peer.revision = row.revision;
             }
             _ => {
                 let peer = Peer {
-                    number,
+                    row_hash,
                     row: node,
                     part: row.part.clone(),
                     revision: row.revision,
                     address,
-                    seen: Instant::now(),
+                    row_seen_at: Instant::now(),
                     heard: None,
                     sequence: 0,
                     ready: false,
                     leaving: false,
-                    store_silent: false,
-                    direct: None,
+                    store_timed_out: false,
+                    store_answered_at: None,
                     logged_down: false,
                 };
                 peers.insert(row.key.clone(), peer);
@@ -79,16 +79,16 @@
         let listed: HashSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
         peers.retain(|name, peer| peer.revision > revision || listed.contains(name.as_str()));
         for row in &rows {
-            Self::put(&mut peers, row);
+            Self::apply_row(&mut peers, row);
         }
         drop(peers);
-        self.note_change();
+        self.record_membership_change();
         self.changed.notify_waiters();
     }
 
     fn change(&self, row: Row) {
-        Self::put(&mut self.peers.lock(), &row);
-        self.note_change();
+        Self::apply_row(&mut self.peers.lock(), &row);
+        self.record_membership_change();
         self.changed.notify_waiters();
     }
 
--- a/crates/cluster/src/peers.rs
+++ b/crates/cluster/src/peers.rs
@@ -12,29 +12,28 @@
 
 use crate::directory::FrontNode;
 use crate::messages::{Heartbeat, NodeRow};
-use crate::roster::HeldRoster;
-use crate::unlisted::Stranger;
+use crate::roster::RosterCache;
+use crate::unlisted::UnlistedSender;
 use dappleyard_clock::Instant;
 
-/// Name of the table of node rows.
 pub const NODES_TABLE: &str = "nodes";
 /// Silence after which a node of the own zone counts as down in a small fleet.
-const NEAR_SILENCE: Duration = Duration::from_millis(700);
+const SAME_ZONE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Silence after which a node of another zone counts as down in a small fleet.
-pub(crate) const FAR_SILENCE: Duration = Duration::from_millis(1600);
+pub(crate) const OTHER_ZONE_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Maximum number of nodes of a small fleet, in which every node hears every other.
 pub const ALL_HEARD: usize = 24;
 /// Silence after which a node counts as down in a large fleet, where heartbeats are relayed.
-pub(crate) const RELAYED_SILENCE: Duration = Duration::from_millis(2_500);
+pub(crate) const RELAYED_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time allowed from the discovery of a node's row to its first heartbeat.
-const FIRST_HEARTBEAT: Duration = Duration::from_millis(1600);
+const FIRST_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Silence after which a node counts as gone permanently.
 pub(crate) const FORGOTTEN: Duration = Duration::from_secs(60);
 /// Silence of the store after which a node counts as isolated from it.
-const STORE_SILENCE: Duration = Duration::from_millis(3200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(3200);
 
 /// When the store last answered a direct call of the sender.
-pub(crate) fn direct_answer(heartbeat: &Heartbeat, now: Instant) -> Option<Instant> {
+pub(crate) fn last_direct_answer(heartbeat: &Heartbeat, now: Instant) -> Option<Instant> {
     let age_ms = u64::from(heartbeat.direct_age_ms.checked_sub(1)?);
     now.checked_sub(Duration::from_millis(age_ms))
 }
@@ -62,21 +61,21 @@
 
 pub(crate) struct Peer {
     /// Hash of its name and row.
-    pub(crate) number: u64,
+    pub(crate) row_hash: u64,
     pub(crate) row: NodeRow,
     /// Partition of the row.
     pub(crate) part: String,
     pub(crate) revision: u64,
     pub(crate) address: Option<SocketAddr>,
-    pub(crate) seen: Instant,
+    pub(crate) row_seen_at: Instant,
     /// When its newest known message arrived, here or at another node.
     pub(crate) heard: Option<Instant>,
     /// Sequence number of that message.
     pub(crate) sequence: u64,
     pub(crate) ready: bool,
     pub(crate) leaving: bool,
-    pub(crate) store_silent: bool,
-    pub(crate) direct: Option<Instant>,
+    pub(crate) store_timed_out: bool,
+    pub(crate) store_answered_at: Option<Instant>,
     pub(crate) logged_down: bool,
 }
 
@@ -88,16 +87,16 @@
 
     /// When it was last heard or its row was discovered.
     pub(crate) fn last(&self) -> Instant {
-        self.heard.unwrap_or(self.seen).max(self.seen)
+        self.heard.unwrap_or(self.row_seen_at).max(self.row_seen_at)
     }
 
     /// Whether the node accepted requests when it was last heard.
-    fn took_requests(&self) -> bool {
+    fn was_ready(&self) -> bool {
         self.heard.is_some() && self.ready && !(self.leaving || self.row.leaving)
     }
 
     /// Records the arrival of a message; one that is older than the newest known is ignored.
-    pub(crate) fn note_message(&mut self, sequence: u64, at: Instant) {
+    pub(crate) fn record_message(&mut self, sequence: u64, at: Instant) {
         if self.heard.is_none() || sequence > self.sequence {
             self.sequence = sequence;
             self.heard = self.heard.max(Some(at));
@@ -124,12 +123,12 @@
     pub(crate) own_zone: String,
     pub(crate) peers: Mutex<HashMap<String, Peer>>,
     /// Senders of heartbeats while no node row is known. Locked after `peers`.
-    pub(crate) strangers: Mutex<HashMap<String, Stranger>>,
+    pub(crate) unlisted_senders: Mutex<HashMap<String, UnlistedSender>>,
     pub(crate) changed: Notify,
     /// Incremented by each change that invalidates the roster: nodes that join or leave.
     changes: AtomicU64,
     /// Never locked together with `peers`.
-    pub(crate) roster: Mutex<HeldRoster>,
+    pub(crate) roster: Mutex<RosterCache>,
     pub(crate) log: Arc<EventLog>,
 }
 
@@ -140,7 +139,7 @@
             own_name: own_name.to_owned(),
             own_zone: own_zone.to_owned(),
             peers: Mutex::default(),
-            strangers: Mutex::default(),
+            unlisted_senders: Mutex::default(),
             changed: Notify::new(),
             changes: AtomicU64::new(0),
             roster: Mutex::default(),
@@ -154,11 +153,11 @@
     }
 
     /// Records that a node joined or left.
-    pub(crate) fn note_change(&self) {
+    pub(crate) fn record_membership_change(&self) {
         self.changes.fetch_add(1, Ordering::Release);
     }
 
-    /// Waits for the next change of a node's row.
+    /// Waits for the next change of a node row.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
@@ -173,8 +172,8 @@
         }
     }
 
-    /// The nodes that can run jobs, including this one if `own_fit` is set.
-    pub fn workers(&self, own_fit: bool) -> Vec<Worker> {
+    /// The nodes that can run jobs, including this one if `own_ready` is set.
+    pub fn workers(&self, own_ready: bool) -> Vec<Worker> {
         let now = Instant::now();
         let peers = self.peers.lock();
         let others = peers
@@ -185,7 +184,7 @@
                 name: name.clone(),
                 zone: peer.row.zone.clone(),
             });
-        let own = own_fit.then(|| Worker {
+        let own = own_ready.then(|| Worker {
             name: self.own_name.clone(),
             zone: self.own_zone.clone(),
         });
@@ -201,10 +200,10 @@
         let taking = others.filter_map(|(_, peer)| {
             let ready = match self.judge(peer, now, peers.len()) {
                 PeerStatus::Ready => true,
-                PeerStatus::Down if peer.took_requests() => false,
+                PeerStatus::Down if peer.was_ready() => false,
                 _ => return None,
             };
-            let newest = peer.heard.unwrap_or(peer.seen).max(peer.seen);
+            let newest = peer.heard.unwrap_or(peer.row_seen_at).max(peer.row_seen_at);
             Some(FrontNode {
                 address: peer.row.front.clone(),
                 zone: peer.row.zone.clone(),
@@ -230,19 +229,19 @@
 
     /// Whether a node is alive and not shutting down.
     fn stays(&self, peer: &Peer, now: Instant, fleet: usize) -> bool {
-        let leaves = peer.row.leaving || peer.leaving;
-        !leaves && self.judge(peer, now, fleet) != PeerStatus::Down
+        let is_leaving = peer.row.leaving || peer.leaving;
+        !is_leaving && self.judge(peer, now, fleet) != PeerStatus::Down
     }
 
     /// Sum of the row hashes of the nodes that are alive and not shutting down; changes with this
     /// set.
-    pub(crate) fn sum_of_alive(&self) -> u64 {
+    pub(crate) fn alive_hash_sum(&self) -> u64 {
         let now = Instant::now();
         let peers = self.peers.lock();
         let alive = peers
             .values()
             .filter(|peer| self.stays(peer, now, peers.len()));
-        alive.fold(0_u64, |sum, peer| sum.wrapping_add(peer.number))
+        alive.fold(0_u64, |sum, peer| sum.wrapping_add(peer.row_hash))
     }
 
     /// The other nodes that are alive and not shutting down; while no row is known, those that sent
@@ -251,7 +250,7 @@
         let now = Instant::now();
         let peers = self.peers.lock();
         if peers.is_empty() {
-            return self.strangers(now);
+            return self.unlisted_senders(now);
         }
         let others = peers
             .iter()
@@ -262,7 +261,7 @@
                     name: name.clone(),
                     zone: peer.row.zone.clone(),
                     address: peer.address?,
-                    answered: peer.direct,
+                    answered: peer.store_answered_at,
                     strong: peer.row.strong,
                 })
             })
@@ -274,8 +273,8 @@
         self.peers.lock().len()
     }
 
-    /// Number of nodes that were heard or registered within the last minute, including this one.
-    /// Rows of machines that are gone permanently do not count.
+    /// Number of nodes that were heard, or whose row was discovered, within `FORGOTTEN`, including
+    /// this one. Rows of machines that are gone permanently do not count.
     pub fn expected(&self) -> usize {
         let now = Instant::now();
         let peers = self.peers.lock();
@@ -307,19 +306,19 @@
             return false;
         }
         let now = Instant::now();
-        let returns = peer
+        let is_back = peer
             .heard
-            .is_none_or(|at| now.duration_since(at) >= FAR_SILENCE);
-        if returns || peer.leaving != heartbeat.leaving {
-            self.note_change();
+            .is_none_or(|at| now.duration_since(at) >= OTHER_ZONE_TIMEOUT);
+        if is_back || peer.leaving != heartbeat.leaving {
+            self.record_membership_change();
         }
-        peer.note_message(heartbeat.sequence, now);
+        peer.record_message(heartbeat.sequence, now);
         peer.ready = heartbeat.ready;
         peer.leaving = heartbeat.leaving;
-        peer.store_silent =
-            Duration::from_millis(u64::from(heartbeat.store_age_ms)) > STORE_SILENCE;
-        if let Some(direct) = direct_answer(heartbeat, Instant::now()) {
-            peer.direct = Some(direct);
+        peer.store_timed_out =
+            Duration::from_millis(u64::from(heartbeat.store_age_ms)) > STORE_TIMEOUT;
+        if let Some(direct) = last_direct_answer(heartbeat, Instant::now()) {
+            peer.store_answered_at = Some(direct);
         }
         if std::mem::take(&mut peer.logged_down) {
             self.log.write(
@@ -330,7 +329,7 @@
         true
     }
 
-    /// Whether the fleet is large: not every node hears every other.
+    /// Whether the fleet is larger than `ALL_HEARD`, so that not every node hears every other.
     pub fn is_large(&self) -> bool {
         self.peers.lock().len() > ALL_HEARD
     }
@@ -341,12 +340,12 @@
     }
 
     /// Records a message of a node; returns whether it is a known run.
-    pub(crate) fn heard_from(&self, name: &str, life: u64, sequence: u64) -> bool {
+    pub(crate) fn record_message_from(&self, name: &str, life: u64, sequence: u64) -> bool {
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(name).filter(|peer| peer.row.life == life) else {
             return false;
         };
-        peer.note_message(sequence, Instant::now());
+        peer.record_message(sequence, Instant::now());
         true
     }
 
@@ -372,13 +371,13 @@
 
     pub(crate) fn judge(&self, peer: &Peer, now: Instant, fleet: usize) -> PeerStatus {
         let limit = match (fleet > ALL_HEARD, peer.row.zone == self.own_zone) {
-            (true, _) => RELAYED_SILENCE,
-            (false, true) => NEAR_SILENCE,
-            (false, false) => FAR_SILENCE,
+            (true, _) => RELAYED_TIMEOUT,
+            (false, true) => SAME_ZONE_TIMEOUT,
+            (false, false) => OTHER_ZONE_TIMEOUT,
         };
         let alive = match peer.heard {
             Some(heard) => now.duration_since(heard) < limit,
-            None => now.duration_since(peer.seen) < FIRST_HEARTBEAT,
+            None => now.duration_since(peer.row_seen_at) < FIRST_HEARTBEAT_TIMEOUT,
         };
         if !alive {
             return PeerStatus::Down;
@@ -386,7 +385,7 @@
         if peer.row.leaving || peer.leaving || !peer.ready {
             return PeerStatus::Present;
         }
-        match peer.store_silent {
+        match peer.store_timed_out {
             true => PeerStatus::Isolated,
             false => PeerStatus::Ready,
         }
--- a/crates/cluster/src/receiving.rs
+++ b/crates/cluster/src/receiving.rs
@@ -8,7 +8,7 @@
 
 use crate::gossip::Gossip;
 use crate::loads::node_number;
-use crate::messages::{Heartbeat, LoadChange, MoreSigns, Packet, PacketKind, Summary};
+use crate::messages::{ExtraLiveness, Heartbeat, LoadChange, Packet, PacketKind, Summary};
 use crate::server_loads::Source;
 
 impl Gossip {
@@ -31,7 +31,7 @@
             Some(PacketKind::Summary(summary)) => self.receive_summary(summary),
             Some(PacketKind::LoadChange(change)) => self.receive_change(change),
             Some(PacketKind::CrashNews(news)) => self.receive_crash_news(news),
-            Some(PacketKind::MoreSigns(more)) => self.receive_more_signs(&more),
+            Some(PacketKind::ExtraLiveness(more)) => self.receive_extra_liveness(&more),
             // Sent by a later version of the program.
             None => {}
         }
@@ -42,44 +42,50 @@
             return;
         }
         if let Some(signs) = &heartbeat.signs {
-            self.peers.take_life_signs(signs);
+            self.peers.merge_liveness_records(signs);
         }
         let large = self.peers.is_large();
-        let summed = self.is_told();
-        // In a large fleet loads come from summaries, or from heartbeats that carry them.
+        let has_summary = self.has_recent_summary();
+        // In a large fleet, a node with a recent summary uses the loads of heartbeats only as a
+        // delegate.
         let delegate = self.peers.is_delegate();
-        if large && ((summed && !delegate) || !heartbeat.tells_loads) {
+        if large && ((has_summary && !delegate) || !heartbeat.tells_loads) {
             return;
         }
         let number = node_number(&heartbeat.name);
-        if !self.is_newest(number, heartbeat.life, heartbeat.sequence) {
+        if !self.record_if_newest(number, heartbeat.life, heartbeat.sequence) {
             return;
         }
         if large {
-            self.used.borrow_mut().insert(number, heartbeat.used);
+            self.used_servers_by_node
+                .borrow_mut()
+                .insert(number, heartbeat.used);
         }
         self.quotas
             .note_node(number, heartbeat.life, &heartbeat.passed);
         let source = Source::Node(number);
-        if self.waits_near(&heartbeat.name) {
+        if self.is_in_own_region(&heartbeat.name) {
             self.loads.waiting.set_source(source, heartbeat.waiting);
             self.loads.demand.set_source(source, heartbeat.demands);
         }
         self.loads.set_source(source, heartbeat.loads);
     }
 
-    fn receive_more_signs(&self, more: &MoreSigns) {
-        if !self.peers.heard_from(&more.name, more.life, more.sequence) {
+    fn receive_extra_liveness(&self, more: &ExtraLiveness) {
+        if !self
+            .peers
+            .record_message_from(&more.name, more.life, more.sequence)
+        {
             return;
         }
         if let Some(signs) = &more.signs {
-            self.peers.take_life_signs(signs);
+            self.peers.merge_liveness_records(signs);
         }
     }
 
     /// Whether a node's waiting items compete with this node's own. Items in other regions wait for
     /// other servers.
-    fn waits_near(&self, name: &str) -> bool {
+    fn is_in_own_region(&self, name: &str) -> bool {
         let ways = self.view.ways();
         if !ways.has_regions() {
             return true;
@@ -89,8 +95,8 @@
     }
 
     /// Whether a load message is newer than all earlier ones of its node; records it if so.
-    fn is_newest(&self, node: u64, life: u64, sequence: u64) -> bool {
-        let mut newest = self.newest.borrow_mut();
+    fn record_if_newest(&self, node: u64, life: u64, sequence: u64) -> bool {
+        let mut newest = self.newest_sequences.borrow_mut();
         let held = newest.entry(node).or_default();
         let newer = held.0 != life || held.1 < sequence;
         if newer {
@@ -100,11 +106,14 @@
     }
 
     fn receive_change(&self, change: LoadChange) {
-        let listens = !self.peers.is_large() || self.peers.is_delegate();
+        let accepts_loads = !self.peers.is_large() || self.peers.is_delegate();
         // Changes are ignored until a heartbeat of the same run has arrived.
-        let newest = self.newest.borrow().get(&change.node).copied();
+        let newest = self.newest_sequences.borrow().get(&change.node).copied();
         let known = newest.is_some_and(|(life, _)| life == change.life);
-        if listens && known && self.is_newest(change.node, change.life, change.sequence) {
+        if accepts_loads
+            && known
+            && self.record_if_newest(change.node, change.life, change.sequence)
+        {
             self.quotas
                 .note_node(change.node, change.life, &change.passed);
             let source = Source::Node(change.node);
@@ -115,11 +124,11 @@
 
     fn receive_summary(&self, summary: Summary) {
         let (name, life, sequence) = (&summary.name, summary.life, summary.sequence);
-        if !self.peers.heard_from(name, life, sequence) {
+        if !self.peers.record_message_from(name, life, sequence) {
             return;
         }
         if let Some(signs) = &summary.signs {
-            self.peers.take_life_signs(signs);
+            self.peers.merge_liveness_records(signs);
         }
         let delegate = self.peers.is_delegate();
         match (summary.of_zone, delegate) {
@@ -130,11 +139,11 @@
                     counts: &summary.passed,
                     heard_part: f64::from(summary.heard_permille) / 1_000.0,
                 };
-                let later = self.view.ways().extra(&zone) / 2;
+                let delay = self.view.ways().extra(&zone) / 2;
                 let number = node_number(&zone);
-                self.quotas.note_zone(number, delegate, &told, later);
+                self.quotas.note_zone(number, delegate, &told, delay);
                 let source = Source::Zone(node_number(&zone));
-                if self.waits_near(&summary.name) {
+                if self.is_in_own_region(&summary.name) {
                     self.loads.waiting.set_source(source, summary.waiting);
                     self.loads.demand.set_source(source, summary.demands);
                 }
@@ -144,7 +153,7 @@
                 }
             }
             (false, false) => {
-                self.told.set(Some(Instant::now()));
+                self.last_summary_at.set(Some(Instant::now()));
                 self.loads.zones.note(summary.evacuated);
                 self.quotas.note_levels(&summary.levels);
                 self.loads
--- a/crates/cluster/src/roster.rs
+++ b/crates/cluster/src/roster.rs
@@ -14,7 +14,7 @@
 
 /// Time for which a cached roster of a large fleet is used without a check of the live nodes, if no
 /// node joined or left. It delays the detection of a silent node.
-const ROSTER_LIFE: Duration = Duration::from_millis(100);
+const ROSTER_TTL: Duration = Duration::from_millis(100);
 
 /// Snapshot of the nodes that are alive and not shutting down.
 #[derive(Debug)]
@@ -88,42 +88,41 @@
     }
 }
 
-/// Cache of the last roster.
 #[derive(Default)]
-pub(crate) struct HeldRoster {
-    held: Option<Held>,
+pub(crate) struct RosterCache {
+    cached: Option<CachedRoster>,
 }
 
-struct Held {
+struct CachedRoster {
     /// When it was last found up to date.
-    looked: Instant,
+    checked_at: Instant,
     /// Change count of the peer table at that time.
     changes: u64,
-    /// `sum_of_alive` of the nodes in it.
+    /// `alive_hash_sum` of the nodes in it.
     sum: u64,
     roster: Arc<Roster>,
 }
 
 impl PeerTable {
-    /// The current roster; in a large fleet up to `ROSTER_LIFE` old.
+    /// The current roster; in a large fleet up to `ROSTER_TTL` old.
     pub fn roster(&self) -> Arc<Roster> {
         let changes = self.changes();
         let large = self.is_large();
-        if let Some(held) = &self.roster.lock().held
-            && held.changes == changes
-            && held.looked.elapsed() < ROSTER_LIFE
+        if let Some(cached) = &self.roster.lock().cached
+            && cached.changes == changes
+            && cached.checked_at.elapsed() < ROSTER_TTL
             && large
         {
-            return held.roster.clone();
+            return cached.roster.clone();
         }
-        let sum = self.sum_of_alive();
-        if let Some(held) = &mut self.roster.lock().held
-            && held.sum == sum
+        let sum = self.alive_hash_sum();
+        if let Some(cached) = &mut self.roster.lock().cached
+            && cached.sum == sum
             && large
         {
-            held.looked = Instant::now();
-            held.changes = changes;
-            return held.roster.clone();
+            cached.checked_at = Instant::now();
+            cached.changes = changes;
+            return cached.roster.clone();
         }
         let own = RelayPeer {
             name: self.own_name.clone(),
@@ -133,8 +132,8 @@
             strong: self.is_strong(),
         };
         let roster = Arc::new(Roster::new(self.relay_peers(), &own));
-        self.roster.lock().held = Some(Held {
-            looked: Instant::now(),
+        self.roster.lock().cached = Some(CachedRoster {
+            checked_at: Instant::now(),
             changes,
             sum,
             roster: roster.clone(),
--- a/crates/cluster/src/store_clock.rs
+++ b/crates/cluster/src/store_clock.rs
@@ -11,12 +11,12 @@
 
 /// Maximum drift between two monotonic clocks, milliseconds per second; ten times that of common
 /// quartz clocks. The known offset expires at this rate.
-const DRIFT_MS_PER_S: f64 = 1.0;
+const MAX_DRIFT_MS_PER_S: f64 = 1.0;
 /// A longer transit time means that the store's clock was reset.
-const LONGEST_WAY_MS: f64 = 60_000.0;
+const MAX_TRANSIT_MS: f64 = 60_000.0;
 
 #[derive(Debug, Clone, Copy)]
-struct Quickest {
+struct FastestAnswer {
     /// Local clock minus the store's clock when the fastest answer arrived.
     offset_ms: f64,
     at: Instant,
@@ -26,14 +26,14 @@
 #[derive(Debug)]
 pub struct StoreClock {
     origin: Instant,
-    quickest: Mutex<Option<Quickest>>,
+    fastest: Mutex<Option<FastestAnswer>>,
 }
 
 impl Default for StoreClock {
     fn default() -> Self {
         Self {
             origin: Instant::now(),
-            quickest: Mutex::default(),
+            fastest: Mutex::default(),
         }
     }
 }
@@ -44,16 +44,16 @@
     pub fn time_on_way(&self, now_ms: u64) -> Duration {
         let now = Instant::now();
         let offset_ms = now.duration_since(self.origin).as_secs_f64() * 1_000.0 - now_ms as f64;
-        let mut quickest = self.quickest.lock();
-        let least_ms = quickest.map_or(offset_ms, |held| {
-            let forgotten_ms = now.duration_since(held.at).as_secs_f64() * DRIFT_MS_PER_S;
-            held.offset_ms + forgotten_ms
+        let mut fastest = self.fastest.lock();
+        let min_offset_ms = fastest.map_or(offset_ms, |known| {
+            let expired_ms = now.duration_since(known.at).as_secs_f64() * MAX_DRIFT_MS_PER_S;
+            known.offset_ms + expired_ms
         });
-        let way_ms = offset_ms - least_ms;
-        if way_ms <= 0.0 || way_ms > LONGEST_WAY_MS {
-            *quickest = Some(Quickest { offset_ms, at: now });
+        let transit_ms = offset_ms - min_offset_ms;
+        if transit_ms <= 0.0 || transit_ms > MAX_TRANSIT_MS {
+            *fastest = Some(FastestAnswer { offset_ms, at: now });
             return Duration::ZERO;
         }
-        Duration::from_secs_f64(way_ms / 1_000.0)
+        Duration::from_secs_f64(transit_ms / 1_000.0)
     }
 }
--- a/crates/cluster/src/unlisted.rs
+++ b/crates/cluster/src/unlisted.rs
@@ -6,12 +6,12 @@
 use dappleyard_clock::Instant;
 
 use crate::messages::Heartbeat;
-use crate::peers::{FAR_SILENCE, PeerTable, RelayPeer, direct_answer};
+use crate::peers::{OTHER_ZONE_TIMEOUT, PeerTable, RelayPeer, last_direct_answer};
 
-pub(crate) struct Stranger {
+pub(crate) struct UnlistedSender {
     pub(crate) address: SocketAddr,
     pub(crate) heard: Instant,
-    pub(crate) direct: Option<Instant>,
+    pub(crate) store_answered_at: Option<Instant>,
 }
 
 impl PeerTable {
@@ -22,26 +22,26 @@
             return;
         }
         let now = Instant::now();
-        let stranger = Stranger {
+        let sender = UnlistedSender {
             address,
             heard: now,
-            direct: direct_answer(heartbeat, now),
+            store_answered_at: last_direct_answer(heartbeat, now),
         };
-        let mut strangers = self.strangers.lock();
-        strangers.insert(heartbeat.name.clone(), stranger);
+        let mut unlisted_senders = self.unlisted_senders.lock();
+        unlisted_senders.insert(heartbeat.name.clone(), sender);
     }
 
-    pub(crate) fn strangers(&self, now: Instant) -> Vec<RelayPeer> {
-        let strangers = self.strangers.lock();
-        let heard = strangers
+    pub(crate) fn unlisted_senders(&self, now: Instant) -> Vec<RelayPeer> {
+        let unlisted_senders = self.unlisted_senders.lock();
+        let heard = unlisted_senders
             .iter()
-            .filter(|(_, stranger)| now.duration_since(stranger.heard) < FAR_SILENCE);
+            .filter(|(_, sender)| now.duration_since(sender.heard) < OTHER_ZONE_TIMEOUT);
         heard
-            .map(|(name, stranger)| RelayPeer {
+            .map(|(name, sender)| RelayPeer {
                 name: name.clone(),
                 zone: String::new(),
-                address: stranger.address,
-                answered: stranger.direct,
+                address: sender.address,
+                answered: sender.store_answered_at,
                 strong: false,
             })
             .collect()
--- a/crates/cluster/src/view.rs
+++ b/crates/cluster/src/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the servers of each service.
+//! The active configuration and the servers of each service.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use dappleyard_clock::Instant;
 
 /// The server set of one service, as last built.
-struct KnownSet {
+struct CachedSet {
     set: Arc<ServerSet>,
     /// A server of the service has changed since the set was built.
     stale: bool,
@@ -33,7 +33,7 @@
     pub(crate) earlier_starts: HashMap<String, Arc<ServerRecord>>,
     /// Invalid entries by name, with the cause.
     pub(crate) refused: HashMap<String, String>,
-    by_service: HashMap<String, KnownSet>,
+    sets_by_service: HashMap<String, CachedSet>,
     sets_built: u64,
     pub(crate) servers_read: bool,
     /// Time up to which all configuration changes are known.
@@ -52,11 +52,11 @@
     }
 }
 
-/// The configuration in force and the servers, shared by all threads.
+/// The active configuration and the servers, shared by all threads.
 pub struct View {
     pub(crate) known: Mutex<Known>,
     pub(crate) changed: Notify,
-    own: Standpoint,
+    standpoint: Standpoint,
     log: Arc<EventLog>,
 }
 
@@ -69,7 +69,7 @@
     /// Creates an empty view for a node with the given distances to other zones.
     pub fn with_ways(node: &str, ways: Arc<Ways>, log: Arc<EventLog>) -> Self {
         Self {
-            own: Standpoint::with_ways(node, ways),
+            standpoint: Standpoint::with_ways(node, ways),
             known: Mutex::default(),
             changed: Notify::new(),
             log,
@@ -78,7 +78,7 @@
 
     /// Distances from this node to the servers of each zone.
     pub fn ways(&self) -> &Arc<Ways> {
-        self.own.ways()
+        self.standpoint.ways()
     }
 
     pub(crate) fn log(&self) -> &EventLog {
@@ -93,10 +93,10 @@
     /// Servers of a service that accept new work.
     pub fn servers(&self, service: &str) -> Arc<ServerSet> {
         let mut known = self.known.lock();
-        match known.by_service.get(service) {
+        match known.sets_by_service.get(service) {
             None => Arc::default(),
             Some(held) if !held.stale => held.set.clone(),
-            Some(_) => self.build(&mut known, service),
+            Some(_) => self.build_set(&mut known, service),
         }
     }
 
@@ -106,17 +106,17 @@
         self.known.lock().sets_built
     }
 
-    fn build(&self, known: &mut Known, service: &str) -> Arc<ServerSet> {
+    fn build_set(&self, known: &mut Known, service: &str) -> Arc<ServerSet> {
         let servers = known.servers.values().map(|(_, server)| server);
         let open = servers.filter(|server| {
             server.service == service && Self::exclusion_of(known, server).is_none()
         });
-        let set = Arc::new(self.own.servers(open.cloned().collect()));
-        let held = KnownSet {
+        let set = Arc::new(self.standpoint.servers(open.cloned().collect()));
+        let held = CachedSet {
             set: set.clone(),
             stale: false,
         };
-        known.by_service.insert(service.to_owned(), held);
+        known.sets_by_service.insert(service.to_owned(), held);
         known.sets_built += 1;
         set
     }
@@ -144,14 +144,15 @@
         {
             return !earlier.draining;
         }
-        let leaves = known
+        let is_draining = known
             .server(&server.id)
             .is_some_and(|listed| listed.draining);
         let mut others = known.servers.values();
-        !leaves && others.any(|(_, other)| other.address == server.address && other.id != server.id)
+        !is_draining
+            && others.any(|(_, other)| other.address == server.address && other.id != server.id)
     }
 
-    /// Why a server that is listed gets no new work.
+    /// Why a listed server gets no new work.
     pub(crate) fn exclusion_of(known: &Known, server: &ServerRecord) -> Option<Exclusion> {
         if server.draining {
             return Some(Exclusion::Draining);
@@ -163,7 +164,7 @@
     /// Hashes of the servers used by this node, for services of which it does not use all.
     pub(crate) fn used_servers(&self) -> Vec<u32> {
         let known = self.known.lock();
-        let sets = known.by_service.values().map(|held| &held.set);
+        let sets = known.sets_by_service.values().map(|held| &held.set);
         let used = sets
             .filter(|set| set.is_large())
             .flat_map(|set| set.used.iter());
@@ -255,17 +256,17 @@
         known.servers.remove(instance).is_some()
     }
 
-    /// Invalidates the server sets of all services.
+    /// Marks the server sets of all services for rebuilding, including those of new services.
     pub(crate) fn all_stale(known: &mut Known) {
         known
-            .by_service
+            .sets_by_service
             .values_mut()
             .for_each(|held| held.stale = true);
         let services: Vec<String> = known
             .servers
             .values()
             .map(|(_, server)| &server.service)
-            .filter(|service| !known.by_service.contains_key(*service))
+            .filter(|service| !known.sets_by_service.contains_key(*service))
             .cloned()
             .collect();
         for service in services {
@@ -273,16 +274,16 @@
         }
     }
 
-    /// Invalidates the server set of a service.
+    /// Marks the server set of a service for rebuilding; adds the service if it is new.
     pub(crate) fn stale(known: &mut Known, service: &str) {
-        match known.by_service.get_mut(service) {
+        match known.sets_by_service.get_mut(service) {
             Some(held) => held.stale = true,
             None => {
-                let held = KnownSet {
+                let held = CachedSet {
                     set: Arc::default(),
                     stale: true,
                 };
-                known.by_service.insert(service.to_owned(), held);
+                known.sets_by_service.insert(service.to_owned(), held);
             }
         }
     }
--- a/crates/cluster/src/zone_delegates.rs
+++ b/crates/cluster/src/zone_delegates.rs
@@ -34,8 +34,8 @@
         let peers = self.peers.lock();
         for (name, peer) in peers.iter() {
             let zone = &peer.row.zone;
-            let leaves = peer.row.leaving || peer.leaving;
-            if *zone == self.own_zone || heard.contains(zone.as_str()) || leaves {
+            let is_leaving = peer.row.leaving || peer.leaving;
+            if *zone == self.own_zone || heard.contains(zone.as_str()) || is_leaving {
                 continue;
             }
             let Some(address) = peer.address.filter(|_| peer.is_recent(now)) else {
--- a/crates/cluster/src/zone_digest.rs
+++ b/crates/cluster/src/zone_digest.rs
@@ -7,11 +7,10 @@
 use crate::messages::LoadEntry;
 
 /// Maximum servers per message, so that it fits into one datagram of about 9 KB.
-pub const SERVERS_TOLD: usize = 500;
+pub const MAX_SERVERS_PER_MESSAGE: usize = 500;
 
-/// Load sums of one message.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ToldSums {
+pub struct MessageSums {
     pub loads: Vec<LoadEntry>,
     /// Only changed sums are included.
     pub changes_only: bool,
@@ -19,12 +18,12 @@
 
 /// Minimum change of the requests and items at a server that is sent to another region. Other
 /// regions only send work there once they are full, and then small changes matter little.
-const CHANGE_TOLD: u32 = 2;
+const MIN_CHANGE: u32 = 2;
 
 /// The sums sent last.
 #[derive(Debug, Default)]
 pub struct ZoneDigest {
-    told: HashMap<u32, LoadEntry>,
+    sent: HashMap<u32, LoadEntry>,
     /// Only large changes are sent between two full messages.
     coarse: bool,
 }
@@ -40,23 +39,23 @@
 
     /// Selects the sums of the next message. `sums` covers all servers with work; with `all`,
     /// unchanged ones are included.
-    pub fn next(&mut self, mut sums: Vec<LoadEntry>, all: bool) -> ToldSums {
+    pub fn next(&mut self, mut sums: Vec<LoadEntry>, all: bool) -> MessageSums {
         let changes_only = !all;
         if changes_only {
             self.add_idle(&mut sums);
-            sums.retain(|sum| self.is_news(sum));
+            sums.retain(|sum| self.has_changed(sum));
         } else {
-            self.told.clear();
+            self.sent.clear();
         }
         // If not all fit, the busiest servers are sent; the others stay pending.
-        if sums.len() > SERVERS_TOLD {
+        if sums.len() > MAX_SERVERS_PER_MESSAGE {
             sums.sort_by_key(|sum| Reverse(sum.online + sum.batch));
-            sums.truncate(SERVERS_TOLD);
+            sums.truncate(MAX_SERVERS_PER_MESSAGE);
         }
         for sum in &sums {
-            self.told.insert(sum.server, sum.clone());
+            self.sent.insert(sum.server, sum.clone());
         }
-        ToldSums {
+        MessageSums {
             loads: sums,
             changes_only,
         }
@@ -65,7 +64,7 @@
     /// Adds the servers that were sent with work and have none now.
     fn add_idle(&self, sums: &mut Vec<LoadEntry>) {
         let busy: HashSet<u32> = sums.iter().map(|sum| sum.server).collect();
-        let idle = self.told.keys().filter(|server| !busy.contains(server));
+        let idle = self.sent.keys().filter(|server| !busy.contains(server));
         sums.extend(idle.map(|server| LoadEntry {
             server: *server,
             ..LoadEntry::default()
@@ -74,22 +73,22 @@
 
     /// Whether a sum differs from the one sent last. Fields that change all the time do not count:
     /// the time since a server was heard, its completed requests, and small changes of its pace.
-    fn is_news(&self, sum: &LoadEntry) -> bool {
-        let held = self.told.get(&sum.server);
+    fn has_changed(&self, sum: &LoadEntry) -> bool {
+        let last = self.sent.get(&sum.server);
         if self.coarse {
-            return is_much(held.unwrap_or(&LoadEntry::default()), sum);
+            return is_large_change(last.unwrap_or(&LoadEntry::default()), sum);
         }
-        held.is_none_or(|held| {
+        last.is_none_or(|last| {
             let (heard_ms, served) = (sum.heard_ms, sum.served);
             // The age of one probe only grows; a lower one belongs to a newer probe.
             let asked_again =
-                sum.asked_ms > 0 && (held.asked_ms == 0 || sum.asked_ms < held.asked_ms);
+                sum.asked_ms > 0 && (last.asked_ms == 0 || sum.asked_ms < last.asked_ms);
             let (asked_ms, cold_ms) = (sum.asked_ms, sum.cold_ms);
             let (pace_age_ms, pace_percent) = (sum.pace_age_ms, sum.pace_percent);
             let (excess_pace_age_ms, excess_pace_percent) =
                 (sum.excess_pace_age_ms, sum.excess_pace_percent);
             asked_again
-                || sum.is_pace_news(held)
+                || sum.is_pace_news(last)
                 || LoadEntry {
                     pace_age_ms,
                     pace_percent,
@@ -99,19 +98,19 @@
                     cold_ms,
                     heard_ms,
                     served,
-                    ..held.clone()
+                    ..last.clone()
                 } != *sum
         })
     }
 }
 
 /// Whether a sum changed enough to be sent to another region.
-fn is_much(held: &LoadEntry, sum: &LoadEntry) -> bool {
-    let online = held.online.abs_diff(sum.online);
-    let work = (held.online + held.batch).abs_diff(sum.online + sum.batch);
-    let failing = (held.failed > 0) != (sum.failed > 0);
-    online.max(work) >= CHANGE_TOLD
-        || held.suspect != sum.suspect
-        || held.doubted != sum.doubted
+fn is_large_change(last: &LoadEntry, sum: &LoadEntry) -> bool {
+    let online = last.online.abs_diff(sum.online);
+    let work = (last.online + last.batch).abs_diff(sum.online + sum.batch);
+    let failing = (last.failed > 0) != (sum.failed > 0);
+    online.max(work) >= MIN_CHANGE
+        || last.suspect != sum.suspect
+        || last.doubted != sum.doubted
         || failing
 }
--- a/crates/cluster/tests/crash_news.rs
+++ b/crates/cluster/tests/crash_news.rs
@@ -19,7 +19,7 @@
 
 /// Records one crash at each of three nodes, and checks that all nodes refuse the request, and
 /// allow it again after a success.
-async fn all_learn(places: Places, count: usize) {
+async fn refusal_reaches_all_nodes(places: Places, count: usize) {
     let nodes = fleet_in(&places, count).await;
     until("the nodes hear each other", || {
         nodes.iter().all(|node| node.peers.count() == count)
@@ -39,15 +39,15 @@
 
 #[gtest]
 fn small_fleet() {
-    on_local(all_learn(Places::default(), 9));
+    on_local(refusal_reaches_all_nodes(Places::default(), 9));
 }
 
 #[gtest]
 fn large_fleet() {
-    on_local(all_learn(Places::default(), 30));
+    on_local(refusal_reaches_all_nodes(Places::default(), 30));
 }
 
 #[gtest]
-fn regions_learn() {
-    on_local(all_learn(regions(), 30));
+fn several_regions() {
+    on_local(refusal_reaches_all_nodes(regions(), 30));
 }
--- a/crates/cluster/tests/directory.rs
+++ b/crates/cluster/tests/directory.rs
@@ -7,13 +7,13 @@
 use dappleyard_model::{Places, Tolerated};
 use googletest::prelude::*;
 
-const NEWS: Duration = Duration::from_millis(400);
+const RECENT: Duration = Duration::from_millis(400);
 
 fn node(address: impl Into<String>, zone: &str) -> FrontNode {
     FrontNode {
         address: address.into(),
         zone: zone.to_owned(),
-        age: NEWS,
+        age: RECENT,
         ready: true,
         strong: false,
     }
@@ -65,7 +65,7 @@
     ) -> Vec<String> {
         let regions: Option<BTreeSet<_>> =
             regions.map(|regions| regions.iter().map(|region| (*region).into()).collect());
-        let ground = Ground {
+        let context = Ground {
             own_zone: self.own,
             places: &self.places,
             tolerated: Tolerated {
@@ -73,44 +73,44 @@
                 regions: 0,
             },
         };
-        let asked = Asked {
+        let query = Asked {
             zone: Some(zone),
             regions: regions.as_ref(),
         };
-        addresses_for(asked, ground, nodes)
+        addresses_for(query, context, nodes)
     }
 }
 
 /// Number of addresses in a zone.
-fn of(zone: &str, addresses: &[String]) -> usize {
-    let begin = |address: &&String| address.starts_with(zone);
-    addresses.iter().filter(begin).count()
+fn count_in_zone(zone: &str, addresses: &[String]) -> usize {
+    let in_zone = |address: &&String| address.starts_with(zone);
+    addresses.iter().filter(in_zone).count()
 }
 
 #[gtest]
 fn own_zone_first() {
-    let plain = Deployment {
+    let single_region = Deployment {
         places: Places::default(),
         zones: 0,
         own: "north",
     };
     let ready = [node("a", "north"), node("b", "north"), node("c", "south")];
-    expect_that!(plain.answer("north", &ready), eq(&["a", "b"]));
-    expect_that!(plain.answer("south", &ready), eq(&["c"]));
-    expect_that!(plain.answer("west", &ready), eq(&["a", "b", "c"]));
-    let ground = Ground {
+    expect_that!(single_region.answer("north", &ready), eq(&["a", "b"]));
+    expect_that!(single_region.answer("south", &ready), eq(&["c"]));
+    expect_that!(single_region.answer("west", &ready), eq(&["a", "b", "c"]));
+    let context = Ground {
         own_zone: "north",
-        places: &plain.places,
+        places: &single_region.places,
         tolerated: Tolerated::default(),
     };
-    let nowhere = addresses_for(Asked::default(), ground, &ready);
-    expect_that!(nowhere, eq(&["a", "b", "c"]));
+    let without_zone = addresses_for(Asked::default(), context, &ready);
+    expect_that!(without_zone, eq(&["a", "b", "c"]));
     let many: Vec<FrontNode> = nodes("north", 100, 400);
-    expect_that!(plain.answer("north", &many).len(), eq(64));
+    expect_that!(single_region.answer("north", &many).len(), eq(64));
 }
 
 #[gtest]
-fn region_before_world() {
+fn region_before_other_regions() {
     let regions = Deployment {
         places: six_zones(),
         zones: 0,
@@ -118,19 +118,19 @@
     };
     let all = ["n2", "s1", "s2", "w1", "w2"].map(|zone| nodes(zone, 14, 400));
     let answer = regions.answer("n1", &all.concat());
-    expect_that!((of("n2", &answer), answer.len()), eq((14, 14)));
+    expect_that!((count_in_zone("n2", &answer), answer.len()), eq((14, 14)));
     // A region with hardly any node is filled up, but only up to three nodes.
     let few = [nodes("n2", 1, 400), nodes("s1", 14, 400)].concat();
     let answer = regions.answer("n1", &few);
-    expect_that!((of("n2", &answer), answer.len()), eq((1, 3)));
+    expect_that!((count_in_zone("n2", &answer), answer.len()), eq((1, 3)));
     // A region without any node is given the recently heard nodes of other regions.
     let far = [nodes("s1", 14, 400), nodes("w1", 14, 1_900)].concat();
     let answer = regions.answer("n1", &far);
-    expect_that!((of("s1", &answer), answer.len()), eq((14, 14)));
+    expect_that!((count_in_zone("s1", &answer), answer.len()), eq((14, 14)));
 }
 
 #[gtest]
-fn zone_with_few() {
+fn zone_with_few_nodes() {
     let zones = Deployment {
         places: six_zones(),
         zones: 0,
@@ -139,10 +139,16 @@
     // The few remaining nodes must not serve all callers of their zone.
     let all = [nodes("n1", 2, 400), nodes("n2", 14, 400)].concat();
     let answer = zones.answer("n1", &all);
-    expect_that!((of("n1", &answer), of("n2", &answer)), eq((2, 12)));
+    expect_that!(
+        (count_in_zone("n1", &answer), count_in_zone("n2", &answer)),
+        eq((2, 12))
+    );
     let all = [nodes("n1", 9, 400), nodes("n2", 14, 400)].concat();
     let answer = zones.answer("n1", &all);
-    expect_that!((of("n1", &answer), of("n2", &answer)), eq((9, 0)));
+    expect_that!(
+        (count_in_zone("n1", &answer), count_in_zone("n2", &answer)),
+        eq((9, 0))
+    );
 }
 
 #[gtest]
@@ -154,15 +160,15 @@
     };
     let all = ["a", "b", "c"].map(|zone| nodes(zone, 22, 400)).concat();
     let answer = zones.answer("a", &all);
-    expect_that!((of("a", &answer), answer.len()), eq((22, 30)));
+    expect_that!((count_in_zone("a", &answer), answer.len()), eq((22, 30)));
     // The answer is stable: callers close connections to addresses that it no longer lists.
-    let mut turned = all.clone();
-    turned.reverse();
-    expect_that!(zones.answer("a", &turned), eq(&answer));
+    let mut reversed = all.clone();
+    reversed.reverse();
+    expect_that!(zones.answer("a", &reversed), eq(&answer));
     // A large zone leaves room for spare addresses.
     let large = [nodes("a", 100, 400), nodes("b", 100, 400)].concat();
     let answer = zones.answer("a", &large);
-    expect_that!((of("a", &answer), answer.len()), eq((48, 64)));
+    expect_that!((count_in_zone("a", &answer), answer.len()), eq((48, 64)));
     // Without zone-loss tolerance no spare addresses are listed, since traffic between zones is
     // billed.
     zones.zones = 0;
@@ -181,21 +187,27 @@
     all.extend(nodes("b", 22, 400));
     all.extend(nodes("c", 22, 800));
     let answer = zones.answer("a", &all);
-    expect_that!((of("a", &answer), of("b", &answer)), eq((0, 22)));
+    expect_that!(
+        (count_in_zone("a", &answer), count_in_zone("b", &answer)),
+        eq((0, 22))
+    );
     // One of them is heard again, then most of them: the silence of the others may be lost
     // datagrams.
     all[0].age = Duration::from_millis(50);
     let answer = zones.answer("a", &all);
     expect_that!(
-        (of("a", &answer), of("b", &answer) + of("c", &answer)),
+        (
+            count_in_zone("a", &answer),
+            count_in_zone("b", &answer) + count_in_zone("c", &answer)
+        ),
         eq((1, 21))
     );
     (0..12).for_each(|number| all[number].age = Duration::from_millis(50));
-    expect_that!(of("a", &zones.answer("a", &all)), eq(22));
+    expect_that!(count_in_zone("a", &zones.answer("a", &all)), eq(22));
 }
 
 #[gtest]
-fn cut_off_zone() {
+fn partitioned_zone() {
     let zones = Deployment {
         places: places(&[("a", "one"), ("b", "one"), ("c", "one")]),
         zones: 1,
@@ -214,13 +226,13 @@
     // the last known nodes of the other zones.
     let all = [nodes("a", 22, 100), lost("b", 3_000), lost("c", 3_000)].concat();
     let answer = zones.answer("a", &all);
-    expect_that!((of("a", &answer), answer.len()), eq((22, 44)));
+    expect_that!((count_in_zone("a", &answer), answer.len()), eq((22, 44)));
     // Nodes last heard too long ago are not listed.
     let all = [nodes("a", 22, 100), lost("b", 5_000), lost("c", 5_000)].concat();
     expect_that!(zones.answer("a", &all).len(), eq(22));
     // A single silent zone counts as lost and is not listed.
     let all = [nodes("a", 22, 100), lost("b", 3_000), nodes("c", 22, 400)].concat();
-    expect_that!(of("b", &zones.answer("a", &all)), eq(0));
+    expect_that!(count_in_zone("b", &zones.answer("a", &all)), eq(0));
 }
 
 #[gtest]
@@ -232,7 +244,7 @@
     };
     let all = ["n1", "n2", "s1"].map(|zone| nodes(zone, 14, 400)).concat();
     let answer = regions.answer_within("n1", &all, Some(&["south"]));
-    expect_that!((of("s1", &answer), answer.len()), eq((14, 14)));
+    expect_that!((count_in_zone("s1", &answer), answer.len()), eq((14, 14)));
     let answer = regions.answer_within("n1", &all, Some(&["west"]));
     expect_that!(answer.is_empty(), eq(true));
 }
--- a/crates/cluster/tests/follow.rs
+++ b/crates/cluster/tests/follow.rs
@@ -19,7 +19,7 @@
     rows: RefCell<BTreeMap<String, u64>>,
     contact: Cell<Option<Instant>>,
     newest: Cell<u64>,
-    went_back: Cell<bool>,
+    revision_decreased: Cell<bool>,
     pace: Cell<Duration>,
     partitioned: Cell<bool>,
 }
@@ -51,8 +51,8 @@
 
     fn contact(&self, contact: &Contact) {
         let revision = contact.revision;
-        self.went_back
-            .set(self.went_back.get() || revision < self.newest.get());
+        self.revision_decreased
+            .set(self.revision_decreased.get() || revision < self.newest.get());
         self.newest.set(revision);
         self.contact.set(Some(Instant::now()));
     }
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn contact_is_known_again_at_once_when_the_store_comes_back() {
+fn contact_resumes_after_an_outage() {
     in_virtual_time(async {
         let rows = EmulatedRows::default();
         let sink = start(&rows);
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn a_forgotten_history_loses_no_change() {
+fn compaction_loses_no_change() {
     in_virtual_time(async {
         let rows = EmulatedRows::default();
         rows.write(TABLE, "", "a", "1");
@@ -114,12 +114,12 @@
         rows.write(TABLE, "", "c", "1");
         tokio::time::sleep(Duration::from_millis(100)).await;
         expect_that!(keys(&sink), eq(&["b", "c"]));
-        expect_that!(sink.went_back.get(), eq(false));
+        expect_that!(sink.revision_decreased.get(), eq(false));
     });
 }
 
 #[gtest]
-fn a_table_of_many_pages_is_read_whole() {
+fn table_with_many_pages() {
     in_virtual_time(async {
         let rows = EmulatedRows::default();
         for number in 0..1_203 {
@@ -132,7 +132,7 @@
 }
 
 #[gtest]
-fn a_table_of_many_pages_is_read_although_half_of_the_reads_are_refused() {
+fn table_with_many_pages_and_failing_reads() {
     in_virtual_time(async {
         let rows = EmulatedRows::default();
         for number in 0..10_000 {
@@ -146,7 +146,7 @@
 }
 
 #[gtest]
-fn a_table_that_changes_all_the_time_is_asked_for_at_its_pace() {
+fn busy_table_is_polled_at_its_pace() {
     in_virtual_time(async {
         let rows = EmulatedRows::default();
         let sink = start(&rows);
@@ -166,10 +166,10 @@
 }
 
 /// A store that gains a partition right after the partitions are listed.
-struct BeginsAfterListing(EmulatedRows);
+struct AddsPartitionAfterListing(EmulatedRows);
 
 #[async_trait(?Send)]
-impl RowStore for BeginsAfterListing {
+impl RowStore for AddsPartitionAfterListing {
     async fn transact(&self, transaction: &Transaction) -> Result<Committed, StoreError> {
         self.0.transact(transaction).await
     }
@@ -202,13 +202,13 @@
 }
 
 #[gtest]
-fn a_partition_that_begins_meanwhile() {
+fn partition_created_during_the_first_read() {
     in_virtual_time(async {
         let rows = EmulatedRows::default();
         rows.write(TABLE, "old", "a", "1");
         let sink = Rc::new(Sink::default());
         sink.partitioned.set(true);
-        let (store, followed) = (BeginsAfterListing(rows), sink.clone());
+        let (store, followed) = (AddsPartitionAfterListing(rows), sink.clone());
         tokio::task::spawn_local(async move {
             follow(&store, followed.as_ref(), &EventLog::silent()).await;
         });
--- a/crates/cluster/tests/gossip.rs
+++ b/crates/cluster/tests/gossip.rs
@@ -19,30 +19,30 @@
 fn small_fleet() {
     on_local(async {
         let nodes = fleet(9).await;
-        let under_way = work(&nodes);
-        until("all loads are known", || all_know(&nodes, 9, 9)).await;
-        drop(under_way);
-        until("the end is known", || all_know(&nodes, 0, 0)).await;
+        let in_flight = start_work(&nodes);
+        until("all loads are known", || all_report(&nodes, 9, 9)).await;
+        drop(in_flight);
+        until("the end is known", || all_report(&nodes, 0, 0)).await;
     });
 }
 
 #[gtest]
-fn online_change() {
+fn online_changes_are_sent_immediately() {
     on_local(async {
         let nodes = fleet(9).await;
         let first = nodes[0].loads.begin(&server(), WorkKind::Batch, 10);
-        until("the item is known", || all_know(&nodes, 0, 1)).await;
+        until("the item is known", || all_report(&nodes, 0, 1)).await;
         drop(first);
-        until("its end is known", || all_know(&nodes, 0, 0)).await;
+        until("its end is known", || all_report(&nodes, 0, 0)).await;
         // The start and the end of an online request are sent immediately, like those of a batch
         // item.
-        let before = nodes[0].gossip.changes_told();
+        let before = nodes[0].gossip.changes_sent();
         let request = nodes[0].loads.begin(&server(), WorkKind::Online, 10);
-        until("the request is known", || all_know(&nodes, 1, 0)).await;
+        until("the request is known", || all_report(&nodes, 1, 0)).await;
         drop(request);
-        until("its end is known", || all_know(&nodes, 0, 0)).await;
-        until("both were told as changes", || {
-            nodes[0].gossip.changes_told() >= before + 2
+        until("its end is known", || all_report(&nodes, 0, 0)).await;
+        until("both were sent as changes", || {
+            nodes[0].gossip.changes_sent() >= before + 2
         })
         .await;
     });
@@ -52,15 +52,15 @@
 fn large_fleet() {
     on_local(async {
         let nodes = fleet(36).await;
-        let under_way = work(&nodes);
-        until("all loads are known", || all_know(&nodes, 36, 36)).await;
-        drop(under_way);
-        until("the end is known", || all_know(&nodes, 0, 0)).await;
+        let in_flight = start_work(&nodes);
+        until("all loads are known", || all_report(&nodes, 36, 36)).await;
+        drop(in_flight);
+        until("the end is known", || all_report(&nodes, 0, 0)).await;
     });
 }
 
 #[gtest]
-fn word_of_a_cold_server() {
+fn cold_start_is_relayed_to_all_nodes() {
     on_local(async {
         let nodes = fleet(36).await;
         let cold = Duration::from_secs(60);
@@ -80,13 +80,13 @@
 }
 
 #[gtest]
-fn regions_know_each_others_work() {
+fn loads_across_regions() {
     on_local(async {
         let nodes = fleet_in(&regions(), 36).await;
-        let under_way = work(&nodes);
-        until("all loads are known", || all_know(&nodes, 36, 36)).await;
-        drop(under_way);
-        until("the end is known", || all_know(&nodes, 0, 0)).await;
+        let in_flight = start_work(&nodes);
+        until("all loads are known", || all_report(&nodes, 36, 36)).await;
+        drop(in_flight);
+        until("the end is known", || all_report(&nodes, 0, 0)).await;
         let all_alive = || nodes.iter().all(|node| node.peers.count() == 36);
         until("all nodes are heard", all_alive).await;
     });
@@ -108,7 +108,7 @@
 }
 
 #[gtest]
-fn far_servers() {
+fn loads_of_servers_in_other_zones() {
     on_local(async {
         let nodes = fleet(36).await;
         // Enough servers that each node uses only some of those in other zones.
@@ -119,26 +119,26 @@
                 dialect: Arc::new(PlatformDialect),
             };
             sink.replace(rows.clone(), 1);
-            // Server sets are built lazily.
+            // Builds the server set, from which the node reports the servers that it uses.
             expect_that!(node.view.servers("llm").is_large(), eq(true));
         }
         let used = nodes[0].view.servers("llm").used.clone();
         let mut used = used.iter();
         let far = used.find(|server| server.zone != nodes[0].zone);
         let far = far.expect("a server of another zone").clone();
-        let under_way = nodes[0].loads.begin(&far, WorkKind::Online, 10);
-        let near_it = || nodes.iter().filter(|node| node.zone == far.zone);
-        until("the nodes beside the server know", || {
-            near_it().all(|node| node.loads.summary(&far.id).online == 1)
+        let in_flight = nodes[0].loads.begin(&far, WorkKind::Online, 10);
+        let in_its_zone = || nodes.iter().filter(|node| node.zone == far.zone);
+        until("the nodes in the server's zone know its load", || {
+            in_its_zone().all(|node| node.loads.summary(&far.id).online == 1)
         })
         .await;
-        drop(under_way);
+        drop(in_flight);
     });
 }
 
 /// Nodes that receive loads of only a few servers still learn what runs in an evacuated zone.
 #[gtest]
-fn evacuated_work() {
+fn work_in_an_evacuated_zone() {
     on_local(async {
         let nodes = fleet(36).await;
         let rows: Vec<Row> = (0..90).map(server_row).collect();
@@ -152,7 +152,7 @@
             expect_that!(node.view.servers("llm").is_large(), eq(true));
         }
         let chosen = nodes[0].view.server("i-000").expect("a server");
-        let under_way = nodes[4].loads.begin(&chosen, WorkKind::Online, 10);
+        let in_flight = nodes[4].loads.begin(&chosen, WorkKind::Online, 10);
         let item = nodes[8].loads.begin(&chosen, WorkKind::Batch, 10);
         for node in &nodes {
             let orders = ConfigurationSink {
@@ -175,7 +175,7 @@
         };
         let all_see = |seen| nodes.iter().all(|node| work(node) == Some(seen));
         until("all know of both", || all_see((1, 1))).await;
-        drop(under_way);
+        drop(in_flight);
         until("all know of the end", || all_see((0, 1))).await;
         drop(item);
         until("all know that nothing runs", || all_see((0, 0))).await;
@@ -186,8 +186,8 @@
 fn delegates_lost() {
     on_local(async {
         let mut nodes = fleet(36).await;
-        let under_way = work(&nodes);
-        until("all loads are known", || all_know(&nodes, 36, 36)).await;
+        let in_flight = start_work(&nodes);
+        until("all loads are known", || all_report(&nodes, 36, 36)).await;
         let lost: Vec<String> = ZONES
             .iter()
             .flat_map(|zone| {
@@ -201,33 +201,36 @@
         }
         nodes.retain(|node| !lost.contains(&node.name));
         // New delegates are selected; the loads of the lost ones are dropped.
-        until("new delegates sum up", || all_know(&nodes, 30, 30)).await;
+        until("new delegates aggregate the loads", || {
+            all_report(&nodes, 30, 30)
+        })
+        .await;
         let down = |node: &TestNode| {
             let mut names = lost.iter();
             names.all(|name| node.peers.status(name, 1) == PeerStatus::Down)
         };
-        until("the lost are known", || nodes.iter().all(down)).await;
+        until("the lost nodes are down", || nodes.iter().all(down)).await;
         let others_alive = |node: &TestNode| node.peers.count() == 30;
         expect_that!(nodes.iter().all(others_alive), eq(true));
-        drop(under_way);
+        drop(in_flight);
     });
 }
 
 /// Whether all of `nodes` assign `status` to all others in `of`.
-fn all_believe(nodes: &[&TestNode], of: &[&TestNode], status: PeerStatus) -> bool {
-    let believes = |node: &&TestNode| {
+fn all_assign_status(nodes: &[&TestNode], of: &[&TestNode], status: PeerStatus) -> bool {
+    let assigns = |node: &&TestNode| {
         let mut others = of.iter().filter(|other| other.name != node.name);
         others.all(|other| node.peers.status(&other.name, 1) == status)
     };
-    nodes.iter().all(believes)
+    nodes.iter().all(assigns)
 }
 
 #[gtest]
 fn zone_lost() {
     on_local(async {
         let mut nodes = fleet(36).await;
-        let under_way = work(&nodes);
-        until("all loads are known", || all_know(&nodes, 36, 36)).await;
+        let in_flight = start_work(&nodes);
+        until("all loads are known", || all_report(&nodes, 36, 36)).await;
         for node in nodes.iter_mut().filter(|node| node.zone == "north") {
             node.task.take().expect("a task").abort();
         }
@@ -240,14 +243,14 @@
         })
         .await;
         until("the zone is down", || {
-            all_believe(&rest, &lost, PeerStatus::Down)
+            all_assign_status(&rest, &lost, PeerStatus::Down)
         })
         .await;
-        drop(under_way);
+        drop(in_flight);
     });
 }
 
-fn configured(node: &TestNode) {
+fn apply_configuration(node: &TestNode) {
     let sink = ConfigurationSink {
         view: node.view.clone(),
         dialect: Arc::new(PlatformDialect),
@@ -263,9 +266,9 @@
 }
 
 /// Checks that nodes which admit requests of one tenant share its credit.
-async fn credit_is_shared(places: Places, count: usize) {
+async fn nodes_share_credit(places: Places, count: usize) {
     let nodes = fleet_in(&places, count).await;
-    nodes.iter().for_each(configured);
+    nodes.iter().for_each(apply_configuration);
     let all_heard = || nodes.iter().all(|node| node.peers.count() == count);
     until("all nodes are heard", all_heard).await;
     // Counts in the first message of a node are taken as already known to others, so wait until all
@@ -281,24 +284,24 @@
     }
     // A burst of 100, half of a tolerance of 30, and what was in transit.
     expect_that!(passed, le(100 + 30));
-    let used_up = || {
+    let credit_is_used_up = || {
         let level = |node: &TestNode| node.quotas.level(&tenant).unwrap_or(f64::MAX);
         nodes.iter().all(|node| level(node) < 30.0)
     };
-    until("all know what was let pass", used_up).await;
+    until("all know the admitted requests", credit_is_used_up).await;
 }
 
 #[gtest]
 fn small_fleets_share_credit() {
-    on_local(credit_is_shared(Places::default(), 12));
+    on_local(nodes_share_credit(Places::default(), 12));
 }
 
 #[gtest]
 fn large_fleets_share_credit() {
-    on_local(credit_is_shared(Places::default(), 33));
+    on_local(nodes_share_credit(Places::default(), 33));
 }
 
 #[gtest]
 fn regions_share_credit() {
-    on_local(credit_is_shared(regions(), 33));
+    on_local(nodes_share_credit(regions(), 33));
 }
--- a/crates/cluster/tests/liveness.rs
+++ b/crates/cluster/tests/liveness.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dappleyard_cluster::{
-    Heartbeat, LifeSign, LifeSigns, NodeRow, PeerStatus, PeerTable, TableSink,
+    Heartbeat, LivenessRecord, LivenessRecords, NodeRow, PeerStatus, PeerTable, TableSink,
 };
 use dappleyard_model::{EventLog, Row};
 use googletest::prelude::*;
@@ -14,7 +14,7 @@
 /// Size of a large fleet, in which not every node hears every other.
 const NODES: usize = 40;
 /// Latency of a message between two nodes, queues included.
-const WAY: Duration = Duration::from_millis(20);
+const LATENCY: Duration = Duration::from_millis(20);
 
 fn table(own: &str) -> PeerTable {
     let table = PeerTable::new(own, "north", Arc::new(EventLog::silent()));
@@ -36,7 +36,7 @@
     table
 }
 
-fn beat(table: &PeerTable, name: &str, sequence: u64) {
+fn send_heartbeat(table: &PeerTable, name: &str, sequence: u64) {
     table.heard(&Heartbeat {
         name: name.to_owned(),
         life: 1,
@@ -47,51 +47,55 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn signs_passed_round() {
+async fn relayed_records_do_not_keep_a_node_alive() {
     // Three nodes relay the liveness of a fourth, lost one. The relaying must not keep it alive.
     let tables = [table("node-1"), table("node-2"), table("node-3")];
-    beat(&tables[0], "node-0", 7);
+    send_heartbeat(&tables[0], "node-0", 7);
     let mut alive_ms = 0;
     for round in 0..1_000 {
-        let teller = &tables[round % tables.len()];
-        let hearer = &tables[(round + 1) % tables.len()];
-        let signs = teller.life_signs(None);
-        tokio::time::sleep(WAY).await;
-        signs.iter().for_each(|signs| hearer.take_life_signs(signs));
+        let sender = &tables[round % tables.len()];
+        let receiver = &tables[(round + 1) % tables.len()];
+        let signs = sender.liveness_records(None);
+        tokio::time::sleep(LATENCY).await;
+        signs
+            .iter()
+            .for_each(|signs| receiver.merge_liveness_records(signs));
         if tables
             .iter()
             .any(|table| table.status("node-0", 1) == PeerStatus::Ready)
         {
-            alive_ms = (round + 1) * WAY.as_millis() as usize;
+            alive_ms = (round + 1) * LATENCY.as_millis() as usize;
         }
     }
     // The timeout, and the latency to each of the others once.
-    assert_that!(alive_ms, le(2_500 + 3 * WAY.as_millis() as usize));
+    assert_that!(alive_ms, le(2_500 + 3 * LATENCY.as_millis() as usize));
     for table in &tables {
         assert_that!(table.status("node-0", 1), eq(PeerStatus::Down));
-        let signs = table.life_signs(None);
+        let signs = table.liveness_records(None);
         assert_that!(signs.is_empty(), eq(true));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn newer_signs_count() {
+async fn newer_records_keep_a_node_alive() {
     let (near, far) = (table("node-1"), table("node-2"));
     for sequence in 1..40 {
-        beat(&near, "node-0", sequence);
-        let signs = near.life_signs(None);
-        signs.iter().for_each(|signs| far.take_life_signs(signs));
+        send_heartbeat(&near, "node-0", sequence);
+        let signs = near.liveness_records(None);
+        signs
+            .iter()
+            .for_each(|signs| far.merge_liveness_records(signs));
         tokio::time::sleep(Duration::from_millis(450)).await;
         assert_that!(far.status("node-0", 1), eq(PeerStatus::Ready));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn zone_of_signs() {
+async fn records_of_one_zone() {
     let table = table("node-1");
-    beat(&table, "node-0", 1);
+    send_heartbeat(&table, "node-0", 1);
     let nodes = |zone| -> usize {
-        let signs = table.life_signs(Some(zone));
+        let signs = table.liveness_records(Some(zone));
         signs.iter().map(|signs| signs.nodes.len()).sum()
     };
     assert_that!(nodes("north"), eq(1));
@@ -99,10 +103,10 @@
 }
 
 #[test]
-fn compact_signs() {
+fn records_fit_into_a_datagram() {
     // Records of a large fleet fit into one datagram of 16 KB together with its loads.
-    let signs: LifeSigns = (0..390)
-        .map(|number| LifeSign {
+    let signs: LivenessRecords = (0..390)
+        .map(|number| LivenessRecord {
             node: u32::MAX - number,
             sequence: 1_000_000,
             age_ms: 2_400,
@@ -111,7 +115,7 @@
     assert_that!(signs.encoded_len(), lt(4_000));
     assert_that!(signs.iter().count(), eq(390));
     // Lists of different lengths, as a faulty sender might send, are read up to the shortest.
-    let broken = LifeSigns {
+    let broken = LivenessRecords {
         nodes: vec![1, 2],
         sequences: vec![1],
         ages_ms: vec![1, 2],
--- a/crates/cluster/tests/scale.rs
+++ b/crates/cluster/tests/scale.rs
@@ -14,8 +14,7 @@
 const NODES: usize = 2_000;
 const SERVERS: usize = 20_000;
 const ZONES: [&str; 5] = ["north", "south", "west", "east", "centre"];
-/// Maximum datagram size.
-const DATAGRAM_BYTES: usize = 16 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 /// Maximum bytes per server in the data sent to a starting node.
 const SERVER_BYTES: usize = 96;
 
@@ -47,7 +46,7 @@
     peers
 }
 
-fn beat(peers: &PeerTable, number: usize, sequence: u64) {
+fn send_heartbeat(peers: &PeerTable, number: usize, sequence: u64) {
     peers.heard(&Heartbeat {
         name: node_row(number, 1).key,
         life: 1,
@@ -58,15 +57,15 @@
 }
 
 #[gtest]
-fn one_roster() {
+fn roster_is_cached() {
     let peers = peers();
     let first = peers.roster();
     expect_that!(first.peers.len(), eq(NODES - 1));
     expect_that!(first.delegates("south").len(), eq(2));
     // Heartbeats of live nodes and delegate lookups reuse the cached roster.
-    (1..NODES).for_each(|number| beat(&peers, number, 1));
+    (1..NODES).for_each(|number| send_heartbeat(&peers, number, 1));
     let heard = peers.roster();
-    (1..NODES).for_each(|number| beat(&peers, number, 2));
+    (1..NODES).for_each(|number| send_heartbeat(&peers, number, 2));
     peers.is_delegate();
     expect_that!(Arc::ptr_eq(&heard, &peers.roster()), eq(true));
     // The removal of a node builds a new one.
@@ -80,15 +79,15 @@
 }
 
 #[gtest]
-fn signs_fit() {
+fn liveness_records_fit() {
     let peers = peers();
-    (1..NODES).for_each(|number| beat(&peers, number, u64::from(u32::MAX)));
-    let messages = peers.life_signs(None);
-    let told: usize = messages.iter().map(|signs| signs.nodes.len()).sum();
-    expect_that!(told, eq(NODES - 1));
+    (1..NODES).for_each(|number| send_heartbeat(&peers, number, u64::from(u32::MAX)));
+    let messages = peers.liveness_records(None);
+    let record_count: usize = messages.iter().map(|signs| signs.nodes.len()).sum();
+    expect_that!(record_count, eq(NODES - 1));
     for signs in messages {
         // Half of a datagram is left for the other fields of the message.
-        expect_that!(signs.encoded_len(), le(DATAGRAM_BYTES / 2));
+        expect_that!(signs.encoded_len(), le(MAX_DATAGRAM_BYTES / 2));
     }
 }
 
@@ -107,7 +106,7 @@
 }
 
 #[gtest]
-fn servers_used() {
+fn used_servers() {
     let all: Vec<Arc<ServerRecord>> = (0..SERVERS)
         .map(|number| Arc::new(server(number)))
         .collect();
@@ -141,7 +140,7 @@
 }
 
 #[gtest]
-fn digests() {
+fn server_digests() {
     let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let view = Arc::new(View::new(
         "front-north-0",
@@ -152,17 +151,20 @@
         view: view.clone(),
         dialect,
     };
-    let digests: Vec<Row> = (0..SERVERS)
+    let server_digests: Vec<Row> = (0..SERVERS)
         .map(|number| sink.digest(entry(number)))
         .collect();
-    let bytes: usize = digests
+    let bytes: usize = server_digests
         .iter()
         .map(|row| row.value.as_ref().map_or(0, Bytes::len) + row.key.len())
         .sum();
     expect_that!(bytes / SERVERS, le(SERVER_BYTES));
     // A digest is idempotent and keeps the relevant fields of the entry.
-    expect_that!(sink.digest(digests[0].clone()), eq(&digests[0]));
-    sink.replace(digests, SERVERS as u64);
+    expect_that!(
+        sink.digest(server_digests[0].clone()),
+        eq(&server_digests[0])
+    );
+    sink.replace(server_digests, SERVERS as u64);
     let known = view.servers("llm");
     expect_that!(known.all.len(), eq(SERVERS));
     let expected = server(11);
@@ -171,7 +173,7 @@
 }
 
 #[gtest]
-fn digest_of_refused() {
+fn digest_of_an_invalid_row() {
     let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let view = Arc::new(View::new(
         "front-north-0",
--- a/crates/cluster/tests/support/mod.rs
+++ b/crates/cluster/tests/support/mod.rs
@@ -131,7 +131,7 @@
 }
 
 /// Starts one request and one batch item per node, all at the same server.
-pub fn work(nodes: &[TestNode]) -> Vec<InFlight> {
+pub fn start_work(nodes: &[TestNode]) -> Vec<InFlight> {
     let begin = |node: &TestNode| {
         [WorkKind::Online, WorkKind::Batch].map(|kind| node.loads.begin(&server(), kind, 10))
     };
@@ -148,7 +148,7 @@
     panic!("timed out waiting until {what}");
 }
 
-pub fn all_know(nodes: &[TestNode], online: u32, batch: u32) -> bool {
+pub fn all_report(nodes: &[TestNode], online: u32, batch: u32) -> bool {
     nodes.iter().all(|node| {
         let load = node.loads.summary("i-1");
         (load.online, load.batch) == (online, batch)
--- a/crates/cluster/tests/zone_digest.rs
+++ b/crates/cluster/tests/zone_digest.rs
@@ -1,6 +1,6 @@
 //! Load sums sent to other zones.
 
-use dappleyard_cluster::{LoadEntry, SERVERS_TOLD, ZoneDigest, duties};
+use dappleyard_cluster::{LoadEntry, MAX_SERVERS_PER_MESSAGE, ZoneDigest, duties};
 use googletest::prelude::*;
 
 fn sum(server: u32, online: u32, heard_ms: u32) -> LoadEntry {
@@ -13,7 +13,7 @@
 }
 
 #[gtest]
-fn only_changes() {
+fn only_changes_are_sent() {
     let mut digest = ZoneDigest::default();
     let first = digest.next(vec![sum(1, 1, 5), sum(2, 1, 5)], true);
     expect_that!((first.loads.len(), first.changes_only), eq((2, false)));
@@ -29,24 +29,24 @@
 }
 
 #[gtest]
-fn all_now_and_then() {
+fn full_sums_are_periodic() {
     let mut digest = ZoneDigest::default();
     // Uses the real schedule of a small zone, which is updated in every round.
     let whole = (0..72)
         .map(|round| digest.next(vec![sum(1, 1, 5)], duties(round, 5).all))
-        .filter(|told| !told.changes_only && told.loads.len() == 1);
+        .filter(|message| !message.changes_only && message.loads.len() == 1);
     expect_that!(whole.count(), eq(3));
 }
 
 #[gtest]
-fn more_than_fit() {
-    let servers = SERVERS_TOLD as u32 + 40;
+fn more_servers_than_fit() {
+    let servers = MAX_SERVERS_PER_MESSAGE as u32 + 40;
     let sums: Vec<LoadEntry> = (0..servers)
         .map(|server| sum(server, 1 + server, 1))
         .collect();
     let mut digest = ZoneDigest::default();
     let first = digest.next(sums.clone(), true);
-    expect_that!(first.loads.len(), eq(SERVERS_TOLD));
+    expect_that!(first.loads.len(), eq(MAX_SERVERS_PER_MESSAGE));
     expect_that!(first.loads[0].server, eq(servers - 1));
     // The remaining sums are sent next.
     let second = digest.next(sums, false);
