--- a/crates/cluster/src/directory.rs
+++ b/crates/cluster/src/directory.rs
@@ -28,8 +28,8 @@
 /// Maximum age of the liveness record of a node in another region: two forwarding intervals of 450
 /// ms, one more for a lost datagram, and the network delay.
 const MAX_FAR_AGE: Duration = Duration::from_millis(1_500);
-/// Maximum age of nodes listed by a node whose zone seems cut off. Operators rely on a node being
-/// listed no longer once it has been gone for several seconds.
+/// Maximum age of nodes listed by a node whose zone seems partitioned. Operators rely on a node
+/// being listed no longer once it has been gone for several seconds.
 const MAX_LAST_KNOWN_AGE: Duration = Duration::from_millis(4_500);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -119,7 +119,7 @@
 }
 
 /// Whether the zone of the answering node seems partitioned: all other zones are silent, and they
-/// are more than may fail at once. With two zones this cannot be told.
+/// are more than may fail at once. This cannot be decided with two zones.
 fn seems_partitioned(zones: &BTreeMap<&str, ZoneCounts>, context: Ground<'_>) -> bool {
     let others = zones.iter().filter(|(zone, _)| **zone != context.own_zone);
     let others: Vec<ZoneCounts> = others.map(|(_, counts)| *counts).collect();
@@ -160,12 +160,12 @@
     nodes: &[&'a FrontNode],
 ) -> Vec<&'a FrontNode> {
     let at = |distance: Distance| -> Vec<&'a FrontNode> {
-        let there = |node: &&&FrontNode| context.places.distance(zone, &node.zone) == distance;
-        let mut there: Vec<&FrontNode> = nodes.iter().filter(there).copied().collect();
+        let matching = |node: &&&FrontNode| context.places.distance(zone, &node.zone) == distance;
+        let mut matching: Vec<&FrontNode> = nodes.iter().filter(matching).copied().collect();
         // The order depends on the caller's zone, which spreads the callers of several zones over
         // different nodes.
-        there.sort_by_key(|node| (!node.strong, hash_order(zone, node)));
-        there
+        matching.sort_by_key(|node| (!node.strong, hash_order(zone, node)));
+        matching
     };
     let mut own = at(Distance::SameZone);
     own.sort_by_key(|node| hash_order(zone, node));
--- a/crates/cluster/src/large_fleet.rs
+++ b/crates/cluster/src/large_fleet.rs
@@ -57,7 +57,7 @@
 
     /// As a delegate, sends each node of the zone the load of all others.
     fn send_zone_summaries(&self, roster: &Roster, duties: Duties) {
-        let (signs, more) = self.due_liveness(None, duties);
+        let (signs, remaining) = self.due_liveness(None, duties);
         let evacuated = match duties.signs {
             true => self.view.evacuated_work(&self.loads),
             false => Vec::new(),
@@ -90,7 +90,7 @@
             self.send(message, [peer.address].into_iter());
         }
         let addresses: Vec<SocketAddr> = near.iter().map(|peer| peer.address).collect();
-        self.send_extra_liveness(more, &addresses);
+        self.send_extra_liveness(remaining, &addresses);
     }
 
     /// Liveness records of one zone, or of all, if they are due: the first batch, which is attached
@@ -145,8 +145,8 @@
         let own = roster.own_place().unwrap_or_default();
         let senders = roster.delegates(zone).len();
         let far = far.into_iter().flat_map(|other| {
-            let there = roster.delegates(other).iter().map(String::as_str);
-            told_by(own, senders, there.collect())
+            let receivers = roster.delegates(other).iter().map(String::as_str);
+            told_by(own, senders, receivers.collect())
         });
         let far = far.filter_map(|name| roster.peer(name));
         (near.collect(), far.collect())
@@ -161,7 +161,7 @@
     ) {
         let zone = &self.settings.zone;
         let told = digest.borrow_mut().next(self.loads.zone_sums(), duties.all);
-        let (signs, more) = self.due_liveness(Some(zone), duties);
+        let (signs, remaining) = self.due_liveness(Some(zone), duties);
         let message = PacketKind::Summary(Summary {
             of_zone: true,
             loads: told.loads,
@@ -175,7 +175,7 @@
         });
         let addresses: Vec<SocketAddr> = delegates.iter().map(|peer| peer.address).collect();
         self.send(message, addresses.iter().copied());
-        self.send_extra_liveness(more, &addresses);
+        self.send_extra_liveness(remaining, &addresses);
     }
 
     /// As a delegate, sends the liveness records of this zone to the last known delegates of silent
--- a/crates/cluster/src/liveness.rs
+++ b/crates/cluster/src/liveness.rs
@@ -26,17 +26,17 @@
     /// Liveness records of one zone, or of all zones, split into messages.
     pub fn liveness_records(&self, zone: Option<&str>) -> Vec<LivenessRecords> {
         let wanted = |peer: &Peer| zone.is_none_or(|zone| peer.row.zone == zone);
-        let signs = self.recent_records(wanted);
-        let messages = signs.chunks(MAX_RECORDS_PER_MESSAGE);
+        let records = self.recent_records(wanted);
+        let messages = records.chunks(MAX_RECORDS_PER_MESSAGE);
         messages
-            .map(|signs| signs.iter().copied().collect())
+            .map(|records| records.iter().copied().collect())
             .collect()
     }
 
     /// Liveness records of some random nodes.
     pub(crate) fn sample_liveness_records(&self) -> LivenessRecords {
-        let signs = self.recent_records(|_| true);
-        let chosen = signs.choose_multiple(&mut rand::rng(), SAMPLED_RECORDS);
+        let records = self.recent_records(|_| true);
+        let chosen = records.choose_multiple(&mut rand::rng(), SAMPLED_RECORDS);
         chosen.copied().collect()
     }
 
@@ -58,19 +58,19 @@
     }
 
     /// Merges the liveness records of another node.
-    pub fn merge_liveness_records(&self, signs: &LivenessRecords) {
-        if signs.nodes.is_empty() {
+    pub fn merge_liveness_records(&self, records: &LivenessRecords) {
+        if records.nodes.is_empty() {
             return;
         }
         let now = Instant::now();
-        let signs: HashMap<u32, LivenessRecord> =
-            signs.iter().map(|sign| (sign.node, sign)).collect();
+        let records: HashMap<u32, LivenessRecord> =
+            records.iter().map(|record| (record.node, record)).collect();
         let mut peers = self.peers.lock();
         for (name, peer) in peers.iter_mut() {
-            let Some(sign) = signs.get(&run_hash(name, peer.row.life)) else {
+            let Some(record) = records.get(&run_hash(name, peer.row.life)) else {
                 continue;
             };
-            let age = Duration::from_millis(u64::from(sign.age_ms));
+            let age = Duration::from_millis(u64::from(record.age_ms));
             let Some(at) = now.checked_sub(age) else {
                 continue;
             };
@@ -84,7 +84,7 @@
             if is_back {
                 self.record_membership_change();
             }
-            peer.record_message(sign.sequence, at);
+            peer.record_message(record.sequence, at);
         }
     }
 }
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -104,12 +104,12 @@
 }
 
 impl FromIterator<LivenessRecord> for LivenessRecords {
-    fn from_iter<I: IntoIterator<Item = LivenessRecord>>(signs: I) -> Self {
+    fn from_iter<I: IntoIterator<Item = LivenessRecord>>(records: I) -> Self {
         let mut lists = Self::default();
-        for sign in signs {
-            lists.nodes.push(sign.node);
-            lists.sequences.push(sign.sequence);
-            lists.ages_ms.push(sign.age_ms);
+        for record in records {
+            lists.nodes.push(record.node);
+            lists.sequences.push(record.sequence);
+            lists.ages_ms.push(record.age_ms);
         }
         lists
     }
--- a/crates/cluster/src/peers.rs
+++ b/crates/cluster/src/peers.rs
@@ -228,7 +228,7 @@
     }
 
     /// Whether a node is alive and not shutting down.
-    fn stays(&self, peer: &Peer, now: Instant, fleet: usize) -> bool {
+    fn is_active(&self, peer: &Peer, now: Instant, fleet: usize) -> bool {
         let is_leaving = peer.row.leaving || peer.leaving;
         !is_leaving && self.judge(peer, now, fleet) != PeerStatus::Down
     }
@@ -240,7 +240,7 @@
         let peers = self.peers.lock();
         let alive = peers
             .values()
-            .filter(|peer| self.stays(peer, now, peers.len()));
+            .filter(|peer| self.is_active(peer, now, peers.len()));
         alive.fold(0_u64, |sum, peer| sum.wrapping_add(peer.row_hash))
     }
 
@@ -252,9 +252,9 @@
         if peers.is_empty() {
             return self.unlisted_senders(now);
         }
-        let others = peers
-            .iter()
-            .filter(|(name, peer)| **name != self.own_name && self.stays(peer, now, peers.len()));
+        let others = peers.iter().filter(|(name, peer)| {
+            **name != self.own_name && self.is_active(peer, now, peers.len())
+        });
         others
             .filter_map(|(name, peer)| {
                 Some(RelayPeer {
@@ -273,7 +273,7 @@
         self.peers.lock().len()
     }
 
-    /// Number of nodes that were heard, or whose row was discovered, within `FORGOTTEN`, including
+    /// Number of nodes that were heard or whose row was discovered within `FORGOTTEN`, including
     /// this one. Rows of machines that are gone permanently do not count.
     pub fn expected(&self) -> usize {
         let now = Instant::now();
@@ -329,7 +329,7 @@
         true
     }
 
-    /// Whether the fleet is larger than `ALL_HEARD`, so that not every node hears every other.
+    /// Whether nodes exceed `ALL_HEARD`, so that not every node hears every other.
     pub fn is_large(&self) -> bool {
         self.peers.lock().len() > ALL_HEARD
     }
--- a/crates/cluster/src/receiving.rs
+++ b/crates/cluster/src/receiving.rs
@@ -31,7 +31,7 @@
             Some(PacketKind::Summary(summary)) => self.receive_summary(summary),
             Some(PacketKind::LoadChange(change)) => self.receive_change(change),
             Some(PacketKind::CrashNews(news)) => self.receive_crash_news(news),
-            Some(PacketKind::ExtraLiveness(more)) => self.receive_extra_liveness(&more),
+            Some(PacketKind::ExtraLiveness(message)) => self.receive_extra_liveness(&message),
             // Sent by a later version of the program.
             None => {}
         }
@@ -71,14 +71,14 @@
         self.loads.set_source(source, heartbeat.loads);
     }
 
-    fn receive_extra_liveness(&self, more: &ExtraLiveness) {
+    fn receive_extra_liveness(&self, message: &ExtraLiveness) {
         if !self
             .peers
-            .record_message_from(&more.name, more.life, more.sequence)
+            .record_message_from(&message.name, message.life, message.sequence)
         {
             return;
         }
-        if let Some(signs) = &more.signs {
+        if let Some(signs) = &message.signs {
             self.peers.merge_liveness_records(signs);
         }
     }
@@ -97,10 +97,10 @@
     /// Whether a load message is newer than all earlier ones of its node; records it if so.
     fn record_if_newest(&self, node: u64, life: u64, sequence: u64) -> bool {
         let mut newest = self.newest_sequences.borrow_mut();
-        let held = newest.entry(node).or_default();
-        let newer = held.0 != life || held.1 < sequence;
+        let last = newest.entry(node).or_default();
+        let newer = last.0 != life || last.1 < sequence;
         if newer {
-            *held = (life, sequence);
+            *last = (life, sequence);
         }
         newer
     }
--- a/crates/cluster/src/roster.rs
+++ b/crates/cluster/src/roster.rs
@@ -65,10 +65,10 @@
 
     /// Finds another node by name.
     pub fn peer(&self, name: &str) -> Option<&RelayPeer> {
-        let place = self
+        let index = self
             .peers
             .binary_search_by(|peer| peer.name.as_str().cmp(name));
-        self.peers.get(place.ok()?)
+        self.peers.get(index.ok()?)
     }
 
     /// The delegates of a zone except this node.
--- a/crates/cluster/tests/directory.rs
+++ b/crates/cluster/tests/directory.rs
@@ -222,8 +222,8 @@
             })
             .collect()
     };
-    // More zones are silent than may fail at once, so this zone is the one cut off. Callers may use
-    // the last known nodes of the other zones.
+    // More zones are silent than may fail at once, so this zone counts as partitioned. Callers may
+    // use the last known nodes of the other zones.
     let all = [nodes("a", 22, 100), lost("b", 3_000), lost("c", 3_000)].concat();
     let answer = zones.answer("a", &all);
     expect_that!((count_in_zone("a", &answer), answer.len()), eq((22, 44)));
--- a/crates/cluster/tests/liveness.rs
+++ b/crates/cluster/tests/liveness.rs
@@ -55,11 +55,11 @@
     for round in 0..1_000 {
         let sender = &tables[round % tables.len()];
         let receiver = &tables[(round + 1) % tables.len()];
-        let signs = sender.liveness_records(None);
+        let records = sender.liveness_records(None);
         tokio::time::sleep(LATENCY).await;
-        signs
+        records
             .iter()
-            .for_each(|signs| receiver.merge_liveness_records(signs));
+            .for_each(|records| receiver.merge_liveness_records(records));
         if tables
             .iter()
             .any(|table| table.status("node-0", 1) == PeerStatus::Ready)
@@ -71,8 +71,8 @@
     assert_that!(alive_ms, le(2_500 + 3 * LATENCY.as_millis() as usize));
     for table in &tables {
         assert_that!(table.status("node-0", 1), eq(PeerStatus::Down));
-        let signs = table.liveness_records(None);
-        assert_that!(signs.is_empty(), eq(true));
+        let records = table.liveness_records(None);
+        assert_that!(records.is_empty(), eq(true));
     }
 }
 
@@ -81,10 +81,10 @@
     let (near, far) = (table("node-1"), table("node-2"));
     for sequence in 1..40 {
         send_heartbeat(&near, "node-0", sequence);
-        let signs = near.liveness_records(None);
-        signs
+        let records = near.liveness_records(None);
+        records
             .iter()
-            .for_each(|signs| far.merge_liveness_records(signs));
+            .for_each(|records| far.merge_liveness_records(records));
         tokio::time::sleep(Duration::from_millis(450)).await;
         assert_that!(far.status("node-0", 1), eq(PeerStatus::Ready));
     }
@@ -95,8 +95,8 @@
     let table = table("node-1");
     send_heartbeat(&table, "node-0", 1);
     let nodes = |zone| -> usize {
-        let signs = table.liveness_records(Some(zone));
-        signs.iter().map(|signs| signs.nodes.len()).sum()
+        let records = table.liveness_records(Some(zone));
+        records.iter().map(|records| records.nodes.len()).sum()
     };
     assert_that!(nodes("north"), eq(1));
     assert_that!(nodes("south"), eq(0));
@@ -105,15 +105,15 @@
 #[test]
 fn records_fit_into_a_datagram() {
     // Records of a large fleet fit into one datagram of 16 KB together with its loads.
-    let signs: LivenessRecords = (0..390)
+    let records: LivenessRecords = (0..390)
         .map(|number| LivenessRecord {
             node: u32::MAX - number,
             sequence: 1_000_000,
             age_ms: 2_400,
         })
         .collect();
-    assert_that!(signs.encoded_len(), lt(4_000));
-    assert_that!(signs.iter().count(), eq(390));
+    assert_that!(records.encoded_len(), lt(4_000));
+    assert_that!(records.iter().count(), eq(390));
     // Lists of different lengths, as a faulty sender might send, are read up to the shortest.
     let broken = LivenessRecords {
         nodes: vec![1, 2],
--- a/crates/cluster/tests/scale.rs
+++ b/crates/cluster/tests/scale.rs
@@ -83,11 +83,11 @@
     let peers = peers();
     (1..NODES).for_each(|number| send_heartbeat(&peers, number, u64::from(u32::MAX)));
     let messages = peers.liveness_records(None);
-    let record_count: usize = messages.iter().map(|signs| signs.nodes.len()).sum();
+    let record_count: usize = messages.iter().map(|records| records.nodes.len()).sum();
     expect_that!(record_count, eq(NODES - 1));
-    for signs in messages {
+    for records in messages {
         // Half of a datagram is left for the other fields of the message.
-        expect_that!(signs.encoded_len(), le(MAX_DATAGRAM_BYTES / 2));
+        expect_that!(records.encoded_len(), le(MAX_DATAGRAM_BYTES / 2));
     }
 }
 
--- a/crates/cluster/tests/zone_digest.rs
+++ b/crates/cluster/tests/zone_digest.rs
@@ -32,10 +32,10 @@
 fn full_sums_are_periodic() {
     let mut digest = ZoneDigest::default();
     // Uses the real schedule of a small zone, which is updated in every round.
-    let whole = (0..72)
+    let full = (0..72)
         .map(|round| digest.next(vec![sum(1, 1, 5)], duties(round, 5).all))
         .filter(|message| !message.changes_only && message.loads.len() == 1);
-    expect_that!(whole.count(), eq(3));
+    expect_that!(full.count(), eq(3));
 }
 
 #[gtest]
