--- a/crates/cluster/src/cadence.rs
+++ b/crates/cluster/src/cadence.rs
@@ -14,9 +14,10 @@
 /// Delegates send the sums of all servers to other zones every 600 ms, so that one message may be
 /// lost before the receiver drops the previous ones after 1,500 ms.
 const FULL_SUMS_ROUNDS: u32 = 24;
-/// Average number of nodes to which a delegate sends in one round: 800 messages a second. A zone of
-/// up to 20 nodes is updated every 25 ms, which limits requests to servers that have just filled
-/// up; larger zones are updated less often to bound the load on the delegates.
+/// Average number of nodes to which a delegate sends in one round, in zones of up to 60 nodes: 800
+/// messages a second. A zone of up to 20 nodes is updated every 25 ms, which limits requests to
+/// servers that have just filled up; larger zones are updated less often to bound the load on the
+/// delegates.
 const NODES_PER_ROUND: usize = 20;
 /// Longest interval between the load sums of a zone below `LARGE_ZONE_NODES`: 75 ms.
 const MAX_SUMS_ROUNDS: u32 = 3;
@@ -31,8 +32,9 @@
 /// Heartbeats to other zones, or to random nodes, from a large zone: every 900 ms.
 const LARGE_ZONE_FAR_ROUNDS: u32 = 2 * FAR_HEARTBEAT_ROUNDS;
 
-/// Interval between two messages to another region: 75 ms. Every round with liveness records or all
-/// sums is one of these.
+/// Rounds in which the sums go to other regions too, if the sums are due: every 75 ms, or every 150
+/// ms where the sums of the zone are due every 50 ms or 150 ms. Every round with liveness records
+/// or all sums is one of these.
 const REGION_ROUNDS: u32 = MAX_SUMS_ROUNDS;
 
 /// Messages that are due in one round.
