--- a/crates/ingress/benches/online.rs
+++ b/crates/ingress/benches/online.rs
@@ -1,5 +1,4 @@
-//! Time and allocations of a placement decision, of choosing a prompt's home, and of each event that
-//! is passed on.
+//! Benchmarks of server selection, of prompt-affinity lookup and of event splitting.
 
 use std::hint::black_box;
 use std::sync::Arc;
--- a/crates/ingress/src/admission.rs
+++ b/crates/ingress/src/admission.rs
@@ -1,4 +1,4 @@
-//! Decides whose request it is, and whether its tenant may ask for more now.
+//! Identifies the tenant of a request and checks its quota.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::outcome::ErrorKind;
 use crate::room::{Coming, SHORTEST_WAIT};
 
-/// Part of the time until there is credit again by which it is lengthened at random, so that callers that
-/// were refused together do not come back together.
+/// Random extension of the retry delay, as a fraction, so that clients refused together do not
+/// return together.
 const SPREAD: f64 = 0.5;
 
-/// A request that is not served, and why.
+/// Why a request is refused.
 #[derive(Debug)]
 pub(crate) struct Refusal {
     pub(crate) kind: ErrorKind,
     pub(crate) detail: String,
-    /// When the caller may come back, where that is known better than the kind tells.
+    /// Retry delay, more specific than the default of the kind.
     pub(crate) retry_after_ms: Option<u64>,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Others can be in time where the request cannot.
+    /// Refusal of a request that would miss its target.
     pub(crate) fn no_room(retry_after: Duration) -> Self {
         Self {
             retry_after_ms: Some(retry_after.as_millis() as u64),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Who sends a request for a route.
+/// Identifies the sender of a request for a route.
 pub(crate) fn caller_of_route(
     node: &Node,
     configuration: &Configuration,
@@ -50,8 +50,8 @@
     caller(node, configuration, route.public, facts)
 }
 
-/// Who asks about a job. Such calls name no route; where a route of jobs on their host needs no key,
-/// they need none either, and the job itself tells whose it is.
+/// Identifies the sender of a job call. These calls name no route; if the host has a public batch
+/// route, no key is needed, and the job determines the owner.
 pub(crate) fn caller_of_jobs(
     node: &Node,
     configuration: &Configuration,
@@ -83,7 +83,7 @@
     })
 }
 
-/// The configuration that a decision rests on, and how old this node's copy of it is.
+/// Version and age of the configuration behind a decision.
 pub(crate) fn known_as(node: &Node, configuration: &Configuration) -> String {
     let version = configuration.version;
     match node.view.configuration_age() {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Takes an online request off its tenant's quota.
+/// Charges an online request to its tenant's quota.
 pub(crate) fn take_credit(
     node: &Node,
     configuration: &Configuration,
@@ -107,7 +107,7 @@
         let level = node.quotas.level(&tenant.name).unwrap_or_default();
         let detail = format!("tenant {}: {level:.2} requests of credit", tenant.name);
         if shortage.alone {
-            // Another node can tell at once.
+            // Another node may be able to decide.
             return Refusal::new(ErrorKind::QuotaInDoubt, detail);
         }
         let wait = match tenant.limit.filter(|_| node.settings.load_shedding) {
--- a/crates/ingress/src/answer.rs
+++ b/crates/ingress/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! HTTP responses to clients.
 
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
@@ -9,7 +9,7 @@
 use crate::attempt::is_end_to_end;
 use crate::node::Node;
 
-/// Begins an answer; a leaving node asks the caller to connect elsewhere next time.
+/// Starts a response. A node that shuts down asks the client to close the connection.
 pub(crate) fn begin(node: &Node, status: u16) -> actix_web::HttpResponseBuilder {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut answer = HttpResponse::build(status);
@@ -20,7 +20,7 @@
     answer
 }
 
-/// Copies the headers of a server's answer.
+/// Copies the end-to-end headers of a server's response.
 pub(crate) fn copy_headers(answer: &mut actix_web::HttpResponseBuilder, headers: &HeaderMap) {
     for (name, value) in headers {
         if is_end_to_end(name, headers) {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The node's own answer to a request that it does not serve.
+/// The error response for a request that is not served.
 pub(crate) fn refusal(node: &Node, refusal: &Refusal) -> HttpResponse {
     let kind = refusal.kind;
     let mut answer = begin(node, kind.status());
--- a/crates/ingress/src/answer_pauses.rs
+++ b/crates/ingress/src/answer_pauses.rs
@@ -1,26 +1,28 @@
-//! How much longer answers of a server take than it says, from the pauses between their events. Pure.
+//! Measures how much slower a server is than it reports, from the gaps between its events.
 //!
-//! Some servers are slow and do not say so, and some never say anything. Events of one service come at one interval;
-//! where they come at another, work takes as much longer. The time to the first event would not do: it holds the
-//! wait for a slot and the length of the prompt.
+//! Some servers report no pace or a wrong one. The gap between events of a service is nearly
+//! constant at the normal pace, so a longer gap shows a slow server. The time to the first event is
+//! unsuitable because it includes queueing and the prompt.
 
 use std::time::Duration;
 
 use dappleyard_cluster::Pace;
 
-/// Pauses that make one measure. Their median counts: one long pause may be the node's own, or the network's.
+/// Gaps per measurement. The median is used, since a single long gap may be caused by this node or
+/// the network.
 const PAUSES: usize = 7;
-/// Least multiple that counts: the measure is coarse, and the word of a server may be some tens of milliseconds old.
+/// Smallest ratio that is reported. Smaller ones are within the error of the measurement and the
+/// delay of the server's own report.
 const LEAST: f64 = 1.5;
 
-/// Pauses of one answer since the last measure.
+/// Gaps of one response since the last measurement.
 #[derive(Debug, Default)]
 pub struct AnswerPauses {
     held: Vec<Duration>,
 }
 
 impl AnswerPauses {
-    /// Notes a pause; the median, each time that enough of them were seen.
+    /// Records a gap. Returns the median each time a measurement is complete.
     pub fn note(&mut self, pause: Duration) -> Option<Duration> {
         self.held.push(pause);
         if self.held.len() < PAUSES {
@@ -33,8 +35,8 @@
     }
 }
 
-/// How much longer pauses are than the usual ones, at a server that says that work takes `told` there; as usual
-/// where that is not much.
+/// Ratio of the measured gap to the one expected at the reported pace, or `Pace::USUAL` if the
+/// ratio is small.
 pub fn excess(pause: Duration, usual: Duration, told: Pace) -> Pace {
     let times = pause.as_secs_f64() / (usual.as_secs_f64() * told.times());
     match times >= LEAST {
--- a/crates/ingress/src/answer_times.rs
+++ b/crates/ingress/src/answer_times.rs
@@ -1,7 +1,8 @@
-//! How long servers take until they say something, learned from their own answers.
+//! Response time statistics per service.
 //!
-//! A request goes to another server, and a server is doubted, once it has been silent for longer than answers take.
-//! One fixed time for that is too long where answers come in 40 ms, and too short where they queue.
+//! The timeouts for the first event and for gaps between events are derived from them. A fixed
+//! timeout would be too long where responses take 40 ms and too short where requests queue at the
+//! servers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,29 +10,28 @@
 use dappleyard_clock::Instant;
 use parking_lot::Mutex;
 
-/// Silence before the first event after which a request goes elsewhere, at least: most of the 300 ms in which online
-/// answers are to begin is left to the first server.
+/// Minimum timeout for the first event. Two thirds of the usual 300 ms target are left to the first
+/// server.
 const FIRST_LEAST: Duration = Duration::from_millis(200);
-/// Silence within an answer after which a server is doubted, at least: events come some 40 ms apart, and hardly
-/// ever 100 ms.
+/// Minimum gap between events after which a server becomes suspect. Events are usually 40 ms apart
+/// and rarely 100 ms.
 const PAUSE_LEAST: Duration = Duration::from_millis(200);
-/// At most, and while too little is known.
+/// Maximum timeout, also used while there are too few samples.
 const MOST: Duration = Duration::from_millis(900);
-/// Quantile of the times that is learned. One answer in a hundred may be slower without its request being sent
-/// again.
 const QUANTILE: f64 = 0.99;
-/// What that quantile is multiplied with: slow answers are not cut off by what was learned from fast ones.
+/// Factor on the quantile, so that slow responses are not cut off by a timeout learned from fast
+/// ones.
 const MARGIN: f64 = 2.0;
-/// Answers from which a time is learned.
+/// Minimum number of samples.
 const ENOUGH: u32 = 40;
-/// Answers count for one to two spans of this length.
+/// Length of one window. The current and the previous window count.
 const SPAN: Duration = Duration::from_secs(10);
-/// Steps of the histogram for each doubling of the time.
+/// Histogram buckets per doubling of the time.
 const STEPS: f64 = 4.0;
-/// Steps: from 1 ms to 16 s.
+/// Covers 1 ms to 16 s.
 const BUCKETS: usize = 57;
 
-/// Times of one kind over the last one to two spans.
+/// Histogram of durations over the current and the previous window.
 #[derive(Debug, Clone)]
 pub struct LearnedTime {
     now: [u32; BUCKETS],
@@ -50,7 +50,6 @@
 }
 
 impl LearnedTime {
-    /// Notes a time that was taken.
     pub fn note(&mut self, taken: Duration, now: Instant) {
         self.turn(now);
         let ms = (taken.as_secs_f64() * 1_000.0).max(1.0);
@@ -71,7 +70,7 @@
         self.began = Some(now);
     }
 
-    /// A time that hardly any answer takes, from the times that are known; between `least` and 900 ms.
+    /// Timeout derived from the 99th percentile, between `least` and 900 ms.
     pub fn bound(&self, least: Duration) -> Duration {
         let Some(bucket) = self.bucket_of(QUANTILE) else {
             return MOST;
@@ -80,14 +79,14 @@
         Duration::from_secs_f64(ms / 1_000.0).clamp(least, MOST)
     }
 
-    /// The median of the times that are known; `None` while too few are.
+    /// Median, or `None` with too few samples.
     pub fn usual(&self) -> Option<Duration> {
         let bucket = self.bucket_of(0.5)?;
         let ms = ((bucket as f64 + 0.5) / STEPS).exp2();
         Some(Duration::from_secs_f64(ms / 1_000.0))
     }
 
-    /// Where a quantile of the times lies; `None` while too few are known.
+    /// Bucket that contains the quantile, or `None` with too few samples.
     fn bucket_of(&self, quantile: f64) -> Option<usize> {
         let counts = self.now.iter().zip(&self.before);
         let counts: Vec<u32> = counts.map(|(now, before)| now + before).collect();
@@ -105,29 +104,29 @@
     }
 }
 
-/// Prompts that take alike to read: those of one size up to a factor of four.
+/// Groups prompts by length, in steps of a factor of four.
 fn size_class(tokens: u32) -> u32 {
     tokens.max(64).ilog2() / 2
 }
 
-/// Times of all services at one node.
+/// Response times of all services, as seen by one node.
 #[derive(Debug, Default)]
 pub struct AnswerTimes {
     first: Mutex<HashMap<(String, u32), LearnedTime>>,
     pauses: Mutex<HashMap<String, LearnedTime>>,
-    /// Pauses as they would be at servers of the usual pace.
+    /// Gaps between events, divided by the pace that the server reports.
     usual_pauses: Mutex<HashMap<String, LearnedTime>>,
 }
 
 impl AnswerTimes {
-    /// Notes the time from a request's being sent to the first event of its answer.
+    /// Records the time from sending a request to its first event.
     pub fn note_first(&self, service: &str, tokens: u32, taken: Duration) {
         let key = (service.to_owned(), size_class(tokens));
         let mut times = self.first.lock();
         times.entry(key).or_default().note(taken, Instant::now());
     }
 
-    /// Notes the time between two pieces of an answer.
+    /// Records the time between two pieces of a response.
     pub fn note_pause(&self, service: &str, taken: Duration) {
         let mut times = self.pauses.lock();
         if let Some(held) = times.get_mut(service) {
@@ -140,8 +139,8 @@
             .note(taken, Instant::now());
     }
 
-    /// Notes a pause of an answer as it would be at a server of the usual pace; the median of them, once enough are
-    /// known.
+    /// Records a gap normalized to the usual pace. Returns the median, or `None` with too few
+    /// samples.
     pub fn note_usual_pause(&self, service: &str, pause: Duration) -> Option<Duration> {
         let mut times = self.usual_pauses.lock();
         let held = times.entry(service.to_owned()).or_default();
@@ -149,14 +148,14 @@
         held.usual()
     }
 
-    /// Silence before the first event after which a request that may be repeated goes elsewhere.
+    /// Timeout for the first event, after which a repeatable request is sent to another server.
     pub fn first_patience(&self, service: &str, tokens: u32) -> Duration {
         let times = self.first.lock();
         let held = times.get(&(service.to_owned(), size_class(tokens)));
         held.map_or(MOST, |times| times.bound(FIRST_LEAST))
     }
 
-    /// Silence within an answer after which its server is doubted.
+    /// Gap between events after which the server becomes suspect.
     pub fn pause_notice(&self, service: &str) -> Duration {
         let times = self.pauses.lock();
         times
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one server.
+//! Sends a request to one server and checks the response.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -26,54 +26,50 @@
 use crate::patience::Patience;
 use dappleyard_clock::Instant;
 
-/// Answers to other requests that are passed over on one connection.
+/// Responses to other requests that are discarded on one connection before it is given up.
 const FOREIGN_ANSWERS: usize = 2;
-/// Longest answer to another request that is passed over, bytes.
+/// Longest response to another request that is read and discarded.
 pub(crate) const FOREIGN_BYTES: usize = 1024 * 1024;
-/// Time for which a server that broke or fell silent is avoided.
+/// How long a server is avoided after it failed or stopped responding.
 pub(crate) const SUSPECT_TIME: Duration = Duration::from_millis(1_200);
-/// Silence from which a server counts as away, and may have begun anew since: then nobody knows how cold it is.
+/// Silence after which a server counts as unreachable. It may have restarted in the meantime, so
+/// its warm-up state is unknown.
 const SILENT: Duration = Duration::from_millis(900);
-/// How often the silence of a server is looked at.
 const SILENCE_TICK: Duration = Duration::from_millis(100);
-/// Resting connections kept to one server.
+/// Idle connections kept per server.
 const RESTING: usize = 24;
-/// How long a resting connection may be used again.
 const IDLE: IdleLimit = IdleLimit {
     default: Duration::from_secs(10),
     margin: Duration::from_millis(700),
 };
 
-/// Whether a request has run.
+/// Whether a server has run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Ran {
-    /// It certainly has not, and will not.
+    /// It did not run and will not run.
     #[display("no")]
     No,
-    /// It may have.
     #[display("maybe")]
     Maybe,
-    /// It has.
     #[display("yes")]
     Yes,
 }
 
-/// An attempt that brought no answer of use.
+/// A failed attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{reason}")]
 pub struct AttemptError {
-    /// Whether the request has run at this server.
     pub ran: Ran,
-    /// What was seen.
     pub reason: String,
-    /// The server itself was not reached or fell silent.
+    /// The server could not be reached or stopped responding.
     pub unreachable: bool,
-    /// The connection was closed or reset while the server was at work: the server may have ended.
+    /// The connection was closed or reset after the request was sent, so the server process may
+    /// have ended.
     pub broken_off: bool,
 }
 
 impl AttemptError {
-    /// An answer that broke off inside its body.
+    /// The connection failed while the response body was read.
     pub fn inside_answer(error: &ExchangeError) -> Self {
         Self {
             ran: Ran::Yes,
@@ -83,7 +79,7 @@
         }
     }
 
-    /// A run that ended for a reason of this node's own, or with an answer of no use.
+    /// A failure detected by this node, such as a timeout or an invalid response.
     pub fn own(ran: Ran, reason: impl Into<String>) -> Self {
         Self {
             ran,
@@ -94,50 +90,44 @@
     }
 }
 
-/// What is sent to a server.
+/// A request as it is sent to a server.
 pub struct Attempt<'a> {
-    /// Method.
     pub method: &'a Method,
-    /// Path and query.
+    /// Path and query string.
     pub target: &'a str,
-    /// The caller's headers.
+    /// Headers of the client request.
     pub headers: &'a HeaderMap,
-    /// Body.
     pub body: &'a Bytes,
-    /// Identifier of the request.
+    /// Request ID.
     pub id: &'a str,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub remaining_ms: Option<u64>,
-    /// Event after which the server should go on.
+    /// Last event the client received; the server resumes after it.
     pub last_event_id: Option<u64>,
-    /// Whose request it is.
     pub tenant: TenantStamp<'a>,
-    /// Regions in which it may be served.
+    /// Regions that may serve the request.
     pub homes: &'a Homes,
-    /// Silence of the server that is borne.
+    /// Limits on how long the server may send nothing.
     pub patience: Patience,
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body has not been read yet.
 pub struct Exchange {
-    /// Connection that it comes on.
     pub connection: Connection,
-    /// Head of the answer.
     pub head: AnswerHead,
-    /// What the head says.
+    /// Facts taken from the response headers.
     pub facts: AnswerFacts,
-    /// The server.
     pub server: Arc<ServerRecord>,
 }
 
 impl Exchange {
-    /// Whether the end of the body shows that it is whole.
+    /// Whether the framing reveals a truncated body.
     pub fn is_framed(&self) -> bool {
         self.head.framing != BodyFraming::UntilClose
     }
 }
 
-/// Connections to servers of one thread.
+/// Connections of one worker thread to the servers.
 #[derive(Clone)]
 pub struct Upstreams {
     pub(crate) node: Arc<Node>,
@@ -146,7 +136,6 @@
 }
 
 impl Upstreams {
-    /// No connection yet.
     pub fn new(node: Arc<Node>) -> Self {
         Self {
             node,
@@ -155,27 +144,26 @@
         }
     }
 
-    /// The node.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// How full servers may be for another request.
+    /// Current limit on online requests beyond a server's slots.
     pub(crate) fn allowance(&self) -> Allowance {
         self.allowance.get()
     }
 
-    /// Gives a connection back for other requests.
+    /// Returns the connection to the pool.
     pub fn release(&self, exchange: Exchange) {
         self.pool.put(exchange.server.address, exchange.connection);
     }
 
-    /// Closes resting connections that are no longer of use.
+    /// Closes idle connections that have expired.
     pub fn sweep(&self) {
         self.pool.sweep();
     }
 
-    /// Sends a request to a server and waits for the head of its answer.
+    /// Sends a request to a server and waits for the response headers.
     pub async fn attempt(
         &self,
         server: &Arc<ServerRecord>,
@@ -184,7 +172,7 @@
         Metrics::count(&self.node.metrics.attempts);
         let request = self.request(server, attempt);
         let mut connection = self.connect(server).await?;
-        // What is known of the server may have changed since it was chosen.
+        // The server may have been excluded while the connection was opened.
         let listed = self.node.view.exclusion(&server.id);
         let listed = listed.or_else(|| homes::refusal(&self.node, server, attempt.homes));
         if let Some(exclusion) = listed.or_else(|| cold::refusal(&self.node, server)) {
@@ -231,8 +219,8 @@
         })
     }
 
-    /// Waits for something of a server. Once the server has been silent for as long as is borne, on all
-    /// connections of all nodes, it is doubted, and the attempt is given up where it may be.
+    /// Waits for data from a server. A server that has sent nothing to any node for the first limit
+    /// is marked as suspect; at the second limit the attempt fails.
     pub async fn with_patience<T>(
         &self,
         server: &ServerRecord,
@@ -359,7 +347,7 @@
     AttemptError::own(Ran::Maybe, reason)
 }
 
-/// Whether a header concerns more than one connection.
+/// Whether a header is end-to-end, as opposed to hop-by-hop (RFC 9110, section 7.6.1).
 pub(crate) fn is_end_to_end(name: &HeaderName, headers: &HeaderMap) -> bool {
     let single_hop = [
         CONNECTION,
--- a/crates/ingress/src/closing.rs
+++ b/crates/ingress/src/closing.rs
@@ -1,4 +1,4 @@
-//! The last moments of a node that stops.
+//! Graceful shutdown of the HTTP server.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -6,14 +6,12 @@
 use actix_web::dev::ServerHandle;
 use dappleyard_clock::Instant;
 
-/// Time between two looks at what is under way.
 const LOOK: Duration = Duration::from_millis(20);
-/// Looks in a row without a request after which nothing comes any more: a connection that was accepted
-/// just before the doors closed may bring one.
+/// Consecutive polls without a request in flight before the server counts as idle. A connection
+/// accepted just before the pause may still deliver one.
 const QUIET_LOOKS: u32 = 4;
 
-/// Accepts no further connection, and waits until no request is under way, or until `last`. Without
-/// this a request that comes while the node takes its leave is cut.
+/// Stops accepting connections and waits until no request is in flight, or until `last`.
 pub async fn close(server: &ServerHandle, under_way: &AtomicU64, last: Instant) {
     server.pause().await;
     let mut quiet = 0;
--- a/crates/ingress/src/cold.rs
+++ b/crates/ingress/src/cold.rs
@@ -1,4 +1,4 @@
-//! Which requests may go to a server that is cold, or may be.
+//! Rate limit on requests to servers that are warming up.
 
 use dappleyard_cluster::{ColdShare, Exclusion, Teller, Temperature};
 use dappleyard_model::{ColdBounds, Configuration, ServerRecord, Service};
@@ -6,13 +6,14 @@
 use crate::metrics::Metrics;
 use crate::node::Node;
 
-/// The bound on cold servers of one service, as it holds for this node.
+/// The limit on a service's cold servers, as it applies to this node.
 pub struct ColdGate<'a> {
     node: &'a Node,
     share: ColdShare,
 }
 
-/// How the rate of a service's cold servers is divided; `None` where it is without bound.
+/// How the rate limit of a service's cold servers is divided among nodes; `None` if it has no
+/// limit.
 pub(crate) fn share_of(service: &Service, bounds: Option<ColdBounds>) -> Option<ColdShare> {
     let bounds = bounds.filter(|_| service.cold_per_s > 0.0)?;
     Some(ColdShare::new(service.cold_per_s, bounds))
@@ -23,7 +24,7 @@
 }
 
 impl<'a> ColdGate<'a> {
-    /// The gate of a service; `None` where its cold servers are without bound.
+    /// Returns `None` if the service has no limit for cold servers.
     pub fn of(node: &'a Node, service: &str) -> Option<Self> {
         node.settings.bounds.cold?;
         let configuration = node.view.configuration()?;
@@ -31,18 +32,17 @@
         Some(Self { node, share })
     }
 
-    /// The gate of a service whose share is known.
     pub(crate) fn new(node: &'a Node, share: ColdShare) -> Self {
         Self { node, share }
     }
 
-    /// The place of this node among those that stand for a server.
+    /// Rank of this node among those responsible for a server, or `None` if it is not responsible.
     pub(crate) fn standing(&self, server: &ServerRecord) -> Option<u32> {
         let peers = &self.node.peers;
         peers.standing(&server.id, &server.zone, self.share.nodes)
     }
 
-    /// Whether a request may go to a server now.
+    /// Whether a request may be sent to a server now.
     pub fn passes(&self, server: &ServerRecord) -> bool {
         match temperature(self.node, server).0 {
             Temperature::Warm => true,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes a request out of what may go to a server; `false` when nothing is left.
+    /// Uses up one request of the limit. Returns `false` if none is left.
     fn take(&self, server: &ServerRecord) -> bool {
         match temperature(self.node, server).0 {
             Temperature::Warm => true,
@@ -67,8 +67,8 @@
     }
 }
 
-/// The temperature of a server, and what told of it. A server that operators took back into use may have turned cold
-/// meanwhile.
+/// Temperature of a server and the source of that information. A server in a zone that was
+/// evacuated and restored may have become cold in the meantime.
 pub(crate) fn temperature(node: &Node, server: &ServerRecord) -> (Temperature, Teller) {
     if let Some(at) = node.view.restored_at(&server.zone) {
         node.loads.note_taken_back(&server.id, at);
@@ -76,7 +76,8 @@
     node.loads.temperature(server)
 }
 
-/// Why nothing may be sent to a server now. Where nothing speaks against it, this counts as a request.
+/// Reason why no request may be sent to a server. If there is none, the request counts towards the
+/// limit.
 pub(crate) fn refusal(node: &Node, server: &ServerRecord) -> Option<Exclusion> {
     let gate = ColdGate::of(node, &server.service)?;
     if gate.take(server) {
--- a/crates/ingress/src/cold_watch.rs
+++ b/crates/ingress/src/cold_watch.rs
@@ -1,4 +1,4 @@
-//! Asks servers that were out of sight how cold they are, and writes down what changes.
+//! Queries servers of unknown temperature for their health and logs temperature changes.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,18 +17,17 @@
 use crate::connecting::HEALTH_LIMIT;
 use crate::metrics::Metrics;
 
-/// Time between two looks at the servers.
 const LOOK: Duration = Duration::from_millis(50);
-/// Time by which each further node that stands for a server waits longer before it asks, and between two questions
-/// of one node to a server that does not answer. The word of one node reaches the others within half of it.
+/// Additional delay per rank of the responsible nodes, and the minimum time between two health
+/// checks by one node. Results reach the other nodes within half of it.
 const STEP: Duration = Duration::from_millis(400);
-/// Time after which a node that does not stand for a server asks it nevertheless, when others hear the server: the
-/// word of those that stand has not come.
+/// Delay after which a node that is not responsible checks a server itself, if others hear from it
+/// but no result has arrived.
 const OTHERS_AFTER: Duration = Duration::from_millis(1_500);
-/// Servers that nobody uses are asked only while callers send requests.
+/// Unused servers are checked only if a client request arrived within this time.
 const CALLERS_LATELY: Duration = Duration::from_secs(2);
 
-/// One server as the watch saw it last.
+/// Last observed state of a server.
 struct Watched {
     temperature: Temperature,
     next_question: Option<Instant>,
@@ -37,8 +36,8 @@
 
 type Seen = Rc<RefCell<HashMap<String, Watched>>>;
 
-/// Watches the temperatures of the servers that this node uses, until the process ends. Costs nothing where no
-/// service has a bound.
+/// Monitors the temperatures of the servers this node uses. Returns at once if no limit for cold
+/// servers is configured.
 pub async fn watch_temperatures(upstreams: Upstreams) {
     let seen = Seen::default();
     loop {
@@ -109,7 +108,8 @@
     temperature
 }
 
-/// How long this node waits before it asks a server that is out of sight; `None` when others ask.
+/// Delay before this node checks a server of unknown temperature; `None` if it leaves the check to
+/// others.
 fn wait(
     upstreams: &Upstreams,
     gate: &ColdGate<'_>,
@@ -137,7 +137,7 @@
         let node = upstreams.node();
         let asked = Instant::now();
         if path.is_empty() {
-            // Nobody can tell: taken for as cold as after a start.
+            // The service has no health endpoint: assume a full warm-up time.
             return node.loads.note_checked(&server.id, asked, cold_start);
         }
         Metrics::count(&node.metrics.health_questions);
@@ -158,13 +158,13 @@
         let cold = match facts.cold_left_ms {
             Some(cold_ms) => Duration::from_millis(cold_ms),
             None if status == 200 => Duration::ZERO,
-            // It is full, or it says that it is ill without saying how cold it is.
+            // The server is full or unhealthy and reports no remaining warm-up time.
             None if facts.not_run => return node.loads.note_reached(&server.id),
             None => cold_start,
         };
         let cold = match cold.is_zero() {
             true => cold,
-            // Counted from the answer, not from the question.
+            // The remaining time counts from the response, not from the request.
             false => cold + asked.elapsed(),
         };
         node.loads.note_checked(&server.id, asked, cold);
--- a/crates/ingress/src/connecting.rs
+++ b/crates/ingress/src/connecting.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, and the question that is no request.
+//! Opens connections to servers and checks their health.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 use crate::metrics::Metrics;
 use dappleyard_clock::Instant;
 
-/// Longest wait for the answer to a health question: the way to another zone, and a slot.
+/// Allows for the path to another zone and for the wait for a slot.
 pub(crate) const HEALTH_LIMIT: Duration = Duration::from_millis(400);
-/// Time for a connection to come up.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
 impl Upstreams {
-    /// A connection to a server: one that rests, or a new one.
+    /// Returns an idle connection to a server, or opens a new one.
     pub(crate) async fn connect(&self, server: &ServerRecord) -> Result<Connection, AttemptError> {
         let address = server.address;
         if self.node.loads.is_doubted(&server.id) {
-            // What is sent on a connection of a lost server may have run for all that is known; a connection
-            // that does not come up costs nothing.
+            // A request sent on a stale connection counts as possibly run. A failed connect does
+            // not, so a new connection is safer.
             self.pool.forget(address);
         }
-        // A server that was away has forgotten its connections; a request on one of them would count as run.
+        // A restarted server no longer knows its old connections, and a request sent on one of them
+        // would count as possibly run.
         let back = self.node.loads.back(&server.id);
         if let Some(connection) = self.pool.take_after(address, back) {
             return Ok(connection);
@@ -50,8 +50,9 @@
         })
     }
 
-    /// Whether a server answers. It is asked for its health: the connections of one that hangs come up all the
-    /// same. Where its service has no such question, a connection has to do; it is kept for requests.
+    /// Whether a server is up, judged by its health endpoint, since a hung process still accepts
+    /// connections. A service without one is judged by a connection, which is then kept in the
+    /// pool.
     pub(crate) async fn answers(&self, server: &ServerRecord) -> bool {
         let answers = match self.health_path(server) {
             Some(path) => self.ask_health(server, &path, HEALTH_LIMIT).await.is_some(),
@@ -64,7 +65,6 @@
         answers
     }
 
-    /// Where the servers of a service are asked for their health.
     fn health_path(&self, server: &ServerRecord) -> Option<String> {
         let configuration = self.node.view.configuration()?;
         let path = configuration.service(&server.service)?.health_path.clone();
@@ -80,7 +80,8 @@
         true
     }
 
-    /// Asks a server for its health: the status and what the head says, or `None` without an answer in time.
+    /// Requests a server's health. Returns the status and the facts of the headers, or `None` if it
+    /// does not respond in time.
     pub(crate) async fn ask_health(
         &self,
         server: &ServerRecord,
@@ -91,7 +92,7 @@
         let headers = [(&HOST, &host)].into_iter();
         let request = request_bytes(&Method::GET, path, headers, &Bytes::new());
         let asking = async {
-            // What rests may be dead: the server was out of sight.
+            // Idle connections may be stale.
             let mut connection = self.open(server).await.ok()?;
             let head = connection.send(&request).await.ok()?;
             let facts = self.node.dialect.answer_facts(head.status, &head.headers);
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -1,9 +1,9 @@
-//! Requests under which servers end: what became of a server whose answer broke off, and where such a request runs
-//! next.
+//! Crash attribution: finds out whether a server crashed when its response broke off, and limits
+//! the further runs of the requests involved.
 //!
-//! A server runs a dozen requests when it ends, and one of them is the cause at most. Each is counted; the count is
-//! taken back when the request is served somewhere, and the last run that a request may end a server with happens apart
-//! from the last runs of others.
+//! A crash interrupts about a dozen requests, of which at most one is the cause. All of them are
+//! counted. The count is cleared once a request is served elsewhere. The last allowed run of a
+//! request takes place on a server without the last run of another one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,48 +21,47 @@
 use crate::node::Node;
 use crate::placement::home;
 
-/// Where operators ask for such requests, on the port of the metrics.
+/// Path on the metrics port.
 const OPERATORS_PATH: &str = "/crashes";
-/// Longest wait for a server's address to take or refuse a connection: the way to another region and back, twice. A
-/// dead process's port refuses in one such way.
+/// Connect timeout: two round trips to another region. The port of an ended process refuses within
+/// one.
 const LOOK_LIMIT: Duration = Duration::from_millis(100);
 
-/// Time from the first look to the second one.
+/// Delay before the second check.
 const SECOND_LOOK: Duration = Duration::from_millis(100);
-/// Time between two looks at the list of servers.
+/// Interval between checks of the server list.
 const LIST_LOOK: Duration = Duration::from_millis(500);
-/// Looks at the list: a server writes its entry within a heartbeat of its start, and the entry of the one before goes
-/// after three, 4 s at the longest heartbeat in use.
+/// Number of list checks. A server registers within one heartbeat of its start and its
+/// predecessor's entry expires after three, which is 4 s at the longest heartbeat in use.
 const LIST_LOOKS: u32 = 8;
 
-/// What was seen at a server's address.
+/// Result of checking a server's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Evidence {
-    /// Its port refuses connections: the process has ended.
+    /// The port refuses connections: the process has ended.
     #[display("ended")]
     Ended,
-    /// It takes connections: only the one connection broke.
+    /// The port accepts connections: only the one connection failed.
     #[display("alive")]
     Alive,
-    /// It was known to leave: it may have ended as planned.
+    /// The server was draining or gone, so it may have ended as planned.
     #[display("leaving")]
     Leaving,
-    /// Nothing answered in time: the server, its machine or the way there may be gone.
+    /// No response in time: the server, its machine or the network may be down.
     #[display("unknown")]
     Unknown,
 }
 
-/// A run that did not come to its end.
+/// A run that was interrupted.
 pub struct Broken<'a> {
-    /// What was seen.
     pub error: &'a AttemptError,
-    /// Time for which the run had brought output; `None` when it had brought none.
+    /// Time since the first output of the run; `None` if there was none.
     pub output_for: Option<Duration>,
 }
 
-/// Of some servers, those at which the last run of a request may happen: not where another request has its last run.
-/// Nodes choose among them by a hash of the request, since they choose at the same moment, when a server has ended, and
-/// cannot know of each other's choice.
+/// Selects the server for the last run of a request, avoiding servers with the last run of another.
+/// Rendezvous hashing keeps different requests apart, since nodes decide at the same moment after a
+/// crash without knowing of each other's choice.
 pub fn apart(
     node: &Node,
     request: &Fingerprint,
@@ -73,8 +72,8 @@
     home(&servers, request.number()).cloned()
 }
 
-/// What operators ask of such requests: `GET /crashes` lists those that run no more, `DELETE /crashes/FINGERPRINT` lets one
-/// run again at all nodes. `None` for any other call.
+/// Operator calls: `GET /crashes` lists the requests that are not run again, `DELETE
+/// /crashes/FINGERPRINT` clears one on all nodes. Returns `None` for any other call.
 pub(crate) fn operators_call(node: &Node, method: &Method, path: &str) -> Option<HttpResponse> {
     let rest = path.strip_prefix(OPERATORS_PATH)?;
     if *method == Method::GET && rest.is_empty() {
@@ -110,8 +109,9 @@
 }
 
 impl Upstreams {
-    /// Judges a run that did not come to its end: whether its server ended. The caller's next run follows a way to the
-    /// server and back later. Where the first look finds no end, others follow while the caller's next run is under way.
+    /// Determines whether the server of an interrupted run crashed. The first check delays the
+    /// client's next run by one round trip; if it finds no crash, further checks run in the
+    /// background.
     pub async fn judge(&self, run: RunUnderWay, server: &Arc<ServerRecord>, broken: &Broken<'_>) {
         if !broken.error.broken_off {
             return;
@@ -124,7 +124,8 @@
         }
     }
 
-    /// A process may close its connections before its port, or be back at its port within milliseconds.
+    /// A crashing process may close its connections before its port, or restart within
+    /// milliseconds.
     fn look_again(
         &self,
         mut run: RunUnderWay,
@@ -140,7 +141,7 @@
                 upstreams.note_ended(&run, &server, cause, output);
                 return;
             }
-            // The run counts as under way no more; an end that shows later still counts.
+            // The run no longer counts as in flight; a crash found later still counts.
             run.over();
             for _ in 0..LIST_LOOKS {
                 tokio::time::sleep(LIST_LOOK).await;
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Notes that a run came to a good end.
+    /// Records that a run completed.
     pub fn note_served(&self, run: &RunUnderWay) {
         if run.note_served() {
             let fingerprint = run.request().short();
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Looks at the address of a server, right after an answer of it broke off.
+    /// Checks the address of a server after its response broke off.
     pub async fn look_at(&self, server: &ServerRecord) -> Evidence {
         if self.node.view.is_replaced(server) {
             return Evidence::Ended;
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Finds a server that runs a request.
+//! Sends a request to servers until one serves it.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -21,90 +21,77 @@
 use crate::placing::{NoPlace, Placement, find_place};
 use dappleyard_clock::Instant;
 
-/// Time between two looks whether a run under way elsewhere has ended: news of it come each 25 ms.
+/// Interval for checking whether a run on another node has ended; updates arrive every 25 ms.
 const WAIT_TICK: Duration = Duration::from_millis(20);
-/// Longest answer that is held whole, bytes.
+/// Maximum size of a failure response, which is read as a whole.
 const HELD_ANSWER: usize = 8 * 1024 * 1024;
 
-/// One request of a caller on its way.
+/// A client request in progress.
 pub struct Request {
-    /// Method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query string.
     pub target: String,
-    /// The caller's headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
-    /// What the head says.
+    /// Facts taken from the headers.
     pub facts: RequestFacts,
-    /// Who sends it.
     pub caller: Caller,
-    /// Route as of the arrival.
+    /// Route at the time of arrival.
     pub route: Route,
-    /// Regions in which it may be served, as of the arrival.
+    /// Regions that may serve it, at the time of arrival.
     pub homes: Homes,
-    /// Service that serves it.
     pub service: String,
-    /// What makes it the same as other tries.
+    /// Identifies repeated sends of the same request.
     pub fingerprint: Fingerprint,
-    /// When it came.
     pub arrived: Instant,
-    /// When its time is over.
     pub deadline: Instant,
-    /// Its caller was refused before.
+    /// The client was refused before.
     pub again: bool,
-    /// Whether it has run, over all attempts.
+    /// Whether any attempt has run it.
     pub ran: Ran,
-    /// Servers that may have run it.
+    /// Number of attempts that may have run it.
     pub runs: u32,
-    /// Servers that were asked.
+    /// IDs of the servers tried.
     pub asked: HashSet<String>,
-    /// Shape of the prompt.
     pub shape: PromptShape,
 }
 
-/// An answer that has begun.
+/// A response that has started.
 pub struct Begun {
-    /// The answer.
     pub exchange: Exchange,
-    /// The work at the server.
+    /// Counts the request in the server's load.
     pub work: InFlight,
-    /// The run, as it is counted over all nodes.
+    /// The run as reported to all nodes.
     pub run: RunUnderWay,
-    /// When the request was sent.
     pub sent: Instant,
 }
 
-/// A failure answer of a server, whole.
+/// A complete failure response of a server.
 pub struct Failed {
-    /// Status.
     pub status: u16,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
 }
 
-/// What dispatching came to.
+/// Result of dispatching a request.
 pub enum Dispatched {
-    /// A server serves the request.
+    /// A server is serving the request.
     Begun(Box<Begun>),
-    /// A server answered with a failure, which is passed on.
+    /// The failure response of a server, to be forwarded.
     Failed(Failed),
-    /// There is no room for the request in time; its caller comes back after some time.
+    /// The request would miss its target; the client should retry after this delay.
     NoRoom(Duration),
-    /// The node gives up.
+    /// No server served the request.
     GaveUp(ErrorKind),
 }
 
 impl Request {
-    /// Time that is left.
+    /// Time until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Time that its caller has left, who may come back when the route's time for it is over.
+    /// Time until the client's own deadline, which may be later than that of the route.
     pub(crate) fn caller_left(&self) -> Duration {
         let given = self.facts.deadline_ms.map(Duration::from_millis);
         given.map_or_else(
@@ -113,7 +100,6 @@
         )
     }
 
-    /// Fingerprint of a request as it came.
     pub(crate) fn fingerprint_of(
         caller: &Caller,
         method: &Method,
@@ -149,7 +135,7 @@
     }
 }
 
-/// Sends a request to servers until one serves it, or until it must be given up.
+/// Sends a request to servers until one serves it or no further attempt is allowed.
 pub async fn dispatch(
     upstreams: &Upstreams,
     request: &mut Request,
@@ -175,7 +161,7 @@
             Err(NoPlace::NoRoom { retry_after }) => return Dispatched::NoRoom(retry_after),
         };
         let Ok(run) = node.crashes.begin(request.fingerprint, &server.id) else {
-            // Others have learned of it, or begun to run it, while a place was found.
+            // Another node reported a crash or started a run in the meantime.
             tokio::time::sleep(WAIT_TICK.min(request.remaining())).await;
             continue;
         };
@@ -196,7 +182,8 @@
                 note_failure(upstreams, request, &server, &error);
                 let gate = ColdGate::of(&node, &request.service);
                 if error.ran == Ran::No && gate.is_some_and(|gate| !gate.passes(&server)) {
-                    // The server was not asked: it may be later.
+                    // The rate limit refused the request before it was sent, so the server stays
+                    // eligible.
                     request.asked.remove(&server.id);
                 }
                 continue;
@@ -214,7 +201,8 @@
         }
         work.prompt_read();
         match hold_failure(upstreams, request, exchange).await {
-            // The server did not say that it has not run the request, so its caller is not told so.
+            // The server did not state that the request was not run, so this status must not be
+            // forwarded.
             Some(failed) if promises_not_run(failed.status) => {
                 return Dispatched::GaveUp(request.give_up());
             }
@@ -249,7 +237,7 @@
     }
 }
 
-/// Silence before the first event that is borne, learned from the service's answers.
+/// Timeout for the first event, learned from the service's responses.
 fn first_patience(upstreams: &Upstreams, request: &Request) -> Patience {
     let times = &upstreams.node().times;
     let silence = times.first_patience(&request.service, request.shape.tokens);
@@ -278,7 +266,7 @@
     });
 }
 
-/// Reads a failure answer whole; `None` when the request goes to another server instead.
+/// Reads a failure response. Returns `None` if the request is tried at another server instead.
 async fn hold_failure(
     upstreams: &Upstreams,
     request: &Request,
@@ -306,7 +294,7 @@
     })
 }
 
-/// Whether answers of the route come as events.
+/// Whether responses of the route are event streams.
 pub fn is_event_route(route: &Route) -> bool {
     route.kind == RouteKind::Streaming
 }
--- a/crates/ingress/src/evacuated_zones.rs
+++ b/crates/ingress/src/evacuated_zones.rs
@@ -1,4 +1,4 @@
-//! What the operators see of evacuated zones: metrics, and a record when a zone is empty.
+//! Status of evacuated zones for operators: metrics, and a log record once a zone is empty.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,23 +7,21 @@
 
 use crate::node::Node;
 
-/// One evacuated zone as this node knows it.
+/// State of an evacuated zone as known to this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuatedZone {
-    /// Zone.
     pub zone: ZoneName,
-    /// Revision of the order.
+    /// Revision of the evacuation order.
     pub revision: u64,
-    /// Time since this node learnt of the order.
+    /// Time since this node received the order.
     pub age: Duration,
-    /// Online requests and items that still run at servers of the zone, over all nodes; `None` while this node has
-    /// not been told.
+    /// Online requests and batch items still running in the zone, over all nodes; `None` while
+    /// unknown.
     pub work: Option<(u32, u32)>,
-    /// Nothing runs there, and from now on no node that is in touch sends anything there.
+    /// Nothing runs there, and no connected node sends anything there any more.
     pub empty: bool,
 }
 
-/// The zones that are evacuated.
 pub fn evacuated_zones(node: &Node) -> Vec<EvacuatedZone> {
     let in_force = Duration::from_millis(node.settings.bounds.evacuation_ms);
     let zones = node.view.evacuations().into_iter();
@@ -35,7 +33,7 @@
                 .map(|work| (work.online, work.batch));
             let age = held.since.elapsed();
             EvacuatedZone {
-                // Another node may send there until the order is in force everywhere.
+                // Other nodes may send requests there until the order has reached them.
                 empty: work == Some((0, 0)) && age >= in_force,
                 zone: held.zone,
                 revision: held.revision,
@@ -46,14 +44,14 @@
         .collect()
 }
 
-/// Tells once for each evacuation that its zone is empty.
+/// Logs once per evacuation that its zone is empty.
 #[derive(Debug, Default)]
 pub struct ZoneWatch {
     told: HashSet<(ZoneName, u64)>,
 }
 
 impl ZoneWatch {
-    /// Looks at the evacuated zones, and writes a record for each that has become empty.
+    /// Logs each evacuated zone that has become empty.
     pub fn look(&mut self, node: &Node) {
         let zones = evacuated_zones(node);
         let place = |zone: &EvacuatedZone| (zone.zone.clone(), zone.revision);
@@ -70,7 +68,7 @@
     }
 }
 
-/// The orders that stand, for people.
+/// Human-readable list of the active orders.
 pub(crate) fn orders_text(node: &Node) -> String {
     let held = node.view.evacuations().into_iter();
     let orders: Vec<String> = held
@@ -79,7 +77,7 @@
     format!("evacuated: {}", orders.join(", "))
 }
 
-/// Zones in the Prometheus text format: the servers of each, and more of those that are evacuated.
+/// Zone metrics in the Prometheus text format: server counts, and details of evacuated zones.
 pub(crate) fn zone_text(node: &Node) -> String {
     let servers = node.view.servers_by_zone();
     let servers = servers
--- a/crates/ingress/src/event_stream.rs
+++ b/crates/ingress/src/event_stream.rs
@@ -1,18 +1,16 @@
-//! Splits a stream of bytes into whole events.
+//! Splits a byte stream into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the empty line at the end included.
+    /// Raw bytes, including the terminating empty line.
     pub bytes: Bytes,
-    /// Its identifier.
     pub id: Option<u64>,
 }
 
 impl Event {
-    /// Data lines of the event, joined by line feeds; `None` when it has none.
+    /// Data lines joined by line feeds; `None` if there are none.
     pub fn data(&self) -> Option<String> {
         let text = String::from_utf8_lossy(&self.bytes);
         let lines: Vec<&str> = text
@@ -24,7 +22,7 @@
     }
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -32,12 +30,11 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes as they come.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// The next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let from = self.searched.saturating_sub(3);
         let end = find_end(&self.buffer[from..]).map(|length| from + length);
@@ -51,14 +48,14 @@
         Some(Event { bytes, id })
     }
 
-    /// Bytes behind the last whole event.
+    /// Takes the bytes after the last complete event.
     pub fn rest(&mut self) -> Bytes {
         self.searched = 0;
         self.buffer.split().freeze()
     }
 }
 
-/// Length up to and with the first empty line.
+/// Length including the first empty line.
 fn find_end(bytes: &[u8]) -> Option<usize> {
     let mut at = 0;
     while let Some(offset) = bytes[at..].iter().position(|byte| *byte == b'\n') {
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -1,4 +1,4 @@
-//! The interface for callers: online requests, jobs, the directory and readiness.
+//! HTTP handlers for online requests, jobs, the directory, readiness, peers and metrics.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,22 +29,21 @@
 use crate::shares::{enter_share, share_text};
 use dappleyard_clock::Instant;
 
-/// Longest time that a request without a deadline is held.
+/// Time limit of a request without a deadline.
 const LONGEST_HOLD: Duration = Duration::from_secs(60);
-/// Body limit before a configuration is known, bytes.
+/// Body limit in bytes while no configuration is known, and for calls of other nodes.
 const BODY_LIMIT: usize = 4 * 1024 * 1024;
 
-/// Answers a call of another node; both are bytes of the protocol between nodes.
+/// Handles a call of another node; request and response are in the peer protocol.
 pub type PeerAnswers = Rc<dyn Fn(Bytes) -> LocalBoxFuture<'static, Bytes>>;
 
-/// What the handlers of one worker thread need.
 pub struct FrontData {
     upstreams: Upstreams,
     jobs: Rc<dyn JobCalls>,
     peers: PeerAnswers,
 }
 
-/// State of one worker thread.
+/// Shared state of the handlers of one worker thread.
 pub fn front_app_data(
     upstreams: Upstreams,
     jobs: Rc<dyn JobCalls>,
@@ -57,7 +56,7 @@
     })
 }
 
-/// Adds the handlers to an application.
+/// Registers the handlers.
 pub fn configure(config: &mut web::ServiceConfig) {
     config.default_service(web::to(handle));
 }
@@ -108,7 +107,7 @@
     refusal(node, &Refusal::new(ErrorKind::NoRoute, detail))
 }
 
-/// A call about a job that was accepted before.
+/// Handles a call about an accepted job.
 async fn about_job(
     node: &Arc<Node>,
     data: &FrontData,
@@ -210,7 +209,8 @@
         .map_or(BODY_LIMIT, |configuration| {
             configuration.limits.max_body_bytes
         });
-    // The body is read before the route is chosen, so that no caller is cut off while it sends.
+    // Reads the body before choosing the route, so that a refusal does not interrupt the client
+    // while it sends.
     let body = match read_body(payload, limit).await {
         Ok(body) => body,
         Err(kind) => return refuse(&node, &facts.id, &Refusal::new(kind, "body")),
@@ -316,7 +316,7 @@
             let out_of_homes = none && request.homes.bind() && request.asked.is_empty();
             let detail = || format!("{} servers asked", request.asked.len());
             let refused = match none && node.view.is_evacuated(&request.service) {
-                // Nothing but the operators' orders leaves the request without a server.
+                // Only the evacuation orders leave the request without a server.
                 true => Refusal::new(ErrorKind::ZonesEvacuated, orders_text(&node)),
                 false if out_of_homes => Refusal::new(ErrorKind::HomesCannotServe, detail()),
                 false => Refusal::new(kind, detail()),
--- a/crates/ingress/src/holding.rs
+++ b/crates/ingress/src/holding.rs
@@ -1,52 +1,52 @@
-//! When a request goes to a server that is full, and when it waits at its node. Pure.
+//! Decides by age whether a request is sent to a full server or queued at its node.
 //!
-//! A server works on requests in the order in which they come, and no node can take one back. Were
-//! everything sent at once, a wave that exceeds the slots would make all of its tail late. So a request waits at
-//! its node for a slot, and how full a server may be for it depends on its age: all nodes let those go first that
-//! can still be in time, without a word between them.
+//! Servers work in order of arrival, and a request cannot be withdrawn from a server. If a burst
+//! beyond the slots were sent at once, the whole tail would be late. So requests queue at the
+//! nodes, and the older a request is, the more free slots it needs. All nodes thereby favour
+//! requests that can still meet their target, without coordination.
 
 use std::time::Duration;
 
 use dappleyard_model::ServerLoad;
 
-/// Slots that a request which is no longer fresh leaves to fresh ones.
+/// Additional free slots that a request older than fresh needs.
 const LEFT_BY_OLDER: f64 = 1.0;
-/// Slots that a late request leaves to those that can still be in time.
+/// Additional free slots that a late request needs.
 const LEFT_BY_LATE: f64 = 2.0;
-/// How far one answer moves the allowance: it follows some ten answers.
+/// Change per response, so that the limit follows about ten responses.
 const ALLOWANCE_STEP: f64 = 0.1;
-/// Least of the allowance, in slots: with less, servers of few slots would stand idle while requests wait.
+/// Lower bound. Below it, servers with few slots would idle while requests wait.
 const LEAST_ALLOWANCE: f64 = -2.5;
-/// Most of it: one request may wait at a server, so that it has work while the news of a free slot travels.
+/// Upper bound. One request may queue at a server to keep it busy until the news of a free slot
+/// arrives.
 const MOST_ALLOWANCE: f64 = 1.0;
-/// Part of the time to the first event within which a request may wait behind another one at its server.
+/// Fraction of the target during which a request may queue behind another one at a server.
 const FRESH_PART: f64 = 0.35;
-/// Part of it within which a request that finds a free slot can be in time: the rest is for the way and the
-/// prompt.
+/// Fraction of the target during which a request that finds a free slot can meet it. The rest
+/// covers the network and the prompt.
 const IN_TIME_PART: f64 = 0.7;
-/// Part of a caller's patience after which a late request goes to the least loaded server however
-/// full it is: the rest is for its queue.
+/// Fraction of the client's patience after which a late request goes to the least loaded server
+/// however full it is. The rest covers the queue there.
 const HELD_PART: f64 = 0.6;
 
-/// How a request stands to the times that matter to its caller.
+/// How a request's age relates to its target and its client's patience.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It can be in time even behind another one.
+    /// It can meet its target even behind another request.
     Fresh,
-    /// Begun now, its first event can come in time.
+    /// It can meet its target if it starts now.
     InTime,
-    /// It will be late, and a little more does no harm.
+    /// It will miss its target, so a further delay matters little.
     Late,
-    /// Its caller will soon give up.
+    /// Its client will soon give up.
     Due,
 }
 
-/// Age at which a request is due.
 pub(crate) fn due_age(patience: Duration) -> Duration {
     patience.mul_f64(HELD_PART)
 }
 
-/// How a request of some age stands; `target` is the time to its first event.
+/// `target` is the time to the first event.
 pub fn standing(age: Duration, target: Duration, patience: Duration) -> Standing {
     if age >= due_age(patience) {
         Standing::Due
@@ -59,9 +59,10 @@
     }
 }
 
-/// How many online requests a server may be believed to have for another one to go there, beside its
-/// slots. What is believed lags behind, by more the faster requests come; so this follows what servers
-/// say of their queues: it falls while requests wait at nearly full servers, and rises while none does.
+/// How many online requests beyond its slots a server may appear to have and still get another one.
+/// Load information lags behind, more so at high request rates, so the limit follows the queues
+/// that servers report: it falls while requests queue at nearly full servers and rises while none
+/// does.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance(f64);
 
@@ -72,10 +73,10 @@
 }
 
 impl Allowance {
-    /// Takes what a server said with an answer.
+    /// Updates the limit from the load reported with a response.
     pub fn note(&mut self, load: ServerLoad) {
         if load.running + 1 < load.slots {
-            // An idle server tells nothing of full ones.
+            // A server with free slots says nothing about full ones.
             return;
         }
         let step = match load.waiting {
@@ -85,9 +86,10 @@
         self.0 = (self.0 + step).clamp(LEAST_ALLOWANCE, MOST_ALLOWANCE);
     }
 
-    /// Whether a request goes to a server now, where servers have so many online requests above their
-    /// slots in the mean. The one that is chosen seems to have less, since it was chosen for that by old
-    /// news. Items of jobs do not count: they make way. `point` is uniform between 0 and 1.
+    /// Whether a request may be sent now, with `mean_over` as the mean number of online requests
+    /// beyond the slots. The mean is used because the chosen server only appears less loaded in
+    /// outdated information. Batch items do not count, since they are preempted. `point` is uniform
+    /// in [0, 1).
     pub fn admits(self, standing: Standing, mean_over: f64, point: f64) -> bool {
         let left = match standing {
             Standing::Fresh => 0.0,
--- a/crates/ingress/src/homes.rs
+++ b/crates/ingress/src/homes.rs
@@ -1,4 +1,4 @@
-//! Keeps requests that are bound to home regions within them.
+//! Restricts requests to their home regions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 
 use crate::node::Node;
 
-/// Servers that a request is placed among before its homes are looked at: those that the node uses. A node
-/// that stands outside the homes uses hardly any server in them, so it looks at all.
+/// Servers that a request may be placed on, before the check of its home regions. Usually those
+/// this node uses; all servers if the node is outside the home regions or uses no server in them.
 pub fn reached<'a>(
     servers: &'a ServerSet,
     homes: &Homes,
@@ -25,15 +25,15 @@
     }
 }
 
-/// Why a request may not be sent to a server: this stands outside its homes.
+/// Refuses a server outside the home regions.
 pub(crate) fn refusal(node: &Node, server: &ServerRecord, homes: &Homes) -> Option<Exclusion> {
     let allowed = homes.allow(&server.zone, &node.settings.places);
     (!allowed).then_some(Exclusion::OutsideHomes)
 }
 
-/// Regions whose nodes a caller of a zone may be sent to when the routes that it asks for have these homes: its
-/// own and those of all homes. `None` stands for all. Requests are bound wherever they arrive, so that a caller
-/// that is sent elsewhere is still served at home.
+/// Regions whose nodes a client may be directed to: its own, and those that are home to every route
+/// it asks for. `None` stands for all. Requests are restricted wherever they arrive, so a client in
+/// another region is still served at home.
 pub fn regions_for(
     homes: &[Homes],
     zone: Option<&str>,
@@ -50,7 +50,7 @@
     Some(regions.filter(near).cloned().collect())
 }
 
-/// Homes of a host's routes, for callers that ask where to go; none where some route of it has no homes.
+/// Home regions of a host's routes; empty if any route is unrestricted.
 pub(crate) fn of_host(configuration: Option<&Configuration>, host: Option<&str>) -> Vec<Homes> {
     match (configuration, host) {
         (Some(configuration), Some(host)) => configuration.homes_of_host(host),
--- a/crates/ingress/src/job_calls.rs
+++ b/crates/ingress/src/job_calls.rs
@@ -1,4 +1,4 @@
-//! Calls about jobs, as the interface for callers needs them.
+//! Interface between the HTTP handlers and the job service.
 
 use bytes::Bytes;
 use dappleyard_model::{RequestFacts, Route};
@@ -7,23 +7,19 @@
 
 use crate::outcome::ErrorKind;
 
-/// Answer to a call about jobs.
+/// Reply to a job call.
 pub enum JobReply {
-    /// The job is accepted.
     Accepted,
-    /// The job is ended.
     Ended,
-    /// A page of results.
     Page(Bytes),
-    /// The body of an item.
     Body(Bytes),
-    /// The call is not served.
+    /// The call is refused, with a reason.
     Refused(ErrorKind, String),
 }
 
-/// Calls about jobs, as the interface needs them.
+/// Job operations offered to clients.
 pub trait JobCalls {
-    /// Takes a job.
+    /// Submits a job.
     fn submit<'a>(
         &'a self,
         caller: &'a Caller,
@@ -32,7 +28,7 @@
         body: Bytes,
     ) -> LocalBoxFuture<'a, JobReply>;
 
-    /// Reads results from a position on.
+    /// Reads results from a position, waiting up to `wait_ms` for new ones.
     fn results<'a>(
         &'a self,
         caller: &'a Caller,
@@ -41,7 +37,6 @@
         wait_ms: u64,
     ) -> LocalBoxFuture<'a, JobReply>;
 
-    /// Reads the body of an item.
     fn item<'a>(
         &'a self,
         caller: &'a Caller,
@@ -49,6 +44,5 @@
         item: &'a str,
     ) -> LocalBoxFuture<'a, JobReply>;
 
-    /// Ends a job.
     fn end<'a>(&'a self, caller: &'a Caller, job: &'a str) -> LocalBoxFuture<'a, JobReply>;
 }
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,8 +1,8 @@
-//! Online requests: accept, place, dispatch, relay.
+//! Serving of online requests: admission, placement, dispatch and response streaming.
 //!
-//! A request passes through small filters: `front` reads it, `dispatch` finds a server that runs
-//! it, `relay` passes the answer on. What has run is a sticky fact: only a request that certainly
-//! did not run is refused with a status that says so.
+//! `front` reads a request, `dispatch` finds a server that runs it and `relay` forwards the
+//! response. Once a request may have run, it is never reported as not run: only requests that
+//! certainly did not run are refused with a status that says so.
 
 mod admission;
 mod answer;
--- a/crates/ingress/src/metrics.rs
+++ b/crates/ingress/src/metrics.rs
@@ -1,16 +1,15 @@
-//! Counters of one process.
+//! Prometheus metrics of one process.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use dappleyard_tenants::{QuotaTable, TenantCounts};
 
-/// Upper bounds of the latency histogram, milliseconds.
 const BOUNDS_MS: [u64; 10] = [25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800];
 
-/// Tenants that are counted by name; all others are summed, so that the text does not grow with their
-/// number.
+/// Number of tenants with their own label. All others are summed up, which bounds the size of the
+/// text.
 pub(crate) const NAMED_TENANTS: usize = 20;
-/// Name of that sum; no tenant's, since it holds a blank.
+/// Label of that sum. Tenant names contain no space.
 const OTHER_TENANTS: &str = "all others";
 
 /// Requests by tenant in the Prometheus text format.
@@ -36,86 +35,79 @@
     text
 }
 
-/// Counters and histograms of one process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Requests taken from callers.
+    /// Requests received from clients.
     pub requests: AtomicU64,
-    /// Requests answered with success.
+    /// Requests served successfully.
     pub served: AtomicU64,
-    /// Answers of the node's own that promise "not run".
+    /// Refusals that state that the request did not run.
     pub refused: AtomicU64,
-    /// Requests refused because their tenant had all of its share.
+    /// Requests refused as over the tenant's share.
     pub over_share: AtomicU64,
-    /// Other failures.
     pub failed: AtomicU64,
-    /// Attempts at servers.
+    /// Requests sent to servers.
     pub attempts: AtomicU64,
-    /// Attempts that failed.
     pub attempts_failed: AtomicU64,
-    /// Attempts at servers of other regions.
+    /// Requests placed on servers of other regions.
     pub left_region: AtomicU64,
-    /// Streams taken up at another server.
+    /// Streams resumed at another server.
     pub resumed: AtomicU64,
-    /// Connections opened to servers.
     pub connections: AtomicU64,
-    /// Jobs accepted.
     pub jobs_accepted: AtomicU64,
-    /// Jobs claimed from other nodes.
+    /// Jobs taken over from other nodes.
     pub jobs_claimed: AtomicU64,
-    /// Results committed.
+    /// Item results committed.
     pub results: AtomicU64,
-    /// Runs of items at servers of other regions.
+    /// Runs of batch items on servers of other regions.
     pub items_left_region: AtomicU64,
-    /// Items that went back to wait after a run broke.
+    /// Batch items requeued after a failed run.
     pub items_again: AtomicU64,
-    /// Answers that were ended since their callers did not read them.
+    /// Responses aborted because the client did not read them.
     pub answers_unread: AtomicU64,
-    /// Runs of items that were paused for online requests.
+    /// Runs of batch items preempted by online requests.
     pub items_paused: AtomicU64,
-    /// Items that wait now while their service is closed to items.
+    /// Batch items that wait because their service is closed to them.
     pub items_held_back: AtomicU64,
-    /// Times that a service was closed to items since online requests waited.
+    /// Times a service was closed to batch items because online requests waited.
     pub batch_closings: AtomicU64,
-    /// Requests and items held back from servers that may be cold.
+    /// Requests and items refused by the rate limit of a cold server.
     pub cold_held_back: AtomicU64,
-    /// Questions to servers of how cold they are.
+    /// Health checks of servers of unknown temperature.
     pub health_questions: AtomicU64,
-    /// Servers that are cold now.
+    /// Cold servers.
     pub servers_cold: AtomicU64,
-    /// Servers of which nobody knows whether they are cold.
+    /// Servers of unknown temperature.
     pub servers_unknown: AtomicU64,
-    /// Times that the servers of a zone were doubted together.
+    /// Times the servers of a zone became unreachable together.
     pub zones_suspected: AtomicU64,
-    /// Servers of doubted zones that were tried.
+    /// Probes of servers in suspect zones.
     pub zone_probes: AtomicU64,
-    /// Runs under which a server ended.
+    /// Runs during which the server crashed.
     pub servers_ended: AtomicU64,
-    /// Requests that run no more since servers ended under them, as this node found.
+    /// Requests that this node found to have reached the crash limit.
     pub requests_blamed: AtomicU64,
-    /// Requests that were refused for that.
+    /// Requests refused as over the crash limit.
     pub servers_ended_refused: AtomicU64,
-    /// Times that a server's pace was found to differ much from what was believed.
+    /// Significant changes of a server's pace.
     pub pace_changes: AtomicU64,
-    /// Requests refused since there was no room for them in time.
+    /// Requests refused because they would miss their target.
     pub refused_for_room: AtomicU64,
-    /// Requests that waited for a slot.
     pub room_waits: AtomicU64,
-    /// Requests whose callers were refused before.
+    /// Requests identified as retries after a refusal.
     pub returns_seen: AtomicU64,
-    /// Those of them that were refused for room again.
+    /// Retries that were refused again for the same reason.
     pub returns_refused: AtomicU64,
     first_event: [AtomicU64; BOUNDS_MS.len() + 1],
     first_event_sum_ms: AtomicU64,
 }
 
 impl Metrics {
-    /// Adds one to a counter.
     pub fn count(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes the time to the first event of an answer.
+    /// Records the time to the first event of a response.
     pub fn note_first_event(&self, time_ms: u64) {
         let bucket = BOUNDS_MS.iter().position(|bound| time_ms <= *bound);
         Self::count(&self.first_event[bucket.unwrap_or(BOUNDS_MS.len())]);
@@ -123,7 +115,7 @@
             .fetch_add(time_ms, Ordering::Relaxed);
     }
 
-    /// The figures in the Prometheus text format, and the bytes of answers that the node keeps.
+    /// Renders all metrics in the Prometheus text format.
     pub fn text(&self, answers_kept_bytes: u64) -> String {
         let counters = [
             ("requests", &self.requests),
--- a/crates/ingress/src/node.rs
+++ b/crates/ingress/src/node.rs
@@ -1,4 +1,4 @@
-//! What all threads of a node share.
+//! State shared by all threads of a node.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,66 +18,59 @@
 use crate::shares::{Counted, ShareTable};
 use dappleyard_clock::Instant;
 
-/// Time for which callers may use a directory answer.
 const DIRECTORY_TTL_MS: u64 = 1_500;
 
-/// One node. Locks are taken one at a time; none is held across an await.
+/// A node. At most one lock is held at a time, and none across an await.
 pub struct Node {
-    /// Settings at the start.
     pub settings: NodeSettings,
-    /// Number of this life of the process.
+    /// Incarnation number of the process.
     pub life: u64,
-    /// Configuration and servers.
+    /// Known configuration and servers.
     pub view: Arc<View>,
-    /// Work at servers.
+    /// Load of the servers.
     pub loads: Arc<LoadTable>,
-    /// How long servers take to answer.
     pub times: AnswerTimes,
-    /// What is learned of the room of services.
+    /// Estimates of the services' capacity.
     pub rooms: RoomTable,
-    /// Quotas of tenants.
     pub quotas: Arc<QuotaTable>,
-    /// What each tenant may have of a service that is short of room.
+    /// Tenants' shares of overloaded services.
     pub shares: ShareTable,
-    /// Requests under which servers ended.
+    /// Requests during which servers crashed.
     pub crashes: Arc<CrashTable>,
-    /// The other nodes.
     pub peers: Arc<PeerTable>,
-    /// Whether the store answers this node's own calls.
+    /// Whether the store responds to this node.
     pub health: Arc<StoreHealth>,
-    /// Formats.
+    /// Message formats of the deployment.
     pub dialect: Arc<dyn Dialect>,
-    /// Decision records.
+    /// Structured log of decisions.
     pub log: Arc<EventLog>,
-    /// Counters.
     pub metrics: Arc<Metrics>,
-    /// The node takes no new work and will end.
+    /// The node is shutting down.
     pub leaving: Arc<AtomicBool>,
-    /// Requests of callers under way.
+    /// Client requests in flight.
     pub under_way: AtomicU64,
-    /// Bytes of answers that are kept now for callers who have not read them.
+    /// Response bytes buffered for clients.
     pub kept_bytes: AtomicU64,
-    /// When the last request of a caller came.
+    /// Arrival of the last client request.
     pub last_request: Mutex<Instant>,
 }
 
 impl Node {
-    /// Its figures in the Prometheus text format.
+    /// Metrics in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
         self.metrics.text(self.kept_bytes.load(Ordering::Relaxed))
     }
 
-    /// Whether the node says that it takes requests.
+    /// Whether the node reports itself ready for requests.
     pub fn is_ready(&self) -> bool {
         self.view.is_ready() && !self.is_leaving()
     }
 
-    /// Whether the node will end.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Whose request it is, by the key that came with it.
+    /// Identifies the sender of a request by its key.
     pub fn identify(
         &self,
         configuration: &Configuration,
@@ -92,7 +85,8 @@
         identify(configuration, public, key, standing, bounds)
     }
 
-    /// Answer to a caller of a zone that asks where to go for a host; `None` when this node cannot tell.
+    /// Directory response for a client of a zone that asks for a host; `None` if no ready node is
+    /// known.
     pub fn resolve(&self, host: Option<&str>, zone: Option<&str>) -> Option<bytes::Bytes> {
         let mut nodes = self.peers.front_nodes();
         let isolated = self
@@ -117,14 +111,14 @@
         let answer = |regions| directory::addresses_for(Asked { zone, regions }, ground, &nodes);
         let mut addresses = answer(regions.as_ref());
         if addresses.is_empty() && regions.is_some() {
-            // Any node tells the caller when to come back.
+            // Any node can tell the client when to retry.
             addresses = answer(None);
         }
         let ttl_ms = DIRECTORY_TTL_MS.min(self.settings.bounds.directory_ttl_ms);
         Some(self.dialect.resolve_answer(&addresses, ttl_ms))
     }
 
-    /// This node as callers may be sent to it.
+    /// This node's own directory entry.
     fn own_front(&self) -> FrontNode {
         FrontNode {
             address: self.settings.listen.front.to_string(),
@@ -136,10 +130,10 @@
     }
 }
 
-/// Counts a request of a caller as under way until it is dropped.
+/// Counts a client request as in flight until dropped.
 pub(crate) struct UnderWay {
     node: Arc<Node>,
-    /// Its part of its tenant's share.
+    /// The request's entry in its tenant's share.
     counted: Option<Counted>,
 }
 
@@ -153,12 +147,11 @@
         }
     }
 
-    /// From now on the request counts towards a share too.
     pub(crate) fn count(&mut self, counted: Option<Counted>) {
         self.counted = counted;
     }
 
-    /// The answer has begun.
+    /// Marks the start of the response.
     pub(crate) fn begin_answer(&mut self) {
         if let Some(counted) = &mut self.counted {
             counted.begin_answer();
@@ -172,7 +165,7 @@
     }
 }
 
-/// Writes a record when a request is dropped before its end, which is how a caller's leaving shows.
+/// Logs a client disconnect if a request is dropped before its end.
 pub(crate) struct UntilEnd {
     node: Arc<Node>,
     request: String,
@@ -188,7 +181,7 @@
         }
     }
 
-    /// The request ended, and another record says how.
+    /// The request ended and is logged elsewhere.
     pub(crate) fn end(mut self) {
         self.ended = true;
     }
--- a/crates/ingress/src/open_slots.rs
+++ b/crates/ingress/src/open_slots.rs
@@ -1,4 +1,4 @@
-//! Slots of a service that online requests may have, and how many they have.
+//! Counts the slots of a service and the online requests that use them.
 
 use std::sync::Arc;
 
@@ -9,21 +9,19 @@
 use crate::homes::reached;
 use crate::node::Node;
 
-/// Servers that are looked at for one sum; of more, as many are drawn, so that a look costs the same however many
-/// there are.
+/// Servers that are examined at most; larger fleets are sampled to bound the cost.
 const SERVERS_SUMMED: usize = 64;
 
-/// Slots of a service, and the online requests there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct OpenSlots {
-    /// Slots of the servers that answer.
+    /// Slots of healthy servers.
     pub(crate) slots: u32,
-    /// Online requests under way there.
+    /// Online requests in flight at these servers.
     pub(crate) online: u32,
 }
 
-/// Sums up the servers that requests bound to some homes may go to. What waits is told of a whole region, so the servers
-/// that are looked at stand for all of them there.
+/// Sums up the servers that requests with these home regions may use. Queue lengths are reported
+/// per region, so the sampled servers are scaled up to the whole region.
 pub(crate) fn open_slots(node: &Node, servers: &ServerSet, homes: &Homes) -> OpenSlots {
     let (places, ways) = (&node.settings.places, node.view.ways());
     let allowed = |server: &&Arc<ServerRecord>| match homes.bind() {
--- a/crates/ingress/src/pace_evidence.rs
+++ b/crates/ingress/src/pace_evidence.rs
@@ -1,4 +1,4 @@
-//! What a node hears and measures of how long work takes at servers.
+//! Records the pace of servers, as reported by them and as measured from event gaps.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 
 impl Upstreams {
-    /// Takes what a server says of how long work takes there.
+    /// Records the pace that a server reports.
     pub(crate) fn note_told_pace(&self, server: &ServerRecord, load: ServerLoad) {
         let Some(pace) = load.work_percent.and_then(Pace::of_percent) else {
             return;
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Takes the pauses between events that this node measured at a server. Where servers do not tell how long work
-    /// takes, longer pauses may be load alone, which is counted already; so nothing is made of them.
+    /// Records a measured event gap. For servers that report no pace it is ignored, since longer
+    /// gaps may result from load, which already counts.
     pub(crate) fn note_pauses(&self, server: &ServerRecord, pause: Duration) {
         if !self.node.loads.tells_pace(&server.id) {
             return;
--- a/crates/ingress/src/patience.rs
+++ b/crates/ingress/src/patience.rs
@@ -1,20 +1,20 @@
-//! How long a server may be silent.
+//! Limits on how long a server may send nothing.
 
 use std::time::Duration;
 
 use dappleyard_cluster::Pace;
 
-/// Silence of a server that is borne by what waits for it.
+/// Silence limits of one wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
-    /// Silence after which the server is doubted, while what waits goes on waiting.
+    /// The server becomes suspect, but the wait continues.
     pub notice: Duration,
-    /// Silence after which the attempt is given up; `None` never.
+    /// The attempt is abandoned; `None` for never.
     pub leave: Option<Duration>,
 }
 
 impl Patience {
-    /// Gives the attempt up after some silence, and doubts the server at the same time.
+    /// Abandons the attempt and marks the server as suspect at the same time.
     pub fn leave_after(silence: Duration) -> Self {
         Self {
             notice: silence,
@@ -22,7 +22,6 @@
         }
     }
 
-    /// Doubts the server after some silence already.
     pub fn notice_after(self, silence: Duration) -> Self {
         Self {
             notice: silence,
@@ -30,7 +29,7 @@
         }
     }
 
-    /// Never gives the attempt up where it may not run again.
+    /// Keeps the attempt unless the request may run again.
     pub fn leaving_if(self, may_run_again: bool) -> Self {
         Self {
             leave: self.leave.filter(|_| may_run_again),
@@ -38,14 +37,15 @@
         }
     }
 
-    /// Silence after which a server is doubted at which work takes long: so much longer, up to some silence. The
-    /// attempt is given up no later for it, so that what may run again leaves such a server.
+    /// Time until a server of this pace becomes suspect: longer for a slow server, up to `most`.
+    /// The time until the attempt is abandoned is unaffected, so repeatable requests leave slow
+    /// servers as early as others.
     pub fn notice_at(self, pace: Pace, most: Duration) -> Duration {
         let stretched = self.notice.mul_f64(pace.times().max(1.0));
         stretched.min(most).max(self.notice)
     }
 
-    /// Silence after which the server is looked at first.
+    /// Time until the first check.
     pub(crate) fn first_look(self) -> Duration {
         self.leave
             .map_or(self.notice, |leave| leave.min(self.notice))
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -1,4 +1,4 @@
-//! Choice of a server. Pure: what it rests on is passed in.
+//! Server selection by weight. Free of I/O; all inputs are passed in.
 
 use std::sync::Arc;
 
@@ -8,51 +8,47 @@
 use rand::seq::IndexedRandom;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Prompt tokens that weigh as much as one request under way.
+/// Unread prompt tokens that weigh as much as one request.
 const TOKENS_PER_UNIT: f64 = 1_000.0;
-/// Weight of shared prompt parts that the server keeps.
+/// Bonus of the server that caches the shared prompt parts.
 const AFFINITY: f64 = 30.0;
-/// Shared tokens from which a prompt has a home server.
+/// Minimum number of shared tokens for prompt affinity.
 const AFFINITY_TOKENS: u32 = 1_500;
-/// Weight of each request above the server's slots.
 const OVER_SLOTS: f64 = 6.0;
-/// Weight of a server that was found silent or broken a moment ago.
 const SUSPECT: f64 = 200.0;
-/// Milliseconds of excess time to the first event that weigh as much as one request.
+/// Excess time to the first event, in milliseconds, that weighs as much as one request.
 const EXCESS_MS_PER_UNIT: f64 = 12.0;
-/// Weights of the way to a server. The first event comes later by as much as the way is longer, so its time
-/// weighs like any other by which that event comes late.
+/// Weights of the network path. Its latency delays the first event and weighs as much as any other
+/// delay.
 const WAY: WayWeights = WayWeights {
     other_zone: 6.0,
     ms_per_unit: EXCESS_MS_PER_UNIT,
 };
-/// Remaining milliseconds of a cold start that weigh as much as one request.
+/// Remaining warm-up time, in milliseconds, that weighs as much as one request.
 const COLD_MS_PER_UNIT: f64 = 100.0;
-/// Weight of a server that is cold, where its rate is bounded: less than the way to another zone, so that a zone that
-/// returns cold takes part in its own work at once.
+/// Weight of a cold server under a rate limit. It is smaller than that of another zone, so that a
+/// restored zone gets its own requests at once.
 const COLD: f64 = 3.0;
-/// Weight of a request's own way to its first event at a server of the usual pace: what a slower server
-/// adds when nothing is ahead.
+/// Weight of the processing before the first event at the usual pace. Scales the penalty of an idle
+/// slow server.
 const FIRST_EVENT: f64 = 5.0;
 
-/// Servers of the own zone that one request weighs in a large fleet, drawn at random.
+/// Servers of the own zone sampled per request in a large fleet.
 const NEAR_SAMPLED: usize = 4;
-/// Servers of other zones that it weighs besides, and as many of other regions.
+/// Servers sampled of the other zones, and again of the other regions.
 const FAR_SAMPLED: usize = 2;
 
-/// What matters of a prompt for placement.
+/// Properties of a prompt that matter for placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PromptShape {
-    /// Hash over the shared parts, or `None` when they are too short to matter.
+    /// Hash of the shared parts; `None` if they are too short for affinity.
     pub shared: Option<u64>,
-    /// Tokens of the shared parts.
     pub shared_tokens: u32,
-    /// Tokens of the whole prompt.
     pub tokens: u32,
 }
 
 impl PromptShape {
-    /// The shape of a prompt; its last part belongs to the request itself.
+    /// All parts but the last are treated as shared.
     pub fn new(parts: &[PromptPart], tokens: u32) -> Self {
         let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
         let shared_tokens = shared.iter().map(|part| part.tokens).sum();
@@ -67,7 +63,7 @@
         }
     }
 
-    /// Tokens that a server has to read, when it keeps the shared parts or not.
+    /// Tokens that a server has to process, given whether it caches the shared parts.
     pub fn unread(&self, kept: bool) -> u32 {
         match kept {
             true => self.tokens.saturating_sub(self.shared_tokens),
@@ -76,18 +72,17 @@
     }
 }
 
-/// One server that could run a request.
+/// A server that could run a request.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// The server.
     pub server: Arc<ServerRecord>,
-    /// Its load over all nodes.
+    /// Load caused by all nodes.
     pub load: LoadSummary,
 }
 
-/// Some servers at random of each distance, and the home of the prompt. Loads are known with a delay; were
-/// the least loaded of all servers chosen, all nodes of a large fleet would choose the same one until its
-/// load is told.
+/// Draws a random sample of servers per distance and adds the affinity server. Load information is
+/// delayed: if every node chose the least loaded of all servers, they would all choose the same
+/// one.
 pub fn sample<'a>(
     servers: &[&'a Arc<ServerRecord>],
     ways: &Ways,
@@ -106,7 +101,8 @@
         let there: Vec<_> = there
             .filter(|server| ways.distance(&server.zone) == distance)
             .collect();
-        // A zone without servers, as one that is evacuated, must not choose among fewer than the others do.
+        // If the own zone has no servers, for example while evacuated, its share of the sample goes
+        // to the next distance.
         undrawn += most;
         let most = match chosen.is_empty() {
             true => undrawn,
@@ -119,14 +115,13 @@
     chosen
 }
 
-/// Whether a candidate may be chosen out of a sample. A full one may: were all servers weighed when the
-/// sample is full, all nodes would choose the same one until its load is told, and a wave of arrivals
-/// that fills the fleet would pile up at it.
+/// Whether a candidate may be chosen from a sample. Full servers may: if nodes considered all
+/// servers whenever a sample is full, they would all choose the same one during a burst.
 pub fn is_sound(candidate: &Candidate) -> bool {
     !candidate.load.suspect
 }
 
-/// Online requests above the slots, in the mean of some candidates; less than zero where slots are free.
+/// Mean number of online requests beyond the slots; negative if slots are free.
 pub fn mean_over(candidates: &[Candidate]) -> f64 {
     let over = candidates
         .iter()
@@ -134,16 +129,16 @@
     over.sum::<f64>() / candidates.len().max(1) as f64
 }
 
-/// The server that keeps the shared parts of a prompt: the highest hash of both.
+/// The server that caches the shared prompt parts, by rendezvous hashing.
 pub fn home(servers: &[Arc<ServerRecord>], shared: u64) -> Option<&Arc<ServerRecord>> {
     servers
         .iter()
         .max_by_key(|server| xxh3_64_with_seed(server.id.as_bytes(), shared))
 }
 
-/// Weight of the work at a candidate and of the time that it takes there. At a server of thrice the usual pace each
-/// request under way counts for three, so that it gets a third; but a free slot never counts for more than a full
-/// server, since a request there begins at once, and a queue is longer than the news of it says.
+/// Weight of a candidate's load, scaled by its pace: at a third of the speed each request counts
+/// three times. A free slot never weighs more than a full server, since a request starts there at
+/// once.
 fn work(candidate: &Candidate) -> f64 {
     let load = &candidate.load;
     let slots = f64::from(candidate.server.slots);
@@ -158,13 +153,13 @@
     counted + unread * pace + over * OVER_SLOTS * pace.max(1.0) + FIRST_EVENT * (pace - 1.0)
 }
 
-/// Weight of a candidate; the least is best.
+/// Total weight of a candidate; the lowest is chosen.
 fn weight(candidate: &Candidate, ways: &Ways, is_home: bool) -> f64 {
     let load = &candidate.load;
     let mut weight = work(candidate);
     weight += load.excess_ms / EXCESS_MS_PER_UNIT;
     weight += match load.temperature {
-        // Where a cold server bears a bounded rate, that bound keeps the rest away.
+        // The rate limit keeps further requests away.
         Some(Temperature::Warm) => 0.0,
         Some(_) => COLD,
         None => candidate.server.cold_left_ms as f64 / COLD_MS_PER_UNIT,
@@ -179,21 +174,21 @@
     weight
 }
 
-/// Whether a request would begin at once at a candidate.
+/// Whether a request would start at once.
 pub fn has_slot(candidate: &Candidate) -> bool {
     is_sound(candidate) && candidate.load.online < candidate.server.slots
 }
 
-/// Weight of the wait at a candidate without a free slot. Items count for nothing, since they give way.
+/// Weight of the queue at a candidate. Batch items do not count, since they are preempted.
 fn wait(candidate: &Candidate) -> f64 {
     let ahead = f64::from(candidate.load.online) + 1.0 - f64::from(candidate.server.slots);
     ahead.max(0.0) * (1.0 + OVER_SLOTS) * candidate.load.pace.times().max(1.0)
 }
 
-/// The candidates among which a request is placed. While one of its own region has a free slot, those that
-/// have one: bytes between regions are dear whatever the way takes, so a request does not leave for a server
-/// that is merely less busy. Otherwise those of other regions with a free slot, where the way there takes
-/// less than the shortest wait here; else all.
+/// Limits the candidates by region: those with a free slot in the own region, plus those with a
+/// free slot elsewhere whose network path costs less than the shortest queue here. Returns all
+/// candidates if there is none. Traffic between regions is expensive, so a request does not leave
+/// for a server that is merely less busy.
 pub fn within_reach(candidates: Vec<Candidate>, ways: &Ways) -> Vec<Candidate> {
     if !ways.has_regions() {
         return candidates;
@@ -203,7 +198,7 @@
         .iter()
         .filter(|held| is_near(held) && is_sound(held));
     let shortest_wait = sound.map(wait).fold(f64::INFINITY, f64::min);
-    // The way within the region weighs nothing here: it is within every wait.
+    // Paths within the region are ignored, since every queue here involves one.
     let serves = |held: &Candidate| {
         let way = ways.weigh_time(&held.server.zone, WAY);
         has_slot(held) && (is_near(held) || way < shortest_wait)
@@ -214,7 +209,8 @@
     }
 }
 
-/// Chooses the candidate of least weight, the first one among equals; `home` names the server that keeps the prompt.
+/// Returns the candidate of least weight, the first among equals. `home` is the ID of the affinity
+/// server.
 pub fn choose<'a>(
     candidates: &'a [Candidate],
     ways: &Ways,
--- a/crates/ingress/src/placing.rs
+++ b/crates/ingress/src/placing.rs
@@ -1,4 +1,5 @@
-//! Finds the server for the next attempt of a request, among those that may take it now.
+//! Selects the server for the next attempt of a request, and queues the request while none is
+//! available.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,36 +22,36 @@
 };
 use crate::room::{self, Looks};
 
-/// Servers that are asked for one request, those that did not run it included.
+/// Maximum number of servers tried per request.
 const MOST_ASKED: usize = 6;
-/// Time between two looks for a slot, on the mean: loads are told as often.
+/// Mean interval between checks for a slot; loads are exchanged as often.
 const HOLD_TICK: Duration = Duration::from_millis(20);
 
-/// Where the next attempt of a request goes.
+/// The server selected for the next attempt.
 pub(crate) struct Placement {
     pub(crate) server: Arc<ServerRecord>,
-    /// The server keeps the shared parts of the prompt.
+    /// The server caches the shared prompt parts.
     pub(crate) kept: bool,
     pub(crate) load: LoadSummary,
-    /// Online requests above the slots, in the mean of the servers that were weighed.
+    /// Mean number of online requests beyond the slots, over the candidates.
     mean_over: f64,
-    /// Servers that were weighed.
+    /// Number of candidates.
     candidates: usize,
 }
 
-/// Why a request gets no server.
+/// Why no server was selected.
 pub(crate) enum NoPlace {
-    /// No server takes it.
+    /// No server is available.
     NoServer,
-    /// Others can be in time where it cannot.
+    /// The request would miss its target.
     NoRoom {
-        /// When its caller comes back best.
+        /// Suggested retry delay.
         retry_after: Duration,
     },
 }
 
-/// Finds the server for the next attempt, and waits for a slot while others come first. A stream that has
-/// begun goes on at once.
+/// Selects the server for the next attempt, waiting for a slot if necessary. A stream that has
+/// already started does not wait.
 pub(crate) async fn find_place(
     upstreams: &Upstreams,
     request: &Request,
@@ -68,7 +69,8 @@
     found.ok_or(NoPlace::NoServer)
 }
 
-/// The same where requests that cannot be in time are refused; `None` when this node knows too little for that.
+/// Selection with load shedding: requests that would miss their target are refused. Returns `None`
+/// if this node has too little information for that.
 async fn find_in_room(
     upstreams: &Upstreams,
     request: &Request,
@@ -86,7 +88,7 @@
                     log_placed(upstreams, request, &placement);
                     return Some(Ok(placement));
                 }
-                // It waits for what a cold server bears, not for a slot.
+                // It waits for the rate limit of cold servers, not for a slot.
                 None if !is_due(request) && is_held_back(upstreams, request) => (HOLD_TICK, false),
                 None => return Some(Err(NoPlace::NoServer)),
             },
@@ -109,20 +111,20 @@
     }
 }
 
-/// Whether a request waits no longer for anything.
+/// Whether a request has waited as long as it may.
 fn is_due(request: &Request) -> bool {
     let patience = Duration::from_millis(request.route.patience_ms);
     request.arrived.elapsed() >= due_age(patience)
 }
 
-/// The same where every request is served, by its age.
+/// Selection without load shedding: every request is served, in an order set by its age.
 async fn find_by_age(upstreams: &Upstreams, request: &Request, begins: bool) -> Option<Placement> {
     let patience = Duration::from_millis(request.route.patience_ms);
     let target = request.route.first_event_target();
     loop {
         let remaining = request.remaining();
         if remaining.is_zero() {
-            // Nothing is sent any more, and the caller may be told so.
+            // Nothing will be sent, so the client may be told that the request did not run.
             return None;
         }
         let standing = standing(request.arrived.elapsed(), target, patience);
@@ -133,7 +135,7 @@
             tokio::time::sleep(HOLD_TICK.min(remaining)).await;
             continue;
         };
-        // A server without work takes a request from anybody.
+        // An idle server is used at once.
         let idle = placement.load.online == 0;
         let allowance = upstreams.allowance();
         let admitted = allowance.admits(standing, placement.mean_over, rand::random());
@@ -141,7 +143,7 @@
             log_placed(upstreams, request, &placement);
             return Some(placement);
         }
-        // Not all at the same time: each would see the same free slot.
+        // Jitter, so that waiting requests do not all find the same free slot.
         let pause = HOLD_TICK.mul_f64(rand::random_range(0.5..1.5));
         tokio::time::sleep(pause.min(remaining)).await;
     }
@@ -170,7 +172,7 @@
     });
 }
 
-/// The server for the next attempt as the loads are known now.
+/// Selects a server from the current loads, without waiting.
 fn place(upstreams: &Upstreams, request: &Request) -> Option<Placement> {
     let node = upstreams.node();
     if request.asked.len() >= MOST_ASKED {
@@ -210,7 +212,7 @@
     };
     let free_near = |held: &Candidate| ways.is_near(&held.server.zone) && has_slot(held);
     if large && ways.has_regions() && !candidates.iter().any(free_near) {
-        // Before the request leaves its region, all servers there are looked at.
+        // Checks all servers of the region before the request leaves it.
         let free = open.iter().copied();
         let free: Vec<_> = free
             .filter(|server| free_near(&candidate(server)))
@@ -233,8 +235,8 @@
     })
 }
 
-/// Where the last run of a request happens that it may end a server with: at a sound server with a free slot where
-/// there is one, else at a sound one, else at any.
+/// Selects a server for the last run of a request that may crash it: a healthy one with a free
+/// slot, else a healthy one, else any.
 fn place_apart(node: &Node, request: &Request, open: &[&Arc<ServerRecord>]) -> Option<Placement> {
     let candidates = open.iter().map(|server| Candidate {
         server: (*server).clone(),
@@ -257,7 +259,7 @@
     })
 }
 
-/// Whether some server could take the request but for what this node may send to it while it may be cold.
+/// Whether only the limits on cold servers keep a request from some server.
 fn is_held_back(upstreams: &Upstreams, request: &Request) -> bool {
     let node = upstreams.node();
     let Some(gate) = ColdGate::of(node, &request.service) else {
--- a/crates/ingress/src/read_ahead.rs
+++ b/crates/ingress/src/read_ahead.rs
@@ -1,10 +1,10 @@
-//! Reads answers on beside their callers.
+//! Buffers responses for clients that read slowly.
 //!
-//! The load: some hundred callers that read nothing for seconds, or a byte now and then, before a node of little memory. A
-//! server that had to keep their answers would cut them, and fall over by its memory; so would the node if it kept all. So
-//! the node keeps a bounded number of bytes for each answer, and a bounded sum. At a bound it stops reading that answer; an
-//! answer that stays there is ended before its server would cut it, and what is kept of it is still delivered. An
-//! answer of which nothing is kept is always read: a caller in time takes nothing of what others have used up.
+//! Servers abort responses that are not read for some seconds, and buffering without a limit would
+//! exhaust the memory of the node. Each response therefore has a limited buffer, and so have all
+//! responses together. At a limit the node stops reading the response; if the client reads nothing
+//! for a further while, the response is ended and the client gets only what is buffered. A response
+//! with an empty buffer is always read, so slow clients cannot stall fast ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -24,42 +24,42 @@
 use crate::node::Node;
 use crate::relay::Cut;
 
-/// Part of a machine's memory that kept answers may take.
+/// Fraction of the machine's memory for buffered responses, as a divisor.
 const MEMORY_PART: usize = 8;
-/// Answers that may be kept up to their own bound before the sum is reached.
+/// Number of full buffers that reach the total limit.
 const FULL_ANSWERS: usize = 64;
-/// Longest time for which a server waits at a bound while the caller reads nothing. Servers cut answers that lie
-/// unread for some seconds.
+/// How long a response may stay at a limit while the client reads nothing. Servers abort unread
+/// responses after some seconds.
 pub const LONGEST_STOP: Duration = Duration::from_millis(1_000);
-/// Time between two looks at the sum, which other answers make smaller.
+/// Interval for rechecking the total, which other responses may reduce.
 const STOP_TICK: Duration = Duration::from_millis(50);
-/// Bytes that are handed to the caller's connection at once, which keeps another copy of them.
+/// Maximum chunk size. The client's connection holds another copy of a chunk.
 const TAKE_BYTES: usize = 16 * 1024;
-/// Bytes of the least chunk: most answers to callers in time are kept for a moment only, an event at a time.
+/// Minimum chunk size. Most responses are forwarded event by event and are buffered only briefly.
 const LEAST_CHUNK_BYTES: usize = 512;
 
-/// What keeps a node from reading an answer on.
+/// The limit that stops a response from being read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Bound {
-    /// Bytes kept of this answer.
+    /// Limit per response.
     #[display("answer")]
     Answer,
-    /// Bytes kept of all answers.
+    /// Limit of the node.
     #[display("node")]
     Node,
 }
 
-/// How much of answers a node keeps for callers who do not read, bytes.
+/// Limits on buffered response data, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeptBounds {
-    /// Of one answer.
+    /// Per response.
     pub answer_bytes: usize,
-    /// Of all answers.
+    /// For all responses together.
     pub node_bytes: usize,
 }
 
 impl KeptBounds {
-    /// Bounds for a machine.
+    /// Derives the limits from a machine's memory.
     pub fn of(resources: Resources) -> Self {
         let memory_bytes = resources.memory_mb as usize * 1024 * 1024;
         let node_bytes = memory_bytes / MEMORY_PART;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The bound that is reached, when so much of one answer and so much of all is kept.
+    /// The limit reached with these amounts buffered, if any.
     pub fn reached(&self, answer_bytes: usize, node_bytes: usize) -> Option<Bound> {
         if answer_bytes == 0 {
             return None;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Bytes of an answer in their order, in chunks that are let go one by one as they are taken.
+/// A byte queue in chunks; each chunk is freed when it is taken.
 #[derive(Debug, Default)]
 pub struct Chunks {
     chunks: VecDeque<Vec<u8>>,
@@ -89,7 +89,7 @@
 }
 
 impl Chunks {
-    /// Adds bytes at the end.
+    /// Appends bytes.
     pub fn push(&mut self, mut piece: &[u8]) {
         while !piece.is_empty() {
             let chunk = self.open_chunk(piece.len());
@@ -100,11 +100,11 @@
         }
     }
 
-    /// The last chunk, or a new one when that is full. A chunk never grows.
+    /// The last chunk with free capacity, or a new one. Chunks are never reallocated.
     fn open_chunk(&mut self, needed: usize) -> &mut Vec<u8> {
         let last = self.chunks.back();
         if last.is_none_or(|chunk| chunk.len() == chunk.capacity()) {
-            // What lies already is likely to be followed by more.
+            // Grows with the backlog, since a queue is likely to grow further.
             let size = last.map_or(needed, |chunk| needed.max(2 * chunk.capacity()));
             let chunk = Vec::with_capacity(size.clamp(LEAST_CHUNK_BYTES, TAKE_BYTES));
             self.held_bytes += chunk.capacity();
@@ -114,25 +114,25 @@
         &mut self.chunks[end]
     }
 
-    /// Takes the first chunk.
+    /// Removes the first chunk.
     pub fn take(&mut self) -> Option<Bytes> {
         let chunk = self.chunks.pop_front()?;
         self.held_bytes -= chunk.capacity();
         Some(Bytes::from(chunk))
     }
 
-    /// Memory that the chunks take, bytes.
+    /// Allocated capacity in bytes.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 }
 
-/// What is kept of one answer.
+/// Buffer of one response, shared by its reader and the client's stream.
 struct Kept {
     node: Arc<Node>,
     bounds: KeptBounds,
     chunks: RefCell<Chunks>,
-    /// How the answer ended, once all that was read of it is kept.
+    /// Result of the response, set after its last piece is buffered.
     end: RefCell<Option<Result<(), Cut>>>,
     filled: Notify,
     taken: Notify,
@@ -169,7 +169,8 @@
             .reached(self.chunks.borrow().held_bytes(), all as usize)
     }
 
-    /// Waits until the answer may be read on; the bound at which it stays otherwise, while its caller reads nothing.
+    /// Waits until the response may be read further. Fails with the limit if the client reads
+    /// nothing for too long.
     async fn room(&self) -> Result<(), Bound> {
         let mut since = Instant::now();
         while let Some(bound) = self.reached() {
@@ -177,7 +178,7 @@
                 return Err(bound);
             }
             self.stopped.set(true);
-            // Whether something was taken or not, the bounds are looked at again.
+            // On a timeout too: other responses may have freed space.
             let taken = tokio::time::timeout(STOP_TICK, self.taken.notified()).await;
             if taken.is_ok() {
                 since = Instant::now();
@@ -193,7 +194,7 @@
     }
 }
 
-/// Tells the caller how the reading ended, in whichever way that is.
+/// Reports the end of reading to the client's stream, even if the reader is dropped.
 struct Ending {
     kept: Rc<Kept>,
     end: Option<Result<(), Cut>>,
@@ -201,24 +202,25 @@
 
 impl Drop for Ending {
     fn drop(&mut self) {
-        // A reader that did not come to an end leaves a cut answer.
+        // A reader dropped before the end leaves a truncated response.
         let end = self.end.take().unwrap_or(Err(Cut));
         *self.kept.end.borrow_mut() = Some(end);
         self.kept.filled.notify_one();
     }
 }
 
-/// Whether an answer was not read for a time since a bound was reached: what comes next has lain by then.
+/// Set when reading stopped at a limit: the next piece may have been delayed by the node rather
+/// than the server.
 pub type Stopped = Rc<Cell<bool>>;
 
-/// An answer that is read on beside its caller. Dropping it ends the reading.
+/// A response that is read in a background task, which ends when this is dropped.
 pub struct ReadAhead {
     kept: Rc<Kept>,
     reader: tokio::task::JoinHandle<()>,
 }
 
 impl ReadAhead {
-    /// Begins to read the pieces of the answer to a request. It sets `stopped` at each stop.
+    /// Starts to read the pieces of a request's response. Sets `stopped` at each stop.
     pub fn start(
         node: Arc<Node>,
         request: String,
@@ -238,7 +240,7 @@
         Self { kept, reader }
     }
 
-    /// The next bytes for the caller; `None` at the end of the answer. Fails where the answer was cut.
+    /// The next bytes for the client; `None` at the end. Fails if the response was truncated.
     pub async fn next(&self) -> Result<Option<Bytes>, Cut> {
         loop {
             if let Some(piece) = self.kept.take() {
--- a/crates/ingress/src/refusing.rs
+++ b/crates/ingress/src/refusing.rs
@@ -1,4 +1,4 @@
-//! What a caller that is not served is told, and what is noted of it.
+//! Refuses requests, with response, metrics and log record.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use crate::outcome::{ErrorKind, promises_not_run};
 
-/// Why a request has no route: there is none, or this node may not know of it yet.
+/// Distinguishes a missing route from a configuration that may be outdated.
 pub(crate) fn without_route(node: &Node, configuration: &Configuration) -> Refusal {
     let age = node.view.configuration_age();
     let in_force = Duration::from_millis(node.settings.bounds.config_apply_ms);
@@ -25,14 +25,13 @@
     Refusal::new(kind, known_as(node, configuration))
 }
 
-/// A request that did not run does not count against its tenant's quota.
+/// Returns the quota of a request that did not run.
 pub(crate) fn give_back(node: &Node, request: &Request) {
     if let Some(tenant) = request.caller.tenant().filter(|_| request.ran == Ran::No) {
         node.quotas.give_back(&tenant.name);
     }
 }
 
-/// Refuses a request, and counts and records it.
 pub(crate) fn refuse(node: &Arc<Node>, id: &str, refused: &Refusal) -> HttpResponse {
     let kind = refused.kind;
     let promised = promises_not_run(kind.status());
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on as it comes, and takes a broken stream up at another server.
+//! Forwards responses to clients and resumes broken streams at another server.
 
 use std::time::Duration;
 
@@ -18,15 +18,14 @@
 use crate::read_ahead::{ReadAhead, Stopped};
 use dappleyard_clock::Instant;
 
-/// Silence of a server after which a stream is taken up elsewhere.
 const STREAM_PATIENCE: Duration = Duration::from_millis(900);
 
-/// The answer cannot be finished; the caller's connection is closed without its end.
+/// The response cannot be completed. The client's connection is closed without the end of the body.
 #[derive(Debug, Display, Error)]
 #[display("the answer was cut")]
 pub struct Cut;
 
-/// The body of an answer as it comes.
+/// Streams the response body.
 pub(crate) fn body(
     upstreams: Upstreams,
     request: Request,
@@ -49,7 +48,7 @@
                 }
                 Err(cut) => {
                     until_end.end();
-                    // What was passed on before is flushed first.
+                    // Lets the pieces yielded before be flushed.
                     tokio::task::yield_now().await;
                     yield Err(cut);
                     break;
@@ -65,13 +64,13 @@
     begun: Option<Begun>,
     splitter: EventSplitter,
     pauses: AnswerPauses,
-    /// The answer was not read for a time.
+    /// Set when the response was not read for a while.
     stopped: Stopped,
     last_event: Option<u64>,
     events: u64,
-    /// When the present run brought its first event.
+    /// First event of the current run.
     output_since: Option<Instant>,
-    /// Time from the request's coming to its first event, milliseconds.
+    /// From the arrival of the request, in milliseconds.
     first_event_ms: Option<u64>,
     ended: bool,
 }
@@ -94,7 +93,6 @@
         }
     }
 
-    /// The answer as it comes from servers.
     fn into_pieces(mut self) -> impl Stream<Item = Result<Bytes, Cut>> {
         async_stream::try_stream! {
             while let Some(piece) = self.next().await? {
@@ -103,7 +101,7 @@
         }
     }
 
-    /// The next bytes for the caller; `None` at the end of the answer.
+    /// The next bytes for the client; `None` at the end of the response.
     async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
         loop {
             if let Some(event) = self.splitter.next_event() {
@@ -151,7 +149,7 @@
         };
         let node = upstreams.node();
         node.loads.heard(&server.id);
-        // What has lain during a stop tells nothing of the server.
+        // A gap that contains a stop of the reader says nothing about the server.
         let has_lain = self.stopped.take();
         if self.events > 0 && piece.is_some() && !has_lain {
             let (service, pause) = (&self.request.service, since.elapsed());
@@ -163,7 +161,6 @@
         Ok(piece)
     }
 
-    /// Silence of the server that is borne.
     fn patience(&self) -> Patience {
         let request = &self.request;
         let times = &self.upstreams.node().times;
--- a/crates/ingress/src/room.rs
+++ b/crates/ingress/src/room.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the room of each service, and the one place at which a request asks for a part of it.
+//! Capacity estimates of services, and admission of requests based on them.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -20,22 +20,20 @@
 use crate::node::Node;
 use crate::open_slots::{OpenSlots, open_slots};
 
-/// Time for which a service's room holds once it was summed up: own work begun meanwhile is little.
+/// How long a computed capacity is reused; few own requests start in the meantime.
 const ROOM_LIFE: Duration = Duration::from_millis(10);
-/// Shortest time after which a refused caller is asked to come back: what a new connection and a refusal take, several
-/// times over.
+/// Minimum retry delay, several times the cost of a connection and a refusal.
 pub(crate) const SHORTEST_WAIT: Duration = Duration::from_millis(50);
-/// Longest time after which a refused caller is asked to come back.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
-/// Time to the first event beside what the prompt takes.
+/// Time to the first event, excluding the prompt.
 const FIRST_EVENT: Duration = Duration::from_millis(30);
-/// Prompt tokens that a server reads in a millisecond, a slow one.
+/// Prompt tokens that a slow server processes per millisecond.
 const TOKENS_PER_MS: f64 = 30.0;
 
-/// What is learned of room from this node's own requests. Locks are taken one at a time.
+/// Estimates from this node's own requests. Locks are taken one at a time.
 #[derive(Default)]
 pub struct RoomTable {
-    /// Configuration whose names are kept.
+    /// Version of the configuration last adopted.
     version: AtomicU64,
     holds: Mutex<HashMap<String, HoldTime>>,
     deadlines: Mutex<HashMap<String, UsualDeadline>>,
@@ -45,7 +43,7 @@
 }
 
 impl RoomTable {
-    /// Forgets routes, services and tenants that are in no configuration any more.
+    /// Drops the state of routes, services and tenants that are no longer configured.
     pub(crate) fn adopt(&self, configuration: &Configuration) {
         let before = self.version.swap(configuration.version, Ordering::Relaxed);
         if before == configuration.version {
@@ -78,14 +76,14 @@
         self.credit.lock().retain(|name, _| tenants.contains(name));
     }
 
-    /// A request held a slot of a service for some time.
+    /// Records how long a request held a slot.
     pub(crate) fn note_hold(&self, service: &str, held: Duration) {
         let mut holds = self.holds.lock();
         holds.entry(service.to_owned()).or_default().note(held);
     }
 
-    /// When a refused caller of a tenant comes back, where room for so many of its requests comes in a second over all
-    /// nodes: each at its own time, behind those that this node refused before.
+    /// Retry delay for a tenant's refused request. Each request gets its own time, after those
+    /// refused before by this node, at the rate at which capacity becomes available over all nodes.
     pub(crate) fn come_back_after(
         &self,
         tenant: &TenantName,
@@ -118,18 +116,18 @@
     }
 }
 
-/// Room that comes for the refused requests of one tenant.
+/// Capacity that becomes available for a tenant's refused requests.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Coming {
-    /// Time until there is room for the first one.
+    /// Time until the first one can be served.
     pub(crate) earliest: Duration,
-    /// Requests a second for which there is room then, over all nodes.
+    /// Requests per second that can be served from then on, over all nodes.
     pub(crate) per_s: f64,
-    /// Nodes over which the tenant's callers are spread.
+    /// Nodes that receive the tenant's requests.
     pub(crate) nodes: usize,
 }
 
-/// Longest time for which a refused caller can be asked to wait: a part of the time that it has left.
+/// Maximum retry delay, a fraction of the client's remaining time.
 fn longest_return(facts: &RequestFacts) -> Duration {
     let left = facts
         .deadline_ms
@@ -137,12 +135,12 @@
     left.mul_f64(OBEYED_PART).min(LONGEST_WAIT)
 }
 
-/// Whether a request takes a stream up of which its caller has had a part.
+/// Whether a request resumes a stream of which its client has received a part.
 pub(crate) fn goes_on(route: &Route, facts: &RequestFacts) -> bool {
     route.resumable && facts.last_event_id.is_some()
 }
 
-/// Whether a request's caller was refused before, by the time that it gives.
+/// Whether a request is a retry after a refusal, judged by its deadline.
 pub(crate) fn comes_again(node: &Node, route: &Route, facts: &RequestFacts) -> bool {
     if goes_on(route, facts) {
         return false;
@@ -150,7 +148,8 @@
     let Some(deadline_ms) = facts.deadline_ms.filter(|_| node.settings.load_shedding) else {
         return false;
     };
-    // A caller that would wait longer than the route allows makes none of the others seem to come again.
+    // Capped at the route's timeout, so that one client with a long deadline does not make all
+    // others look like retries.
     let longest_ms = match route.timeout_ms {
         0 => u64::MAX,
         timeout_ms => timeout_ms,
@@ -165,7 +164,8 @@
     again
 }
 
-/// Room of the service that serves a request; `None` where nothing is known of others' work or no server answers.
+/// Capacity of a request's service; `None` if too few other nodes are known or no server is
+/// healthy.
 fn room_of(node: &Node, request: &Request) -> Option<Arc<Room>> {
     let bound = request.homes.bind();
     if !bound
@@ -190,7 +190,7 @@
 
 fn sum_up(node: &Node, service: &str, homes: &Homes) -> Option<Room> {
     let OpenSlots { slots, online } = open_slots(node, &node.view.servers(service), homes);
-    // What waits is told within a region.
+    // Queue lengths are only exchanged within a region.
     let told_here = homes.allow(&node.settings.zone, &node.settings.places);
     let demand = match told_here {
         true => node.loads.demand.pressure_on(service),
@@ -210,16 +210,16 @@
     })
 }
 
-/// What a request has done for a slot so far.
+/// Wait state of a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Looks {
-    /// It has looked for a slot before.
+    /// It has checked for a slot before.
     pub(crate) before: bool,
-    /// It is counted among those that wait for one.
+    /// It is included in the count of waiting requests.
     pub(crate) counted: bool,
 }
 
-/// Decides about a request at one look; `None` where this node knows too little to do so.
+/// Decides on a request; `None` if this node has too little information.
 pub(crate) fn ask(node: &Node, request: &Request, looks: Looks) -> Option<Admission> {
     let room = room_of(node, request)?;
     let asking = asking(request, looks);
@@ -258,7 +258,7 @@
 ) {
     Metrics::count(&node.metrics.refused_for_room);
     match request.again {
-        // It may have no try left.
+        // The client may not retry again.
         true => Metrics::count(&node.metrics.returns_refused),
         false => node.loads.demand.note_return(&request.service, retry_after),
     }
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -1,8 +1,8 @@
-//! Holds tenants to their fair shares of a service while it has too few slots for all.
+//! Enforces tenants' fair shares of a service while it is overloaded.
 //!
-//! A request that passed its tenant's quota is counted, over all nodes, until its answer has ended. What the counts, the slots and
-//! the configuration's weights make of each tenant's share is decided in `dappleyard_room`; here it is asked for, and its
-//! result kept for a moment.
+//! Each request that passes its tenant's quota is counted, over all nodes, until its response ends.
+//! `dappleyard_room` computes the shares from the counts, the slots and the configured weights;
+//! this module supplies the inputs and caches the result.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,40 +24,37 @@
 use crate::outcome::ErrorKind;
 use crate::room::{Coming, SHORTEST_WAIT, goes_on};
 
-/// Time for which a look at servers and counts is used again: news of them come as often.
+/// How long computed shares are reused; load information is updated at the same interval.
 const LOOK_LIFE: Duration = Duration::from_millis(25);
-/// Time that a request is under way before any was seen to end.
+/// Assumed duration of a request before any has finished.
 const FIRST_STAY: Duration = Duration::from_millis(500);
-/// Part of a new time in the running mean.
+/// Smoothing factor of the exponential moving average.
 const MEAN_PART: f64 = 0.05;
-/// Weight of a tenant where no tenant has a limit.
+/// Weight of a tenant if no tenant has a limit.
 const PLAIN_WEIGHT: f64 = 1.0;
 
-/// What a node knows of one service.
+/// Usage of one service as known to this node.
 struct Seen {
-    /// Slots at servers that answer.
+    /// Slots of healthy servers.
     slots: u32,
-    /// Online requests there.
     online: u32,
-    /// Requests by tenant, over all nodes.
     demand: Demand,
 }
 
-/// What was seen of one service, and the shares that follow.
+/// Shares of one service and the usage they are based on.
 struct Look {
     at: Instant,
     shares: Shares,
-    /// Requests of each tenant by its number, those that this node let pass since included.
+    /// Requests by tenant number, including those admitted by this node since.
     requests: HashMap<u32, u32>,
 }
 
-/// Weights of the tenants of one configuration.
 #[derive(Default)]
 struct Weights {
     version: Option<u64>,
-    /// Of those with a limit, by number.
+    /// Weights of tenants with a limit, by tenant number.
     limited: HashMap<u32, f64>,
-    /// Of any other.
+    /// Weight of all other tenants.
     other: f64,
 }
 
@@ -88,29 +85,29 @@
 struct State {
     weights: Weights,
     looks: HashMap<String, Look>,
-    /// How long requests of each service are under way, in the mean.
+    /// Mean duration of requests by service.
     stays: HashMap<String, Duration>,
     refused: HashMap<TenantName, u64>,
 }
 
-/// Shares of the services as one node sees them. The lock is taken alone.
+/// Shares of all services as computed by this node.
 #[derive(Default)]
 pub struct ShareTable {
     state: Mutex<State>,
 }
 
-/// Figures of one tenant, for operators.
+/// Metrics of one tenant.
 #[derive(Clone, Copy, Default)]
 struct TenantShare {
-    /// Its online requests under way, over all nodes and services.
+    /// Online requests in flight, over all nodes and services.
     under_way: u32,
-    /// Slots that it may have of the services that are short of room; `None` while none is.
+    /// Slots granted in overloaded services; `None` if no service is overloaded.
     share: Option<f64>,
-    /// Its requests that this node refused because they were over its share.
+    /// Requests refused by this node as over the share.
     refused: u64,
 }
 
-/// A request that counts towards its tenant's share until this is dropped.
+/// Counts a request towards its tenant's share until dropped.
 pub(crate) struct Counted {
     node: Arc<Node>,
     service: String,
@@ -120,7 +117,7 @@
 }
 
 impl Counted {
-    /// The answer has begun: when it ends, its slot frees.
+    /// Marks the start of the response; its end frees a slot.
     pub(crate) fn begin_answer(&mut self) {
         self.answered = true;
     }
@@ -135,8 +132,9 @@
     }
 }
 
-/// Counts a request that passed its tenant's quota, unless its tenant has all of its share. `None` where nothing is shared: the
-/// deployment doesn't ask for it, or knows no tenants.
+/// Counts a request towards its tenant's share, or refuses it if the share is used up. Returns
+/// `None` if shares do not apply: load shedding is off, the request resumes a stream, or the
+/// deployment has no tenants.
 pub(crate) fn enter_share(
     node: &Arc<Node>,
     configuration: &Configuration,
@@ -149,10 +147,10 @@
     if !shared || *caller == Caller::Untold {
         return Ok(None);
     }
-    // Callers without a key share what one tenant gets.
+    // All clients without a key count as one tenant.
     let number = tenant_number(caller.tenant_name());
     refresh(node, configuration, service);
-    // The queue of a tenant's refused callers spreads them itself.
+    // For a tenant, the retry queue already spreads the delays.
     let point = caller.tenant().map_or_else(rand::random, |_| 0.0);
     if let Err(over) = node.shares.admit(service, number, point) {
         return Err(refuse(node, caller, &over, facts));
@@ -166,7 +164,7 @@
     }))
 }
 
-/// The request goes back to its caller; it has run nowhere and does not count towards the quota.
+/// Refuses a request over its tenant's share and returns its quota.
 fn refuse(node: &Node, caller: &Caller, over: &OverShare, facts: &RequestFacts) -> Refusal {
     Metrics::count(&node.metrics.over_share);
     let (who, come_back) = match caller.tenant() {
@@ -193,7 +191,7 @@
     }
 }
 
-/// Looks at a service again where the last look is old.
+/// Recomputes the shares of a service if they are outdated.
 fn refresh(node: &Node, configuration: &Configuration, service: &str) {
     let now = Instant::now();
     if node.shares.is_fresh(service, now) {
@@ -242,7 +240,7 @@
         state.looks.insert(service.to_owned(), look);
     }
 
-    /// Takes one more request of a tenant in, where its share allows it.
+    /// Counts one more request of a tenant if its share allows it.
     fn admit(&self, service: &str, tenant: u32, point: f64) -> Result<(), OverShare> {
         let mut state = self.state.lock();
         let weight = state.weights.of(tenant);
@@ -275,7 +273,7 @@
         *state.refused.entry(tenant.clone()).or_default() += 1;
     }
 
-    /// Figures of a tenant as of the last look at each service.
+    /// Metrics of a tenant from the latest shares of each service.
     fn figures(&self, tenant: &TenantName) -> TenantShare {
         let number = tenant_number(tenant.as_str());
         let state = self.state.lock();
@@ -294,7 +292,7 @@
     }
 }
 
-/// Shares of the busiest tenants in the Prometheus text format; empty where nothing is shared.
+/// Shares of the busiest tenants in the Prometheus text format; empty if shares do not apply.
 pub(crate) fn share_text(node: &Node) -> String {
     let Some(configuration) = node.view.configuration() else {
         return String::new();
--- a/crates/ingress/src/zone_care.rs
+++ b/crates/ingress/src/zone_care.rs
@@ -1,4 +1,4 @@
-//! Keeps work away from zones whose servers fell silent together, and finds out when they answer again.
+//! Detects zones whose servers became unreachable together, and probes them until they respond.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::metrics::Metrics;
 use crate::node::Node;
 
-/// Time between two looks at the servers while any is doubted.
+/// Check interval while any server is suspect.
 const TICK: Duration = Duration::from_millis(100);
-/// Servers of a doubted zone that all nodes together try in one such time: a zone that is back is found within
-/// 0.1 s, and one that stays away for 4 s costs 80 connections that do not come up.
+/// Probes of a suspect zone per interval, over all nodes. A recovered zone is detected within 0.1
+/// s, and a 4 s outage costs 80 failed connections.
 const TRIED_IN_TICK: f64 = 2.0;
-/// Servers that a node tries one after the other once the first has answered.
+/// Servers probed in sequence, as long as each responds.
 const TRIED_ON: usize = 8;
 
-/// Watches the servers that the node uses until the process ends.
+/// Monitors the servers this node uses until the process ends.
 pub async fn watch_zones(upstreams: Upstreams) {
     let node = upstreams.node().clone();
     let mut zones = ZoneSuspicion::default();
     loop {
         if !zones.is_any() && !node.loads.is_any_suspect() {
-            // Nothing to watch: a node that woke ten times a second to see that would do little else.
+            // Sleeps until a server becomes suspect instead of polling.
             node.loads.found_silent().await;
         }
         tokio::time::sleep(TICK).await;
@@ -47,7 +47,6 @@
     }
 }
 
-/// The servers of all services.
 fn server_sets(node: &Node) -> Vec<Arc<ServerSet>> {
     let Some(configuration) = node.view.configuration() else {
         return Vec::new();
@@ -81,7 +80,7 @@
     });
 }
 
-/// Tries servers of a doubted zone now and then: the nodes of the fleet share it.
+/// Probes a suspect zone at random, so that the fleet shares the probes.
 fn try_some(upstreams: &Upstreams, zone: &str, sets: &[Arc<ServerSet>]) {
     let fleet = upstreams.node().peers.count().max(1) as f64;
     let mut random = rand::rng();
--- a/crates/ingress/tests/answer_pauses.rs
+++ b/crates/ingress/tests/answer_pauses.rs
@@ -1,4 +1,4 @@
-//! How much longer answers take than a server says, from the pauses between events.
+//! Server pace derived from event gaps.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     expect_that!(excess(ms(40), ms(30), Pace::USUAL), eq(Pace::USUAL));
 }
 
-/// A figure that is wrong the other way makes no server fast.
+/// A server that reports itself too slow is not rated as fast.
 #[gtest]
 fn says_too_much() {
     expect_that!(excess(ms(30), ms(30), Pace::new(8.0)), eq(Pace::USUAL));
--- a/crates/ingress/tests/answer_times.rs
+++ b/crates/ingress/tests/answer_times.rs
@@ -1,4 +1,4 @@
-//! Times that are learned from answers.
+//! Timeouts learned from response times.
 
 use std::time::Duration;
 
@@ -29,11 +29,11 @@
     let mut times = LearnedTime::default();
     (0..97).for_each(|_| times.note(ms(60), now));
     expect_that!(times.bound(LEAST), eq(LEAST));
-    // A few in a hundred take longer: nobody is sent elsewhere before twice that.
+    // Three slow responses in a hundred raise the timeout to at least twice their time.
     (0..3).for_each(|_| times.note(ms(250), now));
     expect_that!(times.bound(LEAST), ge(ms(500)));
     expect_that!(times.bound(LEAST), le(ms(620)));
-    // Queues: never above what was fixed before.
+    // The maximum applies while requests queue at the servers.
     (0..100).for_each(|_| times.note(ms(3_000), now));
     expect_that!(times.bound(LEAST), eq(ms(900)));
 }
@@ -51,7 +51,7 @@
 
 #[gtest]
 fn rising_queues() {
-    // Answers that grow slower by a tenth each half second are never given up.
+    // Responses that slow down by a tenth every half second stay within the timeout.
     let mut now = Instant::now();
     let mut times = LearnedTime::default();
     let mut taken = 60.0;
@@ -71,7 +71,7 @@
     let mut times = LearnedTime::default();
     expect_that!(times.usual(), none());
     (0..60).for_each(|_| times.note(ms(30), now));
-    // Servers that take longer are fewer, and do not count.
+    // A minority of slow responses does not move the median.
     (0..40).for_each(|_| times.note(ms(180), now));
     let usual = times.usual().expect("enough are known");
     expect_that!(usual.as_secs_f64(), near(0.03, 0.004));
--- a/crates/ingress/tests/closing.rs
+++ b/crates/ingress/tests/closing.rs
@@ -1,4 +1,4 @@
-//! A node that closes its doors answers whom it has let in.
+//! Graceful shutdown completes requests in flight.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -54,12 +54,12 @@
             close(&doors, &under_way, Instant::now() + Duration::from_secs(20)).await;
             doors.stop(false).await;
         });
-        // The doors close while the request is under way.
+        // Lets the shutdown start while the request is in flight.
         tokio::task::yield_now().await;
         answer.notify_one();
         closing.await.expect("closed");
         let mut text = String::new();
-        // A reset shows in the text that is missing.
+        // A connection reset shows as missing text.
         let _ = caller.read_to_string(&mut text).await;
         expect_that!(text, ends_with("whole"));
     });
--- a/crates/ingress/tests/holding.rs
+++ b/crates/ingress/tests/holding.rs
@@ -1,4 +1,4 @@
-//! Which requests go to servers and which wait at their node.
+//! Urgency by age, and the limit on requests beyond the slots.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     expect_that!(at(220), eq(Standing::Late));
     expect_that!(at(1_430), eq(Standing::Late));
     expect_that!(at(1_440), eq(Standing::Due));
-    // Whoever waits for long is due before it is late.
+    // A short patience takes precedence over a long target.
     let patient = standing(
         Duration::from_millis(900),
         Duration::from_secs(9),
@@ -56,7 +56,7 @@
     expect_that!(fresh(&allowance), eq(true));
     (0..10).for_each(|_| allowance.note(load(6, 2)));
     expect_that!(fresh(&allowance), eq(false));
-    // It opens again when full servers have no queue, and not by what idle ones say.
+    // Only full servers without a queue raise the limit again.
     (0..50).for_each(|_| allowance.note(load(2, 0)));
     expect_that!(fresh(&allowance), eq(false));
     (0..50).for_each(|_| allowance.note(load(6, 0)));
@@ -67,7 +67,7 @@
 fn bounds_of_the_allowance() {
     let mut allowance = Allowance::default();
     (0..1_000).for_each(|_| allowance.note(load(6, 20)));
-    // However long the queues were: servers with three free slots take fresh requests.
+    // The lower bound still admits fresh requests with three free slots.
     expect_that!(allowance.admits(Standing::Fresh, -3.0, 0.0), eq(true));
     (0..1_000).for_each(|_| allowance.note(load(6, 0)));
     expect_that!(allowance.admits(Standing::Fresh, 2.1, 1.0), eq(false));
--- a/crates/ingress/tests/homes.rs
+++ b/crates/ingress/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Regions to whose nodes callers of a host with home regions are sent.
+//! Directory regions for hosts with home regions.
 
 use dappleyard_ingress::regions_for;
 use dappleyard_model::{Homes, Places, RegionName, ZoneName};
@@ -25,7 +25,7 @@
     let bound = [homes(&["b"])];
     expect_that!(sent_to(Some("a1"), &bound), elements_are![eq("a"), eq("b")]);
     expect_that!(sent_to(Some("b1"), &bound), elements_are![eq("b")]);
-    // Where a caller is, is not known.
+    // Unknown client zone.
     expect_that!(sent_to(None, &bound), elements_are![eq("b")]);
     expect_that!(sent_to(Some("elsewhere"), &bound), elements_are![eq("b")]);
 }
--- a/crates/ingress/tests/pace_placement.rs
+++ b/crates/ingress/tests/pace_placement.rs
@@ -1,4 +1,4 @@
-//! Choice among servers at which work takes unlike times.
+//! Server selection among servers of different pace.
 
 use std::sync::Arc;
 
@@ -41,8 +41,8 @@
     chosen.expect("one of them").server.id.clone()
 }
 
-/// What is neither told nor measured counts as before there were paces: requests, six for each above the
-/// slots, tokens by the thousand, and six for another zone.
+/// At the usual pace the weights are: one per request, six per request beyond the slots, one per
+/// thousand tokens, six for another zone.
 #[gtest]
 fn usual_pace() {
     let mut random = StdRng::seed_from_u64(3);
@@ -82,7 +82,7 @@
         candidate("c", "north", 0, 1.0),
         candidate("slow", "north", 0, 3.0),
     ];
-    // Three quarters of the slots of the others.
+    // 20 requests at 24 slots of fast servers.
     for _ in 0..20 {
         let id = chosen(&candidates);
         let taken = candidates.iter_mut().find(|held| held.server.id == id);
@@ -113,7 +113,7 @@
 
 #[gtest]
 fn free_far_slot() {
-    // A zone that has much more to do than the others.
+    // The near zone is overloaded.
     let candidates = [
         candidate("near", "north", SLOTS + 1, 1.0),
         candidate("far", "south", 4, 2.0),
@@ -130,24 +130,24 @@
     expect_that!(chosen(&candidates), eq("near"));
 }
 
-/// How a choice counts work at servers.
+/// Weighting of the load in the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Way {
-    /// Requests, whatever the pace.
+    /// Counts requests and ignores the pace.
     Counts,
-    /// Requests and queues, as many times as the pace says.
+    /// Multiplies requests and queue by the pace.
     Products,
-    /// As the product does.
+    /// The weighting of `choose`.
     Paces,
 }
 
-/// One server in virtual time: when each of its requests ends, and its queue.
+/// A simulated server: the end times of its requests.
 struct Line {
     server: Arc<ServerRecord>,
     ends_ms: Vec<f64>,
 }
 
-/// Whether servers change between fast and slow, each 600 ms, or stay as they are.
+/// Whether the pace of servers stays the same or changes every 600 ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Course {
     Lasting,
@@ -168,12 +168,12 @@
 }
 
 impl Line {
-    /// Requests that have not ended, as they were at some time.
+    /// Requests in flight at a given time.
     fn online(&self, at_ms: f64) -> u32 {
         self.ends_ms.iter().filter(|end| **end > at_ms).count() as u32
     }
 
-    /// Takes a request; the time until its first event.
+    /// Queues a request and returns the time to its first event.
     fn take(&mut self, at_ms: f64, pace: f64) -> f64 {
         let mut ends: Vec<f64> = self
             .ends_ms
@@ -201,8 +201,8 @@
     least.expect("one of them").server.id.clone()
 }
 
-/// Part of the requests whose first event takes more than 300 ms, at three quarters of what 24 servers give,
-/// when news are of some age.
+/// Fraction of requests whose first event takes more than 300 ms, at some load on 24 servers and
+/// with load information of some age.
 fn late(way: Way, news_ms: f64, course: Course, load: f64) -> f64 {
     let mut random = StdRng::seed_from_u64(11);
     let ways = Ways::within("north");
@@ -215,7 +215,7 @@
     let all: Vec<Arc<ServerRecord>> = lines.iter().map(|line| line.server.clone()).collect();
     let all: Vec<&Arc<ServerRecord>> = all.iter().collect();
     let (mut at_ms, mut late) = (0.0, 0);
-    // 24 servers of 8 slots, a third of them slow, serve 249 in a second.
+    // 24 servers of 8 slots, a third of them slow, serve 249 requests per second.
     let gap_ms = 1_000.0 / (load * 249.0);
     for _ in 0..3_000 {
         at_ms += -gap_ms * (1.0 - random.random::<f64>()).ln();
@@ -257,7 +257,7 @@
     }
 }
 
-/// What is told is soon wrong: going by it must not draw everybody to the servers that were fast a moment ago.
+/// Outdated pace reports must not concentrate requests on servers that were fast a moment ago.
 #[gtest]
 fn flipping_paces() {
     for news_ms in [25.0, 100.0] {
@@ -272,7 +272,7 @@
     }
 }
 
-/// Whether the news is half a second old or none is there matters little then.
+/// Pace reports that are half a second old must not make placement much worse than no reports.
 #[gtest]
 fn old_news() {
     let counts = late(Way::Counts, 500.0, Course::Flipping, 0.75);
--- a/crates/ingress/tests/patience.rs
+++ b/crates/ingress/tests/patience.rs
@@ -1,4 +1,4 @@
-//! How long a server may be silent.
+//! Silence timeouts for servers of different pace.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 fn slow_server() {
     let patience = Patience::leave_after(ms(200));
     expect_that!(patience.notice_at(Pace::new(3.0), MOST), eq(ms(600)));
-    // What may run again leaves as early as it would leave any other.
+    // The time until the attempt is abandoned does not depend on the pace.
     expect_that!(patience.leave, some(eq(ms(200))));
 }
 
@@ -34,7 +34,7 @@
 
 #[gtest]
 fn long_notice() {
-    // A notice that is longer than the most of a slow server stays as it is.
+    // The cap does not shorten a longer timeout.
     let patience = Patience::leave_after(ms(1_200));
     expect_that!(patience.notice_at(Pace::new(3.0), MOST), eq(ms(1_200)));
 }
--- a/crates/ingress/tests/pure.rs
+++ b/crates/ingress/tests/pure.rs
@@ -1,4 +1,4 @@
-//! Events, placement and the table of answers.
+//! Event splitting, placement and error kinds.
 
 use std::sync::Arc;
 
@@ -169,7 +169,7 @@
         seen.extend(sampled.iter().map(|server| server.id.clone()));
     }
     expect_that!(seen.len(), eq(40));
-    // A zone with few servers is sampled whole.
+    // A small zone is sampled completely.
     let few = sample(&servers[..3], &Ways::within("north"), None, &mut random);
     expect_that!(few.len(), eq(3));
 }
@@ -208,7 +208,7 @@
         *chosen.entry(choice.server.id.clone()).or_insert(0) += 1;
     }
     expect_that!(chosen.values().max(), some(le(&5)));
-    // All servers weighed, there is one choice only.
+    // Without sampling, all nodes make the same choice.
     let first = choose(&all, &Ways::within("north"), None).expect("a server");
     expect_that!(first.server.id, eq("i-0"));
 }
--- a/crates/ingress/tests/read_ahead.rs
+++ b/crates/ingress/tests/read_ahead.rs
@@ -1,4 +1,4 @@
-//! Bounds of what is kept for callers who do not read.
+//! Buffer limits and chunk accounting.
 
 use dappleyard_ingress::{Bound, Chunks, KeptBounds};
 use dappleyard_model::Resources;
@@ -42,7 +42,7 @@
     expect_that!(bounds.reached(0, 2 * bounds.node_bytes), none());
 }
 
-/// Bytes of which each tells its place.
+/// Bytes with a position-dependent pattern.
 fn bytes(length: usize) -> Vec<u8> {
     (0..length).map(|place| (place % 251) as u8).collect()
 }
@@ -71,7 +71,7 @@
             left -= chunks.take().map_or(0, |piece| piece.len());
         }
     });
-    // What was taken is let go at once, and counted no more.
+    // Taken chunks are freed at once.
     let freed = u64::try_from(-info.bytes_current).unwrap_or(0);
     expect_that!(freed, ge((sent.len() - left) as u64));
     expect_that!(chunks.held_bytes(), all!(ge(left), le(32 * 1024)));
@@ -84,7 +84,7 @@
     let info = allocation_counter::measure(|| {
         sent.chunks(1_000).for_each(|piece| chunks.push(piece));
     });
-    // Beside the bytes there is only the list of the chunks.
+    // The only other allocation is the chunk list.
     let taken = usize::try_from(info.bytes_current).unwrap_or(0);
     expect_that!(chunks.held_bytes(), all!(le(taken), ge(taken - 1_024)));
 }
--- a/crates/ingress/tests/regions.rs
+++ b/crates/ingress/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Placement where servers stand in several regions.
+//! Placement across regions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,7 +56,7 @@
         far(),
     ];
     expect_that!(chosen(&busy, &ways), eq("region"));
-    // Items give way: they are no reason to leave.
+    // Batch items are preempted and are no reason to leave the region.
     let items = LoadSummary {
         online: 3,
         batch: 5,
@@ -78,7 +78,7 @@
         far(),
     ];
     expect_that!(chosen(&full, &ways), eq("far"));
-    // Items at a far server give way, so they do not keep a request waiting here.
+    // Batch items at a remote server are preempted, so its slots count as free.
     let items = LoadSummary {
         online: 4,
         batch: 4,
@@ -109,7 +109,7 @@
         candidate("far", "b1", online(0)),
     ];
     expect_that!(chosen(&full, &ways), eq("far"));
-    // A tenth of a second there and back costs more than one request ahead.
+    // A round trip of 130 ms costs more than one queued request.
     ways.note("a1", Duration::from_millis(1));
     ways.note("b1", Duration::from_millis(130));
     expect_that!(chosen(&full, &ways), eq("zone"));
