--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -1,10 +1,10 @@
-//! Whether a request is served now, waits at its node or is refused. Pure: time and randomness are arguments.
+//! Admission of a single request: serve, wait or refuse. Time and randomness are arguments.
 //!
-//! The load: a service has slots for a part of the requests only, for seconds. Were all of them queued, every slot
-//! would work for callers whose time is over, and goodput would fall to a fraction of the slots. So a request waits
-//! for a short part of its target, all that wait have the same chance of a slot that frees itself, and who gets none
-//! is refused while the answer is still of use. As many go to servers as slots free themselves there: each node
-//! reckons with its own looks only, and with the sums over all nodes.
+//! Under sustained overload an unbounded queue would spend every slot on requests that are already
+//! late. So a request waits only for a fraction of its target, all waiting requests have the same
+//! chance of a free slot, and a request that gets none is refused while its client can still retry.
+//! Nodes decide locally from the sums over all nodes, such that together they send as many requests
+//! as slots become free.
 
 use std::time::Duration;
 
@@ -12,81 +12,82 @@
 
 use crate::room::{RETURNS_PART, Room};
 
-/// Time between two looks of a request that waits for a slot, on the mean.
+/// Mean interval between checks of a waiting request.
 pub const LOOK: Duration = Duration::from_millis(20);
-/// At least.
+/// Minimum interval between checks.
 const LEAST_LOOK: Duration = Duration::from_millis(2);
-/// Time between two looks of a request that can only be late.
+/// Interval between checks of a request that is already late.
 const LATE_LOOK: Duration = Duration::from_millis(100);
-/// Age of the news of other nodes.
+/// Age of other nodes' information.
 const NEWS_AGE: Duration = Duration::from_millis(75);
-/// Time over which what is missing at servers is made up for: twice that age, so that nodes do not all make up for
-/// the same slots again.
+/// Time over which free slots are filled: twice the age of the information, so that nodes do not
+/// fill the same slots repeatedly.
 const CORRECTION: Duration = Duration::from_millis(150);
-/// Work that servers keep in their queues, by the time in which it ends: that of a look and of the news of it.
+/// Amount of work queued at servers, as time to process it: one check interval plus the delay of
+/// its information.
 const QUEUED: Duration = Duration::from_millis(50);
-/// Part of the target after which a caller that cannot be served is told so: with the way of the answer it has lost a
-/// quarter then, and its next try has the rest of its time.
+/// Fraction of the target after which a request that cannot be served is refused. With network
+/// time, the client then has lost a quarter of its target and can use the rest of its deadline for
+/// a retry.
 const ANSWER_PART: f64 = 0.2;
-/// Part of the target by which a request must have a slot, beside the time to its first event.
+/// Fraction of the target available for waiting and for the first event.
 const SLOT_PART: f64 = 0.75;
-/// Part of a caller's time for which it waits when it is told to come back, as callers of this interface do.
+/// Maximum retry delay as a fraction of the client's remaining time; clients do not wait longer.
 pub const OBEYED_PART: f64 = 1.0 / 3.0;
 
-/// A request that asks for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Asking {
-    /// Time since it came.
+    /// Time since arrival.
     pub age: Duration,
-    /// Time from its coming to its first event, as its caller wants it.
+    /// Target time from arrival to the first event.
     pub target: Duration,
-    /// Time from having a slot to the first event.
+    /// Expected time from the start on a server to the first event.
     pub first_event: Duration,
-    /// Time that its caller has left.
+    /// Remaining time of the client.
     pub left: Duration,
-    /// Time from its coming after which it waits no longer, even where late is better than not at all.
+    /// Age after which it no longer waits, even if it will be late.
     pub most_wait: Duration,
-    /// Its caller was refused before.
+    /// The client was refused before.
     pub again: bool,
-    /// It has lost time at a server that failed.
+    /// A server failed to serve it.
     pub failed: bool,
-    /// It has run nowhere, so that a refusal is true.
+    /// It has not run, so it may be refused as not run.
     pub refusable: bool,
-    /// It has looked for a slot before.
+    /// It has checked for a slot before.
     pub waits: bool,
-    /// It is counted among those that wait.
+    /// It is included in the count of waiting requests.
     pub counted: bool,
 }
 
-/// What becomes of a request now.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It goes to a server.
+    /// Send it to a server.
     Serve,
-    /// It waits at its node and looks again after some time.
+    /// Keep it at the node and check again later.
     Wait {
-        /// That time.
+        /// Time until the next check.
         look: Duration,
-        /// It counts as waiting for a slot: it is of those who share what frees itself.
+        /// Whether it counts as waiting for a slot.
         counted: bool,
     },
-    /// There is no room in time.
+    /// No slot will be free in time.
     Refuse {
-        /// When its caller comes back best.
+        /// Suggested retry delay.
         retry_after: Duration,
     },
 }
 
 impl Asking {
-    /// Age until which a slot is of use for a first event in time.
+    /// Latest age to start and still meet the target.
     fn latest(&self) -> Duration {
         let by_target = self.target.mul_f64(SLOT_PART);
-        // However long the prompt, it may wait as long as others do.
+        // Requests with long prompts may wait as long as others.
         let shortest = self.target.mul_f64(ANSWER_PART);
         by_target.saturating_sub(self.first_event).max(shortest)
     }
 
-    /// Age at which it waits no longer for a slot in time.
+    /// Age at which it stops waiting for a slot in time.
     fn cut(&self) -> Duration {
         match self.failed {
             true => self.latest(),
@@ -95,7 +96,7 @@
     }
 }
 
-/// Decides about a request at one look.
+/// Decides on a request at one check.
 pub fn admit(room: &Room, asking: &Asking, random: &mut impl Rng) -> Admission {
     let is_late = asking.age > asking.latest();
     let is_over = asking.age >= asking.cut();
@@ -116,7 +117,7 @@
         true => (LATE_LOOK, asking.most_wait),
         false => (LOOK, asking.cut()),
     };
-    // Not all at the same time: each would see the same free slot.
+    // Jitter, so that requests do not all find the same free slot.
     let look = mean.mul_f64(random.random_range(0.5..1.5));
     Admission::Wait {
         look: look.min(most.saturating_sub(asking.age)).max(LEAST_LOOK),
@@ -124,20 +125,21 @@
     }
 }
 
-/// Free slots beyond the other requests that wait for one.
+/// Free slots minus the other waiting requests.
 fn spare(room: &Room, asking: &Asking) -> f64 {
     let itself = u32::from(asking.counted);
     let others = room.waiting.saturating_sub(itself);
     f64::from(room.slots) - f64::from(room.online) - f64::from(others)
 }
 
-/// Chance that a request gets a slot at this look, so that all who look get as many as there are. A caller that comes
-/// back has a part of the room for itself at its first look, and then what others leave.
+/// Probability of serving a request at this check, chosen so that on average the free slots are
+/// filled. A retry may use the reserved part of the slots at its first check, and afterwards what
+/// other requests leave.
 fn serve_chance(room: &Room, asking: &Asking) -> f64 {
     let arrivals = room.arrivals_per_s();
     let rise = room.trend_per_s.max(0.0) * NEWS_AGE.as_secs_f64();
     if spare(room, asking) - rise >= (arrivals * NEWS_AGE.as_secs_f64()).max(1.0) {
-        // Slots for all who come while news are under way.
+        // Enough slots for all arrivals until the information is updated.
         return 1.0;
     }
     let (ends, look) = (room.ends_per_s(), LOOK.as_secs_f64());
@@ -154,8 +156,8 @@
     }
 }
 
-/// Chance that a request which has just come is refused at once: it rises with the wait, so that nodes with the same
-/// news do not all refuse at the same moment.
+/// Probability of refusing a request on arrival. It rises with the expected wait, so that nodes
+/// with the same information do not all start refusing at once.
 fn refuse_chance(room: &Room, asking: &Asking) -> f64 {
     let begins = asking.target.mul_f64(ANSWER_PART).as_secs_f64();
     let ends = asking.latest().as_secs_f64().max(begins + 0.001);
--- a/crates/room/src/credit.rs
+++ b/crates/room/src/credit.rs
@@ -1,22 +1,23 @@
-//! When callers that are over their quota come back. Pure: time and randomness are arguments.
+//! Retry delays for tenants over their quota. Time and randomness are arguments.
 //!
-//! The load: one tenant asks for many times its quota. Told the same time, all its callers would come back together,
-//! for the credit of a few.
+//! If all refused clients of a tenant got the same delay, they would return together for the quota
+//! of a few.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 use rand::Rng;
 
-/// When credit comes for the callers of one tenant that were refused at one node: each is told its own time.
+/// Assigns each refused request of one tenant at one node its own retry time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CreditQueue {
     last: Option<Instant>,
 }
 
 impl CreditQueue {
-    /// Time after which the next refused caller comes back: behind those before it, one for each `step` in which
-    /// credit for one more of this node's callers arrives, or by chance where that is later than `most`.
+    /// Retry delay of the next refused request: one `step` after the previous one, or a random
+    /// delay if that is later than `most`. `step` is the time in which quota for one request of
+    /// this node accrues.
     pub fn next(
         &mut self,
         until_credit: Duration,
--- a/crates/room/src/deadlines.rs
+++ b/crates/room/src/deadlines.rs
@@ -1,21 +1,22 @@
-//! Which requests are sent again by callers that were refused. Pure: time is an argument.
+//! Detects retries after a refusal by their deadline. Time is an argument.
 //!
-//! A caller that comes back has spent a part of its time, so its request has a shorter deadline than those of its
-//! route have at first. Nothing else tells it, and nothing has to be kept of refused requests.
+//! A retrying client has used up part of its time, so the deadline of a retry is shorter than the
+//! usual one of its route. This needs no state per refused request.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Deadlines count for one to two spans of this length.
+/// Length of one window. The current and the previous window count.
 const SPAN: Duration = Duration::from_secs(10);
-/// Time that is missing from the usual deadline in a request that comes again, at least: nearly the shortest wait that
-/// callers are told, and more than two readings of a clock differ.
+/// Minimum difference from the usual deadline. Slightly less than the shortest retry delay, and
+/// more than the error of clock readings.
 const LEAST_SPENT: Duration = Duration::from_millis(40);
-/// Part of the usual deadline that is missing at most. A caller that has less time left asks with a deadline of its own.
+/// Maximum difference, as a fraction of the usual deadline. Shorter deadlines are assumed to be the
+/// client's choice.
 const MOST_SPENT: f64 = 0.5;
 
-/// Longest deadline of a route lately.
+/// Longest recent deadline of a route.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UsualDeadline {
     now: Duration,
@@ -24,7 +25,7 @@
 }
 
 impl UsualDeadline {
-    /// Notes a request's deadline; whether the request comes again.
+    /// Records a request's deadline and returns whether the request is a retry.
     pub fn note(&mut self, deadline: Duration, now: Instant) -> bool {
         self.turn(now);
         self.now = self.now.max(deadline);
--- a/crates/room/src/demand.rs
+++ b/crates/room/src/demand.rs
@@ -1,46 +1,45 @@
-//! Online demand for a service, as nodes tell it to each other.
+//! Online demand for a service, as exchanged between nodes.
 
 use prost::Message;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::returns::SPANS;
 
-/// Number that stands for a service in messages.
+/// Hash of a service name, used in messages.
 pub fn service_number(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// Work of one tenant at one service.
+/// Requests of one tenant at one service.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct TenantWork {
-    /// Hash of the tenant's name.
     #[prost(fixed32, tag = "1")]
     pub tenant: u32,
-    /// Its online requests that are under way or wait for a slot.
+    /// Online requests in flight or waiting for a slot.
     #[prost(uint32, tag = "2")]
     pub requests: u32,
 }
 
-/// Online demand for one service, of one node or of several.
+/// Online demand for one service, of one or several nodes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Demand {
-    /// Number of the service.
+    /// Hash of the service name.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     #[prost(uint32, tag = "2")]
     pub waiting: u32,
-    /// Requests that were refused and are expected back: in the present span, the next one, and so on. Spans without
-    /// any at the end are left out.
+    /// Refused requests expected to be retried, by interval from now on. Trailing zeros are
+    /// omitted.
     #[prost(uint32, repeated, tag = "3")]
     pub returns: Vec<u32>,
-    /// Work of tenants, each once, in the order of their numbers.
+    /// Requests by tenant, sorted by tenant hash without duplicates.
     #[prost(message, repeated, tag = "4")]
     pub tenants: Vec<TenantWork>,
 }
 
 impl Demand {
-    /// No demand for a service yet.
+    /// Creates an empty demand for a service.
     pub fn of(service: u32) -> Self {
         Self {
             service,
@@ -48,12 +47,11 @@
         }
     }
 
-    /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.waiting == 0 && self.returns.is_empty() && self.tenants.is_empty()
     }
 
-    /// Adds what others want, told some whole spans ago.
+    /// Adds another demand that was sent `spans_ago` whole intervals ago.
     pub fn add(&mut self, other: &Demand, spans_ago: usize) {
         self.add_pressure(other, spans_ago);
         for work in &other.tenants {
@@ -70,7 +68,7 @@
         }
     }
 
-    /// Adds what others want, but for whose it is.
+    /// Same as `add`, without the tenants.
     pub fn add_pressure(&mut self, other: &Demand, spans_ago: usize) {
         self.waiting = self.waiting.saturating_add(other.waiting);
         let due = other.returns.iter().take(SPANS).skip(spans_ago);
@@ -82,7 +80,7 @@
         }
     }
 
-    /// Takes off what was added of another one before.
+    /// Subtracts a demand that was added before.
     pub fn take_off(&mut self, other: &Demand, spans_ago: usize) {
         self.waiting = self.waiting.saturating_sub(other.waiting);
         let due = other.returns.iter().take(SPANS).skip(spans_ago);
@@ -100,7 +98,7 @@
         }
     }
 
-    /// Keeps the tenants with the most work, so that the message stays short.
+    /// Keeps only the tenants with the most requests, to limit the message size.
     pub fn keep_busiest(&mut self, most: usize) {
         if self.tenants.len() <= most {
             return;
--- a/crates/room/src/lib.rs
+++ b/crates/room/src/lib.rs
@@ -1,9 +1,9 @@
-//! Who is served when a service has too little room, and who comes back when.
+//! Admission control for overloaded services.
 //!
-//! Nodes tell each other their [`Demand`] for each service: requests that wait for a slot, requests that were told
-//! when to come back, and the work of each tenant. From the sum over all nodes, and from the slots of the service,
-//! a node decides by itself whether a request is served, waits or is refused, so that no request waits for another
-//! node. Nothing here performs I/O.
+//! Nodes exchange their [`Demand`] for each service: requests waiting for a slot, refused requests
+//! expected to be retried, and requests in flight by tenant. From the sum over all nodes and the
+//! service's slots, each node decides locally whether a request is served, waits or is refused.
+//! This crate performs no I/O.
 
 mod admission;
 mod credit;
--- a/crates/room/src/returns.rs
+++ b/crates/room/src/returns.rs
@@ -1,25 +1,25 @@
-//! When refused requests are expected back. Pure: time is an argument.
+//! Schedule of expected retries. Time is an argument.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Length of one span of the schedule.
+/// Length of one interval of the schedule.
 pub const SPAN: Duration = Duration::from_millis(100);
-/// Spans that the schedule reaches ahead: callers come back within some seconds or not at all.
+/// Number of intervals. Clients retry within some seconds or not at all.
 pub const SPANS: usize = 32;
 
-/// Requests that one node told to come back, by the span in which they are due.
+/// Refused requests of one node by the interval in which their retry is due.
 #[derive(Debug, Clone)]
 pub struct ReturnSchedule {
-    /// Beginning of the first span.
+    /// Start of the first interval.
     begins: Instant,
     spans: VecDeque<u32>,
 }
 
 impl ReturnSchedule {
-    /// Nobody was told to come back yet.
+    /// Creates an empty schedule.
     pub fn new(now: Instant) -> Self {
         Self {
             begins: now,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A request was told to come back after some time; one beyond the last span counts there.
+    /// Records a retry due after some time; one beyond the schedule counts in its last interval.
     pub fn note(&mut self, after: Duration, now: Instant) {
         self.turn(now);
         let due = now.saturating_duration_since(self.begins) + after;
@@ -39,13 +39,13 @@
         self.spans[span] = self.spans[span].saturating_add(1);
     }
 
-    /// Requests expected back, by span from now on.
+    /// Expected retries by interval from now on.
     pub fn due(&mut self, now: Instant) -> Vec<u32> {
         self.turn(now);
         self.spans.iter().copied().collect()
     }
 
-    /// Drops the spans that are over.
+    /// Drops past intervals.
     fn turn(&mut self, now: Instant) {
         let age = now.saturating_duration_since(self.begins);
         let over = (age.as_millis() / SPAN.as_millis()) as u32;
--- a/crates/room/src/room.rs
+++ b/crates/room/src/room.rs
@@ -1,8 +1,7 @@
-//! The room of a service: what its slots can serve now and soon. Pure: time and randomness are arguments.
+//! Capacity of a service, now and in the near future. Time and randomness are arguments.
 //!
-//! The load: requests come faster than slots free themselves, at many nodes that know each other's work by news
-//! some 50 ms old. All of them must come to about the same estimate without a word more, so it rests on sums
-//! that are told anyway.
+//! The estimates are based only on sums that nodes exchange anyway, and their information on each
+//! other is about 50 ms old, so that all nodes come to a similar result without further messages.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,44 +11,43 @@
 
 use crate::returns::{SPAN, SPANS};
 
-/// Part of the slots that free themselves which is kept for callers that come back. They waited once already; but
-/// each slot kept for them is taken from a caller that is refused in their place.
+/// Fraction of the slots becoming free that is reserved for retries. These clients have waited once
+/// already, but each reserved slot causes another request to be refused.
 pub const RETURNS_PART: f64 = 0.25;
-/// Part of a new time in the running mean of the times for which slots are held.
+/// Smoothing factor of the exponential moving average of slot hold times.
 const MEAN_SHARE: f64 = 0.1;
-/// Time for which a request holds a slot while none has ended yet.
+/// Assumed hold time before any request has finished.
 const UNKNOWN_HOLD: Duration = Duration::from_secs(1);
 
-/// Time over which the rise of online requests is taken.
+/// Period over which the trend of online requests is measured.
 const TREND_SPAN: Duration = Duration::from_millis(150);
-/// At least; over less, single requests would count as a rise.
+/// Minimum divisor for the trend; with less, single requests would count as a rise.
 const TREND_LEAST: Duration = Duration::from_millis(75);
 
-/// Room of a service, over all nodes.
+/// Capacity of a service over all nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Room {
-    /// Slots of the servers that answer.
+    /// Slots of healthy servers.
     pub slots: u32,
-    /// Online requests under way there. Items of jobs do not count: they make way.
+    /// Online requests in flight there. Batch items do not count, since they are preempted.
     pub online: u32,
-    /// By how much `online` has risen lately, requests a second. What is known of others is old by more than a
-    /// wave needs to fill all slots.
+    /// Recent change of `online`, in requests per second. Compensates for delayed information: a
+    /// burst can fill all slots before it becomes known.
     pub trend_per_s: f64,
-    /// Requests that wait at nodes for a slot.
+    /// Requests waiting at nodes for a slot.
     pub waiting: u32,
-    /// Requests told to come back, by span from now on.
+    /// Expected retries by interval from now on.
     pub returns: Vec<u32>,
-    /// Mean time for which a request holds a slot.
     pub hold: Duration,
 }
 
 impl Room {
-    /// Slots that free themselves in a second when all are held.
+    /// Slots that become free per second when all are in use.
     pub fn ends_per_s(&self) -> f64 {
         f64::from(self.slots) / self.hold.as_secs_f64().max(0.001)
     }
 
-    /// Time until a request that comes now gets a slot, when it comes behind all that wait.
+    /// Expected wait of a new request behind all waiting ones.
     pub fn wait(&self) -> Duration {
         let all = self.online.saturating_add(self.waiting).saturating_add(1);
         let ahead = all.saturating_sub(self.slots);
@@ -59,8 +57,8 @@
         }
     }
 
-    /// Requests a second that come for the first time, by Little's law: those that are served, and those that are
-    /// refused, who wait for twice as long as they are still away in the mean.
+    /// Rate of first attempts, by Little's law: those served plus those refused. The total wait of
+    /// a refused request averages twice its remaining wait.
     pub fn arrivals_per_s(&self) -> f64 {
         let online = f64::from(self.online.min(self.slots));
         let served = online / self.hold.as_secs_f64().max(0.001) + self.trend_per_s.max(0.0);
@@ -78,15 +76,15 @@
         }
     }
 
-    /// Requests a second that are expected back now.
+    /// Rate of retries expected now.
     pub fn returns_per_s(&self) -> f64 {
         let due = self.returns.first().copied().unwrap_or_default();
         f64::from(due) / SPAN.as_secs_f64()
     }
 
-    /// When a refused caller that waits for `most` at most comes back best: in the earliest span whose kept slots
-    /// are not all promised; in none such, late, when the load may be over. Spans fill up by chance, so that nodes
-    /// that have not heard of each other's promises yet do not all fill the same one.
+    /// Retry delay, at most `most`: the earliest interval with reserved slots left, or a late
+    /// random time if there is none. Intervals fill up by chance, so that nodes with outdated
+    /// information do not all choose the same one.
     pub fn return_after(&self, most: Duration, random: &mut impl Rng) -> Duration {
         let most = most.min(SPAN * SPANS as u32);
         let kept = self.ends_per_s() * RETURNS_PART * SPAN.as_secs_f64();
@@ -102,12 +100,11 @@
     }
 }
 
-/// Mean time for which requests of one service hold a slot, learned from those that ended.
+/// Mean time for which requests of a service hold a slot, learned from finished requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HoldTime(Option<Duration>);
 
 impl HoldTime {
-    /// A request held a slot for some time.
     pub fn note(&mut self, held: Duration) {
         self.0 = Some(match self.0 {
             Some(mean) => mean.mul_f64(1.0 - MEAN_SHARE) + held.mul_f64(MEAN_SHARE),
@@ -115,20 +112,19 @@
         });
     }
 
-    /// The mean.
     pub fn mean(&self) -> Duration {
         self.0.unwrap_or(UNKNOWN_HOLD)
     }
 }
 
-/// How the online requests of a service rise and fall.
+/// Recent trend of a service's online requests.
 #[derive(Debug, Clone, Default)]
 pub struct Trend {
     seen: VecDeque<(Instant, u32)>,
 }
 
 impl Trend {
-    /// Takes what is known now; requests a second by which it has risen lately.
+    /// Records the current count and returns the recent change per second.
     pub fn note(&mut self, online: u32, now: Instant) -> f64 {
         let age = |at: Instant| now.saturating_duration_since(at);
         while self
--- a/crates/room/src/shares.rs
+++ b/crates/room/src/shares.rs
@@ -1,36 +1,36 @@
-//! Fair shares of a service's slots among tenants. Pure: counts, times and random points are arguments.
+//! Fair shares of a service's slots among tenants. Counts, times and random points are arguments.
 //!
-//! The load: a tenant that may ask for much, by its quota, asks for it in a second in which the servers that are left
-//! cannot serve everybody. Served in the order of arrival it takes most slots, and tenants beside it that ask for no
-//! more than usual are late with it.
+//! When servers fail, one tenant may request more than the remaining slots without exceeding its
+//! quota. If requests were served in order of arrival, that tenant would take most slots and delay
+//! all others.
 //!
-//! The answer is max-min fairness: a level `L` of requests per unit of weight is sought at which all tenants together,
-//! each with no more than its weight times `L`, fill the slots. Who asks for less gets all that it asks for; what it
-//! leaves goes to the others at once. While all requests fit into the slots there is no level, and nobody is
-//! limited.
+//! Slots are divided by weighted max-min fairness: a level `L` is determined such that all tenants
+//! together, each limited to its weight times `L` requests, fill the slots. A tenant that needs
+//! less gets all it needs, and the rest goes to the others. While all requests fit into the slots,
+//! there is no level and no limit.
 //!
-//! A tenant's count goes up and down by chance, and is known some time late. Lateness alone shifts it by what the tenant begins and
-//! ends meanwhile, both ways, and by less than one request for a tenant with few. So each tenant may have some requests more
-//! than its share: enough for a small one that keeps to it in the mean, and next to nothing for a large one.
+//! A tenant's count fluctuates and is known with some delay. Each tenant may therefore exceed its
+//! share by a few requests, which is enough for a small tenant that stays within its share on
+//! average and insignificant for a large one.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-/// Least weight of a tenant, so that one that is granted next to nothing still has a share.
+/// Minimum weight, so that every tenant has a share.
 const LEAST_WEIGHT: f64 = 1e-3;
-/// Least time for which a request is taken to be under way, seconds.
+/// Minimum mean duration of a request, in seconds.
 const LEAST_STAY_S: f64 = 1e-3;
-/// Requests that a tenant may have beyond its share. Callers come at random: a tenant that has one request under way
-/// in the mean has three or fewer at 98 of 100 moments.
+/// Requests that a tenant may have beyond its share. With random arrivals, a tenant with a mean of
+/// one request in flight has at most three 98 % of the time.
 const BY_CHANCE: u32 = 2;
 
-/// What one tenant wants of a service.
+/// Demand of one tenant for a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Claim {
-    /// Its online requests that are under way or wait, over all nodes.
+    /// Online requests in flight or waiting, over all nodes.
     pub requests: u32,
-    /// What it gets in relation to others; see [`Shares`].
+    /// Relative weight; see [`Shares`].
     pub weight: f64,
 }
 
@@ -39,33 +39,30 @@
         self.weight.max(LEAST_WEIGHT)
     }
 
-    /// Requests per unit of weight.
     fn height(&self) -> f64 {
         f64::from(self.requests) / self.weight()
     }
 }
 
-/// A request that would take its tenant over its share.
+/// Error of a request that would exceed its tenant's share.
 #[derive(Debug, Clone, Copy, PartialEq, Display, Error)]
 #[display("{requests} requests under way, share {share:.1} of {slots} slots")]
 pub struct OverShare {
-    /// Requests of the tenant.
     pub requests: u32,
-    /// Its share, in slots.
+    /// Share of the tenant, in slots.
     pub share: f64,
-    /// Slots of the service.
     pub slots: u32,
-    /// Requests of the share that end in a second.
+    /// Requests within the share that finish per second.
     pub ends_per_s: f64,
-    /// When a request of it can be expected to find its share free, if none was refused before it.
+    /// Retry delay, assuming that no other request was refused before.
     pub come_back: Duration,
 }
 
-/// The shares of one service.
+/// Shares of one service.
 ///
-/// A tenant's weight is the rate that the operators grant it (`rate_per_s` of its limit): whoever may send more may also have more
-/// of what is short. A tenant without a limit weighs as much as one with a limit does in the mean. `priority` is a rank and
-/// no size: it orders what waits, and doesn't enter here, so that no rank, however low, takes a share away.
+/// A tenant's weight is the rate of its limit (`rate_per_s`). A tenant without a limit has the mean
+/// weight of those with one. `priority` only orders waiting requests and does not affect shares, so
+/// that no tenant loses its share to a higher priority.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shares {
     slots: u32,
@@ -74,28 +71,27 @@
 }
 
 impl Shares {
-    /// Shares of some slots among the tenants that are known to want them. `others` are requests of tenants that are too small to be
-    /// told of one by one; they get all that they want.
+    /// Divides slots among the tenants with known demand. `others` is the number of requests of
+    /// tenants too small to be reported individually; these are served in full.
     pub fn new(claims: &[Claim], others: u32, slots: u32) -> Self {
         let wanted: u64 = claims.iter().map(|claim| u64::from(claim.requests)).sum();
-        // Without any slot there is nothing to share.
         let is_short = slots > 0 && wanted + u64::from(others) > u64::from(slots);
         let level = is_short.then(|| water_level(claims, slots.saturating_sub(others)));
         Self { slots, level }
     }
 
-    /// Whether requests compete for the slots.
+    /// Whether demand exceeds the slots.
     pub fn is_short(&self) -> bool {
         self.level.is_some()
     }
 
-    /// Slots that a tenant of some weight may have; `None` while there is room for all.
+    /// Share of a tenant of this weight, in slots; `None` while there is room for all.
     pub fn of(&self, weight: f64) -> Option<f64> {
         self.level.map(|level| level * weight.max(LEAST_WEIGHT))
     }
 
-    /// Whether another request of a tenant may pass. `claim` is what the tenant has already, `stay` how long a request is
-    /// under way in the mean, and `point` is uniform between 0 and 1.
+    /// Whether another request of a tenant may pass. `claim` is its current demand, `stay` the mean
+    /// duration of a request, and `point` is uniform in [0, 1).
     pub fn admit(&self, claim: Claim, stay: Duration, point: f64) -> Result<(), OverShare> {
         let Some(share) = self.of(claim.weight) else {
             return Ok(());
@@ -114,7 +110,8 @@
     }
 }
 
-/// Requests per unit of weight at which tenants fill some slots, when together they want more.
+/// The level at which the tenants' limited demand fills the slots (water-filling). Requires demand
+/// above the slots.
 fn water_level(claims: &[Claim], slots: u32) -> f64 {
     let mut rising: Vec<&Claim> = claims.iter().collect();
     rising.sort_by(|a, b| a.height().total_cmp(&b.height()));
@@ -131,8 +128,8 @@
     f64::INFINITY
 }
 
-/// When a request that was refused may come back: once as many of its tenant's requests have ended as are too many, and then
-/// spread over the time in which each slot of the tenant frees once, since all that are refused go for the same slots.
+/// Retry delay of a refused request: the time until enough of the tenant's requests have ended,
+/// plus a random part of the mean duration, since all refused requests compete for the same slots.
 fn come_back(requests: u32, most: u32, stay: Duration, point: f64) -> Duration {
     let too_many = requests.saturating_sub(most).saturating_add(1);
     let until_free = f64::from(too_many) / f64::from(requests.max(1));
--- a/crates/room/tests/admission.rs
+++ b/crates/room/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Single decisions about requests and their times to come back.
+//! Admission decisions and retry delays.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     ChaCha8Rng::seed_from_u64(3)
 }
 
-/// A service that ends 100 requests a second.
+/// A service that finishes 100 requests per second.
 fn room(online: u32, waiting: u32) -> Room {
     Room {
         slots: 50,
@@ -45,7 +45,7 @@
     }
 }
 
-/// What many such requests get: served, waiting, refused.
+/// Number of 1,000 such requests that are served, wait and are refused.
 fn counts(room: &Room, asking: &Asking) -> [u32; 3] {
     let mut random = random();
     let mut counts = [0; 3];
@@ -71,7 +71,7 @@
     let mut small = room(0, 0);
     small.slots = 1;
     expect_that!(counts(&small, &asking(0)), eq([1_000, 0, 0]));
-    // It is itself the one that waits.
+    // The request itself is the waiting one.
     small.waiting = 1;
     expect_that!(counts(&small, &asking(20)), eq([1_000, 0, 0]));
     expect_that!(counts(&small, &asking(80)), eq([1_000, 0, 0]));
@@ -89,9 +89,9 @@
 
 #[gtest]
 fn too_late() {
-    // It would wait for 300 ms.
+    // The expected wait is 300 ms.
     expect_that!(counts(&room(70, 10), &asking(0)), eq([0, 0, 1_000]));
-    // The part of the target for waiting is over.
+    // The part of the target available for waiting is used up.
     expect_that!(counts(&room(60, 10), &asking(75)), eq([0, 0, 1_000]));
 }
 
@@ -106,7 +106,7 @@
 
 #[gtest]
 fn what_has_run() {
-    // A refusal would not be true.
+    // It has run, so it must not be refused as not run.
     let ran = |age_ms| Asking {
         refusable: false,
         ..asking(age_ms)
@@ -139,7 +139,7 @@
     };
     expect_that!(counts(&full, &again)[0], eq(1_000));
     expect_that!(counts(&full, &asking(0))[0], lt(500));
-    // Of many, a part.
+    // Too many retries for the reserved slots.
     full.returns = vec![40];
     expect_that!(counts(&full, &again)[0], lt(250));
 }
@@ -148,13 +148,13 @@
 fn times_to_return() {
     let mut full = room(60, 20);
     let mut random = random();
-    // A third of the time that is left, at most.
+    // Never above the maximum.
     for _ in 0..100 {
         expect_that!(full.return_after(ms(1_000), &mut random), le(ms(1_000)));
     }
     let first = full.return_after(ms(1_000), &mut random);
     expect_that!(first, le(ms(200)));
-    // All kept slots are promised: late, and not together.
+    // No reserved slots left: late and spread out.
     full.returns = vec![50; 32];
     let late = full.return_after(ms(1_000), &mut random);
     expect_that!(late, ge(ms(500)));
@@ -177,7 +177,7 @@
     let begin = Instant::now();
     expect_that!(trend.note(10, begin), eq(0.0));
     expect_that!(trend.note(20, begin + ms(100)), near(100.0, 0.1));
-    // What is long over does not count.
+    // Old samples do not count.
     expect_that!(trend.note(20, begin + ms(400)), eq(0.0));
 }
 
@@ -188,7 +188,7 @@
     expect_that!(usual.note(ms(5_000), now), eq(false));
     expect_that!(usual.note(ms(4_990), now), eq(false));
     expect_that!(usual.note(ms(4_800), now), eq(true));
-    // Such a caller has another deadline.
+    // A much shorter deadline is the client's choice.
     expect_that!(usual.note(ms(1_000), now), eq(false));
     let later = now + Duration::from_secs(25);
     expect_that!(usual.note(ms(1_000), later), eq(false));
@@ -204,7 +204,7 @@
         let begins = ms(20 + 100 * place as u64);
         expect_that!(*time, all![ge(begins), le(begins + ms(100))]);
     }
-    // There is no credit for the rest while they wait.
+    // There is no quota for the rest within the maximum delay.
     expect_that!(times[11..], each(all![ge(&ms(500)), le(&ms(1_000))]));
 }
 
--- a/crates/room/tests/demand.rs
+++ b/crates/room/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Demand as nodes tell it to each other.
+//! Sums of demand and the retry schedule.
 
 use std::time::Duration;
 
--- a/crates/room/tests/room.rs
+++ b/crates/room/tests/room.rs
@@ -1,5 +1,5 @@
-//! Goodput of a service that has too little room, in virtual time: ways to decide against demand, news of some age,
-//! waves, and nodes that begin.
+//! Goodput of an overloaded service in a discrete-time simulation: admission policies under steady
+//! and varying demand, with delayed information and nodes that start.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -18,31 +18,30 @@
 const CALLER_MS: u64 = 5_000;
 const PLAYED_MS: u64 = 12_000;
 
-/// A way to decide.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Way {
-    /// Everything goes to a server in the order in which it comes.
+    /// First come, first served.
     Arrival,
-    /// The newest wait for a slot that seems free while they can be in time.
+    /// Waits for a slot that appears free while it can meet its target.
     Newest,
-    /// Whoever would wait too long is told the time at which the queue is over.
+    /// Refuses requests that would wait too long, with the expected wait as retry delay.
     Booked,
-    /// `admit`.
+    /// The policy of `admit`.
     Room,
 }
 
-/// What is asked, and what nodes know.
+/// Demand and the nodes' information.
 #[derive(Clone, Copy)]
 struct Load {
-    /// Demand in parts of the room, at a time.
+    /// Demand as a fraction of the capacity, by time.
     demand: fn(u64) -> f64,
-    /// Age of a node's news of the others; `None` while it knows nobody.
+    /// Age of a node's information on the others, by time; `None` while it has none.
     news_ms: fn(usize, u64) -> Option<u64>,
 }
 
 const STEADY_NEWS: fn(usize, u64) -> Option<u64> = |_, _| Some(75);
 
-/// A request on its way: node, coming, and whether it was refused before.
+/// A simulated request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Call {
     came_ms: u64,
@@ -58,13 +57,13 @@
     first: u32,
     second: u32,
     late: u32,
-    /// Refusals after more than a quarter of the target.
+    /// Refusals later than a quarter of the target.
     slow: u32,
     refused_again: u32,
 }
 
 impl Outcome {
-    /// Served in time, in parts of what was asked or of what the slots could serve.
+    /// Requests served in time, relative to the demand or the capacity, whichever is less.
     fn goodput(&self) -> f64 {
         let room = f64::from(SLOTS) * PLAYED_MS as f64 / HOLD_MS as f64;
         f64::from(self.first + self.second) / f64::from(self.asked).min(room)
@@ -91,7 +90,7 @@
     }
 }
 
-/// Sums over all nodes at one time, as they are told.
+/// Sums over all nodes at one time, as exchanged.
 #[derive(Clone, Default)]
 struct Told {
     online: u32,
@@ -195,7 +194,7 @@
         while running.len() < SLOTS as usize
             && let Some(call) = queue.pop_front()
         {
-            // Answers differ in length.
+            // Responses differ in length.
             let held = random.random_range(HOLD_MS / 2..=HOLD_MS * 3 / 2);
             running.push(Reverse(ms + held));
             let in_time = ms + FIRST_EVENT_MS <= call.came_ms + TARGET_MS;
@@ -220,7 +219,7 @@
     )
 }
 
-/// Steady demand in parts of the room.
+/// Steady demand as a fraction of the capacity.
 const DEMANDS: [fn(u64) -> f64; 5] = [|_| 0.5, |_| 1.0, |_| 1.25, |_| 2.0, |_| 4.0];
 
 #[gtest]
@@ -232,7 +231,7 @@
     for pair in room[2..].windows(2) {
         expect_that!(pair[1], ge(pair[0] - 0.02), "{room:?}");
     }
-    // The other ways, for comparison: none serves more when demand is high.
+    // No other policy serves more under high demand.
     for way in [Way::Arrival, Way::Newest, Way::Booked] {
         let others = of(way);
         for (ours, theirs) in room[2..].iter().zip(&others[2..]) {
@@ -246,7 +245,7 @@
     let wave: fn(u64) -> f64 = |ms| if ms / 3_000 % 2 == 0 { 1.6 } else { 0.2 };
     let outcome = steady(Way::Room, wave);
     expect_that!(outcome.goodput(), ge(0.8));
-    // Whoever was refused in a wave is mostly served behind it.
+    // Requests refused during a burst are mostly served after it.
     expect_that!(outcome.refused_again, le(outcome.second));
 }
 
--- a/crates/room/tests/shares.rs
+++ b/crates/room/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Fair shares of slots among tenants.
+//! Fair shares of slots among tenants, and a simulation of nodes with delayed information.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     Claim { requests, weight }
 }
 
-/// Slots that each claim gets.
+/// Slots granted to each claim.
 fn granted(claims: &[Claim], others: u32, slots: u32) -> Vec<f64> {
     let shares = Shares::new(claims, others, slots);
     let part = |held: &Claim| {
@@ -45,7 +45,8 @@
 
 #[gtest]
 fn unused_shares_flow() {
-    // Alike in weight: 10 and 20 are less than a third of the slots, so the third has all the rest.
+    // With equal weights, demands of 10 and 20 are below a third of the slots, so the third tenant
+    // gets the rest.
     let claims = [claim(10, 1.0), claim(20, 1.0), claim(400, 1.0)];
     expect_that!(
         granted(&claims, 0, 100),
@@ -71,7 +72,7 @@
 
 #[gtest]
 fn nobody_starves() {
-    // Two thousand tenants want 448 slots, and one of them next to nothing by its weight.
+    // 2,000 tenants compete for 448 slots, one of them with zero weight.
     let mut claims = vec![claim(1, 1.0); 1_999];
     claims.push(claim(0, 0.0));
     let shares = Shares::new(&claims, 0, 448);
@@ -92,7 +93,7 @@
         ..
     } = refused(0.0);
     expect_that!((requests, share, slots), eq((110, 50.0, 100)));
-    // 59 of the 110 are too many: they have ended after somewhat more than half of a stay.
+    // 59 of the 110 requests are too many; they end within 59/110 of the mean duration.
     expect_that!(refused(0.0).come_back, eq(STAY.mul_f64(59.0 / 110.0)));
     expect_that!(refused(1.0).come_back, eq(STAY.mul_f64(59.0 / 110.0 + 1.0)));
     expect_that!(
@@ -111,7 +112,7 @@
 
     #[test]
     fn least_are_served_first(claims in many(84), slots in 1_u32..2_000) {
-        // Each gets what it wants, or as much by weight as anybody.
+        // Each tenant gets its demand or the highest share per weight.
         let granted = granted(&claims, 0, slots);
         let height = |at: usize| granted[at] / claims[at].weight;
         let highest = (0..claims.len()).map(height).fold(0.0, f64::max);
@@ -131,7 +132,7 @@
 
     #[test]
     fn others_demand_takes_no_guarantee(claims in many(84), more in 1_u32..10_000, slots in 1_u32..2_000) {
-        // Whatever one asks for, the others have what their weight alone gives them.
+        // A tenant's demand cannot reduce others below their share by weight.
         let mut greedy = claims.clone();
         greedy[0].requests += more;
         let weights: f64 = claims.iter().map(|held| held.weight).sum();
@@ -142,26 +143,27 @@
     }
 }
 
-/// Nodes in front of servers with one queue; each knows its own counts, and those of others as they were.
+/// Simulates nodes in front of servers with one common queue. Each knows its own counts and
+/// outdated counts of the others.
 struct Fleet {
     nodes: usize,
-    /// Nodes that hear only those of their own half.
+    /// Whether the nodes are partitioned into two halves.
     cut: bool,
     slots: u32,
-    /// Rate of arrivals and weight of each tenant.
+    /// Arrivals per second and weight of each tenant.
     tenants: Vec<(f64, f64)>,
-    /// Milliseconds after which news arrive.
+    /// Delay of information, in milliseconds.
     news_age: usize,
-    /// A node that ends halfway, and whose counts nobody renews.
+    /// A node that fails halfway through; its last counts stay.
     lost: Option<usize>,
 }
 
-/// What became of one tenant's requests.
+/// Outcome of one tenant's requests.
 #[derive(Debug, Clone, Copy, Default)]
 struct Fate {
     asked: u32,
     refused: u32,
-    /// Those that waited too long for a slot.
+    /// Requests that waited too long for a slot.
     late: u32,
 }
 
@@ -175,13 +177,14 @@
     }
 }
 
-/// Milliseconds of the test.
+/// Length of the simulation, in milliseconds.
 const STEPS: usize = 8_000;
-/// Longest wait for a slot, in milliseconds, with which a first event can come within 300 ms: 0.7 of them, as nodes hold it.
+/// Longest wait for a slot, in milliseconds, with which the first event can come within 300 ms.
 const MOST_WAIT: usize = 210;
 
 impl Fleet {
-    /// The load that the shares answer: one tenant within its quota asks for more than the slots, beside 83 that ask for half of them.
+    /// One tenant within its quota requests more than the slots, and 83 tenants request half of
+    /// them.
     fn beside_large() -> Self {
         let mut tenants = vec![(400.0, 170.0)];
         tenants.extend([(2.5, 11.0); 83]);
@@ -202,7 +205,7 @@
     fn run(&self, seed: u64, shared: bool) -> Vec<Fate> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut fates = vec![Fate::default(); self.tenants.len()];
-        // Counts by node and tenant, the newest last.
+        // Counts by node and tenant, the newest at the back.
         let idle = vec![vec![0_u32; self.tenants.len()]; self.nodes];
         let mut counts = VecDeque::from(vec![idle; self.news_age + 1]);
         let mut running: VecDeque<(usize, usize, usize)> = VecDeque::new();
@@ -280,18 +283,20 @@
 fn small_ones_are_alone() {
     let fleet = Fleet::beside_large();
     let (with, without) = (fleet.run(1, true), fleet.run(1, false));
-    // 139 of the 248 slots are enough for the small ones; where nothing is shared, most of them are late.
+    // 139 of the 248 slots suffice for the small tenants; without shares most of their requests are
+    // late.
     expect_that!(small(&without).late * 2, gt(small(&without).asked));
     expect_that!(small(&with).refused, eq(0));
-    // Callers who are beside a large one keep 0.95 of what they have without it: the shares begin one age of news late.
+    // At most 5 % are late, since shares react with the delay of the information.
     expect_that!(small(&with).late * 20, le(small(&with).asked));
-    // The large one takes what they leave: 109 slots are some 1,300 requests in eight seconds.
+    // The large tenant gets the rest: 109 slots serve about 1,300 requests in eight seconds.
     expect_that!(with[0].asked - with[0].refused, gt(1_100));
 }
 
 #[gtest]
 fn half_cut_off() {
-    // Each half knows half of the requests, and all slots: it may let pass more than there is room for, never less.
+    // Each half knows half of the requests but all slots, so it may admit too many requests but
+    // never refuses too many.
     let mut fleet = Fleet::beside_large();
     fleet.cut = true;
     expect_that!(small(&fleet.run(2, true)).refused, eq(0));
--- a/crates/upstream/src/body.rs
+++ b/crates/upstream/src/body.rs
@@ -1,37 +1,35 @@
-//! Where the body of an answer ends.
+//! Response body framing.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest line that tells the size of a chunk, bytes.
+/// Maximum length of a chunk size line, in bytes.
 const MAX_SIZE_LINE: usize = 256;
 
-/// How the body of an answer ends.
+/// How the end of a response body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// After this many bytes.
+    /// Content-Length.
     Length(u64),
-    /// After the last chunk.
+    /// Chunked transfer encoding.
     Chunked,
-    /// With the connection.
+    /// End of the connection.
     UntilClose,
 }
 
-/// Reads a body out of a buffer.
+/// Incremental body decoder.
 #[derive(Debug)]
 pub(crate) enum BodyReader {
-    /// Bytes still to come.
+    /// Remaining bytes.
     Length(u64),
-    /// At the line that tells the size of a chunk.
+    /// At a chunk size line.
     ChunkSize,
-    /// Inside a chunk, bytes still to come.
+    /// Remaining bytes of the chunk.
     ChunkData(u64),
-    /// At the line end after a chunk.
+    /// At the CRLF after a chunk.
     ChunkEnd,
-    /// Behind the last chunk, at the trailers.
+    /// In the trailers.
     Trailers,
-    /// Until the connection ends.
     UntilClose,
-    /// At the end.
     Done,
 }
 
@@ -49,7 +47,7 @@
         matches!(self, BodyReader::Done)
     }
 
-    /// The connection ended in order; whether that ends the body too.
+    /// Handles the end of the connection. Returns whether the body is complete.
     pub(crate) fn end_of_connection(&mut self) -> bool {
         if matches!(self, BodyReader::UntilClose) {
             *self = BodyReader::Done;
@@ -57,8 +55,8 @@
         self.is_done()
     }
 
-    /// Takes the next piece of body off the buffer, or `None` when more bytes are needed or the
-    /// body is at its end.
+    /// Takes the next piece of the body off the buffer. Returns `None` if more bytes are needed or
+    /// the body is complete.
     pub(crate) fn take(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, &'static str> {
         loop {
             match self {
@@ -131,7 +129,7 @@
     }
 }
 
-/// Takes a line; whether it was empty.
+/// Consumes a line and returns whether it was empty.
 fn line(buffer: &mut BytesMut) -> Result<Option<bool>, &'static str> {
     match buffer.windows(2).position(|pair| pair == b"\r\n") {
         Some(length) => {
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, one exchange at a time.
+//! An HTTP/1.1 client connection without pipelining.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,29 +13,26 @@
 use crate::head::{AnswerHead, take_head};
 use dappleyard_clock::Instant;
 
-/// Room made for each read, bytes.
+/// Minimum buffer capacity for each read, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// How far an exchange had come when it failed.
+/// Stage at which an exchange failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// The connection did not come up: nothing was sent.
+    /// No connection was established; nothing was sent.
     Connect,
-    /// Some of the request was sent.
+    /// The request may have been sent in part.
     Send,
-    /// The whole request was sent, and no answer was seen.
+    /// The request was sent; no complete response head was received.
     Head,
-    /// The answer had begun.
+    /// The response head was received.
     Body,
 }
 
-/// An exchange that failed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{stage:?}: {reason}")]
 pub struct ExchangeError {
-    /// How far it had come.
     pub stage: Stage,
-    /// What was seen.
     pub reason: String,
 }
 
@@ -48,7 +45,6 @@
     }
 }
 
-/// One connection to a peer.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -61,14 +57,13 @@
 }
 
 impl Connection {
-    /// Connects within a time limit.
     pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ExchangeError> {
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address));
         let stream = connecting
             .await
             .map_err(|_| ExchangeError::new(Stage::Connect, "timeout"))?
             .map_err(|error| ExchangeError::new(Stage::Connect, error))?;
-        // Without it small messages wait for acknowledgements; a failure only costs time.
+        // Avoids the delay of small writes by Nagle's algorithm. A failure only costs latency.
         let _ = stream.set_nodelay(true);
         Ok(Self {
             stream,
@@ -81,14 +76,14 @@
         })
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response head.
     pub async fn send(&mut self, request: &[u8]) -> Result<AnswerHead, ExchangeError> {
         self.answered = false;
         self.write(request).await?;
         self.next_head().await
     }
 
-    /// Waits for the next head on the connection; heads of interim answers are passed over.
+    /// Waits for the next response head, skipping interim (1xx) responses.
     pub async fn next_head(&mut self) -> Result<AnswerHead, ExchangeError> {
         loop {
             let head = take_head(&mut self.buffer)
@@ -109,7 +104,7 @@
         }
     }
 
-    /// The next piece of the answer's body; `None` at its end.
+    /// The next piece of the response body; `None` at its end.
     pub async fn next_piece(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             let piece = self
@@ -129,7 +124,7 @@
         }
     }
 
-    /// The whole body, up to a limit.
+    /// Reads the rest of the body; fails if it is longer than `limit` bytes.
     pub async fn whole_body(&mut self, limit: usize) -> Result<Bytes, ExchangeError> {
         let mut whole = BytesMut::new();
         while let Some(piece) = self.next_piece().await? {
@@ -141,8 +136,8 @@
         Ok(whole.freeze())
     }
 
-    /// Whether another request may follow: the answer was read to its end, nothing is left over,
-    /// and the peer has not closed.
+    /// Whether another request may be sent: the response was read completely, no bytes are left
+    /// over and the peer has not closed the connection.
     pub fn is_reusable(&self) -> bool {
         if !self.reusable || !self.body.is_done() || !self.buffer.is_empty() {
             return false;
@@ -154,12 +149,12 @@
         }
     }
 
-    /// Seconds that the peer said it keeps the connection at rest.
+    /// Idle timeout announced by the peer, in seconds.
     pub fn keep_alive_s(&self) -> Option<u64> {
         self.keep_alive_s
     }
 
-    /// Since when the connection rests.
+    /// When the last response was completely read.
     pub fn rested(&self) -> Instant {
         self.rested
     }
@@ -175,7 +170,7 @@
             }
             readable = reader.readable() => readable,
         };
-        // The peer answers before it has read the request: the connection carries nothing more.
+        // The peer responded before it read the whole request, so the connection cannot be reused.
         self.reusable = false;
         early.map_err(|error| ExchangeError::new(Stage::Send, error))
     }
--- a/crates/upstream/src/head.rs
+++ b/crates/upstream/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Request and response heads.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use http::header::{CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -6,27 +6,24 @@
 
 use crate::body::BodyFraming;
 
-/// Most headers of an answer.
+/// Maximum number of response headers.
 const MAX_HEADERS: usize = 64;
-/// Longest head of an answer, bytes.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Head of an answer.
+/// Response head.
 #[derive(Debug, Clone)]
 pub struct AnswerHead {
-    /// Status.
     pub status: u16,
-    /// Headers.
     pub headers: HeaderMap,
-    /// How the body ends.
     pub framing: BodyFraming,
-    /// The connection may carry another request afterwards.
+    /// The connection may be used for another request.
     pub keep_alive: bool,
-    /// Seconds that the peer keeps a resting connection, where it says so.
+    /// Idle timeout announced by the peer, in seconds.
     pub keep_alive_s: Option<u64>,
 }
 
-/// The bytes of a request: head and body.
+/// Serializes a request.
 pub fn request_bytes<'a>(
     method: &Method,
     target: &str,
@@ -52,7 +49,7 @@
     out
 }
 
-/// Takes a head off the front of `buffer`, or `None` when it is not whole yet.
+/// Takes a response head off the front of `buffer`; `None` if it is incomplete.
 pub(crate) fn take_head(buffer: &mut BytesMut) -> Result<Option<AnswerHead>, &'static str> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut slots);
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 client connections to model servers and to the row store.
 //!
-//! The end of a body and the end of a connection are told apart: an answer that ends early is an
-//! error and never looks complete.
+//! The end of a body and the end of a connection are distinguished: a truncated response is an
+//! error and never appears complete.
 
 mod body;
 mod connection;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,4 +1,4 @@
-//! Resting connections of one worker thread.
+//! Pool of idle connections of one worker thread.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,16 +9,16 @@
 
 use crate::connection::Connection;
 
-/// How long a resting connection may be used again.
+/// How long an idle connection may be reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IdleLimit {
-    /// Where the peer says nothing.
+    /// If the peer announces no idle timeout.
     pub default: Duration,
-    /// Taken off the time that the peer says.
+    /// Subtracted from the idle timeout that the peer announces.
     pub margin: Duration,
 }
 
-/// Resting connections by peer, the last used first.
+/// Idle connections by peer, the most recently used last.
 #[derive(Debug)]
 pub struct Pool {
     limit: IdleLimit,
@@ -27,7 +27,7 @@
 }
 
 impl Pool {
-    /// A pool that keeps at most `most` connections to a peer.
+    /// Creates a pool that keeps at most `most` connections per peer.
     pub fn new(limit: IdleLimit, most: usize) -> Self {
         Self {
             limit,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Takes a connection that is fit for use.
+    /// Takes a reusable connection.
     pub fn take(&self, address: SocketAddr) -> Option<Connection> {
         self.take_after(address, None)
     }
 
-    /// Takes a connection that is fit for use, and was used after a moment where one is named.
+    /// Takes a reusable connection that was last used at or after `after`, if given.
     pub fn take_after(&self, address: SocketAddr, after: Option<Instant>) -> Option<Connection> {
         let mut resting = self.resting.borrow_mut();
         let connections = resting.get_mut(&address)?;
@@ -54,7 +54,7 @@
         None
     }
 
-    /// Puts a connection back; one that is not fit is closed.
+    /// Returns a connection to the pool, or closes it if it is not reusable.
     pub fn put(&self, address: SocketAddr, connection: Connection) {
         if !connection.is_reusable() {
             return;
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Closes the connections to a peer.
+    /// Closes all idle connections to a peer.
     pub fn forget(&self, address: SocketAddr) {
         self.resting.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that rested too long or that the peer closed.
+    /// Closes connections that expired or were closed by the peer.
     pub fn sweep(&self) {
         let mut resting = self.resting.borrow_mut();
         resting.retain(|_, connections| {
--- a/crates/upstream/tests/exchange.rs
+++ b/crates/upstream/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with servers that behave and that do not.
+//! Exchanges with conforming and misbehaving servers.
 
 use std::time::Duration;
 
@@ -155,7 +155,7 @@
             pool.put(server.address(), connection);
             match pool.take(server.address()) {
                 Some(taken) => connection = taken,
-                // The peer said that it closes at once.
+                // The peer announced an idle timeout of zero.
                 None => {
                     expect_that!(expected, eq("b"));
                     return;
--- a/crates/upstream/tests/suspension.rs
+++ b/crates/upstream/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! Connections that rest while the machine is suspended.
+//! Idle connections expire while the machine is suspended.
 
 use std::time::Duration;
 
