--- a/crates/ingress/src/admission.rs
+++ b/crates/ingress/src/admission.rs
@@ -5,9 +5,9 @@
 use dappleyard_model::{Configuration, RequestFacts, Route, RouteKind};
 use dappleyard_tenants::{Caller, KeyRefusal};
 
+use crate::capacity::{Coming, SHORTEST_WAIT};
+use crate::error_kind::ErrorKind;
 use crate::node::Node;
-use crate::outcome::ErrorKind;
-use crate::room::{Coming, SHORTEST_WAIT};
 
 /// Random extension of the retry delay, as a fraction, so that clients refused together do not
 /// return together.
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -18,12 +18,12 @@
 };
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
-use crate::cold;
-use crate::holding::Allowance;
-use crate::homes;
+use crate::cold_limit;
+use crate::home_regions;
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::patience::Patience;
+use crate::silence_limits::Patience;
+use crate::urgency::Allowance;
 use dappleyard_clock::Instant;
 
 /// Responses to other requests that are discarded on one connection before it is given up.
@@ -174,8 +174,8 @@
         let mut connection = self.connect(server).await?;
         // The server may have been excluded while the connection was opened.
         let listed = self.node.view.exclusion(&server.id);
-        let listed = listed.or_else(|| homes::refusal(&self.node, server, attempt.homes));
-        if let Some(exclusion) = listed.or_else(|| cold::refusal(&self.node, server)) {
+        let listed = listed.or_else(|| home_regions::refusal(&self.node, server, attempt.homes));
+        if let Some(exclusion) = listed.or_else(|| cold_limit::refusal(&self.node, server)) {
             self.pool.put(server.address, connection);
             return Err(AttemptError::own(Ran::No, format!("not sent: {exclusion}")));
         }
--- a/crates/ingress/src/room.rs
+++ b/crates/ingress/src/capacity.rs
@@ -15,10 +15,10 @@
 
 use crate::attempt::Ran;
 use crate::dispatch::Request;
-use crate::holding::due_age;
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::open_slots::{OpenSlots, open_slots};
+use crate::slot_usage::{OpenSlots, open_slots};
+use crate::urgency::due_age;
 
 /// How long a computed capacity is reused; few own requests start in the meantime.
 const ROOM_LIFE: Duration = Duration::from_millis(10);
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -12,13 +12,13 @@
 use http::{HeaderMap, Method};
 
 use crate::attempt::{Attempt, AttemptError, Exchange, Ran, SUSPECT_TIME, Upstreams};
-use crate::cold::ColdGate;
+use crate::cold_limit::ColdGate;
 use crate::crashes::Broken;
+use crate::error_kind::{ErrorKind, promises_not_run};
 use crate::metrics::Metrics;
-use crate::outcome::{ErrorKind, promises_not_run};
-use crate::patience::Patience;
 use crate::placement::PromptShape;
-use crate::placing::{NoPlace, Placement, find_place};
+use crate::server_selection::{NoPlace, Placement, find_place};
+use crate::silence_limits::Patience;
 use dappleyard_clock::Instant;
 
 /// Interval for checking whether a run on another node has ended; updates arrive every 25 ms.
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -13,19 +13,19 @@
 use http::HeaderMap;
 
 use crate::admission::{Refusal, caller_of_jobs, caller_of_route, take_credit};
-use crate::answer::{begin, copy_headers, refusal};
 use crate::attempt::{Ran, Upstreams};
+use crate::capacity::comes_again;
 use crate::crashes::operators_call;
 use crate::dispatch::{Begun, Dispatched, Request, dispatch, is_event_route};
+use crate::error_kind::ErrorKind;
 use crate::evacuated_zones::{orders_text, zone_text};
 use crate::job_calls::{JobCalls, JobReply};
 use crate::metrics::{Metrics, tenant_text};
 use crate::node::{Node, UnderWay, UntilEnd};
-use crate::outcome::ErrorKind;
 use crate::placement::PromptShape;
-use crate::refusing::{give_back, refuse, without_route};
+use crate::refusals::{give_back, refuse, without_route};
 use crate::relay;
-use crate::room::comes_again;
+use crate::responses::{begin, copy_headers, refusal};
 use crate::shares::{enter_share, share_text};
 use dappleyard_clock::Instant;
 
--- a/crates/ingress/src/job_calls.rs
+++ b/crates/ingress/src/job_calls.rs
@@ -5,7 +5,7 @@
 use dappleyard_tenants::Caller;
 use futures::future::LocalBoxFuture;
 
-use crate::outcome::ErrorKind;
+use crate::error_kind::ErrorKind;
 
 /// Reply to a job call.
 pub enum JobReply {
--- a/crates/ingress/src/node.rs
+++ b/crates/ingress/src/node.rs
@@ -11,10 +11,10 @@
 use dappleyard_tenants::{Caller, KeyRefusal, QuotaTable, Standing, identify};
 use parking_lot::Mutex;
 
-use crate::answer_times::AnswerTimes;
-use crate::homes;
+use crate::capacity::RoomTable;
+use crate::home_regions;
 use crate::metrics::Metrics;
-use crate::room::RoomTable;
+use crate::response_times::AnswerTimes;
 use crate::shares::{Counted, ShareTable};
 use dappleyard_clock::Instant;
 
@@ -106,8 +106,8 @@
             tolerated: self.settings.tolerated,
         };
         let configuration = self.view.configuration();
-        let homes = homes::of_host(configuration.as_deref(), host);
-        let regions = homes::regions_for(&homes, zone, ground.places);
+        let homes = home_regions::of_host(configuration.as_deref(), host);
+        let regions = home_regions::regions_for(&homes, zone, ground.places);
         let answer = |regions| directory::addresses_for(Asked { zone, regions }, ground, &nodes);
         let mut addresses = answer(regions.as_ref());
         if addresses.is_empty() && regions.is_some() {
--- a/crates/ingress/src/pace_evidence.rs
+++ b/crates/ingress/src/pace.rs
@@ -5,8 +5,8 @@
 use dappleyard_cluster::Pace;
 use dappleyard_model::{ServerLoad, ServerRecord};
 
-use crate::answer_pauses::excess;
 use crate::attempt::Upstreams;
+use crate::event_gaps::excess;
 use crate::metrics::Metrics;
 
 impl Upstreams {
--- a/crates/ingress/src/refusing.rs
+++ b/crates/ingress/src/refusals.rs
@@ -7,12 +7,12 @@
 use dappleyard_model::Configuration;
 
 use crate::admission::{Refusal, known_as};
-use crate::answer::refusal;
 use crate::attempt::Ran;
 use crate::dispatch::Request;
+use crate::error_kind::{ErrorKind, promises_not_run};
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::outcome::{ErrorKind, promises_not_run};
+use crate::responses::refusal;
 
 /// Distinguishes a missing route from a configuration that may be outdated.
 pub(crate) fn without_route(node: &Node, configuration: &Configuration) -> Refusal {
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -6,16 +6,16 @@
 use derive_more::{Display, Error};
 use futures::Stream;
 
-use crate::answer_pauses::AnswerPauses;
 use crate::attempt::{AttemptError, Exchange, Ran, SUSPECT_TIME, Upstreams};
 use crate::crashes::Broken;
 use crate::dispatch::{Begun, Dispatched, Request, dispatch, is_event_route};
+use crate::error_kind::ErrorKind;
+use crate::event_gaps::AnswerPauses;
 use crate::event_stream::EventSplitter;
 use crate::metrics::Metrics;
 use crate::node::{UnderWay, UntilEnd};
-use crate::outcome::ErrorKind;
-use crate::patience::Patience;
-use crate::read_ahead::{ReadAhead, Stopped};
+use crate::response_buffer::{ReadAhead, Stopped};
+use crate::silence_limits::Patience;
 use dappleyard_clock::Instant;
 
 const STREAM_PATIENCE: Duration = Duration::from_millis(900);
--- a/crates/ingress/src/placing.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -10,17 +10,17 @@
 use dappleyard_room::Admission;
 
 use crate::attempt::Upstreams;
-use crate::cold::ColdGate;
+use crate::capacity::{self, Looks};
+use crate::cold_limit::ColdGate;
 use crate::crashes::apart;
 use crate::dispatch::Request;
-use crate::holding::{Standing, due_age, standing};
-use crate::homes::reached;
+use crate::home_regions::reached;
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::placement::{
     Candidate, choose, has_slot, home, is_sound, mean_over, sample, within_reach,
 };
-use crate::room::{self, Looks};
+use crate::urgency::{Standing, due_age, standing};
 
 /// Maximum number of servers tried per request.
 const MOST_ASKED: usize = 6;
@@ -58,7 +58,7 @@
     begins: bool,
 ) -> Result<Placement, NoPlace> {
     let sheds = upstreams.node().settings.load_shedding;
-    let begins = begins && !(sheds && room::goes_on(&request.route, &request.facts));
+    let begins = begins && !(sheds && capacity::goes_on(&request.route, &request.facts));
     if begins
         && sheds
         && let Some(found) = find_in_room(upstreams, request).await
@@ -79,7 +79,7 @@
     let mut waiting = None;
     let mut looks = Looks::default();
     loop {
-        let admission = room::ask(node, request, looks)?;
+        let admission = capacity::ask(node, request, looks)?;
         let (look, counted) = match admission {
             Admission::Refuse { retry_after } => return Some(Err(NoPlace::NoRoom { retry_after })),
             Admission::Wait { look, counted } => (look, counted),
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -18,11 +18,11 @@
 use parking_lot::Mutex;
 
 use crate::admission::Refusal;
+use crate::capacity::{Coming, SHORTEST_WAIT, goes_on};
+use crate::error_kind::ErrorKind;
 use crate::metrics::{Metrics, NAMED_TENANTS};
 use crate::node::Node;
-use crate::open_slots::{OpenSlots, open_slots};
-use crate::outcome::ErrorKind;
-use crate::room::{Coming, SHORTEST_WAIT, goes_on};
+use crate::slot_usage::{OpenSlots, open_slots};
 
 /// How long computed shares are reused; load information is updated at the same interval.
 const LOOK_LIFE: Duration = Duration::from_millis(25);
--- a/crates/ingress/src/open_slots.rs
+++ b/crates/ingress/src/slot_usage.rs
@@ -6,7 +6,7 @@
 use dappleyard_model::{Homes, ServerRecord};
 use rand::seq::IteratorRandom;
 
-use crate::homes::reached;
+use crate::home_regions::reached;
 use crate::node::Node;
 
 /// Servers that are examined at most; larger fleets are sampled to bound the cost.
--- a/crates/ingress/src/cold_watch.rs
+++ b/crates/ingress/src/temperature_monitor.rs
@@ -13,8 +13,8 @@
 use rand::Rng;
 
 use crate::attempt::Upstreams;
-use crate::cold::{ColdGate, share_of, temperature};
-use crate::connecting::HEALTH_LIMIT;
+use crate::cold_limit::{ColdGate, share_of, temperature};
+use crate::connections::HEALTH_LIMIT;
 use crate::metrics::Metrics;
 
 const LOOK: Duration = Duration::from_millis(50);
