--- a/crates/ingress/benches/online.rs
+++ b/crates/ingress/benches/online.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use dappleyard_cluster::{LoadSummary, Standpoint, Ways};
-use dappleyard_ingress::{Candidate, EventSplitter, choose, home};
+use dappleyard_ingress::{Candidate, EventSplitter, affinity_server, choose};
 use dappleyard_model::ServerRecord;
 
 const FLEETS: [usize; 3] = [12, 320, 7_900];
@@ -56,7 +56,7 @@
             bencher.iter(|| black_box(decide()));
         });
         group.bench_function(BenchmarkId::new("home", count), |bencher| {
-            bencher.iter(|| black_box(home(&servers.homes, black_box(77)).is_some()));
+            bencher.iter(|| black_box(affinity_server(&servers.homes, black_box(77)).is_some()));
         });
     }
     group.finish();
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -23,22 +23,22 @@
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::silence_limits::Patience;
-use crate::urgency::Allowance;
+use crate::urgency::OvercommitLimit;
 use dappleyard_clock::Instant;
 
 /// Responses to other requests that are discarded on one connection before it is given up.
-const FOREIGN_ANSWERS: usize = 2;
+const MAX_STALE_RESPONSES: usize = 2;
 /// Longest response to another request that is read and discarded.
-pub(crate) const FOREIGN_BYTES: usize = 1024 * 1024;
+pub(crate) const MAX_STALE_RESPONSE_BYTES: usize = 1024 * 1024;
 /// How long a server is avoided after it failed or stopped responding.
-pub(crate) const SUSPECT_TIME: Duration = Duration::from_millis(1_200);
+pub(crate) const SUSPECT_DURATION: Duration = Duration::from_millis(1_200);
 /// Silence after which a server counts as unreachable. It may have restarted in the meantime, so
 /// its warm-up state is unknown.
-const SILENT: Duration = Duration::from_millis(900);
-const SILENCE_TICK: Duration = Duration::from_millis(100);
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(900);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Idle connections kept per server.
-const RESTING: usize = 24;
-const IDLE: IdleLimit = IdleLimit {
+const MAX_IDLE_CONNECTIONS: usize = 24;
+const IDLE_LIMIT: IdleLimit = IdleLimit {
     default: Duration::from_secs(10),
     margin: Duration::from_millis(700),
 };
@@ -132,15 +132,15 @@
 pub struct Upstreams {
     pub(crate) node: Arc<Node>,
     pub(crate) pool: Rc<Pool>,
-    allowance: Rc<Cell<Allowance>>,
+    overcommit: Rc<Cell<OvercommitLimit>>,
 }
 
 impl Upstreams {
     pub fn new(node: Arc<Node>) -> Self {
         Self {
             node,
-            pool: Rc::new(Pool::new(IDLE, RESTING)),
-            allowance: Rc::default(),
+            pool: Rc::new(Pool::new(IDLE_LIMIT, MAX_IDLE_CONNECTIONS)),
+            overcommit: Rc::default(),
         }
     }
 
@@ -149,8 +149,8 @@
     }
 
     /// Current limit on online requests beyond a server's slots.
-    pub(crate) fn allowance(&self) -> Allowance {
-        self.allowance.get()
+    pub(crate) fn overcommit(&self) -> OvercommitLimit {
+        self.overcommit.get()
     }
 
     /// Returns the connection to the pool.
@@ -174,13 +174,16 @@
         let mut connection = self.connect(server).await?;
         // The server may have been excluded while the connection was opened.
         let listed = self.node.view.exclusion(&server.id);
-        let listed = listed.or_else(|| home_regions::refusal(&self.node, server, attempt.homes));
-        if let Some(exclusion) = listed.or_else(|| cold_limit::refusal(&self.node, server)) {
+        let listed =
+            listed.or_else(|| home_regions::home_exclusion(&self.node, server, attempt.homes));
+        if let Some(exclusion) =
+            listed.or_else(|| cold_limit::acquire_or_exclude(&self.node, server))
+        {
             self.pool.put(server.address, connection);
             return Err(AttemptError::own(Ran::No, format!("not sent: {exclusion}")));
         }
         let head = {
-            let waiting = self.answer(&mut connection, &request, attempt.id);
+            let waiting = self.receive_head(&mut connection, &request, attempt.id);
             self.with_patience(server, attempt.patience, waiting).await
         };
         let (head, facts) = match head {
@@ -194,9 +197,9 @@
         self.node.loads.heard(&server.id);
         if let Some(load) = facts.load {
             self.note_told_pace(server, load);
-            let mut allowance = self.allowance.get();
-            allowance.note(load);
-            self.allowance.set(allowance);
+            let mut overcommit = self.overcommit.get();
+            overcommit.record(load);
+            self.overcommit.set(overcommit);
         }
         if !facts.not_run && (head.status / 100 == 2 || head.status >= 500) {
             self.note_outcome(server, head.status / 100 == 2);
@@ -238,23 +241,24 @@
                     let own = started.elapsed();
                     let unheard = self.node.loads.silence(&server.id).unwrap_or(own);
                     let silence = unheard.min(own);
-                    let slow = || patience.notice_at(self.node.loads.pace(&server.id), SILENT);
+                    let slow =
+                        || patience.notice_at(self.node.loads.pace(&server.id), UNREACHABLE_AFTER);
                     if silence >= next_notice && unheard >= slow() {
-                        next_notice += SUSPECT_TIME / 2;
-                        match silence >= SILENT {
-                            true => self.node.loads.suspect(&server.id, SUSPECT_TIME),
-                            false => self.node.loads.doubt(&server.id, SUSPECT_TIME),
+                        next_notice += SUSPECT_DURATION / 2;
+                        match silence >= UNREACHABLE_AFTER {
+                            true => self.node.loads.suspect(&server.id, SUSPECT_DURATION),
+                            false => self.node.loads.doubt(&server.id, SUSPECT_DURATION),
                         }
                     }
                     if patience.leave.is_some_and(|leave| silence >= leave) {
                         return Err(AttemptError {
                             ran: Ran::Maybe,
                             reason: format!("silent for {} ms", silence.as_millis()),
-                            unreachable: silence >= SILENT,
+                            unreachable: silence >= UNREACHABLE_AFTER,
                             broken_off: false,
                         });
                     }
-                    pause = SILENCE_TICK;
+                    pause = SILENCE_CHECK_INTERVAL;
                 }
             }
         }
@@ -269,38 +273,41 @@
         }
     }
 
-    async fn answer(
+    async fn receive_head(
         &self,
         connection: &mut Connection,
         request: &[u8],
         id: &str,
     ) -> Result<(AnswerHead, AnswerFacts), AttemptError> {
-        let mut head = connection.send(request).await.map_err(broken)?;
-        for _ in 0..FOREIGN_ANSWERS {
+        let mut head = connection.send(request).await.map_err(exchange_failed)?;
+        for _ in 0..MAX_STALE_RESPONSES {
             let facts = self.node.dialect.answer_facts(head.status, &head.headers);
             match &facts.request_id {
                 Some(answered) if answered != id => {
                     self.node.log.write("answer_of_another_request", || {
                         serde_json::json!({"request": id, "answers": answered, "status": head.status})
                     });
-                    connection.whole_body(FOREIGN_BYTES).await.map_err(broken)?;
-                    head = connection.next_head().await.map_err(broken)?;
+                    connection
+                        .whole_body(MAX_STALE_RESPONSE_BYTES)
+                        .await
+                        .map_err(exchange_failed)?;
+                    head = connection.next_head().await.map_err(exchange_failed)?;
                 }
                 None if head.status / 100 == 2 => {
-                    return Err(garbled("answer without identifier"));
+                    return Err(invalid_response("answer without identifier"));
                 }
                 _ if head.status / 100 == 2 && !facts.sealed => {
-                    return Err(garbled("success without signature"));
+                    return Err(invalid_response("success without signature"));
                 }
                 _ => return Ok((head, facts)),
             }
         }
-        Err(garbled("answers of other requests"))
+        Err(invalid_response("answers of other requests"))
     }
 
     async fn drain(&self, mut connection: Connection, address: SocketAddr) {
-        let reading = connection.whole_body(FOREIGN_BYTES);
-        let read = tokio::time::timeout(SILENCE_TICK, reading).await;
+        let reading = connection.whole_body(MAX_STALE_RESPONSE_BYTES);
+        let read = tokio::time::timeout(SILENCE_CHECK_INTERVAL, reading).await;
         if matches!(read, Ok(Ok(_))) {
             self.pool.put(address, connection);
         }
@@ -331,7 +338,7 @@
     }
 }
 
-fn broken(error: ExchangeError) -> AttemptError {
+fn exchange_failed(error: ExchangeError) -> AttemptError {
     AttemptError {
         ran: match error.stage {
             Stage::Connect => Ran::No,
@@ -343,7 +350,7 @@
     }
 }
 
-fn garbled(reason: &str) -> AttemptError {
+fn invalid_response(reason: &str) -> AttemptError {
     AttemptError::own(Ran::Maybe, reason)
 }
 
@@ -363,10 +370,10 @@
     if single_hop.contains(name) || name.as_str() == "keep-alive" {
         return false;
     }
-    *name == HOST || !names_connection_header(name, headers.get_all(CONNECTION).iter())
+    *name == HOST || !is_connection_option(name, headers.get_all(CONNECTION).iter())
 }
 
-fn names_connection_header<'a>(
+fn is_connection_option<'a>(
     name: &HeaderName,
     values: impl Iterator<Item = &'a HeaderValue>,
 ) -> bool {
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -17,7 +17,7 @@
 use crate::dispatch::Request;
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::slot_usage::{OpenSlots, open_slots};
+use crate::slot_usage::{SlotUsage, slot_usage};
 use crate::urgency::due_age;
 
 /// How long a computed capacity is reused; few own requests start in the meantime.
@@ -189,7 +189,7 @@
 }
 
 fn sum_up(node: &Node, service: &str, homes: &Homes) -> Option<Room> {
-    let OpenSlots { slots, online } = open_slots(node, &node.view.servers(service), homes);
+    let SlotUsage { slots, online } = slot_usage(node, &node.view.servers(service), homes);
     // Queue lengths are only exchanged within a region.
     let told_here = homes.allow(&node.settings.zone, &node.settings.places);
     let demand = match told_here {
--- a/crates/ingress/src/cold_limit.rs
+++ b/crates/ingress/src/cold_limit.rs
@@ -14,13 +14,17 @@
 
 /// How the rate limit of a service's cold servers is divided among nodes; `None` if it has no
 /// limit.
-pub(crate) fn share_of(service: &Service, bounds: Option<ColdBounds>) -> Option<ColdShare> {
+pub(crate) fn cold_share(service: &Service, bounds: Option<ColdBounds>) -> Option<ColdShare> {
     let bounds = bounds.filter(|_| service.cold_per_s > 0.0)?;
     Some(ColdShare::new(service.cold_per_s, bounds))
 }
 
-fn share_in(node: &Node, configuration: &Configuration, service: &str) -> Option<ColdShare> {
-    share_of(configuration.service(service)?, node.settings.bounds.cold)
+fn configured_share(
+    node: &Node,
+    configuration: &Configuration,
+    service: &str,
+) -> Option<ColdShare> {
+    cold_share(configuration.service(service)?, node.settings.bounds.cold)
 }
 
 impl<'a> ColdGate<'a> {
@@ -28,7 +32,7 @@
     pub fn of(node: &'a Node, service: &str) -> Option<Self> {
         node.settings.bounds.cold?;
         let configuration = node.view.configuration()?;
-        let share = share_in(node, &configuration, service)?;
+        let share = configured_share(node, &configuration, service)?;
         Some(Self { node, share })
     }
 
@@ -37,30 +41,29 @@
     }
 
     /// Rank of this node among those responsible for a server, or `None` if it is not responsible.
-    pub(crate) fn standing(&self, server: &ServerRecord) -> Option<u32> {
+    pub(crate) fn rank(&self, server: &ServerRecord) -> Option<u32> {
         let peers = &self.node.peers;
         peers.standing(&server.id, &server.zone, self.share.nodes)
     }
 
     /// Whether a request may be sent to a server now.
-    pub fn passes(&self, server: &ServerRecord) -> bool {
+    pub fn allows(&self, server: &ServerRecord) -> bool {
         match temperature(self.node, server).0 {
             Temperature::Warm => true,
             Temperature::Unknown => false,
             Temperature::Cold | Temperature::InDoubt => {
-                self.node.loads.has_cold_part(&server.id, self.share)
-                    && self.standing(server).is_some()
+                self.node.loads.has_cold_part(&server.id, self.share) && self.rank(server).is_some()
             }
         }
     }
 
     /// Uses up one request of the limit. Returns `false` if none is left.
-    fn take(&self, server: &ServerRecord) -> bool {
+    fn try_acquire(&self, server: &ServerRecord) -> bool {
         match temperature(self.node, server).0 {
             Temperature::Warm => true,
             Temperature::Unknown => false,
             Temperature::Cold | Temperature::InDoubt => {
-                self.standing(server).is_some()
+                self.rank(server).is_some()
                     && self.node.loads.take_cold_part(&server.id, self.share)
             }
         }
@@ -78,9 +81,9 @@
 
 /// Reason why no request may be sent to a server. If there is none, the request counts towards the
 /// limit.
-pub(crate) fn refusal(node: &Node, server: &ServerRecord) -> Option<Exclusion> {
-    let gate = ColdGate::of(node, &server.service)?;
-    if gate.take(server) {
+pub(crate) fn acquire_or_exclude(node: &Node, server: &ServerRecord) -> Option<Exclusion> {
+    let limit = ColdGate::of(node, &server.service)?;
+    if limit.try_acquire(server) {
         return None;
     }
     Metrics::count(&node.metrics.cold_held_back);
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -8,13 +8,13 @@
 use http::header::HOST;
 use http::{HeaderValue, Method};
 
-use crate::attempt::{AttemptError, FOREIGN_BYTES, Ran, SUSPECT_TIME, Upstreams};
+use crate::attempt::{AttemptError, MAX_STALE_RESPONSE_BYTES, Ran, SUSPECT_DURATION, Upstreams};
 use crate::metrics::Metrics;
 use dappleyard_clock::Instant;
 
 /// Allows for the path to another zone and for the wait for a slot.
-pub(crate) const HEALTH_LIMIT: Duration = Duration::from_millis(400);
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+pub(crate) const HEALTH_TIMEOUT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Upstreams {
     /// Returns an idle connection to a server, or opens a new one.
@@ -37,7 +37,7 @@
     async fn open(&self, server: &ServerRecord) -> Result<Connection, AttemptError> {
         Metrics::count(&self.node.metrics.connections);
         let started = Instant::now();
-        let opened = Connection::open(server.address, CONNECT_LIMIT).await;
+        let opened = Connection::open(server.address, CONNECT_TIMEOUT).await;
         if opened.is_ok() {
             let ways = self.node.view.ways();
             ways.note(&server.zone, started.elapsed());
@@ -53,16 +53,19 @@
     /// Whether a server is up, judged by its health endpoint, since a hung process still accepts
     /// connections. A service without one is judged by a connection, which is then kept in the
     /// pool.
-    pub(crate) async fn answers(&self, server: &ServerRecord) -> bool {
-        let answers = match self.health_path(server) {
-            Some(path) => self.ask_health(server, &path, HEALTH_LIMIT).await.is_some(),
-            None => self.reaches(server).await,
+    pub(crate) async fn is_up(&self, server: &ServerRecord) -> bool {
+        let is_up = match self.health_path(server) {
+            Some(path) => self
+                .request_health(server, &path, HEALTH_TIMEOUT)
+                .await
+                .is_some(),
+            None => self.can_connect(server).await,
         };
-        match answers {
+        match is_up {
             true => self.node.loads.heard(&server.id),
-            false => self.node.loads.suspect(&server.id, SUSPECT_TIME),
+            false => self.node.loads.suspect(&server.id, SUSPECT_DURATION),
         }
-        answers
+        is_up
     }
 
     fn health_path(&self, server: &ServerRecord) -> Option<String> {
@@ -71,7 +74,7 @@
         (!path.is_empty()).then_some(path)
     }
 
-    async fn reaches(&self, server: &ServerRecord) -> bool {
+    async fn can_connect(&self, server: &ServerRecord) -> bool {
         let Ok(connection) = self.open(server).await else {
             return false;
         };
@@ -82,7 +85,7 @@
 
     /// Requests a server's health. Returns the status and the facts of the headers, or `None` if it
     /// does not respond in time.
-    pub(crate) async fn ask_health(
+    pub(crate) async fn request_health(
         &self,
         server: &ServerRecord,
         path: &str,
@@ -91,7 +94,7 @@
         let host = HeaderValue::from_str(&server.address.to_string()).ok()?;
         let headers = [(&HOST, &host)].into_iter();
         let request = request_bytes(&Method::GET, path, headers, &Bytes::new());
-        let asking = async {
+        let exchange = async {
             // Idle connections may be stale.
             let mut connection = self.open(server).await.ok()?;
             let head = connection.send(&request).await.ok()?;
@@ -99,11 +102,11 @@
             if let Some(load) = facts.load {
                 self.note_told_pace(server, load);
             }
-            connection.whole_body(FOREIGN_BYTES).await.ok()?;
+            connection.whole_body(MAX_STALE_RESPONSE_BYTES).await.ok()?;
             self.pool.forget(server.address);
             self.pool.put(server.address, connection);
             Some((head.status, facts))
         };
-        tokio::time::timeout(limit, asking).await.ok()?
+        tokio::time::timeout(limit, exchange).await.ok()?
     }
 }
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -19,7 +19,7 @@
 use crate::attempt::{AttemptError, Upstreams};
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::placement::home;
+use crate::placement::affinity_server;
 
 /// Path on the metrics port.
 const OPERATORS_PATH: &str = "/crashes";
@@ -69,7 +69,7 @@
 ) -> Option<Arc<ServerRecord>> {
     let taken = node.crashes.last_run_servers(request);
     servers.retain(|server| !taken.contains(&server.id));
-    home(&servers, request.number()).cloned()
+    affinity_server(&servers, request.number()).cloned()
 }
 
 /// Operator calls: `GET /crashes` lists the requests that are not run again, `DELETE
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -11,7 +11,7 @@
 use dappleyard_tenants::Caller;
 use http::{HeaderMap, Method};
 
-use crate::attempt::{Attempt, AttemptError, Exchange, Ran, SUSPECT_TIME, Upstreams};
+use crate::attempt::{Attempt, AttemptError, Exchange, Ran, SUSPECT_DURATION, Upstreams};
 use crate::cold_limit::ColdGate;
 use crate::crashes::Broken;
 use crate::error_kind::{ErrorKind, promises_not_run};
@@ -155,7 +155,7 @@
             Permit::Refused => return Dispatched::GaveUp(ErrorKind::ServersEnded),
         }
         let begins = last_event_id.is_none();
-        let Placement { server, kept, .. } = match find_place(upstreams, request, begins).await {
+        let Placement { server, cached, .. } = match find_place(upstreams, request, begins).await {
             Ok(placement) => placement,
             Err(NoPlace::NoServer) => return Dispatched::GaveUp(request.give_up()),
             Err(NoPlace::NoRoom { retry_after }) => return Dispatched::NoRoom(retry_after),
@@ -166,9 +166,11 @@
             continue;
         };
         request.asked.insert(server.id.clone());
-        let mut work = node
-            .loads
-            .begin(&server, WorkKind::Online, request.shape.unread(kept));
+        let mut work = node.loads.begin(
+            &server,
+            WorkKind::Online,
+            request.shape.uncached_tokens(cached),
+        );
         let sent = Instant::now();
         let outcome = ask(upstreams, request, &server, last_event_id).await;
         let exchange = match outcome {
@@ -180,8 +182,8 @@
                 };
                 upstreams.judge(run, &server, &broken).await;
                 note_failure(upstreams, request, &server, &error);
-                let gate = ColdGate::of(&node, &request.service);
-                if error.ran == Ran::No && gate.is_some_and(|gate| !gate.passes(&server)) {
+                let limit = ColdGate::of(&node, &request.service);
+                if error.ran == Ran::No && limit.is_some_and(|limit| !limit.allows(&server)) {
                     // The rate limit refused the request before it was sent, so the server stays
                     // eligible.
                     request.asked.remove(&server.id);
@@ -257,7 +259,7 @@
         request.runs += 1;
     }
     if error.unreachable {
-        node.loads.suspect(&server.id, SUSPECT_TIME);
+        node.loads.suspect(&server.id, SUSPECT_DURATION);
     }
     node.log.write("attempt_failed", || {
         serde_json::json!({"request": request.facts.id, "server": server.id,
--- a/crates/ingress/src/event_gaps.rs
+++ b/crates/ingress/src/event_gaps.rs
@@ -10,37 +10,37 @@
 
 /// Gaps per measurement. The median is used, since a single long gap may be caused by this node or
 /// the network.
-const PAUSES: usize = 7;
+const GAPS_PER_SAMPLE: usize = 7;
 /// Smallest ratio that is reported. Smaller ones are within the error of the measurement and the
 /// delay of the server's own report.
-const LEAST: f64 = 1.5;
+const MIN_RATIO: f64 = 1.5;
 
 /// Gaps of one response since the last measurement.
 #[derive(Debug, Default)]
-pub struct AnswerPauses {
-    held: Vec<Duration>,
+pub struct EventGaps {
+    gaps: Vec<Duration>,
 }
 
-impl AnswerPauses {
+impl EventGaps {
     /// Records a gap. Returns the median each time a measurement is complete.
-    pub fn note(&mut self, pause: Duration) -> Option<Duration> {
-        self.held.push(pause);
-        if self.held.len() < PAUSES {
+    pub fn record(&mut self, gap: Duration) -> Option<Duration> {
+        self.gaps.push(gap);
+        if self.gaps.len() < GAPS_PER_SAMPLE {
             return None;
         }
-        self.held.sort();
-        let median = self.held[PAUSES / 2];
-        self.held.clear();
+        self.gaps.sort();
+        let median = self.gaps[GAPS_PER_SAMPLE / 2];
+        self.gaps.clear();
         Some(median)
     }
 }
 
 /// Ratio of the measured gap to the one expected at the reported pace, or `Pace::USUAL` if the
 /// ratio is small.
-pub fn excess(pause: Duration, usual: Duration, told: Pace) -> Pace {
-    let times = pause.as_secs_f64() / (usual.as_secs_f64() * told.times());
-    match times >= LEAST {
-        true => Pace::new(times),
+pub fn excess_pace(gap: Duration, usual: Duration, told: Pace) -> Pace {
+    let ratio = gap.as_secs_f64() / (usual.as_secs_f64() * told.times());
+    match ratio >= MIN_RATIO {
+        true => Pace::new(ratio),
         false => Pace::USUAL,
     }
 }
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -25,7 +25,7 @@
 use crate::placement::PromptShape;
 use crate::refusals::{give_back, refuse, without_route};
 use crate::relay;
-use crate::responses::{begin, copy_headers, refusal};
+use crate::responses::{copy_headers, error_response, start_response};
 use crate::shares::{enter_share, share_text};
 use dappleyard_clock::Instant;
 
@@ -94,17 +94,17 @@
             _ => asked.unwrap_or_else(|| not_here(&node, "only metrics and crashes are here")),
         };
     }
-    let under_way = UnderWay::begin(&node);
+    let in_flight = UnderWay::begin(&node);
     match endpoint {
         Endpoint::JobResults { .. } | Endpoint::JobItem { .. } | Endpoint::JobEnd { .. } => {
             about_job(&node, &data, &request, endpoint).await
         }
-        _ => routed(request, payload, &data, under_way).await,
+        _ => routed(request, payload, &data, in_flight).await,
     }
 }
 
 fn not_here(node: &Node, detail: &str) -> HttpResponse {
-    refusal(node, &Refusal::new(ErrorKind::NoRoute, detail))
+    error_response(node, &Refusal::new(ErrorKind::NoRoute, detail))
 }
 
 /// Handles a call about an accepted job.
@@ -135,7 +135,7 @@
             return not_here(node, "no call about a job");
         }
     };
-    job_answer(node, reply)
+    job_response(node, reply)
 }
 
 async fn peer_call(payload: web::Payload, data: &FrontData) -> HttpResponse {
@@ -143,7 +143,7 @@
         Ok(call) => HttpResponse::Ok().body((data.peers)(call).await),
         Err(kind) => {
             let refused = Refusal::new(kind, "body of a node's call");
-            refusal(data.upstreams.node(), &refused)
+            error_response(data.upstreams.node(), &refused)
         }
     }
 }
@@ -167,12 +167,12 @@
     let zone = node.dialect.resolve_zone(query);
     let host = node.dialect.resolve_host(query);
     match node.resolve(host.as_deref(), zone.as_deref()) {
-        Some(answer) => begin(node, 200)
+        Some(response) => start_response(node, 200)
             .insert_header((CONTENT_TYPE, "application/json"))
-            .body(answer),
+            .body(response),
         None => {
             let refused = Refusal::new(ErrorKind::NotReady, "no node is known to be ready");
-            refusal(node, &refused)
+            error_response(node, &refused)
         }
     }
 }
@@ -196,7 +196,7 @@
     http: HttpRequest,
     payload: web::Payload,
     data: &FrontData,
-    mut under_way: UnderWay,
+    mut in_flight: UnderWay,
 ) -> HttpResponse {
     let arrived = Instant::now();
     let node = data.upstreams.node().clone();
@@ -233,7 +233,7 @@
     }
     if route.kind == RouteKind::Batch {
         let reply = data.jobs.submit(&caller, &route, &facts, body).await;
-        return job_answer(&node, reply);
+        return job_response(&node, reply);
     }
     let Some(service) = route.pick_service(rand::random()).map(str::to_owned) else {
         let refused = Refusal::new(ErrorKind::NoServer, "the route has no service");
@@ -245,7 +245,7 @@
         return refuse(&node, &facts.id, &refused);
     }
     match enter_share(&node, &configuration, &caller, &route, &service, &facts) {
-        Ok(counted) => under_way.count(counted),
+        Ok(counted) => in_flight.count(counted),
         Err(refused) => return refuse(&node, &facts.id, &refused),
     }
     let hold = [
@@ -282,21 +282,21 @@
         runs: 0,
         asked: Default::default(),
     };
-    serve(data.upstreams.clone(), request, under_way).await
+    serve(data.upstreams.clone(), request, in_flight).await
 }
 
-async fn serve(upstreams: Upstreams, mut request: Request, under_way: UnderWay) -> HttpResponse {
+async fn serve(upstreams: Upstreams, mut request: Request, in_flight: UnderWay) -> HttpResponse {
     let node = upstreams.node().clone();
     let until_end = UntilEnd::begin(&node, &request.facts.id);
     let dispatched = dispatch(&upstreams, &mut request, None).await;
     match dispatched {
-        Dispatched::Begun(begun) => stream(upstreams, request, *begun, under_way, until_end),
+        Dispatched::Begun(begun) => stream(upstreams, request, *begun, in_flight, until_end),
         Dispatched::Failed(failed) => {
             until_end.end();
             Metrics::count(&node.metrics.failed);
-            let mut answer = begin(&node, failed.status);
-            copy_headers(&mut answer, &failed.headers);
-            answer.body(failed.body)
+            let mut response = start_response(&node, failed.status);
+            copy_headers(&mut response, &failed.headers);
+            response.body(failed.body)
         }
         Dispatched::NoRoom(retry_after) => {
             until_end.end();
@@ -330,22 +330,22 @@
     upstreams: Upstreams,
     request: Request,
     begun: Begun,
-    mut under_way: UnderWay,
+    mut in_flight: UnderWay,
     until_end: UntilEnd,
 ) -> HttpResponse {
     let node = upstreams.node().clone();
-    under_way.begin_answer();
-    let mut answer = begin(&node, begun.exchange.head.status);
-    copy_headers(&mut answer, &begun.exchange.head.headers);
+    in_flight.begin_answer();
+    let mut response = start_response(&node, begun.exchange.head.status);
+    copy_headers(&mut response, &begun.exchange.head.headers);
     let length = match begun.exchange.head.framing {
         dappleyard_upstream::BodyFraming::Length(length) => Some(length),
         _ => None,
     };
     let sized = length.filter(|_| !is_event_route(&request.route));
-    let body = relay::body(upstreams, request, begun, under_way, until_end);
+    let body = relay::body(upstreams, request, begun, in_flight, until_end);
     match sized {
-        Some(length) => answer.body(actix_web::body::SizedStream::new(length, Box::pin(body))),
-        None => answer.streaming(Box::pin(body)),
+        Some(length) => response.body(actix_web::body::SizedStream::new(length, Box::pin(body))),
+        None => response.streaming(Box::pin(body)),
     }
 }
 
@@ -361,16 +361,16 @@
     Ok(body.freeze())
 }
 
-fn job_answer(node: &Arc<Node>, reply: JobReply) -> HttpResponse {
+fn job_response(node: &Arc<Node>, reply: JobReply) -> HttpResponse {
     match reply {
-        JobReply::Accepted => begin(node, 202).json(serde_json::json!({})),
-        JobReply::Ended => begin(node, 200).json(serde_json::json!({})),
-        JobReply::Page(page) => begin(node, 200)
+        JobReply::Accepted => start_response(node, 202).json(serde_json::json!({})),
+        JobReply::Ended => start_response(node, 200).json(serde_json::json!({})),
+        JobReply::Page(page) => start_response(node, 200)
             .insert_header((CONTENT_TYPE, "application/json"))
             .body(page),
-        JobReply::Body(body) => begin(node, 200)
+        JobReply::Body(body) => start_response(node, 200)
             .insert_header((CONTENT_TYPE, "application/octet-stream"))
             .body(body),
-        JobReply::Refused(kind, detail) => refusal(node, &Refusal::new(kind, detail)),
+        JobReply::Refused(kind, detail) => error_response(node, &Refusal::new(kind, detail)),
     }
 }
--- a/crates/ingress/src/home_regions.rs
+++ b/crates/ingress/src/home_regions.rs
@@ -26,7 +26,11 @@
 }
 
 /// Refuses a server outside the home regions.
-pub(crate) fn refusal(node: &Node, server: &ServerRecord, homes: &Homes) -> Option<Exclusion> {
+pub(crate) fn home_exclusion(
+    node: &Node,
+    server: &ServerRecord,
+    homes: &Homes,
+) -> Option<Exclusion> {
     let allowed = homes.allow(&server.zone, &node.settings.places);
     (!allowed).then_some(Exclusion::OutsideHomes)
 }
@@ -34,7 +38,7 @@
 /// Regions whose nodes a client may be directed to: its own, and those that are home to every route
 /// it asks for. `None` stands for all. Requests are restricted wherever they arrive, so a client in
 /// another region is still served at home.
-pub fn regions_for(
+pub fn directory_regions(
     homes: &[Homes],
     zone: Option<&str>,
     places: &Places,
@@ -51,7 +55,7 @@
 }
 
 /// Home regions of a host's routes; empty if any route is unrestricted.
-pub(crate) fn of_host(configuration: Option<&Configuration>, host: Option<&str>) -> Vec<Homes> {
+pub(crate) fn host_homes(configuration: Option<&Configuration>, host: Option<&str>) -> Vec<Homes> {
     match (configuration, host) {
         (Some(configuration), Some(host)) => configuration.homes_of_host(host),
         _ => Vec::new(),
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -42,22 +42,23 @@
 pub use crashes::{Broken, Evidence, apart};
 pub use error_kind::ErrorKind;
 pub use evacuated_zones::{EvacuatedZone, ZoneWatch, evacuated_zones};
-pub use event_gaps::{AnswerPauses, excess};
+pub use event_gaps::{EventGaps, excess_pace};
 pub use event_stream::{Event, EventSplitter};
 pub use front::{PeerAnswers, configure, front_app_data};
-pub use home_regions::{reached, regions_for};
+pub use home_regions::{directory_regions, reached};
 pub use job_calls::{JobCalls, JobReply};
 pub use metrics::Metrics;
 pub use node::Node;
 pub use placement::{
-    Candidate, PromptShape, choose, has_slot, home, is_sound, mean_over, sample, within_reach,
+    Candidate, PromptShape, affinity_server, choose, has_free_slot, is_healthy, limit_by_region,
+    mean_excess, sample,
 };
 pub use relay::Cut;
 pub use response_buffer::{Bound, Chunks, KeptBounds, LONGEST_STOP, ReadAhead};
-pub use response_times::{AnswerTimes, LearnedTime};
+pub use response_times::{AnswerTimes, LatencyHistogram};
 pub use shares::ShareTable;
 pub use shutdown::close;
 pub use silence_limits::Patience;
 pub use temperature_monitor::watch_temperatures;
-pub use urgency::{Allowance, Standing, standing};
+pub use urgency::{OvercommitLimit, Urgency, urgency};
 pub use zone_monitor::watch_zones;
--- a/crates/ingress/src/node.rs
+++ b/crates/ingress/src/node.rs
@@ -106,13 +106,13 @@
             tolerated: self.settings.tolerated,
         };
         let configuration = self.view.configuration();
-        let homes = home_regions::of_host(configuration.as_deref(), host);
-        let regions = home_regions::regions_for(&homes, zone, ground.places);
-        let answer = |regions| directory::addresses_for(Asked { zone, regions }, ground, &nodes);
-        let mut addresses = answer(regions.as_ref());
+        let homes = home_regions::host_homes(configuration.as_deref(), host);
+        let regions = home_regions::directory_regions(&homes, zone, ground.places);
+        let response = |regions| directory::addresses_for(Asked { zone, regions }, ground, &nodes);
+        let mut addresses = response(regions.as_ref());
         if addresses.is_empty() && regions.is_some() {
             // Any node can tell the client when to retry.
-            addresses = answer(None);
+            addresses = response(None);
         }
         let ttl_ms = DIRECTORY_TTL_MS.min(self.settings.bounds.directory_ttl_ms);
         Some(self.dialect.resolve_answer(&addresses, ttl_ms))
--- a/crates/ingress/src/pace.rs
+++ b/crates/ingress/src/pace.rs
@@ -6,7 +6,7 @@
 use dappleyard_model::{ServerLoad, ServerRecord};
 
 use crate::attempt::Upstreams;
-use crate::event_gaps::excess;
+use crate::event_gaps::excess_pace;
 use crate::metrics::Metrics;
 
 impl Upstreams {
@@ -22,19 +22,19 @@
 
     /// Records a measured event gap. For servers that report no pace it is ignored, since longer
     /// gaps may result from load, which already counts.
-    pub(crate) fn note_pauses(&self, server: &ServerRecord, pause: Duration) {
+    pub(crate) fn record_gap(&self, server: &ServerRecord, pause: Duration) {
         if !self.node.loads.tells_pace(&server.id) {
             return;
         }
         let told = self.node.loads.told_pace(&server.id);
         let usual = pause.div_f64(told.times());
         let times = &self.node.times;
-        let Some(usual) = times.note_usual_pause(&server.service, usual) else {
+        let Some(usual) = times.record_normalized_gap(&server.service, usual) else {
             return;
         };
-        let excess = excess(pause, usual, told);
-        if self.node.loads.note_excess_pace(&server.id, excess) {
-            self.log_pace(server, excess, "excess");
+        let excess_pace = excess_pace(pause, usual, told);
+        if self.node.loads.note_excess_pace(&server.id, excess_pace) {
+            self.log_pace(server, excess_pace, "excess");
         }
     }
 
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -9,34 +9,34 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Unread prompt tokens that weigh as much as one request.
-const TOKENS_PER_UNIT: f64 = 1_000.0;
+const TOKENS_PER_REQUEST: f64 = 1_000.0;
 /// Bonus of the server that caches the shared prompt parts.
-const AFFINITY: f64 = 30.0;
+const AFFINITY_BONUS: f64 = 30.0;
 /// Minimum number of shared tokens for prompt affinity.
-const AFFINITY_TOKENS: u32 = 1_500;
-const OVER_SLOTS: f64 = 6.0;
-const SUSPECT: f64 = 200.0;
+const MIN_AFFINITY_TOKENS: u32 = 1_500;
+const QUEUED_WEIGHT: f64 = 6.0;
+const SUSPECT_WEIGHT: f64 = 200.0;
 /// Excess time to the first event, in milliseconds, that weighs as much as one request.
-const EXCESS_MS_PER_UNIT: f64 = 12.0;
+const EXCESS_MS_PER_REQUEST: f64 = 12.0;
 /// Weights of the network path. Its latency delays the first event and weighs as much as any other
 /// delay.
-const WAY: WayWeights = WayWeights {
+const PATH_WEIGHTS: WayWeights = WayWeights {
     other_zone: 6.0,
-    ms_per_unit: EXCESS_MS_PER_UNIT,
+    ms_per_unit: EXCESS_MS_PER_REQUEST,
 };
 /// Remaining warm-up time, in milliseconds, that weighs as much as one request.
-const COLD_MS_PER_UNIT: f64 = 100.0;
+const COLD_MS_PER_REQUEST: f64 = 100.0;
 /// Weight of a cold server under a rate limit. It is smaller than that of another zone, so that a
 /// restored zone gets its own requests at once.
-const COLD: f64 = 3.0;
+const COLD_WEIGHT: f64 = 3.0;
 /// Weight of the processing before the first event at the usual pace. Scales the penalty of an idle
 /// slow server.
-const FIRST_EVENT: f64 = 5.0;
+const FIRST_EVENT_WEIGHT: f64 = 5.0;
 
 /// Servers of the own zone sampled per request in a large fleet.
-const NEAR_SAMPLED: usize = 4;
+const NEAR_SAMPLE: usize = 4;
 /// Servers sampled of the other zones, and again of the other regions.
-const FAR_SAMPLED: usize = 2;
+const FAR_SAMPLE: usize = 2;
 
 /// Properties of a prompt that matter for placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -57,15 +57,15 @@
             .flat_map(|part| part.id.to_le_bytes())
             .collect();
         Self {
-            shared: (shared_tokens >= AFFINITY_TOKENS).then(|| xxh3_64(&bytes)),
+            shared: (shared_tokens >= MIN_AFFINITY_TOKENS).then(|| xxh3_64(&bytes)),
             shared_tokens,
             tokens: tokens.max(shared_tokens),
         }
     }
 
     /// Tokens that a server has to process, given whether it caches the shared parts.
-    pub fn unread(&self, kept: bool) -> u32 {
-        match kept {
+    pub fn uncached_tokens(&self, cached: bool) -> u32 {
+        match cached {
             true => self.tokens.saturating_sub(self.shared_tokens),
             false => self.tokens,
         }
@@ -86,16 +86,16 @@
 pub fn sample<'a>(
     servers: &[&'a Arc<ServerRecord>],
     ways: &Ways,
-    home: Option<&str>,
+    affinity_server: Option<&str>,
     random: &mut impl Rng,
 ) -> Vec<&'a Arc<ServerRecord>> {
     let sampled = [
-        (Distance::SameZone, NEAR_SAMPLED),
-        (Distance::SameRegion, FAR_SAMPLED),
-        (Distance::OtherRegion, FAR_SAMPLED),
+        (Distance::SameZone, NEAR_SAMPLE),
+        (Distance::SameRegion, FAR_SAMPLE),
+        (Distance::OtherRegion, FAR_SAMPLE),
     ];
     let mut chosen: Vec<&Arc<ServerRecord>> = Vec::new();
-    let mut undrawn = 0;
+    let mut unfilled = 0;
     for (distance, most) in sampled {
         let there = servers.iter().copied();
         let there: Vec<_> = there
@@ -103,26 +103,27 @@
             .collect();
         // If the own zone has no servers, for example while evacuated, its share of the sample goes
         // to the next distance.
-        undrawn += most;
+        unfilled += most;
         let most = match chosen.is_empty() {
-            true => undrawn,
+            true => unfilled,
             false => most,
         };
         chosen.extend(there.choose_multiple(random, most).copied());
     }
-    let is_home = |server: &&&Arc<ServerRecord>| home == Some(server.id.as_str());
-    chosen.extend(servers.iter().find(is_home).copied());
+    let is_affinity_server =
+        |server: &&&Arc<ServerRecord>| affinity_server == Some(server.id.as_str());
+    chosen.extend(servers.iter().find(is_affinity_server).copied());
     chosen
 }
 
 /// Whether a candidate may be chosen from a sample. Full servers may: if nodes considered all
 /// servers whenever a sample is full, they would all choose the same one during a burst.
-pub fn is_sound(candidate: &Candidate) -> bool {
+pub fn is_healthy(candidate: &Candidate) -> bool {
     !candidate.load.suspect
 }
 
 /// Mean number of online requests beyond the slots; negative if slots are free.
-pub fn mean_over(candidates: &[Candidate]) -> f64 {
+pub fn mean_excess(candidates: &[Candidate]) -> f64 {
     let over = candidates
         .iter()
         .map(|candidate| f64::from(candidate.load.online) - f64::from(candidate.server.slots));
@@ -130,7 +131,7 @@
 }
 
 /// The server that caches the shared prompt parts, by rendezvous hashing.
-pub fn home(servers: &[Arc<ServerRecord>], shared: u64) -> Option<&Arc<ServerRecord>> {
+pub fn affinity_server(servers: &[Arc<ServerRecord>], shared: u64) -> Option<&Arc<ServerRecord>> {
     servers
         .iter()
         .max_by_key(|server| xxh3_64_with_seed(server.id.as_bytes(), shared))
@@ -139,7 +140,7 @@
 /// Weight of a candidate's load, scaled by its pace: at a third of the speed each request counts
 /// three times. A free slot never weighs more than a full server, since a request starts there at
 /// once.
-fn work(candidate: &Candidate) -> f64 {
+fn load_weight(candidate: &Candidate) -> f64 {
     let load = &candidate.load;
     let slots = f64::from(candidate.server.slots);
     let pace = load.pace.times();
@@ -149,59 +150,62 @@
         true => (requests * pace).min(slots - 1.0),
         false => requests,
     };
-    let unread = f64::from(load.unread_tokens) / TOKENS_PER_UNIT;
-    counted + unread * pace + over * OVER_SLOTS * pace.max(1.0) + FIRST_EVENT * (pace - 1.0)
+    let uncached_tokens = f64::from(load.unread_tokens) / TOKENS_PER_REQUEST;
+    counted
+        + uncached_tokens * pace
+        + over * QUEUED_WEIGHT * pace.max(1.0)
+        + FIRST_EVENT_WEIGHT * (pace - 1.0)
 }
 
 /// Total weight of a candidate; the lowest is chosen.
-fn weight(candidate: &Candidate, ways: &Ways, is_home: bool) -> f64 {
+fn weight(candidate: &Candidate, ways: &Ways, is_affinity_server: bool) -> f64 {
     let load = &candidate.load;
-    let mut weight = work(candidate);
-    weight += load.excess_ms / EXCESS_MS_PER_UNIT;
+    let mut weight = load_weight(candidate);
+    weight += load.excess_ms / EXCESS_MS_PER_REQUEST;
     weight += match load.temperature {
         // The rate limit keeps further requests away.
         Some(Temperature::Warm) => 0.0,
-        Some(_) => COLD,
-        None => candidate.server.cold_left_ms as f64 / COLD_MS_PER_UNIT,
+        Some(_) => COLD_WEIGHT,
+        None => candidate.server.cold_left_ms as f64 / COLD_MS_PER_REQUEST,
     };
-    weight += ways.weigh(&candidate.server.zone, WAY);
+    weight += ways.weigh(&candidate.server.zone, PATH_WEIGHTS);
     if load.suspect {
-        weight += SUSPECT;
+        weight += SUSPECT_WEIGHT;
     }
-    if is_home {
-        weight -= AFFINITY;
+    if is_affinity_server {
+        weight -= AFFINITY_BONUS;
     }
     weight
 }
 
 /// Whether a request would start at once.
-pub fn has_slot(candidate: &Candidate) -> bool {
-    is_sound(candidate) && candidate.load.online < candidate.server.slots
+pub fn has_free_slot(candidate: &Candidate) -> bool {
+    is_healthy(candidate) && candidate.load.online < candidate.server.slots
 }
 
 /// Weight of the queue at a candidate. Batch items do not count, since they are preempted.
-fn wait(candidate: &Candidate) -> f64 {
+fn queue_weight(candidate: &Candidate) -> f64 {
     let ahead = f64::from(candidate.load.online) + 1.0 - f64::from(candidate.server.slots);
-    ahead.max(0.0) * (1.0 + OVER_SLOTS) * candidate.load.pace.times().max(1.0)
+    ahead.max(0.0) * (1.0 + QUEUED_WEIGHT) * candidate.load.pace.times().max(1.0)
 }
 
 /// Limits the candidates by region: those with a free slot in the own region, plus those with a
 /// free slot elsewhere whose network path costs less than the shortest queue here. Returns all
 /// candidates if there is none. Traffic between regions is expensive, so a request does not leave
 /// for a server that is merely less busy.
-pub fn within_reach(candidates: Vec<Candidate>, ways: &Ways) -> Vec<Candidate> {
+pub fn limit_by_region(candidates: Vec<Candidate>, ways: &Ways) -> Vec<Candidate> {
     if !ways.has_regions() {
         return candidates;
     }
     let is_near = |held: &Candidate| ways.is_near(&held.server.zone);
-    let sound = candidates
+    let healthy = candidates
         .iter()
-        .filter(|held| is_near(held) && is_sound(held));
-    let shortest_wait = sound.map(wait).fold(f64::INFINITY, f64::min);
+        .filter(|held| is_near(held) && is_healthy(held));
+    let shortest_wait = healthy.map(queue_weight).fold(f64::INFINITY, f64::min);
     // Paths within the region are ignored, since every queue here involves one.
     let serves = |held: &Candidate| {
-        let way = ways.weigh_time(&held.server.zone, WAY);
-        has_slot(held) && (is_near(held) || way < shortest_wait)
+        let way = ways.weigh_time(&held.server.zone, PATH_WEIGHTS);
+        has_free_slot(held) && (is_near(held) || way < shortest_wait)
     };
     match candidates.iter().any(serves) {
         true => candidates.into_iter().filter(serves).collect(),
@@ -214,11 +218,11 @@
 pub fn choose<'a>(
     candidates: &'a [Candidate],
     ways: &Ways,
-    home: Option<&str>,
+    affinity_server: Option<&str>,
 ) -> Option<&'a Candidate> {
     let weigh = |candidate: &Candidate| {
-        let is_home = home == Some(candidate.server.id.as_str());
-        weight(candidate, ways, is_home)
+        let is_affinity_server = affinity_server == Some(candidate.server.id.as_str());
+        weight(candidate, ways, is_affinity_server)
     };
     candidates
         .iter()
--- a/crates/ingress/src/refusals.rs
+++ b/crates/ingress/src/refusals.rs
@@ -12,7 +12,7 @@
 use crate::error_kind::{ErrorKind, promises_not_run};
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::responses::refusal;
+use crate::responses::error_response;
 
 /// Distinguishes a missing route from a configuration that may be outdated.
 pub(crate) fn without_route(node: &Node, configuration: &Configuration) -> Refusal {
@@ -43,5 +43,5 @@
         serde_json::json!({"request": id, "kind": kind.to_string(), "status": kind.status(),
             "detail": refused.detail, "retry_after_ms": refused.retry_after_ms})
     });
-    refusal(node, refused)
+    error_response(node, refused)
 }
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -6,11 +6,11 @@
 use derive_more::{Display, Error};
 use futures::Stream;
 
-use crate::attempt::{AttemptError, Exchange, Ran, SUSPECT_TIME, Upstreams};
+use crate::attempt::{AttemptError, Exchange, Ran, SUSPECT_DURATION, Upstreams};
 use crate::crashes::Broken;
 use crate::dispatch::{Begun, Dispatched, Request, dispatch, is_event_route};
 use crate::error_kind::ErrorKind;
-use crate::event_gaps::AnswerPauses;
+use crate::event_gaps::EventGaps;
 use crate::event_stream::EventSplitter;
 use crate::metrics::Metrics;
 use crate::node::{UnderWay, UntilEnd};
@@ -30,7 +30,7 @@
     upstreams: Upstreams,
     request: Request,
     begun: Begun,
-    under_way: UnderWay,
+    in_flight: UnderWay,
     until_end: UntilEnd,
 ) -> impl Stream<Item = Result<Bytes, Cut>> {
     let (node, id) = (upstreams.node().clone(), request.facts.id.clone());
@@ -38,7 +38,7 @@
     let relay = Relay::new(upstreams, request, begun, stopped.clone());
     let ahead = ReadAhead::start(node, id, stopped, relay.into_pieces());
     async_stream::stream! {
-        let _under_way = under_way;
+        let _under_way = in_flight;
         loop {
             match ahead.next().await {
                 Ok(Some(piece)) => yield Ok(piece),
@@ -63,7 +63,7 @@
     request: Request,
     begun: Option<Begun>,
     splitter: EventSplitter,
-    pauses: AnswerPauses,
+    gaps: EventGaps,
     /// Set when the response was not read for a while.
     stopped: Stopped,
     last_event: Option<u64>,
@@ -83,7 +83,7 @@
             request,
             begun: Some(begun),
             splitter: EventSplitter::default(),
-            pauses: AnswerPauses::default(),
+            gaps: EventGaps::default(),
             stopped,
             last_event,
             events: 0,
@@ -153,9 +153,9 @@
         let has_lain = self.stopped.take();
         if self.events > 0 && piece.is_some() && !has_lain {
             let (service, pause) = (&self.request.service, since.elapsed());
-            node.times.note_pause(service, pause);
-            if let Some(pause) = self.pauses.note(pause) {
-                upstreams.note_pauses(server, pause);
+            node.times.record_gap(service, pause);
+            if let Some(pause) = self.gaps.record(pause) {
+                upstreams.record_gap(server, pause);
             }
         }
         Ok(piece)
@@ -185,7 +185,7 @@
             let sent = begun.sent.elapsed();
             let request = &self.request;
             node.times
-                .note_first(&request.service, request.shape.tokens, sent);
+                .record_first_event(&request.service, request.shape.tokens, sent);
             let taken = sent.as_millis() as f64;
             let expected = 30.0 + f64::from(self.request.shape.tokens) / 30.0;
             node.loads
@@ -238,7 +238,7 @@
             server = Some(broken.id.clone());
         }
         if let Some(server) = server.as_ref().filter(|_| error.unreachable) {
-            node.loads.suspect(server, SUSPECT_TIME);
+            node.loads.suspect(server, SUSPECT_DURATION);
         }
         node.log.write("stream_broke", || {
             serde_json::json!({"request": self.request.facts.id, "server": server,
@@ -255,7 +255,7 @@
             Dispatched::Begun(begun) => {
                 Metrics::count(&node.metrics.resumed);
                 self.begun = Some(*begun);
-                self.pauses = AnswerPauses::default();
+                self.gaps = EventGaps::default();
                 self.output_since = None;
                 Ok(())
             }
--- a/crates/ingress/src/responses.rs
+++ b/crates/ingress/src/responses.rs
@@ -10,31 +10,31 @@
 use crate::node::Node;
 
 /// Starts a response. A node that shuts down asks the client to close the connection.
-pub(crate) fn begin(node: &Node, status: u16) -> actix_web::HttpResponseBuilder {
+pub(crate) fn start_response(node: &Node, status: u16) -> actix_web::HttpResponseBuilder {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut answer = HttpResponse::build(status);
+    let mut response = HttpResponse::build(status);
     if node.is_leaving() {
-        answer.force_close();
-        answer.insert_header((CONNECTION, "close"));
+        response.force_close();
+        response.insert_header((CONNECTION, "close"));
     }
-    answer
+    response
 }
 
 /// Copies the end-to-end headers of a server's response.
-pub(crate) fn copy_headers(answer: &mut actix_web::HttpResponseBuilder, headers: &HeaderMap) {
+pub(crate) fn copy_headers(response: &mut actix_web::HttpResponseBuilder, headers: &HeaderMap) {
     for (name, value) in headers {
         if is_end_to_end(name, headers) {
-            answer.append_header((name.clone(), value.clone()));
+            response.append_header((name.clone(), value.clone()));
         }
     }
 }
 
 /// The error response for a request that is not served.
-pub(crate) fn refusal(node: &Node, refusal: &Refusal) -> HttpResponse {
+pub(crate) fn error_response(node: &Node, refusal: &Refusal) -> HttpResponse {
     let kind = refusal.kind;
-    let mut answer = begin(node, kind.status());
+    let mut response = start_response(node, kind.status());
     if let Some(wait) = refusal.retry_after_ms {
-        answer.insert_header((RETRY_AFTER, format!("{:.3}", wait as f64 / 1000.0)));
+        response.insert_header((RETRY_AFTER, format!("{:.3}", wait as f64 / 1000.0)));
     }
-    answer.json(serde_json::json!({"error": kind.to_string(), "detail": refusal.detail}))
+    response.json(serde_json::json!({"error": kind.to_string(), "detail": refusal.detail}))
 }
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -18,9 +18,10 @@
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::placement::{
-    Candidate, choose, has_slot, home, is_sound, mean_over, sample, within_reach,
+    Candidate, affinity_server, choose, has_free_slot, is_healthy, limit_by_region, mean_excess,
+    sample,
 };
-use crate::urgency::{Standing, due_age, standing};
+use crate::urgency::{Urgency, due_age, urgency};
 
 /// Maximum number of servers tried per request.
 const MOST_ASKED: usize = 6;
@@ -31,10 +32,10 @@
 pub(crate) struct Placement {
     pub(crate) server: Arc<ServerRecord>,
     /// The server caches the shared prompt parts.
-    pub(crate) kept: bool,
+    pub(crate) cached: bool,
     pub(crate) load: LoadSummary,
     /// Mean number of online requests beyond the slots, over the candidates.
-    mean_over: f64,
+    mean_excess: f64,
     /// Number of candidates.
     candidates: usize,
 }
@@ -127,9 +128,9 @@
             // Nothing will be sent, so the client may be told that the request did not run.
             return None;
         }
-        let standing = standing(request.arrived.elapsed(), target, patience);
+        let urgency = urgency(request.arrived.elapsed(), target, patience);
         let Some(placement) = place(upstreams, request) else {
-            if standing == Standing::Due || !is_held_back(upstreams, request) {
+            if urgency == Urgency::Due || !is_held_back(upstreams, request) {
                 return None;
             }
             tokio::time::sleep(HOLD_TICK.min(remaining)).await;
@@ -137,8 +138,8 @@
         };
         // An idle server is used at once.
         let idle = placement.load.online == 0;
-        let allowance = upstreams.allowance();
-        let admitted = allowance.admits(standing, placement.mean_over, rand::random());
+        let overcommit = upstreams.overcommit();
+        let admitted = overcommit.admits(urgency, placement.mean_excess, rand::random());
         if !begins || idle || admitted {
             log_placed(upstreams, request, &placement);
             return Some(placement);
@@ -163,7 +164,7 @@
         serde_json::json!({"request": request.facts.id, "route": request.route.name,
             "tenant": request.caller.tenant_name(), "server": server,
             "distance": distance.to_string(),
-            "again": request.again, "candidates": placement.candidates, "kept": placement.kept,
+            "again": request.again, "candidates": placement.candidates, "kept": placement.cached,
             "online": load.online, "batch": load.batch,
             "unread_tokens": load.unread_tokens, "suspect": load.suspect,
             "pace_percent": load.pace.percent(),
@@ -178,21 +179,21 @@
     if request.asked.len() >= MOST_ASKED {
         return None;
     }
-    let gate = ColdGate::of(node, &request.service);
+    let limit = ColdGate::of(node, &request.service);
     let servers = node.view.servers(&request.service);
-    let home = request
+    let affinity_server = request
         .shape
         .shared
-        .and_then(|shared| home(&servers.homes, shared));
+        .and_then(|shared| affinity_server(&servers.homes, shared));
     let candidate = |server: &Arc<ServerRecord>| Candidate {
         server: server.clone(),
         load: node.loads.summary(&server.id),
     };
-    let extra = home.filter(|_| servers.is_large());
+    let extra = affinity_server.filter(|_| servers.is_large());
     let may_take = |server: &&Arc<ServerRecord>| {
         !request.asked.contains(&server.id)
             && request.homes.allow(&server.zone, &node.settings.places)
-            && gate.as_ref().is_none_or(|gate| gate.passes(server))
+            && limit.as_ref().is_none_or(|limit| limit.allows(server))
     };
     let reached = reached(&servers, &request.homes, node).chain(extra);
     let open: Vec<&Arc<ServerRecord>> = reached.filter(may_take).collect();
@@ -200,17 +201,17 @@
         return place_apart(node, request, &open);
     }
     let ways = node.view.ways();
-    let home_id = home.map(|home| home.id.as_str());
+    let affinity_id = affinity_server.map(|affinity_server| affinity_server.id.as_str());
     let some_of = |servers: &[&Arc<ServerRecord>]| -> Vec<Candidate> {
-        let sampled = sample(servers, ways, home_id, &mut rand::rng());
-        within_reach(sampled.into_iter().map(candidate).collect(), ways)
+        let sampled = sample(servers, ways, affinity_id, &mut rand::rng());
+        limit_by_region(sampled.into_iter().map(candidate).collect(), ways)
     };
     let large = node.peers.is_large();
     let mut candidates = match large {
         true => some_of(&open),
         false => Vec::new(),
     };
-    let free_near = |held: &Candidate| ways.is_near(&held.server.zone) && has_slot(held);
+    let free_near = |held: &Candidate| ways.is_near(&held.server.zone) && has_free_slot(held);
     if large && ways.has_regions() && !candidates.iter().any(free_near) {
         // Checks all servers of the region before the request leaves it.
         let free = open.iter().copied();
@@ -221,16 +222,19 @@
             candidates = some_of(&free);
         }
     }
-    let sound = |chosen: &&Candidate| is_sound(chosen);
-    if choose(&candidates, ways, home_id).filter(sound).is_none() {
-        candidates = within_reach(open.into_iter().map(candidate).collect(), ways);
+    let healthy = |chosen: &&Candidate| is_healthy(chosen);
+    if choose(&candidates, ways, affinity_id)
+        .filter(healthy)
+        .is_none()
+    {
+        candidates = limit_by_region(open.into_iter().map(candidate).collect(), ways);
     }
-    let chosen = choose(&candidates, ways, home_id)?;
+    let chosen = choose(&candidates, ways, affinity_id)?;
     Some(Placement {
         server: chosen.server.clone(),
-        kept: home_id == Some(chosen.server.id.as_str()),
+        cached: affinity_id == Some(chosen.server.id.as_str()),
         load: chosen.load,
-        mean_over: mean_over(&candidates),
+        mean_excess: mean_excess(&candidates),
         candidates: candidates.len(),
     })
 }
@@ -243,8 +247,11 @@
         load: node.loads.summary(&server.id),
     });
     let candidates: Vec<Candidate> = candidates.collect();
-    let choices: [fn(&Candidate) -> bool; 3] =
-        [|held| is_sound(held) && has_slot(held), is_sound, |_| true];
+    let choices: [fn(&Candidate) -> bool; 3] = [
+        |held| is_healthy(held) && has_free_slot(held),
+        is_healthy,
+        |_| true,
+    ];
     let chosen = choices.into_iter().find_map(|is_open| {
         let open = candidates.iter().filter(|candidate| is_open(candidate));
         let open = open.map(|candidate| candidate.server.clone()).collect();
@@ -253,8 +260,8 @@
     Some(Placement {
         load: node.loads.summary(&chosen.id),
         server: chosen,
-        kept: false,
-        mean_over: mean_over(&candidates),
+        cached: false,
+        mean_excess: mean_excess(&candidates),
         candidates: candidates.len(),
     })
 }
@@ -262,7 +269,7 @@
 /// Whether only the limits on cold servers keep a request from some server.
 fn is_held_back(upstreams: &Upstreams, request: &Request) -> bool {
     let node = upstreams.node();
-    let Some(gate) = ColdGate::of(node, &request.service) else {
+    let Some(limit) = ColdGate::of(node, &request.service) else {
         return false;
     };
     let left = request.asked.len() < MOST_ASKED;
@@ -271,5 +278,5 @@
     let mut open = reached(&servers, &request.homes, node)
         .filter(|server| request.homes.allow(&server.zone, places))
         .filter(|server| !request.asked.contains(&server.id));
-    left && open.any(|server| !gate.passes(server))
+    left && open.any(|server| !limit.allows(server))
 }
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -22,7 +22,7 @@
 use crate::error_kind::ErrorKind;
 use crate::metrics::{Metrics, NAMED_TENANTS};
 use crate::node::Node;
-use crate::slot_usage::{OpenSlots, open_slots};
+use crate::slot_usage::{SlotUsage, slot_usage};
 
 /// How long computed shares are reused; load information is updated at the same interval.
 const LOOK_LIFE: Duration = Duration::from_millis(25);
@@ -197,8 +197,8 @@
     if node.shares.is_fresh(service, now) {
         return;
     }
-    let OpenSlots { slots, online } =
-        open_slots(node, &node.view.servers(service), &Homes::default());
+    let SlotUsage { slots, online } =
+        slot_usage(node, &node.view.servers(service), &Homes::default());
     let demand = node.loads.demand.total(service);
     let seen = Seen {
         slots,
--- a/crates/ingress/src/shutdown.rs
+++ b/crates/ingress/src/shutdown.rs
@@ -6,19 +6,19 @@
 use actix_web::dev::ServerHandle;
 use dappleyard_clock::Instant;
 
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Consecutive polls without a request in flight before the server counts as idle. A connection
 /// accepted just before the pause may still deliver one.
-const QUIET_LOOKS: u32 = 4;
+const IDLE_POLLS: u32 = 4;
 
 /// Stops accepting connections and waits until no request is in flight, or until `last`.
-pub async fn close(server: &ServerHandle, under_way: &AtomicU64, last: Instant) {
+pub async fn close(server: &ServerHandle, in_flight: &AtomicU64, last: Instant) {
     server.pause().await;
-    let mut quiet = 0;
-    while quiet < QUIET_LOOKS && Instant::now() < last {
-        tokio::time::sleep(LOOK).await;
-        quiet = match under_way.load(Ordering::Relaxed) {
-            0 => quiet + 1,
+    let mut idle_polls = 0;
+    while idle_polls < IDLE_POLLS && Instant::now() < last {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        idle_polls = match in_flight.load(Ordering::Relaxed) {
+            0 => idle_polls + 1,
             _ => 0,
         };
     }
--- a/crates/ingress/src/slot_usage.rs
+++ b/crates/ingress/src/slot_usage.rs
@@ -10,10 +10,10 @@
 use crate::node::Node;
 
 /// Servers that are examined at most; larger fleets are sampled to bound the cost.
-const SERVERS_SUMMED: usize = 64;
+const MAX_SAMPLED_SERVERS: usize = 64;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct OpenSlots {
+pub(crate) struct SlotUsage {
     /// Slots of healthy servers.
     pub(crate) slots: u32,
     /// Online requests in flight at these servers.
@@ -22,28 +22,28 @@
 
 /// Sums up the servers that requests with these home regions may use. Queue lengths are reported
 /// per region, so the sampled servers are scaled up to the whole region.
-pub(crate) fn open_slots(node: &Node, servers: &ServerSet, homes: &Homes) -> OpenSlots {
+pub(crate) fn slot_usage(node: &Node, servers: &ServerSet, homes: &Homes) -> SlotUsage {
     let (places, ways) = (&node.settings.places, node.view.ways());
     let allowed = |server: &&Arc<ServerRecord>| match homes.bind() {
         true => homes.allow(&server.zone, places),
         false => !ways.has_regions() || ways.is_near(&server.zone),
     };
-    let looked_at = reached(servers, homes, node)
+    let sampled = reached(servers, homes, node)
         .filter(allowed)
-        .choose_multiple(&mut rand::rng(), SERVERS_SUMMED);
+        .choose_multiple(&mut rand::rng(), MAX_SAMPLED_SERVERS);
     let all = servers.all.iter().filter(allowed).count();
     let (mut slots, mut online) = (0, 0);
-    for server in &looked_at {
+    for server in &sampled {
         let load = node.loads.summary(&server.id);
         if !load.suspect {
             slots += server.slots;
             online += load.online;
         }
     }
-    let stands_for = all as f64 / looked_at.len().max(1) as f64;
-    let whole = |count: u32| (f64::from(count) * stands_for).round() as u32;
-    OpenSlots {
-        slots: whole(slots),
-        online: whole(online),
+    let scale = all as f64 / sampled.len().max(1) as f64;
+    let scaled = |count: u32| (f64::from(count) * scale).round() as u32;
+    SlotUsage {
+        slots: scaled(slots),
+        online: scaled(online),
     }
 }
--- a/crates/ingress/src/temperature_monitor.rs
+++ b/crates/ingress/src/temperature_monitor.rs
@@ -13,35 +13,35 @@
 use rand::Rng;
 
 use crate::attempt::Upstreams;
-use crate::cold_limit::{ColdGate, share_of, temperature};
-use crate::connections::HEALTH_LIMIT;
+use crate::cold_limit::{ColdGate, cold_share, temperature};
+use crate::connections::HEALTH_TIMEOUT;
 use crate::metrics::Metrics;
 
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Additional delay per rank of the responsible nodes, and the minimum time between two health
 /// checks by one node. Results reach the other nodes within half of it.
-const STEP: Duration = Duration::from_millis(400);
+const CHECK_STEP: Duration = Duration::from_millis(400);
 /// Delay after which a node that is not responsible checks a server itself, if others hear from it
 /// but no result has arrived.
-const OTHERS_AFTER: Duration = Duration::from_millis(1_500);
+const FALLBACK_DELAY: Duration = Duration::from_millis(1_500);
 /// Unused servers are checked only if a client request arrived within this time.
-const CALLERS_LATELY: Duration = Duration::from_secs(2);
+const IDLE_AFTER: Duration = Duration::from_secs(2);
 
 /// Last observed state of a server.
-struct Watched {
+struct ObservedServer {
     temperature: Temperature,
-    next_question: Option<Instant>,
+    next_check: Option<Instant>,
     seen: Instant,
 }
 
-type Seen = Rc<RefCell<HashMap<String, Watched>>>;
+type ObservedServers = Rc<RefCell<HashMap<String, ObservedServer>>>;
 
 /// Monitors the temperatures of the servers this node uses. Returns at once if no limit for cold
 /// servers is configured.
 pub async fn watch_temperatures(upstreams: Upstreams) {
-    let seen = Seen::default();
+    let seen = ObservedServers::default();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let node = upstreams.node();
         if node.settings.bounds.cold.is_none() {
             return;
@@ -52,12 +52,12 @@
         let now = Instant::now();
         let (mut cold, mut unknown) = (0, 0);
         for service in &configuration.services {
-            let Some(share) = share_of(service, node.settings.bounds.cold) else {
+            let Some(share) = cold_share(service, node.settings.bounds.cold) else {
                 continue;
             };
-            let gate = ColdGate::new(node, share);
+            let limit = ColdGate::new(node, share);
             for server in &node.view.servers(&service.name).used {
-                match look(&upstreams, &gate, &seen, service, server, now) {
+                match observe(&upstreams, &limit, &seen, service, server, now) {
                     Temperature::Warm => {}
                     Temperature::Cold => cold += 1,
                     Temperature::InDoubt | Temperature::Unknown => unknown += 1,
@@ -68,66 +68,69 @@
         node.metrics
             .servers_unknown
             .store(unknown, Ordering::Relaxed);
-        seen.borrow_mut().retain(|_, watched| watched.seen == now);
+        seen.borrow_mut().retain(|_, observed| observed.seen == now);
     }
 }
 
-fn look(
+fn observe(
     upstreams: &Upstreams,
-    gate: &ColdGate<'_>,
-    seen: &Seen,
+    limit: &ColdGate<'_>,
+    seen: &ObservedServers,
     service: &Service,
     server: &Arc<ServerRecord>,
     now: Instant,
 ) -> Temperature {
     let (temperature, teller) = temperature(upstreams.node(), server);
     let mut servers = seen.borrow_mut();
-    let watched = servers.entry(server.id.clone()).or_insert(Watched {
+    let observed = servers.entry(server.id.clone()).or_insert(ObservedServer {
         temperature: Temperature::Warm,
-        next_question: None,
+        next_check: None,
         seen: now,
     });
-    watched.seen = now;
-    if std::mem::replace(&mut watched.temperature, temperature) != temperature {
+    observed.seen = now;
+    if std::mem::replace(&mut observed.temperature, temperature) != temperature {
         log_change(upstreams, server, temperature, teller);
     }
     if matches!(temperature, Temperature::Warm | Temperature::Cold) {
-        watched.next_question = None;
+        observed.next_check = None;
         return temperature;
     }
-    let next = match (watched.next_question, wait(upstreams, gate, server, teller)) {
+    let next = match (
+        observed.next_check,
+        check_delay(upstreams, limit, server, teller),
+    ) {
         (_, None) => None,
-        (Some(next), Some(wait)) if next <= now => {
-            ask(upstreams, service, server);
-            Some(now + STEP + wait.mul_f64(rand::rng().random_range(0.5..1.5)))
+        (Some(next), Some(check_delay)) if next <= now => {
+            check_health(upstreams, service, server);
+            Some(now + CHECK_STEP + check_delay.mul_f64(rand::rng().random_range(0.5..1.5)))
         }
         (Some(next), Some(_)) => Some(next),
-        (None, Some(wait)) => Some(now + wait),
+        (None, Some(check_delay)) => Some(now + check_delay),
     };
-    watched.next_question = next;
+    observed.next_check = next;
     temperature
 }
 
 /// Delay before this node checks a server of unknown temperature; `None` if it leaves the check to
 /// others.
-fn wait(
+fn check_delay(
     upstreams: &Upstreams,
-    gate: &ColdGate<'_>,
+    limit: &ColdGate<'_>,
     server: &ServerRecord,
     teller: Teller,
 ) -> Option<Duration> {
     let node = upstreams.node();
-    let idle = node.last_request.lock().elapsed() > CALLERS_LATELY;
+    let idle = node.last_request.lock().elapsed() > IDLE_AFTER;
     if teller == Teller::Unused && idle {
         return None;
     }
-    match gate.standing(server) {
-        Some(place) => Some(STEP * place),
-        None => node.loads.is_alive(&server.id).then_some(OTHERS_AFTER),
+    match limit.rank(server) {
+        Some(place) => Some(CHECK_STEP * place),
+        None => node.loads.is_alive(&server.id).then_some(FALLBACK_DELAY),
     }
 }
 
-fn ask(upstreams: &Upstreams, service: &Service, server: &Arc<ServerRecord>) {
+fn check_health(upstreams: &Upstreams, service: &Service, server: &Arc<ServerRecord>) {
     let (upstreams, server) = (upstreams.clone(), server.clone());
     let (path, cold_start) = (
         service.health_path.clone(),
@@ -135,14 +138,16 @@
     );
     tokio::task::spawn_local(async move {
         let node = upstreams.node();
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         if path.is_empty() {
             // The service has no health endpoint: assume a full warm-up time.
-            return node.loads.note_checked(&server.id, asked, cold_start);
+            return node.loads.note_checked(&server.id, sent_at, cold_start);
         }
         Metrics::count(&node.metrics.health_questions);
-        let answer = upstreams.ask_health(&server, &path, HEALTH_LIMIT).await;
-        let (status, facts) = answer.unwrap_or_default();
+        let response = upstreams
+            .request_health(&server, &path, HEALTH_TIMEOUT)
+            .await;
+        let (status, facts) = response.unwrap_or_default();
         let other = facts
             .instance
             .as_ref()
@@ -150,7 +155,7 @@
         node.log.write("server_health", || {
             serde_json::json!({"server": server.id, "status": status, "cold_ms": facts.cold_left_ms,
                 "not_run": facts.not_run, "other_server": other,
-                "took_ms": asked.elapsed().as_millis() as u64})
+                "took_ms": sent_at.elapsed().as_millis() as u64})
         });
         if status == 0 || other {
             return;
@@ -165,9 +170,9 @@
         let cold = match cold.is_zero() {
             true => cold,
             // The remaining time counts from the response, not from the request.
-            false => cold + asked.elapsed(),
+            false => cold + sent_at.elapsed(),
         };
-        node.loads.note_checked(&server.id, asked, cold);
+        node.loads.note_checked(&server.id, sent_at, cold);
     });
 }
 
--- a/crates/ingress/src/urgency.rs
+++ b/crates/ingress/src/urgency.rs
@@ -10,28 +10,28 @@
 use dappleyard_model::ServerLoad;
 
 /// Additional free slots that a request older than fresh needs.
-const LEFT_BY_OLDER: f64 = 1.0;
+const IN_TIME_RESERVE: f64 = 1.0;
 /// Additional free slots that a late request needs.
-const LEFT_BY_LATE: f64 = 2.0;
+const LATE_RESERVE: f64 = 2.0;
 /// Change per response, so that the limit follows about ten responses.
-const ALLOWANCE_STEP: f64 = 0.1;
+const OVERCOMMIT_STEP: f64 = 0.1;
 /// Lower bound. Below it, servers with few slots would idle while requests wait.
-const LEAST_ALLOWANCE: f64 = -2.5;
+const MIN_OVERCOMMIT: f64 = -2.5;
 /// Upper bound. One request may queue at a server to keep it busy until the news of a free slot
 /// arrives.
-const MOST_ALLOWANCE: f64 = 1.0;
+const MAX_OVERCOMMIT: f64 = 1.0;
 /// Fraction of the target during which a request may queue behind another one at a server.
-const FRESH_PART: f64 = 0.35;
+const FRESH_FRACTION: f64 = 0.35;
 /// Fraction of the target during which a request that finds a free slot can meet it. The rest
 /// covers the network and the prompt.
-const IN_TIME_PART: f64 = 0.7;
+const IN_TIME_FRACTION: f64 = 0.7;
 /// Fraction of the client's patience after which a late request goes to the least loaded server
 /// however full it is. The rest covers the queue there.
-const HELD_PART: f64 = 0.6;
+const DUE_FRACTION: f64 = 0.6;
 
 /// How a request's age relates to its target and its client's patience.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Urgency {
     /// It can meet its target even behind another request.
     Fresh,
     /// It can meet its target if it starts now.
@@ -43,19 +43,19 @@
 }
 
 pub(crate) fn due_age(patience: Duration) -> Duration {
-    patience.mul_f64(HELD_PART)
+    patience.mul_f64(DUE_FRACTION)
 }
 
 /// `target` is the time to the first event.
-pub fn standing(age: Duration, target: Duration, patience: Duration) -> Standing {
+pub fn urgency(age: Duration, target: Duration, patience: Duration) -> Urgency {
     if age >= due_age(patience) {
-        Standing::Due
-    } else if age < target.mul_f64(FRESH_PART) {
-        Standing::Fresh
-    } else if age < target.mul_f64(IN_TIME_PART) {
-        Standing::InTime
+        Urgency::Due
+    } else if age < target.mul_f64(FRESH_FRACTION) {
+        Urgency::Fresh
+    } else if age < target.mul_f64(IN_TIME_FRACTION) {
+        Urgency::InTime
     } else {
-        Standing::Late
+        Urgency::Late
     }
 }
 
@@ -64,39 +64,39 @@
 /// that servers report: it falls while requests queue at nearly full servers and rises while none
 /// does.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Allowance(f64);
+pub struct OvercommitLimit(f64);
 
-impl Default for Allowance {
+impl Default for OvercommitLimit {
     fn default() -> Self {
         Self(0.0)
     }
 }
 
-impl Allowance {
+impl OvercommitLimit {
     /// Updates the limit from the load reported with a response.
-    pub fn note(&mut self, load: ServerLoad) {
+    pub fn record(&mut self, load: ServerLoad) {
         if load.running + 1 < load.slots {
             // A server with free slots says nothing about full ones.
             return;
         }
         let step = match load.waiting {
-            0 => ALLOWANCE_STEP,
-            waiting => -ALLOWANCE_STEP * f64::from(waiting),
+            0 => OVERCOMMIT_STEP,
+            waiting => -OVERCOMMIT_STEP * f64::from(waiting),
         };
-        self.0 = (self.0 + step).clamp(LEAST_ALLOWANCE, MOST_ALLOWANCE);
+        self.0 = (self.0 + step).clamp(MIN_OVERCOMMIT, MAX_OVERCOMMIT);
     }
 
-    /// Whether a request may be sent now, with `mean_over` as the mean number of online requests
+    /// Whether a request may be sent now, with `mean_excess` as the mean number of online requests
     /// beyond the slots. The mean is used because the chosen server only appears less loaded in
     /// outdated information. Batch items do not count, since they are preempted. `point` is uniform
     /// in [0, 1).
-    pub fn admits(self, standing: Standing, mean_over: f64, point: f64) -> bool {
-        let left = match standing {
-            Standing::Fresh => 0.0,
-            Standing::InTime => LEFT_BY_OLDER,
-            Standing::Late => LEFT_BY_LATE,
-            Standing::Due => return true,
+    pub fn admits(self, urgency: Urgency, mean_excess: f64, point: f64) -> bool {
+        let reserve = match urgency {
+            Urgency::Fresh => 0.0,
+            Urgency::InTime => IN_TIME_RESERVE,
+            Urgency::Late => LATE_RESERVE,
+            Urgency::Due => return true,
         };
-        mean_over < self.0 + point - left
+        mean_excess < self.0 + point - reserve
     }
 }
--- a/crates/ingress/src/zone_monitor.rs
+++ b/crates/ingress/src/zone_monitor.rs
@@ -14,12 +14,12 @@
 use crate::node::Node;
 
 /// Check interval while any server is suspect.
-const TICK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Probes of a suspect zone per interval, over all nodes. A recovered zone is detected within 0.1
 /// s, and a 4 s outage costs 80 failed connections.
-const TRIED_IN_TICK: f64 = 2.0;
+const PROBES_PER_INTERVAL: f64 = 2.0;
 /// Servers probed in sequence, as long as each responds.
-const TRIED_ON: usize = 8;
+const MAX_PROBES: usize = 8;
 
 /// Monitors the servers this node uses until the process ends.
 pub async fn watch_zones(upstreams: Upstreams) {
@@ -30,19 +30,19 @@
             // Sleeps until a server becomes suspect instead of polling.
             node.loads.found_silent().await;
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let sets = server_sets(&node);
         let used = sets.iter().flat_map(|set| &set.used);
         let signs: Vec<ServerSign<'_>> = used.map(|server| sign(&node, server)).collect();
         for change in zones.judge(&signs, Instant::now()) {
-            note(&node, &change);
+            log_change(&node, &change);
         }
         let held = sets.iter().flat_map(|set| &set.all);
         let held = held.filter(|server| zones.holds_back(&server.zone));
         node.loads
             .hold_back(held.map(|server| server.id.as_str()).collect());
         for zone in zones.suspected() {
-            try_some(&upstreams, zone, &sets);
+            probe_zone(&upstreams, zone, &sets);
         }
     }
 }
@@ -65,7 +65,7 @@
     }
 }
 
-fn note(node: &Node, change: &SuspicionChange) {
+fn log_change(node: &Node, change: &SuspicionChange) {
     let event = match change.suspected {
         true => "zone_suspected",
         false => "zone_answers_again",
@@ -81,21 +81,21 @@
 }
 
 /// Probes a suspect zone at random, so that the fleet shares the probes.
-fn try_some(upstreams: &Upstreams, zone: &str, sets: &[Arc<ServerSet>]) {
+fn probe_zone(upstreams: &Upstreams, zone: &str, sets: &[Arc<ServerSet>]) {
     let fleet = upstreams.node().peers.count().max(1) as f64;
     let mut random = rand::rng();
-    if !random.random_bool((TRIED_IN_TICK / fleet).min(1.0)) {
+    if !random.random_bool((PROBES_PER_INTERVAL / fleet).min(1.0)) {
         return;
     }
-    let there = sets.iter().flat_map(|set| &set.used);
-    let there: Vec<&Arc<ServerRecord>> = there.filter(|server| server.zone == zone).collect();
-    let chosen = there.choose_multiple(&mut random, TRIED_ON);
+    let servers = sets.iter().flat_map(|set| &set.used);
+    let servers: Vec<&Arc<ServerRecord>> = servers.filter(|server| server.zone == zone).collect();
+    let chosen = servers.choose_multiple(&mut random, MAX_PROBES);
     let chosen: Vec<Arc<ServerRecord>> = chosen.map(|server| (*server).clone()).collect();
     let upstreams = upstreams.clone();
     tokio::task::spawn_local(async move {
         for server in chosen {
             Metrics::count(&upstreams.node().metrics.zone_probes);
-            if !upstreams.answers(&server).await {
+            if !upstreams.is_up(&server).await {
                 return;
             }
         }
--- a/crates/ingress/tests/event_gaps.rs
+++ b/crates/ingress/tests/event_gaps.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dappleyard_cluster::Pace;
-use dappleyard_ingress::{AnswerPauses, excess};
+use dappleyard_ingress::{EventGaps, excess_pace};
 use googletest::prelude::*;
 
 const fn ms(ms: u64) -> Duration {
@@ -12,35 +12,35 @@
 
 #[gtest]
 fn one_long_pause() {
-    let mut held = AnswerPauses::default();
-    let pauses = [30, 30, 2_000, 30, 30, 30, 30].map(|pause| held.note(ms(pause)));
-    expect_that!(pauses[..6].iter().flatten().count(), eq(0));
-    expect_that!(pauses[6], some(eq(ms(30))));
+    let mut gaps = EventGaps::default();
+    let gaps = [30, 30, 2_000, 30, 30, 30, 30].map(|gap| gaps.record(ms(gap)));
+    expect_that!(gaps[..6].iter().flatten().count(), eq(0));
+    expect_that!(gaps[6], some(eq(ms(30))));
 }
 
 #[gtest]
 fn says_nothing() {
-    expect_that!(excess(ms(90), ms(30), Pace::USUAL), eq(Pace::new(3.0)));
+    expect_that!(excess_pace(ms(90), ms(30), Pace::USUAL), eq(Pace::new(3.0)));
 }
 
 #[gtest]
 fn says_the_truth() {
-    expect_that!(excess(ms(90), ms(30), Pace::new(3.0)), eq(Pace::USUAL));
+    expect_that!(excess_pace(ms(90), ms(30), Pace::new(3.0)), eq(Pace::USUAL));
 }
 
 #[gtest]
 fn says_too_little() {
-    let times = excess(ms(126), ms(30), Pace::new(0.7)).times();
+    let times = excess_pace(ms(126), ms(30), Pace::new(0.7)).times();
     expect_that!(times, near(6.0, 0.01));
 }
 
 #[gtest]
 fn about_as_usual() {
-    expect_that!(excess(ms(40), ms(30), Pace::USUAL), eq(Pace::USUAL));
+    expect_that!(excess_pace(ms(40), ms(30), Pace::USUAL), eq(Pace::USUAL));
 }
 
 /// A server that reports itself too slow is not rated as fast.
 #[gtest]
 fn says_too_much() {
-    expect_that!(excess(ms(30), ms(30), Pace::new(8.0)), eq(Pace::USUAL));
+    expect_that!(excess_pace(ms(30), ms(30), Pace::new(8.0)), eq(Pace::USUAL));
 }
--- a/crates/ingress/tests/events_and_placement.rs
+++ b/crates/ingress/tests/events_and_placement.rs
@@ -4,7 +4,7 @@
 
 use dappleyard_cluster::{LoadSummary, Ways};
 use dappleyard_ingress::{
-    Candidate, ErrorKind, EventSplitter, PromptShape, choose, home, is_sound, sample,
+    Candidate, ErrorKind, EventSplitter, PromptShape, affinity_server, choose, is_healthy, sample,
 };
 
 use dappleyard_model::{PromptPart, ServerRecord};
@@ -118,10 +118,19 @@
     let mut moved = 0;
     for key in 0..200 {
         let shape = PromptShape::new(&[part(key, 2_500), part(9, 400)], 2_900);
-        expect_that!((shape.unread(true), shape.unread(false)), eq((400, 2_900)));
+        expect_that!(
+            (shape.uncached_tokens(true), shape.uncached_tokens(false)),
+            eq((400, 2_900))
+        );
         let shared = shape.shared.expect("a long shared part");
-        let before = home(&servers, shared).expect("a home").id.clone();
-        let after = home(&servers[1..], shared).expect("a home").id.clone();
+        let before = affinity_server(&servers, shared)
+            .expect("a home")
+            .id
+            .clone();
+        let after = affinity_server(&servers[1..], shared)
+            .expect("a home")
+            .id
+            .clone();
         moved += usize::from(before != after && before != "i-0");
     }
     expect_that!(moved, eq(0));
@@ -181,9 +190,18 @@
         suspect,
         ..Default::default()
     };
-    expect_that!(is_sound(&candidate("a", "north", load(3, false))), eq(true));
-    expect_that!(is_sound(&candidate("a", "north", load(9, false))), eq(true));
-    expect_that!(is_sound(&candidate("a", "north", load(0, true))), eq(false));
+    expect_that!(
+        is_healthy(&candidate("a", "north", load(3, false))),
+        eq(true)
+    );
+    expect_that!(
+        is_healthy(&candidate("a", "north", load(9, false))),
+        eq(true)
+    );
+    expect_that!(
+        is_healthy(&candidate("a", "north", load(0, true))),
+        eq(false)
+    );
 }
 
 #[gtest]
--- a/crates/ingress/tests/home_regions.rs
+++ b/crates/ingress/tests/home_regions.rs
@@ -1,6 +1,6 @@
 //! Directory regions for hosts with home regions.
 
-use dappleyard_ingress::regions_for;
+use dappleyard_ingress::directory_regions;
 use dappleyard_model::{Homes, Places, RegionName, ZoneName};
 use googletest::prelude::*;
 
@@ -16,7 +16,9 @@
 }
 
 fn sent_to(zone: Option<&str>, homes: &[Homes]) -> Vec<String> {
-    let regions = regions_for(homes, zone, &places()).into_iter().flatten();
+    let regions = directory_regions(homes, zone, &places())
+        .into_iter()
+        .flatten();
     regions.map(|region| region.to_string()).collect()
 }
 
@@ -38,5 +40,5 @@
 
 #[gtest]
 fn without_homes() {
-    expect_that!(regions_for(&[], Some("a1"), &places()), none());
+    expect_that!(directory_regions(&[], Some("a1"), &places()), none());
 }
--- a/crates/ingress/tests/regions.rs
+++ b/crates/ingress/tests/regions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dappleyard_cluster::{LoadSummary, Ways};
-use dappleyard_ingress::{Candidate, choose, sample, within_reach};
+use dappleyard_ingress::{Candidate, choose, limit_by_region, sample};
 use dappleyard_model::{Places, RegionName, ServerRecord, ZoneName};
 use googletest::prelude::*;
 use rand::SeedableRng;
@@ -41,7 +41,7 @@
 }
 
 fn chosen(candidates: &[Candidate], ways: &Ways) -> String {
-    let reach = within_reach(candidates.to_vec(), ways);
+    let reach = limit_by_region(candidates.to_vec(), ways);
     let choice = choose(&reach, ways, None).expect("a server");
     choice.server.id.clone()
 }
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -12,47 +12,52 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-struct Door {
-    under_way: Arc<AtomicU64>,
-    entered: Arc<Notify>,
+struct HandlerState {
+    in_flight: Arc<AtomicU64>,
+    received: Arc<Notify>,
     answer: Arc<Notify>,
 }
 
-async fn handle(door: web::Data<Door>) -> HttpResponse {
-    door.under_way.fetch_add(1, Ordering::Relaxed);
-    door.entered.notify_one();
-    door.answer.notified().await;
-    door.under_way.fetch_sub(1, Ordering::Relaxed);
+async fn handle(state: web::Data<HandlerState>) -> HttpResponse {
+    state.in_flight.fetch_add(1, Ordering::Relaxed);
+    state.received.notify_one();
+    state.answer.notified().await;
+    state.in_flight.fetch_sub(1, Ordering::Relaxed);
     HttpResponse::Ok().body("whole")
 }
 
 #[gtest]
 fn late_request() {
     actix_web::rt::System::new().block_on(async {
-        let under_way = Arc::new(AtomicU64::new(0));
-        let (entered, answer) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
-        let door = web::Data::new(Door {
-            under_way: under_way.clone(),
-            entered: entered.clone(),
+        let in_flight = Arc::new(AtomicU64::new(0));
+        let (received, answer) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
+        let state = web::Data::new(HandlerState {
+            in_flight: in_flight.clone(),
+            received: received.clone(),
             answer: answer.clone(),
         });
         let factory = move || {
-            let app = App::new().app_data(door.clone());
+            let app = App::new().app_data(state.clone());
             app.default_service(web::to(handle))
         };
         let server = HttpServer::new(factory).workers(1).disable_signals();
         let server = server.bind(("127.0.0.1", 0)).expect("a port");
         let address = server.addrs()[0];
         let server = server.run();
-        let doors = server.handle();
+        let server_handle = server.handle();
         actix_web::rt::spawn(server);
         let mut caller = TcpStream::connect(address).await.expect("a connection");
         let request = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
         caller.write_all(request).await.expect("sent");
-        entered.notified().await;
+        received.notified().await;
         let closing = actix_web::rt::spawn(async move {
-            close(&doors, &under_way, Instant::now() + Duration::from_secs(20)).await;
-            doors.stop(false).await;
+            close(
+                &server_handle,
+                &in_flight,
+                Instant::now() + Duration::from_secs(20),
+            )
+            .await;
+            server_handle.stop(false).await;
         });
         // Lets the shutdown start while the request is in flight.
         tokio::task::yield_now().await;
