--- a/crates/ingress/src/admission.rs
+++ b/crates/ingress/src/admission.rs
@@ -5,13 +5,13 @@
 use dappleyard_model::{Configuration, RequestFacts, Route, RouteKind};
 use dappleyard_tenants::{Caller, KeyRefusal};
 
-use crate::capacity::{Coming, SHORTEST_WAIT};
+use crate::capacity::{CapacityForecast, MIN_RETRY_DELAY};
 use crate::error_kind::ErrorKind;
 use crate::node::Node;
 
 /// Random extension of the retry delay, as a fraction, so that clients refused together do not
 /// return together.
-const SPREAD: f64 = 0.5;
+const RETRY_JITTER: f64 = 0.5;
 
 /// Why a request is refused.
 #[derive(Debug)]
@@ -78,13 +78,13 @@
         };
         Refusal::new(
             kind,
-            format!("{refusal}; {}", known_as(node, configuration)),
+            format!("{refusal}; {}", configuration_info(node, configuration)),
         )
     })
 }
 
 /// Version and age of the configuration behind a decision.
-pub(crate) fn known_as(node: &Node, configuration: &Configuration) -> String {
+pub(crate) fn configuration_info(node: &Node, configuration: &Configuration) -> String {
     let version = configuration.version;
     match node.view.configuration_age() {
         Some(age) => format!("configuration {version}, {} ms old", age.as_millis()),
@@ -93,7 +93,7 @@
 }
 
 /// Charges an online request to its tenant's quota.
-pub(crate) fn take_credit(
+pub(crate) fn charge_quota(
     node: &Node,
     configuration: &Configuration,
     caller: &Caller,
@@ -112,22 +112,22 @@
         }
         let wait = match tenant.limit.filter(|_| node.settings.load_shedding) {
             Some(limit) => {
-                let coming = Coming {
+                let forecast = CapacityForecast {
                     earliest: shortage.until_credit,
                     per_s: limit.per_s,
                     nodes: node.peers.count(),
                 };
-                node.rooms.come_back_after(&tenant.name, coming, facts)
+                node.rooms.tenant_retry_delay(&tenant.name, forecast, facts)
             }
             None => {
-                let spread = 1.0 + SPREAD * rand::random::<f64>();
+                let spread = 1.0 + RETRY_JITTER * rand::random::<f64>();
                 shortage.until_credit.mul_f64(spread)
             }
         };
         Refusal {
             kind: ErrorKind::OverQuota,
             detail,
-            retry_after_ms: Some(wait.max(SHORTEST_WAIT).as_millis() as u64),
+            retry_after_ms: Some(wait.max(MIN_RETRY_DELAY).as_millis() as u64),
         }
     })
 }
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -175,9 +175,8 @@
         // The server may have been excluded while the connection was opened.
         let listed = self.node.view.exclusion(&server.id);
         let listed =
-            listed.or_else(|| home_regions::home_exclusion(&self.node, server, attempt.homes));
-        if let Some(exclusion) =
-            listed.or_else(|| cold_limit::acquire_or_exclude(&self.node, server))
+            listed.or_else(|| home_regions::check_exclusion(&self.node, server, attempt.homes));
+        if let Some(exclusion) = listed.or_else(|| cold_limit::check_exclusion(&self.node, server))
         {
             self.pool.put(server.address, connection);
             return Err(AttemptError::own(Ran::No, format!("not sent: {exclusion}")));
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -8,8 +8,8 @@
 use dappleyard_clock::Instant;
 use dappleyard_model::{Configuration, Homes, RequestFacts, Route, TenantName, Tenants};
 use dappleyard_room::{
-    Admission, Asking, CreditQueue, Demand, HoldTime, OBEYED_PART, Room, Trend, UsualDeadline,
-    admit,
+    Admission, AdmissionRequest, Capacity, Demand, LoadTrend, MeanHoldTime, RETRY_FRACTION,
+    RetryDetector, RetryQueue, admit,
 };
 use parking_lot::Mutex;
 
@@ -21,12 +21,12 @@
 use crate::urgency::due_age;
 
 /// How long a computed capacity is reused; few own requests start in the meantime.
-const ROOM_LIFE: Duration = Duration::from_millis(10);
+const CAPACITY_TTL: Duration = Duration::from_millis(10);
 /// Minimum retry delay, several times the cost of a connection and a refusal.
-pub(crate) const SHORTEST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+pub(crate) const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Time to the first event, excluding the prompt.
-const FIRST_EVENT: Duration = Duration::from_millis(30);
+const BASE_FIRST_EVENT: Duration = Duration::from_millis(30);
 /// Prompt tokens that a slow server processes per millisecond.
 const TOKENS_PER_MS: f64 = 30.0;
 
@@ -35,11 +35,11 @@
 pub struct RoomTable {
     /// Version of the configuration last adopted.
     version: AtomicU64,
-    holds: Mutex<HashMap<String, HoldTime>>,
-    deadlines: Mutex<HashMap<String, UsualDeadline>>,
-    credit: Mutex<HashMap<TenantName, CreditQueue>>,
-    trends: Mutex<HashMap<String, Trend>>,
-    rooms: Mutex<HashMap<String, (Instant, Arc<Room>)>>,
+    hold_times: Mutex<HashMap<String, MeanHoldTime>>,
+    deadlines: Mutex<HashMap<String, RetryDetector>>,
+    credit: Mutex<HashMap<TenantName, RetryQueue>>,
+    trends: Mutex<HashMap<String, LoadTrend>>,
+    rooms: Mutex<HashMap<String, (Instant, Arc<Capacity>)>>,
 }
 
 impl RoomTable {
@@ -64,7 +64,7 @@
         self.deadlines
             .lock()
             .retain(|name, _| routes.contains(name.as_str()));
-        self.holds
+        self.hold_times
             .lock()
             .retain(|name, _| services.contains(name.as_str()));
         self.trends
@@ -77,31 +77,32 @@
     }
 
     /// Records how long a request held a slot.
-    pub(crate) fn note_hold(&self, service: &str, held: Duration) {
-        let mut holds = self.holds.lock();
-        holds.entry(service.to_owned()).or_default().note(held);
+    pub(crate) fn record_hold_time(&self, service: &str, held: Duration) {
+        let mut hold_times = self.hold_times.lock();
+        hold_times.entry(service.to_owned()).or_default().note(held);
     }
 
     /// Retry delay for a tenant's refused request. Each request gets its own time, after those
     /// refused before by this node, at the rate at which capacity becomes available over all nodes.
-    pub(crate) fn come_back_after(
+    pub(crate) fn tenant_retry_delay(
         &self,
         tenant: &TenantName,
-        coming: Coming,
+        forecast: CapacityForecast,
         facts: &RequestFacts,
     ) -> Duration {
-        let step = Duration::from_secs_f64(coming.nodes.max(1) as f64 / coming.per_s.max(0.001));
+        let step =
+            Duration::from_secs_f64(forecast.nodes.max(1) as f64 / forecast.per_s.max(0.001));
         let mut queues = self.credit.lock();
         let queue = queues.entry(tenant.clone()).or_default();
-        let most = longest_return(facts);
+        let most = max_retry_delay(facts);
         let after = queue.next(
-            coming.earliest,
+            forecast.earliest,
             step,
             most,
             Instant::now(),
             &mut rand::rng(),
         );
-        after.max(SHORTEST_WAIT)
+        after.max(MIN_RETRY_DELAY)
     }
 
     fn trend_per_s(&self, service: &str, online: u32) -> f64 {
@@ -111,14 +112,14 @@
     }
 
     fn hold(&self, service: &str) -> Duration {
-        let holds = self.holds.lock();
-        holds.get(service).copied().unwrap_or_default().mean()
+        let hold_times = self.hold_times.lock();
+        hold_times.get(service).copied().unwrap_or_default().mean()
     }
 }
 
 /// Capacity that becomes available for a tenant's refused requests.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Coming {
+pub(crate) struct CapacityForecast {
     /// Time until the first one can be served.
     pub(crate) earliest: Duration,
     /// Requests per second that can be served from then on, over all nodes.
@@ -128,21 +129,21 @@
 }
 
 /// Maximum retry delay, a fraction of the client's remaining time.
-fn longest_return(facts: &RequestFacts) -> Duration {
+fn max_retry_delay(facts: &RequestFacts) -> Duration {
     let left = facts
         .deadline_ms
-        .map_or(LONGEST_WAIT, Duration::from_millis);
-    left.mul_f64(OBEYED_PART).min(LONGEST_WAIT)
+        .map_or(MAX_RETRY_DELAY, Duration::from_millis);
+    left.mul_f64(RETRY_FRACTION).min(MAX_RETRY_DELAY)
 }
 
 /// Whether a request resumes a stream of which its client has received a part.
-pub(crate) fn goes_on(route: &Route, facts: &RequestFacts) -> bool {
+pub(crate) fn is_resumption(route: &Route, facts: &RequestFacts) -> bool {
     route.resumable && facts.last_event_id.is_some()
 }
 
 /// Whether a request is a retry after a refusal, judged by its deadline.
-pub(crate) fn comes_again(node: &Node, route: &Route, facts: &RequestFacts) -> bool {
-    if goes_on(route, facts) {
+pub(crate) fn detect_retry(node: &Node, route: &Route, facts: &RequestFacts) -> bool {
+    if is_resumption(route, facts) {
         return false;
     }
     let Some(deadline_ms) = facts.deadline_ms.filter(|_| node.settings.load_shedding) else {
@@ -157,38 +158,38 @@
     let deadline = Duration::from_millis(deadline_ms.min(longest_ms));
     let mut deadlines = node.rooms.deadlines.lock();
     let usual = deadlines.entry(route.name.clone()).or_default();
-    let again = usual.note(deadline, Instant::now());
-    if again {
+    let is_retry = usual.note(deadline, Instant::now());
+    if is_retry {
         Metrics::count(&node.metrics.returns_seen);
     }
-    again
+    is_retry
 }
 
 /// Capacity of a request's service; `None` if too few other nodes are known or no server is
 /// healthy.
-fn room_of(node: &Node, request: &Request) -> Option<Arc<Room>> {
+fn service_capacity(node: &Node, request: &Request) -> Option<Arc<Capacity>> {
     let bound = request.homes.bind();
     if !bound
-        && let Some((at, room)) = node.rooms.rooms.lock().get(&request.service)
-        && at.elapsed() < ROOM_LIFE
+        && let Some((at, capacity)) = node.rooms.rooms.lock().get(&request.service)
+        && at.elapsed() < CAPACITY_TTL
     {
-        return Some(room.clone());
+        return Some(capacity.clone());
     }
     if node.peers.count() * 2 < node.peers.expected() {
         return None;
     }
-    let room = Arc::new(sum_up(node, &request.service, &request.homes)?);
+    let capacity = Arc::new(compute_capacity(node, &request.service, &request.homes)?);
     if !bound {
-        let held = (Instant::now(), room.clone());
+        let held = (Instant::now(), capacity.clone());
         node.rooms
             .rooms
             .lock()
             .insert(request.service.clone(), held);
     }
-    Some(room)
+    Some(capacity)
 }
 
-fn sum_up(node: &Node, service: &str, homes: &Homes) -> Option<Room> {
+fn compute_capacity(node: &Node, service: &str, homes: &Homes) -> Option<Capacity> {
     let SlotUsage { slots, online } = slot_usage(node, &node.view.servers(service), homes);
     // Queue lengths are only exchanged within a region.
     let told_here = homes.allow(&node.settings.zone, &node.settings.places);
@@ -200,7 +201,7 @@
         true => 0.0,
         false => node.rooms.trend_per_s(service, online),
     };
-    (slots > 0).then(|| Room {
+    (slots > 0).then(|| Capacity {
         slots,
         online,
         trend_per_s,
@@ -212,7 +213,7 @@
 
 /// Wait state of a request.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Looks {
+pub(crate) struct WaitState {
     /// It has checked for a slot before.
     pub(crate) before: bool,
     /// It is included in the count of waiting requests.
@@ -220,55 +221,55 @@
 }
 
 /// Decides on a request; `None` if this node has too little information.
-pub(crate) fn ask(node: &Node, request: &Request, looks: Looks) -> Option<Admission> {
-    let room = room_of(node, request)?;
-    let asking = asking(request, looks);
-    let admission = admit(&room, &asking, &mut rand::rng());
+pub(crate) fn decide(node: &Node, request: &Request, wait_state: WaitState) -> Option<Admission> {
+    let capacity = service_capacity(node, request)?;
+    let admission_request = admission_request(request, wait_state);
+    let admission = admit(&capacity, &admission_request, &mut rand::rng());
     if let Admission::Refuse { retry_after } = admission {
-        note_refused(node, request, &room, &asking, retry_after);
+        record_refusal(node, request, &capacity, &admission_request, retry_after);
     }
     Some(admission)
 }
 
-fn asking(request: &Request, looks: Looks) -> Asking {
+fn admission_request(request: &Request, wait_state: WaitState) -> AdmissionRequest {
     let route = &request.route;
     let patience = Duration::from_millis(route.patience_ms);
     let target = route.first_event_target();
     let prompt = Duration::from_secs_f64(f64::from(request.shape.tokens) / TOKENS_PER_MS / 1_000.0);
-    Asking {
+    AdmissionRequest {
         age: request.arrived.elapsed(),
         target,
-        first_event: FIRST_EVENT + prompt,
+        first_event: BASE_FIRST_EVENT + prompt,
         left: request.caller_left(),
         most_wait: due_age(patience),
-        again: request.again,
-        failed: !request.asked.is_empty(),
+        is_retry: request.is_retry,
+        failed: !request.tried.is_empty(),
         refusable: request.ran == Ran::No,
-        waits: looks.before,
-        counted: looks.counted,
+        has_waited: wait_state.before,
+        counted: wait_state.counted,
     }
 }
 
-fn note_refused(
+fn record_refusal(
     node: &Node,
     request: &Request,
-    room: &Room,
-    asking: &Asking,
+    capacity: &Capacity,
+    admission_request: &AdmissionRequest,
     retry_after: Duration,
 ) {
     Metrics::count(&node.metrics.refused_for_room);
-    match request.again {
+    match request.is_retry {
         // The client may not retry again.
         true => Metrics::count(&node.metrics.returns_refused),
         false => node.loads.demand.note_return(&request.service, retry_after),
     }
     node.log.write("no_room", || {
         serde_json::json!({"request": request.facts.id, "route": request.route.name,
-            "tenant": request.caller.tenant_name(), "again": request.again,
-            "slots": room.slots, "online": room.online, "trend_per_s": room.trend_per_s, "waiting": room.waiting,
-            "returns": room.returns, "hold_ms": room.hold.as_millis() as u64,
-            "wait_ms": room.wait().as_millis() as u64, "age_ms": asking.age.as_millis() as u64,
-            "target_ms": asking.target.as_millis() as u64, "left_ms": asking.left.as_millis() as u64,
+            "tenant": request.caller.tenant_name(), "again": request.is_retry,
+            "slots": capacity.slots, "online": capacity.online, "trend_per_s": capacity.trend_per_s, "waiting": capacity.waiting,
+            "returns": capacity.returns, "hold_ms": capacity.hold.as_millis() as u64,
+            "wait_ms": capacity.wait().as_millis() as u64, "age_ms": admission_request.age.as_millis() as u64,
+            "target_ms": admission_request.target.as_millis() as u64, "left_ms": admission_request.left.as_millis() as u64,
             "retry_after_ms": retry_after.as_millis() as u64})
     });
 }
--- a/crates/ingress/src/cold_limit.rs
+++ b/crates/ingress/src/cold_limit.rs
@@ -81,7 +81,7 @@
 
 /// Reason why no request may be sent to a server. If there is none, the request counts towards the
 /// limit.
-pub(crate) fn acquire_or_exclude(node: &Node, server: &ServerRecord) -> Option<Exclusion> {
+pub(crate) fn check_exclusion(node: &Node, server: &ServerRecord) -> Option<Exclusion> {
     let limit = ColdGate::of(node, &server.service)?;
     if limit.try_acquire(server) {
         return None;
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -28,7 +28,7 @@
         // A restarted server no longer knows its old connections, and a request sent on one of them
         // would count as possibly run.
         let back = self.node.loads.back(&server.id);
-        if let Some(connection) = self.pool.take_after(address, back) {
+        if let Some(connection) = self.pool.take_used_since(address, back) {
             return Ok(connection);
         }
         self.open(server).await
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -25,15 +25,15 @@
 const OPERATORS_PATH: &str = "/crashes";
 /// Connect timeout: two round trips to another region. The port of an ended process refuses within
 /// one.
-const LOOK_LIMIT: Duration = Duration::from_millis(100);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Delay before the second check.
-const SECOND_LOOK: Duration = Duration::from_millis(100);
+const SECOND_CHECK_DELAY: Duration = Duration::from_millis(100);
 /// Interval between checks of the server list.
-const LIST_LOOK: Duration = Duration::from_millis(500);
+const LIST_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Number of list checks. A server registers within one heartbeat of its start and its
 /// predecessor's entry expires after three, which is 4 s at the longest heartbeat in use.
-const LIST_LOOKS: u32 = 8;
+const LIST_CHECKS: u32 = 8;
 
 /// Result of checking a server's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -74,7 +74,7 @@
 
 /// Operator calls: `GET /crashes` lists the requests that are not run again, `DELETE
 /// /crashes/FINGERPRINT` clears one on all nodes. Returns `None` for any other call.
-pub(crate) fn operators_call(node: &Node, method: &Method, path: &str) -> Option<HttpResponse> {
+pub(crate) fn operator_call(node: &Node, method: &Method, path: &str) -> Option<HttpResponse> {
     let rest = path.strip_prefix(OPERATORS_PATH)?;
     if *method == Method::GET && rest.is_empty() {
         return Some(list(node));
@@ -117,16 +117,16 @@
             return;
         }
         let output = broken.output_for;
-        match self.look_at(server).await {
+        match self.check_address(server).await {
             Evidence::Ended => self.note_ended(&run, server, &broken.error.reason, output),
             Evidence::Leaving => {}
-            Evidence::Alive | Evidence::Unknown => self.look_again(run, server.clone(), output),
+            Evidence::Alive | Evidence::Unknown => self.check_again(run, server.clone(), output),
         }
     }
 
     /// A crashing process may close its connections before its port, or restart within
     /// milliseconds.
-    fn look_again(
+    fn check_again(
         &self,
         mut run: RunUnderWay,
         server: Arc<ServerRecord>,
@@ -135,16 +135,16 @@
         run.note_doubt();
         let upstreams = self.clone();
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(SECOND_LOOK).await;
-            if upstreams.look_at(&server).await == Evidence::Ended {
+            tokio::time::sleep(SECOND_CHECK_DELAY).await;
+            if upstreams.check_address(&server).await == Evidence::Ended {
                 let cause = "its port closed after its connections";
                 upstreams.note_ended(&run, &server, cause, output);
                 return;
             }
             // The run no longer counts as in flight; a crash found later still counts.
             run.over();
-            for _ in 0..LIST_LOOKS {
-                tokio::time::sleep(LIST_LOOK).await;
+            for _ in 0..LIST_CHECKS {
+                tokio::time::sleep(LIST_CHECK_INTERVAL).await;
                 if upstreams.node.view.is_replaced(&server) {
                     let cause = "another incarnation is at its address";
                     upstreams.note_ended(&run, &server, cause, output);
@@ -190,7 +190,7 @@
     }
 
     /// Checks the address of a server after its response broke off.
-    pub async fn look_at(&self, server: &ServerRecord) -> Evidence {
+    pub async fn check_address(&self, server: &ServerRecord) -> Evidence {
         if self.node.view.is_replaced(server) {
             return Evidence::Ended;
         }
@@ -198,7 +198,7 @@
         if matches!(leaves, Some(Exclusion::Draining | Exclusion::Gone)) {
             return Evidence::Leaving;
         }
-        match tokio::time::timeout(LOOK_LIMIT, TcpStream::connect(server.address)).await {
+        match tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(server.address)).await {
             Ok(Ok(_)) => Evidence::Alive,
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
                 Evidence::Ended
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -17,7 +17,7 @@
 use crate::error_kind::{ErrorKind, promises_not_run};
 use crate::metrics::Metrics;
 use crate::placement::PromptShape;
-use crate::server_selection::{NoPlace, Placement, find_place};
+use crate::server_selection::{Placement, SelectionError, select_server};
 use crate::silence_limits::Patience;
 use dappleyard_clock::Instant;
 
@@ -46,18 +46,18 @@
     pub arrived: Instant,
     pub deadline: Instant,
     /// The client was refused before.
-    pub again: bool,
+    pub is_retry: bool,
     /// Whether any attempt has run it.
     pub ran: Ran,
     /// Number of attempts that may have run it.
     pub runs: u32,
     /// IDs of the servers tried.
-    pub asked: HashSet<String>,
+    pub tried: HashSet<String>,
     pub shape: PromptShape,
 }
 
 /// A response that has started.
-pub struct Begun {
+pub struct StartedResponse {
     pub exchange: Exchange,
     /// Counts the request in the server's load.
     pub work: InFlight,
@@ -76,11 +76,11 @@
 /// Result of dispatching a request.
 pub enum Dispatched {
     /// A server is serving the request.
-    Begun(Box<Begun>),
+    Started(Box<StartedResponse>),
     /// The failure response of a server, to be forwarded.
     Failed(Failed),
     /// The request would miss its target; the client should retry after this delay.
-    NoRoom(Duration),
+    NoCapacity(Duration),
     /// No server served the request.
     GaveUp(ErrorKind),
 }
@@ -154,25 +154,28 @@
             }
             Permit::Refused => return Dispatched::GaveUp(ErrorKind::ServersEnded),
         }
-        let begins = last_event_id.is_none();
-        let Placement { server, cached, .. } = match find_place(upstreams, request, begins).await {
+        let starts = last_event_id.is_none();
+        let Placement { server, cached, .. } = match select_server(upstreams, request, starts).await
+        {
             Ok(placement) => placement,
-            Err(NoPlace::NoServer) => return Dispatched::GaveUp(request.give_up()),
-            Err(NoPlace::NoRoom { retry_after }) => return Dispatched::NoRoom(retry_after),
+            Err(SelectionError::NoServer) => return Dispatched::GaveUp(request.give_up()),
+            Err(SelectionError::NoCapacity { retry_after }) => {
+                return Dispatched::NoCapacity(retry_after);
+            }
         };
         let Ok(run) = node.crashes.begin(request.fingerprint, &server.id) else {
             // Another node reported a crash or started a run in the meantime.
             tokio::time::sleep(WAIT_TICK.min(request.remaining())).await;
             continue;
         };
-        request.asked.insert(server.id.clone());
+        request.tried.insert(server.id.clone());
         let mut work = node.loads.begin(
             &server,
             WorkKind::Online,
             request.shape.uncached_tokens(cached),
         );
         let sent = Instant::now();
-        let outcome = ask(upstreams, request, &server, last_event_id).await;
+        let outcome = send(upstreams, request, &server, last_event_id).await;
         let exchange = match outcome {
             Ok(exchange) => exchange,
             Err(error) => {
@@ -186,7 +189,7 @@
                 if error.ran == Ran::No && limit.is_some_and(|limit| !limit.allows(&server)) {
                     // The rate limit refused the request before it was sent, so the server stays
                     // eligible.
-                    request.asked.remove(&server.id);
+                    request.tried.remove(&server.id);
                 }
                 continue;
             }
@@ -194,7 +197,7 @@
         request.ran = Ran::Yes;
         request.runs += 1;
         if exchange.head.status / 100 == 2 {
-            return Dispatched::Begun(Box::new(Begun {
+            return Dispatched::Started(Box::new(StartedResponse {
                 exchange,
                 work,
                 run,
@@ -214,7 +217,7 @@
     }
 }
 
-async fn ask(
+async fn send(
     upstreams: &Upstreams,
     request: &Request,
     server: &Arc<ServerRecord>,
@@ -276,10 +279,10 @@
 ) -> Option<Failed> {
     let node = upstreams.node();
     let status = exchange.head.status;
-    let again = status >= 500 && request.may_run_again();
+    let try_another = status >= 500 && request.may_run_again();
     node.log.write("server_answered_failure", || {
         serde_json::json!({"request": request.facts.id, "server": exchange.server.id,
-            "status": status, "again": again})
+            "status": status, "again": try_another})
     });
     let remaining = request.remaining();
     let reading = exchange.connection.whole_body(HELD_ANSWER);
@@ -289,7 +292,7 @@
     };
     let headers = exchange.head.headers.clone();
     upstreams.release(exchange);
-    (!again).then_some(Failed {
+    (!try_another).then_some(Failed {
         status,
         headers,
         body,
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -12,21 +12,21 @@
 use futures::future::LocalBoxFuture;
 use http::HeaderMap;
 
-use crate::admission::{Refusal, caller_of_jobs, caller_of_route, take_credit};
+use crate::admission::{Refusal, caller_of_jobs, caller_of_route, charge_quota};
 use crate::attempt::{Ran, Upstreams};
-use crate::capacity::comes_again;
-use crate::crashes::operators_call;
-use crate::dispatch::{Begun, Dispatched, Request, dispatch, is_event_route};
+use crate::capacity::detect_retry;
+use crate::crashes::operator_call;
+use crate::dispatch::{Dispatched, Request, StartedResponse, dispatch, is_event_route};
 use crate::error_kind::ErrorKind;
 use crate::evacuated_zones::{orders_text, zone_text};
 use crate::job_calls::{JobCalls, JobReply};
 use crate::metrics::{Metrics, tenant_text};
-use crate::node::{Node, UnderWay, UntilEnd};
+use crate::node::{DisconnectLogger, InFlightGuard, Node};
 use crate::placement::PromptShape;
 use crate::refusals::{give_back, refuse, without_route};
 use crate::relay;
 use crate::responses::{copy_headers, error_response, start_response};
-use crate::shares::{enter_share, share_text};
+use crate::shares::{acquire_share, share_text};
 use dappleyard_clock::Instant;
 
 /// Time limit of a request without a deadline.
@@ -88,13 +88,14 @@
         return peer_call(payload, &data).await;
     }
     if listen.metrics.is_some_and(|metrics| metrics.port() == port) {
-        let asked = operators_call(&node, request.method(), request.path());
+        let operator_response = operator_call(&node, request.method(), request.path());
         return match request.path() {
             "/metrics" => metrics(&node),
-            _ => asked.unwrap_or_else(|| not_here(&node, "only metrics and crashes are here")),
+            _ => operator_response
+                .unwrap_or_else(|| not_here(&node, "only metrics and crashes are here")),
         };
     }
-    let in_flight = UnderWay::begin(&node);
+    let in_flight = InFlightGuard::begin(&node);
     match endpoint {
         Endpoint::JobResults { .. } | Endpoint::JobItem { .. } | Endpoint::JobEnd { .. } => {
             about_job(&node, &data, &request, endpoint).await
@@ -196,7 +197,7 @@
     http: HttpRequest,
     payload: web::Payload,
     data: &FrontData,
-    mut in_flight: UnderWay,
+    mut in_flight: InFlightGuard,
 ) -> HttpResponse {
     let arrived = Instant::now();
     let node = data.upstreams.node().clone();
@@ -240,12 +241,12 @@
         return refuse(&node, &facts.id, &refused);
     };
     node.rooms.adopt(&configuration);
-    let again = comes_again(&node, &route, &facts);
-    if let Err(refused) = take_credit(&node, &configuration, &caller, &facts) {
+    let is_retry = detect_retry(&node, &route, &facts);
+    if let Err(refused) = charge_quota(&node, &configuration, &caller, &facts) {
         return refuse(&node, &facts.id, &refused);
     }
-    match enter_share(&node, &configuration, &caller, &route, &service, &facts) {
-        Ok(counted) => in_flight.count(counted),
+    match acquire_share(&node, &configuration, &caller, &route, &service, &facts) {
+        Ok(share_guard) => in_flight.count(share_guard),
         Err(refused) => return refuse(&node, &facts.id, &refused),
     }
     let hold = [
@@ -277,34 +278,40 @@
         service,
         arrived,
         deadline: arrived + hold,
-        again,
+        is_retry,
         ran: Ran::No,
         runs: 0,
-        asked: Default::default(),
+        tried: Default::default(),
     };
     serve(data.upstreams.clone(), request, in_flight).await
 }
 
-async fn serve(upstreams: Upstreams, mut request: Request, in_flight: UnderWay) -> HttpResponse {
+async fn serve(
+    upstreams: Upstreams,
+    mut request: Request,
+    in_flight: InFlightGuard,
+) -> HttpResponse {
     let node = upstreams.node().clone();
-    let until_end = UntilEnd::begin(&node, &request.facts.id);
+    let disconnect_logger = DisconnectLogger::begin(&node, &request.facts.id);
     let dispatched = dispatch(&upstreams, &mut request, None).await;
     match dispatched {
-        Dispatched::Begun(begun) => stream(upstreams, request, *begun, in_flight, until_end),
+        Dispatched::Started(started) => {
+            stream(upstreams, request, *started, in_flight, disconnect_logger)
+        }
         Dispatched::Failed(failed) => {
-            until_end.end();
+            disconnect_logger.end();
             Metrics::count(&node.metrics.failed);
             let mut response = start_response(&node, failed.status);
             copy_headers(&mut response, &failed.headers);
             response.body(failed.body)
         }
-        Dispatched::NoRoom(retry_after) => {
-            until_end.end();
+        Dispatched::NoCapacity(retry_after) => {
+            disconnect_logger.end();
             give_back(&node, &request);
             refuse(&node, &request.facts.id, &Refusal::no_room(retry_after))
         }
         Dispatched::GaveUp(kind) => {
-            until_end.end();
+            disconnect_logger.end();
             give_back(&node, &request);
             if kind == ErrorKind::ServersEnded {
                 Metrics::count(&node.metrics.servers_ended_refused);
@@ -313,8 +320,8 @@
                 return refuse(&node, &request.facts.id, &Refusal::new(kind, detail));
             }
             let none = kind == ErrorKind::NoServer;
-            let out_of_homes = none && request.homes.bind() && request.asked.is_empty();
-            let detail = || format!("{} servers asked", request.asked.len());
+            let out_of_homes = none && request.homes.bind() && request.tried.is_empty();
+            let detail = || format!("{} servers asked", request.tried.len());
             let refused = match none && node.view.is_evacuated(&request.service) {
                 // Only the evacuation orders leave the request without a server.
                 true => Refusal::new(ErrorKind::ZonesEvacuated, orders_text(&node)),
@@ -329,20 +336,20 @@
 fn stream(
     upstreams: Upstreams,
     request: Request,
-    begun: Begun,
-    mut in_flight: UnderWay,
-    until_end: UntilEnd,
+    started: StartedResponse,
+    mut in_flight: InFlightGuard,
+    disconnect_logger: DisconnectLogger,
 ) -> HttpResponse {
     let node = upstreams.node().clone();
-    in_flight.begin_answer();
-    let mut response = start_response(&node, begun.exchange.head.status);
-    copy_headers(&mut response, &begun.exchange.head.headers);
-    let length = match begun.exchange.head.framing {
+    in_flight.response_started();
+    let mut response = start_response(&node, started.exchange.head.status);
+    copy_headers(&mut response, &started.exchange.head.headers);
+    let length = match started.exchange.head.framing {
         dappleyard_upstream::BodyFraming::Length(length) => Some(length),
         _ => None,
     };
     let sized = length.filter(|_| !is_event_route(&request.route));
-    let body = relay::body(upstreams, request, begun, in_flight, until_end);
+    let body = relay::body(upstreams, request, started, in_flight, disconnect_logger);
     match sized {
         Some(length) => response.body(actix_web::body::SizedStream::new(length, Box::pin(body))),
         None => response.streaming(Box::pin(body)),
--- a/crates/ingress/src/home_regions.rs
+++ b/crates/ingress/src/home_regions.rs
@@ -26,7 +26,7 @@
 }
 
 /// Refuses a server outside the home regions.
-pub(crate) fn home_exclusion(
+pub(crate) fn check_exclusion(
     node: &Node,
     server: &ServerRecord,
     homes: &Homes,
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -54,7 +54,7 @@
     mean_excess, sample,
 };
 pub use relay::Cut;
-pub use response_buffer::{Bound, Chunks, KeptBounds, LONGEST_STOP, ReadAhead};
+pub use response_buffer::{BufferLimit, ChunkQueue, KeptBounds, LONGEST_STOP, ReadAhead};
 pub use response_times::{AnswerTimes, LatencyHistogram};
 pub use shares::ShareTable;
 pub use shutdown::close;
--- a/crates/ingress/src/node.rs
+++ b/crates/ingress/src/node.rs
@@ -15,7 +15,7 @@
 use crate::home_regions;
 use crate::metrics::Metrics;
 use crate::response_times::AnswerTimes;
-use crate::shares::{Counted, ShareTable};
+use crate::shares::{ShareGuard, ShareTable};
 use dappleyard_clock::Instant;
 
 const DIRECTORY_TTL_MS: u64 = 1_500;
@@ -131,48 +131,48 @@
 }
 
 /// Counts a client request as in flight until dropped.
-pub(crate) struct UnderWay {
+pub(crate) struct InFlightGuard {
     node: Arc<Node>,
     /// The request's entry in its tenant's share.
-    counted: Option<Counted>,
+    share_guard: Option<ShareGuard>,
 }
 
-impl UnderWay {
+impl InFlightGuard {
     pub(crate) fn begin(node: &Arc<Node>) -> Self {
         node.under_way.fetch_add(1, Ordering::Relaxed);
         *node.last_request.lock() = Instant::now();
         Self {
             node: node.clone(),
-            counted: None,
+            share_guard: None,
         }
     }
 
-    pub(crate) fn count(&mut self, counted: Option<Counted>) {
-        self.counted = counted;
+    pub(crate) fn count(&mut self, share_guard: Option<ShareGuard>) {
+        self.share_guard = share_guard;
     }
 
     /// Marks the start of the response.
-    pub(crate) fn begin_answer(&mut self) {
-        if let Some(counted) = &mut self.counted {
-            counted.begin_answer();
+    pub(crate) fn response_started(&mut self) {
+        if let Some(share_guard) = &mut self.share_guard {
+            share_guard.response_started();
         }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node.under_way.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Logs a client disconnect if a request is dropped before its end.
-pub(crate) struct UntilEnd {
+pub(crate) struct DisconnectLogger {
     node: Arc<Node>,
     request: String,
     ended: bool,
 }
 
-impl UntilEnd {
+impl DisconnectLogger {
     pub(crate) fn begin(node: &Arc<Node>, request: &str) -> Self {
         Self {
             node: node.clone(),
@@ -187,7 +187,7 @@
     }
 }
 
-impl Drop for UntilEnd {
+impl Drop for DisconnectLogger {
     fn drop(&mut self) {
         if self.ended {
             return;
--- a/crates/ingress/src/pace.rs
+++ b/crates/ingress/src/pace.rs
@@ -22,7 +22,7 @@
 
     /// Records a measured event gap. For servers that report no pace it is ignored, since longer
     /// gaps may result from load, which already counts.
-    pub(crate) fn record_gap(&self, server: &ServerRecord, pause: Duration) {
+    pub(crate) fn record_gap_pace(&self, server: &ServerRecord, pause: Duration) {
         if !self.node.loads.tells_pace(&server.id) {
             return;
         }
--- a/crates/ingress/src/refusals.rs
+++ b/crates/ingress/src/refusals.rs
@@ -6,7 +6,7 @@
 use actix_web::HttpResponse;
 use dappleyard_model::Configuration;
 
-use crate::admission::{Refusal, known_as};
+use crate::admission::{Refusal, configuration_info};
 use crate::attempt::Ran;
 use crate::dispatch::Request;
 use crate::error_kind::{ErrorKind, promises_not_run};
@@ -22,7 +22,7 @@
         true => ErrorKind::NoRoute,
         false => ErrorKind::ConfigurationOld,
     };
-    Refusal::new(kind, known_as(node, configuration))
+    Refusal::new(kind, configuration_info(node, configuration))
 }
 
 /// Returns the quota of a request that did not run.
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -8,17 +8,17 @@
 
 use crate::attempt::{AttemptError, Exchange, Ran, SUSPECT_DURATION, Upstreams};
 use crate::crashes::Broken;
-use crate::dispatch::{Begun, Dispatched, Request, dispatch, is_event_route};
+use crate::dispatch::{Dispatched, Request, StartedResponse, dispatch, is_event_route};
 use crate::error_kind::ErrorKind;
 use crate::event_gaps::EventGaps;
 use crate::event_stream::EventSplitter;
 use crate::metrics::Metrics;
-use crate::node::{UnderWay, UntilEnd};
-use crate::response_buffer::{ReadAhead, Stopped};
+use crate::node::{DisconnectLogger, InFlightGuard};
+use crate::response_buffer::{ReadAhead, StallFlag};
 use crate::silence_limits::Patience;
 use dappleyard_clock::Instant;
 
-const STREAM_PATIENCE: Duration = Duration::from_millis(900);
+const STREAM_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The response cannot be completed. The client's connection is closed without the end of the body.
 #[derive(Debug, Display, Error)]
@@ -29,25 +29,25 @@
 pub(crate) fn body(
     upstreams: Upstreams,
     request: Request,
-    begun: Begun,
-    in_flight: UnderWay,
-    until_end: UntilEnd,
+    started: StartedResponse,
+    in_flight: InFlightGuard,
+    disconnect_logger: DisconnectLogger,
 ) -> impl Stream<Item = Result<Bytes, Cut>> {
     let (node, id) = (upstreams.node().clone(), request.facts.id.clone());
-    let stopped = Stopped::default();
-    let relay = Relay::new(upstreams, request, begun, stopped.clone());
-    let ahead = ReadAhead::start(node, id, stopped, relay.into_pieces());
+    let stalled = StallFlag::default();
+    let relay = Relay::new(upstreams, request, started, stalled.clone());
+    let ahead = ReadAhead::start(node, id, stalled, relay.into_pieces());
     async_stream::stream! {
         let _under_way = in_flight;
         loop {
             match ahead.next().await {
                 Ok(Some(piece)) => yield Ok(piece),
                 Ok(None) => {
-                    until_end.end();
+                    disconnect_logger.end();
                     break;
                 }
                 Err(cut) => {
-                    until_end.end();
+                    disconnect_logger.end();
                     // Lets the pieces yielded before be flushed.
                     tokio::task::yield_now().await;
                     yield Err(cut);
@@ -61,11 +61,11 @@
 struct Relay {
     upstreams: Upstreams,
     request: Request,
-    begun: Option<Begun>,
+    started: Option<StartedResponse>,
     splitter: EventSplitter,
     gaps: EventGaps,
     /// Set when the response was not read for a while.
-    stopped: Stopped,
+    stalled: StallFlag,
     last_event: Option<u64>,
     events: u64,
     /// First event of the current run.
@@ -76,15 +76,20 @@
 }
 
 impl Relay {
-    fn new(upstreams: Upstreams, request: Request, begun: Begun, stopped: Stopped) -> Self {
+    fn new(
+        upstreams: Upstreams,
+        request: Request,
+        started: StartedResponse,
+        stalled: StallFlag,
+    ) -> Self {
         let last_event = request.facts.last_event_id;
         Self {
             upstreams,
             request,
-            begun: Some(begun),
+            started: Some(started),
             splitter: EventSplitter::default(),
             gaps: EventGaps::default(),
-            stopped,
+            stalled,
             last_event,
             events: 0,
             output_since: None,
@@ -129,12 +134,12 @@
         let remaining = self.request.remaining();
         let patience = self.patience();
         let upstreams = self.upstreams.clone();
-        let Some(begun) = &mut self.begun else {
+        let Some(started) = &mut self.started else {
             return Ok(None);
         };
         let Exchange {
             connection, server, ..
-        } = &mut begun.exchange;
+        } = &mut started.exchange;
         let reading = async {
             let piece = connection.next_piece().await;
             piece.map_err(|error| AttemptError::inside_answer(&error))
@@ -150,12 +155,12 @@
         let node = upstreams.node();
         node.loads.heard(&server.id);
         // A gap that contains a stop of the reader says nothing about the server.
-        let has_lain = self.stopped.take();
-        if self.events > 0 && piece.is_some() && !has_lain {
+        let was_stalled = self.stalled.take();
+        if self.events > 0 && piece.is_some() && !was_stalled {
             let (service, pause) = (&self.request.service, since.elapsed());
             node.times.record_gap(service, pause);
             if let Some(pause) = self.gaps.record(pause) {
-                upstreams.record_gap(server, pause);
+                upstreams.record_gap_pace(server, pause);
             }
         }
         Ok(piece)
@@ -168,7 +173,7 @@
             0 => times.first_patience(&request.service, request.shape.tokens),
             _ => times.pause_notice(&request.service),
         };
-        Patience::leave_after(STREAM_PATIENCE)
+        Patience::leave_after(STREAM_TIMEOUT)
             .notice_after(notice)
             .leaving_if(request.route.may_repeat())
     }
@@ -180,16 +185,16 @@
             return;
         }
         let node = self.upstreams.node().clone();
-        if let Some(begun) = &mut self.begun {
-            begun.work.prompt_read();
-            let sent = begun.sent.elapsed();
+        if let Some(started) = &mut self.started {
+            started.work.prompt_read();
+            let sent = started.sent.elapsed();
             let request = &self.request;
             node.times
                 .record_first_event(&request.service, request.shape.tokens, sent);
             let taken = sent.as_millis() as f64;
             let expected = 30.0 + f64::from(self.request.shape.tokens) / 30.0;
             node.loads
-                .note_excess(&begun.exchange.server.id, taken - expected);
+                .note_excess(&started.exchange.server.id, taken - expected);
         }
         let since_arrival = self.request.arrived.elapsed().as_millis() as u64;
         self.first_event_ms = Some(since_arrival);
@@ -200,18 +205,18 @@
         self.ended = true;
         let node = self.upstreams.node().clone();
         let rest = self.splitter.rest();
-        if let Some(begun) = self.begun.take() {
-            if !begun.exchange.is_framed() && !rest.is_empty() {
-                self.log_cut("the server's connection ended inside an event");
+        if let Some(started) = self.started.take() {
+            if !started.exchange.is_framed() && !rest.is_empty() {
+                self.log_truncated("the server's connection ended inside an event");
                 return Err(Cut);
             }
-            self.upstreams.note_served(&begun.run);
+            self.upstreams.note_served(&started.run);
             if self.request.runs == 1 {
-                let held = begun.sent.elapsed();
-                node.rooms.note_hold(&self.request.service, held);
+                let held = started.sent.elapsed();
+                node.rooms.record_hold_time(&self.request.service, held);
             }
-            let server = begun.exchange.server.id.clone();
-            self.upstreams.release(begun.exchange);
+            let server = started.exchange.server.id.clone();
+            self.upstreams.release(started.exchange);
             node.log.write("request_finished", || {
                 serde_json::json!({"request": self.request.facts.id, "server": server,
                     "events": self.events, "runs": self.request.runs,
@@ -225,16 +230,16 @@
 
     async fn resume(&mut self, error: AttemptError) -> Result<(), Cut> {
         let node = self.upstreams.node().clone();
-        let failed = self.begun.take();
+        let failed = self.started.take();
         self.splitter.rest();
         let mut server = None;
-        if let Some(begun) = failed {
-            let broken = begun.exchange.server;
+        if let Some(started) = failed {
+            let broken = started.exchange.server;
             let run = Broken {
                 error: &error,
                 output_for: self.output_since.map(|since| since.elapsed()),
             };
-            self.upstreams.judge(begun.run, &broken, &run).await;
+            self.upstreams.judge(started.run, &broken, &run).await;
             server = Some(broken.id.clone());
         }
         if let Some(server) = server.as_ref().filter(|_| error.unreachable) {
@@ -248,33 +253,33 @@
         });
         let resumable = is_event_route(&self.request.route) && self.request.route.resumable;
         if !resumable {
-            self.log_cut(&error.reason);
+            self.log_truncated(&error.reason);
             return Err(Cut);
         }
         match dispatch(&self.upstreams, &mut self.request, self.last_event).await {
-            Dispatched::Begun(begun) => {
+            Dispatched::Started(started) => {
                 Metrics::count(&node.metrics.resumed);
-                self.begun = Some(*begun);
+                self.started = Some(*started);
                 self.gaps = EventGaps::default();
                 self.output_since = None;
                 Ok(())
             }
             Dispatched::Failed(failed) => {
-                self.log_cut(&format!("resumption answered {}", failed.status));
+                self.log_truncated(&format!("resumption answered {}", failed.status));
                 Err(Cut)
             }
-            Dispatched::NoRoom(_) => {
-                self.log_cut(&ErrorKind::NoRoomInTime.to_string());
+            Dispatched::NoCapacity(_) => {
+                self.log_truncated(&ErrorKind::NoRoomInTime.to_string());
                 Err(Cut)
             }
             Dispatched::GaveUp(kind) => {
-                self.log_cut(&kind.to_string());
+                self.log_truncated(&kind.to_string());
                 Err(Cut)
             }
         }
     }
 
-    fn log_cut(&self, cause: &str) {
+    fn log_truncated(&self, cause: &str) {
         let node = self.upstreams.node();
         Metrics::count(&node.metrics.failed);
         node.log.write("answer_cut", || {
--- a/crates/ingress/src/response_buffer.rs
+++ b/crates/ingress/src/response_buffer.rs
@@ -25,22 +25,22 @@
 use crate::relay::Cut;
 
 /// Fraction of the machine's memory for buffered responses, as a divisor.
-const MEMORY_PART: usize = 8;
+const MEMORY_DIVISOR: usize = 8;
 /// Number of full buffers that reach the total limit.
-const FULL_ANSWERS: usize = 64;
+const FULL_BUFFERS: usize = 64;
 /// How long a response may stay at a limit while the client reads nothing. Servers abort unread
 /// responses after some seconds.
 pub const LONGEST_STOP: Duration = Duration::from_millis(1_000);
 /// Interval for rechecking the total, which other responses may reduce.
-const STOP_TICK: Duration = Duration::from_millis(50);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum chunk size. The client's connection holds another copy of a chunk.
-const TAKE_BYTES: usize = 16 * 1024;
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 /// Minimum chunk size. Most responses are forwarded event by event and are buffered only briefly.
-const LEAST_CHUNK_BYTES: usize = 512;
+const MIN_CHUNK_BYTES: usize = 512;
 
 /// The limit that stops a response from being read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Bound {
+pub enum BufferLimit {
     /// Limit per response.
     #[display("answer")]
     Answer,
@@ -62,33 +62,33 @@
     /// Derives the limits from a machine's memory.
     pub fn of(resources: Resources) -> Self {
         let memory_bytes = resources.memory_mb as usize * 1024 * 1024;
-        let node_bytes = memory_bytes / MEMORY_PART;
+        let node_bytes = memory_bytes / MEMORY_DIVISOR;
         Self {
-            answer_bytes: node_bytes / FULL_ANSWERS,
+            answer_bytes: node_bytes / FULL_BUFFERS,
             node_bytes,
         }
     }
 
     /// The limit reached with these amounts buffered, if any.
-    pub fn reached(&self, answer_bytes: usize, node_bytes: usize) -> Option<Bound> {
+    pub fn limit_reached(&self, answer_bytes: usize, node_bytes: usize) -> Option<BufferLimit> {
         if answer_bytes == 0 {
             return None;
         }
         if answer_bytes >= self.answer_bytes {
-            return Some(Bound::Answer);
+            return Some(BufferLimit::Answer);
         }
-        (node_bytes >= self.node_bytes).then_some(Bound::Node)
+        (node_bytes >= self.node_bytes).then_some(BufferLimit::Node)
     }
 }
 
 /// A byte queue in chunks; each chunk is freed when it is taken.
 #[derive(Debug, Default)]
-pub struct Chunks {
+pub struct ChunkQueue {
     chunks: VecDeque<Vec<u8>>,
     held_bytes: usize,
 }
 
-impl Chunks {
+impl ChunkQueue {
     /// Appends bytes.
     pub fn push(&mut self, mut piece: &[u8]) {
         while !piece.is_empty() {
@@ -100,13 +100,13 @@
         }
     }
 
-    /// The last chunk with free capacity, or a new one. Chunks are never reallocated.
+    /// The last chunk with free capacity, or a new one. ChunkQueue are never reallocated.
     fn open_chunk(&mut self, needed: usize) -> &mut Vec<u8> {
         let last = self.chunks.back();
         if last.is_none_or(|chunk| chunk.len() == chunk.capacity()) {
             // Grows with the backlog, since a queue is likely to grow further.
             let size = last.map_or(needed, |chunk| needed.max(2 * chunk.capacity()));
-            let chunk = Vec::with_capacity(size.clamp(LEAST_CHUNK_BYTES, TAKE_BYTES));
+            let chunk = Vec::with_capacity(size.clamp(MIN_CHUNK_BYTES, MAX_CHUNK_BYTES));
             self.held_bytes += chunk.capacity();
             self.chunks.push_back(chunk);
         }
@@ -128,18 +128,18 @@
 }
 
 /// Buffer of one response, shared by its reader and the client's stream.
-struct Kept {
+struct ResponseBuffer {
     node: Arc<Node>,
     bounds: KeptBounds,
-    chunks: RefCell<Chunks>,
+    chunks: RefCell<ChunkQueue>,
     /// Result of the response, set after its last piece is buffered.
     end: RefCell<Option<Result<(), Cut>>>,
     filled: Notify,
     taken: Notify,
-    stopped: Stopped,
+    stalled: StallFlag,
 }
 
-impl Kept {
+impl ResponseBuffer {
     fn push(&self, piece: &[u8]) {
         let mut chunks = self.chunks.borrow_mut();
         let before = chunks.held_bytes();
@@ -153,69 +153,69 @@
         let mut chunks = self.chunks.borrow_mut();
         let before = chunks.held_bytes();
         let piece = chunks.take()?;
-        self.forget(before - chunks.held_bytes());
+        self.release(before - chunks.held_bytes());
         self.taken.notify_one();
         Some(piece)
     }
 
-    fn forget(&self, size: usize) {
+    fn release(&self, size: usize) {
         let kept_bytes = &self.node.kept_bytes;
         kept_bytes.fetch_sub(size as u64, Ordering::Relaxed);
     }
 
-    fn reached(&self) -> Option<Bound> {
+    fn limit_reached(&self) -> Option<BufferLimit> {
         let all = self.node.kept_bytes.load(Ordering::Relaxed);
         self.bounds
-            .reached(self.chunks.borrow().held_bytes(), all as usize)
+            .limit_reached(self.chunks.borrow().held_bytes(), all as usize)
     }
 
     /// Waits until the response may be read further. Fails with the limit if the client reads
     /// nothing for too long.
-    async fn room(&self) -> Result<(), Bound> {
-        let mut since = Instant::now();
-        while let Some(bound) = self.reached() {
-            if since.elapsed() >= LONGEST_STOP {
+    async fn wait_for_space(&self) -> Result<(), BufferLimit> {
+        let mut waiting_since = Instant::now();
+        while let Some(bound) = self.limit_reached() {
+            if waiting_since.elapsed() >= LONGEST_STOP {
                 return Err(bound);
             }
-            self.stopped.set(true);
+            self.stalled.set(true);
             // On a timeout too: other responses may have freed space.
-            let taken = tokio::time::timeout(STOP_TICK, self.taken.notified()).await;
+            let taken = tokio::time::timeout(RECHECK_INTERVAL, self.taken.notified()).await;
             if taken.is_ok() {
-                since = Instant::now();
+                waiting_since = Instant::now();
             }
         }
         Ok(())
     }
 }
 
-impl Drop for Kept {
+impl Drop for ResponseBuffer {
     fn drop(&mut self) {
-        self.forget(self.chunks.borrow().held_bytes());
+        self.release(self.chunks.borrow().held_bytes());
     }
 }
 
 /// Reports the end of reading to the client's stream, even if the reader is dropped.
-struct Ending {
-    kept: Rc<Kept>,
+struct EndGuard {
+    buffer: Rc<ResponseBuffer>,
     end: Option<Result<(), Cut>>,
 }
 
-impl Drop for Ending {
+impl Drop for EndGuard {
     fn drop(&mut self) {
         // A reader dropped before the end leaves a truncated response.
         let end = self.end.take().unwrap_or(Err(Cut));
-        *self.kept.end.borrow_mut() = Some(end);
-        self.kept.filled.notify_one();
+        *self.buffer.end.borrow_mut() = Some(end);
+        self.buffer.filled.notify_one();
     }
 }
 
 /// Set when reading stopped at a limit: the next piece may have been delayed by the node rather
 /// than the server.
-pub type Stopped = Rc<Cell<bool>>;
+pub type StallFlag = Rc<Cell<bool>>;
 
 /// A response that is read in a background task, which ends when this is dropped.
 pub struct ReadAhead {
-    kept: Rc<Kept>,
+    buffer: Rc<ResponseBuffer>,
     reader: tokio::task::JoinHandle<()>,
 }
 
@@ -224,32 +224,32 @@
     pub fn start(
         node: Arc<Node>,
         request: String,
-        stopped: Stopped,
+        stalled: StallFlag,
         pieces: impl Stream<Item = Result<Bytes, Cut>> + 'static,
     ) -> Self {
-        let kept = Rc::new(Kept {
+        let buffer = Rc::new(ResponseBuffer {
             bounds: KeptBounds::of(node.settings.resources),
             node,
             chunks: RefCell::default(),
             end: RefCell::default(),
             filled: Notify::new(),
             taken: Notify::new(),
-            stopped,
+            stalled,
         });
-        let reader = tokio::task::spawn_local(read(kept.clone(), request, pieces));
-        Self { kept, reader }
+        let reader = tokio::task::spawn_local(read(buffer.clone(), request, pieces));
+        Self { buffer, reader }
     }
 
     /// The next bytes for the client; `None` at the end. Fails if the response was truncated.
     pub async fn next(&self) -> Result<Option<Bytes>, Cut> {
         loop {
-            if let Some(piece) = self.kept.take() {
+            if let Some(piece) = self.buffer.take() {
                 return Ok(Some(piece));
             }
-            if let Some(end) = self.kept.end.borrow_mut().take() {
+            if let Some(end) = self.buffer.end.borrow_mut().take() {
                 return end.map(|()| None);
             }
-            self.kept.filled.notified().await;
+            self.buffer.filled.notified().await;
         }
     }
 }
@@ -260,38 +260,42 @@
     }
 }
 
-async fn read(kept: Rc<Kept>, request: String, pieces: impl Stream<Item = Result<Bytes, Cut>>) {
+async fn read(
+    buffer: Rc<ResponseBuffer>,
+    request: String,
+    pieces: impl Stream<Item = Result<Bytes, Cut>>,
+) {
     tokio::pin!(pieces);
-    let mut ending = Ending {
-        kept: kept.clone(),
+    let mut end_guard = EndGuard {
+        buffer: buffer.clone(),
         end: None,
     };
     loop {
-        if let Err(bound) = kept.room().await {
-            log_unread(&kept, &request, bound);
+        if let Err(bound) = buffer.wait_for_space().await {
+            log_unread(&buffer, &request, bound);
             return;
         }
         match pieces.next().await {
-            Some(Ok(piece)) => kept.push(&piece),
+            Some(Ok(piece)) => buffer.push(&piece),
             Some(Err(cut)) => {
-                ending.end = Some(Err(cut));
+                end_guard.end = Some(Err(cut));
                 return;
             }
             None => {
-                ending.end = Some(Ok(()));
+                end_guard.end = Some(Ok(()));
                 return;
             }
         }
     }
 }
 
-fn log_unread(kept: &Kept, request: &str, bound: Bound) {
-    let metrics = &kept.node.metrics;
+fn log_unread(buffer: &ResponseBuffer, request: &str, bound: BufferLimit) {
+    let metrics = &buffer.node.metrics;
     Metrics::count(&metrics.failed);
     Metrics::count(&metrics.answers_unread);
-    kept.node.log.write("answer_unread", || {
+    buffer.node.log.write("answer_unread", || {
         serde_json::json!({"request": request, "bound": bound.to_string(),
-            "kept_bytes": kept.chunks.borrow().held_bytes(),
-            "all_kept_bytes": kept.node.kept_bytes.load(Ordering::Relaxed)})
+            "kept_bytes": buffer.chunks.borrow().held_bytes(),
+            "all_kept_bytes": buffer.node.kept_bytes.load(Ordering::Relaxed)})
     });
 }
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -10,7 +10,7 @@
 use dappleyard_room::Admission;
 
 use crate::attempt::Upstreams;
-use crate::capacity::{self, Looks};
+use crate::capacity::{self, WaitState};
 use crate::cold_limit::ColdGate;
 use crate::crashes::apart;
 use crate::dispatch::Request;
@@ -24,9 +24,9 @@
 use crate::urgency::{Urgency, due_age, urgency};
 
 /// Maximum number of servers tried per request.
-const MOST_ASKED: usize = 6;
+const MAX_SERVERS_TRIED: usize = 6;
 /// Mean interval between checks for a slot; loads are exchanged as often.
-const HOLD_TICK: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The server selected for the next attempt.
 pub(crate) struct Placement {
@@ -41,11 +41,11 @@
 }
 
 /// Why no server was selected.
-pub(crate) enum NoPlace {
+pub(crate) enum SelectionError {
     /// No server is available.
     NoServer,
     /// The request would miss its target.
-    NoRoom {
+    NoCapacity {
         /// Suggested retry delay.
         retry_after: Duration,
     },
@@ -53,51 +53,55 @@
 
 /// Selects the server for the next attempt, waiting for a slot if necessary. A stream that has
 /// already started does not wait.
-pub(crate) async fn find_place(
+pub(crate) async fn select_server(
     upstreams: &Upstreams,
     request: &Request,
-    begins: bool,
-) -> Result<Placement, NoPlace> {
+    starts: bool,
+) -> Result<Placement, SelectionError> {
     let sheds = upstreams.node().settings.load_shedding;
-    let begins = begins && !(sheds && capacity::goes_on(&request.route, &request.facts));
-    if begins
+    let starts = starts && !(sheds && capacity::is_resumption(&request.route, &request.facts));
+    if starts
         && sheds
-        && let Some(found) = find_in_room(upstreams, request).await
+        && let Some(found) = select_within_capacity(upstreams, request).await
     {
         return found;
     }
-    let found = find_by_age(upstreams, request, begins).await;
-    found.ok_or(NoPlace::NoServer)
+    let found = select_by_urgency(upstreams, request, starts).await;
+    found.ok_or(SelectionError::NoServer)
 }
 
 /// Selection with load shedding: requests that would miss their target are refused. Returns `None`
 /// if this node has too little information for that.
-async fn find_in_room(
+async fn select_within_capacity(
     upstreams: &Upstreams,
     request: &Request,
-) -> Option<Result<Placement, NoPlace>> {
+) -> Option<Result<Placement, SelectionError>> {
     let node = upstreams.node();
     let mut waiting = None;
-    let mut looks = Looks::default();
+    let mut wait_state = WaitState::default();
     loop {
-        let admission = capacity::ask(node, request, looks)?;
+        let admission = capacity::decide(node, request, wait_state)?;
         let (look, counted) = match admission {
-            Admission::Refuse { retry_after } => return Some(Err(NoPlace::NoRoom { retry_after })),
+            Admission::Refuse { retry_after } => {
+                return Some(Err(SelectionError::NoCapacity { retry_after }));
+            }
             Admission::Wait { look, counted } => (look, counted),
-            Admission::Serve => match place(upstreams, request) {
+            Admission::Serve => match select_now(upstreams, request) {
                 Some(placement) => {
                     log_placed(upstreams, request, &placement);
                     return Some(Ok(placement));
                 }
                 // It waits for the rate limit of cold servers, not for a slot.
-                None if !is_due(request) && is_held_back(upstreams, request) => (HOLD_TICK, false),
-                None => return Some(Err(NoPlace::NoServer)),
+                None if !is_due(request) && is_cold_limited(upstreams, request) => {
+                    (CHECK_INTERVAL, false)
+                }
+                None => return Some(Err(SelectionError::NoServer)),
             },
         };
-        if !looks.before {
+        if !wait_state.before {
             Metrics::count(&node.metrics.room_waits);
         }
-        looks = Looks {
+        wait_state = WaitState {
             before: true,
             counted,
         };
@@ -107,7 +111,7 @@
         };
         tokio::time::sleep(look.min(request.remaining())).await;
         if request.remaining().is_zero() {
-            return Some(Err(NoPlace::NoServer));
+            return Some(Err(SelectionError::NoServer));
         }
     }
 }
@@ -119,7 +123,11 @@
 }
 
 /// Selection without load shedding: every request is served, in an order set by its age.
-async fn find_by_age(upstreams: &Upstreams, request: &Request, begins: bool) -> Option<Placement> {
+async fn select_by_urgency(
+    upstreams: &Upstreams,
+    request: &Request,
+    starts: bool,
+) -> Option<Placement> {
     let patience = Duration::from_millis(request.route.patience_ms);
     let target = request.route.first_event_target();
     loop {
@@ -129,23 +137,23 @@
             return None;
         }
         let urgency = urgency(request.arrived.elapsed(), target, patience);
-        let Some(placement) = place(upstreams, request) else {
-            if urgency == Urgency::Due || !is_held_back(upstreams, request) {
+        let Some(placement) = select_now(upstreams, request) else {
+            if urgency == Urgency::Due || !is_cold_limited(upstreams, request) {
                 return None;
             }
-            tokio::time::sleep(HOLD_TICK.min(remaining)).await;
+            tokio::time::sleep(CHECK_INTERVAL.min(remaining)).await;
             continue;
         };
         // An idle server is used at once.
         let idle = placement.load.online == 0;
         let overcommit = upstreams.overcommit();
         let admitted = overcommit.admits(urgency, placement.mean_excess, rand::random());
-        if !begins || idle || admitted {
+        if !starts || idle || admitted {
             log_placed(upstreams, request, &placement);
             return Some(placement);
         }
         // Jitter, so that waiting requests do not all find the same free slot.
-        let pause = HOLD_TICK.mul_f64(rand::random_range(0.5..1.5));
+        let pause = CHECK_INTERVAL.mul_f64(rand::random_range(0.5..1.5));
         tokio::time::sleep(pause.min(remaining)).await;
     }
 }
@@ -164,7 +172,7 @@
         serde_json::json!({"request": request.facts.id, "route": request.route.name,
             "tenant": request.caller.tenant_name(), "server": server,
             "distance": distance.to_string(),
-            "again": request.again, "candidates": placement.candidates, "kept": placement.cached,
+            "again": request.is_retry, "candidates": placement.candidates, "kept": placement.cached,
             "online": load.online, "batch": load.batch,
             "unread_tokens": load.unread_tokens, "suspect": load.suspect,
             "pace_percent": load.pace.percent(),
@@ -174,9 +182,9 @@
 }
 
 /// Selects a server from the current loads, without waiting.
-fn place(upstreams: &Upstreams, request: &Request) -> Option<Placement> {
+fn select_now(upstreams: &Upstreams, request: &Request) -> Option<Placement> {
     let node = upstreams.node();
-    if request.asked.len() >= MOST_ASKED {
+    if request.tried.len() >= MAX_SERVERS_TRIED {
         return None;
     }
     let limit = ColdGate::of(node, &request.service);
@@ -191,14 +199,14 @@
     };
     let extra = affinity_server.filter(|_| servers.is_large());
     let may_take = |server: &&Arc<ServerRecord>| {
-        !request.asked.contains(&server.id)
+        !request.tried.contains(&server.id)
             && request.homes.allow(&server.zone, &node.settings.places)
             && limit.as_ref().is_none_or(|limit| limit.allows(server))
     };
     let reached = reached(&servers, &request.homes, node).chain(extra);
     let open: Vec<&Arc<ServerRecord>> = reached.filter(may_take).collect();
     if node.crashes.permit(&request.fingerprint) == Permit::LastRun {
-        return place_apart(node, request, &open);
+        return select_for_last_run(node, request, &open);
     }
     let ways = node.view.ways();
     let affinity_id = affinity_server.map(|affinity_server| affinity_server.id.as_str());
@@ -241,7 +249,11 @@
 
 /// Selects a server for the last run of a request that may crash it: a healthy one with a free
 /// slot, else a healthy one, else any.
-fn place_apart(node: &Node, request: &Request, open: &[&Arc<ServerRecord>]) -> Option<Placement> {
+fn select_for_last_run(
+    node: &Node,
+    request: &Request,
+    open: &[&Arc<ServerRecord>],
+) -> Option<Placement> {
     let candidates = open.iter().map(|server| Candidate {
         server: (*server).clone(),
         load: node.loads.summary(&server.id),
@@ -267,16 +279,16 @@
 }
 
 /// Whether only the limits on cold servers keep a request from some server.
-fn is_held_back(upstreams: &Upstreams, request: &Request) -> bool {
+fn is_cold_limited(upstreams: &Upstreams, request: &Request) -> bool {
     let node = upstreams.node();
     let Some(limit) = ColdGate::of(node, &request.service) else {
         return false;
     };
-    let left = request.asked.len() < MOST_ASKED;
+    let left = request.tried.len() < MAX_SERVERS_TRIED;
     let servers = node.view.servers(&request.service);
     let places = &node.settings.places;
     let mut open = reached(&servers, &request.homes, node)
         .filter(|server| request.homes.allow(&server.zone, places))
-        .filter(|server| !request.asked.contains(&server.id));
+        .filter(|server| !request.tried.contains(&server.id));
     left && open.any(|server| !limit.allows(server))
 }
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -18,23 +18,23 @@
 use parking_lot::Mutex;
 
 use crate::admission::Refusal;
-use crate::capacity::{Coming, SHORTEST_WAIT, goes_on};
+use crate::capacity::{CapacityForecast, MIN_RETRY_DELAY, is_resumption};
 use crate::error_kind::ErrorKind;
 use crate::metrics::{Metrics, NAMED_TENANTS};
 use crate::node::Node;
 use crate::slot_usage::{SlotUsage, slot_usage};
 
 /// How long computed shares are reused; load information is updated at the same interval.
-const LOOK_LIFE: Duration = Duration::from_millis(25);
+const SNAPSHOT_TTL: Duration = Duration::from_millis(25);
 /// Assumed duration of a request before any has finished.
-const FIRST_STAY: Duration = Duration::from_millis(500);
+const DEFAULT_DURATION: Duration = Duration::from_millis(500);
 /// Smoothing factor of the exponential moving average.
-const MEAN_PART: f64 = 0.05;
+const SMOOTHING: f64 = 0.05;
 /// Weight of a tenant if no tenant has a limit.
-const PLAIN_WEIGHT: f64 = 1.0;
+const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// Usage of one service as known to this node.
-struct Seen {
+struct ServiceUsage {
     /// Slots of healthy servers.
     slots: u32,
     online: u32,
@@ -42,7 +42,7 @@
 }
 
 /// Shares of one service and the usage they are based on.
-struct Look {
+struct ShareSnapshot {
     at: Instant,
     shares: Shares,
     /// Requests by tenant number, including those admitted by this node since.
@@ -70,7 +70,7 @@
         };
         self.limited = tenants.filter_map(limited).collect();
         self.other = match self.limited.len() {
-            0 => PLAIN_WEIGHT,
+            0 => DEFAULT_WEIGHT,
             count => self.limited.values().sum::<f64>() / count as f64,
         };
         self.version = Some(configuration.version);
@@ -84,9 +84,9 @@
 #[derive(Default)]
 struct State {
     weights: Weights,
-    looks: HashMap<String, Look>,
+    snapshots: HashMap<String, ShareSnapshot>,
     /// Mean duration of requests by service.
-    stays: HashMap<String, Duration>,
+    mean_durations: HashMap<String, Duration>,
     refused: HashMap<TenantName, u64>,
 }
 
@@ -108,7 +108,7 @@
 }
 
 /// Counts a request towards its tenant's share until dropped.
-pub(crate) struct Counted {
+pub(crate) struct ShareGuard {
     node: Arc<Node>,
     service: String,
     since: Instant,
@@ -116,18 +116,18 @@
     _work: Work,
 }
 
-impl Counted {
+impl ShareGuard {
     /// Marks the start of the response; its end frees a slot.
-    pub(crate) fn begin_answer(&mut self) {
+    pub(crate) fn response_started(&mut self) {
         self.answered = true;
     }
 }
 
-impl Drop for Counted {
+impl Drop for ShareGuard {
     fn drop(&mut self) {
         if self.answered {
-            let stay = self.since.elapsed();
-            self.node.shares.note_stay(&self.service, stay);
+            let duration = self.since.elapsed();
+            self.node.shares.record_duration(&self.service, duration);
         }
     }
 }
@@ -135,15 +135,15 @@
 /// Counts a request towards its tenant's share, or refuses it if the share is used up. Returns
 /// `None` if shares do not apply: load shedding is off, the request resumes a stream, or the
 /// deployment has no tenants.
-pub(crate) fn enter_share(
+pub(crate) fn acquire_share(
     node: &Arc<Node>,
     configuration: &Configuration,
     caller: &Caller,
     route: &Route,
     service: &str,
     facts: &RequestFacts,
-) -> Result<Option<Counted>, Refusal> {
-    let shared = node.settings.load_shedding && !goes_on(route, facts);
+) -> Result<Option<ShareGuard>, Refusal> {
+    let shared = node.settings.load_shedding && !is_resumption(route, facts);
     if !shared || *caller == Caller::Untold {
         return Ok(None);
     }
@@ -153,9 +153,9 @@
     // For a tenant, the retry queue already spreads the delays.
     let point = caller.tenant().map_or_else(rand::random, |_| 0.0);
     if let Err(over) = node.shares.admit(service, number, point) {
-        return Err(refuse(node, caller, &over, facts));
+        return Err(refuse_over_share(node, caller, &over, facts));
     }
-    Ok(Some(Counted {
+    Ok(Some(ShareGuard {
         node: node.clone(),
         service: service.to_owned(),
         since: Instant::now(),
@@ -165,29 +165,34 @@
 }
 
 /// Refuses a request over its tenant's share and returns its quota.
-fn refuse(node: &Node, caller: &Caller, over: &OverShare, facts: &RequestFacts) -> Refusal {
+fn refuse_over_share(
+    node: &Node,
+    caller: &Caller,
+    over: &OverShare,
+    facts: &RequestFacts,
+) -> Refusal {
     Metrics::count(&node.metrics.over_share);
-    let (who, come_back) = match caller.tenant() {
+    let (who, retry_after) = match caller.tenant() {
         Some(tenant) => {
             node.quotas.give_back(&tenant.name);
-            node.shares.note_refused(&tenant.name);
-            let coming = Coming {
-                earliest: over.come_back,
+            node.shares.record_refusal(&tenant.name);
+            let forecast = CapacityForecast {
+                earliest: over.retry_after,
                 per_s: over.ends_per_s,
                 nodes: node.peers.count(),
             };
-            let after = node.rooms.come_back_after(&tenant.name, coming, facts);
+            let after = node.rooms.tenant_retry_delay(&tenant.name, forecast, facts);
             (format!("tenant {}", tenant.name), after)
         }
         None => {
-            let after = over.come_back.max(SHORTEST_WAIT);
+            let after = over.retry_after.max(MIN_RETRY_DELAY);
             ("callers without a key".to_owned(), after)
         }
     };
     Refusal {
         kind: ErrorKind::OverShare,
         detail: format!("{who}: {over}"),
-        retry_after_ms: Some(come_back.as_millis() as u64),
+        retry_after_ms: Some(retry_after.as_millis() as u64),
     }
 }
 
@@ -200,22 +205,28 @@
     let SlotUsage { slots, online } =
         slot_usage(node, &node.view.servers(service), &Homes::default());
     let demand = node.loads.demand.total(service);
-    let seen = Seen {
+    let usage = ServiceUsage {
         slots,
         online,
         demand,
     };
-    node.shares.note(configuration, service, &seen, now);
+    node.shares.note(configuration, service, &usage, now);
 }
 
 impl ShareTable {
     fn is_fresh(&self, service: &str, now: Instant) -> bool {
         let state = self.state.lock();
-        let look = state.looks.get(service);
-        look.is_some_and(|look| now.saturating_duration_since(look.at) < LOOK_LIFE)
+        let snapshot = state.snapshots.get(service);
+        snapshot.is_some_and(|snapshot| now.saturating_duration_since(snapshot.at) < SNAPSHOT_TTL)
     }
 
-    fn note(&self, configuration: &Configuration, service: &str, seen: &Seen, now: Instant) {
+    fn note(
+        &self,
+        configuration: &Configuration,
+        service: &str,
+        usage: &ServiceUsage,
+        now: Instant,
+    ) {
         let mut state = self.state.lock();
         if state.weights.version != Some(configuration.version) {
             let tenants = configuration.tenants.as_ref();
@@ -223,7 +234,7 @@
             state.refused.retain(|name, _| known(name.as_str()));
         }
         state.weights.adopt(configuration);
-        let tenants = seen.demand.tenants.iter();
+        let tenants = usage.demand.tenants.iter();
         let claim = |work: &TenantWork| Claim {
             requests: work.requests,
             weight: state.weights.of(work.tenant),
@@ -232,43 +243,47 @@
         let told = claims
             .iter()
             .fold(0, |sum: u32, claim| sum.saturating_add(claim.requests));
-        let look = Look {
+        let snapshot = ShareSnapshot {
             at: now,
-            shares: Shares::new(&claims, seen.online.saturating_sub(told), seen.slots),
+            shares: Shares::new(&claims, usage.online.saturating_sub(told), usage.slots),
             requests: tenants.map(|work| (work.tenant, work.requests)).collect(),
         };
-        state.looks.insert(service.to_owned(), look);
+        state.snapshots.insert(service.to_owned(), snapshot);
     }
 
     /// Counts one more request of a tenant if its share allows it.
     fn admit(&self, service: &str, tenant: u32, point: f64) -> Result<(), OverShare> {
         let mut state = self.state.lock();
         let weight = state.weights.of(tenant);
-        let stay = state.stays.get(service).copied().unwrap_or(FIRST_STAY);
-        let Some(look) = state.looks.get_mut(service) else {
+        let duration = state
+            .mean_durations
+            .get(service)
+            .copied()
+            .unwrap_or(DEFAULT_DURATION);
+        let Some(snapshot) = state.snapshots.get_mut(service) else {
             return Ok(());
         };
-        let requests = look.requests.entry(tenant).or_default();
+        let requests = snapshot.requests.entry(tenant).or_default();
         let claim = Claim {
             requests: *requests,
             weight,
         };
-        look.shares.admit(claim, stay, point)?;
+        snapshot.shares.admit(claim, duration, point)?;
         *requests += 1;
         Ok(())
     }
 
-    fn note_stay(&self, service: &str, stay: Duration) {
+    fn record_duration(&self, service: &str, duration: Duration) {
         let mut state = self.state.lock();
-        match state.stays.get_mut(service) {
-            Some(mean) => *mean = mean.mul_f64(1.0 - MEAN_PART) + stay.mul_f64(MEAN_PART),
+        match state.mean_durations.get_mut(service) {
+            Some(mean) => *mean = mean.mul_f64(1.0 - SMOOTHING) + duration.mul_f64(SMOOTHING),
             None => {
-                state.stays.insert(service.to_owned(), stay);
+                state.mean_durations.insert(service.to_owned(), duration);
             }
         }
     }
 
-    fn note_refused(&self, tenant: &TenantName) {
+    fn record_refusal(&self, tenant: &TenantName) {
         let mut state = self.state.lock();
         *state.refused.entry(tenant.clone()).or_default() += 1;
     }
@@ -282,9 +297,9 @@
             refused: state.refused.get(tenant).copied().unwrap_or_default(),
             ..TenantShare::default()
         };
-        for look in state.looks.values() {
-            figures.under_way += look.requests.get(&number).copied().unwrap_or_default();
-            if let Some(share) = look.shares.of(weight) {
+        for snapshot in state.snapshots.values() {
+            figures.under_way += snapshot.requests.get(&number).copied().unwrap_or_default();
+            if let Some(share) = snapshot.shares.of(weight) {
                 figures.share = Some(figures.share.unwrap_or_default() + share);
             }
         }
--- a/crates/ingress/src/zone_monitor.rs
+++ b/crates/ingress/src/zone_monitor.rs
@@ -87,9 +87,9 @@
     if !random.random_bool((PROBES_PER_INTERVAL / fleet).min(1.0)) {
         return;
     }
-    let servers = sets.iter().flat_map(|set| &set.used);
-    let servers: Vec<&Arc<ServerRecord>> = servers.filter(|server| server.zone == zone).collect();
-    let chosen = servers.choose_multiple(&mut random, MAX_PROBES);
+    let in_zone = sets.iter().flat_map(|set| &set.used);
+    let in_zone: Vec<&Arc<ServerRecord>> = in_zone.filter(|server| server.zone == zone).collect();
+    let chosen = in_zone.choose_multiple(&mut random, MAX_PROBES);
     let chosen: Vec<Arc<ServerRecord>> = chosen.map(|server| (*server).clone()).collect();
     let upstreams = upstreams.clone();
     tokio::task::spawn_local(async move {
--- a/crates/ingress/tests/pace_placement.rs
+++ b/crates/ingress/tests/pace_placement.rs
@@ -132,7 +132,7 @@
 
 /// Weighting of the load in the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Weighting {
     /// Counts requests and ignores the pace.
     Counts,
     /// Multiplies requests and queue by the pace.
@@ -142,23 +142,23 @@
 }
 
 /// A simulated server: the end times of its requests.
-struct Line {
+struct SimulatedServer {
     server: Arc<ServerRecord>,
     ends_ms: Vec<f64>,
 }
 
 /// Whether the pace of servers stays the same or changes every 600 ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Course {
+enum PaceChange {
     Lasting,
     Flipping,
 }
 
-impl Course {
+impl PaceChange {
     fn pace(self, server: usize, at_ms: f64) -> f64 {
         let turn = match self {
-            Course::Lasting => 0,
-            Course::Flipping => (at_ms / 600.0) as usize,
+            PaceChange::Lasting => 0,
+            PaceChange::Flipping => (at_ms / 600.0) as usize,
         };
         match (server + turn).is_multiple_of(3) {
             true => 3.0,
@@ -167,7 +167,7 @@
     }
 }
 
-impl Line {
+impl SimulatedServer {
     /// Requests in flight at a given time.
     fn online(&self, at_ms: f64) -> u32 {
         self.ends_ms.iter().filter(|end| **end > at_ms).count() as u32
@@ -203,42 +203,42 @@
 
 /// Fraction of requests whose first event takes more than 300 ms, at some load on 24 servers and
 /// with load information of some age.
-fn late(way: Way, news_ms: f64, course: Course, load: f64) -> f64 {
+fn late(weighting: Weighting, information_age_ms: f64, pace_change: PaceChange, load: f64) -> f64 {
     let mut random = StdRng::seed_from_u64(11);
     let ways = Ways::within("north");
-    let mut lines: Vec<Line> = (0..24)
-        .map(|number| Line {
+    let mut simulated: Vec<SimulatedServer> = (0..24)
+        .map(|number| SimulatedServer {
             server: server(&format!("{number:02}"), "north"),
             ends_ms: Vec::new(),
         })
         .collect();
-    let all: Vec<Arc<ServerRecord>> = lines.iter().map(|line| line.server.clone()).collect();
+    let all: Vec<Arc<ServerRecord>> = simulated.iter().map(|line| line.server.clone()).collect();
     let all: Vec<&Arc<ServerRecord>> = all.iter().collect();
     let (mut at_ms, mut late) = (0.0, 0);
     // 24 servers of 8 slots, a third of them slow, serve 249 requests per second.
     let gap_ms = 1_000.0 / (load * 249.0);
     for _ in 0..3_000 {
         at_ms += -gap_ms * (1.0 - random.random::<f64>()).ln();
-        let told_ms = at_ms - news_ms;
+        let known_at_ms = at_ms - information_age_ms;
         let sampled = sample(&all, &ways, None, &mut random);
         let candidates: Vec<Candidate> = sampled
             .into_iter()
             .map(|server| {
                 let number: usize = server.id.parse().expect("a number");
-                let pace = match way {
-                    Way::Counts => 1.0,
-                    Way::Products | Way::Paces => course.pace(number, told_ms),
+                let pace = match weighting {
+                    Weighting::Counts => 1.0,
+                    Weighting::Products | Weighting::Paces => pace_change.pace(number, known_at_ms),
                 };
-                let online = lines[number].online(told_ms);
+                let online = simulated[number].online(known_at_ms);
                 candidate(&server.id, "north", online, pace)
             })
             .collect();
-        let id = match way {
-            Way::Products => least_product(&candidates),
-            Way::Counts | Way::Paces => chosen(&candidates),
+        let id = match weighting {
+            Weighting::Products => least_product(&candidates),
+            Weighting::Counts | Weighting::Paces => chosen(&candidates),
         };
         let number: usize = id.parse().expect("a number");
-        let first_ms = lines[number].take(at_ms, course.pace(number, at_ms));
+        let first_ms = simulated[number].take(at_ms, pace_change.pace(number, at_ms));
         late += u32::from(first_ms > 300.0);
     }
     f64::from(late) / 3_000.0
@@ -246,13 +246,23 @@
 
 #[gtest]
 fn lasting_paces() {
-    for news_ms in [25.0, 100.0, 500.0] {
-        let counts = late(Way::Counts, news_ms, Course::Lasting, 0.95);
-        let paces = late(Way::Paces, news_ms, Course::Lasting, 0.95);
+    for information_age_ms in [25.0, 100.0, 500.0] {
+        let counts = late(
+            Weighting::Counts,
+            information_age_ms,
+            PaceChange::Lasting,
+            0.95,
+        );
+        let paces = late(
+            Weighting::Paces,
+            information_age_ms,
+            PaceChange::Lasting,
+            0.95,
+        );
         expect_that!(
             paces,
             lt(counts / 2.0),
-            "news of {news_ms} ms: {counts} by counts"
+            "news of {information_age_ms} ms: {counts} by counts"
         );
     }
 }
@@ -260,14 +270,29 @@
 /// Outdated pace reports must not concentrate requests on servers that were fast a moment ago.
 #[gtest]
 fn flipping_paces() {
-    for news_ms in [25.0, 100.0] {
-        let counts = late(Way::Counts, news_ms, Course::Flipping, 0.75);
-        let products = late(Way::Products, news_ms, Course::Flipping, 0.75);
-        let paces = late(Way::Paces, news_ms, Course::Flipping, 0.75);
+    for information_age_ms in [25.0, 100.0] {
+        let counts = late(
+            Weighting::Counts,
+            information_age_ms,
+            PaceChange::Flipping,
+            0.75,
+        );
+        let products = late(
+            Weighting::Products,
+            information_age_ms,
+            PaceChange::Flipping,
+            0.75,
+        );
+        let paces = late(
+            Weighting::Paces,
+            information_age_ms,
+            PaceChange::Flipping,
+            0.75,
+        );
         expect_that!(
             paces,
             lt(counts.min(products)),
-            "{news_ms} ms: {counts}, {products}"
+            "{information_age_ms} ms: {counts}, {products}"
         );
     }
 }
@@ -275,7 +300,7 @@
 /// Pace reports that are half a second old must not make placement much worse than no reports.
 #[gtest]
 fn old_news() {
-    let counts = late(Way::Counts, 500.0, Course::Flipping, 0.75);
-    let paces = late(Way::Paces, 500.0, Course::Flipping, 0.75);
+    let counts = late(Weighting::Counts, 500.0, PaceChange::Flipping, 0.75);
+    let paces = late(Weighting::Paces, 500.0, PaceChange::Flipping, 0.75);
     expect_that!(paces, le(counts * 1.1), "{counts} by counts");
 }
--- a/crates/ingress/tests/response_buffer.rs
+++ b/crates/ingress/tests/response_buffer.rs
@@ -1,6 +1,6 @@
 //! Buffer limits and chunk accounting.
 
-use dappleyard_ingress::{Bound, Chunks, KeptBounds};
+use dappleyard_ingress::{BufferLimit, ChunkQueue, KeptBounds};
 use dappleyard_model::Resources;
 use googletest::prelude::*;
 
@@ -23,15 +23,15 @@
 fn bounds_reached() {
     let bounds = bounds(120);
     let (answer, node) = (bounds.answer_bytes, bounds.node_bytes);
-    let reached = [(1, 1), (answer, answer), (1, node), (answer, node)];
-    let reached = reached.map(|(own, all)| bounds.reached(own, all));
+    let limit_reached = [(1, 1), (answer, answer), (1, node), (answer, node)];
+    let limit_reached = limit_reached.map(|(own, all)| bounds.limit_reached(own, all));
     expect_that!(
-        reached,
+        limit_reached,
         eq([
             None,
-            Some(Bound::Answer),
-            Some(Bound::Node),
-            Some(Bound::Answer)
+            Some(BufferLimit::Answer),
+            Some(BufferLimit::Node),
+            Some(BufferLimit::Answer)
         ])
     );
 }
@@ -39,7 +39,7 @@
 #[gtest]
 fn in_time_beside_others() {
     let bounds = bounds(120);
-    expect_that!(bounds.reached(0, 2 * bounds.node_bytes), none());
+    expect_that!(bounds.limit_reached(0, 2 * bounds.node_bytes), none());
 }
 
 /// Bytes with a position-dependent pattern.
@@ -51,7 +51,7 @@
 fn in_order() {
     let sent = bytes(200_001);
     for piece in [1, 700, 16_384, 200_001] {
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkQueue::default();
         sent.chunks(piece).for_each(|piece| chunks.push(piece));
         expect_that!(chunks.held_bytes(), ge(sent.len()));
         let taken: Vec<u8> = std::iter::from_fn(|| chunks.take()).flatten().collect();
@@ -63,7 +63,7 @@
 #[gtest]
 fn all_but_a_byte() {
     let sent = bytes(200_001);
-    let mut chunks = Chunks::default();
+    let mut chunks = ChunkQueue::default();
     sent.chunks(1_000).for_each(|piece| chunks.push(piece));
     let mut left = sent.len();
     let info = allocation_counter::measure(|| {
@@ -80,7 +80,7 @@
 #[gtest]
 fn counted_as_held() {
     let sent = bytes(100_000);
-    let mut chunks = Chunks::default();
+    let mut chunks = ChunkQueue::default();
     let info = allocation_counter::measure(|| {
         sent.chunks(1_000).for_each(|piece| chunks.push(piece));
     });
--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -10,33 +10,33 @@
 
 use rand::Rng;
 
-use crate::room::{RETURNS_PART, Room};
+use crate::capacity::{Capacity, RETRY_RESERVE};
 
 /// Mean interval between checks of a waiting request.
-pub const LOOK: Duration = Duration::from_millis(20);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Minimum interval between checks.
-const LEAST_LOOK: Duration = Duration::from_millis(2);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// Interval between checks of a request that is already late.
-const LATE_LOOK: Duration = Duration::from_millis(100);
+const LATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Age of other nodes' information.
-const NEWS_AGE: Duration = Duration::from_millis(75);
+const INFORMATION_DELAY: Duration = Duration::from_millis(75);
 /// Time over which free slots are filled: twice the age of the information, so that nodes do not
 /// fill the same slots repeatedly.
-const CORRECTION: Duration = Duration::from_millis(150);
+const CORRECTION_PERIOD: Duration = Duration::from_millis(150);
 /// Amount of work queued at servers, as time to process it: one check interval plus the delay of
 /// its information.
-const QUEUED: Duration = Duration::from_millis(50);
+const SERVER_QUEUE: Duration = Duration::from_millis(50);
 /// Fraction of the target after which a request that cannot be served is refused. With network
 /// time, the client then has lost a quarter of its target and can use the rest of its deadline for
 /// a retry.
-const ANSWER_PART: f64 = 0.2;
+const REFUSE_FRACTION: f64 = 0.2;
 /// Fraction of the target available for waiting and for the first event.
-const SLOT_PART: f64 = 0.75;
+const SLOT_FRACTION: f64 = 0.75;
 /// Maximum retry delay as a fraction of the client's remaining time; clients do not wait longer.
-pub const OBEYED_PART: f64 = 1.0 / 3.0;
+pub const RETRY_FRACTION: f64 = 1.0 / 3.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Asking {
+pub struct AdmissionRequest {
     /// Time since arrival.
     pub age: Duration,
     /// Target time from arrival to the first event.
@@ -48,13 +48,13 @@
     /// Age after which it no longer waits, even if it will be late.
     pub most_wait: Duration,
     /// The client was refused before.
-    pub again: bool,
+    pub is_retry: bool,
     /// A server failed to serve it.
     pub failed: bool,
     /// It has not run, so it may be refused as not run.
     pub refusable: bool,
     /// It has checked for a slot before.
-    pub waits: bool,
+    pub has_waited: bool,
     /// It is included in the count of waiting requests.
     pub counted: bool,
 }
@@ -78,88 +78,108 @@
     },
 }
 
-impl Asking {
+impl AdmissionRequest {
     /// Latest age to start and still meet the target.
-    fn latest(&self) -> Duration {
-        let by_target = self.target.mul_f64(SLOT_PART);
+    fn latest_start(&self) -> Duration {
+        let by_target = self.target.mul_f64(SLOT_FRACTION);
         // Requests with long prompts may wait as long as others.
-        let shortest = self.target.mul_f64(ANSWER_PART);
+        let shortest = self.target.mul_f64(REFUSE_FRACTION);
         by_target.saturating_sub(self.first_event).max(shortest)
     }
 
     /// Age at which it stops waiting for a slot in time.
-    fn cut(&self) -> Duration {
+    fn give_up_age(&self) -> Duration {
         match self.failed {
-            true => self.latest(),
-            false => self.target.mul_f64(ANSWER_PART).min(self.latest()),
+            true => self.latest_start(),
+            false => self
+                .target
+                .mul_f64(REFUSE_FRACTION)
+                .min(self.latest_start()),
         }
     }
 }
 
 /// Decides on a request at one check.
-pub fn admit(room: &Room, asking: &Asking, random: &mut impl Rng) -> Admission {
-    let is_late = asking.age > asking.latest();
-    let is_over = asking.age >= asking.cut();
+pub fn admit(
+    capacity: &Capacity,
+    admission_request: &AdmissionRequest,
+    random: &mut impl Rng,
+) -> Admission {
+    let is_late = admission_request.age > admission_request.latest_start();
+    let is_over = admission_request.age >= admission_request.give_up_age();
     let served = match is_late || is_over {
-        true => spare(room, asking) >= 1.0,
-        false => random.random::<f64>() < serve_chance(room, asking),
+        true => spare_slots(capacity, admission_request) >= 1.0,
+        false => random.random::<f64>() < serve_probability(capacity, admission_request),
     };
-    if served || (!asking.refusable && asking.age >= asking.most_wait) {
+    if served
+        || (!admission_request.refusable && admission_request.age >= admission_request.most_wait)
+    {
         return Admission::Serve;
     }
-    let hopeless = !asking.waits && random.random::<f64>() < refuse_chance(room, asking);
-    if asking.refusable && (is_over || hopeless) {
-        let most = asking.left.mul_f64(OBEYED_PART);
-        let retry_after = room.return_after(most, random);
+    let hopeless = !admission_request.has_waited
+        && random.random::<f64>() < refuse_probability(capacity, admission_request);
+    if admission_request.refusable && (is_over || hopeless) {
+        let most = admission_request.left.mul_f64(RETRY_FRACTION);
+        let retry_after = capacity.retry_delay(most, random);
         return Admission::Refuse { retry_after };
     }
     let (mean, most) = match is_late {
-        true => (LATE_LOOK, asking.most_wait),
-        false => (LOOK, asking.cut()),
+        true => (LATE_CHECK_INTERVAL, admission_request.most_wait),
+        false => (CHECK_INTERVAL, admission_request.give_up_age()),
     };
     // Jitter, so that requests do not all find the same free slot.
     let look = mean.mul_f64(random.random_range(0.5..1.5));
     Admission::Wait {
-        look: look.min(most.saturating_sub(asking.age)).max(LEAST_LOOK),
-        counted: !is_late && !asking.again,
+        look: look
+            .min(most.saturating_sub(admission_request.age))
+            .max(MIN_CHECK_INTERVAL),
+        counted: !is_late && !admission_request.is_retry,
     }
 }
 
 /// Free slots minus the other waiting requests.
-fn spare(room: &Room, asking: &Asking) -> f64 {
-    let itself = u32::from(asking.counted);
-    let others = room.waiting.saturating_sub(itself);
-    f64::from(room.slots) - f64::from(room.online) - f64::from(others)
+fn spare_slots(capacity: &Capacity, admission_request: &AdmissionRequest) -> f64 {
+    let itself = u32::from(admission_request.counted);
+    let others = capacity.waiting.saturating_sub(itself);
+    f64::from(capacity.slots) - f64::from(capacity.online) - f64::from(others)
 }
 
 /// Probability of serving a request at this check, chosen so that on average the free slots are
 /// filled. A retry may use the reserved part of the slots at its first check, and afterwards what
 /// other requests leave.
-fn serve_chance(room: &Room, asking: &Asking) -> f64 {
-    let arrivals = room.arrivals_per_s();
-    let rise = room.trend_per_s.max(0.0) * NEWS_AGE.as_secs_f64();
-    if spare(room, asking) - rise >= (arrivals * NEWS_AGE.as_secs_f64()).max(1.0) {
+fn serve_probability(capacity: &Capacity, admission_request: &AdmissionRequest) -> f64 {
+    let arrivals = capacity.arrivals_per_s();
+    let rise = capacity.trend_per_s.max(0.0) * INFORMATION_DELAY.as_secs_f64();
+    if spare_slots(capacity, admission_request) - rise
+        >= (arrivals * INFORMATION_DELAY.as_secs_f64()).max(1.0)
+    {
         // Enough slots for all arrivals until the information is updated.
         return 1.0;
     }
-    let (ends, look) = (room.ends_per_s(), LOOK.as_secs_f64());
-    let wanted = f64::from(room.slots) + ends * QUEUED.as_secs_f64();
-    let missing = wanted - f64::from(room.online) - rise;
-    let budget = ends * look + missing * look / CORRECTION.as_secs_f64();
-    let returns = room.returns_per_s() * look;
-    let kept = returns.min(budget * RETURNS_PART);
-    let looking = f64::from(room.waiting) + arrivals * look;
-    match (asking.again, asking.waits) {
+    let (ends, look) = (capacity.ends_per_s(), CHECK_INTERVAL.as_secs_f64());
+    let wanted = f64::from(capacity.slots) + ends * SERVER_QUEUE.as_secs_f64();
+    let missing = wanted - f64::from(capacity.online) - rise;
+    let budget = ends * look + missing * look / CORRECTION_PERIOD.as_secs_f64();
+    let returns = capacity.returns_per_s() * look;
+    let kept = returns.min(budget * RETRY_RESERVE);
+    let looking = f64::from(capacity.waiting) + arrivals * look;
+    match (admission_request.is_retry, admission_request.has_waited) {
         (false, _) => (budget - kept) / looking.max(1.0),
-        (true, false) => (budget * RETURNS_PART / returns.max(0.001)).max(budget - looking),
+        (true, false) => (budget * RETRY_RESERVE / returns.max(0.001)).max(budget - looking),
         (true, true) => budget - looking,
     }
 }
 
 /// Probability of refusing a request on arrival. It rises with the expected wait, so that nodes
 /// with the same information do not all start refusing at once.
-fn refuse_chance(room: &Room, asking: &Asking) -> f64 {
-    let begins = asking.target.mul_f64(ANSWER_PART).as_secs_f64();
-    let ends = asking.latest().as_secs_f64().max(begins + 0.001);
-    ((room.wait().as_secs_f64() - begins) / (ends - begins)).clamp(0.0, 1.0)
+fn refuse_probability(capacity: &Capacity, admission_request: &AdmissionRequest) -> f64 {
+    let begins = admission_request
+        .target
+        .mul_f64(REFUSE_FRACTION)
+        .as_secs_f64();
+    let ends = admission_request
+        .latest_start()
+        .as_secs_f64()
+        .max(begins + 0.001);
+    ((capacity.wait().as_secs_f64() - begins) / (ends - begins)).clamp(0.0, 1.0)
 }
--- a/crates/room/src/room.rs
+++ b/crates/room/src/capacity.rs
@@ -9,24 +9,24 @@
 use dappleyard_clock::Instant;
 use rand::Rng;
 
-use crate::returns::{SPAN, SPANS};
+use crate::retry_schedule::{SPAN, SPANS};
 
 /// Fraction of the slots becoming free that is reserved for retries. These clients have waited once
 /// already, but each reserved slot causes another request to be refused.
-pub const RETURNS_PART: f64 = 0.25;
+pub const RETRY_RESERVE: f64 = 0.25;
 /// Smoothing factor of the exponential moving average of slot hold times.
-const MEAN_SHARE: f64 = 0.1;
+const SMOOTHING: f64 = 0.1;
 /// Assumed hold time before any request has finished.
-const UNKNOWN_HOLD: Duration = Duration::from_secs(1);
+const DEFAULT_HOLD_TIME: Duration = Duration::from_secs(1);
 
 /// Period over which the trend of online requests is measured.
 const TREND_SPAN: Duration = Duration::from_millis(150);
 /// Minimum divisor for the trend; with less, single requests would count as a rise.
-const TREND_LEAST: Duration = Duration::from_millis(75);
+const MIN_TREND_SPAN: Duration = Duration::from_millis(75);
 
 /// Capacity of a service over all nodes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Slots of healthy servers.
     pub slots: u32,
     /// Online requests in flight there. Batch items do not count, since they are preempted.
@@ -41,7 +41,7 @@
     pub hold: Duration,
 }
 
-impl Room {
+impl Capacity {
     /// Slots that become free per second when all are in use.
     pub fn ends_per_s(&self) -> f64 {
         f64::from(self.slots) / self.hold.as_secs_f64().max(0.001)
@@ -85,9 +85,9 @@
     /// Retry delay, at most `most`: the earliest interval with reserved slots left, or a late
     /// random time if there is none. Intervals fill up by chance, so that nodes with outdated
     /// information do not all choose the same one.
-    pub fn return_after(&self, most: Duration, random: &mut impl Rng) -> Duration {
+    pub fn retry_delay(&self, most: Duration, random: &mut impl Rng) -> Duration {
         let most = most.min(SPAN * SPANS as u32);
-        let kept = self.ends_per_s() * RETURNS_PART * SPAN.as_secs_f64();
+        let kept = self.ends_per_s() * RETRY_RESERVE * SPAN.as_secs_f64();
         let spans = (most.as_secs_f64() / SPAN.as_secs_f64()) as usize;
         let open = (1..spans.min(SPANS)).find(|span| {
             let promised = self.returns.get(*span).copied().unwrap_or_default();
@@ -102,28 +102,28 @@
 
 /// Mean time for which requests of a service hold a slot, learned from finished requests.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct HoldTime(Option<Duration>);
+pub struct MeanHoldTime(Option<Duration>);
 
-impl HoldTime {
+impl MeanHoldTime {
     pub fn note(&mut self, held: Duration) {
         self.0 = Some(match self.0 {
-            Some(mean) => mean.mul_f64(1.0 - MEAN_SHARE) + held.mul_f64(MEAN_SHARE),
+            Some(mean) => mean.mul_f64(1.0 - SMOOTHING) + held.mul_f64(SMOOTHING),
             None => held,
         });
     }
 
     pub fn mean(&self) -> Duration {
-        self.0.unwrap_or(UNKNOWN_HOLD)
+        self.0.unwrap_or(DEFAULT_HOLD_TIME)
     }
 }
 
 /// Recent trend of a service's online requests.
 #[derive(Debug, Clone, Default)]
-pub struct Trend {
+pub struct LoadTrend {
     seen: VecDeque<(Instant, u32)>,
 }
 
-impl Trend {
+impl LoadTrend {
     /// Records the current count and returns the recent change per second.
     pub fn note(&mut self, online: u32, now: Instant) -> f64 {
         let age = |at: Instant| now.saturating_duration_since(at);
@@ -135,7 +135,7 @@
             self.seen.pop_front();
         }
         let rise = self.seen.front().map_or(0.0, |(at, before)| {
-            let span = age(*at).max(TREND_LEAST);
+            let span = age(*at).max(MIN_TREND_SPAN);
             (f64::from(online) - f64::from(*before)) / span.as_secs_f64()
         });
         self.seen.push_back((now, online));
--- a/crates/room/src/demand.rs
+++ b/crates/room/src/demand.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::returns::SPANS;
+use crate::retry_schedule::SPANS;
 
 /// Hash of a service name, used in messages.
 pub fn service_number(name: &str) -> u32 {
--- a/crates/room/src/lib.rs
+++ b/crates/room/src/lib.rs
@@ -6,17 +6,17 @@
 //! This crate performs no I/O.
 
 mod admission;
-mod credit;
-mod deadlines;
+mod capacity;
 mod demand;
-mod returns;
-mod room;
+mod retry_detector;
+mod retry_queue;
+mod retry_schedule;
 mod shares;
 
-pub use admission::{Admission, Asking, LOOK, OBEYED_PART, admit};
-pub use credit::CreditQueue;
-pub use deadlines::UsualDeadline;
+pub use admission::{Admission, AdmissionRequest, CHECK_INTERVAL, RETRY_FRACTION, admit};
+pub use capacity::{Capacity, LoadTrend, MeanHoldTime, RETRY_RESERVE};
 pub use demand::{Demand, TenantWork, service_number};
-pub use returns::{ReturnSchedule, SPAN, SPANS};
-pub use room::{HoldTime, RETURNS_PART, Room, Trend};
+pub use retry_detector::RetryDetector;
+pub use retry_queue::RetryQueue;
+pub use retry_schedule::{ReturnSchedule, SPAN, SPANS};
 pub use shares::{Claim, OverShare, Shares};
--- a/crates/room/src/deadlines.rs
+++ b/crates/room/src/retry_detector.rs
@@ -11,31 +11,31 @@
 const SPAN: Duration = Duration::from_secs(10);
 /// Minimum difference from the usual deadline. Slightly less than the shortest retry delay, and
 /// more than the error of clock readings.
-const LEAST_SPENT: Duration = Duration::from_millis(40);
+const MIN_SPENT: Duration = Duration::from_millis(40);
 /// Maximum difference, as a fraction of the usual deadline. Shorter deadlines are assumed to be the
 /// client's choice.
-const MOST_SPENT: f64 = 0.5;
+const MAX_SPENT: f64 = 0.5;
 
 /// Longest recent deadline of a route.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct UsualDeadline {
+pub struct RetryDetector {
     now: Duration,
     before: Duration,
     began: Option<Instant>,
 }
 
-impl UsualDeadline {
+impl RetryDetector {
     /// Records a request's deadline and returns whether the request is a retry.
     pub fn note(&mut self, deadline: Duration, now: Instant) -> bool {
-        self.turn(now);
+        self.advance(now);
         self.now = self.now.max(deadline);
         let usual = self.now.max(self.before);
         let spent = usual.saturating_sub(deadline);
-        let bounds = LEAST_SPENT..usual.mul_f64(MOST_SPENT);
+        let bounds = MIN_SPENT..usual.mul_f64(MAX_SPENT);
         bounds.contains(&spent)
     }
 
-    fn turn(&mut self, now: Instant) {
+    fn advance(&mut self, now: Instant) {
         let age = self.began.map(|began| now.saturating_duration_since(began));
         if age.is_some_and(|age| age < SPAN) {
             return;
--- a/crates/room/src/credit.rs
+++ b/crates/room/src/retry_queue.rs
@@ -10,11 +10,11 @@
 
 /// Assigns each refused request of one tenant at one node its own retry time.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CreditQueue {
+pub struct RetryQueue {
     last: Option<Instant>,
 }
 
-impl CreditQueue {
+impl RetryQueue {
     /// Retry delay of the next refused request: one `step` after the previous one, or a random
     /// delay if that is later than `most`. `step` is the time in which quota for one request of
     /// this node accrues.
--- a/crates/room/src/returns.rs
+++ b/crates/room/src/retry_schedule.rs
@@ -29,7 +29,7 @@
 
     /// Records a retry due after some time; one beyond the schedule counts in its last interval.
     pub fn note(&mut self, after: Duration, now: Instant) {
-        self.turn(now);
+        self.advance(now);
         let due = now.saturating_duration_since(self.begins) + after;
         let span = (due.as_millis() / SPAN.as_millis()) as usize;
         let span = span.min(SPANS - 1);
@@ -41,12 +41,12 @@
 
     /// Expected retries by interval from now on.
     pub fn due(&mut self, now: Instant) -> Vec<u32> {
-        self.turn(now);
+        self.advance(now);
         self.spans.iter().copied().collect()
     }
 
     /// Drops past intervals.
-    fn turn(&mut self, now: Instant) {
+    fn advance(&mut self, now: Instant) {
         let age = now.saturating_duration_since(self.begins);
         let over = (age.as_millis() / SPAN.as_millis()) as u32;
         let dropped = (over as usize).min(self.spans.len());
--- a/crates/room/src/shares.rs
+++ b/crates/room/src/shares.rs
@@ -18,12 +18,12 @@
 use derive_more::{Display, Error};
 
 /// Minimum weight, so that every tenant has a share.
-const LEAST_WEIGHT: f64 = 1e-3;
+const MIN_WEIGHT: f64 = 1e-3;
 /// Minimum mean duration of a request, in seconds.
-const LEAST_STAY_S: f64 = 1e-3;
+const MIN_DURATION_S: f64 = 1e-3;
 /// Requests that a tenant may have beyond its share. With random arrivals, a tenant with a mean of
 /// one request in flight has at most three 98 % of the time.
-const BY_CHANCE: u32 = 2;
+const EXTRA_REQUESTS: u32 = 2;
 
 /// Demand of one tenant for a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -36,10 +36,10 @@
 
 impl Claim {
     fn weight(&self) -> f64 {
-        self.weight.max(LEAST_WEIGHT)
+        self.weight.max(MIN_WEIGHT)
     }
 
-    fn height(&self) -> f64 {
+    fn requests_per_weight(&self) -> f64 {
         f64::from(self.requests) / self.weight()
     }
 }
@@ -55,7 +55,7 @@
     /// Requests within the share that finish per second.
     pub ends_per_s: f64,
     /// Retry delay, assuming that no other request was refused before.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// Shares of one service.
@@ -87,25 +87,30 @@
 
     /// Share of a tenant of this weight, in slots; `None` while there is room for all.
     pub fn of(&self, weight: f64) -> Option<f64> {
-        self.level.map(|level| level * weight.max(LEAST_WEIGHT))
+        self.level.map(|level| level * weight.max(MIN_WEIGHT))
     }
 
-    /// Whether another request of a tenant may pass. `claim` is its current demand, `stay` the mean
+    /// Whether another request of a tenant may pass. `claim` is its current demand, `mean_duration` the mean
     /// duration of a request, and `point` is uniform in [0, 1).
-    pub fn admit(&self, claim: Claim, stay: Duration, point: f64) -> Result<(), OverShare> {
+    pub fn admit(
+        &self,
+        claim: Claim,
+        mean_duration: Duration,
+        point: f64,
+    ) -> Result<(), OverShare> {
         let Some(share) = self.of(claim.weight) else {
             return Ok(());
         };
-        let most = (share.ceil() as u32).saturating_add(BY_CHANCE);
-        if claim.requests < most {
+        let limit = (share.ceil() as u32).saturating_add(EXTRA_REQUESTS);
+        if claim.requests < limit {
             return Ok(());
         }
         Err(OverShare {
             requests: claim.requests,
             share,
             slots: self.slots,
-            ends_per_s: f64::from(most) / stay.as_secs_f64().max(LEAST_STAY_S),
-            come_back: come_back(claim.requests, most, stay, point),
+            ends_per_s: f64::from(limit) / mean_duration.as_secs_f64().max(MIN_DURATION_S),
+            retry_after: retry_after(claim.requests, limit, mean_duration, point),
         })
     }
 }
@@ -114,12 +119,12 @@
 /// above the slots.
 fn water_level(claims: &[Claim], slots: u32) -> f64 {
     let mut rising: Vec<&Claim> = claims.iter().collect();
-    rising.sort_by(|a, b| a.height().total_cmp(&b.height()));
+    rising.sort_by(|a, b| a.requests_per_weight().total_cmp(&b.requests_per_weight()));
     let mut weight: f64 = rising.iter().map(|claim| claim.weight()).sum();
     let mut left = f64::from(slots);
     for claim in rising {
         let level = left / weight;
-        if claim.height() >= level {
+        if claim.requests_per_weight() >= level {
             return level;
         }
         left -= f64::from(claim.requests);
@@ -130,8 +135,8 @@
 
 /// Retry delay of a refused request: the time until enough of the tenant's requests have ended,
 /// plus a random part of the mean duration, since all refused requests compete for the same slots.
-fn come_back(requests: u32, most: u32, stay: Duration, point: f64) -> Duration {
-    let too_many = requests.saturating_sub(most).saturating_add(1);
+fn retry_after(requests: u32, limit: u32, mean_duration: Duration, point: f64) -> Duration {
+    let too_many = requests.saturating_sub(limit).saturating_add(1);
     let until_free = f64::from(too_many) / f64::from(requests.max(1));
-    stay.mul_f64(until_free + point)
+    mean_duration.mul_f64(until_free + point)
 }
--- a/crates/room/tests/admission.rs
+++ b/crates/room/tests/admission.rs
@@ -4,7 +4,8 @@
 
 use dappleyard_clock::Instant;
 use dappleyard_room::{
-    Admission, Asking, CreditQueue, HoldTime, Room, SPAN, SPANS, Trend, UsualDeadline, admit,
+    Admission, AdmissionRequest, Capacity, LoadTrend, MeanHoldTime, RetryDetector, RetryQueue,
+    SPAN, SPANS, admit,
 };
 use googletest::prelude::*;
 use rand::SeedableRng;
@@ -19,8 +20,8 @@
 }
 
 /// A service that finishes 100 requests per second.
-fn room(online: u32, waiting: u32) -> Room {
-    Room {
+fn capacity(online: u32, waiting: u32) -> Capacity {
+    Capacity {
         slots: 50,
         online,
         trend_per_s: 0.0,
@@ -30,27 +31,27 @@
     }
 }
 
-fn asking(age_ms: u64) -> Asking {
-    Asking {
+fn admission_request(age_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         age: ms(age_ms),
         target: ms(300),
         first_event: ms(45),
         left: ms(3_000),
         most_wait: ms(1_200),
-        again: false,
+        is_retry: false,
         failed: false,
         refusable: true,
-        waits: age_ms > 0,
+        has_waited: age_ms > 0,
         counted: age_ms > 0,
     }
 }
 
 /// Number of 1,000 such requests that are served, wait and are refused.
-fn counts(room: &Room, asking: &Asking) -> [u32; 3] {
+fn counts(capacity: &Capacity, admission_request: &AdmissionRequest) -> [u32; 3] {
     let mut random = random();
     let mut counts = [0; 3];
     for _ in 0..1_000 {
-        let place = match admit(room, asking, &mut random) {
+        let place = match admit(capacity, admission_request, &mut random) {
             Admission::Serve => 0,
             Admission::Wait { .. } => 1,
             Admission::Refuse { .. } => 2,
@@ -62,26 +63,32 @@
 
 #[gtest]
 fn free_slots() {
-    expect_that!(counts(&room(20, 0), &asking(0)), eq([1_000, 0, 0]));
-    expect_that!(counts(&room(20, 0), &asking(400)), eq([1_000, 0, 0]));
+    expect_that!(
+        counts(&capacity(20, 0), &admission_request(0)),
+        eq([1_000, 0, 0])
+    );
+    expect_that!(
+        counts(&capacity(20, 0), &admission_request(400)),
+        eq([1_000, 0, 0])
+    );
 }
 
 #[gtest]
 fn one_slot() {
-    let mut small = room(0, 0);
+    let mut small = capacity(0, 0);
     small.slots = 1;
-    expect_that!(counts(&small, &asking(0)), eq([1_000, 0, 0]));
+    expect_that!(counts(&small, &admission_request(0)), eq([1_000, 0, 0]));
     // The request itself is the waiting one.
     small.waiting = 1;
-    expect_that!(counts(&small, &asking(20)), eq([1_000, 0, 0]));
-    expect_that!(counts(&small, &asking(80)), eq([1_000, 0, 0]));
+    expect_that!(counts(&small, &admission_request(20)), eq([1_000, 0, 0]));
+    expect_that!(counts(&small, &admission_request(80)), eq([1_000, 0, 0]));
 }
 
 #[gtest]
 fn waits() {
-    expect_that!(room(49, 0).wait(), eq(ms(0)));
-    expect_that!(room(50, 9).wait(), eq(ms(100)));
-    let [served, waiting, refused] = counts(&room(53, 2), &asking(0));
+    expect_that!(capacity(49, 0).wait(), eq(ms(0)));
+    expect_that!(capacity(50, 9).wait(), eq(ms(100)));
+    let [served, waiting, refused] = counts(&capacity(53, 2), &admission_request(0));
     expect_that!(served, gt(0));
     expect_that!(waiting, gt(0));
     expect_that!(refused, eq(0));
@@ -90,14 +97,20 @@
 #[gtest]
 fn too_late() {
     // The expected wait is 300 ms.
-    expect_that!(counts(&room(70, 10), &asking(0)), eq([0, 0, 1_000]));
+    expect_that!(
+        counts(&capacity(70, 10), &admission_request(0)),
+        eq([0, 0, 1_000])
+    );
     // The part of the target available for waiting is used up.
-    expect_that!(counts(&room(60, 10), &asking(75)), eq([0, 0, 1_000]));
+    expect_that!(
+        counts(&capacity(60, 10), &admission_request(75)),
+        eq([0, 0, 1_000])
+    );
 }
 
 #[gtest]
 fn refusals_ramp() {
-    let refused = |waiting| counts(&room(60, waiting), &asking(0))[2];
+    let refused = |waiting| counts(&capacity(60, waiting), &admission_request(0))[2];
     expect_that!(refused(0), gt(0));
     expect_that!(refused(4), gt(refused(0)));
     expect_that!(refused(7), gt(refused(4)));
@@ -107,63 +120,63 @@
 #[gtest]
 fn what_has_run() {
     // It has run, so it must not be refused as not run.
-    let ran = |age_ms| Asking {
+    let ran = |age_ms| AdmissionRequest {
         refusable: false,
-        ..asking(age_ms)
+        ..admission_request(age_ms)
     };
-    expect_that!(counts(&room(90, 10), &ran(0)), eq([0, 1_000, 0]));
-    expect_that!(counts(&room(90, 10), &ran(1_200)), eq([1_000, 0, 0]));
+    expect_that!(counts(&capacity(90, 10), &ran(0)), eq([0, 1_000, 0]));
+    expect_that!(counts(&capacity(90, 10), &ran(1_200)), eq([1_000, 0, 0]));
 }
 
 #[gtest]
 fn failed_elsewhere() {
-    let failed = Asking {
+    let failed = AdmissionRequest {
         failed: true,
-        ..asking(100)
+        ..admission_request(100)
     };
-    expect_that!(counts(&room(90, 10), &failed), eq([0, 1_000, 0]));
-    let failed = Asking {
+    expect_that!(counts(&capacity(90, 10), &failed), eq([0, 1_000, 0]));
+    let failed = AdmissionRequest {
         age: ms(200),
         ..failed
     };
-    expect_that!(counts(&room(90, 10), &failed), eq([0, 0, 1_000]));
+    expect_that!(counts(&capacity(90, 10), &failed), eq([0, 0, 1_000]));
 }
 
 #[gtest]
 fn returns_first() {
-    let mut full = room(50, 20);
+    let mut full = capacity(50, 20);
     full.returns = vec![1];
-    let again = Asking {
-        again: true,
-        ..asking(0)
+    let is_retry = AdmissionRequest {
+        is_retry: true,
+        ..admission_request(0)
     };
-    expect_that!(counts(&full, &again)[0], eq(1_000));
-    expect_that!(counts(&full, &asking(0))[0], lt(500));
+    expect_that!(counts(&full, &is_retry)[0], eq(1_000));
+    expect_that!(counts(&full, &admission_request(0))[0], lt(500));
     // Too many retries for the reserved slots.
     full.returns = vec![40];
-    expect_that!(counts(&full, &again)[0], lt(250));
+    expect_that!(counts(&full, &is_retry)[0], lt(250));
 }
 
 #[gtest]
 fn times_to_return() {
-    let mut full = room(60, 20);
+    let mut full = capacity(60, 20);
     let mut random = random();
     // Never above the maximum.
     for _ in 0..100 {
-        expect_that!(full.return_after(ms(1_000), &mut random), le(ms(1_000)));
+        expect_that!(full.retry_delay(ms(1_000), &mut random), le(ms(1_000)));
     }
-    let first = full.return_after(ms(1_000), &mut random);
+    let first = full.retry_delay(ms(1_000), &mut random);
     expect_that!(first, le(ms(200)));
     // No reserved slots left: late and spread out.
     full.returns = vec![50; 32];
-    let late = full.return_after(ms(1_000), &mut random);
+    let late = full.retry_delay(ms(1_000), &mut random);
     expect_that!(late, ge(ms(500)));
-    expect_that!(full.return_after(ms(1_000), &mut random), not(eq(late)));
+    expect_that!(full.retry_delay(ms(1_000), &mut random), not(eq(late)));
 }
 
 #[gtest]
 fn hold_times() {
-    let mut hold = HoldTime::default();
+    let mut hold = MeanHoldTime::default();
     expect_that!(hold.mean(), eq(ms(1_000)));
     hold.note(ms(600));
     expect_that!(hold.mean(), eq(ms(600)));
@@ -173,7 +186,7 @@
 
 #[gtest]
 fn trends() {
-    let mut trend = Trend::default();
+    let mut trend = LoadTrend::default();
     let begin = Instant::now();
     expect_that!(trend.note(10, begin), eq(0.0));
     expect_that!(trend.note(20, begin + ms(100)), near(100.0, 0.1));
@@ -183,7 +196,7 @@
 
 #[gtest]
 fn shorter_deadlines() {
-    let mut usual = UsualDeadline::default();
+    let mut usual = RetryDetector::default();
     let now = Instant::now();
     expect_that!(usual.note(ms(5_000), now), eq(false));
     expect_that!(usual.note(ms(4_990), now), eq(false));
@@ -196,7 +209,7 @@
 
 #[gtest]
 fn credit_in_turn() {
-    let mut queue = CreditQueue::default();
+    let mut queue = RetryQueue::default();
     let (now, mut random) = (Instant::now(), random());
     let mut next = || queue.next(ms(20), ms(100), ms(1_000), now, &mut random);
     let times: Vec<Duration> = (0..20).map(|_| next()).collect();
@@ -210,20 +223,20 @@
 
 #[gtest]
 fn long_prompts_wait_too() {
-    let long = Asking {
+    let long = AdmissionRequest {
         first_event: ms(400),
-        ..asking(20)
+        ..admission_request(20)
     };
-    let [served, waiting, refused] = counts(&room(50, 5), &long);
+    let [served, waiting, refused] = counts(&capacity(50, 5), &long);
     expect_that!(served + waiting, gt(0));
     expect_that!(refused, eq(0));
 }
 
 #[gtest]
 fn returns_within_the_schedule() {
-    let mut full = room(90, 40);
+    let mut full = capacity(90, 40);
     full.returns = vec![1_000; SPANS];
     let mut random = random();
-    let after = full.return_after(ms(20_000), &mut random);
+    let after = full.retry_delay(ms(20_000), &mut random);
     expect_that!(after, le(SPAN * SPANS as u32));
 }
--- a/crates/room/tests/shares.rs
+++ b/crates/room/tests/shares.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const STAY: Duration = Duration::from_millis(670);
+const MEAN_DURATION: Duration = Duration::from_millis(670);
 
 fn claim(requests: u32, weight: f64) -> Claim {
     Claim { requests, weight }
@@ -35,7 +35,7 @@
     let claims = [claim(100, 1.0), claim(20, 9.0)];
     let shares = Shares::new(&claims, 8, 128);
     expect_that!(shares.is_short(), eq(false));
-    expect_that!(shares.admit(claims[0], STAY, 0.5), ok(eq(())));
+    expect_that!(shares.admit(claims[0], MEAN_DURATION, 0.5), ok(eq(())));
 }
 
 #[gtest]
@@ -77,7 +77,7 @@
     claims.push(claim(0, 0.0));
     let shares = Shares::new(&claims, 0, 448);
     for held in &claims {
-        expect_that!(shares.admit(*held, STAY, 0.5), ok(eq(())));
+        expect_that!(shares.admit(*held, MEAN_DURATION, 0.5), ok(eq(())));
     }
 }
 
@@ -85,7 +85,11 @@
 fn refusals_say_when() {
     let claims = [claim(110, 1.0), claim(50, 1.0)];
     let shares = Shares::new(&claims, 0, 100);
-    let refused = |point| shares.admit(claims[0], STAY, point).expect_err("a refusal");
+    let refused = |point| {
+        shares
+            .admit(claims[0], MEAN_DURATION, point)
+            .expect_err("a refusal")
+    };
     let OverShare {
         requests,
         share,
@@ -94,8 +98,14 @@
     } = refused(0.0);
     expect_that!((requests, share, slots), eq((110, 50.0, 100)));
     // 59 of the 110 requests are too many; they end within 59/110 of the mean duration.
-    expect_that!(refused(0.0).come_back, eq(STAY.mul_f64(59.0 / 110.0)));
-    expect_that!(refused(1.0).come_back, eq(STAY.mul_f64(59.0 / 110.0 + 1.0)));
+    expect_that!(
+        refused(0.0).retry_after,
+        eq(MEAN_DURATION.mul_f64(59.0 / 110.0))
+    );
+    expect_that!(
+        refused(1.0).retry_after,
+        eq(MEAN_DURATION.mul_f64(59.0 / 110.0 + 1.0))
+    );
     expect_that!(
         refused(0.0).to_string(),
         eq("110 requests under way, share 50.0 of 100 slots")
@@ -148,28 +158,28 @@
 struct Fleet {
     nodes: usize,
     /// Whether the nodes are partitioned into two halves.
-    cut: bool,
+    partitioned: bool,
     slots: u32,
     /// Arrivals per second and weight of each tenant.
     tenants: Vec<(f64, f64)>,
     /// Delay of information, in milliseconds.
-    news_age: usize,
+    information_delay: usize,
     /// A node that fails halfway through; its last counts stay.
-    lost: Option<usize>,
+    failed_node: Option<usize>,
 }
 
 /// Outcome of one tenant's requests.
 #[derive(Debug, Clone, Copy, Default)]
-struct Fate {
+struct TenantOutcome {
     asked: u32,
     refused: u32,
     /// Requests that waited too long for a slot.
     late: u32,
 }
 
-impl Fate {
-    fn plus(self, other: Fate) -> Fate {
-        Fate {
+impl TenantOutcome {
+    fn plus(self, other: TenantOutcome) -> TenantOutcome {
+        TenantOutcome {
             asked: self.asked + other.asked,
             refused: self.refused + other.refused,
             late: self.late + other.late,
@@ -180,7 +190,7 @@
 /// Length of the simulation, in milliseconds.
 const STEPS: usize = 8_000;
 /// Longest wait for a slot, in milliseconds, with which the first event can come within 300 ms.
-const MOST_WAIT: usize = 210;
+const MAX_WAIT: usize = 210;
 
 impl Fleet {
     /// One tenant within its quota requests more than the slots, and 83 tenants request half of
@@ -190,24 +200,24 @@
         tenants.extend([(2.5, 11.0); 83]);
         Self {
             nodes: 8,
-            cut: false,
+            partitioned: false,
             slots: 248,
             tenants,
-            news_age: 100,
-            lost: None,
+            information_delay: 100,
+            failed_node: None,
         }
     }
 
     fn hears(&self, node: usize, other: usize) -> bool {
-        !self.cut || (node < self.nodes / 2) == (other < self.nodes / 2)
+        !self.partitioned || (node < self.nodes / 2) == (other < self.nodes / 2)
     }
 
-    fn run(&self, seed: u64, shared: bool) -> Vec<Fate> {
+    fn run(&self, seed: u64, shared: bool) -> Vec<TenantOutcome> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut fates = vec![Fate::default(); self.tenants.len()];
+        let mut outcomes = vec![TenantOutcome::default(); self.tenants.len()];
         // Counts by node and tenant, the newest at the back.
         let idle = vec![vec![0_u32; self.tenants.len()]; self.nodes];
-        let mut counts = VecDeque::from(vec![idle; self.news_age + 1]);
+        let mut counts = VecDeque::from(vec![idle; self.information_delay + 1]);
         let mut running: VecDeque<(usize, usize, usize)> = VecDeque::new();
         let mut waiting: VecDeque<(usize, usize, usize)> = VecDeque::new();
         for step in 0..STEPS {
@@ -221,15 +231,15 @@
                     continue;
                 }
                 let mut node = rng.random_range(0..self.nodes);
-                if self.lost == Some(node) && step > STEPS / 2 {
+                if self.failed_node == Some(node) && step > STEPS / 2 {
                     node = (node + 1) % self.nodes;
                 }
-                fates[tenant].asked += 1;
+                outcomes[tenant].asked += 1;
                 let known = self.known(node, &now, &counts[0]);
                 let shares = self.shares(&known);
                 let held = claim(known[tenant], *weight);
-                if shared && shares.admit(held, STAY, 0.5).is_err() {
-                    fates[tenant].refused += 1;
+                if shared && shares.admit(held, MEAN_DURATION, 0.5).is_err() {
+                    outcomes[tenant].refused += 1;
                     continue;
                 }
                 now[node][tenant] += 1;
@@ -237,13 +247,13 @@
             }
             while running.len() < self.slots as usize && !waiting.is_empty() {
                 let (came, node, tenant) = waiting.pop_front().expect("a request");
-                fates[tenant].late += u32::from(step - came > MOST_WAIT);
-                running.push_back((step + STAY.as_millis() as usize, node, tenant));
+                outcomes[tenant].late += u32::from(step - came > MAX_WAIT);
+                running.push_back((step + MEAN_DURATION.as_millis() as usize, node, tenant));
             }
             counts.push_back(now);
             counts.pop_front();
         }
-        fates
+        outcomes
     }
 
     fn known(&self, node: usize, now: &[Vec<u32>], before: &[Vec<u32>]) -> Vec<u32> {
@@ -273,10 +283,10 @@
     }
 }
 
-fn small(fates: &[Fate]) -> Fate {
-    fates[1..]
+fn small(outcomes: &[TenantOutcome]) -> TenantOutcome {
+    outcomes[1..]
         .iter()
-        .fold(Fate::default(), |sum, fate| sum.plus(*fate))
+        .fold(TenantOutcome::default(), |sum, outcome| sum.plus(*outcome))
 }
 
 #[gtest]
@@ -298,15 +308,15 @@
     // Each half knows half of the requests but all slots, so it may admit too many requests but
     // never refuses too many.
     let mut fleet = Fleet::beside_large();
-    fleet.cut = true;
+    fleet.partitioned = true;
     expect_that!(small(&fleet.run(2, true)).refused, eq(0));
 }
 
 #[gtest]
 fn node_lost() {
     let mut fleet = Fleet::beside_large();
-    fleet.lost = Some(3);
-    let fates = fleet.run(3, true);
-    expect_that!(small(&fates).refused, eq(0));
-    expect_that!(fates[0].asked - fates[0].refused, gt(1_000));
+    fleet.failed_node = Some(3);
+    let outcomes = fleet.run(3, true);
+    expect_that!(small(&outcomes).refused, eq(0));
+    expect_that!(outcomes[0].asked - outcomes[0].refused, gt(1_000));
 }
--- a/crates/upstream/src/body.rs
+++ b/crates/upstream/src/body.rs
@@ -65,7 +65,7 @@
                     return Ok((!buffer.is_empty()).then(|| buffer.split().freeze()));
                 }
                 BodyReader::Length(left) => {
-                    let Some((piece, rest)) = split(buffer, *left) else {
+                    let Some((piece, rest)) = take_up_to(buffer, *left) else {
                         return Ok(None);
                     };
                     *self = match rest {
@@ -75,7 +75,7 @@
                     return Ok(Some(piece));
                 }
                 BodyReader::ChunkData(left) => {
-                    let Some((piece, rest)) = split(buffer, *left) else {
+                    let Some((piece, rest)) = take_up_to(buffer, *left) else {
                         return Ok(None);
                     };
                     *self = match rest {
@@ -99,7 +99,7 @@
                     Some(0) => *self = BodyReader::Trailers,
                     Some(size) => *self = BodyReader::ChunkData(size),
                 },
-                BodyReader::Trailers => match line(buffer)? {
+                BodyReader::Trailers => match take_line(buffer)? {
                     None => return Ok(None),
                     Some(true) => *self = BodyReader::Done,
                     Some(false) => {}
@@ -109,7 +109,7 @@
     }
 }
 
-fn split(buffer: &mut BytesMut, left: u64) -> Option<(Bytes, u64)> {
+fn take_up_to(buffer: &mut BytesMut, left: u64) -> Option<(Bytes, u64)> {
     if buffer.is_empty() {
         return None;
     }
@@ -130,7 +130,7 @@
 }
 
 /// Consumes a line and returns whether it was empty.
-fn line(buffer: &mut BytesMut) -> Result<Option<bool>, &'static str> {
+fn take_line(buffer: &mut BytesMut) -> Result<Option<bool>, &'static str> {
     match buffer.windows(2).position(|pair| pair == b"\r\n") {
         Some(length) => {
             buffer.advance(length + 2);
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -53,7 +53,7 @@
     reusable: bool,
     keep_alive_s: Option<u64>,
     answered: bool,
-    rested: Instant,
+    idle_since: Instant,
 }
 
 impl Connection {
@@ -72,7 +72,7 @@
             reusable: true,
             keep_alive_s: None,
             answered: false,
-            rested: Instant::now(),
+            idle_since: Instant::now(),
         })
     }
 
@@ -115,7 +115,7 @@
                 return Ok(piece);
             }
             if self.body.is_done() {
-                self.rested = Instant::now();
+                self.idle_since = Instant::now();
                 return Ok(None);
             }
             if self.fill(Stage::Body).await? == 0 && !self.body.end_of_connection() {
@@ -155,8 +155,8 @@
     }
 
     /// When the last response was completely read.
-    pub fn rested(&self) -> Instant {
-        self.rested
+    pub fn idle_since(&self) -> Instant {
+        self.idle_since
     }
 
     async fn write(&mut self, request: &[u8]) -> Result<(), ExchangeError> {
--- a/crates/upstream/src/head.rs
+++ b/crates/upstream/src/head.rs
@@ -69,7 +69,7 @@
         headers.append(name, value);
     }
     let framing = framing(status, &headers)?;
-    let keep_alive = http11 && !names_close(&headers) && framing != BodyFraming::UntilClose;
+    let keep_alive = http11 && !has_close_option(&headers) && framing != BodyFraming::UntilClose;
     let keep_alive_s = keep_alive_seconds(&headers);
     let _ = buffer.split_to(length);
     Ok(Some(AnswerHead {
@@ -102,7 +102,7 @@
     }
 }
 
-fn names_close(headers: &HeaderMap) -> bool {
+fn has_close_option(headers: &HeaderMap) -> bool {
     headers.get_all(CONNECTION).iter().any(|value| {
         value.to_str().is_ok_and(|text| {
             text.split(',')
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -23,7 +23,7 @@
 pub struct Pool {
     limit: IdleLimit,
     most: usize,
-    resting: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Pool {
@@ -32,21 +32,25 @@
         Self {
             limit,
             most,
-            resting: RefCell::default(),
+            idle: RefCell::default(),
         }
     }
 
     /// Takes a reusable connection.
     pub fn take(&self, address: SocketAddr) -> Option<Connection> {
-        self.take_after(address, None)
+        self.take_used_since(address, None)
     }
 
     /// Takes a reusable connection that was last used at or after `after`, if given.
-    pub fn take_after(&self, address: SocketAddr, after: Option<Instant>) -> Option<Connection> {
-        let mut resting = self.resting.borrow_mut();
-        let connections = resting.get_mut(&address)?;
+    pub fn take_used_since(
+        &self,
+        address: SocketAddr,
+        after: Option<Instant>,
+    ) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&address)?;
         while let Some(connection) = connections.pop() {
-            let recent = after.is_none_or(|after| connection.rested() >= after);
+            let recent = after.is_none_or(|after| connection.idle_since() >= after);
             if recent && self.is_fresh(&connection) && connection.is_reusable() {
                 return Some(connection);
             }
@@ -59,8 +63,8 @@
         if !connection.is_reusable() {
             return;
         }
-        let mut resting = self.resting.borrow_mut();
-        let connections = resting.entry(address).or_default();
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(address).or_default();
         if connections.len() < self.most {
             connections.push(connection);
         }
@@ -68,13 +72,13 @@
 
     /// Closes all idle connections to a peer.
     pub fn forget(&self, address: SocketAddr) {
-        self.resting.borrow_mut().remove(&address);
+        self.idle.borrow_mut().remove(&address);
     }
 
     /// Closes connections that expired or were closed by the peer.
     pub fn sweep(&self) {
-        let mut resting = self.resting.borrow_mut();
-        resting.retain(|_, connections| {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|_, connections| {
             connections.retain(|connection| self.is_fresh(connection) && connection.is_reusable());
             !connections.is_empty()
         });
@@ -85,6 +89,6 @@
             Some(seconds) => Duration::from_secs(seconds).saturating_sub(self.limit.margin),
             None => self.limit.default,
         };
-        connection.rested().elapsed() < limit
+        connection.idle_since().elapsed() < limit
     }
 }
