--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -17,7 +17,7 @@
 use crate::error_kind::{ErrorKind, promises_not_run};
 use crate::metrics::Metrics;
 use crate::placement::PromptShape;
-use crate::server_selection::{Placement, SelectionError, select_server};
+use crate::server_selection::{Placement, Unplaced, select_server};
 use crate::silence_limits::Patience;
 use dappleyard_clock::Instant;
 
@@ -57,7 +57,7 @@
 }
 
 /// A response that has started.
-pub struct StartedResponse {
+pub struct Started {
     pub exchange: Exchange,
     /// Counts the request in the server's load.
     pub work: InFlight,
@@ -76,11 +76,11 @@
 /// Result of dispatching a request.
 pub enum Dispatched {
     /// A server is serving the request.
-    Started(Box<StartedResponse>),
+    Started(Box<Started>),
     /// The failure response of a server, to be forwarded.
     Failed(Failed),
     /// The request would miss its target; the client should retry after this delay.
-    NoCapacity(Duration),
+    Late(Duration),
     /// No server served the request.
     GaveUp(ErrorKind),
 }
@@ -158,10 +158,8 @@
         let Placement { server, cached, .. } = match select_server(upstreams, request, starts).await
         {
             Ok(placement) => placement,
-            Err(SelectionError::NoServer) => return Dispatched::GaveUp(request.give_up()),
-            Err(SelectionError::NoCapacity { retry_after }) => {
-                return Dispatched::NoCapacity(retry_after);
-            }
+            Err(Unplaced::NoServer) => return Dispatched::GaveUp(request.give_up()),
+            Err(Unplaced::Late { retry_after }) => return Dispatched::Late(retry_after),
         };
         let Ok(run) = node.crashes.begin(request.fingerprint, &server.id) else {
             // Another node reported a crash or started a run in the meantime.
@@ -197,7 +195,7 @@
         request.ran = Ran::Yes;
         request.runs += 1;
         if exchange.head.status / 100 == 2 {
-            return Dispatched::Started(Box::new(StartedResponse {
+            return Dispatched::Started(Box::new(Started {
                 exchange,
                 work,
                 run,
@@ -279,10 +277,10 @@
 ) -> Option<Failed> {
     let node = upstreams.node();
     let status = exchange.head.status;
-    let try_another = status >= 500 && request.may_run_again();
+    let again = status >= 500 && request.may_run_again();
     node.log.write("server_answered_failure", || {
         serde_json::json!({"request": request.facts.id, "server": exchange.server.id,
-            "status": status, "again": try_another})
+            "status": status, "again": again})
     });
     let remaining = request.remaining();
     let reading = exchange.connection.whole_body(HELD_ANSWER);
@@ -292,7 +290,7 @@
     };
     let headers = exchange.head.headers.clone();
     upstreams.release(exchange);
-    (!try_another).then_some(Failed {
+    (!again).then_some(Failed {
         status,
         headers,
         body,
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -16,7 +16,7 @@
 use crate::attempt::{Ran, Upstreams};
 use crate::capacity::detect_retry;
 use crate::crashes::operator_call;
-use crate::dispatch::{Dispatched, Request, StartedResponse, dispatch, is_event_route};
+use crate::dispatch::{Dispatched, Request, Started, dispatch, is_event_route};
 use crate::error_kind::ErrorKind;
 use crate::evacuated_zones::{orders_text, zone_text};
 use crate::job_calls::{JobCalls, JobReply};
@@ -88,11 +88,10 @@
         return peer_call(payload, &data).await;
     }
     if listen.metrics.is_some_and(|metrics| metrics.port() == port) {
-        let operator_response = operator_call(&node, request.method(), request.path());
+        let asked = operator_call(&node, request.method(), request.path());
         return match request.path() {
             "/metrics" => metrics(&node),
-            _ => operator_response
-                .unwrap_or_else(|| not_here(&node, "only metrics and crashes are here")),
+            _ => asked.unwrap_or_else(|| not_here(&node, "only metrics and crashes are here")),
         };
     }
     let in_flight = InFlightGuard::begin(&node);
@@ -305,7 +304,7 @@
             copy_headers(&mut response, &failed.headers);
             response.body(failed.body)
         }
-        Dispatched::NoCapacity(retry_after) => {
+        Dispatched::Late(retry_after) => {
             disconnect_logger.end();
             give_back(&node, &request);
             refuse(&node, &request.facts.id, &Refusal::no_room(retry_after))
@@ -336,7 +335,7 @@
 fn stream(
     upstreams: Upstreams,
     request: Request,
-    started: StartedResponse,
+    started: Started,
     mut in_flight: InFlightGuard,
     disconnect_logger: DisconnectLogger,
 ) -> HttpResponse {
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -8,7 +8,7 @@
 
 use crate::attempt::{AttemptError, Exchange, Ran, SUSPECT_DURATION, Upstreams};
 use crate::crashes::Broken;
-use crate::dispatch::{Dispatched, Request, StartedResponse, dispatch, is_event_route};
+use crate::dispatch::{Dispatched, Request, Started, dispatch, is_event_route};
 use crate::error_kind::ErrorKind;
 use crate::event_gaps::EventGaps;
 use crate::event_stream::EventSplitter;
@@ -29,7 +29,7 @@
 pub(crate) fn body(
     upstreams: Upstreams,
     request: Request,
-    started: StartedResponse,
+    started: Started,
     in_flight: InFlightGuard,
     disconnect_logger: DisconnectLogger,
 ) -> impl Stream<Item = Result<Bytes, Cut>> {
@@ -61,7 +61,7 @@
 struct Relay {
     upstreams: Upstreams,
     request: Request,
-    started: Option<StartedResponse>,
+    started: Option<Started>,
     splitter: EventSplitter,
     gaps: EventGaps,
     /// Set when the response was not read for a while.
@@ -76,12 +76,7 @@
 }
 
 impl Relay {
-    fn new(
-        upstreams: Upstreams,
-        request: Request,
-        started: StartedResponse,
-        stalled: StallFlag,
-    ) -> Self {
+    fn new(upstreams: Upstreams, request: Request, started: Started, stalled: StallFlag) -> Self {
         let last_event = request.facts.last_event_id;
         Self {
             upstreams,
@@ -268,7 +263,7 @@
                 self.log_truncated(&format!("resumption answered {}", failed.status));
                 Err(Cut)
             }
-            Dispatched::NoCapacity(_) => {
+            Dispatched::Late(_) => {
                 self.log_truncated(&ErrorKind::NoRoomInTime.to_string());
                 Err(Cut)
             }
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -41,11 +41,11 @@
 }
 
 /// Why no server was selected.
-pub(crate) enum SelectionError {
+pub(crate) enum Unplaced {
     /// No server is available.
     NoServer,
     /// The request would miss its target.
-    NoCapacity {
+    Late {
         /// Suggested retry delay.
         retry_after: Duration,
     },
@@ -57,7 +57,7 @@
     upstreams: &Upstreams,
     request: &Request,
     starts: bool,
-) -> Result<Placement, SelectionError> {
+) -> Result<Placement, Unplaced> {
     let sheds = upstreams.node().settings.load_shedding;
     let starts = starts && !(sheds && capacity::is_resumption(&request.route, &request.facts));
     if starts
@@ -67,7 +67,7 @@
         return found;
     }
     let found = select_by_urgency(upstreams, request, starts).await;
-    found.ok_or(SelectionError::NoServer)
+    found.ok_or(Unplaced::NoServer)
 }
 
 /// Selection with load shedding: requests that would miss their target are refused. Returns `None`
@@ -75,16 +75,14 @@
 async fn select_within_capacity(
     upstreams: &Upstreams,
     request: &Request,
-) -> Option<Result<Placement, SelectionError>> {
+) -> Option<Result<Placement, Unplaced>> {
     let node = upstreams.node();
     let mut waiting = None;
     let mut wait_state = WaitState::default();
     loop {
         let admission = capacity::decide(node, request, wait_state)?;
         let (look, counted) = match admission {
-            Admission::Refuse { retry_after } => {
-                return Some(Err(SelectionError::NoCapacity { retry_after }));
-            }
+            Admission::Refuse { retry_after } => return Some(Err(Unplaced::Late { retry_after })),
             Admission::Wait { look, counted } => (look, counted),
             Admission::Serve => match select_now(upstreams, request) {
                 Some(placement) => {
@@ -95,7 +93,7 @@
                 None if !is_due(request) && is_cold_limited(upstreams, request) => {
                     (CHECK_INTERVAL, false)
                 }
-                None => return Some(Err(SelectionError::NoServer)),
+                None => return Some(Err(Unplaced::NoServer)),
             },
         };
         if !wait_state.before {
@@ -111,7 +109,7 @@
         };
         tokio::time::sleep(look.min(request.remaining())).await;
         if request.remaining().is_zero() {
-            return Some(Err(SelectionError::NoServer));
+            return Some(Err(Unplaced::NoServer));
         }
     }
 }
