--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -252,7 +252,7 @@
                     if patience.leave.is_some_and(|leave| silence >= leave) {
                         return Err(AttemptError {
                             ran: Ran::Maybe,
-                            reason: format!("silent for {} ms", silence.as_millis()),
+                            reason: format!("no data for {} ms", silence.as_millis()),
                             unreachable: silence >= UNREACHABLE_AFTER,
                             broken_off: false,
                         });
@@ -267,7 +267,7 @@
         if self.node.loads.note_outcome(&server.id, served) {
             self.node.log.write(
                 "server_ejected",
-                || serde_json::json!({"server": server.id, "cause": "at least half of its answers are failures"}),
+                || serde_json::json!({"server": server.id, "cause": "at least half of its responses are failures"}),
             );
         }
     }
@@ -293,15 +293,15 @@
                     head = connection.next_head().await.map_err(exchange_failed)?;
                 }
                 None if head.status / 100 == 2 => {
-                    return Err(invalid_response("answer without identifier"));
+                    return Err(invalid_response("response without a request ID"));
                 }
                 _ if head.status / 100 == 2 && !facts.sealed => {
-                    return Err(invalid_response("success without signature"));
+                    return Err(invalid_response("successful response without a signature"));
                 }
                 _ => return Ok((head, facts)),
             }
         }
-        Err(invalid_response("answers of other requests"))
+        Err(invalid_response("only responses to other requests"))
     }
 
     async fn drain(&self, mut connection: Connection, address: SocketAddr) {
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -111,7 +111,7 @@
         trend.note(online, Instant::now())
     }
 
-    fn hold(&self, service: &str) -> Duration {
+    fn hold_time(&self, service: &str) -> Duration {
         let hold_times = self.hold_times.lock();
         hold_times.get(service).copied().unwrap_or_default().mean()
     }
@@ -207,7 +207,7 @@
         trend_per_s,
         waiting: demand.waiting,
         returns: demand.returns,
-        hold: node.rooms.hold(service),
+        hold_time: node.rooms.hold_time(service),
     })
 }
 
@@ -240,7 +240,7 @@
         age: request.arrived.elapsed(),
         target,
         first_event: BASE_FIRST_EVENT + prompt,
-        left: request.caller_left(),
+        left: request.client_time_left(),
         most_wait: due_age(patience),
         is_retry: request.is_retry,
         failed: !request.tried.is_empty(),
@@ -267,7 +267,7 @@
         serde_json::json!({"request": request.facts.id, "route": request.route.name,
             "tenant": request.caller.tenant_name(), "again": request.is_retry,
             "slots": capacity.slots, "online": capacity.online, "trend_per_s": capacity.trend_per_s, "waiting": capacity.waiting,
-            "returns": capacity.returns, "hold_ms": capacity.hold.as_millis() as u64,
+            "returns": capacity.returns, "hold_ms": capacity.hold_time.as_millis() as u64,
             "wait_ms": capacity.wait().as_millis() as u64, "age_ms": admission_request.age.as_millis() as u64,
             "target_ms": admission_request.target.as_millis() as u64, "left_ms": admission_request.left.as_millis() as u64,
             "retry_after_ms": retry_after.as_millis() as u64})
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -22,9 +22,9 @@
 use dappleyard_clock::Instant;
 
 /// Interval for checking whether a run on another node has ended; updates arrive every 25 ms.
-const WAIT_TICK: Duration = Duration::from_millis(20);
+const RUN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum size of a failure response, which is read as a whole.
-const HELD_ANSWER: usize = 8 * 1024 * 1024;
+const MAX_FAILURE_BYTES: usize = 8 * 1024 * 1024;
 
 /// A client request in progress.
 pub struct Request {
@@ -92,7 +92,7 @@
     }
 
     /// Time until the client's own deadline, which may be later than that of the route.
-    pub(crate) fn caller_left(&self) -> Duration {
+    pub(crate) fn client_time_left(&self) -> Duration {
         let given = self.facts.deadline_ms.map(Duration::from_millis);
         given.map_or_else(
             || self.remaining(),
@@ -124,7 +124,7 @@
         self.ran == Ran::No || (self.may_repeat() && self.runs < self.route.max_attempts)
     }
 
-    fn give_up(&self) -> ErrorKind {
+    fn failure_kind(&self) -> ErrorKind {
         let expired = self.remaining().is_zero();
         match (self.ran, expired) {
             (Ran::No, true) => ErrorKind::ExpiredBeforeRun,
@@ -144,12 +144,12 @@
     let node = upstreams.node().clone();
     loop {
         if request.remaining().is_zero() || !request.may_run_again() {
-            return Dispatched::GaveUp(request.give_up());
+            return Dispatched::GaveUp(request.failure_kind());
         }
         match node.crashes.permit(&request.fingerprint) {
             Permit::Free | Permit::LastRun => {}
             Permit::Wait => {
-                tokio::time::sleep(WAIT_TICK.min(request.remaining())).await;
+                tokio::time::sleep(RUN_CHECK_INTERVAL.min(request.remaining())).await;
                 continue;
             }
             Permit::Refused => return Dispatched::GaveUp(ErrorKind::ServersEnded),
@@ -158,12 +158,12 @@
         let Placement { server, cached, .. } = match select_server(upstreams, request, starts).await
         {
             Ok(placement) => placement,
-            Err(Unplaced::NoServer) => return Dispatched::GaveUp(request.give_up()),
+            Err(Unplaced::NoServer) => return Dispatched::GaveUp(request.failure_kind()),
             Err(Unplaced::Late { retry_after }) => return Dispatched::Late(retry_after),
         };
         let Ok(run) = node.crashes.begin(request.fingerprint, &server.id) else {
             // Another node reported a crash or started a run in the meantime.
-            tokio::time::sleep(WAIT_TICK.min(request.remaining())).await;
+            tokio::time::sleep(RUN_CHECK_INTERVAL.min(request.remaining())).await;
             continue;
         };
         request.tried.insert(server.id.clone());
@@ -182,7 +182,7 @@
                     output_for: None,
                 };
                 upstreams.judge(run, &server, &broken).await;
-                note_failure(upstreams, request, &server, &error);
+                record_failure(upstreams, request, &server, &error);
                 let limit = ColdGate::of(&node, &request.service);
                 if error.ran == Ran::No && limit.is_some_and(|limit| !limit.allows(&server)) {
                     // The rate limit refused the request before it was sent, so the server stays
@@ -203,11 +203,11 @@
             }));
         }
         work.prompt_read();
-        match hold_failure(upstreams, request, exchange).await {
+        match read_failure(upstreams, request, exchange).await {
             // The server did not state that the request was not run, so this status must not be
             // forwarded.
             Some(failed) if promises_not_run(failed.status) => {
-                return Dispatched::GaveUp(request.give_up());
+                return Dispatched::GaveUp(request.failure_kind());
             }
             Some(failed) => return Dispatched::Failed(failed),
             None => continue,
@@ -232,22 +232,22 @@
         last_event_id,
         tenant: request.caller.stamp(),
         homes: &request.homes,
-        patience: first_patience(upstreams, request),
+        patience: first_event_timeout(upstreams, request),
     };
     match dappleyard_clock::timeout(remaining, upstreams.attempt(server, &attempt)).await {
         Ok(outcome) => outcome,
-        Err(_) => Err(AttemptError::own(Ran::Maybe, "time over")),
+        Err(_) => Err(AttemptError::own(Ran::Maybe, "deadline exceeded")),
     }
 }
 
 /// Timeout for the first event, learned from the service's responses.
-fn first_patience(upstreams: &Upstreams, request: &Request) -> Patience {
+fn first_event_timeout(upstreams: &Upstreams, request: &Request) -> Patience {
     let times = &upstreams.node().times;
-    let silence = times.first_patience(&request.service, request.shape.tokens);
+    let silence = times.first_event_timeout(&request.service, request.shape.tokens);
     Patience::leave_after(silence).leaving_if(request.may_repeat())
 }
 
-fn note_failure(
+fn record_failure(
     upstreams: &Upstreams,
     request: &mut Request,
     server: &ServerRecord,
@@ -270,7 +270,7 @@
 }
 
 /// Reads a failure response. Returns `None` if the request is tried at another server instead.
-async fn hold_failure(
+async fn read_failure(
     upstreams: &Upstreams,
     request: &Request,
     mut exchange: Exchange,
@@ -283,7 +283,7 @@
             "status": status, "again": again})
     });
     let remaining = request.remaining();
-    let reading = exchange.connection.whole_body(HELD_ANSWER);
+    let reading = exchange.connection.whole_body(MAX_FAILURE_BYTES);
     let body = match dappleyard_clock::timeout(remaining, reading).await {
         Ok(Ok(body)) => body,
         _ => Bytes::new(),
--- a/crates/ingress/src/evacuated_zones.rs
+++ b/crates/ingress/src/evacuated_zones.rs
@@ -47,18 +47,18 @@
 /// Logs once per evacuation that its zone is empty.
 #[derive(Debug, Default)]
 pub struct ZoneWatch {
-    told: HashSet<(ZoneName, u64)>,
+    logged: HashSet<(ZoneName, u64)>,
 }
 
 impl ZoneWatch {
     /// Logs each evacuated zone that has become empty.
     pub fn look(&mut self, node: &Node) {
         let zones = evacuated_zones(node);
-        let place = |zone: &EvacuatedZone| (zone.zone.clone(), zone.revision);
-        let standing: HashSet<(ZoneName, u64)> = zones.iter().map(place).collect();
-        self.told.retain(|told| standing.contains(told));
+        let key = |zone: &EvacuatedZone| (zone.zone.clone(), zone.revision);
+        let active: HashSet<(ZoneName, u64)> = zones.iter().map(key).collect();
+        self.logged.retain(|logged| active.contains(logged));
         for zone in zones.iter().filter(|zone| zone.empty) {
-            if self.told.insert(place(zone)) {
+            if self.logged.insert(key(zone)) {
                 node.log.write("zone_empty", || {
                     serde_json::json!({"zone": zone.zone.to_string(), "revision": zone.revision,
                         "after_ms": zone.age.as_millis() as u64})
@@ -78,7 +78,7 @@
 }
 
 /// Zone metrics in the Prometheus text format: server counts, and details of evacuated zones.
-pub(crate) fn zone_text(node: &Node) -> String {
+pub(crate) fn zone_metrics(node: &Node) -> String {
     let servers = node.view.servers_by_zone();
     let servers = servers
         .iter()
@@ -95,10 +95,10 @@
         return text;
     }
     let figure = |value: fn(&EvacuatedZone) -> Option<u64>| {
-        let told = zones
+        let logged = zones
             .iter()
             .filter_map(move |zone| Some((zone.zone.as_str(), value(zone)?)));
-        told.collect::<Vec<_>>().into_iter()
+        logged.collect::<Vec<_>>().into_iter()
     };
     let gauges = [
         (
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -18,26 +18,26 @@
 use crate::crashes::operator_call;
 use crate::dispatch::{Dispatched, Request, Started, dispatch, is_event_route};
 use crate::error_kind::ErrorKind;
-use crate::evacuated_zones::{orders_text, zone_text};
+use crate::evacuated_zones::{orders_text, zone_metrics};
 use crate::job_calls::{JobCalls, JobReply};
-use crate::metrics::{Metrics, tenant_text};
+use crate::metrics::{Metrics, tenant_metrics};
 use crate::node::{DisconnectLogger, InFlightGuard, Node};
 use crate::placement::PromptShape;
-use crate::refusals::{give_back, refuse, without_route};
+use crate::refusals::{refund_quota, refuse, without_route};
 use crate::relay;
 use crate::responses::{copy_headers, error_response, start_response};
-use crate::shares::{acquire_share, share_text};
+use crate::shares::{acquire_share, share_metrics};
 use dappleyard_clock::Instant;
 
 /// Time limit of a request without a deadline.
-const LONGEST_HOLD: Duration = Duration::from_secs(60);
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(60);
 /// Body limit in bytes while no configuration is known, and for calls of other nodes.
-const BODY_LIMIT: usize = 4 * 1024 * 1024;
+const DEFAULT_BODY_LIMIT: usize = 4 * 1024 * 1024;
 
 /// Handles a call of another node; request and response are in the peer protocol.
 pub type PeerAnswers = Rc<dyn Fn(Bytes) -> LocalBoxFuture<'static, Bytes>>;
 
-pub struct FrontData {
+pub struct HandlerData {
     upstreams: Upstreams,
     jobs: Rc<dyn JobCalls>,
     peers: PeerAnswers,
@@ -48,8 +48,8 @@
     upstreams: Upstreams,
     jobs: Rc<dyn JobCalls>,
     peers: PeerAnswers,
-) -> web::Data<FrontData> {
-    web::Data::new(FrontData {
+) -> web::Data<HandlerData> {
+    web::Data::new(HandlerData {
         upstreams,
         jobs,
         peers,
@@ -64,7 +64,7 @@
 async fn handle(
     request: HttpRequest,
     payload: web::Payload,
-    data: web::Data<FrontData>,
+    data: web::Data<HandlerData>,
 ) -> HttpResponse {
     let node = data.upstreams.node().clone();
     let port = request.app_config().local_addr().port();
@@ -75,13 +75,13 @@
     if port == listen.ready.port() && port != listen.front.port() {
         return match endpoint {
             Endpoint::Ready => ready(&node),
-            _ => not_here(&node, "only readiness is told here"),
+            _ => not_found(&node, "this port only serves readiness checks"),
         };
     }
     if port == listen.directory.port() && port != listen.front.port() {
         return match endpoint {
             Endpoint::Resolve => resolve(&node, request.query_string()),
-            _ => not_here(&node, "only the directory is here"),
+            _ => not_found(&node, "this port only serves the directory"),
         };
     }
     if port == node.settings.peer_port {
@@ -91,26 +91,27 @@
         let asked = operator_call(&node, request.method(), request.path());
         return match request.path() {
             "/metrics" => metrics(&node),
-            _ => asked.unwrap_or_else(|| not_here(&node, "only metrics and crashes are here")),
+            _ => asked
+                .unwrap_or_else(|| not_found(&node, "this port only serves metrics and crashes")),
         };
     }
     let in_flight = InFlightGuard::begin(&node);
     match endpoint {
         Endpoint::JobResults { .. } | Endpoint::JobItem { .. } | Endpoint::JobEnd { .. } => {
-            about_job(&node, &data, &request, endpoint).await
+            job_call(&node, &data, &request, endpoint).await
         }
-        _ => routed(request, payload, &data, in_flight).await,
+        _ => routed_request(request, payload, &data, in_flight).await,
     }
 }
 
-fn not_here(node: &Node, detail: &str) -> HttpResponse {
+fn not_found(node: &Node, detail: &str) -> HttpResponse {
     error_response(node, &Refusal::new(ErrorKind::NoRoute, detail))
 }
 
 /// Handles a call about an accepted job.
-async fn about_job(
+async fn job_call(
     node: &Arc<Node>,
-    data: &FrontData,
+    data: &HandlerData,
     request: &HttpRequest,
     endpoint: Endpoint,
 ) -> HttpResponse {
@@ -132,17 +133,17 @@
         Endpoint::JobItem { job, item } => jobs.item(&caller, &job, &item).await,
         Endpoint::JobEnd { job } => jobs.end(&caller, &job).await,
         Endpoint::Ready | Endpoint::Resolve | Endpoint::Routed => {
-            return not_here(node, "no call about a job");
+            return not_found(node, "not a job call");
         }
     };
     job_response(node, reply)
 }
 
-async fn peer_call(payload: web::Payload, data: &FrontData) -> HttpResponse {
-    match read_body(payload, BODY_LIMIT).await {
+async fn peer_call(payload: web::Payload, data: &HandlerData) -> HttpResponse {
+    match read_body(payload, DEFAULT_BODY_LIMIT).await {
         Ok(call) => HttpResponse::Ok().body((data.peers)(call).await),
         Err(kind) => {
-            let refused = Refusal::new(kind, "body of a node's call");
+            let refused = Refusal::new(kind, "body of a peer call");
             error_response(data.upstreams.node(), &refused)
         }
     }
@@ -159,7 +160,10 @@
     HttpResponse::Ok()
         .insert_header((CONTENT_TYPE, "text/plain; version=0.0.4"))
         .body(
-            node.metrics_text() + &tenant_text(&node.quotas) + &share_text(node) + &zone_text(node),
+            node.metrics_text()
+                + &tenant_metrics(&node.quotas)
+                + &share_metrics(node)
+                + &zone_metrics(node),
         )
 }
 
@@ -192,10 +196,10 @@
         .unwrap_or_default()
 }
 
-async fn routed(
+async fn routed_request(
     http: HttpRequest,
     payload: web::Payload,
-    data: &FrontData,
+    data: &HandlerData,
     mut in_flight: InFlightGuard,
 ) -> HttpResponse {
     let arrived = Instant::now();
@@ -206,14 +210,14 @@
     let limit = node
         .view
         .configuration()
-        .map_or(BODY_LIMIT, |configuration| {
+        .map_or(DEFAULT_BODY_LIMIT, |configuration| {
             configuration.limits.max_body_bytes
         });
     // Reads the body before choosing the route, so that a refusal does not interrupt the client
     // while it sends.
     let body = match read_body(payload, limit).await {
         Ok(body) => body,
-        Err(kind) => return refuse(&node, &facts.id, &Refusal::new(kind, "body")),
+        Err(kind) => return refuse(&node, &facts.id, &Refusal::new(kind, "request body")),
     };
     let Some(configuration) = node.view.configuration() else {
         let refused = Refusal::new(ErrorKind::NotReady, "no configuration yet");
@@ -228,7 +232,7 @@
         Err(refused) => return refuse(&node, &facts.id, &refused),
     };
     if facts.id.is_empty() {
-        let refused = Refusal::new(ErrorKind::NoRequestId, "no identifier");
+        let refused = Refusal::new(ErrorKind::NoRequestId, "the request ID is missing");
         return refuse(&node, &facts.id, &refused);
     }
     if route.kind == RouteKind::Batch {
@@ -248,14 +252,14 @@
         Ok(share_guard) => in_flight.count(share_guard),
         Err(refused) => return refuse(&node, &facts.id, &refused),
     }
-    let hold = [
+    let time_limit = [
         facts.deadline_ms,
         Some(route.timeout_ms).filter(|ms| *ms > 0),
     ]
     .into_iter()
     .flatten()
     .min()
-    .map_or(LONGEST_HOLD, Duration::from_millis);
+    .map_or(DEFAULT_TIME_LIMIT, Duration::from_millis);
     let target = http
         .uri()
         .path_and_query()
@@ -276,7 +280,7 @@
         homes,
         service,
         arrived,
-        deadline: arrived + hold,
+        deadline: arrived + time_limit,
         is_retry,
         ran: Ran::No,
         runs: 0,
@@ -306,21 +310,21 @@
         }
         Dispatched::Late(retry_after) => {
             disconnect_logger.end();
-            give_back(&node, &request);
+            refund_quota(&node, &request);
             refuse(&node, &request.facts.id, &Refusal::no_room(retry_after))
         }
         Dispatched::GaveUp(kind) => {
             disconnect_logger.end();
-            give_back(&node, &request);
+            refund_quota(&node, &request);
             if kind == ErrorKind::ServersEnded {
                 Metrics::count(&node.metrics.servers_ended_refused);
                 let ended = node.crashes.ended_under(&request.fingerprint);
-                let detail = format!("servers ended while they ran it: {}", ended.join(", "));
+                let detail = format!("servers crashed while running it: {}", ended.join(", "));
                 return refuse(&node, &request.facts.id, &Refusal::new(kind, detail));
             }
             let none = kind == ErrorKind::NoServer;
             let out_of_homes = none && request.homes.bind() && request.tried.is_empty();
-            let detail = || format!("{} servers asked", request.tried.len());
+            let detail = || format!("{} servers tried", request.tried.len());
             let refused = match none && node.view.is_evacuated(&request.service) {
                 // Only the evacuation orders leave the request without a server.
                 true => Refusal::new(ErrorKind::ZonesEvacuated, orders_text(&node)),
--- a/crates/ingress/src/metrics.rs
+++ b/crates/ingress/src/metrics.rs
@@ -13,7 +13,7 @@
 const OTHER_TENANTS: &str = "all others";
 
 /// Requests by tenant in the Prometheus text format.
-pub(crate) fn tenant_text(quotas: &QuotaTable) -> String {
+pub(crate) fn tenant_metrics(quotas: &QuotaTable) -> String {
     let (named, others) = quotas.busiest(NAMED_TENANTS);
     let named = named.iter().map(|(name, counts)| (name.as_str(), *counts));
     let all: Vec<(&str, TenantCounts)> = named.chain([(OTHER_TENANTS, others)]).collect();
--- a/crates/ingress/src/node.rs
+++ b/crates/ingress/src/node.rs
@@ -95,7 +95,7 @@
             .is_none_or(|age| age > Duration::from_millis(3200));
         let others_ready = nodes.iter().any(|node| node.ready);
         if self.is_ready() && (!isolated || !others_ready) {
-            nodes.push(self.own_front());
+            nodes.push(self.own_entry());
         }
         if !nodes.iter().any(|node| node.ready) {
             return None;
@@ -119,7 +119,7 @@
     }
 
     /// This node's own directory entry.
-    fn own_front(&self) -> FrontNode {
+    fn own_entry(&self) -> FrontNode {
         FrontNode {
             address: self.settings.listen.front.to_string(),
             zone: self.settings.zone.clone(),
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -22,7 +22,7 @@
 
 /// The response cannot be completed. The client's connection is closed without the end of the body.
 #[derive(Debug, Display, Error)]
-#[display("the answer was cut")]
+#[display("the response was truncated")]
 pub struct Cut;
 
 /// Streams the response body.
@@ -105,7 +105,7 @@
     async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
         loop {
             if let Some(event) = self.splitter.next_event() {
-                self.note_event();
+                self.record_event();
                 self.last_event = event.id.or(self.last_event);
                 return Ok(Some(event.bytes));
             }
@@ -144,7 +144,7 @@
         let piece = match dappleyard_clock::timeout(remaining, waiting).await {
             Ok(piece) => piece?,
             Err(_) => {
-                return Err(AttemptError::own(Ran::Yes, "time over"));
+                return Err(AttemptError::own(Ran::Yes, "deadline exceeded"));
             }
         };
         let node = upstreams.node();
@@ -165,7 +165,7 @@
         let request = &self.request;
         let times = &self.upstreams.node().times;
         let notice = match self.events {
-            0 => times.first_patience(&request.service, request.shape.tokens),
+            0 => times.first_event_timeout(&request.service, request.shape.tokens),
             _ => times.pause_notice(&request.service),
         };
         Patience::leave_after(STREAM_TIMEOUT)
@@ -173,7 +173,7 @@
             .leaving_if(request.route.may_repeat())
     }
 
-    fn note_event(&mut self) {
+    fn record_event(&mut self) {
         self.output_since.get_or_insert_with(Instant::now);
         self.events += 1;
         if self.events > 1 {
@@ -202,7 +202,7 @@
         let rest = self.splitter.rest();
         if let Some(started) = self.started.take() {
             if !started.exchange.is_framed() && !rest.is_empty() {
-                self.log_truncated("the server's connection ended inside an event");
+                self.log_truncated("the server closed the connection within an event");
                 return Err(Cut);
             }
             self.upstreams.note_served(&started.run);
@@ -260,7 +260,10 @@
                 Ok(())
             }
             Dispatched::Failed(failed) => {
-                self.log_truncated(&format!("resumption answered {}", failed.status));
+                self.log_truncated(&format!(
+                    "resuming the stream failed with status {}",
+                    failed.status
+                ));
                 Err(Cut)
             }
             Dispatched::Late(_) => {
--- a/crates/ingress/src/response_buffer.rs
+++ b/crates/ingress/src/response_buffer.rs
@@ -85,14 +85,14 @@
 #[derive(Debug, Default)]
 pub struct ChunkQueue {
     chunks: VecDeque<Vec<u8>>,
-    held_bytes: usize,
+    allocated_bytes: usize,
 }
 
 impl ChunkQueue {
     /// Appends bytes.
     pub fn push(&mut self, mut piece: &[u8]) {
         while !piece.is_empty() {
-            let chunk = self.open_chunk(piece.len());
+            let chunk = self.chunk_with_space(piece.len());
             let left = chunk.capacity() - chunk.len();
             let (fitting, rest) = piece.split_at(left.min(piece.len()));
             chunk.extend_from_slice(fitting);
@@ -101,13 +101,13 @@
     }
 
     /// The last chunk with free capacity, or a new one. ChunkQueue are never reallocated.
-    fn open_chunk(&mut self, needed: usize) -> &mut Vec<u8> {
+    fn chunk_with_space(&mut self, needed: usize) -> &mut Vec<u8> {
         let last = self.chunks.back();
         if last.is_none_or(|chunk| chunk.len() == chunk.capacity()) {
             // Grows with the backlog, since a queue is likely to grow further.
             let size = last.map_or(needed, |chunk| needed.max(2 * chunk.capacity()));
             let chunk = Vec::with_capacity(size.clamp(MIN_CHUNK_BYTES, MAX_CHUNK_BYTES));
-            self.held_bytes += chunk.capacity();
+            self.allocated_bytes += chunk.capacity();
             self.chunks.push_back(chunk);
         }
         let end = self.chunks.len() - 1;
@@ -117,13 +117,13 @@
     /// Removes the first chunk.
     pub fn take(&mut self) -> Option<Bytes> {
         let chunk = self.chunks.pop_front()?;
-        self.held_bytes -= chunk.capacity();
+        self.allocated_bytes -= chunk.capacity();
         Some(Bytes::from(chunk))
     }
 
     /// Allocated capacity in bytes.
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    pub fn allocated_bytes(&self) -> usize {
+        self.allocated_bytes
     }
 }
 
@@ -142,18 +142,18 @@
 impl ResponseBuffer {
     fn push(&self, piece: &[u8]) {
         let mut chunks = self.chunks.borrow_mut();
-        let before = chunks.held_bytes();
+        let before = chunks.allocated_bytes();
         chunks.push(piece);
-        let more = (chunks.held_bytes() - before) as u64;
+        let more = (chunks.allocated_bytes() - before) as u64;
         self.node.kept_bytes.fetch_add(more, Ordering::Relaxed);
         self.filled.notify_one();
     }
 
     fn take(&self) -> Option<Bytes> {
         let mut chunks = self.chunks.borrow_mut();
-        let before = chunks.held_bytes();
+        let before = chunks.allocated_bytes();
         let piece = chunks.take()?;
-        self.release(before - chunks.held_bytes());
+        self.release(before - chunks.allocated_bytes());
         self.taken.notify_one();
         Some(piece)
     }
@@ -166,7 +166,7 @@
     fn limit_reached(&self) -> Option<BufferLimit> {
         let all = self.node.kept_bytes.load(Ordering::Relaxed);
         self.bounds
-            .limit_reached(self.chunks.borrow().held_bytes(), all as usize)
+            .limit_reached(self.chunks.borrow().allocated_bytes(), all as usize)
     }
 
     /// Waits until the response may be read further. Fails with the limit if the client reads
@@ -190,7 +190,7 @@
 
 impl Drop for ResponseBuffer {
     fn drop(&mut self) {
-        self.release(self.chunks.borrow().held_bytes());
+        self.release(self.chunks.borrow().allocated_bytes());
     }
 }
 
@@ -295,7 +295,7 @@
     Metrics::count(&metrics.answers_unread);
     buffer.node.log.write("answer_unread", || {
         serde_json::json!({"request": request, "bound": bound.to_string(),
-            "kept_bytes": buffer.chunks.borrow().held_bytes(),
+            "kept_bytes": buffer.chunks.borrow().allocated_bytes(),
             "all_kept_bytes": buffer.node.kept_bytes.load(Ordering::Relaxed)})
     });
 }
--- a/crates/ingress/src/response_times.rs
+++ b/crates/ingress/src/response_times.rs
@@ -151,7 +151,7 @@
     }
 
     /// Timeout for the first event, after which a repeatable request is sent to another server.
-    pub fn first_patience(&self, service: &str, tokens: u32) -> Duration {
+    pub fn first_event_timeout(&self, service: &str, tokens: u32) -> Duration {
         let times = self.first.lock();
         let held = times.get(&(service.to_owned(), size_class(tokens)));
         held.map_or(MAX_TIMEOUT, |times| times.timeout(MIN_FIRST_EVENT_TIMEOUT))
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -178,7 +178,7 @@
             node.shares.record_refusal(&tenant.name);
             let forecast = CapacityForecast {
                 earliest: over.retry_after,
-                per_s: over.ends_per_s,
+                per_s: over.completions_per_s,
                 nodes: node.peers.count(),
             };
             let after = node.rooms.tenant_retry_delay(&tenant.name, forecast, facts);
@@ -186,7 +186,7 @@
         }
         None => {
             let after = over.retry_after.max(MIN_RETRY_DELAY);
-            ("callers without a key".to_owned(), after)
+            ("clients without a key".to_owned(), after)
         }
     };
     Refusal {
@@ -308,7 +308,7 @@
 }
 
 /// Shares of the busiest tenants in the Prometheus text format; empty if shares do not apply.
-pub(crate) fn share_text(node: &Node) -> String {
+pub(crate) fn share_metrics(node: &Node) -> String {
     let Some(configuration) = node.view.configuration() else {
         return String::new();
     };
--- a/crates/ingress/tests/event_gaps.rs
+++ b/crates/ingress/tests/event_gaps.rs
@@ -11,7 +11,7 @@
 }
 
 #[gtest]
-fn one_long_pause() {
+fn one_long_gap() {
     let mut gaps = EventGaps::default();
     let gaps = [30, 30, 2_000, 30, 30, 30, 30].map(|gap| gaps.record(ms(gap)));
     expect_that!(gaps[..6].iter().flatten().count(), eq(0));
@@ -19,28 +19,28 @@
 }
 
 #[gtest]
-fn says_nothing() {
+fn no_reported_pace() {
     expect_that!(excess_pace(ms(90), ms(30), Pace::USUAL), eq(Pace::new(3.0)));
 }
 
 #[gtest]
-fn says_the_truth() {
+fn accurate_report() {
     expect_that!(excess_pace(ms(90), ms(30), Pace::new(3.0)), eq(Pace::USUAL));
 }
 
 #[gtest]
-fn says_too_little() {
+fn report_too_low() {
     let times = excess_pace(ms(126), ms(30), Pace::new(0.7)).times();
     expect_that!(times, near(6.0, 0.01));
 }
 
 #[gtest]
-fn about_as_usual() {
+fn small_deviation() {
     expect_that!(excess_pace(ms(40), ms(30), Pace::USUAL), eq(Pace::USUAL));
 }
 
 /// A server that reports itself too slow is not rated as fast.
 #[gtest]
-fn says_too_much() {
+fn report_too_high() {
     expect_that!(excess_pace(ms(30), ms(30), Pace::new(8.0)), eq(Pace::USUAL));
 }
--- a/crates/ingress/tests/events_and_placement.rs
+++ b/crates/ingress/tests/events_and_placement.rs
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn events_are_whole_however_their_bytes_come() {
+fn events_are_complete_for_any_piece_size() {
     let bytes =
         b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nversion: 3\nid: 3\ndata: c\ndata: d\n\ntail";
     for size in 1..bytes.len() {
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_zone_without_room_sends_its_requests_elsewhere() {
+fn an_overloaded_zone_sends_its_requests_elsewhere() {
     let full = LoadSummary {
         online: 8,
         ..Default::default()
@@ -108,7 +108,7 @@
 }
 
 #[gtest]
-fn long_shared_prompts_have_a_home_that_moves_little_when_a_server_goes() {
+fn long_shared_prompts_keep_their_affinity_server() {
     let part = |id, tokens| PromptPart { id, tokens };
     let short = PromptShape::new(&[part(1, 150), part(2, 400)], 550);
     expect_that!(short.shared, none());
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn only_answers_that_promise_not_run_name_a_time_to_come_back() {
+fn only_not_run_statuses_have_a_retry_delay() {
     let kinds = [
         ErrorKind::NotReady,
         ErrorKind::NoRoute,
@@ -163,7 +163,7 @@
 }
 
 #[gtest]
-fn samples_differ_and_keep_the_home() {
+fn samples_differ_and_keep_the_affinity_server() {
     let servers: Vec<Arc<ServerRecord>> = (0..40)
         .map(|number| server(&format!("i-{number}"), ["north", "south"][number % 2]))
         .collect();
@@ -184,7 +184,7 @@
 }
 
 #[gtest]
-fn full_servers_of_a_sample_are_sound() {
+fn full_servers_of_a_sample_are_healthy() {
     let load = |online, suspect| LoadSummary {
         online,
         suspect,
@@ -205,7 +205,7 @@
 }
 
 #[gtest]
-fn nodes_with_the_same_news_choose_apart() {
+fn nodes_with_the_same_information_choose_differently() {
     let full = |number: u32| {
         let load = LoadSummary {
             online: 6 + number % 3,
--- a/crates/ingress/tests/pace_placement.rs
+++ b/crates/ingress/tests/pace_placement.rs
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn a_third() {
+fn slow_server_gets_a_third() {
     let mut candidates = vec![
         candidate("a", "north", 0, 1.0),
         candidate("b", "north", 0, 1.0),
@@ -299,7 +299,7 @@
 
 /// Pace reports that are half a second old must not make placement much worse than no reports.
 #[gtest]
-fn old_news() {
+fn outdated_paces() {
     let counts = late(Weighting::Counts, 500.0, PaceChange::Flipping, 0.75);
     let paces = late(Weighting::Paces, 500.0, PaceChange::Flipping, 0.75);
     expect_that!(paces, le(counts * 1.1), "{counts} by counts");
--- a/crates/ingress/tests/regions.rs
+++ b/crates/ingress/tests/regions.rs
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn a_long_way_is_worth_a_wait() {
+fn queueing_beats_a_slow_path() {
     let ways = ways();
     let full = [
         candidate("zone", "a1", online(8)),
@@ -116,7 +116,7 @@
 }
 
 #[gtest]
-fn samples_hold_each_distance() {
+fn samples_cover_each_distance() {
     let ways = ways();
     let zones = ["a1", "a2", "b1", "b2"];
     let all: Vec<Candidate> = (0..80)
--- a/crates/ingress/tests/response_buffer.rs
+++ b/crates/ingress/tests/response_buffer.rs
@@ -13,14 +13,14 @@
 }
 
 #[gtest]
-fn part_of_memory() {
+fn limits_follow_memory() {
     let bounds = bounds(120);
     expect_that!(bounds.node_bytes, eq(15 * 1024 * 1024));
     expect_that!(bounds.answer_bytes, eq(240 * 1024));
 }
 
 #[gtest]
-fn bounds_reached() {
+fn limits_reached() {
     let bounds = bounds(120);
     let (answer, node) = (bounds.answer_bytes, bounds.node_bytes);
     let limit_reached = [(1, 1), (answer, answer), (1, node), (answer, node)];
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn in_time_beside_others() {
+fn empty_buffer_is_always_read() {
     let bounds = bounds(120);
     expect_that!(bounds.limit_reached(0, 2 * bounds.node_bytes), none());
 }
@@ -48,20 +48,20 @@
 }
 
 #[gtest]
-fn in_order() {
+fn chunks_keep_order() {
     let sent = bytes(200_001);
     for piece in [1, 700, 16_384, 200_001] {
         let mut chunks = ChunkQueue::default();
         sent.chunks(piece).for_each(|piece| chunks.push(piece));
-        expect_that!(chunks.held_bytes(), ge(sent.len()));
+        expect_that!(chunks.allocated_bytes(), ge(sent.len()));
         let taken: Vec<u8> = std::iter::from_fn(|| chunks.take()).flatten().collect();
         expect_that!(taken == sent, eq(true), "pieces of {piece}");
-        expect_that!(chunks.held_bytes(), eq(0));
+        expect_that!(chunks.allocated_bytes(), eq(0));
     }
 }
 
 #[gtest]
-fn all_but_a_byte() {
+fn taken_chunks_are_freed() {
     let sent = bytes(200_001);
     let mut chunks = ChunkQueue::default();
     sent.chunks(1_000).for_each(|piece| chunks.push(piece));
@@ -74,11 +74,11 @@
     // Taken chunks are freed at once.
     let freed = u64::try_from(-info.bytes_current).unwrap_or(0);
     expect_that!(freed, ge((sent.len() - left) as u64));
-    expect_that!(chunks.held_bytes(), all!(ge(left), le(32 * 1024)));
+    expect_that!(chunks.allocated_bytes(), all!(ge(left), le(32 * 1024)));
 }
 
 #[gtest]
-fn counted_as_held() {
+fn allocation_is_counted() {
     let sent = bytes(100_000);
     let mut chunks = ChunkQueue::default();
     let info = allocation_counter::measure(|| {
@@ -86,5 +86,5 @@
     });
     // The only other allocation is the chunk list.
     let taken = usize::try_from(info.bytes_current).unwrap_or(0);
-    expect_that!(chunks.held_bytes(), all!(le(taken), ge(taken - 1_024)));
+    expect_that!(chunks.allocated_bytes(), all!(le(taken), ge(taken - 1_024)));
 }
--- a/crates/ingress/tests/response_times.rs
+++ b/crates/ingress/tests/response_times.rs
@@ -13,7 +13,7 @@
 }
 
 #[gtest]
-fn little_known() {
+fn too_few_samples() {
     let now = Instant::now();
     let mut times = LatencyHistogram::default();
     expect_that!(times.timeout(MIN_TIMEOUT), eq(ms(900)));
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn forgotten() {
+fn old_samples_expire() {
     let now = Instant::now();
     let mut times = LatencyHistogram::default();
     (0..100).for_each(|_| times.record(ms(3_000), now));
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn rising_queues() {
+fn slowly_rising_times() {
     // Responses that slow down by a tenth every half second stay within the timeout.
     let mut now = Instant::now();
     let mut times = LatencyHistogram::default();
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn usual_time() {
+fn median_time() {
     let now = Instant::now();
     let mut times = LatencyHistogram::default();
     expect_that!(times.median(), none());
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn late_request() {
+fn request_during_shutdown() {
     actix_web::rt::System::new().block_on(async {
         let in_flight = Arc::new(AtomicU64::new(0));
         let (received, answer) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
--- a/crates/ingress/tests/urgency.rs
+++ b/crates/ingress/tests/urgency.rs
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn ages() {
+fn urgency_by_age() {
     let at = |ms| urgency(Duration::from_millis(ms), TARGET, PATIENCE);
     expect_that!(at(0), eq(Urgency::Fresh));
     expect_that!(at(110), eq(Urgency::InTime));
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn those_in_time_go_first() {
+fn requests_in_time_go_first() {
     let admits = |urgency, excess| OvercommitLimit::default().admits(urgency, excess, 0.5);
     for (urgency, limit) in [
         (Urgency::Fresh, 0.5),
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn queues_at_servers_close_the_door() {
+fn server_queues_lower_the_limit() {
     let mut overcommit = OvercommitLimit::default();
     let fresh = |overcommit: &OvercommitLimit| overcommit.admits(Urgency::Fresh, -1.0, 0.0);
     expect_that!(fresh(&overcommit), eq(true));
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn bounds_of_the_allowance() {
+fn limit_is_bounded() {
     let mut overcommit = OvercommitLimit::default();
     (0..1_000).for_each(|_| overcommit.record(load(6, 20)));
     // The lower bound still admits fresh requests with three free slots.
--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -156,11 +156,11 @@
         // Enough slots for all arrivals until the information is updated.
         return 1.0;
     }
-    let (ends, look) = (capacity.ends_per_s(), CHECK_INTERVAL.as_secs_f64());
+    let (ends, look) = (capacity.completions_per_s(), CHECK_INTERVAL.as_secs_f64());
     let wanted = f64::from(capacity.slots) + ends * SERVER_QUEUE.as_secs_f64();
     let missing = wanted - f64::from(capacity.online) - rise;
     let budget = ends * look + missing * look / CORRECTION_PERIOD.as_secs_f64();
-    let returns = capacity.returns_per_s() * look;
+    let returns = capacity.retries_per_s() * look;
     let kept = returns.min(budget * RETRY_RESERVE);
     let looking = f64::from(capacity.waiting) + arrivals * look;
     match (admission_request.is_retry, admission_request.has_waited) {
--- a/crates/room/src/capacity.rs
+++ b/crates/room/src/capacity.rs
@@ -20,9 +20,9 @@
 const DEFAULT_HOLD_TIME: Duration = Duration::from_secs(1);
 
 /// Period over which the trend of online requests is measured.
-const TREND_SPAN: Duration = Duration::from_millis(150);
+const TREND_WINDOW: Duration = Duration::from_millis(150);
 /// Minimum divisor for the trend; with less, single requests would count as a rise.
-const MIN_TREND_SPAN: Duration = Duration::from_millis(75);
+const MIN_TREND_WINDOW: Duration = Duration::from_millis(75);
 
 /// Capacity of a service over all nodes.
 #[derive(Debug, Clone, PartialEq)]
@@ -38,13 +38,13 @@
     pub waiting: u32,
     /// Expected retries by interval from now on.
     pub returns: Vec<u32>,
-    pub hold: Duration,
+    pub hold_time: Duration,
 }
 
 impl Capacity {
     /// Slots that become free per second when all are in use.
-    pub fn ends_per_s(&self) -> f64 {
-        f64::from(self.slots) / self.hold.as_secs_f64().max(0.001)
+    pub fn completions_per_s(&self) -> f64 {
+        f64::from(self.slots) / self.hold_time.as_secs_f64().max(0.001)
     }
 
     /// Expected wait of a new request behind all waiting ones.
@@ -53,7 +53,7 @@
         let ahead = all.saturating_sub(self.slots);
         match self.slots {
             0 => Duration::MAX,
-            _ => Duration::from_secs_f64(f64::from(ahead) / self.ends_per_s()),
+            _ => Duration::from_secs_f64(f64::from(ahead) / self.completions_per_s()),
         }
     }
 
@@ -61,7 +61,7 @@
     /// a refused request averages twice its remaining wait.
     pub fn arrivals_per_s(&self) -> f64 {
         let online = f64::from(self.online.min(self.slots));
-        let served = online / self.hold.as_secs_f64().max(0.001) + self.trend_per_s.max(0.0);
+        let served = online / self.hold_time.as_secs_f64().max(0.001) + self.trend_per_s.max(0.0);
         let spans = self.returns.iter().enumerate();
         let (away, away_s) = spans.fold((0.0, 0.0), |(away, away_s), (span, due)| {
             let due = f64::from(*due);
@@ -77,7 +77,7 @@
     }
 
     /// Rate of retries expected now.
-    pub fn returns_per_s(&self) -> f64 {
+    pub fn retries_per_s(&self) -> f64 {
         let due = self.returns.first().copied().unwrap_or_default();
         f64::from(due) / SPAN.as_secs_f64()
     }
@@ -87,7 +87,7 @@
     /// information do not all choose the same one.
     pub fn retry_delay(&self, most: Duration, random: &mut impl Rng) -> Duration {
         let most = most.min(SPAN * SPANS as u32);
-        let kept = self.ends_per_s() * RETRY_RESERVE * SPAN.as_secs_f64();
+        let kept = self.completions_per_s() * RETRY_RESERVE * SPAN.as_secs_f64();
         let spans = (most.as_secs_f64() / SPAN.as_secs_f64()) as usize;
         let open = (1..spans.min(SPANS)).find(|span| {
             let promised = self.returns.get(*span).copied().unwrap_or_default();
@@ -130,12 +130,12 @@
         while self
             .seen
             .front()
-            .is_some_and(|(at, _)| age(*at) > TREND_SPAN)
+            .is_some_and(|(at, _)| age(*at) > TREND_WINDOW)
         {
             self.seen.pop_front();
         }
         let rise = self.seen.front().map_or(0.0, |(at, before)| {
-            let span = age(*at).max(MIN_TREND_SPAN);
+            let span = age(*at).max(MIN_TREND_WINDOW);
             (f64::from(online) - f64::from(*before)) / span.as_secs_f64()
         });
         self.seen.push_back((now, online));
--- a/crates/room/src/shares.rs
+++ b/crates/room/src/shares.rs
@@ -46,14 +46,14 @@
 
 /// Error of a request that would exceed its tenant's share.
 #[derive(Debug, Clone, Copy, PartialEq, Display, Error)]
-#[display("{requests} requests under way, share {share:.1} of {slots} slots")]
+#[display("{requests} requests in flight, share {share:.1} of {slots} slots")]
 pub struct OverShare {
     pub requests: u32,
     /// Share of the tenant, in slots.
     pub share: f64,
     pub slots: u32,
     /// Requests within the share that finish per second.
-    pub ends_per_s: f64,
+    pub completions_per_s: f64,
     /// Retry delay, assuming that no other request was refused before.
     pub retry_after: Duration,
 }
@@ -109,7 +109,7 @@
             requests: claim.requests,
             share,
             slots: self.slots,
-            ends_per_s: f64::from(limit) / mean_duration.as_secs_f64().max(MIN_DURATION_S),
+            completions_per_s: f64::from(limit) / mean_duration.as_secs_f64().max(MIN_DURATION_S),
             retry_after: retry_after(claim.requests, limit, mean_duration, point),
         })
     }
--- a/crates/room/tests/admission.rs
+++ b/crates/room/tests/admission.rs
@@ -27,7 +27,7 @@
         trend_per_s: 0.0,
         waiting,
         returns: Vec::new(),
-        hold: ms(500),
+        hold_time: ms(500),
     }
 }
 
@@ -109,7 +109,7 @@
 }
 
 #[gtest]
-fn refusals_ramp() {
+fn refusals_rise_with_the_wait() {
     let refused = |waiting| counts(&capacity(60, waiting), &admission_request(0))[2];
     expect_that!(refused(0), gt(0));
     expect_that!(refused(4), gt(refused(0)));
@@ -118,7 +118,7 @@
 }
 
 #[gtest]
-fn what_has_run() {
+fn possibly_run_requests() {
     // It has run, so it must not be refused as not run.
     let ran = |age_ms| AdmissionRequest {
         refusable: false,
@@ -143,7 +143,7 @@
 }
 
 #[gtest]
-fn returns_first() {
+fn retries_use_the_reserve() {
     let mut full = capacity(50, 20);
     full.returns = vec![1];
     let is_retry = AdmissionRequest {
@@ -176,12 +176,12 @@
 
 #[gtest]
 fn hold_times() {
-    let mut hold = MeanHoldTime::default();
-    expect_that!(hold.mean(), eq(ms(1_000)));
-    hold.note(ms(600));
-    expect_that!(hold.mean(), eq(ms(600)));
-    hold.note(ms(800));
-    expect_that!(hold.mean(), all![gt(ms(600)), lt(ms(700))]);
+    let mut hold_time = MeanHoldTime::default();
+    expect_that!(hold_time.mean(), eq(ms(1_000)));
+    hold_time.note(ms(600));
+    expect_that!(hold_time.mean(), eq(ms(600)));
+    hold_time.note(ms(800));
+    expect_that!(hold_time.mean(), all![gt(ms(600)), lt(ms(700))]);
 }
 
 #[gtest]
@@ -208,7 +208,7 @@
 }
 
 #[gtest]
-fn credit_in_turn() {
+fn quota_retries_are_spread() {
     let mut queue = RetryQueue::default();
     let (now, mut random) = (Instant::now(), random());
     let mut next = || queue.next(ms(20), ms(100), ms(1_000), now, &mut random);
--- a/crates/room/tests/goodput.rs
+++ b/crates/room/tests/goodput.rs
@@ -147,7 +147,7 @@
                 trend_per_s: (f64::from(seen.online) - f64::from(before)) * 10.0,
                 waiting: seen.waiting,
                 returns: seen.returns.into(),
-                hold: Duration::from_millis(HOLD_MS),
+                hold_time: Duration::from_millis(HOLD_MS),
             };
             let spent = if call.is_retry { 1_000 } else { 0 };
             let admission_request = AdmissionRequest {
@@ -258,7 +258,7 @@
 }
 
 #[gtest]
-fn old_news() {
+fn outdated_information() {
     let news: fn(usize, u64) -> Option<u64> = |node, _| Some(if node % 3 == 0 { 500 } else { 75 });
     let outcome = simulate(
         Policy::Capacity,
@@ -271,7 +271,7 @@
 }
 
 #[gtest]
-fn a_node_begins() {
+fn one_node_starts() {
     let news: fn(usize, u64) -> Option<u64> = |node, ms| (node > 0 || ms > 3_000).then_some(75);
     let outcome = simulate(
         Policy::Capacity,
@@ -284,7 +284,7 @@
 }
 
 #[gtest]
-fn all_begin() {
+fn all_nodes_start() {
     let news: fn(usize, u64) -> Option<u64> = |_, ms| (ms > 300).then_some(75);
     let outcome = simulate(
         Policy::Capacity,
--- a/crates/room/tests/shares.rs
+++ b/crates/room/tests/shares.rs
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn unused_shares_flow() {
+fn unused_shares_are_redistributed() {
     // With equal weights, demands of 10 and 20 are below a third of the slots, so the third tenant
     // gets the rest.
     let claims = [claim(10, 1.0), claim(20, 1.0), claim(400, 1.0)];
@@ -64,14 +64,14 @@
 }
 
 #[gtest]
-fn untold_requests_come_first() {
+fn unreported_requests_come_first() {
     let claims = [claim(100, 1.0), claim(100, 1.0)];
     expect_that!(granted(&claims, 40, 100)[0], near(30.0, 1e-9));
     expect_that!(granted(&claims, 400, 100)[0], near(0.0, 1e-9));
 }
 
 #[gtest]
-fn nobody_starves() {
+fn every_tenant_is_served() {
     // 2,000 tenants compete for 448 slots, one of them with zero weight.
     let mut claims = vec![claim(1, 1.0); 1_999];
     claims.push(claim(0, 0.0));
@@ -108,7 +108,7 @@
     );
     expect_that!(
         refused(0.0).to_string(),
-        eq("110 requests under way, share 50.0 of 100 slots")
+        eq("110 requests in flight, share 50.0 of 100 slots")
     );
 }
 
@@ -133,7 +133,7 @@
     }
 
     #[test]
-    fn order_is_nothing(claims in many(84), slots in 1_u32..2_000) {
+    fn order_is_irrelevant(claims in many(84), slots in 1_u32..2_000) {
         let turned: Vec<Claim> = claims.iter().rev().copied().collect();
         let (one, other) = (Shares::new(&claims, 0, slots), Shares::new(&turned, 0, slots));
         let (one, other) = (one.of(1.0).unwrap_or(-1.0), other.of(1.0).unwrap_or(-1.0));
@@ -195,7 +195,7 @@
 impl Fleet {
     /// One tenant within its quota requests more than the slots, and 83 tenants request half of
     /// them.
-    fn beside_large() -> Self {
+    fn with_large_tenant() -> Self {
         let mut tenants = vec![(400.0, 170.0)];
         tenants.extend([(2.5, 11.0); 83]);
         Self {
@@ -283,40 +283,46 @@
     }
 }
 
-fn small(outcomes: &[TenantOutcome]) -> TenantOutcome {
+fn small_tenants(outcomes: &[TenantOutcome]) -> TenantOutcome {
     outcomes[1..]
         .iter()
         .fold(TenantOutcome::default(), |sum, outcome| sum.plus(*outcome))
 }
 
 #[gtest]
-fn small_ones_are_alone() {
-    let fleet = Fleet::beside_large();
+fn small_tenants_are_unaffected() {
+    let fleet = Fleet::with_large_tenant();
     let (with, without) = (fleet.run(1, true), fleet.run(1, false));
     // 139 of the 248 slots suffice for the small tenants; without shares most of their requests are
     // late.
-    expect_that!(small(&without).late * 2, gt(small(&without).asked));
-    expect_that!(small(&with).refused, eq(0));
+    expect_that!(
+        small_tenants(&without).late * 2,
+        gt(small_tenants(&without).asked)
+    );
+    expect_that!(small_tenants(&with).refused, eq(0));
     // At most 5 % are late, since shares react with the delay of the information.
-    expect_that!(small(&with).late * 20, le(small(&with).asked));
+    expect_that!(
+        small_tenants(&with).late * 20,
+        le(small_tenants(&with).asked)
+    );
     // The large tenant gets the rest: 109 slots serve about 1,300 requests in eight seconds.
     expect_that!(with[0].asked - with[0].refused, gt(1_100));
 }
 
 #[gtest]
-fn half_cut_off() {
+fn network_partition() {
     // Each half knows half of the requests but all slots, so it may admit too many requests but
     // never refuses too many.
-    let mut fleet = Fleet::beside_large();
+    let mut fleet = Fleet::with_large_tenant();
     fleet.partitioned = true;
-    expect_that!(small(&fleet.run(2, true)).refused, eq(0));
+    expect_that!(small_tenants(&fleet.run(2, true)).refused, eq(0));
 }
 
 #[gtest]
-fn node_lost() {
-    let mut fleet = Fleet::beside_large();
+fn node_failure() {
+    let mut fleet = Fleet::with_large_tenant();
     fleet.failed_node = Some(3);
     let outcomes = fleet.run(3, true);
-    expect_that!(small(&outcomes).refused, eq(0));
+    expect_that!(small_tenants(&outcomes).refused, eq(0));
     expect_that!(outcomes[0].asked - outcomes[0].refused, gt(1_000));
 }
--- a/crates/upstream/src/body.rs
+++ b/crates/upstream/src/body.rs
@@ -89,7 +89,7 @@
                         return Ok(None);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err("chunk end");
+                        return Err("chunk data is not followed by CRLF");
                     }
                     buffer.advance(2);
                     *self = BodyReader::ChunkSize;
@@ -123,9 +123,11 @@
             buffer.advance(length);
             Ok(Some(size))
         }
-        Ok(httparse::Status::Partial) if buffer.len() > MAX_SIZE_LINE => Err("chunk size"),
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_SIZE_LINE => {
+            Err("chunk size line too long")
+        }
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err("chunk size"),
+        Err(_) => Err("invalid chunk size"),
     }
 }
 
@@ -136,7 +138,7 @@
             buffer.advance(length + 2);
             Ok(Some(length == 0))
         }
-        None if buffer.len() > MAX_SIZE_LINE * 16 => Err("trailer"),
+        None if buffer.len() > MAX_SIZE_LINE * 16 => Err("trailer line too long"),
         None => Ok(None),
     }
 }
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -61,7 +61,7 @@
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address));
         let stream = connecting
             .await
-            .map_err(|_| ExchangeError::new(Stage::Connect, "timeout"))?
+            .map_err(|_| ExchangeError::new(Stage::Connect, "timed out"))?
             .map_err(|error| ExchangeError::new(Stage::Connect, error))?;
         // Avoids the delay of small writes by Nagle's algorithm. A failure only costs latency.
         let _ = stream.set_nodelay(true);
@@ -99,7 +99,10 @@
                 return Ok(head);
             }
             if self.fill(Stage::Head).await? == 0 {
-                return Err(ExchangeError::new(Stage::Head, "closed before the answer"));
+                return Err(ExchangeError::new(
+                    Stage::Head,
+                    "connection closed before the response",
+                ));
             }
         }
     }
@@ -119,7 +122,10 @@
                 return Ok(None);
             }
             if self.fill(Stage::Body).await? == 0 && !self.body.end_of_connection() {
-                return Err(ExchangeError::new(Stage::Body, "closed inside the answer"));
+                return Err(ExchangeError::new(
+                    Stage::Body,
+                    "connection closed within the response",
+                ));
             }
         }
     }
@@ -129,7 +135,7 @@
         let mut whole = BytesMut::new();
         while let Some(piece) = self.next_piece().await? {
             if whole.len() + piece.len() > limit {
-                return Err(ExchangeError::new(Stage::Body, "answer too long"));
+                return Err(ExchangeError::new(Stage::Body, "response body too long"));
             }
             whole.extend_from_slice(&piece);
         }
--- a/crates/upstream/src/head.rs
+++ b/crates/upstream/src/head.rs
@@ -53,10 +53,10 @@
 pub(crate) fn take_head(buffer: &mut BytesMut) -> Result<Option<AnswerHead>, &'static str> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut slots);
-    let parsed = answer.parse(buffer).map_err(|_| "not an answer")?;
+    let parsed = answer.parse(buffer).map_err(|_| "invalid response head")?;
     let httparse::Status::Complete(length) = parsed else {
         if buffer.len() > MAX_HEAD_BYTES {
-            return Err("head too long");
+            return Err("response head too long");
         }
         return Ok(None);
     };
@@ -64,8 +64,9 @@
     let http11 = answer.version == Some(1);
     let mut headers = HeaderMap::with_capacity(answer.headers.len());
     for header in answer.headers.iter() {
-        let name = HeaderName::from_bytes(header.name.as_bytes()).map_err(|_| "header name")?;
-        let value = HeaderValue::from_bytes(header.value).map_err(|_| "header value")?;
+        let name =
+            HeaderName::from_bytes(header.name.as_bytes()).map_err(|_| "invalid header name")?;
+        let value = HeaderValue::from_bytes(header.value).map_err(|_| "invalid header value")?;
         headers.append(name, value);
     }
     let framing = framing(status, &headers)?;
@@ -88,7 +89,7 @@
     if let Some(encoding) = headers.get(TRANSFER_ENCODING) {
         return match encoding.as_bytes().eq_ignore_ascii_case(b"chunked") {
             true => Ok(BodyFraming::Chunked),
-            false => Err("transfer encoding"),
+            false => Err("unsupported transfer encoding"),
         };
     }
     match headers.get(CONTENT_LENGTH) {
@@ -97,7 +98,7 @@
             .ok()
             .and_then(|text| text.trim().parse().ok())
             .map(BodyFraming::Length)
-            .ok_or("content length"),
+            .ok_or("invalid content length"),
         None => Ok(BodyFraming::UntilClose),
     }
 }
--- a/crates/upstream/tests/exchange.rs
+++ b/crates/upstream/tests/exchange.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn a_body_that_ends_inside_its_chunks_is_an_error() {
+fn truncated_chunked_body_is_an_error() {
     with_server(|server| async move {
         server.next(vec![send(CHUNKED), send("3\r\nabc\r\n"), Reply::Close]);
         let mut connection = open(&server).await;
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn a_body_that_is_shorter_than_its_length_is_an_error() {
+fn body_shorter_than_content_length_is_an_error() {
     with_server(|server| async move {
         server.next(vec![
             send("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc"),
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn a_body_without_a_length_ends_with_its_connection() {
+fn body_without_length_ends_with_the_connection() {
     with_server(|server| async move {
         server.next(vec![send("HTTP/1.1 200 OK\r\n\r\nabc"), Reply::Close]);
         let mut connection = open(&server).await;
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn bytes_behind_a_whole_answer_belong_to_no_request() {
+fn extra_bytes_prevent_reuse() {
     with_server(|server| async move {
         server.next(vec![send(
             "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\n",
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn an_answer_that_comes_before_the_request_was_read_ends_the_connection() {
+fn early_response_prevents_reuse() {
     with_server(|server| async move {
         server.next(vec![send(
             "HTTP/1.1 413 No\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn bytes_that_are_no_answer_are_an_error() {
+fn invalid_responses_are_errors() {
     with_server(|server| async move {
         for bytes in [
             "nonsense\r\n\r\n",
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn a_connection_that_does_not_come_up_sent_nothing() {
+fn refused_connection_fails_at_connect() {
     actix_rt::System::new().block_on(async {
         let port = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = port.local_addr().expect("an address");
@@ -124,7 +124,7 @@
 }
 
 #[gtest]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     with_server(|server| async move {
         server.next(vec![
             send("HTTP/1.1 100 Continue\r\n\r\n"),
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn a_pool_hands_out_only_connections_that_are_fit() {
+fn pool_returns_only_reusable_connections() {
     with_server(|server| async move {
         let limit = IdleLimit {
             default: Duration::from_secs(5),
--- a/crates/upstream/tests/suspension.rs
+++ b/crates/upstream/tests/suspension.rs
@@ -13,7 +13,7 @@
 };
 
 #[gtest]
-fn resting_connections_age() {
+fn idle_connections_expire() {
     actix_rt::System::new().block_on(async {
         let server = EmulatedServer::start("id").await.expect("a server");
         let head = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_owned();
