--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -252,7 +252,7 @@
                     if patience.leave.is_some_and(|leave| silence >= leave) {
                         return Err(AttemptError {
                             ran: Ran::Maybe,
-                            reason: format!("no data for {} ms", silence.as_millis()),
+                            reason: format!("silent for {} ms", silence.as_millis()),
                             unreachable: silence >= UNREACHABLE_AFTER,
                             broken_off: false,
                         });
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -184,7 +184,7 @@
             let fingerprint = run.request().short();
             self.node.log.write(
                 "request_cleared",
-                || serde_json::json!({"fingerprint": fingerprint, "by": "a complete response"}),
+                || serde_json::json!({"fingerprint": fingerprint, "by": "a whole answer"}),
             );
         }
     }
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -186,7 +186,7 @@
         }
         None => {
             let after = over.retry_after.max(MIN_RETRY_DELAY);
-            ("clients without a key".to_owned(), after)
+            ("callers without a key".to_owned(), after)
         }
     };
     Refusal {
--- a/crates/room/src/shares.rs
+++ b/crates/room/src/shares.rs
@@ -46,7 +46,7 @@
 
 /// Error of a request that would exceed its tenant's share.
 #[derive(Debug, Clone, Copy, PartialEq, Display, Error)]
-#[display("{requests} requests in flight, share {share:.1} of {slots} slots")]
+#[display("{requests} requests under way, share {share:.1} of {slots} slots")]
 pub struct OverShare {
     pub requests: u32,
     /// Share of the tenant, in slots.
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -61,7 +61,7 @@
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address));
         let stream = connecting
             .await
-            .map_err(|_| ExchangeError::new(Stage::Connect, "timed out"))?
+            .map_err(|_| ExchangeError::new(Stage::Connect, "timeout"))?
             .map_err(|error| ExchangeError::new(Stage::Connect, error))?;
         // Avoids the delay of small writes by Nagle's algorithm. A failure only costs latency.
         let _ = stream.set_nodelay(true);
@@ -101,7 +101,7 @@
             if self.fill(Stage::Head).await? == 0 {
                 return Err(ExchangeError::new(
                     Stage::Head,
-                    "connection closed before the response",
+                    "closed before the answer",
                 ));
             }
         }
@@ -124,7 +124,7 @@
             if self.fill(Stage::Body).await? == 0 && !self.body.end_of_connection() {
                 return Err(ExchangeError::new(
                     Stage::Body,
-                    "connection closed within the response",
+                    "closed inside the answer",
                 ));
             }
         }
