--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -36,8 +36,8 @@
     /// Version of the configuration last adopted.
     version: AtomicU64,
     hold_times: Mutex<HashMap<String, MeanHoldTime>>,
-    deadlines: Mutex<HashMap<String, RetryDetector>>,
-    credit: Mutex<HashMap<TenantName, RetryQueue>>,
+    retry_detectors: Mutex<HashMap<String, RetryDetector>>,
+    retry_queues: Mutex<HashMap<TenantName, RetryQueue>>,
     trends: Mutex<HashMap<String, LoadTrend>>,
     rooms: Mutex<HashMap<String, (Instant, Arc<Capacity>)>>,
 }
@@ -61,7 +61,7 @@
             .collect();
         let tenants = configuration.tenants.iter().flat_map(Tenants::iter);
         let tenants: HashSet<&TenantName> = tenants.map(|tenant| &tenant.name).collect();
-        self.deadlines
+        self.retry_detectors
             .lock()
             .retain(|name, _| routes.contains(name.as_str()));
         self.hold_times
@@ -73,13 +73,18 @@
         self.rooms
             .lock()
             .retain(|name, _| services.contains(name.as_str()));
-        self.credit.lock().retain(|name, _| tenants.contains(name));
+        self.retry_queues
+            .lock()
+            .retain(|name, _| tenants.contains(name));
     }
 
     /// Records how long a request held a slot.
     pub(crate) fn record_hold_time(&self, service: &str, held: Duration) {
         let mut hold_times = self.hold_times.lock();
-        hold_times.entry(service.to_owned()).or_default().note(held);
+        hold_times
+            .entry(service.to_owned())
+            .or_default()
+            .record(held);
     }
 
     /// Retry delay for a tenant's refused request. Each request gets its own time, after those
@@ -92,7 +97,7 @@
     ) -> Duration {
         let step =
             Duration::from_secs_f64(forecast.nodes.max(1) as f64 / forecast.per_s.max(0.001));
-        let mut queues = self.credit.lock();
+        let mut queues = self.retry_queues.lock();
         let queue = queues.entry(tenant.clone()).or_default();
         let most = max_retry_delay(facts);
         let after = queue.next(
@@ -108,7 +113,7 @@
     fn trend_per_s(&self, service: &str, online: u32) -> f64 {
         let mut trends = self.trends.lock();
         let trend = trends.entry(service.to_owned()).or_default();
-        trend.note(online, Instant::now())
+        trend.record(online, Instant::now())
     }
 
     fn hold_time(&self, service: &str) -> Duration {
@@ -156,9 +161,9 @@
         timeout_ms => timeout_ms,
     };
     let deadline = Duration::from_millis(deadline_ms.min(longest_ms));
-    let mut deadlines = node.rooms.deadlines.lock();
-    let usual = deadlines.entry(route.name.clone()).or_default();
-    let is_retry = usual.note(deadline, Instant::now());
+    let mut retry_detectors = node.rooms.retry_detectors.lock();
+    let detector = retry_detectors.entry(route.name.clone()).or_default();
+    let is_retry = detector.record(deadline, Instant::now());
     if is_retry {
         Metrics::count(&node.metrics.returns_seen);
     }
--- a/crates/ingress/src/event_gaps.rs
+++ b/crates/ingress/src/event_gaps.rs
@@ -37,8 +37,8 @@
 
 /// Ratio of the measured gap to the one expected at the reported pace, or `Pace::USUAL` if the
 /// ratio is small.
-pub fn excess_pace(gap: Duration, usual: Duration, told: Pace) -> Pace {
-    let ratio = gap.as_secs_f64() / (usual.as_secs_f64() * told.times());
+pub fn excess_pace(gap: Duration, expected: Duration, reported: Pace) -> Pace {
+    let ratio = gap.as_secs_f64() / (expected.as_secs_f64() * reported.times());
     match ratio >= MIN_RATIO {
         true => Pace::new(ratio),
         false => Pace::USUAL,
--- a/crates/ingress/src/pace.rs
+++ b/crates/ingress/src/pace.rs
@@ -22,17 +22,17 @@
 
     /// Records a measured event gap. For servers that report no pace it is ignored, since longer
     /// gaps may result from load, which already counts.
-    pub(crate) fn record_gap_pace(&self, server: &ServerRecord, pause: Duration) {
+    pub(crate) fn record_gap_pace(&self, server: &ServerRecord, gap: Duration) {
         if !self.node.loads.tells_pace(&server.id) {
             return;
         }
-        let told = self.node.loads.told_pace(&server.id);
-        let usual = pause.div_f64(told.times());
+        let reported = self.node.loads.told_pace(&server.id);
+        let usual = gap.div_f64(reported.times());
         let times = &self.node.times;
         let Some(usual) = times.record_normalized_gap(&server.service, usual) else {
             return;
         };
-        let excess_pace = excess_pace(pause, usual, told);
+        let excess_pace = excess_pace(gap, usual, reported);
         if self.node.loads.note_excess_pace(&server.id, excess_pace) {
             self.log_pace(server, excess_pace, "excess");
         }
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -97,8 +97,8 @@
     let mut chosen: Vec<&Arc<ServerRecord>> = Vec::new();
     let mut unfilled = 0;
     for (distance, most) in sampled {
-        let there = servers.iter().copied();
-        let there: Vec<_> = there
+        let at_distance = servers.iter().copied();
+        let at_distance: Vec<_> = at_distance
             .filter(|server| ways.distance(&server.zone) == distance)
             .collect();
         // If the own zone has no servers, for example while evacuated, its share of the sample goes
@@ -108,7 +108,7 @@
             true => unfilled,
             false => most,
         };
-        chosen.extend(there.choose_multiple(random, most).copied());
+        chosen.extend(at_distance.choose_multiple(random, most).copied());
     }
     let is_affinity_server =
         |server: &&&Arc<ServerRecord>| affinity_server == Some(server.id.as_str());
@@ -197,15 +197,15 @@
     if !ways.has_regions() {
         return candidates;
     }
-    let is_near = |held: &Candidate| ways.is_near(&held.server.zone);
+    let is_near = |candidate: &Candidate| ways.is_near(&candidate.server.zone);
     let healthy = candidates
         .iter()
-        .filter(|held| is_near(held) && is_healthy(held));
+        .filter(|candidate| is_near(candidate) && is_healthy(candidate));
     let shortest_wait = healthy.map(queue_weight).fold(f64::INFINITY, f64::min);
     // Paths within the region are ignored, since every queue here involves one.
-    let serves = |held: &Candidate| {
-        let way = ways.weigh_time(&held.server.zone, PATH_WEIGHTS);
-        has_free_slot(held) && (is_near(held) || way < shortest_wait)
+    let serves = |candidate: &Candidate| {
+        let way = ways.weigh_time(&candidate.server.zone, PATH_WEIGHTS);
+        has_free_slot(candidate) && (is_near(candidate) || way < shortest_wait)
     };
     match candidates.iter().any(serves) {
         true => candidates.into_iter().filter(serves).collect(),
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -186,10 +186,10 @@
             let request = &self.request;
             node.times
                 .record_first_event(&request.service, request.shape.tokens, sent);
-            let taken = sent.as_millis() as f64;
+            let elapsed_ms = sent.as_millis() as f64;
             let expected = 30.0 + f64::from(self.request.shape.tokens) / 30.0;
             node.loads
-                .note_excess(&started.exchange.server.id, taken - expected);
+                .note_excess(&started.exchange.server.id, elapsed_ms - expected);
         }
         let since_arrival = self.request.arrived.elapsed().as_millis() as u64;
         self.first_event_ms = Some(since_arrival);
@@ -207,8 +207,9 @@
             }
             self.upstreams.note_served(&started.run);
             if self.request.runs == 1 {
-                let held = started.sent.elapsed();
-                node.rooms.record_hold_time(&self.request.service, held);
+                let hold_time = started.sent.elapsed();
+                node.rooms
+                    .record_hold_time(&self.request.service, hold_time);
             }
             let server = started.exchange.server.id.clone();
             self.upstreams.release(started.exchange);
--- a/crates/ingress/src/response_times.rs
+++ b/crates/ingress/src/response_times.rs
@@ -50,9 +50,9 @@
 }
 
 impl LatencyHistogram {
-    pub fn record(&mut self, taken: Duration, now: Instant) {
+    pub fn record(&mut self, elapsed: Duration, now: Instant) {
         self.rotate(now);
-        let ms = (taken.as_secs_f64() * 1_000.0).max(1.0);
+        let ms = (elapsed.as_secs_f64() * 1_000.0).max(1.0);
         let bucket = (ms.log2() * BUCKETS_PER_DOUBLING) as usize;
         self.current[bucket.min(BUCKETS - 1)] += 1;
     }
@@ -122,39 +122,42 @@
 
 impl AnswerTimes {
     /// Records the time from sending a request to its first event.
-    pub fn record_first_event(&self, service: &str, tokens: u32, taken: Duration) {
+    pub fn record_first_event(&self, service: &str, tokens: u32, elapsed: Duration) {
         let key = (service.to_owned(), size_class(tokens));
         let mut times = self.first.lock();
-        times.entry(key).or_default().record(taken, Instant::now());
+        times
+            .entry(key)
+            .or_default()
+            .record(elapsed, Instant::now());
     }
 
     /// Records the time between two pieces of a response.
-    pub fn record_gap(&self, service: &str, taken: Duration) {
+    pub fn record_gap(&self, service: &str, elapsed: Duration) {
         let mut times = self.gaps.lock();
-        if let Some(held) = times.get_mut(service) {
-            held.record(taken, Instant::now());
+        if let Some(histogram) = times.get_mut(service) {
+            histogram.record(elapsed, Instant::now());
             return;
         }
         times
             .entry(service.to_owned())
             .or_default()
-            .record(taken, Instant::now());
+            .record(elapsed, Instant::now());
     }
 
     /// Records a gap normalized to the usual pace. Returns the median, or `None` with too few
     /// samples.
     pub fn record_normalized_gap(&self, service: &str, pause: Duration) -> Option<Duration> {
         let mut times = self.normalized_gaps.lock();
-        let held = times.entry(service.to_owned()).or_default();
-        held.record(pause, Instant::now());
-        held.median()
+        let histogram = times.entry(service.to_owned()).or_default();
+        histogram.record(pause, Instant::now());
+        histogram.median()
     }
 
     /// Timeout for the first event, after which a repeatable request is sent to another server.
     pub fn first_event_timeout(&self, service: &str, tokens: u32) -> Duration {
         let times = self.first.lock();
-        let held = times.get(&(service.to_owned(), size_class(tokens)));
-        held.map_or(MAX_TIMEOUT, |times| times.timeout(MIN_FIRST_EVENT_TIMEOUT))
+        let histogram = times.get(&(service.to_owned(), size_class(tokens)));
+        histogram.map_or(MAX_TIMEOUT, |times| times.timeout(MIN_FIRST_EVENT_TIMEOUT))
     }
 
     /// Gap between events after which the server becomes suspect.
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -81,9 +81,9 @@
     let mut wait_state = WaitState::default();
     loop {
         let admission = capacity::decide(node, request, wait_state)?;
-        let (look, counted) = match admission {
+        let (interval, counted) = match admission {
             Admission::Refuse { retry_after } => return Some(Err(Unplaced::Late { retry_after })),
-            Admission::Wait { look, counted } => (look, counted),
+            Admission::Wait { interval, counted } => (interval, counted),
             Admission::Serve => match select_now(upstreams, request) {
                 Some(placement) => {
                     log_placed(upstreams, request, &placement);
@@ -107,7 +107,7 @@
             true => waiting.or_else(|| Some(node.loads.demand.wait(&request.service))),
             false => None,
         };
-        tokio::time::sleep(look.min(request.remaining())).await;
+        tokio::time::sleep(interval.min(request.remaining())).await;
         if request.remaining().is_zero() {
             return Some(Err(Unplaced::NoServer));
         }
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -240,12 +240,12 @@
             weight: state.weights.of(work.tenant),
         };
         let claims: Vec<Claim> = tenants.clone().map(claim).collect();
-        let told = claims
+        let reported = claims
             .iter()
             .fold(0, |sum: u32, claim| sum.saturating_add(claim.requests));
         let snapshot = ShareSnapshot {
             at: now,
-            shares: Shares::new(&claims, usage.online.saturating_sub(told), usage.slots),
+            shares: Shares::new(&claims, usage.online.saturating_sub(reported), usage.slots),
             requests: tenants.map(|work| (work.tenant, work.requests)).collect(),
         };
         state.snapshots.insert(service.to_owned(), snapshot);
--- a/crates/ingress/src/temperature_monitor.rs
+++ b/crates/ingress/src/temperature_monitor.rs
@@ -125,7 +125,7 @@
         return None;
     }
     match limit.rank(server) {
-        Some(place) => Some(CHECK_STEP * place),
+        Some(rank) => Some(CHECK_STEP * rank),
         None => node.loads.is_alive(&server.id).then_some(FALLBACK_DELAY),
     }
 }
--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -67,7 +67,7 @@
     /// Keep it at the node and check again later.
     Wait {
         /// Time until the next check.
-        look: Duration,
+        interval: Duration,
         /// Whether it counts as waiting for a slot.
         counted: bool,
     },
@@ -128,9 +128,9 @@
         false => (CHECK_INTERVAL, admission_request.give_up_age()),
     };
     // Jitter, so that requests do not all find the same free slot.
-    let look = mean.mul_f64(random.random_range(0.5..1.5));
+    let interval = mean.mul_f64(random.random_range(0.5..1.5));
     Admission::Wait {
-        look: look
+        interval: interval
             .min(most.saturating_sub(admission_request.age))
             .max(MIN_CHECK_INTERVAL),
         counted: !is_late && !admission_request.is_retry,
@@ -156,17 +156,17 @@
         // Enough slots for all arrivals until the information is updated.
         return 1.0;
     }
-    let (ends, look) = (capacity.completions_per_s(), CHECK_INTERVAL.as_secs_f64());
+    let (ends, interval) = (capacity.completions_per_s(), CHECK_INTERVAL.as_secs_f64());
     let wanted = f64::from(capacity.slots) + ends * SERVER_QUEUE.as_secs_f64();
     let missing = wanted - f64::from(capacity.online) - rise;
-    let budget = ends * look + missing * look / CORRECTION_PERIOD.as_secs_f64();
-    let returns = capacity.retries_per_s() * look;
-    let kept = returns.min(budget * RETRY_RESERVE);
-    let looking = f64::from(capacity.waiting) + arrivals * look;
+    let budget = ends * interval + missing * interval / CORRECTION_PERIOD.as_secs_f64();
+    let returns = capacity.retries_per_s() * interval;
+    let reserved = returns.min(budget * RETRY_RESERVE);
+    let competing = f64::from(capacity.waiting) + arrivals * interval;
     match (admission_request.is_retry, admission_request.has_waited) {
-        (false, _) => (budget - kept) / looking.max(1.0),
-        (true, false) => (budget * RETRY_RESERVE / returns.max(0.001)).max(budget - looking),
-        (true, true) => budget - looking,
+        (false, _) => (budget - reserved) / competing.max(1.0),
+        (true, false) => (budget * RETRY_RESERVE / returns.max(0.001)).max(budget - competing),
+        (true, true) => budget - competing,
     }
 }
 
--- a/crates/room/src/capacity.rs
+++ b/crates/room/src/capacity.rs
@@ -87,11 +87,11 @@
     /// information do not all choose the same one.
     pub fn retry_delay(&self, most: Duration, random: &mut impl Rng) -> Duration {
         let most = most.min(SPAN * SPANS as u32);
-        let kept = self.completions_per_s() * RETRY_RESERVE * SPAN.as_secs_f64();
+        let reserved = self.completions_per_s() * RETRY_RESERVE * SPAN.as_secs_f64();
         let spans = (most.as_secs_f64() / SPAN.as_secs_f64()) as usize;
         let open = (1..spans.min(SPANS)).find(|span| {
             let promised = self.returns.get(*span).copied().unwrap_or_default();
-            f64::from(promised) < kept * random.random::<f64>()
+            f64::from(promised) < reserved * random.random::<f64>()
         });
         match open {
             Some(span) => SPAN.mul_f64(span as f64 + random.random::<f64>()),
@@ -105,7 +105,7 @@
 pub struct MeanHoldTime(Option<Duration>);
 
 impl MeanHoldTime {
-    pub fn note(&mut self, held: Duration) {
+    pub fn record(&mut self, held: Duration) {
         self.0 = Some(match self.0 {
             Some(mean) => mean.mul_f64(1.0 - SMOOTHING) + held.mul_f64(SMOOTHING),
             None => held,
@@ -120,25 +120,25 @@
 /// Recent trend of a service's online requests.
 #[derive(Debug, Clone, Default)]
 pub struct LoadTrend {
-    seen: VecDeque<(Instant, u32)>,
+    samples: VecDeque<(Instant, u32)>,
 }
 
 impl LoadTrend {
     /// Records the current count and returns the recent change per second.
-    pub fn note(&mut self, online: u32, now: Instant) -> f64 {
+    pub fn record(&mut self, online: u32, now: Instant) -> f64 {
         let age = |at: Instant| now.saturating_duration_since(at);
         while self
-            .seen
+            .samples
             .front()
             .is_some_and(|(at, _)| age(*at) > TREND_WINDOW)
         {
-            self.seen.pop_front();
+            self.samples.pop_front();
         }
-        let rise = self.seen.front().map_or(0.0, |(at, before)| {
+        let rise = self.samples.front().map_or(0.0, |(at, before)| {
             let span = age(*at).max(MIN_TREND_WINDOW);
             (f64::from(online) - f64::from(*before)) / span.as_secs_f64()
         });
-        self.seen.push_back((now, online));
+        self.samples.push_back((now, online));
         rise
     }
 }
--- a/crates/room/src/demand.rs
+++ b/crates/room/src/demand.rs
@@ -51,9 +51,9 @@
         self.waiting == 0 && self.returns.is_empty() && self.tenants.is_empty()
     }
 
-    /// Adds another demand that was sent `spans_ago` whole intervals ago.
-    pub fn add(&mut self, other: &Demand, spans_ago: usize) {
-        self.add_pressure(other, spans_ago);
+    /// Adds another demand that was sent `intervals_ago` whole intervals ago.
+    pub fn add(&mut self, other: &Demand, intervals_ago: usize) {
+        self.add_pressure(other, intervals_ago);
         for work in &other.tenants {
             let place = self
                 .tenants
@@ -69,9 +69,9 @@
     }
 
     /// Same as `add`, without the tenants.
-    pub fn add_pressure(&mut self, other: &Demand, spans_ago: usize) {
+    pub fn add_pressure(&mut self, other: &Demand, intervals_ago: usize) {
         self.waiting = self.waiting.saturating_add(other.waiting);
-        let due = other.returns.iter().take(SPANS).skip(spans_ago);
+        let due = other.returns.iter().take(SPANS).skip(intervals_ago);
         for (span, requests) in due.enumerate() {
             if self.returns.len() <= span {
                 self.returns.push(0);
@@ -81,9 +81,9 @@
     }
 
     /// Subtracts a demand that was added before.
-    pub fn take_off(&mut self, other: &Demand, spans_ago: usize) {
+    pub fn take_off(&mut self, other: &Demand, intervals_ago: usize) {
         self.waiting = self.waiting.saturating_sub(other.waiting);
-        let due = other.returns.iter().take(SPANS).skip(spans_ago);
+        let due = other.returns.iter().take(SPANS).skip(intervals_ago);
         for (held, requests) in self.returns.iter_mut().zip(due) {
             *held = held.saturating_sub(*requests);
         }
--- a/crates/room/src/retry_detector.rs
+++ b/crates/room/src/retry_detector.rs
@@ -19,32 +19,34 @@
 /// Longest recent deadline of a route.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RetryDetector {
-    now: Duration,
-    before: Duration,
-    began: Option<Instant>,
+    current: Duration,
+    previous: Duration,
+    window_start: Option<Instant>,
 }
 
 impl RetryDetector {
     /// Records a request's deadline and returns whether the request is a retry.
-    pub fn note(&mut self, deadline: Duration, now: Instant) -> bool {
+    pub fn record(&mut self, deadline: Duration, now: Instant) -> bool {
         self.advance(now);
-        self.now = self.now.max(deadline);
-        let usual = self.now.max(self.before);
+        self.current = self.current.max(deadline);
+        let usual = self.current.max(self.previous);
         let spent = usual.saturating_sub(deadline);
         let bounds = MIN_SPENT..usual.mul_f64(MAX_SPENT);
         bounds.contains(&spent)
     }
 
     fn advance(&mut self, now: Instant) {
-        let age = self.began.map(|began| now.saturating_duration_since(began));
+        let age = self
+            .window_start
+            .map(|window_start| now.saturating_duration_since(window_start));
         if age.is_some_and(|age| age < SPAN) {
             return;
         }
-        self.before = match age {
-            Some(age) if age < 2 * SPAN => self.now,
+        self.previous = match age {
+            Some(age) if age < 2 * SPAN => self.current,
             _ => Duration::ZERO,
         };
-        self.now = Duration::ZERO;
-        self.began = Some(now);
+        self.current = Duration::ZERO;
+        self.window_start = Some(now);
     }
 }
--- a/crates/room/src/retry_schedule.rs
+++ b/crates/room/src/retry_schedule.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone)]
 pub struct ReturnSchedule {
     /// Start of the first interval.
-    begins: Instant,
+    start: Instant,
     spans: VecDeque<u32>,
 }
 
@@ -22,7 +22,7 @@
     /// Creates an empty schedule.
     pub fn new(now: Instant) -> Self {
         Self {
-            begins: now,
+            start: now,
             spans: VecDeque::new(),
         }
     }
@@ -30,7 +30,7 @@
     /// Records a retry due after some time; one beyond the schedule counts in its last interval.
     pub fn note(&mut self, after: Duration, now: Instant) {
         self.advance(now);
-        let due = now.saturating_duration_since(self.begins) + after;
+        let due = now.saturating_duration_since(self.start) + after;
         let span = (due.as_millis() / SPAN.as_millis()) as usize;
         let span = span.min(SPANS - 1);
         if self.spans.len() <= span {
@@ -47,10 +47,10 @@
 
     /// Drops past intervals.
     fn advance(&mut self, now: Instant) {
-        let age = now.saturating_duration_since(self.begins);
+        let age = now.saturating_duration_since(self.start);
         let over = (age.as_millis() / SPAN.as_millis()) as u32;
         let dropped = (over as usize).min(self.spans.len());
         self.spans.drain(..dropped);
-        self.begins += SPAN * over;
+        self.start += SPAN * over;
     }
 }
--- a/crates/room/tests/admission.rs
+++ b/crates/room/tests/admission.rs
@@ -178,9 +178,9 @@
 fn hold_times() {
     let mut hold_time = MeanHoldTime::default();
     expect_that!(hold_time.mean(), eq(ms(1_000)));
-    hold_time.note(ms(600));
+    hold_time.record(ms(600));
     expect_that!(hold_time.mean(), eq(ms(600)));
-    hold_time.note(ms(800));
+    hold_time.record(ms(800));
     expect_that!(hold_time.mean(), all![gt(ms(600)), lt(ms(700))]);
 }
 
@@ -188,23 +188,23 @@
 fn trends() {
     let mut trend = LoadTrend::default();
     let begin = Instant::now();
-    expect_that!(trend.note(10, begin), eq(0.0));
-    expect_that!(trend.note(20, begin + ms(100)), near(100.0, 0.1));
+    expect_that!(trend.record(10, begin), eq(0.0));
+    expect_that!(trend.record(20, begin + ms(100)), near(100.0, 0.1));
     // Old samples do not count.
-    expect_that!(trend.note(20, begin + ms(400)), eq(0.0));
+    expect_that!(trend.record(20, begin + ms(400)), eq(0.0));
 }
 
 #[gtest]
 fn shorter_deadlines() {
-    let mut usual = RetryDetector::default();
+    let mut detector = RetryDetector::default();
     let now = Instant::now();
-    expect_that!(usual.note(ms(5_000), now), eq(false));
-    expect_that!(usual.note(ms(4_990), now), eq(false));
-    expect_that!(usual.note(ms(4_800), now), eq(true));
+    expect_that!(detector.record(ms(5_000), now), eq(false));
+    expect_that!(detector.record(ms(4_990), now), eq(false));
+    expect_that!(detector.record(ms(4_800), now), eq(true));
     // A much shorter deadline is the client's choice.
-    expect_that!(usual.note(ms(1_000), now), eq(false));
+    expect_that!(detector.record(ms(1_000), now), eq(false));
     let later = now + Duration::from_secs(25);
-    expect_that!(usual.note(ms(1_000), later), eq(false));
+    expect_that!(detector.record(ms(1_000), later), eq(false));
 }
 
 #[gtest]
--- a/crates/room/tests/goodput.rs
+++ b/crates/room/tests/goodput.rs
@@ -82,7 +82,7 @@
         Policy::Capacity => admit(capacity, admission_request, random),
         Policy::Arrival => Admission::Serve,
         Policy::Newest if full && admission_request.age < latest => Admission::Wait {
-            look: Duration::from_millis(20),
+            interval: Duration::from_millis(20),
             counted: true,
         },
         Policy::Newest if full => Admission::Refuse {
@@ -130,7 +130,7 @@
         if ms % SPAN.as_millis() as u64 == 0 {
             now.returns.pop_front();
         }
-        while checks.peek().is_some_and(|look| look.0.0 <= ms) {
+        while checks.peek().is_some_and(|interval| interval.0.0 <= ms) {
             let Some(Reverse((_, mut call))) = checks.pop() else {
                 break;
             };
@@ -169,10 +169,10 @@
                     queue.push_back(call);
                     now.online += 1;
                 }
-                Admission::Wait { look, counted } => {
+                Admission::Wait { interval, counted } => {
                     (call.has_waited, call.counted) = (true, counted);
                     now.waiting += u32::from(counted);
-                    checks.push(Reverse((ms + look.as_millis() as u64, call)));
+                    checks.push(Reverse((ms + interval.as_millis() as u64, call)));
                 }
                 Admission::Refuse { retry_after } => {
                     outcome.slow +=
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -99,10 +99,7 @@
                 return Ok(head);
             }
             if self.fill(Stage::Head).await? == 0 {
-                return Err(ExchangeError::new(
-                    Stage::Head,
-                    "closed before the answer",
-                ));
+                return Err(ExchangeError::new(Stage::Head, "closed before the answer"));
             }
         }
     }
@@ -122,10 +119,7 @@
                 return Ok(None);
             }
             if self.fill(Stage::Body).await? == 0 && !self.body.end_of_connection() {
-                return Err(ExchangeError::new(
-                    Stage::Body,
-                    "closed inside the answer",
-                ));
+                return Err(ExchangeError::new(Stage::Body, "closed inside the answer"));
             }
         }
     }
--- a/crates/upstream/src/head.rs
+++ b/crates/upstream/src/head.rs
@@ -52,18 +52,20 @@
 /// Takes a response head off the front of `buffer`; `None` if it is incomplete.
 pub(crate) fn take_head(buffer: &mut BytesMut) -> Result<Option<AnswerHead>, &'static str> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut answer = httparse::Response::new(&mut slots);
-    let parsed = answer.parse(buffer).map_err(|_| "invalid response head")?;
+    let mut response = httparse::Response::new(&mut slots);
+    let parsed = response
+        .parse(buffer)
+        .map_err(|_| "invalid response head")?;
     let httparse::Status::Complete(length) = parsed else {
         if buffer.len() > MAX_HEAD_BYTES {
             return Err("response head too long");
         }
         return Ok(None);
     };
-    let status = answer.code.unwrap_or(0);
-    let http11 = answer.version == Some(1);
-    let mut headers = HeaderMap::with_capacity(answer.headers.len());
-    for header in answer.headers.iter() {
+    let status = response.code.unwrap_or(0);
+    let http11 = response.version == Some(1);
+    let mut headers = HeaderMap::with_capacity(response.headers.len());
+    for header in response.headers.iter() {
         let name =
             HeaderName::from_bytes(header.name.as_bytes()).map_err(|_| "invalid header name")?;
         let value = HeaderValue::from_bytes(header.value).map_err(|_| "invalid header value")?;
