--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -231,25 +231,29 @@
     ) -> Result<T, AttemptError> {
         tokio::pin!(waiting);
         let started = Instant::now();
-        let mut pause = patience.first_look();
-        let mut next_notice = patience.notice;
+        let mut check_interval = patience.first_check();
+        let mut next_suspect = patience.suspect_after;
         loop {
-            match tokio::time::timeout(pause, &mut waiting).await {
+            match tokio::time::timeout(check_interval, &mut waiting).await {
                 Ok(done) => return done,
                 Err(_) => {
                     let own = started.elapsed();
                     let unheard = self.node.loads.silence(&server.id).unwrap_or(own);
                     let silence = unheard.min(own);
-                    let slow =
-                        || patience.notice_at(self.node.loads.pace(&server.id), UNREACHABLE_AFTER);
-                    if silence >= next_notice && unheard >= slow() {
-                        next_notice += SUSPECT_DURATION / 2;
+                    let slow = || {
+                        patience.suspect_time(self.node.loads.pace(&server.id), UNREACHABLE_AFTER)
+                    };
+                    if silence >= next_suspect && unheard >= slow() {
+                        next_suspect += SUSPECT_DURATION / 2;
                         match silence >= UNREACHABLE_AFTER {
                             true => self.node.loads.suspect(&server.id, SUSPECT_DURATION),
                             false => self.node.loads.doubt(&server.id, SUSPECT_DURATION),
                         }
                     }
-                    if patience.leave.is_some_and(|leave| silence >= leave) {
+                    if patience
+                        .abandon_after
+                        .is_some_and(|abandon_after| silence >= abandon_after)
+                    {
                         return Err(AttemptError {
                             ran: Ran::Maybe,
                             reason: format!("silent for {} ms", silence.as_millis()),
@@ -257,7 +261,7 @@
                             broken_off: false,
                         });
                     }
-                    pause = SILENCE_CHECK_INTERVAL;
+                    check_interval = SILENCE_CHECK_INTERVAL;
                 }
             }
         }
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -197,15 +197,15 @@
     if !ways.has_regions() {
         return candidates;
     }
-    let is_near = |candidate: &Candidate| ways.is_near(&candidate.server.zone);
+    let is_near = |entry: &Candidate| ways.is_near(&entry.server.zone);
     let healthy = candidates
         .iter()
-        .filter(|candidate| is_near(candidate) && is_healthy(candidate));
+        .filter(|entry| is_near(entry) && is_healthy(entry));
     let shortest_wait = healthy.map(queue_weight).fold(f64::INFINITY, f64::min);
     // Paths within the region are ignored, since every queue here involves one.
-    let serves = |candidate: &Candidate| {
-        let way = ways.weigh_time(&candidate.server.zone, PATH_WEIGHTS);
-        has_free_slot(candidate) && (is_near(candidate) || way < shortest_wait)
+    let serves = |entry: &Candidate| {
+        let way = ways.weigh_time(&entry.server.zone, PATH_WEIGHTS);
+        has_free_slot(entry) && (is_near(entry) || way < shortest_wait)
     };
     match candidates.iter().any(serves) {
         true => candidates.into_iter().filter(serves).collect(),
@@ -213,8 +213,8 @@
     }
 }
 
-/// Returns the candidate of least weight, the first among equals. `home` is the ID of the affinity
-/// server.
+/// Returns the candidate of least weight, the first among equals. `affinity_server` is the ID of
+/// the server that caches the prompt, if any.
 pub fn choose<'a>(
     candidates: &'a [Candidate],
     ways: &Ways,
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -164,12 +164,12 @@
     fn patience(&self) -> Patience {
         let request = &self.request;
         let times = &self.upstreams.node().times;
-        let notice = match self.events {
+        let suspect_after = match self.events {
             0 => times.first_event_timeout(&request.service, request.shape.tokens),
             _ => times.pause_notice(&request.service),
         };
         Patience::leave_after(STREAM_TIMEOUT)
-            .notice_after(notice)
+            .notice_after(suspect_after)
             .leaving_if(request.route.may_repeat())
     }
 
--- a/crates/ingress/src/response_buffer.rs
+++ b/crates/ingress/src/response_buffer.rs
@@ -220,7 +220,7 @@
 }
 
 impl ReadAhead {
-    /// Starts to read the pieces of a request's response. Sets `stopped` at each stop.
+    /// Starts to read the pieces of a request's response. Sets `stalled` at each stop.
     pub fn start(
         node: Arc<Node>,
         request: String,
--- a/crates/ingress/src/silence_limits.rs
+++ b/crates/ingress/src/silence_limits.rs
@@ -8,23 +8,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
     /// The server becomes suspect, but the wait continues.
-    pub notice: Duration,
+    pub suspect_after: Duration,
     /// The attempt is abandoned; `None` for never.
-    pub leave: Option<Duration>,
+    pub abandon_after: Option<Duration>,
 }
 
 impl Patience {
     /// Abandons the attempt and marks the server as suspect at the same time.
     pub fn leave_after(silence: Duration) -> Self {
         Self {
-            notice: silence,
-            leave: Some(silence),
+            suspect_after: silence,
+            abandon_after: Some(silence),
         }
     }
 
     pub fn notice_after(self, silence: Duration) -> Self {
         Self {
-            notice: silence,
+            suspect_after: silence,
             ..self
         }
     }
@@ -32,7 +32,7 @@
     /// Keeps the attempt unless the request may run again.
     pub fn leaving_if(self, may_run_again: bool) -> Self {
         Self {
-            leave: self.leave.filter(|_| may_run_again),
+            abandon_after: self.abandon_after.filter(|_| may_run_again),
             ..self
         }
     }
@@ -40,14 +40,16 @@
     /// Time until a server of this pace becomes suspect: longer for a slow server, up to `most`.
     /// The time until the attempt is abandoned is unaffected, so repeatable requests leave slow
     /// servers as early as others.
-    pub fn notice_at(self, pace: Pace, most: Duration) -> Duration {
-        let stretched = self.notice.mul_f64(pace.times().max(1.0));
-        stretched.min(most).max(self.notice)
+    pub fn suspect_time(self, pace: Pace, most: Duration) -> Duration {
+        let stretched = self.suspect_after.mul_f64(pace.times().max(1.0));
+        stretched.min(most).max(self.suspect_after)
     }
 
     /// Time until the first check.
-    pub(crate) fn first_look(self) -> Duration {
-        self.leave
-            .map_or(self.notice, |leave| leave.min(self.notice))
+    pub(crate) fn first_check(self) -> Duration {
+        self.abandon_after
+            .map_or(self.suspect_after, |abandon_after| {
+                abandon_after.min(self.suspect_after)
+            })
     }
 }
--- a/crates/ingress/src/temperature_monitor.rs
+++ b/crates/ingress/src/temperature_monitor.rs
@@ -125,7 +125,7 @@
         return None;
     }
     match limit.rank(server) {
-        Some(rank) => Some(CHECK_STEP * rank),
+        Some(position) => Some(CHECK_STEP * position),
         None => node.loads.is_alive(&server.id).then_some(FALLBACK_DELAY),
     }
 }
--- a/crates/ingress/tests/silence_limits.rs
+++ b/crates/ingress/tests/silence_limits.rs
@@ -15,26 +15,26 @@
 #[gtest]
 fn slow_server() {
     let patience = Patience::leave_after(ms(200));
-    expect_that!(patience.notice_at(Pace::new(3.0), MOST), eq(ms(600)));
+    expect_that!(patience.suspect_time(Pace::new(3.0), MOST), eq(ms(600)));
     // The time until the attempt is abandoned does not depend on the pace.
-    expect_that!(patience.leave, some(eq(ms(200))));
+    expect_that!(patience.abandon_after, some(eq(ms(200))));
 }
 
 #[gtest]
 fn very_slow_server() {
     let patience = Patience::leave_after(ms(200));
-    expect_that!(patience.notice_at(Pace::new(8.0), MOST), eq(MOST));
+    expect_that!(patience.suspect_time(Pace::new(8.0), MOST), eq(MOST));
 }
 
 #[gtest]
 fn fast_server() {
     let patience = Patience::leave_after(ms(200));
-    expect_that!(patience.notice_at(Pace::new(0.5), MOST), eq(ms(200)));
+    expect_that!(patience.suspect_time(Pace::new(0.5), MOST), eq(ms(200)));
 }
 
 #[gtest]
 fn long_notice() {
     // The cap does not shorten a longer timeout.
     let patience = Patience::leave_after(ms(1_200));
-    expect_that!(patience.notice_at(Pace::new(3.0), MOST), eq(ms(1_200)));
+    expect_that!(patience.suspect_time(Pace::new(3.0), MOST), eq(ms(1_200)));
 }
--- a/crates/room/src/retry_detector.rs
+++ b/crates/room/src/retry_detector.rs
@@ -8,7 +8,7 @@
 use dappleyard_clock::Instant;
 
 /// Length of one window. The current and the previous window count.
-const SPAN: Duration = Duration::from_secs(10);
+const WINDOW: Duration = Duration::from_secs(10);
 /// Minimum difference from the usual deadline. Slightly less than the shortest retry delay, and
 /// more than the error of clock readings.
 const MIN_SPENT: Duration = Duration::from_millis(40);
@@ -39,11 +39,11 @@
         let age = self
             .window_start
             .map(|window_start| now.saturating_duration_since(window_start));
-        if age.is_some_and(|age| age < SPAN) {
+        if age.is_some_and(|age| age < WINDOW) {
             return;
         }
         self.previous = match age {
-            Some(age) if age < 2 * SPAN => self.current,
+            Some(age) if age < 2 * WINDOW => self.current,
             _ => Duration::ZERO,
         };
         self.current = Duration::ZERO;
