--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -60,7 +60,7 @@
 }
 
 /// Selects the server for the last run of a request, avoiding servers with the last run of another.
-/// Rendezvous hashing keeps different requests apart, since nodes decide at the same moment after a
+/// Rendezvous hashing separates different requests, since nodes decide at the same moment after a
 /// crash without knowing of each other's choice.
 pub fn apart(
     node: &Node,
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -38,7 +38,7 @@
     let relay = Relay::new(upstreams, request, started, stalled.clone());
     let ahead = ReadAhead::start(node, id, stalled, relay.into_pieces());
     async_stream::stream! {
-        let _under_way = in_flight;
+        let _in_flight = in_flight;
         loop {
             match ahead.next().await {
                 Ok(Some(piece)) => yield Ok(piece),
--- a/crates/ingress/src/response_buffer.rs
+++ b/crates/ingress/src/response_buffer.rs
@@ -130,7 +130,7 @@
 /// Buffer of one response, shared by its reader and the client's stream.
 struct ResponseBuffer {
     node: Arc<Node>,
-    bounds: KeptBounds,
+    limits: KeptBounds,
     chunks: RefCell<ChunkQueue>,
     /// Result of the response, set after its last piece is buffered.
     end: RefCell<Option<Result<(), Cut>>>,
@@ -165,7 +165,7 @@
 
     fn limit_reached(&self) -> Option<BufferLimit> {
         let all = self.node.kept_bytes.load(Ordering::Relaxed);
-        self.bounds
+        self.limits
             .limit_reached(self.chunks.borrow().allocated_bytes(), all as usize)
     }
 
@@ -173,9 +173,9 @@
     /// nothing for too long.
     async fn wait_for_space(&self) -> Result<(), BufferLimit> {
         let mut waiting_since = Instant::now();
-        while let Some(bound) = self.limit_reached() {
+        while let Some(limit) = self.limit_reached() {
             if waiting_since.elapsed() >= LONGEST_STOP {
-                return Err(bound);
+                return Err(limit);
             }
             self.stalled.set(true);
             // On a timeout too: other responses may have freed space.
@@ -228,7 +228,7 @@
         pieces: impl Stream<Item = Result<Bytes, Cut>> + 'static,
     ) -> Self {
         let buffer = Rc::new(ResponseBuffer {
-            bounds: KeptBounds::of(node.settings.resources),
+            limits: KeptBounds::of(node.settings.resources),
             node,
             chunks: RefCell::default(),
             end: RefCell::default(),
@@ -271,8 +271,8 @@
         end: None,
     };
     loop {
-        if let Err(bound) = buffer.wait_for_space().await {
-            log_unread(&buffer, &request, bound);
+        if let Err(limit) = buffer.wait_for_space().await {
+            log_unread(&buffer, &request, limit);
             return;
         }
         match pieces.next().await {
@@ -289,12 +289,12 @@
     }
 }
 
-fn log_unread(buffer: &ResponseBuffer, request: &str, bound: BufferLimit) {
+fn log_unread(buffer: &ResponseBuffer, request: &str, limit: BufferLimit) {
     let metrics = &buffer.node.metrics;
     Metrics::count(&metrics.failed);
     Metrics::count(&metrics.answers_unread);
     buffer.node.log.write("answer_unread", || {
-        serde_json::json!({"request": request, "bound": bound.to_string(),
+        serde_json::json!({"request": request, "bound": limit.to_string(),
             "kept_bytes": buffer.chunks.borrow().allocated_bytes(),
             "all_kept_bytes": buffer.node.kept_bytes.load(Ordering::Relaxed)})
     });
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -96,11 +96,11 @@
                 None => return Some(Err(Unplaced::NoServer)),
             },
         };
-        if !wait_state.before {
+        if !wait_state.has_waited {
             Metrics::count(&node.metrics.room_waits);
         }
         wait_state = WaitState {
-            before: true,
+            has_waited: true,
             counted,
         };
         waiting = match counted {
--- a/crates/ingress/src/temperature_monitor.rs
+++ b/crates/ingress/src/temperature_monitor.rs
@@ -39,7 +39,7 @@
 /// Monitors the temperatures of the servers this node uses. Returns at once if no limit for cold
 /// servers is configured.
 pub async fn watch_temperatures(upstreams: Upstreams) {
-    let seen = ObservedServers::default();
+    let observed_servers = ObservedServers::default();
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         let node = upstreams.node();
@@ -57,7 +57,7 @@
             };
             let limit = ColdGate::new(node, share);
             for server in &node.view.servers(&service.name).used {
-                match observe(&upstreams, &limit, &seen, service, server, now) {
+                match observe(&upstreams, &limit, &observed_servers, service, server, now) {
                     Temperature::Warm => {}
                     Temperature::Cold => cold += 1,
                     Temperature::InDoubt | Temperature::Unknown => unknown += 1,
@@ -68,20 +68,22 @@
         node.metrics
             .servers_unknown
             .store(unknown, Ordering::Relaxed);
-        seen.borrow_mut().retain(|_, observed| observed.seen == now);
+        observed_servers
+            .borrow_mut()
+            .retain(|_, observed| observed.seen == now);
     }
 }
 
 fn observe(
     upstreams: &Upstreams,
     limit: &ColdGate<'_>,
-    seen: &ObservedServers,
+    observed_servers: &ObservedServers,
     service: &Service,
     server: &Arc<ServerRecord>,
     now: Instant,
 ) -> Temperature {
     let (temperature, teller) = temperature(upstreams.node(), server);
-    let mut servers = seen.borrow_mut();
+    let mut servers = observed_servers.borrow_mut();
     let observed = servers.entry(server.id.clone()).or_insert(ObservedServer {
         temperature: Temperature::Warm,
         next_check: None,
--- a/crates/ingress/tests/pace_placement.rs
+++ b/crates/ingress/tests/pace_placement.rs
@@ -212,7 +212,7 @@
             ends_ms: Vec::new(),
         })
         .collect();
-    let all: Vec<Arc<ServerRecord>> = simulated.iter().map(|line| line.server.clone()).collect();
+    let all: Vec<Arc<ServerRecord>> = simulated.iter().map(|entry| entry.server.clone()).collect();
     let all: Vec<&Arc<ServerRecord>> = all.iter().collect();
     let (mut at_ms, mut late) = (0.0, 0);
     // 24 servers of 8 slots, a third of them slow, serve 249 requests per second.
@@ -262,7 +262,7 @@
         expect_that!(
             paces,
             lt(counts / 2.0),
-            "news of {information_age_ms} ms: {counts} by counts"
+            "information aged {information_age_ms} ms: {counts} by counts"
         );
     }
 }
--- a/crates/ingress/tests/response_buffer.rs
+++ b/crates/ingress/tests/response_buffer.rs
@@ -4,7 +4,7 @@
 use dappleyard_model::Resources;
 use googletest::prelude::*;
 
-fn bounds(memory_mb: u32) -> KeptBounds {
+fn limits(memory_mb: u32) -> KeptBounds {
     KeptBounds::of(Resources {
         core_millis: 90,
         link_mbps: 30,
@@ -14,17 +14,17 @@
 
 #[gtest]
 fn limits_follow_memory() {
-    let bounds = bounds(120);
-    expect_that!(bounds.node_bytes, eq(15 * 1024 * 1024));
-    expect_that!(bounds.answer_bytes, eq(240 * 1024));
+    let limits = limits(120);
+    expect_that!(limits.node_bytes, eq(15 * 1024 * 1024));
+    expect_that!(limits.answer_bytes, eq(240 * 1024));
 }
 
 #[gtest]
 fn limits_reached() {
-    let bounds = bounds(120);
-    let (answer, node) = (bounds.answer_bytes, bounds.node_bytes);
+    let limits = limits(120);
+    let (answer, node) = (limits.answer_bytes, limits.node_bytes);
     let limit_reached = [(1, 1), (answer, answer), (1, node), (answer, node)];
-    let limit_reached = limit_reached.map(|(own, all)| bounds.limit_reached(own, all));
+    let limit_reached = limit_reached.map(|(own, all)| limits.limit_reached(own, all));
     expect_that!(
         limit_reached,
         eq([
@@ -38,8 +38,8 @@
 
 #[gtest]
 fn empty_buffer_is_always_read() {
-    let bounds = bounds(120);
-    expect_that!(bounds.limit_reached(0, 2 * bounds.node_bytes), none());
+    let limits = limits(120);
+    expect_that!(limits.limit_reached(0, 2 * limits.node_bytes), none());
 }
 
 /// Bytes with a position-dependent pattern.
--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -100,46 +100,40 @@
 }
 
 /// Decides on a request at one check.
-pub fn admit(
-    capacity: &Capacity,
-    admission_request: &AdmissionRequest,
-    random: &mut impl Rng,
-) -> Admission {
-    let is_late = admission_request.age > admission_request.latest_start();
-    let is_over = admission_request.age >= admission_request.give_up_age();
+pub fn admit(capacity: &Capacity, request: &AdmissionRequest, random: &mut impl Rng) -> Admission {
+    let is_late = request.age > request.latest_start();
+    let is_over = request.age >= request.give_up_age();
     let served = match is_late || is_over {
-        true => spare_slots(capacity, admission_request) >= 1.0,
-        false => random.random::<f64>() < serve_probability(capacity, admission_request),
+        true => spare_slots(capacity, request) >= 1.0,
+        false => random.random::<f64>() < serve_probability(capacity, request),
     };
-    if served
-        || (!admission_request.refusable && admission_request.age >= admission_request.most_wait)
-    {
+    if served || (!request.refusable && request.age >= request.most_wait) {
         return Admission::Serve;
     }
-    let hopeless = !admission_request.has_waited
-        && random.random::<f64>() < refuse_probability(capacity, admission_request);
-    if admission_request.refusable && (is_over || hopeless) {
-        let most = admission_request.left.mul_f64(RETRY_FRACTION);
+    let hopeless =
+        !request.has_waited && random.random::<f64>() < refuse_probability(capacity, request);
+    if request.refusable && (is_over || hopeless) {
+        let most = request.left.mul_f64(RETRY_FRACTION);
         let retry_after = capacity.retry_delay(most, random);
         return Admission::Refuse { retry_after };
     }
     let (mean, most) = match is_late {
-        true => (LATE_CHECK_INTERVAL, admission_request.most_wait),
-        false => (CHECK_INTERVAL, admission_request.give_up_age()),
+        true => (LATE_CHECK_INTERVAL, request.most_wait),
+        false => (CHECK_INTERVAL, request.give_up_age()),
     };
     // Jitter, so that requests do not all find the same free slot.
     let interval = mean.mul_f64(random.random_range(0.5..1.5));
     Admission::Wait {
         interval: interval
-            .min(most.saturating_sub(admission_request.age))
+            .min(most.saturating_sub(request.age))
             .max(MIN_CHECK_INTERVAL),
-        counted: !is_late && !admission_request.is_retry,
+        counted: !is_late && !request.is_retry,
     }
 }
 
 /// Free slots minus the other waiting requests.
-fn spare_slots(capacity: &Capacity, admission_request: &AdmissionRequest) -> f64 {
-    let itself = u32::from(admission_request.counted);
+fn spare_slots(capacity: &Capacity, request: &AdmissionRequest) -> f64 {
+    let itself = u32::from(request.counted);
     let others = capacity.waiting.saturating_sub(itself);
     f64::from(capacity.slots) - f64::from(capacity.online) - f64::from(others)
 }
@@ -147,10 +141,10 @@
 /// Probability of serving a request at this check, chosen so that on average the free slots are
 /// filled. A retry may use the reserved part of the slots at its first check, and afterwards what
 /// other requests leave.
-fn serve_probability(capacity: &Capacity, admission_request: &AdmissionRequest) -> f64 {
+fn serve_probability(capacity: &Capacity, request: &AdmissionRequest) -> f64 {
     let arrivals = capacity.arrivals_per_s();
     let rise = capacity.trend_per_s.max(0.0) * INFORMATION_DELAY.as_secs_f64();
-    if spare_slots(capacity, admission_request) - rise
+    if spare_slots(capacity, request) - rise
         >= (arrivals * INFORMATION_DELAY.as_secs_f64()).max(1.0)
     {
         // Enough slots for all arrivals until the information is updated.
@@ -163,7 +157,7 @@
     let returns = capacity.retries_per_s() * interval;
     let reserved = returns.min(budget * RETRY_RESERVE);
     let competing = f64::from(capacity.waiting) + arrivals * interval;
-    match (admission_request.is_retry, admission_request.has_waited) {
+    match (request.is_retry, request.has_waited) {
         (false, _) => (budget - reserved) / competing.max(1.0),
         (true, false) => (budget * RETRY_RESERVE / returns.max(0.001)).max(budget - competing),
         (true, true) => budget - competing,
@@ -172,14 +166,8 @@
 
 /// Probability of refusing a request on arrival. It rises with the expected wait, so that nodes
 /// with the same information do not all start refusing at once.
-fn refuse_probability(capacity: &Capacity, admission_request: &AdmissionRequest) -> f64 {
-    let begins = admission_request
-        .target
-        .mul_f64(REFUSE_FRACTION)
-        .as_secs_f64();
-    let ends = admission_request
-        .latest_start()
-        .as_secs_f64()
-        .max(begins + 0.001);
+fn refuse_probability(capacity: &Capacity, request: &AdmissionRequest) -> f64 {
+    let begins = request.target.mul_f64(REFUSE_FRACTION).as_secs_f64();
+    let ends = request.latest_start().as_secs_f64().max(begins + 0.001);
     ((capacity.wait().as_secs_f64() - begins) / (ends - begins)).clamp(0.0, 1.0)
 }
