--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -186,7 +186,7 @@
             self.with_patience(server, attempt.patience, waiting).await
         };
         let (head, facts) = match head {
-            Ok(response) => response,
+            Ok(answer) => answer,
             Err(error) => {
                 self.pool.forget(server.address);
                 self.note_outcome(server, false);
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -220,7 +220,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct WaitState {
     /// It has checked for a slot before.
-    pub(crate) has_waited: bool,
+    pub(crate) checked_before: bool,
     /// It is included in the count of waiting requests.
     pub(crate) counted: bool,
 }
@@ -250,7 +250,7 @@
         is_retry: request.is_retry,
         failed: !request.tried.is_empty(),
         refusable: request.ran == Ran::No,
-        has_waited: wait_state.has_waited,
+        has_waited: wait_state.checked_before,
         counted: wait_state.counted,
     }
 }
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -96,11 +96,11 @@
                 None => return Some(Err(Unplaced::NoServer)),
             },
         };
-        if !wait_state.has_waited {
+        if !wait_state.checked_before {
             Metrics::count(&node.metrics.room_waits);
         }
         wait_state = WaitState {
-            has_waited: true,
+            checked_before: true,
             counted,
         };
         waiting = match counted {
