--- a/crates/ingress/src/response_times.rs
+++ b/crates/ingress/src/response_times.rs
@@ -72,13 +72,13 @@
         self.window_start = Some(now);
     }
 
-    /// Timeout derived from the 99th percentile, between `least` and 900 ms.
-    pub fn timeout(&self, min: Duration) -> Duration {
+    /// Timeout derived from the 99th percentile, between `floor` and 900 ms.
+    pub fn timeout(&self, floor: Duration) -> Duration {
         let Some(bucket) = self.quantile_bucket(QUANTILE) else {
             return MAX_TIMEOUT;
         };
         let ms = ((bucket + 1) as f64 / BUCKETS_PER_DOUBLING).exp2() * SAFETY_FACTOR;
-        Duration::from_secs_f64(ms / 1_000.0).clamp(min, MAX_TIMEOUT)
+        Duration::from_secs_f64(ms / 1_000.0).clamp(floor, MAX_TIMEOUT)
     }
 
     /// Median, or `None` with too few samples.
--- a/crates/ingress/tests/event_gaps.rs
+++ b/crates/ingress/tests/event_gaps.rs
@@ -12,8 +12,8 @@
 
 #[gtest]
 fn one_long_gap() {
-    let mut gaps = EventGaps::default();
-    let gaps = [30, 30, 2_000, 30, 30, 30, 30].map(|gap| gaps.record(ms(gap)));
+    let mut event_gaps = EventGaps::default();
+    let gaps = [30, 30, 2_000, 30, 30, 30, 30].map(|gap| event_gaps.record(ms(gap)));
     expect_that!(gaps[..6].iter().flatten().count(), eq(0));
     expect_that!(gaps[6], some(eq(ms(30))));
 }
