--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -25,8 +25,8 @@
             // not, so a new connection is safer.
             self.pool.forget(address);
         }
-        // A restarted server no longer knows its old connections, and a request sent on one of them
-        // would count as possibly run.
+        // A server that was unreachable may have lost its connections, and a request sent on one of
+        // them would count as possibly run.
         let back = self.node.loads.back(&server.id);
         if let Some(connection) = self.pool.take_used_since(address, back) {
             return Ok(connection);
--- a/crates/ingress/src/error_kind.rs
+++ b/crates/ingress/src/error_kind.rs
@@ -67,7 +67,7 @@
     /// The store's response was lost; the job may have been accepted.
     #[display("store_in_doubt")]
     StoreInDoubt,
-    /// The job exceeds the tenant's limit of queued tokens.
+    /// The job exceeds the limit of queued tokens.
     #[display("quota_exceeded")]
     QuotaExceeded,
     #[display("no_job")]
