--- a/crates/cluster/src/cold_loads.rs
+++ b/crates/cluster/src/cold_loads.rs
@@ -1,5 +1,5 @@
-//! Temperatures of servers in the table of loads: what this node learns, what it tells, and the way in for those
-//! that send.
+//! Warm-up states in the load table: local observations, what is shared with other nodes, and the
+//! queries of the senders.
 
 use std::time::Duration;
 
@@ -12,8 +12,7 @@
 use crate::server_loads::{HEARTBEAT_LIFE, ServerLoads};
 use crate::temperature::{Checked, Teller, Temperature};
 
-/// Time for which the temperature of a server without any news is kept: the zone of a server may be evacuated for
-/// that long.
+/// How long the warm-up state of a silent server is kept. It must outlast the evacuation of a zone.
 const FOLLOWED_LIFE: Duration = Duration::from_secs(600);
 
 fn millis(time: Duration) -> u32 {
@@ -21,8 +20,8 @@
 }
 
 impl LoadEntry {
-    /// Takes over what another entry says of the server's temperature, when that is newer; `age` is the time since
-    /// that entry came.
+    /// Merges the health answer of another entry if it is newer. `age` is the time since that entry
+    /// was received.
     pub(crate) fn take_newer_check(&mut self, entry: &LoadEntry, age: Duration) {
         if entry.asked_ms == 0 {
             return;
@@ -44,7 +43,8 @@
 }
 
 impl ServerLoads {
-    /// Age of this node's own newest question, plus one, and how long the server was cold then.
+    /// Age of the newest health check of this node in milliseconds plus one, and the remaining
+    /// warm-up time it reported; zeros when there is nothing to share.
     pub(crate) fn own_check_told(&self, now: Instant) -> (u32, u32) {
         let told = self.own_check.filter(|check| check.is_told(now));
         told.map_or((0, 0), |check| {
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Takes over what other nodes tell of the server's temperature.
+    /// Applies the warm-up state reported by other nodes.
     pub(crate) fn take_thermal_news(&mut self, now: Instant) {
         if !self.thermal.is_followed() {
             return;
@@ -76,13 +76,13 @@
         }
     }
 
-    /// The server's temperature; `None` where nobody asks for it.
+    /// The warm-up state; `None` if it is not tracked for this server.
     pub(crate) fn followed_temperature(&self, now: Instant) -> Option<Temperature> {
         let followed = self.thermal.is_followed();
         followed.then(|| self.thermal.temperature(now).0)
     }
 
-    /// Whether the server's temperature is to be kept though there is no work.
+    /// Whether the warm-up state must be kept while the server has no work.
     pub(crate) fn is_followed(&self, now: Instant) -> bool {
         let followed = self
             .heard
@@ -92,7 +92,8 @@
 }
 
 impl LoadTable {
-    /// The temperature of a server whose row is `server`, and what told of it.
+    /// The warm-up state of a server and where it was learned. `server` is its current
+    /// registration.
     pub fn temperature(&self, server: &ServerRecord) -> (Temperature, Teller) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
@@ -102,21 +103,20 @@
         loads.thermal.temperature(now)
     }
 
-    /// When a server was first seen, or found to be back after a time out of sight; connections that are older may be
-    /// dead.
+    /// When the server was first seen or last returned; older connections may be dead.
     pub fn back(&self, server: &str) -> Option<Instant> {
         let servers = self.servers.lock();
         servers.get(&server_number(server))?.thermal.back()
     }
 
-    /// Whether the server is known to have answered somebody since it went out of sight.
+    /// Whether any node received bytes from the server after it became unobserved.
     pub fn is_alive(&self, server: &str) -> bool {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
         loads.is_some_and(|loads| loads.thermal.is_alive(Instant::now()))
     }
 
-    /// Takes the server's own answer to a health question, for this node and the others.
+    /// Records a health answer that this node received, and shares it with the other nodes.
     pub fn note_checked(&self, server: &str, asked: Instant, cold: Duration) {
         let check = Checked { at: asked, cold };
         let now = Instant::now();
@@ -128,27 +128,28 @@
         self.change.notify_one();
     }
 
-    /// The server answered a health question without telling how cold it is.
+    /// Records a health answer without a warm-up state.
     pub fn note_reached(&self, server: &str) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
         loads.thermal.note_reached(Instant::now());
     }
 
-    /// Operators took the server back into use, as this node learnt at some time: nobody knows how cold it is.
+    /// Records that the operators restored the server's zone; its warm-up state is unknown from
+    /// `at` on.
     pub fn note_taken_back(&self, server: &str, at: Instant) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
         loads.thermal.note_taken_back(at, Instant::now());
     }
 
-    /// Whether this node's part of a cold server's requests has something left.
+    /// Whether this node has quota left for a cold server.
     pub fn has_cold_part(&self, server: &str, share: ColdShare) -> bool {
         self.cold
             .has_left(server_number(server), share.requests, Instant::now())
     }
 
-    /// Takes one request out of this node's part; `false` when nothing is left.
+    /// Takes one request from this node's quota; `false` if it is exhausted.
     pub fn take_cold_part(&self, server: &str, share: ColdShare) -> bool {
         self.cold
             .take(server_number(server), share.requests, Instant::now())
--- a/crates/cluster/src/cold_parts.rs
+++ b/crates/cluster/src/cold_parts.rs
@@ -1,9 +1,8 @@
-//! The requests that one node may send to cold servers, without a word from the others. Pure.
+//! Rate limit for cold servers without coordination between nodes. Pure: time is an argument.
 //!
-//! Some nodes stand for each server, chosen by a hash of both, and each of them may send a fixed number of requests
-//! in any second. Two views of who the nodes are choose at most twice as many nodes, so the parts of one view come
-//! to at most half of what the operators allow. Many small parts lose less than few large ones when a node is
-//! gone, and each node stands for some servers.
+//! Rendezvous hashing assigns a few nodes to each server, and each of them may send a fixed number
+//! of requests per second. Two membership views assign at most twice as many nodes, so the quotas
+//! of one view add up to at most half of the operators' limit.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
@@ -16,24 +15,23 @@
 
 use crate::loads::server_number;
 
-/// The second in which the operators count, and what a request may be late on its way: a request counts where
-/// it was sent and arrived in one second, so more than the time of one look is not needed.
+/// One second, in which the operators count requests, plus an allowance for network delay.
 const WINDOW: Duration = Duration::from_millis(1_050);
-/// Most nodes that stand for a server.
+/// Most nodes assigned to a server.
 const MOST_STANDING: u32 = 5;
 
-/// How the rate of a cold server is divided.
+/// How the request rate of a cold server is divided among nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdShare {
-    /// Nodes that stand for each server.
+    /// Nodes assigned to each server.
     pub nodes: u32,
-    /// Requests that each of them may send it in any second.
+    /// Requests per second that each assigned node may send.
     pub requests: u32,
 }
 
 impl ColdShare {
-    /// Divides a rate. What all nodes of one view send stays below what the server bears, and below half of what
-    /// the operators count as too much, so that two views without a common node stay below it.
+    /// Divides a rate. The sum over all assigned nodes stays below the rate, and below half of the
+    /// operators' limit, so that two disjoint membership views stay within it.
     pub fn new(per_s: f64, bounds: ColdBounds) -> Self {
         let allowed = per_s * bounds.over + bounds.slack;
         let total = per_s.min(allowed / 2.0).floor().max(1.0) as u32;
@@ -45,13 +43,13 @@
     }
 }
 
-/// Rank of a node for a server; the greatest stand for it.
+/// Rendezvous hash of a node for a server; the nodes with the highest values are assigned to it.
 fn rank(server: &str, node: &str) -> u64 {
     xxh3_64_with_seed(node.as_bytes(), u64::from(server_number(server)))
 }
 
-/// The place of a node among those that stand for a server, from 0 on; `None` when it is not among the first
-/// `nodes`.
+/// The rank of a node among the nodes assigned to a server, from 0; `None` if it is not among the
+/// first `nodes`.
 pub fn standing<'a>(
     server: &str,
     own: &str,
@@ -64,7 +62,7 @@
     (place < nodes).then_some(place)
 }
 
-/// The nodes that stand for a server, with what belongs to each.
+/// The nodes assigned to a server, with their values.
 pub(crate) fn first<'a, T>(
     server: &str,
     mut known: Vec<(&'a str, T)>,
@@ -75,16 +73,16 @@
     known
 }
 
-/// What this node has sent to cold servers within the last second.
+/// Requests that this node sent to cold servers within the last second.
 #[derive(Debug)]
 pub struct ColdParts {
-    /// A life that ended a moment ago may have used its part.
+    /// No quota before this time: the previous process of this node may have used it up.
     from: Instant,
     sent: Mutex<HashMap<u32, VecDeque<Instant>>>,
 }
 
 impl ColdParts {
-    /// The parts of a node whose life begins now: they count as used for one second.
+    /// The quotas of a node that starts now: they count as used for the first second.
     pub fn new(now: Instant) -> Self {
         Self {
             from: now + WINDOW,
@@ -92,13 +90,13 @@
         }
     }
 
-    /// Whether a part has something left.
+    /// Whether the node has quota left for a server.
     pub fn has_left(&self, server: u32, requests: u32, now: Instant) -> bool {
         let mut sent = self.sent.lock();
         now >= self.from && Self::recent(&mut sent, server, now) < requests
     }
 
-    /// Takes one request out of a part; `false` when nothing is left.
+    /// Takes one request from the quota; `false` if it is exhausted.
     pub fn take(&self, server: u32, requests: u32, now: Instant) -> bool {
         let mut sent = self.sent.lock();
         if now < self.from || Self::recent(&mut sent, server, now) >= requests {
--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -1,4 +1,4 @@
-//! Online demand for each service: this node's exactly, the other nodes' as they told it last.
+//! Online demand per service: exact for this node, last reported for the others.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,12 +11,11 @@
 
 use crate::server_loads::Source;
 
-/// Demand older than this tells nothing.
+/// Older reports are ignored.
 const NEWS_LIFE: Duration = Duration::from_millis(1_500);
-/// Tenants of one service told of in one message at most: those with little work are not short of room.
+/// Most tenants per service in one message; those with the least work are left out.
 const TENANTS_TOLD: usize = 32;
 
-/// Demand of this node for one service.
 struct OwnDemand {
     waiting: u32,
     returns: ReturnSchedule,
@@ -70,7 +69,7 @@
         told.filter(|demand| !demand.is_empty()).collect()
     }
 
-    /// What a source told, and how many spans ago; `None` when it tells nothing any more.
+    /// The report of a source and its age in spans; `None` if it has expired.
     fn told_by(&self, source: &Source, now: Instant) -> Option<(usize, &[Demand])> {
         let (at, demands) = self.others.get(source)?;
         let age = now.saturating_duration_since(*at);
@@ -78,7 +77,7 @@
         (age < NEWS_LIFE).then_some((spans, demands.as_slice()))
     }
 
-    /// Own demand and that of some sources, by service.
+    /// Sum of this node's demand and that of the counted sources, by service.
     fn sum(&mut self, counted: impl Fn(&Source) -> bool, now: Instant) -> HashMap<u32, Demand> {
         let own = self.own_told(now).into_iter();
         let mut sums: HashMap<u32, Demand> = own.map(|demand| (demand.service, demand)).collect();
@@ -95,7 +94,7 @@
     }
 }
 
-/// Sums as they are told.
+/// Limits the sums to what is sent in messages.
 fn as_told(sums: HashMap<u32, Demand>) -> Vec<Demand> {
     let mut sums: Vec<Demand> = sums.into_values().collect();
     sums.iter_mut()
@@ -104,11 +103,11 @@
     sums
 }
 
-/// Online demand for all services. The lock is taken alone.
+/// Online demand for all services. No other lock is held while its lock is taken.
 #[derive(Default)]
 pub struct DemandTable {
     state: Mutex<State>,
-    /// A request waits, here or at another node, that did not a moment ago.
+    /// Signalled when requests begin to wait at this node or another.
     pressure: Notify,
 }
 
@@ -131,7 +130,7 @@
         }
     }
 
-    /// Wakes who waits for pressure when requests of a source begin to wait.
+    /// Signals pressure when the requests of a source begin to wait.
     fn tell_pressure(&self, before: &[Demand], now: &[Demand]) {
         let waits = |demands: &[Demand]| demands.iter().any(|demand| demand.waiting > 0);
         if waits(now) && !waits(before) {
@@ -139,12 +138,12 @@
         }
     }
 
-    /// Waits until requests begin to wait for a slot of some service.
+    /// Waits until requests begin to wait for a slot of any service.
     pub async fn pressed(&self) {
         self.pressure.notified().await;
     }
 
-    /// Counts a request of a tenant as work at a service until the guard is dropped.
+    /// Counts a request of a tenant as in flight at a service until the guard is dropped.
     pub fn work(self: &Arc<Self>, service: &str, tenant: u32) -> Work {
         let service = service_number(service);
         let mut state = self.state.lock();
@@ -157,7 +156,7 @@
         }
     }
 
-    /// A refused request was told to come back after some time.
+    /// Records that a rejected request was told to retry after `after`.
     pub fn note_return(&self, service: &str, after: Duration) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -172,8 +171,8 @@
         self.add_all(service, Demand::add)
     }
 
-    /// Requests that wait for a slot of a service and those that are expected back, at all nodes; without whose they
-    /// are.
+    /// Waiting requests and expected retries for a service at all nodes, without the split by
+    /// tenant.
     pub fn pressure_on(&self, service: &str) -> Demand {
         self.add_all(service, Demand::add_pressure)
     }
@@ -194,7 +193,7 @@
         sum
     }
 
-    /// Demand of this node, as it is told.
+    /// Demand of this node, as sent in messages.
     pub(crate) fn own(&self) -> Vec<Demand> {
         self.state.lock().own_told(Instant::now())
     }
@@ -205,7 +204,8 @@
         as_told(state.sum(|source| matches!(source, Source::Node(_)), Instant::now()))
     }
 
-    /// Demand of all nodes but one, for each of some nodes. All are summed once, and each one's own is taken off.
+    /// For each of `nodes`, the demand of all other nodes. Sums all sources once and subtracts the
+    /// node's own demand.
     pub(crate) fn sums_without(&self, nodes: &[u64]) -> Vec<Vec<Demand>> {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -224,7 +224,7 @@
         nodes.iter().map(without).collect()
     }
 
-    /// What a source wants now, where a heartbeat has told that it wants the same servers as this node.
+    /// Updates the demand of a source from which a heartbeat was received before.
     pub(crate) fn change_source(&self, source: Source, demands: Vec<Demand>) {
         let news = (Instant::now(), demands);
         let mut state = self.state.lock();
@@ -234,7 +234,8 @@
         }
     }
 
-    /// Demand from one source. A sum over the fleet takes the place of everything else, and the other way round.
+    /// Replaces the demand of a source. A fleet-wide sum replaces all other sources, and any other
+    /// source replaces the fleet-wide sum.
     pub(crate) fn set_source(&self, source: Source, demands: Vec<Demand>) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -254,7 +255,7 @@
     }
 }
 
-/// A request that waits for a slot; dropping it ends the wait.
+/// Counts one waiting request; dropping it ends the wait.
 pub struct Waiting {
     table: Arc<DemandTable>,
     service: u32,
@@ -268,7 +269,7 @@
     }
 }
 
-/// A request of a tenant under way; dropping it ends the work.
+/// Counts one request of a tenant in flight; dropping it ends the count.
 pub struct Work {
     table: Arc<DemandTable>,
     service: u32,
--- a/crates/cluster/src/eligibility.rs
+++ b/crates/cluster/src/eligibility.rs
@@ -1,24 +1,23 @@
-//! Why a server gets no new work from this node. One answer for every way to a server: placement, repeats,
-//! resumed streams, items of jobs, and the last look before bytes are sent.
+//! Reasons why a server gets no new work. Placement, retries, resumed streams, batch items and the
+//! last check before sending use the same reasons.
 
 use derive_more::Display;
 
-/// Why a server gets no new work now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 pub enum Exclusion {
-    /// Service discovery no longer lists it.
+    /// Service discovery no longer lists the server.
     #[display("gone")]
     Gone,
-    /// It is about to leave.
+    /// The server is shutting down.
     #[display("draining")]
     Draining,
-    /// The operators have its zone evacuated.
+    /// The operators evacuated its zone.
     #[display("zone evacuated")]
     ZoneEvacuated,
-    /// It is cold, and this node has used its part of the requests that it bears.
+    /// The server is cold and this node's quota for it is exhausted.
     #[display("cold rate used")]
     ColdRateUsed,
-    /// It is not in a region in which the request may be served.
+    /// The server is outside the regions in which the request may be served.
     #[display("outside home regions")]
     OutsideHomes,
 }
--- a/crates/cluster/src/evacuated_work.rs
+++ b/crates/cluster/src/evacuated_work.rs
@@ -1,4 +1,4 @@
-//! Zones as a view knows them: which are evacuated, which servers they have, and what still runs there.
+//! Evacuated zones in a view: their servers and the work still in flight there.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,7 +14,7 @@
 use crate::view::View;
 
 impl View {
-    /// Whether a service has servers, and all that could serve are in evacuated zones.
+    /// Whether the service has servers and all that are not draining are in evacuated zones.
     pub fn is_evacuated(&self, service: &str) -> bool {
         let known = self.known.lock();
         let servers = known.servers.values().map(|(_, server)| server);
@@ -26,17 +26,17 @@
         open.peek().is_some() && open.all(|why| why == Some(Exclusion::ZoneEvacuated))
     }
 
-    /// The zones that are evacuated.
     pub fn evacuations(&self) -> Vec<Evacuation> {
         self.known.lock().evacuations.standing().collect()
     }
 
-    /// When this node learnt that an evacuated zone was taken back, as [`Evacuations::restored_at`] says.
+    /// When this node learned that an evacuated zone was restored; see
+    /// [`Evacuations::restored_at`].
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         self.known.lock().evacuations.restored_at(zone)
     }
 
-    /// Number of servers in each zone, draining ones included.
+    /// Number of servers in each zone, including draining ones.
     pub fn servers_by_zone(&self) -> BTreeMap<String, u32> {
         let known = self.known.lock();
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
@@ -46,7 +46,7 @@
         zones
     }
 
-    /// Numbers of the servers of a zone.
+    /// Hashes of the identifiers of a zone's servers.
     fn numbers_in(&self, zone: &str) -> Vec<u32> {
         let known = self.known.lock();
         let servers = known.servers.values();
@@ -56,7 +56,8 @@
             .collect()
     }
 
-    /// Changes what is known of evacuated zones. The sets of all services are built anew when anything changes.
+    /// Applies a change to the evacuation orders. Any change invalidates the server sets of all
+    /// services.
     pub(crate) fn change_zones(
         &self,
         change: impl FnOnce(&mut Evacuations) -> Vec<EvacuationChange>,
@@ -81,7 +82,7 @@
         self.changed.notify_waiters();
     }
 
-    /// What still runs in each evacuated zone, over all nodes, as this node's table of loads knows it.
+    /// Work in flight in each evacuated zone over all nodes, according to the local load table.
     pub(crate) fn evacuated_work(&self, loads: &LoadTable) -> Vec<ZoneWork> {
         let zones = self.evacuations().into_iter();
         zones
@@ -98,8 +99,8 @@
         }
     }
 
-    /// What still runs in a zone, over all nodes; `None` while this node has not been told. In a large fleet
-    /// only delegates hear of all servers, and tell the other nodes of the zones that are evacuated.
+    /// Work in flight in a zone over all nodes; `None` if it is not known. In a large fleet only
+    /// delegates receive the loads of all servers; they report evacuated zones to the other nodes.
     pub fn zone_work(&self, zone: &str, loads: &LoadTable, peers: &PeerTable) -> Option<ZoneWork> {
         match peers.is_large() && !peers.is_delegate() {
             true => loads.zones.told(zone),
@@ -108,12 +109,11 @@
     }
 }
 
-/// What a delegate told of the work in evacuated zones.
+/// Work in evacuated zones as reported by a delegate.
 #[derive(Default)]
 pub struct ToldZones(Mutex<HashMap<u64, (Instant, ZoneWork)>>);
 
 impl ToldZones {
-    /// Takes what a delegate told.
     pub(crate) fn note(&self, told: Vec<ZoneWork>) {
         let now = Instant::now();
         let mut held = self.0.lock();
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -1,24 +1,22 @@
-//! Zones that the operators have evacuated: as long as the order stands, their servers get no new work. Pure:
-//! time is passed in.
+//! Evacuation orders: servers of an evacuated zone get no new work. Pure: time is an argument.
 //!
-//! An order is a row of the operators' table, and its revision decides: an older row never overrides a newer one,
-//! also where the newer one is a withdrawal. Age ends no order: a node that hears nothing keeps what it knows.
+//! An order is a row of the operators' table. The higher revision wins, including when it is a
+//! withdrawal. Orders never expire: a node that loses contact with the store keeps the last known
+//! state.
 
 use std::collections::BTreeMap;
 
 use dappleyard_clock::Instant;
 use dappleyard_model::ZoneName;
 
-/// Zones whose withdrawn orders are remembered. A deployment has tens of zones; the bound keeps orders for names
-/// that are no zones from growing the table.
+/// Withdrawn orders that are remembered. Bounds the memory used by orders for nonexistent zones.
 const WITHDRAWN_KEPT: usize = 64;
 
-/// How a zone stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Standing {
-    /// The order stands; this node knows since then.
+    /// The order is active; this node learned of it at this time.
     Evacuated(Instant),
-    /// The order was withdrawn; this node knows since then.
+    /// The order was withdrawn; this node learned of it at this time.
     Restored(Instant),
 }
 
@@ -28,50 +26,50 @@
     standing: Standing,
 }
 
-/// An order that stands.
+/// An active order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evacuation {
     /// Zone.
     pub zone: ZoneName,
     /// Revision of the order.
     pub revision: u64,
-    /// Since when this node knows of it.
+    /// When this node learned of it.
     pub since: Instant,
 }
 
-/// What has changed for a zone.
+/// A change of a zone's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationChange {
     /// Zone.
     pub zone: ZoneName,
-    /// Revision that changed it; that of the read where a row was seen to be gone.
+    /// Revision of the change; the revision of the read if a row had disappeared.
     pub revision: u64,
-    /// The zone is evacuated now; otherwise it is restored.
+    /// Whether the zone is evacuated now; otherwise it was restored.
     pub evacuated: bool,
 }
 
-/// One row of the operators' table about a zone.
+/// A row of the operators' table for a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneRow {
     /// Zone.
     pub zone: ZoneName,
     /// Revision of the row.
     pub revision: u64,
-    /// The row is an order; otherwise it cannot be read, and what was known of the zone holds.
+    /// Whether the row could be parsed. An unreadable row leaves the state of the zone unchanged.
     pub readable: bool,
 }
 
-/// Which zones are evacuated.
+/// State of all zones with orders.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
     zones: BTreeMap<ZoneName, Held>,
-    /// Rows up to this revision are older than what is known of zones that are not held.
+    /// Rows up to this revision are stale for zones without an entry.
     forgotten: u64,
 }
 
 impl Evacuations {
-    /// Takes an order; the change, when it is one. An order that is given again while another one stands was
-    /// withdrawn in between: it counts from now on.
+    /// Applies an order and returns the change, if any. An order with a new revision replaces an
+    /// active one, since the old one was withdrawn in between.
     pub fn give(
         &mut self,
         zone: &ZoneName,
@@ -81,7 +79,7 @@
         self.set(zone, revision, Standing::Evacuated(now))
     }
 
-    /// Takes the withdrawal of an order; the change, when it is one.
+    /// Applies a withdrawal and returns the change, if any.
     pub fn withdraw(
         &mut self,
         zone: &ZoneName,
@@ -93,8 +91,8 @@
         change
     }
 
-    /// Takes all rows about zones as of a revision. An order that is not among them was withdrawn, unless it is
-    /// newer than the read.
+    /// Applies a full read of the table. Active orders missing from it were withdrawn, unless they
+    /// are newer than the read.
     pub fn replace(
         &mut self,
         rows: &[ZoneRow],
@@ -119,15 +117,14 @@
         changes
     }
 
-    /// Whether the servers of a zone get no new work.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let held = self.zones.get(zone);
         held.is_some_and(|held| matches!(held.standing, Standing::Evacuated(_)))
     }
 
-    /// When this node learnt that the zone was taken back; `None` where no order is remembered, and while one
-    /// stands. The servers of the zone may have turned cold shortly before: until they are heard of, nothing that
-    /// was known of their temperature holds.
+    /// When this node learned that the zone was restored; `None` without a known order or while one
+    /// is active. Warm-up states from before that time are invalid, since the servers may have
+    /// cooled down meanwhile.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         match self.zones.get(zone)?.standing {
             Standing::Restored(at) => Some(at),
@@ -135,7 +132,7 @@
         }
     }
 
-    /// The orders that stand.
+    /// The active orders.
     pub fn standing(&self) -> impl Iterator<Item = Evacuation> + '_ {
         self.zones
             .iter()
@@ -167,7 +164,8 @@
         })
     }
 
-    /// Forgets the oldest withdrawals above the bound; rows as old as these count as old from then on.
+    /// Drops the oldest withdrawals above the limit. Their revision becomes the lower bound for new
+    /// rows, so that a stale row cannot restore an order.
     fn forget(&mut self) {
         let withdrawn = |held: &Held| matches!(held.standing, Standing::Restored(_));
         let mut revisions: Vec<u64> = self
--- a/crates/cluster/src/health.rs
+++ b/crates/cluster/src/health.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers this node's own calls.
+//! Availability of the store as seen by this node's own calls.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use dappleyard_model::StoreError;
 use parking_lot::Mutex;
 
-/// Time without any answer, from the first failed call on, after which the store counts as lost.
+/// Time without an answer, from the first failed call on, after which the store counts as
+/// unavailable.
 const LOST_AFTER: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default, Clone, Copy)]
@@ -15,14 +16,14 @@
     failing_since: Option<Instant>,
 }
 
-/// Outcomes of this node's own calls to the store, shared by all threads.
+/// Outcomes of this node's calls to the store, shared by all threads.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     state: Mutex<State>,
 }
 
 impl StoreHealth {
-    /// Notes how a call ended. A refused condition is an answer too.
+    /// Records the outcome of a call. A failed condition counts as an answer.
     pub fn note<T>(&self, outcome: &Result<T, StoreError>) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Time since the store last answered; `None` when it never has.
+    /// Time since the last answer; `None` before the first one.
     pub fn age(&self) -> Option<Duration> {
         self.state.lock().answered.map(|at| at.elapsed())
     }
 
-    /// Whether the store has refused or left unanswered all calls for a while.
+    /// Whether all calls have failed for longer than the limit.
     pub fn is_lost(&self) -> bool {
         let state = self.state.lock();
         state
--- a/crates/cluster/src/load_sources.rs
+++ b/crates/cluster/src/load_sources.rs
@@ -1,4 +1,4 @@
-//! What a node tells of its work at servers, and what it takes over of the work of others.
+//! Load reports: those sent by this node and those received from others.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 use crate::server_loads::{Source, tells_something};
 
 impl LoadTable {
-    /// This node's work, for its heartbeat.
+    /// This node's loads, for its heartbeat.
     pub(crate) fn own_entries(&self) -> Vec<LoadEntry> {
         let now = Instant::now();
         let servers = self.servers.lock();
@@ -19,7 +19,7 @@
         entries.filter(tells_something).collect()
     }
 
-    /// This node's work at the servers where it has changed since this was last asked.
+    /// Loads of this node that changed since the last call.
     pub(crate) fn take_changes(&self) -> Vec<LoadEntry> {
         let now = Instant::now();
         let mut servers = self.servers.lock();
@@ -28,7 +28,7 @@
             .map(|(number, loads)| {
                 loads.untold = false;
                 LoadEntry {
-                    // Heartbeats tell this; here it would only cost bytes.
+                    // Heartbeats carry this; omitted here to save bytes.
                     heard_ms: 0,
                     ..loads.own(*number, now)
                 }
@@ -36,7 +36,7 @@
             .collect()
     }
 
-    /// Takes over what another node tells of the servers where its work has changed.
+    /// Merges a report of changed loads from another node.
     pub(crate) fn change_source(&self, source: Source, entries: Vec<LoadEntry>) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The work of others, from one source. A sum over the fleet takes the place of everything
-    /// else, and the other way round.
+    /// Replaces the loads of a source. A fleet-wide sum replaces all other sources, and any other
+    /// source replaces the fleet-wide sum.
     pub(crate) fn set_source(&self, source: Source, entries: Vec<LoadEntry>) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The work of others at some servers only; what the source told of the rest stays.
+    /// Merges the loads of a source at some servers; its loads at other servers stay.
     pub(crate) fn merge_source(&self, source: Source, entries: Vec<LoadEntry>) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The work of this node's zone at each server with any.
+    /// Sums of the loads of this node's zone, per server.
     pub(crate) fn zone_sums(&self) -> Vec<LoadEntry> {
         let now = Instant::now();
         let servers = self.servers.lock();
@@ -99,9 +99,9 @@
         sums.filter(tells_something).collect()
     }
 
-    /// The work of all nodes but one, at the servers that this one uses, for each of some nodes;
-    /// no servers stand for all. Each server is summed once, and once more for the nodes that have
-    /// work there: few of many have.
+    /// For each of `nodes`, the loads of all other nodes at the servers it uses; an empty list
+    /// stands for all servers. Totals are computed once and recomputed only for nodes with loads at
+    /// a server.
     pub(crate) fn sums_without(&self, nodes: &[(u64, &[u32])]) -> Vec<Vec<LoadEntry>> {
         let now = Instant::now();
         let servers = self.servers.lock();
--- a/crates/cluster/src/loads.rs
+++ b/crates/cluster/src/loads.rs
@@ -1,5 +1,4 @@
-//! Work under way at each server: this node's exactly, the other nodes' as of their last
-//! heartbeat.
+//! In-flight work per server: exact for this node, last reported for the others.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -17,54 +16,53 @@
 use crate::waiting::WaitingItems;
 use dappleyard_clock::Instant;
 
-/// Mixes the order in which nodes pause items, another one for each server.
+/// Multiplicative hash factor that orders the nodes differently for each server.
 const ORDER_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
-/// Time after which a server without news is forgotten.
+/// Time after which a server without work or reports is dropped.
 const QUIET_LIFE: Duration = Duration::from_secs(15);
-/// Share of a new time to first event in the running mean.
+/// Weight of a new sample in the moving average of the time to first event.
 const MEAN_SHARE: f64 = 0.25;
 
-/// Which work is under way.
+/// Kind of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkKind {
-    /// A caller waits.
+    /// A request whose caller is waiting.
     Online,
-    /// An item of a job.
+    /// An item of a batch job.
     Batch,
 }
 
-/// Work under way at all servers.
+/// In-flight work at all servers.
 #[derive(Default)]
 pub struct LoadTable {
-    /// Items that wait for a server.
+    /// Batch items waiting for a server.
     pub waiting: WaitingItems,
-    /// Online demand of all nodes.
     pub demand: Arc<DemandTable>,
-    /// Work in evacuated zones, as a delegate told it.
+    /// Work in evacuated zones as reported by a delegate.
     pub zones: ToldZones,
-    /// What this node sent to cold servers.
+    /// Quotas for cold servers.
     pub(crate) cold: ColdParts,
     pub(crate) servers: Mutex<HashMap<u32, ServerLoads>>,
-    /// Servers of zones that are doubted. Never locked together with `servers`.
+    /// Servers of suspected zones. Never locked together with `servers`.
     held_back: Mutex<HashSet<u32>>,
     pressure: Notify,
-    /// A server was found silent, here or at another node.
+    /// Signalled when this node or another finds a server silent.
     silent: Notify,
     pub(crate) change: Notify,
 }
 
-/// Number that stands for a node in load tables.
+/// Hash of a node name, as used in load tables.
 pub fn node_number(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Number that stands for a server in messages.
+/// Hash of a server identifier, as used in messages.
 pub(crate) fn server_number(id: &str) -> u32 {
     xxh3_64(id.as_bytes()) as u32
 }
 
 impl LoadTable {
-    /// Notes the beginning of work; it ends when the answer is dropped.
+    /// Counts work in flight until the returned guard is dropped.
     pub fn begin(
         self: &Arc<Self>,
         server: &ServerRecord,
@@ -93,19 +91,19 @@
         }
     }
 
-    /// Waits until online work presses on a server where this node runs batch items.
+    /// Waits until online work exceeds the slots of a server where this node runs batch items.
     pub async fn pressed(&self) {
         self.pressure.notified().await;
     }
 
-    /// Waits until this node's work at any server has changed.
+    /// Waits until the loads of this node change.
     pub async fn changed(&self) {
         self.change.notified().await;
     }
 
-    /// Items that this node pauses at a server so that no online request waits behind batch
-    /// work. `keep` is the work, online and batch, that may stay there: the slots of the server, or fewer where
-    /// items leave for requests that wait. All nodes see the same loads and come to shares that add up.
+    /// Number of batch items this node must pause at a server so that no online request waits
+    /// behind batch work. `keep` is the number of requests and items that may stay. All nodes
+    /// compute from the same loads, so their shares add up.
     pub fn pause_share(&self, server: &str, keep: u32, own: u64) -> u32 {
         let now = Instant::now();
         let number = server_number(server);
@@ -136,12 +134,12 @@
         over.saturating_sub(before).min(loads.batch)
     }
 
-    /// Waits until a server is found silent, here or at another node.
+    /// Waits until this node or another finds a server silent.
     pub async fn found_silent(&self) {
         self.silent.notified().await;
     }
 
-    /// Acts on what others told of a server.
+    /// Applies the reports of other nodes on a server.
     pub(crate) fn note_news(&self, loads: &mut ServerLoads, now: Instant) {
         loads.take_thermal_news(now);
         if loads
@@ -152,7 +150,7 @@
             self.silent.notify_one();
         }
         if loads.peers.values().any(|(_, entry)| entry.failed > 0) {
-            // The nodes at which requests failed write the record.
+            // The nodes where the requests failed write the log record.
             loads.judge(now);
         }
         self.tell_pressure(loads);
@@ -168,7 +166,7 @@
         }
     }
 
-    /// Online requests and items at some servers together.
+    /// Total online requests and batch items at some servers.
     pub(crate) fn work_at(&self, numbers: &[u32]) -> (u32, u32) {
         let now = Instant::now();
         let servers = self.servers.lock();
@@ -180,7 +178,6 @@
             })
     }
 
-    /// Load of a server.
     pub fn summary(&self, server: &str) -> LoadSummary {
         let number = server_number(server);
         let held_back = self.held_back.lock().contains(&number);
@@ -192,7 +189,7 @@
         summary
     }
 
-    /// Servers that are tried with care from now on, and no others, since hardly any of their zone answers.
+    /// Replaces the set of restricted servers: those of suspected zones, which get few requests.
     pub fn hold_back(&self, servers: Vec<&str>) {
         let numbers: HashSet<u32> = servers.into_iter().map(server_number).collect();
         let (released, added): (Vec<u32>, Vec<u32>) = {
@@ -205,33 +202,33 @@
         let now = Instant::now();
         let mut servers = self.servers.lock();
         for number in added {
-            // It may turn cold while its zone is silent, and come back before it was found silent itself.
+            // It may cool down and return before it is found silent itself.
             let loads = servers.entry(number).or_default();
             loads.thermal.note_silent(now);
         }
-        // Connections from before stay doubtful until the server is heard.
+        // Existing connections are not trusted until the server responds.
         for number in released {
             let loads = servers.entry(number).or_default();
             loads.doubt_until.get_or_insert(now);
         }
     }
 
-    /// Whether any server was found silent a moment ago.
+    /// Whether any server is currently considered silent.
     pub fn is_any_suspect(&self) -> bool {
         let now = Instant::now();
         let servers = self.servers.lock();
         servers.values().any(|loads| loads.is_found_silent(now))
     }
 
-    /// Whether the server was found silent a moment ago, here or at another node.
+    /// Whether this node or another currently considers the server silent.
     pub fn is_found_silent(&self, server: &str) -> bool {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
         loads.is_some_and(|loads| loads.is_found_silent(Instant::now()))
     }
 
-    /// Whether connections to the server that rest are worth nothing: it was found silent, itself or with its
-    /// zone, and has not been heard here since.
+    /// Whether idle connections to the server must not be trusted: it was found silent, alone or
+    /// with its zone, and this node has received nothing from it since.
     pub fn is_doubted(&self, server: &str) -> bool {
         let number = server_number(server);
         let held_back = self.held_back.lock().contains(&number);
@@ -240,7 +237,7 @@
         held_back || loads.is_some_and(|loads| loads.is_doubted(Instant::now()))
     }
 
-    /// The server is to be avoided for a time.
+    /// Marks the server as silent for `time`.
     pub fn suspect(&self, server: &str, time: Duration) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
@@ -252,7 +249,8 @@
         self.silent.notify_one();
     }
 
-    /// The server has said nothing for longer than its answers take: it is avoided for a time, or until it is heard.
+    /// Marks the server as overdue: it has sent nothing for longer than its responses take. It is
+    /// avoided for `time` or until it sends something.
     pub fn doubt(&self, server: &str, time: Duration) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
@@ -262,8 +260,7 @@
         self.silent.notify_one();
     }
 
-    /// Notes that a request at the server was served, or failed there; whether the server is newly
-    /// kept without work for its failures.
+    /// Records the outcome of a request. Returns whether the server is newly ejected.
     pub fn note_outcome(&self, server: &str, served: bool) -> bool {
         let now = Instant::now();
         let mut servers = self.servers.lock();
@@ -276,7 +273,7 @@
         loads.judge(now)
     }
 
-    /// Bytes came from the server.
+    /// Records that bytes were received from the server.
     pub fn heard(&self, server: &str) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
@@ -287,7 +284,7 @@
         loads.doubt_until = None;
     }
 
-    /// Time since any byte came from the server to any node.
+    /// Time since any node received bytes from the server.
     pub fn silence(&self, server: &str) -> Option<Duration> {
         let now = Instant::now();
         let servers = self.servers.lock();
@@ -302,7 +299,7 @@
             .min()
     }
 
-    /// Notes how much longer than expected the first event took.
+    /// Adds a sample of the delay of the first event beyond the expected time.
     pub fn note_excess(&self, server: &str, excess_ms: f64) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
@@ -312,7 +309,7 @@
         loads.excess_at = Some(now);
     }
 
-    /// Forgets servers without work of this node and without news for long.
+    /// Drops servers without work of this node and without recent reports.
     pub fn sweep(&self) {
         let now = Instant::now();
         self.servers.lock().retain(|_, loads| {
@@ -328,7 +325,7 @@
     }
 }
 
-/// Work under way at one server; dropping it ends the work.
+/// Guard of work in flight at a server; dropping it ends the count.
 pub struct InFlight {
     table: Arc<LoadTable>,
     server: u32,
@@ -337,7 +334,7 @@
 }
 
 impl InFlight {
-    /// The server has read the prompt.
+    /// The server has processed the prompt.
     pub fn prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.unread_tokens);
         if tokens == 0 {
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -1,4 +1,4 @@
-//! Rows of the operators: the configuration, and the zones that are evacuated.
+//! Applies the operators' table: the configuration and the evacuation orders.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -11,14 +11,12 @@
 use crate::follow::{Contact, TableSink};
 use crate::view::View;
 
-/// Why a row is passed over whose key the formats do not name.
+/// Log cause for a row with an unknown key.
 const NO_ORDER: &str = "no order has such a key";
 
-/// Feeds the operators' rows into a view.
+/// Applies rows of the operators' table to a view.
 pub struct ConfigurationSink {
-    /// The view.
     pub view: Arc<View>,
-    /// Formats.
     pub dialect: Arc<dyn Dialect>,
 }
 
@@ -40,7 +38,7 @@
         }
     }
 
-    /// Whether the value of an order can be read; a record names the row where it cannot.
+    /// Whether the value of an order can be parsed; logs the row otherwise.
     fn is_readable(&self, row: &Row) -> bool {
         let value = row.value.as_deref().unwrap_or_default();
         match self.dialect.evacuation(value) {
@@ -82,7 +80,8 @@
         false
     }
 
-    /// An order that is written again with the same value was withdrawn in between.
+    /// Includes the revision of evacuation orders: rewriting one with the same value means that it
+    /// was withdrawn in between.
     fn essence(&self, row: &Row) -> u64 {
         let mut hasher = Xxh3Default::new();
         row.value.hash(&mut hasher);
@@ -109,7 +108,7 @@
                 None => self.refuse(row, NO_ORDER),
             }
         }
-        // A node is ready once it has a configuration: by then it must know the zones.
+        // Zones first: applying the configuration makes the node ready.
         let now = Instant::now();
         self.view
             .change_zones(|held| held.replace(&zones, revision, now));
--- a/crates/cluster/src/outcomes.rs
+++ b/crates/cluster/src/outcomes.rs
@@ -1,34 +1,34 @@
-//! Servers that answer, and answer with failures. Pure: time is an argument.
+//! Ejection of failing servers. Pure: time is an argument.
 //!
-//! A server that fails everything at once has the least work of all, so placement by load alone sends it ever
-//! more. All nodes count how their requests end at each server and tell the counts with the loads; a server at
-//! which at least half of them fail gets no work for a time, which doubles until it serves again. The figures below
-//! are chosen, not derived.
+//! A server that fails every request at once has the lowest load and would attract ever more work.
+//! All nodes count outcomes per server and share the counts with their loads. A server at which at
+//! least half of the requests fail is ejected for a time that doubles until it succeeds again.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Outcomes count for one to two spans of this length.
+/// Length of a counting window. Outcomes count for one to two windows.
 const SPAN: Duration = Duration::from_millis(1_000);
-/// Failures over all nodes below which a server is not judged.
+/// Failures over all nodes below which a server is not ejected.
 const LEAST_FAILED: u32 = 3;
-/// First time without work: longer than outcomes count, so that the same failures are not judged twice.
+/// First ejection time. Longer than two counting windows, so that the same failures do not eject a
+/// server twice.
 const FIRST_TIME: Duration = Duration::from_millis(2_500);
-/// Longest time without work. Afterwards some requests try the server again.
+/// Longest ejection time; some requests try the server again afterwards.
 const LONGEST_TIME: Duration = Duration::from_secs(10);
 
-/// How requests ended lately.
+/// Counts of recent outcomes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct OutcomeCounts {
-    /// The server answered with an error of its own, or broke off before the head of its answer.
+    /// Responses with a server error, or connections closed before the response head.
     pub failed: u32,
-    /// The server answered with success.
+    /// Successful responses.
     pub served: u32,
 }
 
 impl OutcomeCounts {
-    /// Both together.
+    /// Sum of two counts.
     pub(crate) fn plus(self, other: Self) -> Self {
         Self {
             failed: self.failed + other.failed,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Outcomes of one node at one server, of the last one to two spans.
+/// Outcomes of one node at one server in the current and the previous window.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcomes {
     now: OutcomeCounts,
@@ -50,7 +50,7 @@
 }
 
 impl Outcomes {
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     pub fn note(&mut self, served: bool, now: Instant) {
         self.turn(now);
         match served {
@@ -72,23 +72,23 @@
         self.began = Some(now);
     }
 
-    /// What counts now.
+    /// Counts of both windows.
     pub fn counts(mut self, now: Instant) -> OutcomeCounts {
         self.turn(now);
         self.now.plus(self.before)
     }
 }
 
-/// Whether a server is kept without work for its failures.
+/// Ejection state of a server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Ejection {
-    /// Times in a row that it was.
+    /// Consecutive ejections.
     strikes: u32,
     until: Option<Instant>,
 }
 
 impl Ejection {
-    /// Takes the outcomes over all nodes; whether the server is newly kept without work.
+    /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
     pub fn judge(&mut self, counts: OutcomeCounts, now: Instant) -> bool {
         if self.is_out(now) {
             return false;
@@ -105,7 +105,7 @@
         false
     }
 
-    /// Whether the server gets no work now.
+    /// Whether the server is ejected now.
     pub fn is_out(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| until > now)
     }
--- a/crates/cluster/src/pace.rs
+++ b/crates/cluster/src/pace.rs
@@ -1,16 +1,15 @@
-//! When a node tells the others that its work at servers has changed. Pure.
+//! Rate limit for load change messages. Pure: time is an argument.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Shortest time between two heartbeats that tell of changed work. In a wave of arrivals a server
-/// fills within some tens of milliseconds; loads told less often would send many requests to the
-/// same free slot.
+/// Shortest interval between two load change messages. A burst of arrivals fills a server within
+/// tens of milliseconds; with a longer interval many nodes would pick the same free slot.
 const SHORTEST_GAP: Duration = Duration::from_millis(8);
 
-/// Paces the news of changed work: at once after a rest, and not more often than a set gap. A change
-/// stays pending until it is told, whatever else happens in between.
+/// Rate-limits messages about changed loads. The first change after an idle period is sent at once;
+/// a change stays pending until it is sent.
 #[derive(Debug, Clone, Copy)]
 pub struct ChangePace {
     told_at: Instant,
@@ -18,7 +17,7 @@
 }
 
 impl ChangePace {
-    /// Nothing has changed yet; `now` counts as the time of the last news.
+    /// No change is pending; `now` counts as the time of the last message.
     pub fn new(now: Instant) -> Self {
         Self {
             told_at: now,
@@ -26,23 +25,23 @@
         }
     }
 
-    /// The work has changed.
+    /// Marks a change as pending.
     pub fn note_change(&mut self) {
         self.pending = true;
     }
 
-    /// The others were told.
+    /// Records that the change was sent.
     pub fn note_told(&mut self, now: Instant) {
         self.told_at = now;
         self.pending = false;
     }
 
-    /// Whether a change waits to be told.
+    /// Whether a change is pending.
     pub fn is_pending(&self) -> bool {
         self.pending
     }
 
-    /// The earliest moment for the next news.
+    /// Earliest time for the next message.
     pub fn next(&self) -> Instant {
         self.told_at + SHORTEST_GAP
     }
