--- a/crates/cluster/src/server_digest.rs
+++ b/crates/cluster/src/server_digest.rs
@@ -1,8 +1,8 @@
-//! What matters of a server's entry, as nodes keep it and tell it to each other.
+//! Compact form of a server registration, in which nodes keep it and send it to each other.
 //!
-//! The platform's entries are texts of about 250 bytes, most of which no node goes by. A large fleet hands the whole table
-//! to hundreds of nodes whenever it starts: 10,000 servers whose names of service and zone have 32 bytes together are 0.88 MB as
-//! digests, names included, instead of 3 MB.
+//! The platform's entries are JSON of about 250 bytes with fields that nodes do not use. A digest
+//! is about a third as large, which matters when a large fleet starts and hundreds of nodes read
+//! the whole table.
 
 use std::net::SocketAddr;
 
@@ -10,13 +10,13 @@
 use dappleyard_model::{Row, ServerRecord};
 use prost::Message;
 
-/// What a digest begins with. No entry of a server does, since it is a text.
+/// Prefix of a digest. A server's own entry is text and never starts with it.
 const MARK: &[u8] = b"\0srv1";
 
-/// What matters of an entry.
+/// The fields of an entry that nodes use.
 #[derive(Clone, PartialEq, Eq, Message)]
 struct ServerDigest {
-    /// Moment of the start, milliseconds since 1970, where the server tells it.
+    /// Start time in milliseconds since the Unix epoch, if the server reports it.
     #[prost(uint64, optional, tag = "1")]
     born_ms: Option<u64>,
     #[prost(string, tag = "2")]
@@ -31,20 +31,19 @@
     draining: bool,
     #[prost(uint64, tag = "7")]
     cold_left_ms: u64,
-    /// Why the entry names no server; the other fields are empty then.
+    /// Why the entry is invalid; the other fields are then empty.
     #[prost(string, tag = "8")]
     refused: String,
 }
 
-/// What an entry says: a server, or why it names none.
+/// A parsed entry: a server, or why the entry is invalid.
 pub(crate) type ReadEntry = Result<ServerRecord, String>;
 
-/// Whether the value of a row is a digest.
 fn is_digest(value: &[u8]) -> bool {
     value.starts_with(MARK)
 }
 
-/// The row with a digest for its value.
+/// Replaces the value of a row by its digest. Deletions and digests are returned unchanged.
 pub(crate) fn digest(row: Row, read: impl FnOnce(&Row) -> ReadEntry) -> Row {
     let Some(value) = &row.value else {
         return row;
@@ -76,7 +75,7 @@
     }
 }
 
-/// The server of a digest, by its name; `None` for a value that is no digest.
+/// Parses a digest; `None` for a value that is not one.
 pub(crate) fn read_digest(name: &str, value: &[u8]) -> Option<ReadEntry> {
     let body = value.strip_prefix(MARK)?;
     Some(server(name, body))
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -1,4 +1,4 @@
-//! Work under way at one server, as one node knows it.
+//! In-flight work and health of one server, as one node knows it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,34 +11,33 @@
 use crate::shared_paces::Paces;
 use crate::temperature::{Checked, Temperature, Thermal};
 
-/// Time since a server was last heard here in which it does not count as silent for others' sake: they may be cut
-/// off from it, or slow themselves.
+/// Time since the last bytes from a server during which reports of its silence are ignored: the
+/// reporting nodes may be partitioned from it, or slow themselves.
 const HEARD_HERE: Duration = Duration::from_millis(200);
-/// Heartbeats older than this tell nothing.
+/// Older heartbeats are ignored.
 pub(crate) const HEARTBEAT_LIFE: Duration = Duration::from_millis(1500);
 
-/// Load of one server, over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadSummary {
-    /// Online requests under way.
+    /// Online requests in flight.
     pub online: u32,
-    /// Batch items under way.
+    /// Batch items in flight.
     pub batch: u32,
-    /// Prompt tokens that the server has yet to read.
+    /// Prompt tokens that the server has yet to process.
     pub unread_tokens: u32,
-    /// The server was found silent or broken a moment ago, here or by another node.
+    /// Whether the server is currently considered silent by any node, or is ejected.
     pub suspect: bool,
-    /// Running mean of the time to the first event, over what was expected.
+    /// Moving average of the delay of the first event beyond the expected time.
     pub excess_ms: f64,
-    /// How cold it is; `None` where that is not followed.
+    /// Warm-up state; `None` if it is not tracked.
     pub temperature: Option<Temperature>,
-    /// How long work takes there now, as far as is known.
+    /// Current slowdown estimate.
     pub pace: Pace,
-    /// How long it took in the last seconds.
+    /// Slowdown over the last seconds.
     pub lasting_pace: Pace,
 }
 
-/// Whose work an entry counts.
+/// Origin of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Source {
     /// One other node.
@@ -56,24 +55,23 @@
     pub(crate) unread_tokens: u32,
     pub(crate) slots: u32,
     pub(crate) peers: HashMap<Source, (Instant, LoadEntry)>,
-    /// The news for which this node has paused its share already.
+    /// The newest report for which this node has already paused its share.
     pub(crate) paused_for: Option<Instant>,
     pub(crate) suspect_until: Option<Instant>,
-    /// It has said nothing for longer than its answers take.
+    /// The server sent nothing for longer than its responses take; avoided until this time.
     pub(crate) doubt_until: Option<Instant>,
     pub(crate) heard: Option<Instant>,
     pub(crate) excess_ms: f64,
     pub(crate) excess_at: Option<Instant>,
-    /// This node's work has changed since the others were told.
+    /// Whether the loads changed since they were last sent.
     pub(crate) untold: bool,
-    /// How this node's requests ended.
+    /// Outcomes of this node's requests.
     pub(crate) outcomes: Outcomes,
     pub(crate) ejection: Ejection,
-    /// How cold the server is.
     pub(crate) thermal: Thermal,
-    /// This node's own newest answer to a question of how cold it is.
+    /// The newest health answer that this node received itself.
     pub(crate) own_check: Option<Checked>,
-    /// How long work takes there.
+    /// Slowdown estimates.
     pub(crate) paces: Paces,
 }
 
@@ -103,7 +101,7 @@
         summary
     }
 
-    /// The server was silent or could not be reached a moment ago, here or at another node.
+    /// Whether the server is currently considered silent or unreachable by this node or another.
     pub(crate) fn is_found_silent(&self, now: Instant) -> bool {
         let heard = self.heard.map(|heard| now.duration_since(heard));
         let told = self.peers.values();
@@ -114,7 +112,7 @@
                 && others.any(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE))
     }
 
-    /// The server was found silent, and has not been heard here since.
+    /// Whether the server was found silent and this node has received nothing from it since.
     pub(crate) fn is_doubted(&self, now: Instant) -> bool {
         self.suspect_until.is_some() || self.doubt_until.is_some() || self.is_found_silent(now)
     }
@@ -123,12 +121,12 @@
         self.doubt_until.is_some_and(|until| until > now)
     }
 
-    /// The server was silent or could not be reached a moment ago.
+    /// Whether this node currently considers the server silent or unreachable.
     fn is_suspect(&self, now: Instant) -> bool {
         self.suspect_until.is_some_and(|until| until > now)
     }
 
-    /// Judges the server by how requests ended there, at all nodes; whether it is newly kept without work.
+    /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
     pub(crate) fn judge(&mut self, now: Instant) -> bool {
         let told = self.peers.values();
         let fresh = told.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
@@ -141,7 +139,7 @@
             .judge(others.fold(own, OutcomeCounts::plus), now)
     }
 
-    /// This node's own work.
+    /// Load entry of this node alone.
     pub(crate) fn own(&self, server: u32, now: Instant) -> LoadEntry {
         let outcomes = self.outcomes.counts(now);
         let (asked_ms, cold_ms) = self.own_check_told(now);
@@ -169,7 +167,7 @@
         }
     }
 
-    /// This node's own work and that of some others.
+    /// Sum of this node's entry and those of the counted sources.
     pub(crate) fn sum(
         &self,
         server: u32,
@@ -203,14 +201,14 @@
         sum
     }
 
-    /// Whether the work of others is known as sums only.
+    /// Whether any report is a sum over several nodes.
     pub(crate) fn is_summed(&self) -> bool {
         let mut sources = self.peers.keys();
         sources.any(|source| !matches!(source, Source::Node(_)))
     }
 
-    /// This node's share of what is to be paused, in proportion to its batch work. The shares of
-    /// all nodes add up on average; each piece of news is acted on once.
+    /// This node's share of the items to pause, proportional to its batch work. The shares of all
+    /// nodes add up on average; each report is acted on once.
     pub(crate) fn share_of_sum(&mut self, over: u32, batch: u32) -> u32 {
         let news = self.peers.values().map(|(at, _)| *at).max();
         if over == 0 || self.batch == 0 || self.paused_for == news {
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -1,9 +1,8 @@
-//! The servers of a service as one node uses them.
+//! Selects the servers of a service that one node uses.
 //!
-//! In a large fleet a node does not weigh, nor connect to, all servers: it uses a subset of its own
-//! zone that differs from node to node, so that work per request and connections stay bounded. Where
-//! a service is spread over regions, a node uses few servers of the others however small the service
-//! is: connections there serve only while its own region cannot.
+//! In a large fleet each node uses a different subset of its own zone, which bounds its connections
+//! and the cost of placing a request. Of a service in several regions it uses few servers in other
+//! regions, since they serve only while its own region cannot.
 
 use std::sync::Arc;
 
@@ -12,51 +11,52 @@
 
 use crate::ways::Ways;
 
-/// Servers up to which a node uses all of them, where they stand in one region.
+/// Up to this many servers in one region, a node uses all of them.
 const ALL_USED: usize = 64;
-/// Servers of the own zone that a node of a large fleet uses.
+/// Servers of its own zone that a node of a large fleet uses.
 const NEAR_USED: usize = 40;
-/// Servers of any other zone that it uses besides; in a service that is spread over regions, servers of other
-/// regions. Where the own zone has none, evacuated ones say, a node uses as many of other zones as it would of all:
-/// eight would be full while most of the fleet has room.
+/// Servers of other zones that it uses, or of other regions if the service is in several. If its
+/// own zone has none, for example while it is evacuated, it uses as many servers of other zones as
+/// it would use in total.
 const FAR_USED: usize = 8;
-/// Servers of the other zones of its region that it uses, where a service is spread over regions: the
-/// sum of all is then no more than where all are used.
+/// Servers in the other zones of its region that it uses if the service is in several regions. The
+/// total then equals `ALL_USED`.
 const REGION_USED: usize = ALL_USED - NEAR_USED - FAR_USED;
 
-/// Where a node stands.
+/// Location and identity of a node, which determine the servers it uses.
 #[derive(Debug)]
 pub struct Standpoint {
     number: u64,
     ways: Arc<Ways>,
 }
 
-/// Servers of one service that take new work.
+/// The servers of one service that accept new work.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServerSet {
-    /// All of them, by identifier.
+    /// All servers, ordered by identifier.
     pub all: Vec<Arc<ServerRecord>>,
-    /// Those that the node sends work to.
+    /// Servers that this node sends requests to.
     pub used: Vec<Arc<ServerRecord>>,
-    /// Those among which prompts have their homes: all, or those of the zone in a large fleet where it has
-    /// any; never those of another region while the own one has any.
+    /// Servers over which prompts are hashed for cache affinity: all, or in a large fleet those of
+    /// the own zone if there are any. Servers of other regions are included only if the own region
+    /// has none.
     pub homes: Vec<Arc<ServerRecord>>,
 }
 
 impl ServerSet {
-    /// Whether the node uses only some of the servers.
+    /// Whether the node uses only a subset of the servers.
     pub fn is_large(&self) -> bool {
         self.used.len() < self.all.len()
     }
 }
 
 impl Standpoint {
-    /// The standpoint of a node in a deployment of one region.
+    /// A node in a deployment of one region.
     pub fn new(node: &str, zone: &str) -> Self {
         Self::with_ways(node, Arc::new(Ways::within(zone)))
     }
 
-    /// The standpoint of a node from which these ways begin.
+    /// A node with the given network costs.
     pub fn with_ways(node: &str, ways: Arc<Ways>) -> Self {
         Self {
             number: xxh3_64(node.as_bytes()),
@@ -64,15 +64,13 @@
         }
     }
 
-    /// The ways from here.
+    /// Network costs from this node.
     pub fn ways(&self) -> &Arc<Ways> {
         &self.ways
     }
 
-    /// Sorts the servers of a service into those that the node uses.
-    ///
-    /// A set is built anew after each change of a server. Of a large service it takes one look at each server and no sort of
-    /// them all: 3.3 ms for 10,000 of them, in a build on a shared machine.
+    /// Builds the set of a service. Runs after each change of a server, so a large service costs
+    /// one pass over its servers and no full sort.
     pub fn servers(&self, mut all: Vec<Arc<ServerRecord>>) -> ServerSet {
         if !all.is_sorted_by(|a, b| a.id <= b.id) {
             all.sort_by(|a, b| a.id.cmp(&b.id));
@@ -102,7 +100,7 @@
         ServerSet { used, homes, all }
     }
 
-    /// The first of some servers in this node's own order.
+    /// Selects up to `most` servers by a hash that differs from node to node.
     fn first<'a>(
         &self,
         servers: impl Iterator<Item = &'a Arc<ServerRecord>>,
@@ -122,7 +120,7 @@
             .collect()
     }
 
-    /// The same where some servers stand in other regions.
+    /// Builds the set of a service with servers in other regions.
     fn spread_servers(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
         let some = |distance: Distance, most: usize| {
             let servers = all.iter();
@@ -132,7 +130,7 @@
         let mut used = some(Distance::SameZone, NEAR_USED);
         used.extend(some(Distance::SameRegion, REGION_USED));
         let far = match used.is_empty() {
-            // The node's own region has none: the others are all that it has.
+            // The own region has no servers; use more of the others.
             true => NEAR_USED,
             false => FAR_USED,
         };
@@ -144,8 +142,8 @@
         }
     }
 
-    /// Homes of prompts: in a large fleet the own zone's servers, else those of the region, and all where
-    /// the region has none.
+    /// Servers for prompt hashing: those of the own zone in a large fleet, otherwise those of the
+    /// region, or all if the region has none.
     fn spread_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
         let within = |farthest: Distance| -> Vec<_> {
             let servers = all.iter();
--- a/crates/cluster/src/servers_sink.rs
+++ b/crates/cluster/src/servers_sink.rs
@@ -1,4 +1,4 @@
-//! Feeds the servers' entries into a view.
+//! Applies server registrations to a view.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,34 +10,32 @@
 use crate::server_digest::{ReadEntry, digest, read_digest};
 use crate::view::{Known, View};
 
-/// Shortest time between two calls for changes of servers: each server's row changes with each of
-/// its heartbeats, and hardly any of these changes matters.
+/// Shortest interval between two reads of changes. Each heartbeat of a server rewrites its row, and
+/// few of these changes matter.
 const SERVERS_PACE: Duration = Duration::from_millis(400);
 
-/// Feeds servers into a view.
+/// Applies rows of the server table to a view.
 pub struct ServersSink {
-    /// The view.
     pub view: Arc<View>,
-    /// Formats.
     pub dialect: Arc<dyn Dialect>,
 }
 
 impl ServersSink {
-    /// The server that an entry names; `None` for an entry that is gone. Others write to the table too: an entry that is
-    /// not a server's names none, and the others hold.
+    /// Parses an entry; `None` for a deleted row. Other clients write to the table too, so an
+    /// invalid entry does not affect the others.
     fn read(&self, row: &Row) -> Option<ReadEntry> {
         let value = row.value.as_ref()?;
         let digested = read_digest(&row.key, value);
         Some(digested.unwrap_or_else(|| self.read_text(&row.key, value)))
     }
 
-    /// Reads an entry as the server wrote it.
+    /// Parses an entry in the server's own format.
     fn read_text(&self, key: &str, value: &[u8]) -> ReadEntry {
         let read = self.dialect.server(key, value);
         read.map_err(|error| error.to_string())
     }
 
-    /// Notes whether an entry can be used, and writes a record when that has changed.
+    /// Records whether an entry is valid, and logs the cause when it changes.
     fn note_refused(&self, known: &mut Known, key: &str, cause: Option<&String>) {
         if known.refused.get(key) == cause {
             return;
--- a/crates/cluster/src/shared_paces.rs
+++ b/crates/cluster/src/shared_paces.rs
@@ -1,4 +1,5 @@
-//! Paces of servers in the table of loads: what this node hears and measures, and what it tells and is told.
+//! Slowdown estimates in the load table: reported by servers, measured by this node, and exchanged
+//! between nodes.
 
 use std::time::Duration;
 
@@ -9,20 +10,20 @@
 use crate::server_loads::Source;
 use crate::server_pace::{Pace, ServerPace};
 
-/// Time by which a figure becomes younger on its way through other nodes, at most.
+/// Greatest error of the age of a sample that was relayed by other nodes.
 const ECHO: Duration = Duration::from_millis(20);
 
-/// One figure of a server's pace, and where its newest value came from.
+/// A slowdown estimate and the source of its newest sample.
 #[derive(Default)]
 pub(crate) struct SharedPace {
     pace: ServerPace,
-    /// Who told the newest value; `None` for this node.
+    /// Source of the newest sample; `None` for this node.
     from: Option<Source>,
 }
 
 impl SharedPace {
-    /// Takes over what another node tells, when it is newer by more than the way of a message: what was told on comes
-    /// back as if it were younger.
+    /// Merges a sample from another node if it is newer by more than the transfer error: a relayed
+    /// sample returns with a smaller age.
     fn take(&mut self, source: Source, (age_ms, percent): (u32, u32), now: Instant) {
         let Some(age_ms) = age_ms.checked_sub(1) else {
             return;
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Takes what this node heard or measured now; whether it differs much from what was believed.
+    /// Adds a sample of this node. Returns whether it differs significantly from the previous
+    /// estimate.
     fn note(&mut self, pace: Pace, now: Instant) -> bool {
         let held = self.pace.now(now);
         self.pace.note(pace, now);
@@ -43,8 +45,8 @@
         pace.differs_much(held)
     }
 
-    /// Age of the newest value in milliseconds, plus one, and the value, where it came from this node or one that
-    /// is counted. Where work takes as long as usual, and did, nothing is told.
+    /// Age of the newest sample in milliseconds plus one, and its value, if it came from this node
+    /// or a counted source. Zeros if there is none, or while the server is close to normal.
     pub(crate) fn entry(&self, now: Instant, counted: impl Fn(&Source) -> bool) -> (u32, u32) {
         match self.pace.newest(now) {
             Some((age, pace))
@@ -57,17 +59,17 @@
     }
 }
 
-/// How long work takes at one server.
+/// Slowdown estimates of one server.
 #[derive(Default)]
 pub(crate) struct Paces {
-    /// What the server says.
+    /// Reported by the server.
     pub(crate) told: SharedPace,
-    /// How much longer its answers take than that.
+    /// Measured slowdown relative to the reported one.
     pub(crate) excess: SharedPace,
 }
 
 impl Paces {
-    /// Takes over what another node tells.
+    /// Merges a report of another node.
     pub(crate) fn take(&mut self, source: Source, entry: &LoadEntry, now: Instant) {
         let told = (entry.pace_age_ms, entry.pace_percent);
         self.told.take(source, told, now);
@@ -75,12 +77,12 @@
         self.excess.take(source, excess, now);
     }
 
-    /// The pace that is expected now.
+    /// The current estimate.
     pub(crate) fn now(&self, now: Instant) -> Pace {
         self.told.pace.now(now).of(self.excess.pace.now(now))
     }
 
-    /// The pace of the last seconds.
+    /// The estimate over the last seconds.
     pub(crate) fn lasting(&self, now: Instant) -> Pace {
         let excess = self.excess.pace.lasting(now);
         self.told.pace.lasting(now).of(excess)
@@ -88,7 +90,7 @@
 }
 
 impl LoadEntry {
-    /// Whether the pace is so different from what another entry says that it should be told by itself.
+    /// Whether the slowdown differs enough from `held` to be sent at once.
     pub(crate) fn is_pace_news(&self, held: &LoadEntry) -> bool {
         let is_news = |told: u32, held: u32| {
             let held = Pace::of_percent(held).unwrap_or_default();
@@ -100,17 +102,17 @@
 }
 
 impl LoadTable {
-    /// How long work takes at a server now, as far as is known.
+    /// The current slowdown estimate of a server.
     pub fn pace(&self, server: &str) -> Pace {
         self.paces(server, |paces| paces.now(Instant::now()))
     }
 
-    /// How long work takes there now by the server's own word.
+    /// The current slowdown as reported by the server.
     pub fn told_pace(&self, server: &str) -> Pace {
         self.paces(server, |paces| paces.told.pace.now(Instant::now()))
     }
 
-    /// Whether the server has told how long work takes there.
+    /// Whether the server reports its slowdown.
     pub fn tells_pace(&self, server: &str) -> bool {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
@@ -123,13 +125,14 @@
         loads.map_or(Pace::USUAL, |loads| of(&loads.paces))
     }
 
-    /// Takes what a server says of how long work takes there; whether that differs much from what was believed.
+    /// Adds a value reported by a server. Returns whether it differs significantly from the
+    /// previous estimate.
     pub fn note_told_pace(&self, server: &str, pace: Pace) -> bool {
         self.note_pace(server, |paces, now| paces.told.note(pace, now))
     }
 
-    /// Takes what this node measured: how much longer answers of a server take than it says; whether that differs
-    /// much from what was believed.
+    /// Adds a measured slowdown relative to the reported one. Returns whether it differs
+    /// significantly from the previous estimate.
     pub fn note_excess_pace(&self, server: &str, excess: Pace) -> bool {
         self.note_pace(server, |paces, now| paces.excess.note(excess, now))
     }
--- a/crates/cluster/src/standing.rs
+++ b/crates/cluster/src/standing.rs
@@ -1,4 +1,4 @@
-//! Which nodes stand for a cold server: they alone send to it.
+//! Assignment of cold servers to nodes; only assigned nodes send to them.
 
 use dappleyard_clock::Instant;
 
@@ -6,14 +6,15 @@
 use crate::peers::{FORGOTTEN, Peer, PeerStatus, PeerTable};
 
 impl PeerTable {
-    /// The place of this node among the nodes that stand for a server in a zone; `None` when it is not one of
-    /// them. Rows choose the nodes of the zone, and as many of other zones for when all of those are silent. Who was
-    /// heard a moment ago chooses nobody: nodes that are cut off from each other would all choose themselves.
+    /// The rank of this node among those assigned to a server in `zone`; `None` if it is not
+    /// assigned. Nodes of the same zone are assigned; as many of other zones replace them only
+    /// while all of those are silent. The choice depends on registered nodes, not on recently heard
+    /// ones: otherwise partitioned nodes would all assign themselves.
     pub fn standing(&self, server: &str, zone: &str, nodes: u32) -> Option<u32> {
         let now = Instant::now();
         let peers = self.peers.lock();
         let own = self.own_name.as_str();
-        // Gone for good is who has been silent for long while others were heard.
+        // Skips nodes that have been silent for long while others were heard.
         let newest = peers.values().map(Peer::last).max()?;
         let listed = peers
             .iter()
--- a/crates/cluster/src/temperature.rs
+++ b/crates/cluster/src/temperature.rs
@@ -1,114 +1,115 @@
-//! What a node believes of the temperature of one server. Pure: times are arguments.
+//! Warm-up state of one server as a node knows it. Pure: time is an argument.
 //!
-//! A server may turn cold at any moment, and its row tells so seconds late; only its answer to a health question
-//! tells at once. So a server that was out of sight for as long as it takes to turn cold is of unknown temperature
-//! until somebody has asked it.
+//! A server may turn cold at any moment. Its registration shows this seconds later, only its health
+//! answer shows it at once. A server that was not observed for as long as it takes to turn cold is
+//! therefore in an unknown state until a health check is answered.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 use derive_more::Display;
 
-/// Time without a byte from a server to any node after which it may have been away unseen. Shorter than the three
-/// heartbeats after which discovery drops it; a server with work is heard several times a second.
+/// Time without bytes from a server to any node after which it may have restarted unnoticed.
+/// Shorter than the three heartbeats after which discovery drops it.
 const UNSEEN: Duration = Duration::from_millis(2_000);
-/// Delay with which a row tells what a server knows of itself: one heartbeat and the way through the store.
+/// Delay of a registration row: one server heartbeat and the propagation through the store.
 const ROW_DELAY: Duration = Duration::from_millis(2_500);
-/// Time that news takes from one node to all others. A server is found silent after 900 ms without a byte, so an
-/// answer to a question that was asked this long before the news still comes from after the silence.
+/// Propagation delay between nodes. A server is found silent after 900 ms without bytes, so an
+/// answer to a health check sent this long before such a report is newer than the silence.
 const NEWS_DELAY: Duration = Duration::from_millis(500);
-/// Time by which one node may learn later than another that a server was taken back into use. Nobody asks a server
-/// that is out of use, so a question within this time is one of a node that had learnt of it.
+/// Greatest difference between the times at which nodes learn that a server was restored. Nodes
+/// send no health checks to evacuated servers, so a check within this time was sent by a node that
+/// already knew.
 const TAKEN_BACK_DELAY: Duration = Duration::from_millis(2_000);
-/// Time after which a server that is seen for the first time was not there when its zone was taken back.
+/// A server first seen this long after its zone was restored was not there before.
 const TAKEN_BACK_LIFE: Duration = Duration::from_secs(10);
 
-/// Temperature of a server as a node believes it.
+/// Warm-up state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Temperature {
-    /// It takes as many requests as it has room for.
+    /// It accepts as many requests as it has slots.
     #[display("warm")]
     Warm,
-    /// It bears a bounded rate.
+    /// It accepts a limited request rate.
     #[display("cold")]
     Cold,
-    /// It was out of sight, has answered since, and nobody knows yet how it is: treated as cold.
+    /// It was unobserved and has answered since, but without its warm-up state: treated as cold.
     #[display("in doubt")]
     InDoubt,
-    /// It was out of sight, and no question has been answered since.
+    /// It was unobserved, and no health check has been answered since.
     #[display("unknown")]
     Unknown,
 }
 
-/// What told a node of the temperature.
+/// Source of a warm-up state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Teller {
-    /// The server's row.
+    /// The server's registration row.
     #[display("row")]
     Row,
-    /// The server's answer to a health question.
+    /// A health answer received by this node.
     #[display("health")]
     Health,
-    /// Another node.
+    /// A report of another node.
     #[display("node")]
     Node,
-    /// The server was silent, or could not be reached.
+    /// The server was silent or unreachable.
     #[display("silence")]
     Silence,
-    /// Nobody has used the server for a while.
+    /// No node has used the server for a while.
     #[display("unused")]
     Unused,
-    /// Operators took it back into use.
+    /// Operators restored its zone.
     #[display("taken back")]
     TakenBack,
-    /// The time that it was told to be cold is over.
+    /// The reported warm-up time has elapsed.
     #[display("time")]
     Time,
 }
 
-/// An answer to a health question, as nodes tell each other of it.
+/// A health answer, as shared between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Checked {
-    /// When the question was asked.
+    /// When the health check was sent.
     pub at: Instant,
-    /// How much longer the server is cold from then on.
+    /// Remaining warm-up time at that moment.
     pub cold: Duration,
 }
 
 impl Checked {
-    /// Whether other nodes should hear of it still.
+    /// Whether the answer is still shared with other nodes.
     pub fn is_told(&self, now: Instant) -> bool {
         now < self.at + self.cold.max(ROW_DELAY)
     }
 }
 
-/// What is known of one server.
+/// Tracks the warm-up state of one server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Thermal {
-    /// What the row said last.
+    /// Remaining warm-up time in the last row.
     row_cold_ms: Option<u64>,
     cold_until: Option<Instant>,
     out_of_sight: Option<(Instant, Teller)>,
-    /// Some answer came since, but not one that tells the temperature.
+    /// The server has answered since, but without its warm-up state.
     reached: bool,
     checked: Option<Checked>,
-    /// When any byte is known to have come from the server, to any node.
+    /// Latest known time at which any node received bytes from the server.
     heard: Option<Instant>,
-    /// When this node learnt that operators took it back into use.
+    /// When this node learned that operators restored the server.
     taken_back: Option<Instant>,
-    /// When another node last told that the server is silent.
+    /// When another node last reported the server as silent.
     silence_told: Option<Instant>,
     teller: Option<Teller>,
-    /// When it was first seen, or found to be back after a time out of sight.
+    /// When the server was first seen or last returned.
     back: Option<Instant>,
 }
 
 impl Thermal {
-    /// The temperature now, and what told of it.
+    /// The current state and its source.
     pub fn temperature(&self, now: Instant) -> (Temperature, Teller) {
         let is_cold = self.cold_until.is_some_and(|until| until > now);
         let out_of_sight = match is_cold {
-            // Unused or not, it gets no more than a cold server does.
+            // A cold server is limited whether it is used or not.
             true => self.out_of_sight,
             false => self.out_of_sight(now),
         };
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Since when the server is out of sight.
+    /// Since when the server is unobserved, and why.
     fn out_of_sight(&self, now: Instant) -> Option<(Instant, Teller)> {
         if self.out_of_sight.is_some() {
             return self.out_of_sight;
@@ -135,15 +136,16 @@
         (now.duration_since(seen) >= UNSEEN).then_some((seen, Teller::Unused))
     }
 
-    /// Whether anything is known that must outlast a time without work.
+    /// Whether the server's state is tracked, and must be kept while it has no work.
     pub fn is_followed(&self) -> bool {
         self.row_cold_ms.is_some()
     }
 
-    /// Whether a byte came from the server after it went out of sight: asking it is no waste.
+    /// Whether bytes came from the server after it became unobserved, so that a health check is
+    /// worth sending.
     pub fn is_alive(&self, now: Instant) -> bool {
         let since = self.out_of_sight(now).map(|(since, _)| since);
-        // News of the last bytes may come after the word of silence.
+        // Reports of earlier bytes may arrive after the report of silence.
         let later = |since: Instant| {
             self.heard
                 .is_some_and(|heard| heard > since + 2 * NEWS_DELAY)
@@ -151,27 +153,27 @@
         since.is_some_and(later)
     }
 
-    /// When the server was first seen, or found to be back after a time out of sight: connections to its address that
-    /// are older may be dead.
+    /// When the server was first seen or last returned; older connections to its address may be
+    /// dead.
     pub fn back(&self) -> Option<Instant> {
         self.back
     }
 
-    /// Takes what the server's row says. A row is older than an answer to a question that was asked within the
-    /// delay of rows, and then tells nothing.
+    /// Applies a registration row. A row that arrives within the row delay after a health check may
+    /// be older than the answer and is ignored.
     pub fn note_row(&mut self, cold_ms: u64, now: Instant) {
         if self.row_cold_ms == Some(cold_ms) {
             return;
         }
         if self.row_cold_ms.replace(cold_ms).is_none() {
-            // Its address may be that of a server that was there before.
+            // Its address may have belonged to another server.
             self.back = Some(now);
         }
         let asked_lately = self
             .checked
             .is_some_and(|checked| now.duration_since(checked.at) < ROW_DELAY);
         if cold_ms == 0 || asked_lately {
-            // A row that says warm may stem from before the server turned cold: that time runs out by itself.
+            // A row that says warm may be older than the cold state, which expires by itself.
             return;
         }
         let until = now + Duration::from_millis(cold_ms);
@@ -179,8 +181,8 @@
         self.teller = Some(Teller::Row);
     }
 
-    /// Notes that nobody has heard the server for long, where that is so. It then stays out of sight until it has
-    /// answered a question: bytes that come later may be those of a node that takes it for warm.
+    /// Marks the server as unobserved if no node has received bytes from it for long. It stays so
+    /// until a health check is answered: later bytes may belong to a node that takes it for warm.
     pub fn note_unused(&mut self, now: Instant) {
         let is_cold = self.cold_until.is_some_and(|until| until > now);
         if !is_cold && self.is_followed() {
@@ -188,22 +190,23 @@
         }
     }
 
-    /// A byte came from the server to some node.
+    /// Records that some node received bytes from the server.
     pub fn note_heard(&mut self, at: Instant) {
         self.heard = self.heard.max(Some(at));
     }
 
-    /// This node found the server silent, or could not reach it.
+    /// Records that this node found the server silent or unreachable.
     pub fn note_silent(&mut self, now: Instant) {
         self.out_of_sight = Some((now, Teller::Silence));
         self.reached = false;
     }
 
-    /// Another node tells that it found the server silent a moment ago; it does so in each message for a while.
+    /// Applies another node's report that the server is silent; such reports are repeated.
     pub fn note_told_silent(&mut self, now: Instant) {
         let heard = |heard: Instant| now.duration_since(heard) < NEWS_DELAY;
         if self.heard.is_some_and(heard) {
-            // Others hear the server: the trouble is that node's own. If not, it goes on telling of the silence.
+            // Other nodes receive bytes from the server, so the problem is likely the reporting
+            // node's. Otherwise it repeats the report.
             return;
         }
         let last = self.silence_told.replace(now);
@@ -218,14 +221,14 @@
         }
     }
 
-    /// Operators took the server back into use, as this node learnt at some time: it may have turned cold while it
-    /// got no work. Saying it again changes nothing.
+    /// Records that operators restored the server. It may have turned cold without work. Repeated
+    /// calls with the same time have no effect.
     pub fn note_taken_back(&mut self, at: Instant, now: Instant) {
         if self.taken_back.replace(at) == Some(at) {
             return;
         }
         if !self.is_followed() && now.duration_since(at) > TAKEN_BACK_LIFE {
-            // It came into view later.
+            // The server was registered later.
             return;
         }
         let since = at.checked_sub(TAKEN_BACK_DELAY).unwrap_or(at);
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Takes an answer to a health question, of this node or of another one; the newest question counts.
+    /// Applies a health answer of this node or another; the one with the latest check wins.
     pub fn note_checked(&mut self, answer: Checked, teller: Teller, now: Instant) {
         if self.checked.is_some_and(|held| held.at >= answer.at) {
             return;
@@ -253,7 +256,7 @@
         self.teller = Some(teller);
     }
 
-    /// The server answered a question without telling its temperature.
+    /// Records an answer without a warm-up state.
     pub fn note_reached(&mut self, now: Instant) {
         if let Some(held) = self.out_of_sight(now) {
             self.out_of_sight = Some(held);
--- a/crates/cluster/src/waiting.rs
+++ b/crates/cluster/src/waiting.rs
@@ -1,8 +1,7 @@
-//! Items of jobs that wait for a server, over all nodes, and the part of the free slots that one node
-//! may fill.
+//! Batch items waiting for a server over all nodes, and this node's share of the free slots.
 //!
-//! Loads are known with a delay. If each node filled all free slots that it sees, a heap of waiting
-//! items would be sent several times over, and most of it turned away.
+//! Loads are known with a delay. If each node filled all free slots that it sees, they would be
+//! overbooked and most of the items rejected.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -13,48 +12,47 @@
 
 use crate::server_loads::Source;
 
-/// News older than this tells nothing.
+/// Older reports are ignored.
 const NEWS_LIFE: Duration = Duration::from_millis(1500);
 
-/// Waiting items of this node and of the others.
 #[derive(Default)]
 pub struct WaitingItems {
     own: AtomicU32,
-    /// Runs of items that have ended at this node.
+    /// Batch items of this node that have ended.
     ended: AtomicU64,
     others: Mutex<HashMap<Source, (Instant, u32)>>,
 }
 
 impl WaitingItems {
-    /// Items that wait at this node.
+    /// Number of items waiting at this node.
     pub fn set_own(&self, items: u32) {
         self.own.store(items, Ordering::Relaxed);
     }
 
-    /// Items that wait at this node.
+    /// Number of items waiting at this node.
     pub fn own(&self) -> u32 {
         self.own.load(Ordering::Relaxed)
     }
 
-    /// A run of this node has ended, and its slot is free.
+    /// Records that an item of this node ended and freed its slot.
     pub(crate) fn note_ended(&self) {
         self.ended.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many items over all nodes a part of this node's own stands for, when the others' are like its own.
+    /// Scales a part of this node's items to all nodes, assuming the others' items are alike.
     pub fn over_all(&self, own_part: u32) -> u32 {
         let own = u64::from(self.own()).max(1);
         let total = own + u64::from(self.sum(|_| true));
         u32::try_from(u64::from(own_part) * total / own).unwrap_or(u32::MAX)
     }
 
-    /// Items that wait at one other node.
+    /// Sets the number of items waiting at another node.
     pub fn set_others(&self, node: u64, items: u32) {
         self.set_source(Source::Node(node), items);
     }
 
-    /// Items that wait elsewhere. A sum over the fleet takes the place of everything else, and the
-    /// other way round.
+    /// Replaces the count of a source. A fleet-wide sum replaces all other sources, and any other
+    /// source replaces the fleet-wide sum.
     pub(crate) fn set_source(&self, source: Source, items: u32) {
         let mut others = self.others.lock();
         match source {
@@ -66,12 +64,12 @@
         others.insert(source, (Instant::now(), items));
     }
 
-    /// Items that wait at the nodes of this zone.
+    /// Number of items waiting at the nodes of this zone.
     pub(crate) fn zone_sum(&self) -> u32 {
         self.own() + self.sum(|source| matches!(source, Source::Node(_)))
     }
 
-    /// Items that wait at all nodes but one.
+    /// Number of items waiting at all nodes but one.
     pub(crate) fn sum_without(&self, node: u64) -> u32 {
         self.own() + self.sum(|source| *source != Source::Node(node) && *source != Source::Fleet)
     }
@@ -84,7 +82,7 @@
         fresh.map(|(_, (_, items))| items).sum()
     }
 
-    /// When other nodes last told anything that still counts.
+    /// Time of the newest report that has not expired.
     fn news(&self) -> Option<Instant> {
         let others = self.others.lock();
         let newest = others.values().map(|(at, _)| *at).max();
@@ -92,7 +90,7 @@
     }
 }
 
-/// Starts of items that one node may make until it hears more of the others.
+/// Batch items that this node may start until the next report from other nodes.
 #[derive(Debug, Default)]
 pub struct Allowance {
     news: Option<Instant>,
@@ -101,14 +99,14 @@
 }
 
 impl Allowance {
-    /// Takes what is known now: `room` is the number of free slots as this node sees them, and
-    /// `point` is uniform between 0 and 1.
+    /// Recomputes the allowance. `room` is the number of free slots that this node sees; `point` is
+    /// a uniform sample from 0 to 1 for rounding.
     pub fn refresh(&mut self, waiting: &WaitingItems, room: u32, point: f64) {
         let ended = waiting.ended.load(Ordering::Relaxed);
         let freed = ended.saturating_sub(self.ended);
         self.ended = ended;
         let Some(news) = waiting.news() else {
-            // Nobody else is known to fill the slots.
+            // No other node is known to use the slots.
             self.news = None;
             self.left = f64::from(room);
             return;
@@ -124,7 +122,7 @@
         self.left = part.floor() + f64::from(u8::from(point < part.fract()));
     }
 
-    /// Takes one start; `false` when none is left.
+    /// Takes one start; `false` if none is left.
     pub fn take(&mut self) -> bool {
         if self.left < 1.0 {
             return false;
--- a/crates/cluster/src/zone_suspicion.rs
+++ b/crates/cluster/src/zone_suspicion.rs
@@ -1,55 +1,52 @@
-//! Zones whose servers seem to be lost together. Pure: time is an argument.
+//! Detects zones whose servers fail together. Pure: time is an argument.
 //!
-//! A zone that loses its power, or the way to it, leaves dozens of servers silent at one moment. Were each found
-//! out by itself, each would take requests that wait in vain. So when several servers of a zone are silent and
-//! hardly any other of it answers, all of them are tried with care until some have answered again.
+//! A power or network failure silences all servers of a zone at once. If each were detected by
+//! itself, each would first receive requests that time out. So when several servers of a zone are
+//! silent and hardly any responds, all of them get few requests until some have responded again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Servers of a zone found silent from which the zone is doubted; in a smaller zone all of them.
+/// Silent servers from which a zone is suspected; all of them in a smaller zone.
 const LEAST_SILENT: usize = 3;
-/// Silent servers for each one that answers. A sixth of the servers may crash at once in any zone, and four
-/// in five of a zone do not without a common cause.
+/// Silent servers per responding one. High enough that independent crashes of a sixth of the
+/// servers do not count.
 const SILENT_PER_ANSWERING: usize = 4;
-/// Time since a server was last heard, here or at another node, up to which it counts as answering. News of other
-/// nodes is up to 0.25 s old.
+/// Time since the last bytes to any node within which a server counts as responding. Reports of
+/// other nodes are up to 250 ms old.
 const ANSWERING: Duration = Duration::from_millis(300);
-/// Servers that must have answered again before a zone is used as before; twice as many each time that it is
-/// doubted again soon.
+/// Servers that must respond to end a suspicion; doubled each time the zone is suspected again
+/// soon.
 const ANSWERED: usize = 2;
-/// Time after the end of a suspicion in which another one counts as soon.
+/// A suspicion within this time after the previous one doubles the requirement.
 const SOON: Duration = Duration::from_secs(3);
-/// Most doublings.
 const MOST_DOUBLINGS: u32 = 3;
 
-/// What is known of one server.
+/// Observed state of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerSign<'a> {
-    /// Zone.
     pub zone: &'a str,
-    /// It was found silent or could not be reached a moment ago, here or by another node.
+    /// Whether any node currently considers the server silent or unreachable.
     pub suspect: bool,
-    /// Time since any node heard it.
+    /// Time since any node received bytes from it.
     pub silence: Option<Duration>,
 }
 
-/// A change of what is believed of a zone.
+/// Start or end of the suspicion of a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspicionChange {
-    /// Zone.
     pub zone: String,
-    /// It is doubted from now on; otherwise it is used as before.
+    /// Whether the zone is suspected from now on; otherwise the suspicion ended.
     pub suspected: bool,
-    /// Servers found silent.
+    /// Silent servers.
     pub silent: usize,
-    /// Servers that answer, or have answered since the zone was doubted.
+    /// Servers that respond, or have responded since the zone was suspected.
     pub answering: usize,
-    /// Servers looked at.
+    /// Servers observed.
     pub servers: usize,
-    /// Time for which the zone was doubted, at its end.
+    /// Duration of the suspicion, at its end.
     pub lasted: Option<Duration>,
 }
 
@@ -75,7 +72,7 @@
         self.ended = Some(now);
     }
 
-    /// Servers that must have answered, of so many.
+    /// Servers that must respond to end the suspicion, out of `servers`.
     fn needed(self, servers: usize) -> usize {
         (ANSWERED << self.doublings).min(servers.div_ceil(2)).max(1)
     }
@@ -95,14 +92,14 @@
     }
 }
 
-/// What is believed of the zones with servers.
+/// Suspicion state of all zones with servers.
 #[derive(Debug, Default)]
 pub struct ZoneSuspicion {
     beliefs: BTreeMap<String, Belief>,
 }
 
 impl ZoneSuspicion {
-    /// Takes what is known of the servers now; what has changed.
+    /// Evaluates the observed servers and returns the changes.
     pub fn judge(&mut self, signs: &[ServerSign<'_>], now: Instant) -> Vec<SuspicionChange> {
         let counts = self.count(signs, now);
         let mut changes = self.forget(|zone| !counts.contains_key(zone), now);
@@ -113,7 +110,7 @@
         changes
     }
 
-    /// Forgets the zones that have no servers any more; those that were doubted are told.
+    /// Drops zones without servers and returns the suspicions that ended with them.
     fn forget(&mut self, gone: impl Fn(&str) -> bool, now: Instant) -> Vec<SuspicionChange> {
         let mut changes = Vec::new();
         self.beliefs.retain(|zone, belief| {
@@ -165,7 +162,7 @@
         })
     }
 
-    /// The zones that are doubted.
+    /// The suspected zones.
     pub fn suspected(&self) -> impl Iterator<Item = &str> {
         let zones = self.beliefs.iter();
         zones
@@ -173,8 +170,8 @@
             .map(|(zone, _)| zone.as_str())
     }
 
-    /// Whether a zone's servers are held back: it is doubted, and another zone is not. Where all are doubted,
-    /// it is more likely this node that hears nothing.
+    /// Whether requests to the zone are restricted: it is suspected and some other zone is not. If
+    /// all zones are suspected, this node itself is likely cut off.
     pub fn holds_back(&self, zone: &str) -> bool {
         let all = self.beliefs.values().all(|belief| belief.since.is_some());
         !all && self
@@ -183,7 +180,7 @@
             .is_some_and(|belief| belief.since.is_some())
     }
 
-    /// Whether any zone is doubted.
+    /// Whether any zone is suspected.
     pub fn is_any(&self) -> bool {
         self.suspected().next().is_some()
     }
