--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Records that a rejected request was told to retry after `after`.
+    /// Records that a rejected request must retry after `after`.
     pub fn note_return(&self, service: &str, after: Duration) {
         let now = Instant::now();
         let mut state = self.state.lock();
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -29,7 +29,6 @@
 /// An active order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evacuation {
-    /// Zone.
     pub zone: ZoneName,
     /// Revision of the order.
     pub revision: u64,
@@ -40,7 +39,6 @@
 /// A change of a zone's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationChange {
-    /// Zone.
     pub zone: ZoneName,
     /// Revision of the change; the revision of the read if a row had disappeared.
     pub revision: u64,
@@ -51,7 +49,6 @@
 /// A row of the operators' table for a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneRow {
-    /// Zone.
     pub zone: ZoneName,
     /// Revision of the row.
     pub revision: u64,
--- a/crates/cluster/tests/cold_parts.rs
+++ b/crates/cluster/tests/cold_parts.rs
@@ -1,5 +1,5 @@
-//! The bound on what a cold server gets from all nodes together, in virtual time: parts without a word, beside
-//! counts that are told.
+//! Rate limit for a cold server over all nodes, in simulated time: fixed quotas compared with
+//! exchanged counts.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -18,14 +18,14 @@
 const PER_S: f64 = 11.0;
 const ALLOWED: usize = 21;
 const SERVER: &str = "i-7";
-/// Requests that all nodes together have for the server, a second: far more than it bears.
+/// Requests per second offered by all nodes: far more than the server accepts.
 const ASKED_PER_S: u64 = 400;
 
 fn names(nodes: std::ops::Range<usize>) -> Vec<String> {
     nodes.map(|number| format!("node-{number}")).collect()
 }
 
-/// The nodes that stand for the server where these are known.
+/// The nodes assigned to the server if `known` are the members.
 fn chosen(known: &[String]) -> Vec<String> {
     let nodes = ColdShare::new(PER_S, BOUNDS).nodes;
     let place = |own: &&String| {
@@ -35,7 +35,7 @@
     known.iter().filter(place).cloned().collect()
 }
 
-/// Most times in any second.
+/// Maximum number of requests within any second.
 fn most_in_a_second(mut sent: Vec<u64>) -> usize {
     sent.sort_unstable();
     let mut window = VecDeque::new();
@@ -50,8 +50,8 @@
     most
 }
 
-/// What arrives in ten seconds when these nodes stand for the server, each with a part of its own; one node may begin
-/// a new life in between.
+/// Arrivals over ten seconds if these nodes are assigned to the server. With `restarts`, single
+/// nodes restart in between.
 fn arrivals(standing: &BTreeSet<String>, restarts: bool, seed: u64) -> Vec<u64> {
     let share = ColdShare::new(PER_S, BOUNDS);
     let mut random = StdRng::seed_from_u64(seed);
@@ -76,8 +76,8 @@
     sent
 }
 
-/// The same load over all nodes of a fleet that tell each other each `every_ms` what they have sent, and send while
-/// the sum of what is known is below what the server bears.
+/// The same load on nodes that exchange counts every `every_ms` and send while the known sum is
+/// below the server's rate. With `split`, the fleet is partitioned in two.
 fn arrivals_by_counts(nodes: usize, every_ms: u64, split: bool, seed: u64) -> Vec<u64> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut sent: Vec<(u64, usize)> = Vec::new();
@@ -172,7 +172,8 @@
 
 #[gtest]
 fn counts_that_are_told_pass_the_bound() {
-    // Why parts were taken: what 22 nodes have not told each other yet, and what two sides never do.
+    // Justifies fixed quotas: exchanged counts exceed the limit because of their delay, and under a
+    // partition.
     let most = |every_ms, split| {
         let seeds = 0..5;
         let runs =
--- a/crates/cluster/tests/doubts.rs
+++ b/crates/cluster/tests/doubts.rs
@@ -1,4 +1,4 @@
-//! Servers that are doubted, one by one and with their zone.
+//! Servers that are considered silent, alone or with their zone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     table.doubt("i-1", TIME);
     assert_that!(table.summary("i-1").suspect, eq(true));
     assert_that!(table.is_any_suspect(), eq(true));
-    // It gets work again after a while, but not on connections from before.
+    // It gets requests again afterwards, but not on existing connections.
     tokio::time::sleep(TIME).await;
     assert_that!(table.summary("i-1").suspect, eq(false));
     assert_that!(table.is_any_suspect(), eq(false));
@@ -44,10 +44,10 @@
 async fn held_back_with_zone() {
     let table = LoadTable::default();
     table.hold_back(vec!["i-1", "i-2"]);
-    // Also one that this node has never sent anything to.
+    // Includes servers that this node never used.
     assert_that!(table.summary("i-2").suspect, eq(true));
     assert_that!(table.summary("i-3").suspect, eq(false));
-    // Being held back is no finding of its own, and is not told to others as one.
+    // A restriction is not a detection of its own and is not reported to other nodes.
     assert_that!(table.is_found_silent("i-1"), eq(false));
     table.hold_back(vec!["i-2"]);
     assert_that!(table.summary("i-1").suspect, eq(false));
@@ -65,7 +65,8 @@
     assert_that!(temperature(), eq(Temperature::Warm));
     table.hold_back(vec!["i-1"]);
     assert_that!(temperature(), eq(Temperature::Unknown));
-    // The zone answers again, by servers of which this need not be one; only its own word tells how cold it is.
+    // The zone responds again, but perhaps through other servers; only a health answer gives the
+    // warm-up state.
     table.hold_back(Vec::new());
     table.heard("i-1");
     assert_that!(temperature(), eq(Temperature::Unknown));
@@ -81,7 +82,7 @@
     assert_that!(temperature(), eq(Temperature::Warm));
     tokio::time::sleep(Duration::from_millis(2_100)).await;
     assert_that!(temperature(), eq(Temperature::Unknown));
-    // Somebody who takes it for warm has sent it something.
+    // Another node that assumes it to be warm has used it.
     table.heard("i-1");
     assert_that!(temperature(), eq(Temperature::Unknown));
     table.note_checked("i-1", dappleyard_clock::Instant::now(), Duration::ZERO);
--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Zones that the operators have evacuated: orders, withdrawals, and reads that overtake each other.
+//! Evacuation orders, withdrawals, and reads that arrive out of order.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -56,11 +56,11 @@
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     zones.give(&zone("north"), 5, now);
     zones.give(&zone("south"), 9, now);
-    // As of 7 north was taken back; south came later than this read.
+    // As of revision 7, north was restored; the order for south is newer than this read.
     let changes = zones.replace(&[order("west", 6)], 7, now);
     expect_that!(changes.len(), eq(2));
     expect_that!(evacuated(&zones), elements_are![eq("south"), eq("west")]);
-    // An order that this read would have shown is older than it.
+    // Rows older than the read are stale.
     expect_that!(zones.give(&zone("east"), 6, now), none());
     expect_that!(zones.give(&zone("north"), 5, now), none());
 }
@@ -97,10 +97,10 @@
     let later = now + Duration::from_secs(3);
     zones.withdraw(&zone("north"), 6, later);
     expect_that!(zones.restored_at("north"), some(eq(later)));
-    // An order that came and went unheard has left the zone's servers cold all the same.
+    // A withdrawal counts even if the order was never seen.
     zones.withdraw(&zone("south"), 7, later);
     expect_that!(zones.restored_at("south"), some(eq(later)));
-    // Given again, it is no longer restored; the new order counts from then on.
+    // A new order ends the restored state and counts from its own time.
     zones.give(&zone("north"), 8, later);
     expect_that!(zones.restored_at("north"), none());
     let since: Vec<Instant> = zones.standing().map(|held| held.since).collect();
@@ -112,7 +112,7 @@
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     zones.give(&zone("north"), 5, now);
     let later = now + Duration::from_secs(3);
-    // Withdrawn and given again between two answers of the store.
+    // Withdrawn and issued again between two reads.
     expect_that!(zones.give(&zone("north"), 9, later), some(anything()));
     let held: Vec<(u64, Instant)> = zones
         .standing()
@@ -135,7 +135,7 @@
         zones.restored_at(&name).is_some()
     });
     expect_that!(remembered.count(), eq(64));
-    // What is forgotten does not come back.
+    // A stale row of a dropped entry is ignored.
     expect_that!(zones.give(&zone("zone-0"), 1, now), none());
     expect_that!(evacuated(&zones), is_empty());
 }
@@ -177,7 +177,7 @@
 }
 
 impl TestView {
-    /// Lists `count` servers, spread over the zones.
+    /// Registers `count` servers across the zones.
     fn list(&self, count: usize) {
         for number in 0..count {
             let zone = ZONES[number % ZONES.len()];
@@ -200,7 +200,7 @@
             .change(row(&format!("evacuate/{zone}"), None, revision));
     }
 
-    /// Zones that servers which get work are in.
+    /// Zones of the servers that get requests.
     fn zones(&self) -> Vec<String> {
         let servers = self.view.servers("llm");
         let sets = [&servers.all, &servers.used, &servers.homes];
@@ -224,7 +224,7 @@
     held.evacuate("west", 5);
     expect_that!(held.view.servers("llm").all, is_empty());
     expect_that!(held.view.is_evacuated("llm"), eq(true));
-    // A service without any server is another matter.
+    // A service without servers does not count as evacuated.
     expect_that!(held.view.is_evacuated("none"), eq(false));
     held.take_back("south", 6);
     let zones = held.zones();
@@ -237,13 +237,13 @@
     let held = view();
     held.list(210);
     expect_that!(held.view.servers("llm").used.len(), eq(48));
-    // Where the own zone is evacuated, the node still weighs as many servers as others do.
+    // With its own zone evacuated, the node uses as many servers as before.
     held.evacuate("north", 3);
     let servers = held.view.servers("llm");
     expect_that!(servers.used.len(), eq(48));
     expect_that!(servers.homes.len(), eq(140));
     expect_that!(held.zones().iter().any(|zone| zone == "north"), eq(false));
-    // The rest of two zones is still a large set.
+    // The remaining zone still forms a large set.
     held.evacuate("south", 4);
     expect_that!(held.view.servers("llm").used.len(), eq(48));
 }
@@ -265,13 +265,13 @@
     expect_that!(held.zones().iter().any(|zone| zone == "north"), eq(false));
 }
 
-/// What the log writes, line by line.
+/// Sends the log output to a channel.
 struct Lines(Sender<String>);
 
 impl Write for Lines {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let text = String::from_utf8_lossy(bytes).into_owned();
-        // The test may have ended.
+        // The receiver may be gone.
         let _ = self.0.send(text);
         Ok(bytes.len())
     }
@@ -293,7 +293,7 @@
     let zones = held.zones();
     expect_that!(zones, elements_are![eq("south"), eq("west")]);
     drop(held);
-    // The last holder of the log is gone: its writer ends, and so does what it sent.
+    // Dropping the last reference ends the log writer and closes the channel.
     let text: String = written.iter().collect();
     let refused = |key: &str, revision: u64| {
         text.lines().any(|line| {
@@ -344,7 +344,7 @@
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-/// Zones that the store holds orders for.
+/// Zones with an order in the store.
 fn ordered(rows: &EmulatedRows) -> BTreeSet<String> {
     let rows = rows.table("op").into_iter();
     rows.filter_map(|(_, key, _)| Some(key.strip_prefix("evacuate/")?.to_owned()))
@@ -356,7 +356,7 @@
     held.map(|held| held.zone.to_string()).collect()
 }
 
-/// Follows the store's table.
+/// Starts a task that follows the operators' table.
 fn follower(rows: &EmulatedRows) -> Arc<View> {
     let held = view();
     let (rows, orders) = (rows.clone(), held.orders.clone());
@@ -398,7 +398,7 @@
         rows.remove("op", "", "evacuate/north");
         pass(400).await;
         expect_that!(known(&view).len(), eq(0));
-        // Between two looks of the follower.
+        // Between two reads of the follower.
         rows.write("op", "", "evacuate/south", "{}");
         rows.remove("op", "", "evacuate/south");
         pass(400).await;
@@ -406,8 +406,8 @@
     });
 }
 
-/// Orders, withdrawals, outages and forgotten histories in any order: once the store answers again, what is known
-/// is what it holds, and no order stands that was withdrawn.
+/// Random orders, withdrawals, outages and lost histories. Once the store answers again, the known
+/// orders equal the stored ones.
 #[gtest]
 fn any_order() {
     for seed in 0..40 {
--- a/crates/cluster/tests/outcomes.rs
+++ b/crates/cluster/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Servers that fail what they are sent.
+//! Ejection of failing servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     expect_that!(ejection.judge(counts(3, 0), after(2_600)), eq(true));
     expect_that!(ejection.is_out(after(7_500)), eq(true));
     expect_that!(ejection.is_out(after(7_700)), eq(false));
-    // It serves again: the next time is the first one anew.
+    // A success resets the ejection time.
     expect_that!(ejection.judge(counts(0, 1), after(7_800)), eq(false));
     expect_that!(ejection.judge(counts(3, 0), after(9_000)), eq(true));
     expect_that!(ejection.is_out(after(11_600)), eq(false));
@@ -57,7 +57,7 @@
     expect_that!(loads.summary("i-1").suspect, eq(false));
     loads.note_outcome("i-1", false);
     expect_that!(loads.summary("i-1").suspect, eq(true));
-    // Bytes of an answer do not clear it: it does answer.
+    // Received bytes do not end an ejection: error responses have bytes too.
     loads.heard("i-1");
     expect_that!(loads.summary("i-1").suspect, eq(true));
     expect_that!(loads.summary("i-2").suspect, eq(false));
--- a/crates/cluster/tests/pace.rs
+++ b/crates/cluster/tests/pace.rs
@@ -1,4 +1,4 @@
-//! When changed work is told.
+//! Rate limit for load change messages.
 
 use std::time::Duration;
 
@@ -31,6 +31,6 @@
     let start = Instant::now();
     let mut pace = ChangePace::new(start);
     pace.note_change();
-    // After a rest the news goes out at once.
+    // After an idle period a change is sent at once.
     expect_that!(pace.next() < start + Duration::from_millis(50), eq(true));
 }
--- a/crates/cluster/tests/pure.rs
+++ b/crates/cluster/tests/pure.rs
@@ -1,4 +1,4 @@
-//! Shares of paused items, and loads over nodes.
+//! Load counts, shares of paused items, and server subsets.
 
 use std::sync::Arc;
 
@@ -90,7 +90,7 @@
             *uses.entry(server.id.clone()).or_default() += 1;
         }
     }
-    // Four nodes a server in the mean; hardly any server without one.
+    // Each server has four nodes on average; few have none.
     expect_that!(uses.len(), gt(960));
     expect_that!(uses.values().max().copied().unwrap_or(0), lt(16));
 }
--- a/crates/cluster/tests/regions.rs
+++ b/crates/cluster/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Servers that a node of one of several regions uses, and what regions are told.
+//! Server subsets and digests in deployments with several regions.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     ZONES.iter().map(|(zone, _)| *zone).collect()
 }
 
-/// Servers of a set by distance: zone, region, other regions.
+/// Used servers of a set by distance: zone, region, other regions.
 fn by_distance(set: &ServerSet, ways: &Ways) -> [usize; 3] {
     let at = |distance| {
         let used = set.used.iter();
@@ -127,7 +127,7 @@
     expect_that!(due(|duties| duties.regions), eq(24));
     expect_that!(due(|duties| duties.signs && duties.regions), eq(4));
     expect_that!(due(|duties| duties.all && duties.regions), eq(3));
-    // No round that a large zone is told in passes the regions by.
+    // Every round with sums for a large zone covers the regions too.
     let large = (0..72).map(|round| duties(round, 60));
     expect_that!(
         large
@@ -153,7 +153,7 @@
     expect_that!(first.loads.len(), eq(2));
     let small = digest.next(vec![sum(1, 5), sum(2, 3)], false);
     expect_that!(small.loads.len(), eq(0));
-    // Small changes add up.
+    // Small changes accumulate.
     let large = digest.next(vec![sum(1, 6), sum(2, 3)], false);
     expect_that!(large.loads, eq(&vec![sum(1, 6)]));
     let suspect = LoadEntry {
@@ -162,7 +162,7 @@
     };
     let told = digest.next(vec![sum(1, 6), suspect.clone()], false);
     expect_that!(told.loads, eq(&vec![suspect]));
-    // Whatever was believed, no sum stays wrong by more than one for longer than a whole message.
+    // A full message corrects sums that differ by one.
     let whole = digest.next(vec![sum(1, 7)], true);
     expect_that!(whole.loads, eq(&vec![sum(1, 7)]));
 }
--- a/crates/cluster/tests/server_pace.rs
+++ b/crates/cluster/tests/server_pace.rs
@@ -1,4 +1,4 @@
-//! The pace of servers: two numbers, their age, and what one node tells another.
+//! Slowdown estimates of servers and their exchange between nodes.
 
 mod support;
 
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// A pace that was heard each 200 ms for so long.
+/// An estimate with a sample every 200 ms for `long`.
 fn heard(times: f64, long: Duration, from: Instant) -> ServerPace {
     let mut pace = ServerPace::default();
     let steps = long.as_millis() as u32 / 200;
@@ -42,7 +42,7 @@
     let slow = start + ms(4_200);
     pace.note(Pace::new(2.5), slow);
     expect_that!(pace.now(slow + ms(50)).percent(), eq(250));
-    // Half a second later the figure tells nothing more.
+    // The sample has expired.
     let after = pace.now(slow + ms(600));
     expect_that!(after, eq(pace.lasting(slow + ms(600))));
     expect_that!(after.percent(), le(125));
@@ -69,19 +69,19 @@
 fn tried_again() {
     let start = Instant::now();
     let pace = heard(3.0, ms(4_000), start);
-    // Nobody sends requests to a slow server, so nobody hears that it is fast again.
+    // A slow server gets no requests, so there are no samples that show its recovery.
     let later = pace.now(start + Duration::from_secs(60));
     expect_that!(later.percent(), le(102));
 }
 
-/// Servers of the usual pace cost no byte of any message.
+/// Servers close to normal are omitted from messages.
 #[gtest]
 fn usual_is_untold() {
     let start = Instant::now();
     let usual = heard(1.1, ms(4_000), start).is_usual(start + ms(4_000));
     let slow = heard(1.7, ms(4_000), start).is_usual(start + ms(4_000));
     expect_that!((usual, slow), eq((true, false)));
-    // One that was slow is told to be as usual again.
+    // The return to normal of a slow server is sent.
     let mut back = heard(3.0, ms(4_000), start);
     back.note(Pace::USUAL, start + ms(4_200));
     expect_that!(back.is_usual(start + ms(4_200)), eq(false));
@@ -100,7 +100,7 @@
     let start = Instant::now();
     let mut pace = ServerPace::default();
     pace.note(Pace::new(3.0), start + ms(100));
-    // It was overtaken.
+    // A sample that arrives out of order is ignored.
     expect_that!(pace.note(Pace::new(1.0), start), eq(false));
     expect_that!(pace.now(start + ms(100)).percent(), eq(300));
 }
@@ -154,7 +154,7 @@
     });
 }
 
-/// Not every node hears every other: delegates pass the word on, also where no node has work there.
+/// In a large fleet nodes receive the report through delegates, also nodes without work there.
 #[gtest]
 fn word_in_a_large_fleet() {
     on_local(async {
@@ -164,7 +164,7 @@
     });
 }
 
-/// One node hears the server each 50 ms; whether all the others come to know that it is slow.
+/// One node adds a slow sample every 50 ms. Returns whether all nodes learn of it.
 async fn tell_until_known(nodes: &[TestNode]) -> bool {
     until("the node knows its peers", || {
         nodes[7].peers.count() * 3 > nodes.len() * 2
--- a/crates/cluster/tests/standing.rs
+++ b/crates/cluster/tests/standing.rs
@@ -1,4 +1,4 @@
-//! Which nodes stand for a cold server, as restarts, silence and lost zones change what is known of them.
+//! Assignment of cold servers to nodes under restarts, silence and zone loss.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
         .collect()
 }
 
-/// The table of each node.
+/// The peer table of each node.
 fn tables(rows: impl Fn(&PeerTable)) -> Vec<(String, PeerTable)> {
     let log = Arc::new(EventLog::silent());
     let table = |(name, zone): (String, &'static str)| {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Lets time pass without a heartbeat from anybody.
+/// Runs a test in paused time, without heartbeats.
 fn in_silence<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -101,7 +101,7 @@
         let server = |number: u32| format!("i-{number}");
         let near = |number| standing(&before, &server(number));
         let near: Vec<Vec<String>> = (0..20).map(near).collect();
-        // Nobody hears anybody, as if each were cut off from all.
+        // No node receives heartbeats, as if all were isolated.
         tokio::time::advance(Duration::from_secs(4)).await;
         for number in 0..20 {
             let standing = standing(&before, &server(number));
--- a/crates/cluster/tests/temperature.rs
+++ b/crates/cluster/tests/temperature.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the temperature of a server, as news comes in any order.
+//! Warm-up state of a server as reports arrive in any order.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Duration::from_millis(time)
 }
 
-/// A server that is in use and warm, and the time of its last byte.
+/// A warm server in use, and the time of its last bytes.
 fn in_use() -> (Thermal, Instant) {
     let now = Instant::now() + Duration::from_secs(60);
     let mut server = Thermal::default();
@@ -38,7 +38,7 @@
         temperature(&server, now + ms(900)),
         eq(Temperature::Unknown)
     );
-    // Bytes alone do not tell that it is warm.
+    // Received bytes do not show that it is warm.
     server.note_heard(now + ms(4_000));
     expect_that!(
         temperature(&server, now + ms(4_000)),
@@ -80,7 +80,7 @@
         server.temperature(now + ms(2_000)),
         eq((Temperature::Unknown, Teller::Unused))
     );
-    // Somebody else uses it.
+    // Another node uses it.
     server.note_heard(now + ms(1_500));
     expect_that!(temperature(&server, now + ms(2_000)), eq(Temperature::Warm));
 }
@@ -94,7 +94,7 @@
     let mut cold = Thermal::default();
     cold.note_row(3_000, now);
     expect_that!(temperature(&cold, now), eq(Temperature::Cold));
-    // The same row again, later, is no news.
+    // A repeated row does not extend the cold state.
     cold.note_row(3_000, now + ms(2_000));
     expect_that!(temperature(&cold, now + ms(3_000)), eq(Temperature::Warm));
 }
@@ -114,7 +114,7 @@
     server.note_checked(answer(now + ms(100), 0), Teller::Health, now + ms(110));
     server.note_row(3_000, now + ms(2_000));
     expect_that!(temperature(&server, now + ms(2_000)), eq(Temperature::Warm));
-    // Written after the question, for certain.
+    // This row was written after the health check.
     server.note_heard(now + ms(2_600));
     server.note_row(2_900, now + ms(2_700));
     expect_that!(temperature(&server, now + ms(2_700)), eq(Temperature::Cold));
@@ -141,7 +141,7 @@
         Teller::Health,
         now + ms(1_110),
     );
-    // The others repeat their word for a while.
+    // Other nodes repeat their report for a while.
     for after in (1_200..2_200).step_by(150) {
         server.note_told_silent(now + ms(after));
         expect_that!(temperature(&server, now + ms(after)), eq(Temperature::Cold));
@@ -154,7 +154,7 @@
     server.note_heard(now + ms(900));
     server.note_told_silent(now + ms(1_000));
     expect_that!(temperature(&server, now + ms(1_000)), eq(Temperature::Warm));
-    // Nobody has heard it since.
+    // No node has received bytes since.
     server.note_told_silent(now + ms(1_450));
     expect_that!(
         temperature(&server, now + ms(1_450)),
@@ -188,7 +188,7 @@
     server.note_checked(asked, Teller::Health, back + ms(30));
     server.note_taken_back(back, back);
     expect_that!(temperature(&server, back + ms(30)), eq(Temperature::Cold));
-    // It is evacuated once more.
+    // Evacuated and restored again.
     server.note_taken_back(back + ms(9_000), back + ms(9_000));
     expect_that!(
         temperature(&server, back + ms(9_000)),
@@ -206,7 +206,7 @@
         temperature(&server, now + ms(10_001)),
         eq(Temperature::Warm)
     );
-    // One that was there all the time, at a node that had no use for it, is not.
+    // A server that existed before, but that this node did not track, is unknown.
     let mut server = Thermal::default();
     server.note_taken_back(now, now + ms(50));
     server.note_row(0, now + ms(50));
--- a/crates/cluster/tests/waiting.rs
+++ b/crates/cluster/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! The part of the free slots that one node may fill.
+//! The share of the free slots that one node may fill.
 
 use std::sync::Arc;
 
@@ -40,10 +40,10 @@
     table.waiting.set_own(30);
     table.waiting.set_others(node_number("b"), 60);
     let mut allowance = Allowance::default();
-    // A third of ten: three and, by the draw, one more.
+    // A third of ten is 3.33; the sample 0.2 rounds it up.
     allowance.refresh(&table.waiting, 10, 0.2);
     expect_that!(starts(&mut allowance), eq(4));
-    // Without news the free slots are not shared out again.
+    // Without a new report the free slots are not divided again.
     allowance.refresh(&table.waiting, 10, 0.2);
     expect_that!(starts(&mut allowance), eq(0));
     table.waiting.set_others(node_number("b"), 0);
@@ -72,7 +72,7 @@
     let mut allowance = Allowance::default();
     allowance.refresh(&table.waiting, 10, 0.99);
     expect_that!(starts(&mut allowance), eq(0));
-    // A slot that this node's own item leaves is this node's to fill.
+    // A slot freed by this node's own item may be refilled by it.
     drop(table.begin(&server(), WorkKind::Batch, 0));
     allowance.refresh(&table.waiting, 10, 0.99);
     expect_that!(starts(&mut allowance), eq(1));
--- a/crates/cluster/tests/ways.rs
+++ b/crates/cluster/tests/ways.rs
@@ -1,4 +1,4 @@
-//! What ways between zones and regions cost.
+//! Network costs between zones and regions.
 
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
     let ms = Duration::from_millis;
     expect_that!(ways.extra("c"), eq(Duration::ZERO));
     ways.note("c", ms(90));
-    // The own region was not measured yet.
+    // The own region has no measurement yet.
     expect_that!(ways.extra("c"), eq(Duration::ZERO));
     ways.note("b", ms(2));
     expect_that!(ways.extra("c"), eq(ms(88)));
-    // A faster connection shows the way; a slow one shows a busy machine.
+    // Only the minimum counts: slow connections are due to load on the machine.
     ways.note("c", ms(42));
     ways.note("c", ms(200));
     expect_that!(ways.extra("c"), eq(ms(40)));
@@ -53,7 +53,7 @@
     let unknown = Ways::within("a");
     for ways in [&ways, &unknown] {
         expect_that!(ways.weigh("b", WEIGHTS), eq(6.0));
-        // A zone that the settings do not name is no farther than another one.
+        // An unconfigured zone counts as part of the only region.
         expect_that!(ways.distance("x"), eq(Distance::SameRegion));
         expect_that!(ways.region(), none());
     }
--- a/crates/cluster/tests/zone_loss.rs
+++ b/crates/cluster/tests/zone_loss.rs
@@ -1,4 +1,4 @@
-//! What the nodes of a fleet believe of each other while a zone is lost, and while one is cut off.
+//! Peer states while a zone is lost, and while a zone is partitioned.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,16 +11,15 @@
 use googletest::prelude::*;
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
-/// Nodes in each zone.
 const IN_ZONE: usize = 12;
-/// Time in which the sign of a node has come to all others.
+/// Time within which a heartbeat reaches all nodes.
 const NEWS: Duration = Duration::from_millis(450);
 
 fn name(zone: &str, number: usize) -> String {
     format!("{zone}-{number:02}")
 }
 
-/// A fleet as one node of each zone knows it.
+/// A fleet as seen by one node of each zone.
 struct Fleet {
     tables: BTreeMap<&'static str, PeerTable>,
     lives: BTreeMap<&'static str, u64>,
@@ -42,7 +41,7 @@
         fleet
     }
 
-    /// All nodes of a zone write their rows, and every other node comes to know them.
+    /// Registers all nodes of a zone at every table.
     fn register(&mut self, zone: &'static str) {
         let life = self.lives[zone];
         for number in 0..IN_ZONE {
@@ -65,7 +64,8 @@
         }
     }
 
-    /// Time passes; a node hears those of the zones that `heard` names for its own.
+    /// Advances time. `heard(own, other)` says whether nodes of zone `own` receive heartbeats from
+    /// zone `other`.
     async fn run(&mut self, time: Duration, heard: impl Fn(&str, &str) -> bool) {
         let until = dappleyard_clock::Instant::now() + time;
         while dappleyard_clock::Instant::now() < until {
@@ -90,7 +90,8 @@
         });
     }
 
-    /// Addresses of each zone in the answer of a node to a caller of some zone; the node itself is not among them.
+    /// Addresses per zone in the directory response of a node to a caller in `zone`, without the
+    /// node itself.
     fn answer(&self, by: &str, zone: &str) -> [usize; 3] {
         let places: Places = ZONES
             .map(|zone| (zone.into(), "one".into()))
@@ -129,9 +130,7 @@
     let [north, south, west] = fleet.answer("south", "north");
     assert_that!((north, south + west), eq((IN_ZONE, 4)));
     assert_that!(fleet.tables["south"].delegates("north").len(), eq(2));
-    // The zone is without power. After 1.8 s no caller is sent there any more, before each of its nodes is known to be
-    // down, when jobs are claimed from them, their loads and their delegates count no longer, and no call to the store
-    // goes by them.
+    // The zone fails. After 1.8 s the directory no longer lists it, before its nodes count as down.
     fleet
         .run(1_800 * SECOND / 1_000, |_, of| of != "north")
         .await;
@@ -145,13 +144,13 @@
         relays.iter().filter(|peer| peer.zone == "north").count(),
         eq(0)
     );
-    // Quotas are shared among those that are heard, of all that may be there.
+    // Quotas are divided among live nodes, out of all registered ones.
     let known = (
         fleet.tables["west"].count(),
         fleet.tables["west"].expected(),
     );
     assert_that!(known, eq((2 * IN_ZONE, 3 * IN_ZONE)));
-    // It comes back, each node as a new process: jobs of the old ones may be claimed at once.
+    // The zone returns with new processes; the old ones count as replaced at once.
     fleet.lives.insert("north", 2);
     fleet.register("north");
     fleet.run(NEWS, |_, _| true).await;
@@ -167,14 +166,16 @@
     fleet.run(2 * SECOND, |_, _| true).await;
     let cut = |at: &str, of: &str| (at == "north") == (of == "north");
     fleet.run(1_800 * SECOND / 1_000, cut).await;
-    // The others take the zone for lost. It takes itself for cut off: its callers are sent to it and elsewhere.
+    // Other zones consider the zone lost. The zone considers itself partitioned and lists its own
+    // nodes and others.
     assert_that!(fleet.answer("south", "north")[0], eq(0));
     let [north, south, west] = fleet.answer("north", "north");
     assert_that!((north, south + west), eq((IN_ZONE - 1, IN_ZONE - 1)));
-    // Its own delegates stay, so that loads and quotas are summed within it.
+    // It keeps its delegates, so that loads and quotas are summed within it.
     let own = fleet.tables["north"].delegates("north");
     assert_that!(own.len(), eq(2));
-    // It goes on telling the delegates of the others, as these know them, who lives: that is heard once the cut heals.
+    // It keeps sending life signs to the delegates of the other zones, which receive them once the
+    // partition heals.
     let there = fleet.tables["south"].delegates("south");
     fleet.run(SECOND, cut).await;
     assert_that!(fleet.tables["north"].delegates("north"), eq(&own));
@@ -188,7 +189,7 @@
         fleet.tables["north"].expected(),
     );
     assert_that!(known, eq((IN_ZONE, 3 * IN_ZONE)));
-    // Nobody is sent for long to nodes that were not heard since.
+    // Nodes without recent heartbeats are no longer listed.
     fleet.run(2_500 * SECOND / 1_000, cut).await;
     let [north, south, west] = fleet.answer("north", "north");
     assert_that!((north, south + west), eq((IN_ZONE - 1, 0)));
--- a/crates/cluster/tests/zone_suspicion.rs
+++ b/crates/cluster/tests/zone_suspicion.rs
@@ -1,4 +1,4 @@
-//! Zones whose servers fall silent together.
+//! Suspicion of zones whose servers fall silent together.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Duration::from_millis(ms)
 }
 
-/// Servers of a zone: some silent and found so, some that answer, some that nobody has asked lately.
+/// Servers of a zone: silent ones, responding ones, and ones without recent requests.
 fn signs(
     zone: &'static str,
     silent: usize,
@@ -36,14 +36,14 @@
 fn silent_together() {
     let now = Instant::now();
     let mut zones = ZoneSuspicion::default();
-    // One server in six of each zone is down.
+    // A sixth of the servers is down.
     zones.judge(&both(signs("north", 5, 20, 5)), now);
     expect_that!(zones.is_any(), eq(false));
     let changes = zones.judge(&both(signs("north", 4, 1, 25)), now);
     expect_that!(changes.len(), eq(1));
     expect_that!(zones.holds_back("north"), eq(true));
     expect_that!(zones.holds_back("south"), eq(false));
-    // Told once.
+    // The change is returned only once.
     let again = zones.judge(&both(signs("north", 9, 0, 21)), now + ms(100));
     expect_that!(again.len(), eq(0));
 }
@@ -53,7 +53,7 @@
     let now = Instant::now();
     let mut zones = ZoneSuspicion::default();
     zones.judge(&both(signs("north", 8, 0, 22)), now);
-    // What a server sent before it fell silent is no answer.
+    // Bytes from before the silence do not count as a response.
     let mut signs = signs("north", 8, 0, 20);
     signs.extend(vec![
         ServerSign {
@@ -89,7 +89,7 @@
         now += ms(500);
     }
     expect_that!(needed, eq(&vec![2, 4, 8, 16]));
-    // After a quiet time few suffice again.
+    // After a calm period the initial requirement applies again.
     now += ms(4_000);
     zones.judge(&both(signs("north", 8, 0, 22)), now);
     zones.judge(&both(signs("north", 8, 2, 20)), now + ms(200));
@@ -98,7 +98,7 @@
 
 #[gtest]
 fn all_silent() {
-    // A node that is cut off hears no other zone; its own stays usable.
+    // An isolated node receives nothing from other zones; its own stays usable.
     let now = Instant::now();
     let mut zones = ZoneSuspicion::default();
     let mut seen = signs("north", 0, 6, 20);
@@ -107,7 +107,7 @@
     zones.judge(&seen, now);
     let held = ["north", "south", "west"].map(|zone| zones.holds_back(zone));
     expect_that!(held, eq([false, true, true]));
-    // Nothing at all answers: nothing is held back.
+    // If no zone responds, none is restricted.
     let mut seen = signs("north", 8, 0, 20);
     seen.extend(signs("south", 8, 0, 20));
     seen.extend(signs("west", 8, 0, 20));
@@ -124,7 +124,7 @@
     expect_that!(zones.is_any(), eq(false));
     zones.judge(&both(signs("north", 2, 0, 0)), now);
     expect_that!(zones.holds_back("north"), eq(true));
-    // Its servers are listed no longer.
+    // Its servers are no longer registered.
     let changes = zones.judge(&both(Vec::new()), now);
     expect_that!((changes.len(), changes[0].suspected), eq((1, false)));
     expect_that!(zones.is_any(), eq(false));
