--- a/crates/cluster/src/standing.rs
+++ b/crates/cluster/src/cold_assignment.rs
@@ -2,7 +2,7 @@
 
 use dappleyard_clock::Instant;
 
-use crate::cold_parts::{first, standing};
+use crate::cold_quota::{assigned_nodes, standing};
 use crate::peers::{FORGOTTEN, Peer, PeerStatus, PeerTable};
 
 impl PeerTable {
@@ -30,8 +30,11 @@
             return standing(server, own, near.iter().map(|(name, _)| *name), nodes);
         }
         let place = standing(server, own, far.iter().map(|(name, _)| *name), nodes)?;
-        let first = first(server, near, nodes);
+        let assigned_nodes = assigned_nodes(server, near, nodes);
         let silent = |peer: &Peer| self.judge(peer, now, peers.len()) == PeerStatus::Down;
-        first.iter().all(|(_, peer)| silent(peer)).then_some(place)
+        assigned_nodes
+            .iter()
+            .all(|(_, peer)| silent(peer))
+            .then_some(place)
     }
 }
--- a/crates/cluster/src/cold_parts.rs
+++ b/crates/cluster/src/cold_quota.rs
@@ -18,7 +18,7 @@
 /// One second, in which the operators count requests, plus an allowance for network delay.
 const WINDOW: Duration = Duration::from_millis(1_050);
 /// Most nodes assigned to a server.
-const MOST_STANDING: u32 = 5;
+const MAX_ASSIGNED: u32 = 5;
 
 /// How the request rate of a cold server is divided among nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     pub fn new(per_s: f64, bounds: ColdBounds) -> Self {
         let allowed = per_s * bounds.over + bounds.slack;
         let total = per_s.min(allowed / 2.0).floor().max(1.0) as u32;
-        let nodes = total.min(MOST_STANDING);
+        let nodes = total.min(MAX_ASSIGNED);
         Self {
             nodes,
             requests: total / nodes,
@@ -63,7 +63,7 @@
 }
 
 /// The nodes assigned to a server, with their values.
-pub(crate) fn first<'a, T>(
+pub(crate) fn assigned_nodes<'a, T>(
     server: &str,
     mut known: Vec<(&'a str, T)>,
     nodes: u32,
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub struct ColdParts {
     /// No quota before this time: the previous process of this node may have used it up.
-    from: Instant,
+    available_from: Instant,
     sent: Mutex<HashMap<u32, VecDeque<Instant>>>,
 }
 
@@ -85,7 +85,7 @@
     /// The quotas of a node that starts now: they count as used for the first second.
     pub fn new(now: Instant) -> Self {
         Self {
-            from: now + WINDOW,
+            available_from: now + WINDOW,
             sent: Mutex::default(),
         }
     }
@@ -93,20 +93,20 @@
     /// Whether the node has quota left for a server.
     pub fn has_left(&self, server: u32, requests: u32, now: Instant) -> bool {
         let mut sent = self.sent.lock();
-        now >= self.from && Self::recent(&mut sent, server, now) < requests
+        now >= self.available_from && Self::count_recent(&mut sent, server, now) < requests
     }
 
     /// Takes one request from the quota; `false` if it is exhausted.
     pub fn take(&self, server: u32, requests: u32, now: Instant) -> bool {
         let mut sent = self.sent.lock();
-        if now < self.from || Self::recent(&mut sent, server, now) >= requests {
+        if now < self.available_from || Self::count_recent(&mut sent, server, now) >= requests {
             return false;
         }
         sent.entry(server).or_default().push_back(now);
         true
     }
 
-    fn recent(sent: &mut HashMap<u32, VecDeque<Instant>>, server: u32, now: Instant) -> u32 {
+    fn count_recent(sent: &mut HashMap<u32, VecDeque<Instant>>, server: u32, now: Instant) -> u32 {
         let Some(times) = sent.get_mut(&server) else {
             return 0;
         };
--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -12,9 +12,9 @@
 use crate::server_loads::Source;
 
 /// Older reports are ignored.
-const NEWS_LIFE: Duration = Duration::from_millis(1_500);
+const REPORT_LIFE: Duration = Duration::from_millis(1_500);
 /// Most tenants per service in one message; those with the least work are left out.
-const TENANTS_TOLD: usize = 32;
+const MAX_TENANTS_SENT: usize = 32;
 
 struct OwnDemand {
     waiting: u32,
@@ -23,7 +23,7 @@
 }
 
 impl OwnDemand {
-    fn told(&mut self, service: u32, now: Instant) -> Demand {
+    fn report(&mut self, service: u32, now: Instant) -> Demand {
         let mut tenants: Vec<TenantWork> = self
             .tenants
             .iter()
@@ -57,32 +57,32 @@
         })
     }
 
-    fn own_told(&mut self, now: Instant) -> Vec<Demand> {
-        let told = self
+    fn own_report(&mut self, now: Instant) -> Vec<Demand> {
+        let report = self
             .own
             .iter_mut()
-            .map(|(service, own)| own.told(*service, now))
-            .map(|mut told| {
-                told.keep_busiest(TENANTS_TOLD);
-                told
+            .map(|(service, own)| own.report(*service, now))
+            .map(|mut report| {
+                report.keep_busiest(MAX_TENANTS_SENT);
+                report
             });
-        told.filter(|demand| !demand.is_empty()).collect()
+        report.filter(|demand| !demand.is_empty()).collect()
     }
 
     /// The report of a source and its age in spans; `None` if it has expired.
-    fn told_by(&self, source: &Source, now: Instant) -> Option<(usize, &[Demand])> {
+    fn report_of(&self, source: &Source, now: Instant) -> Option<(usize, &[Demand])> {
         let (at, demands) = self.others.get(source)?;
         let age = now.saturating_duration_since(*at);
         let spans = (age.as_millis() / SPAN.as_millis()) as usize;
-        (age < NEWS_LIFE).then_some((spans, demands.as_slice()))
+        (age < REPORT_LIFE).then_some((spans, demands.as_slice()))
     }
 
     /// Sum of this node's demand and that of the counted sources, by service.
     fn sum(&mut self, counted: impl Fn(&Source) -> bool, now: Instant) -> HashMap<u32, Demand> {
-        let own = self.own_told(now).into_iter();
+        let own = self.own_report(now).into_iter();
         let mut sums: HashMap<u32, Demand> = own.map(|demand| (demand.service, demand)).collect();
         let sources = self.others.keys().filter(|source| counted(source));
-        for (spans, demands) in sources.filter_map(|source| self.told_by(source, now)) {
+        for (spans, demands) in sources.filter_map(|source| self.report_of(source, now)) {
             for demand in demands {
                 let sum = sums
                     .entry(demand.service)
@@ -95,10 +95,10 @@
 }
 
 /// Limits the sums to what is sent in messages.
-fn as_told(sums: HashMap<u32, Demand>) -> Vec<Demand> {
+fn limited(sums: HashMap<u32, Demand>) -> Vec<Demand> {
     let mut sums: Vec<Demand> = sums.into_values().collect();
     sums.iter_mut()
-        .for_each(|sum| sum.keep_busiest(TENANTS_TOLD));
+        .for_each(|sum| sum.keep_busiest(MAX_TENANTS_SENT));
     sums.retain(|sum| !sum.is_empty());
     sums
 }
@@ -131,7 +131,7 @@
     }
 
     /// Signals pressure when the requests of a source begin to wait.
-    fn tell_pressure(&self, before: &[Demand], now: &[Demand]) {
+    fn signal_pressure(&self, before: &[Demand], now: &[Demand]) {
         let waits = |demands: &[Demand]| demands.iter().any(|demand| demand.waiting > 0);
         if waits(now) && !waits(before) {
             self.pressure.notify_one();
@@ -168,40 +168,40 @@
 
     /// Demand of all nodes for a service.
     pub fn total(&self, service: &str) -> Demand {
-        self.add_all(service, Demand::add)
+        self.sum_with(service, Demand::add)
     }
 
     /// Waiting requests and expected retries for a service at all nodes, without the split by
     /// tenant.
     pub fn pressure_on(&self, service: &str) -> Demand {
-        self.add_all(service, Demand::add_pressure)
+        self.sum_with(service, Demand::add_pressure)
     }
 
-    fn add_all(&self, service: &str, add: impl Fn(&mut Demand, &Demand, usize)) -> Demand {
+    fn sum_with(&self, service: &str, add: impl Fn(&mut Demand, &Demand, usize)) -> Demand {
         let number = service_number(service);
         let now = Instant::now();
         let mut state = self.state.lock();
         let mut sum = Demand::of(number);
         if let Some(own) = state.own.get_mut(&number) {
-            add(&mut sum, &own.told(number, now), 0);
+            add(&mut sum, &own.report(number, now), 0);
         }
         let sources = state.others.keys();
-        for (spans, demands) in sources.filter_map(|source| state.told_by(source, now)) {
-            let told = demands.iter().filter(|demand| demand.service == number);
-            told.for_each(|demand| add(&mut sum, demand, spans));
+        for (spans, demands) in sources.filter_map(|source| state.report_of(source, now)) {
+            let report = demands.iter().filter(|demand| demand.service == number);
+            report.for_each(|demand| add(&mut sum, demand, spans));
         }
         sum
     }
 
     /// Demand of this node, as sent in messages.
     pub(crate) fn own(&self) -> Vec<Demand> {
-        self.state.lock().own_told(Instant::now())
+        self.state.lock().own_report(Instant::now())
     }
 
     /// Demand of the nodes of this zone.
     pub(crate) fn zone_sum(&self) -> Vec<Demand> {
         let mut state = self.state.lock();
-        as_told(state.sum(|source| matches!(source, Source::Node(_)), Instant::now()))
+        limited(state.sum(|source| matches!(source, Source::Node(_)), Instant::now()))
     }
 
     /// For each of `nodes`, the demand of all other nodes. Sums all sources once and subtracts the
@@ -212,25 +212,25 @@
         let all = state.sum(|source| *source != Source::Fleet, now);
         let without = |node: &u64| {
             let mut sums = all.clone();
-            let told = state.told_by(&Source::Node(*node), now);
-            let (spans, own) = told.unwrap_or_default();
+            let report = state.report_of(&Source::Node(*node), now);
+            let (spans, own) = report.unwrap_or_default();
             for demand in own {
                 if let Some(sum) = sums.get_mut(&demand.service) {
                     sum.take_off(demand, spans);
                 }
             }
-            as_told(sums)
+            limited(sums)
         };
         nodes.iter().map(without).collect()
     }
 
     /// Updates the demand of a source from which a heartbeat was received before.
     pub(crate) fn change_source(&self, source: Source, demands: Vec<Demand>) {
-        let news = (Instant::now(), demands);
+        let update = (Instant::now(), demands);
         let mut state = self.state.lock();
         if let Some(held) = state.others.get_mut(&source) {
-            let before = std::mem::replace(held, news);
-            self.tell_pressure(&before.1, &held.1);
+            let before = std::mem::replace(held, update);
+            self.signal_pressure(&before.1, &held.1);
         }
     }
 
@@ -247,11 +247,11 @@
         }
         let before = state.others.remove(&source);
         let before = before.map_or_else(Vec::new, |(_, demands)| demands);
-        self.tell_pressure(&before, &demands);
+        self.signal_pressure(&before, &demands);
         state.others.insert(source, (now, demands));
         state
             .others
-            .retain(|_, (at, _)| now.saturating_duration_since(*at) < NEWS_LIFE);
+            .retain(|_, (at, _)| now.saturating_duration_since(*at) < REPORT_LIFE);
     }
 }
 
--- a/crates/cluster/src/evacuated_work.rs
+++ b/crates/cluster/src/evacuated_work.rs
@@ -27,7 +27,7 @@
     }
 
     pub fn evacuations(&self) -> Vec<Evacuation> {
-        self.known.lock().evacuations.standing().collect()
+        self.known.lock().evacuations.active().collect()
     }
 
     /// When this node learned that an evacuated zone was restored; see
@@ -47,7 +47,7 @@
     }
 
     /// Hashes of the identifiers of a zone's servers.
-    fn numbers_in(&self, zone: &str) -> Vec<u32> {
+    fn server_hashes_in(&self, zone: &str) -> Vec<u32> {
         let known = self.known.lock();
         let servers = known.servers.values();
         servers
@@ -76,7 +76,7 @@
             };
             self.log().write(kind, || {
                 serde_json::json!({"zone": change.zone.to_string(), "revision": change.revision,
-                    "servers": self.numbers_in(change.zone.as_str()).len()})
+                    "servers": self.server_hashes_in(change.zone.as_str()).len()})
             });
         }
         self.changed.notify_waiters();
@@ -91,7 +91,7 @@
     }
 
     fn work_in(&self, zone: &str, loads: &LoadTable) -> ZoneWork {
-        let (online, batch) = loads.work_at(&self.numbers_in(zone));
+        let (online, batch) = loads.in_flight_at(&self.server_hashes_in(zone));
         ZoneWork {
             zone: node_number(zone),
             online,
@@ -103,7 +103,7 @@
     /// delegates receive the loads of all servers; they report evacuated zones to the other nodes.
     pub fn zone_work(&self, zone: &str, loads: &LoadTable, peers: &PeerTable) -> Option<ZoneWork> {
         match peers.is_large() && !peers.is_delegate() {
-            true => loads.zones.told(zone),
+            true => loads.zones.reported(zone),
             false => Some(self.work_in(zone, loads)),
         }
     }
@@ -114,14 +114,14 @@
 pub struct ToldZones(Mutex<HashMap<u64, (Instant, ZoneWork)>>);
 
 impl ToldZones {
-    pub(crate) fn note(&self, told: Vec<ZoneWork>) {
+    pub(crate) fn note(&self, reported: Vec<ZoneWork>) {
         let now = Instant::now();
         let mut held = self.0.lock();
         held.retain(|_, (at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
-        held.extend(told.into_iter().map(|work| (work.zone, (now, work))));
+        held.extend(reported.into_iter().map(|work| (work.zone, (now, work))));
     }
 
-    fn told(&self, zone: &str) -> Option<ZoneWork> {
+    fn reported(&self, zone: &str) -> Option<ZoneWork> {
         let held = self.0.lock();
         let (at, work) = held.get(&node_number(zone))?;
         (at.elapsed() < HEARTBEAT_LIFE).then(|| work.clone())
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -10,10 +10,10 @@
 use dappleyard_model::ZoneName;
 
 /// Withdrawn orders that are remembered. Bounds the memory used by orders for nonexistent zones.
-const WITHDRAWN_KEPT: usize = 64;
+const MAX_WITHDRAWN: usize = 64;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum OrderState {
     /// The order is active; this node learned of it at this time.
     Evacuated(Instant),
     /// The order was withdrawn; this node learned of it at this time.
@@ -21,9 +21,9 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Held {
+struct OrderEntry {
     revision: u64,
-    standing: Standing,
+    state: OrderState,
 }
 
 /// An active order.
@@ -59,21 +59,21 @@
 /// State of all zones with orders.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
-    zones: BTreeMap<ZoneName, Held>,
+    zones: BTreeMap<ZoneName, OrderEntry>,
     /// Rows up to this revision are stale for zones without an entry.
-    forgotten: u64,
+    stale_up_to: u64,
 }
 
 impl Evacuations {
     /// Applies an order and returns the change, if any. An order with a new revision replaces an
     /// active one, since the old one was withdrawn in between.
-    pub fn give(
+    pub fn issue(
         &mut self,
         zone: &ZoneName,
         revision: u64,
         now: Instant,
     ) -> Option<EvacuationChange> {
-        self.set(zone, revision, Standing::Evacuated(now))
+        self.set(zone, revision, OrderState::Evacuated(now))
     }
 
     /// Applies a withdrawal and returns the change, if any.
@@ -83,8 +83,8 @@
         revision: u64,
         now: Instant,
     ) -> Option<EvacuationChange> {
-        let change = self.set(zone, revision, Standing::Restored(now));
-        self.forget();
+        let change = self.set(zone, revision, OrderState::Restored(now));
+        self.prune_withdrawn();
         change
     }
 
@@ -97,49 +97,49 @@
         now: Instant,
     ) -> Vec<EvacuationChange> {
         let gone: Vec<ZoneName> = self
-            .standing()
+            .active()
             .filter(|held| held.revision <= revision)
             .filter(|held| rows.iter().all(|row| row.zone != held.zone))
             .map(|held| held.zone)
             .collect();
         let given = rows.iter().filter(|row| row.readable);
         let mut changes: Vec<EvacuationChange> = given
-            .filter_map(|row| self.give(&row.zone, row.revision, now))
+            .filter_map(|row| self.issue(&row.zone, row.revision, now))
             .collect();
         changes.extend(
             gone.iter()
                 .filter_map(|zone| self.withdraw(zone, revision, now)),
         );
-        self.forgotten = self.forgotten.max(revision);
+        self.stale_up_to = self.stale_up_to.max(revision);
         changes
     }
 
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let held = self.zones.get(zone);
-        held.is_some_and(|held| matches!(held.standing, Standing::Evacuated(_)))
+        held.is_some_and(|held| matches!(held.state, OrderState::Evacuated(_)))
     }
 
     /// When this node learned that the zone was restored; `None` without a known order or while one
     /// is active. Warm-up states from before that time are invalid, since the servers may have
     /// cooled down meanwhile.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
-        match self.zones.get(zone)?.standing {
-            Standing::Restored(at) => Some(at),
-            Standing::Evacuated(_) => None,
+        match self.zones.get(zone)?.state {
+            OrderState::Restored(at) => Some(at),
+            OrderState::Evacuated(_) => None,
         }
     }
 
     /// The active orders.
-    pub fn standing(&self) -> impl Iterator<Item = Evacuation> + '_ {
+    pub fn active(&self) -> impl Iterator<Item = Evacuation> + '_ {
         self.zones
             .iter()
-            .filter_map(|(zone, held)| match held.standing {
-                Standing::Evacuated(since) => Some(Evacuation {
+            .filter_map(|(zone, held)| match held.state {
+                OrderState::Evacuated(since) => Some(Evacuation {
                     zone: zone.clone(),
                     revision: held.revision,
                     since,
                 }),
-                Standing::Restored(_) => None,
+                OrderState::Restored(_) => None,
             })
     }
 
@@ -147,37 +147,38 @@
         &mut self,
         zone: &ZoneName,
         revision: u64,
-        standing: Standing,
+        state: OrderState,
     ) -> Option<EvacuationChange> {
         let known = self.zones.get(zone);
-        if revision <= known.map_or(self.forgotten, |held| held.revision) {
+        if revision <= known.map_or(self.stale_up_to, |held| held.revision) {
             return None;
         }
-        self.zones.insert(zone.clone(), Held { revision, standing });
+        self.zones
+            .insert(zone.clone(), OrderEntry { revision, state });
         Some(EvacuationChange {
             zone: zone.clone(),
             revision,
-            evacuated: matches!(standing, Standing::Evacuated(_)),
+            evacuated: matches!(state, OrderState::Evacuated(_)),
         })
     }
 
     /// Drops the oldest withdrawals above the limit. Their revision becomes the lower bound for new
     /// rows, so that a stale row cannot restore an order.
-    fn forget(&mut self) {
-        let withdrawn = |held: &Held| matches!(held.standing, Standing::Restored(_));
+    fn prune_withdrawn(&mut self) {
+        let withdrawn = |held: &OrderEntry| matches!(held.state, OrderState::Restored(_));
         let mut revisions: Vec<u64> = self
             .zones
             .values()
             .filter(|held| withdrawn(held))
             .map(|held| held.revision)
             .collect();
-        if revisions.len() <= WITHDRAWN_KEPT {
+        if revisions.len() <= MAX_WITHDRAWN {
             return;
         }
         revisions.sort_unstable();
-        let last = revisions[revisions.len() - WITHDRAWN_KEPT - 1];
+        let last = revisions[revisions.len() - MAX_WITHDRAWN - 1];
         self.zones
             .retain(|_, held| !withdrawn(held) || held.revision > last);
-        self.forgotten = self.forgotten.max(last);
+        self.stale_up_to = self.stale_up_to.max(last);
     }
 }
--- a/crates/cluster/src/health.rs
+++ b/crates/cluster/src/health.rs
@@ -8,7 +8,7 @@
 
 /// Time without an answer, from the first failed call on, after which the store counts as
 /// unavailable.
-const LOST_AFTER: Duration = Duration::from_millis(300);
+const UNAVAILABLE_AFTER: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default, Clone, Copy)]
 struct State {
@@ -48,6 +48,6 @@
         let state = self.state.lock();
         state
             .failing_since
-            .is_some_and(|since| since.elapsed() >= LOST_AFTER)
+            .is_some_and(|since| since.elapsed() >= UNAVAILABLE_AFTER)
     }
 }
--- a/crates/cluster/src/load_sources.rs
+++ b/crates/cluster/src/load_reports.rs
@@ -6,7 +6,7 @@
 
 use crate::loads::LoadTable;
 use crate::messages::LoadEntry;
-use crate::server_loads::{Source, tells_something};
+use crate::server_loads::{Source, has_content};
 
 impl LoadTable {
     /// This node's loads, for its heartbeat.
@@ -16,17 +16,17 @@
         let entries = servers
             .iter()
             .map(|(number, loads)| loads.own(*number, now));
-        entries.filter(tells_something).collect()
+        entries.filter(has_content).collect()
     }
 
     /// Loads of this node that changed since the last call.
     pub(crate) fn take_changes(&self) -> Vec<LoadEntry> {
         let now = Instant::now();
         let mut servers = self.servers.lock();
-        let changed = servers.iter_mut().filter(|(_, loads)| loads.untold);
+        let changed = servers.iter_mut().filter(|(_, loads)| loads.unsent);
         changed
             .map(|(number, loads)| {
-                loads.untold = false;
+                loads.unsent = false;
                 LoadEntry {
                     // Heartbeats carry this; omitted here to save bytes.
                     heard_ms: 0,
@@ -42,7 +42,7 @@
         let mut servers = self.servers.lock();
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.paces.take(source, &entry, now);
+            loads.slowdowns.take(source, &entry, now);
             let (_, held) = loads
                 .peers
                 .entry(source)
@@ -51,7 +51,7 @@
                 heard_ms: held.heard_ms,
                 ..entry
             };
-            self.note_news(loads, now);
+            self.apply_reports(loads, now);
         }
     }
 
@@ -71,9 +71,9 @@
         }
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.paces.take(source, &entry, now);
+            loads.slowdowns.take(source, &entry, now);
             loads.peers.insert(source, (now, entry));
-            self.note_news(loads, now);
+            self.apply_reports(loads, now);
         }
     }
 
@@ -83,9 +83,9 @@
         let mut servers = self.servers.lock();
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.paces.take(source, &entry, now);
+            loads.slowdowns.take(source, &entry, now);
             loads.peers.insert(source, (now, entry));
-            self.note_news(loads, now);
+            self.apply_reports(loads, now);
         }
     }
 
@@ -96,7 +96,7 @@
         let sums = servers.iter().map(|(number, loads)| {
             loads.sum(*number, now, |source| matches!(source, Source::Node(_)))
         });
-        sums.filter(tells_something).collect()
+        sums.filter(has_content).collect()
     }
 
     /// For each of `nodes`, the loads of all other nodes at the servers it uses; an empty list
@@ -109,7 +109,7 @@
             .iter()
             .map(|(number, loads)| loads.sum(*number, now, |source| *source != Source::Fleet))
             .map(|total| (total.server, total))
-            .filter(|(_, total)| tells_something(total))
+            .filter(|(_, total)| has_content(total))
             .collect();
         let sum_for = |node: u64, total: &LoadEntry| -> LoadEntry {
             let own = Source::Node(node);
@@ -131,7 +131,7 @@
                     .map(|total| sum_for(*node, total))
                     .collect(),
             };
-            sums.into_iter().filter(tells_something).collect()
+            sums.into_iter().filter(has_content).collect()
         };
         nodes.iter().map(sums_for).collect()
     }
--- a/crates/cluster/src/loads.rs
+++ b/crates/cluster/src/loads.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::cold_parts::ColdParts;
+use crate::cold_quota::ColdParts;
 use crate::demand::DemandTable;
 use crate::evacuated_work::ToldZones;
 use crate::server_loads::{HEARTBEAT_LIFE, LoadSummary, ServerLoads, Source};
@@ -17,11 +17,11 @@
 use dappleyard_clock::Instant;
 
 /// Multiplicative hash factor that orders the nodes differently for each server.
-const ORDER_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
+const NODE_ORDER_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 /// Time after which a server without work or reports is dropped.
-const QUIET_LIFE: Duration = Duration::from_secs(15);
+const IDLE_RETENTION: Duration = Duration::from_secs(15);
 /// Weight of a new sample in the moving average of the time to first event.
-const MEAN_SHARE: f64 = 0.25;
+const EXCESS_SMOOTHING: f64 = 0.25;
 
 /// Kind of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     pub(crate) cold: ColdParts,
     pub(crate) servers: Mutex<HashMap<u32, ServerLoads>>,
     /// Servers of suspected zones. Never locked together with `servers`.
-    held_back: Mutex<HashSet<u32>>,
+    restricted: Mutex<HashSet<u32>>,
     pressure: Notify,
     /// Signalled when this node or another finds a server silent.
     silent: Notify,
@@ -77,11 +77,11 @@
             WorkKind::Online => loads.online += 1,
             WorkKind::Batch => loads.batch += 1,
         }
-        loads.untold = true;
+        loads.unsent = true;
         self.change.notify_one();
         loads.unread_tokens += unread_tokens;
         if kind == WorkKind::Online {
-            self.tell_pressure(loads);
+            self.signal_pressure(loads);
         }
         InFlight {
             table: self.clone(),
@@ -113,8 +113,8 @@
         };
         let summary = loads.summary(now);
         let over = (summary.online + summary.batch).saturating_sub(keep);
-        if loads.is_summed() {
-            return loads.share_of_sum(over, summary.batch);
+        if loads.has_sums() {
+            return loads.pause_share_of_sum(over, summary.batch);
         }
         let others = loads
             .peers
@@ -125,7 +125,9 @@
                 Source::Zone(_) | Source::Fleet => None,
             });
         let mut nodes: Vec<(u64, u32)> = others.chain([(own, loads.batch)]).collect();
-        nodes.sort_by_key(|(node, _)| (node ^ u64::from(number)).wrapping_mul(ORDER_FACTOR));
+        nodes.sort_by_key(|(node, _)| {
+            (node ^ u64::from(number)).wrapping_mul(NODE_ORDER_MULTIPLIER)
+        });
         let before: u32 = nodes
             .iter()
             .take_while(|(node, _)| *node != own)
@@ -140,8 +142,8 @@
     }
 
     /// Applies the reports of other nodes on a server.
-    pub(crate) fn note_news(&self, loads: &mut ServerLoads, now: Instant) {
-        loads.take_thermal_news(now);
+    pub(crate) fn apply_reports(&self, loads: &mut ServerLoads, now: Instant) {
+        loads.apply_peer_reports(now);
         if loads
             .peers
             .values()
@@ -151,12 +153,12 @@
         }
         if loads.peers.values().any(|(_, entry)| entry.failed > 0) {
             // The nodes where the requests failed write the log record.
-            loads.judge(now);
+            loads.evaluate(now);
         }
-        self.tell_pressure(loads);
+        self.signal_pressure(loads);
     }
 
-    fn tell_pressure(&self, loads: &ServerLoads) {
+    fn signal_pressure(&self, loads: &ServerLoads) {
         if loads.batch == 0 {
             return;
         }
@@ -167,7 +169,7 @@
     }
 
     /// Total online requests and batch items at some servers.
-    pub(crate) fn work_at(&self, numbers: &[u32]) -> (u32, u32) {
+    pub(crate) fn in_flight_at(&self, numbers: &[u32]) -> (u32, u32) {
         let now = Instant::now();
         let servers = self.servers.lock();
         let loads = numbers.iter().filter_map(|number| servers.get(number));
@@ -180,12 +182,12 @@
 
     pub fn summary(&self, server: &str) -> LoadSummary {
         let number = server_number(server);
-        let held_back = self.held_back.lock().contains(&number);
+        let restricted = self.restricted.lock().contains(&number);
         let servers = self.servers.lock();
         let mut summary = servers
             .get(&number)
             .map_or_else(LoadSummary::default, |loads| loads.summary(Instant::now()));
-        summary.suspect |= held_back;
+        summary.suspect |= restricted;
         summary
     }
 
@@ -193,7 +195,7 @@
     pub fn hold_back(&self, servers: Vec<&str>) {
         let numbers: HashSet<u32> = servers.into_iter().map(server_number).collect();
         let (released, added): (Vec<u32>, Vec<u32>) = {
-            let mut held = self.held_back.lock();
+            let mut held = self.restricted.lock();
             let released = held.difference(&numbers).copied().collect();
             let added = numbers.difference(&held).copied().collect();
             *held = numbers;
@@ -204,12 +206,12 @@
         for number in added {
             // It may cool down and return before it is found silent itself.
             let loads = servers.entry(number).or_default();
-            loads.thermal.note_silent(now);
+            loads.warmup.note_silent(now);
         }
         // Existing connections are not trusted until the server responds.
         for number in released {
             let loads = servers.entry(number).or_default();
-            loads.doubt_until.get_or_insert(now);
+            loads.overdue_until.get_or_insert(now);
         }
     }
 
@@ -231,10 +233,10 @@
     /// with its zone, and this node has received nothing from it since.
     pub fn is_doubted(&self, server: &str) -> bool {
         let number = server_number(server);
-        let held_back = self.held_back.lock().contains(&number);
+        let restricted = self.restricted.lock().contains(&number);
         let servers = self.servers.lock();
         let loads = servers.get(&number);
-        held_back || loads.is_some_and(|loads| loads.is_doubted(Instant::now()))
+        restricted || loads.is_some_and(|loads| loads.is_doubted(Instant::now()))
     }
 
     /// Marks the server as silent for `time`.
@@ -243,8 +245,8 @@
         let loads = servers.entry(server_number(server)).or_default();
         let now = Instant::now();
         loads.suspect_until = Some(now + time);
-        loads.thermal.note_silent(now);
-        loads.untold = true;
+        loads.warmup.note_silent(now);
+        loads.unsent = true;
         self.change.notify_one();
         self.silent.notify_one();
     }
@@ -254,8 +256,8 @@
     pub fn doubt(&self, server: &str, time: Duration) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        loads.doubt_until = Some(Instant::now() + time);
-        loads.untold = true;
+        loads.overdue_until = Some(Instant::now() + time);
+        loads.unsent = true;
         self.change.notify_one();
         self.silent.notify_one();
     }
@@ -267,10 +269,10 @@
         let loads = servers.entry(server_number(server)).or_default();
         loads.outcomes.note(served, now);
         if !served {
-            loads.untold = true;
+            loads.unsent = true;
             self.change.notify_one();
         }
-        loads.judge(now)
+        loads.evaluate(now)
     }
 
     /// Records that bytes were received from the server.
@@ -279,9 +281,9 @@
         let loads = servers.entry(server_number(server)).or_default();
         let now = Instant::now();
         loads.heard = Some(now);
-        loads.thermal.note_heard(now);
+        loads.warmup.note_heard(now);
         loads.suspect_until = None;
-        loads.doubt_until = None;
+        loads.overdue_until = None;
     }
 
     /// Time since any node received bytes from the server.
@@ -305,7 +307,7 @@
         let loads = servers.entry(server_number(server)).or_default();
         let now = Instant::now();
         let held = loads.summary(now).excess_ms;
-        loads.excess_ms = held + MEAN_SHARE * (excess_ms.max(0.0) - held);
+        loads.excess_ms = held + EXCESS_SMOOTHING * (excess_ms.max(0.0) - held);
         loads.excess_at = Some(now);
     }
 
@@ -318,9 +320,9 @@
                 .retain(|_, (at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
             let quiet = loads
                 .heard
-                .is_none_or(|heard| now.duration_since(heard) > QUIET_LIFE);
+                .is_none_or(|heard| now.duration_since(heard) > IDLE_RETENTION);
             let kept = loads.online + loads.batch > 0 || !loads.peers.is_empty() || !quiet;
-            kept || loads.is_followed(now)
+            kept || loads.is_tracked(now)
         });
     }
 }
@@ -357,7 +359,7 @@
                     self.table.waiting.note_ended();
                 }
             }
-            loads.untold = true;
+            loads.unsent = true;
             self.table.change.notify_one();
         }
     }
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -12,7 +12,7 @@
 use crate::view::View;
 
 /// Log cause for a row with an unknown key.
-const NO_ORDER: &str = "no order has such a key";
+const UNKNOWN_KEY: &str = "unknown key";
 
 /// Applies rows of the operators' table to a view.
 pub struct ConfigurationSink {
@@ -65,7 +65,7 @@
                 .change_zones(|zones| Vec::from_iter(zones.withdraw(zone, row.revision, now))),
             Some(_) if self.is_readable(row) => self
                 .view
-                .change_zones(|zones| Vec::from_iter(zones.give(zone, row.revision, now))),
+                .change_zones(|zones| Vec::from_iter(zones.issue(zone, row.revision, now))),
             Some(_) => {}
         }
     }
@@ -105,7 +105,7 @@
                     revision: row.revision,
                     readable: self.is_readable(row),
                 }),
-                None => self.refuse(row, NO_ORDER),
+                None => self.refuse(row, UNKNOWN_KEY),
             }
         }
         // Zones first: applying the configuration makes the node ready.
@@ -121,7 +121,7 @@
         match self.dialect.order(&row.key) {
             Some(OperatorOrder::Configuration) => self.configure(&row),
             Some(OperatorOrder::Evacuation(zone)) => self.change_zone(&zone, &row),
-            None if row.value.is_some() => self.refuse(&row, NO_ORDER),
+            None if row.value.is_some() => self.refuse(&row, UNKNOWN_KEY),
             None => {}
         }
     }
--- a/crates/cluster/src/outcomes.rs
+++ b/crates/cluster/src/outcomes.rs
@@ -9,14 +9,14 @@
 use dappleyard_clock::Instant;
 
 /// Length of a counting window. Outcomes count for one to two windows.
-const SPAN: Duration = Duration::from_millis(1_000);
+const WINDOW: Duration = Duration::from_millis(1_000);
 /// Failures over all nodes below which a server is not ejected.
-const LEAST_FAILED: u32 = 3;
+const MIN_FAILED: u32 = 3;
 /// First ejection time. Longer than two counting windows, so that the same failures do not eject a
 /// server twice.
-const FIRST_TIME: Duration = Duration::from_millis(2_500);
+const BASE_EJECTION: Duration = Duration::from_millis(2_500);
 /// Longest ejection time; some requests try the server again afterwards.
-const LONGEST_TIME: Duration = Duration::from_secs(10);
+const MAX_EJECTION: Duration = Duration::from_secs(10);
 
 /// Counts of recent outcomes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -37,45 +37,47 @@
     }
 
     fn is_failing(self) -> bool {
-        self.failed >= LEAST_FAILED && self.failed >= self.served
+        self.failed >= MIN_FAILED && self.failed >= self.served
     }
 }
 
 /// Outcomes of one node at one server in the current and the previous window.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcomes {
-    now: OutcomeCounts,
-    before: OutcomeCounts,
-    began: Option<Instant>,
+    current: OutcomeCounts,
+    previous: OutcomeCounts,
+    window_start: Option<Instant>,
 }
 
 impl Outcomes {
     /// Records the outcome of a request.
     pub fn note(&mut self, served: bool, now: Instant) {
-        self.turn(now);
+        self.rotate(now);
         match served {
-            true => self.now.served += 1,
-            false => self.now.failed += 1,
+            true => self.current.served += 1,
+            false => self.current.failed += 1,
         }
     }
 
-    fn turn(&mut self, now: Instant) {
-        let age = self.began.map(|began| now.duration_since(began));
-        if age.is_some_and(|age| age < SPAN) {
+    fn rotate(&mut self, now: Instant) {
+        let age = self
+            .window_start
+            .map(|window_start| now.duration_since(window_start));
+        if age.is_some_and(|age| age < WINDOW) {
             return;
         }
-        self.before = match age {
-            Some(age) if age < 2 * SPAN => self.now,
+        self.previous = match age {
+            Some(age) if age < 2 * WINDOW => self.current,
             _ => OutcomeCounts::default(),
         };
-        self.now = OutcomeCounts::default();
-        self.began = Some(now);
+        self.current = OutcomeCounts::default();
+        self.window_start = Some(now);
     }
 
     /// Counts of both windows.
     pub fn counts(mut self, now: Instant) -> OutcomeCounts {
-        self.turn(now);
-        self.now.plus(self.before)
+        self.rotate(now);
+        self.current.plus(self.previous)
     }
 }
 
@@ -83,30 +85,30 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Ejection {
     /// Consecutive ejections.
-    strikes: u32,
+    consecutive: u32,
     until: Option<Instant>,
 }
 
 impl Ejection {
     /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
-    pub fn judge(&mut self, counts: OutcomeCounts, now: Instant) -> bool {
-        if self.is_out(now) {
+    pub fn evaluate(&mut self, counts: OutcomeCounts, now: Instant) -> bool {
+        if self.is_ejected(now) {
             return false;
         }
         if counts.is_failing() {
-            let time = FIRST_TIME * 2_u32.saturating_pow(self.strikes);
-            self.until = Some(now + time.min(LONGEST_TIME));
-            self.strikes = (self.strikes + 1).min(8);
+            let time = BASE_EJECTION * 2_u32.saturating_pow(self.consecutive);
+            self.until = Some(now + time.min(MAX_EJECTION));
+            self.consecutive = (self.consecutive + 1).min(8);
             return true;
         }
         if counts.served > counts.failed {
-            self.strikes = 0;
+            self.consecutive = 0;
         }
         false
     }
 
     /// Whether the server is ejected now.
-    pub fn is_out(&self, now: Instant) -> bool {
+    pub fn is_ejected(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| until > now)
     }
 }
--- a/crates/cluster/src/pace.rs
+++ b/crates/cluster/src/pace.rs
@@ -6,13 +6,13 @@
 
 /// Shortest interval between two load change messages. A burst of arrivals fills a server within
 /// tens of milliseconds; with a longer interval many nodes would pick the same free slot.
-const SHORTEST_GAP: Duration = Duration::from_millis(8);
+const MIN_INTERVAL: Duration = Duration::from_millis(8);
 
 /// Rate-limits messages about changed loads. The first change after an idle period is sent at once;
 /// a change stays pending until it is sent.
 #[derive(Debug, Clone, Copy)]
 pub struct ChangePace {
-    told_at: Instant,
+    sent_at: Instant,
     pending: bool,
 }
 
@@ -20,7 +20,7 @@
     /// No change is pending; `now` counts as the time of the last message.
     pub fn new(now: Instant) -> Self {
         Self {
-            told_at: now,
+            sent_at: now,
             pending: false,
         }
     }
@@ -32,7 +32,7 @@
 
     /// Records that the change was sent.
     pub fn note_told(&mut self, now: Instant) {
-        self.told_at = now;
+        self.sent_at = now;
         self.pending = false;
     }
 
@@ -43,6 +43,6 @@
 
     /// Earliest time for the next message.
     pub fn next(&self) -> Instant {
-        self.told_at + SHORTEST_GAP
+        self.sent_at + MIN_INTERVAL
     }
 }
--- a/crates/cluster/src/server_digest.rs
+++ b/crates/cluster/src/server_digest.rs
@@ -11,7 +11,7 @@
 use prost::Message;
 
 /// Prefix of a digest. A server's own entry is text and never starts with it.
-const MARK: &[u8] = b"\0srv1";
+const PREFIX: &[u8] = b"\0srv1";
 
 /// The fields of an entry that nodes use.
 #[derive(Clone, PartialEq, Eq, Message)]
@@ -37,14 +37,14 @@
 }
 
 /// A parsed entry: a server, or why the entry is invalid.
-pub(crate) type ReadEntry = Result<ServerRecord, String>;
+pub(crate) type ParsedEntry = Result<ServerRecord, String>;
 
 fn is_digest(value: &[u8]) -> bool {
-    value.starts_with(MARK)
+    value.starts_with(PREFIX)
 }
 
 /// Replaces the value of a row by its digest. Deletions and digests are returned unchanged.
-pub(crate) fn digest(row: Row, read: impl FnOnce(&Row) -> ReadEntry) -> Row {
+pub(crate) fn digest(row: Row, read: impl FnOnce(&Row) -> ParsedEntry) -> Row {
     let Some(value) = &row.value else {
         return row;
     };
@@ -67,7 +67,7 @@
             ..ServerDigest::default()
         },
     };
-    let mut value = MARK.to_vec();
+    let mut value = PREFIX.to_vec();
     value.extend(digest.encode_to_vec());
     Row {
         value: Some(Bytes::from(value)),
@@ -76,20 +76,20 @@
 }
 
 /// Parses a digest; `None` for a value that is not one.
-pub(crate) fn read_digest(name: &str, value: &[u8]) -> Option<ReadEntry> {
-    let body = value.strip_prefix(MARK)?;
+pub(crate) fn parse_digest(name: &str, value: &[u8]) -> Option<ParsedEntry> {
+    let body = value.strip_prefix(PREFIX)?;
     Some(server(name, body))
 }
 
-fn server(name: &str, body: &[u8]) -> ReadEntry {
-    let digest = ServerDigest::decode(body).map_err(|error| format!("digest: {error}"))?;
+fn server(name: &str, body: &[u8]) -> ParsedEntry {
+    let digest = ServerDigest::decode(body).map_err(|error| format!("invalid digest: {error}"))?;
     if !digest.refused.is_empty() {
         return Err(digest.refused);
     }
     let address: SocketAddr = digest
         .address
         .parse()
-        .map_err(|error| format!("digest, address: {error}"))?;
+        .map_err(|error| format!("invalid address in digest: {error}"))?;
     Ok(ServerRecord {
         id: ServerRecord::start_id(name, digest.born_ms),
         instance: name.to_owned(),
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -7,13 +7,13 @@
 
 use crate::messages::LoadEntry;
 use crate::outcomes::{Ejection, OutcomeCounts, Outcomes};
-use crate::server_pace::Pace;
-use crate::shared_paces::Paces;
-use crate::temperature::{Checked, Temperature, Thermal};
+use crate::shared_slowdown::Slowdowns;
+use crate::slowdown::Pace;
+use crate::warmup::{Checked, Temperature, Thermal};
 
 /// Time since the last bytes from a server during which reports of its silence are ignored: the
 /// reporting nodes may be partitioned from it, or slow themselves.
-const HEARD_HERE: Duration = Duration::from_millis(200);
+const RECENT_BYTES: Duration = Duration::from_millis(200);
 /// Older heartbeats are ignored.
 pub(crate) const HEARTBEAT_LIFE: Duration = Duration::from_millis(1500);
 
@@ -59,20 +59,20 @@
     pub(crate) paused_for: Option<Instant>,
     pub(crate) suspect_until: Option<Instant>,
     /// The server sent nothing for longer than its responses take; avoided until this time.
-    pub(crate) doubt_until: Option<Instant>,
+    pub(crate) overdue_until: Option<Instant>,
     pub(crate) heard: Option<Instant>,
     pub(crate) excess_ms: f64,
     pub(crate) excess_at: Option<Instant>,
     /// Whether the loads changed since they were last sent.
-    pub(crate) untold: bool,
+    pub(crate) unsent: bool,
     /// Outcomes of this node's requests.
     pub(crate) outcomes: Outcomes,
     pub(crate) ejection: Ejection,
-    pub(crate) thermal: Thermal,
+    pub(crate) warmup: Thermal,
     /// The newest health answer that this node received itself.
-    pub(crate) own_check: Option<Checked>,
+    pub(crate) own_report: Option<Checked>,
     /// Slowdown estimates.
-    pub(crate) paces: Paces,
+    pub(crate) slowdowns: Slowdowns,
 }
 
 impl ServerLoads {
@@ -81,10 +81,10 @@
             online: self.online,
             batch: self.batch,
             unread_tokens: self.unread_tokens,
-            suspect: self.is_found_silent(now) || self.ejection.is_out(now),
-            temperature: self.followed_temperature(now),
-            pace: self.paces.now(now),
-            lasting_pace: self.paces.lasting(now),
+            suspect: self.is_found_silent(now) || self.ejection.is_ejected(now),
+            temperature: self.tracked_state(now),
+            pace: self.slowdowns.now(now),
+            lasting_pace: self.slowdowns.long_term(now),
             ..LoadSummary::default()
         };
         for (at, entry) in self.peers.values() {
@@ -107,18 +107,18 @@
         let told = self.peers.values();
         let mut others = told.filter(|(_, entry)| entry.suspect || entry.doubted);
         self.is_suspect(now)
-            || self.is_slow_to_answer(now)
-            || (heard.is_none_or(|age| age > HEARD_HERE)
+            || self.is_overdue(now)
+            || (heard.is_none_or(|age| age > RECENT_BYTES)
                 && others.any(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE))
     }
 
     /// Whether the server was found silent and this node has received nothing from it since.
     pub(crate) fn is_doubted(&self, now: Instant) -> bool {
-        self.suspect_until.is_some() || self.doubt_until.is_some() || self.is_found_silent(now)
+        self.suspect_until.is_some() || self.overdue_until.is_some() || self.is_found_silent(now)
     }
 
-    fn is_slow_to_answer(&self, now: Instant) -> bool {
-        self.doubt_until.is_some_and(|until| until > now)
+    fn is_overdue(&self, now: Instant) -> bool {
+        self.overdue_until.is_some_and(|until| until > now)
     }
 
     /// Whether this node currently considers the server silent or unreachable.
@@ -127,7 +127,7 @@
     }
 
     /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
-    pub(crate) fn judge(&mut self, now: Instant) -> bool {
+    pub(crate) fn evaluate(&mut self, now: Instant) -> bool {
         let told = self.peers.values();
         let fresh = told.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
         let others = fresh.map(|(_, entry)| OutcomeCounts {
@@ -136,15 +136,15 @@
         });
         let own = self.outcomes.counts(now);
         self.ejection
-            .judge(others.fold(own, OutcomeCounts::plus), now)
+            .evaluate(others.fold(own, OutcomeCounts::plus), now)
     }
 
     /// Load entry of this node alone.
     pub(crate) fn own(&self, server: u32, now: Instant) -> LoadEntry {
         let outcomes = self.outcomes.counts(now);
-        let (asked_ms, cold_ms) = self.own_check_told(now);
-        let (pace_age_ms, pace_percent) = self.paces.told.entry(now, |_| false);
-        let (excess_pace_age_ms, excess_pace_percent) = self.paces.excess.entry(now, |_| false);
+        let (asked_ms, cold_ms) = self.own_report_fields(now);
+        let (pace_age_ms, pace_percent) = self.slowdowns.reported.entry(now, |_| false);
+        let (excess_pace_age_ms, excess_pace_percent) = self.slowdowns.excess.entry(now, |_| false);
         LoadEntry {
             pace_age_ms,
             pace_percent,
@@ -159,7 +159,7 @@
             batch: self.batch,
             unread_tokens: self.unread_tokens,
             suspect: self.is_suspect(now),
-            doubted: self.is_slow_to_answer(now),
+            doubted: self.is_overdue(now),
             heard_ms: self.heard.map_or(0, |heard| {
                 let age = now.duration_since(heard).as_millis();
                 u32::try_from(age).unwrap_or(u32::MAX - 1) + 1
@@ -175,8 +175,9 @@
         counted: impl Fn(&Source) -> bool,
     ) -> LoadEntry {
         let mut sum = self.own(server, now);
-        (sum.pace_age_ms, sum.pace_percent) = self.paces.told.entry(now, &counted);
-        (sum.excess_pace_age_ms, sum.excess_pace_percent) = self.paces.excess.entry(now, &counted);
+        (sum.pace_age_ms, sum.pace_percent) = self.slowdowns.reported.entry(now, &counted);
+        (sum.excess_pace_age_ms, sum.excess_pace_percent) =
+            self.slowdowns.excess.entry(now, &counted);
         for (source, (at, entry)) in &self.peers {
             let age = now.duration_since(*at);
             if age >= HEARTBEAT_LIFE || !counted(source) {
@@ -189,7 +190,7 @@
             sum.doubted |= entry.doubted;
             sum.failed = sum.failed.saturating_add(entry.failed);
             sum.served = sum.served.saturating_add(entry.served);
-            sum.take_newer_check(entry, age);
+            sum.merge_newer_report(entry, age);
             if entry.heard_ms > 0 {
                 let heard_ms = entry.heard_ms.saturating_add(age.as_millis() as u32);
                 sum.heard_ms = match sum.heard_ms {
@@ -202,14 +203,14 @@
     }
 
     /// Whether any report is a sum over several nodes.
-    pub(crate) fn is_summed(&self) -> bool {
+    pub(crate) fn has_sums(&self) -> bool {
         let mut sources = self.peers.keys();
         sources.any(|source| !matches!(source, Source::Node(_)))
     }
 
     /// This node's share of the items to pause, proportional to its batch work. The shares of all
     /// nodes add up on average; each report is acted on once.
-    pub(crate) fn share_of_sum(&mut self, over: u32, batch: u32) -> u32 {
+    pub(crate) fn pause_share_of_sum(&mut self, over: u32, batch: u32) -> u32 {
         let news = self.peers.values().map(|(at, _)| *at).max();
         if over == 0 || self.batch == 0 || self.paused_for == news {
             return 0;
@@ -222,7 +223,7 @@
     }
 }
 
-pub(crate) fn tells_something(entry: &LoadEntry) -> bool {
+pub(crate) fn has_content(entry: &LoadEntry) -> bool {
     let silent = entry.suspect || entry.doubted;
     let told = entry.asked_ms > 0 || entry.pace_age_ms > 0 || entry.excess_pace_age_ms > 0;
     entry.online + entry.batch > 0 || silent || entry.failed > 0 || told
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -12,16 +12,16 @@
 use crate::ways::Ways;
 
 /// Up to this many servers in one region, a node uses all of them.
-const ALL_USED: usize = 64;
+const MAX_ALL_USED: usize = 64;
 /// Servers of its own zone that a node of a large fleet uses.
-const NEAR_USED: usize = 40;
+const OWN_ZONE_USED: usize = 40;
 /// Servers of other zones that it uses, or of other regions if the service is in several. If its
 /// own zone has none, for example while it is evacuated, it uses as many servers of other zones as
 /// it would use in total.
-const FAR_USED: usize = 8;
+const REMOTE_USED: usize = 8;
 /// Servers in the other zones of its region that it uses if the service is in several regions. The
-/// total then equals `ALL_USED`.
-const REGION_USED: usize = ALL_USED - NEAR_USED - FAR_USED;
+/// total then equals `MAX_ALL_USED`.
+const OWN_REGION_USED: usize = MAX_ALL_USED - OWN_ZONE_USED - REMOTE_USED;
 
 /// Location and identity of a node, which determine the servers it uses.
 #[derive(Debug)]
@@ -75,11 +75,11 @@
         if !all.is_sorted_by(|a, b| a.id <= b.id) {
             all.sort_by(|a, b| a.id.cmp(&b.id));
         }
-        let spread = all.iter().any(|server| !self.ways.is_near(&server.zone));
-        if spread {
-            return self.spread_servers(all);
+        let multi_region = all.iter().any(|server| !self.ways.is_near(&server.zone));
+        if multi_region {
+            return self.multi_region_set(all);
         }
-        if all.len() <= ALL_USED {
+        if all.len() <= MAX_ALL_USED {
             return ServerSet {
                 used: all.clone(),
                 homes: all.clone(),
@@ -90,68 +90,68 @@
         let homes: Vec<_> = all.iter().filter(is_near).cloned().collect();
         if homes.is_empty() {
             return ServerSet {
-                used: self.first(all.iter(), NEAR_USED + FAR_USED),
+                used: self.select(all.iter(), OWN_ZONE_USED + REMOTE_USED),
                 homes: all.clone(),
                 all,
             };
         }
-        let mut used = self.first(homes.iter(), NEAR_USED);
-        used.extend(self.first(all.iter().filter(|server| !is_near(server)), FAR_USED));
+        let mut used = self.select(homes.iter(), OWN_ZONE_USED);
+        used.extend(self.select(all.iter().filter(|server| !is_near(server)), REMOTE_USED));
         ServerSet { used, homes, all }
     }
 
     /// Selects up to `most` servers by a hash that differs from node to node.
-    fn first<'a>(
+    fn select<'a>(
         &self,
         servers: impl Iterator<Item = &'a Arc<ServerRecord>>,
         most: usize,
     ) -> Vec<Arc<ServerRecord>> {
-        let turn = |server: &ServerRecord| xxh3_64_with_seed(server.id.as_bytes(), self.number);
-        let mut turns: Vec<(u64, &Arc<ServerRecord>)> =
-            servers.map(|server| (turn(server), server)).collect();
-        if turns.len() > most {
-            turns.select_nth_unstable_by_key(most, |(turn, _)| *turn);
-            turns.truncate(most);
+        let hash = |server: &ServerRecord| xxh3_64_with_seed(server.id.as_bytes(), self.number);
+        let mut hashes: Vec<(u64, &Arc<ServerRecord>)> =
+            servers.map(|server| (hash(server), server)).collect();
+        if hashes.len() > most {
+            hashes.select_nth_unstable_by_key(most, |(hash, _)| *hash);
+            hashes.truncate(most);
         }
-        turns.sort_unstable_by_key(|(turn, _)| *turn);
-        turns
+        hashes.sort_unstable_by_key(|(hash, _)| *hash);
+        hashes
             .into_iter()
             .map(|(_, server)| server.clone())
             .collect()
     }
 
     /// Builds the set of a service with servers in other regions.
-    fn spread_servers(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
+    fn multi_region_set(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
         let some = |distance: Distance, most: usize| {
             let servers = all.iter();
             let there = servers.filter(|server| self.ways.distance(&server.zone) == distance);
-            self.first(there, most)
+            self.select(there, most)
         };
-        let mut used = some(Distance::SameZone, NEAR_USED);
-        used.extend(some(Distance::SameRegion, REGION_USED));
+        let mut used = some(Distance::SameZone, OWN_ZONE_USED);
+        used.extend(some(Distance::SameRegion, OWN_REGION_USED));
         let far = match used.is_empty() {
             // The own region has no servers; use more of the others.
-            true => NEAR_USED,
-            false => FAR_USED,
+            true => OWN_ZONE_USED,
+            false => REMOTE_USED,
         };
         used.extend(some(Distance::OtherRegion, far));
         ServerSet {
             used,
-            homes: self.spread_homes(&all),
+            homes: self.multi_region_homes(&all),
             all,
         }
     }
 
     /// Servers for prompt hashing: those of the own zone in a large fleet, otherwise those of the
     /// region, or all if the region has none.
-    fn spread_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
+    fn multi_region_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
         let within = |farthest: Distance| -> Vec<_> {
             let servers = all.iter();
             let there = servers.filter(|server| self.ways.distance(&server.zone) <= farthest);
             there.cloned().collect()
         };
         let zone = within(Distance::SameZone);
-        if all.len() > ALL_USED && !zone.is_empty() {
+        if all.len() > MAX_ALL_USED && !zone.is_empty() {
             return zone;
         }
         let region = within(Distance::SameRegion);
--- a/crates/cluster/src/servers_sink.rs
+++ b/crates/cluster/src/servers_sink.rs
@@ -7,12 +7,12 @@
 use dappleyard_model::{Dialect, Row};
 
 use crate::follow::{Contact, TableSink};
-use crate::server_digest::{ReadEntry, digest, read_digest};
+use crate::server_digest::{ParsedEntry, digest, parse_digest};
 use crate::view::{Known, View};
 
 /// Shortest interval between two reads of changes. Each heartbeat of a server rewrites its row, and
 /// few of these changes matter.
-const SERVERS_PACE: Duration = Duration::from_millis(400);
+const READ_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Applies rows of the server table to a view.
 pub struct ServersSink {
@@ -23,20 +23,20 @@
 impl ServersSink {
     /// Parses an entry; `None` for a deleted row. Other clients write to the table too, so an
     /// invalid entry does not affect the others.
-    fn read(&self, row: &Row) -> Option<ReadEntry> {
+    fn read(&self, row: &Row) -> Option<ParsedEntry> {
         let value = row.value.as_ref()?;
-        let digested = read_digest(&row.key, value);
-        Some(digested.unwrap_or_else(|| self.read_text(&row.key, value)))
+        let digested = parse_digest(&row.key, value);
+        Some(digested.unwrap_or_else(|| self.parse_native(&row.key, value)))
     }
 
     /// Parses an entry in the server's own format.
-    fn read_text(&self, key: &str, value: &[u8]) -> ReadEntry {
+    fn parse_native(&self, key: &str, value: &[u8]) -> ParsedEntry {
         let read = self.dialect.server(key, value);
         read.map_err(|error| error.to_string())
     }
 
     /// Records whether an entry is valid, and logs the cause when it changes.
-    fn note_refused(&self, known: &mut Known, key: &str, cause: Option<&String>) {
+    fn set_refused(&self, known: &mut Known, key: &str, cause: Option<&String>) {
         if known.refused.get(key) == cause {
             return;
         }
@@ -63,13 +63,13 @@
     }
 
     fn pace(&self) -> Duration {
-        SERVERS_PACE
+        READ_INTERVAL
     }
 
     fn digest(&self, row: Row) -> Row {
         digest(row, |row| {
             let value = row.value.as_deref().unwrap_or_default();
-            self.read_text(&row.key, value)
+            self.parse_native(&row.key, value)
         })
     }
 
@@ -102,7 +102,7 @@
         earlier_starts.retain(|name, _| held.contains_key(name));
         refused_before.retain(|key, _| refused.contains_key(key.as_str()));
         for (key, cause) in &refused {
-            self.note_refused(&mut known, key, Some(cause));
+            self.set_refused(&mut known, key, Some(cause));
         }
         for (server, at) in servers {
             View::put_server(&mut known, server, at);
@@ -120,7 +120,7 @@
             None => (None, None),
         };
         let mut known = self.view.known.lock();
-        self.note_refused(&mut known, &row.key, cause.as_ref());
+        self.set_refused(&mut known, &row.key, cause.as_ref());
         let held = known.servers.get(&row.key);
         let before = held.map(|(_, server)| server.service.clone());
         let applied = match server.clone() {
--- a/crates/cluster/src/shared_paces.rs
+++ b/crates/cluster/src/shared_slowdown.rs
@@ -8,20 +8,20 @@
 use crate::loads::{LoadTable, server_number};
 use crate::messages::LoadEntry;
 use crate::server_loads::Source;
-use crate::server_pace::{Pace, ServerPace};
+use crate::slowdown::{Pace, ServerPace};
 
 /// Greatest error of the age of a sample that was relayed by other nodes.
-const ECHO: Duration = Duration::from_millis(20);
+const RELAY_AGE_ERROR: Duration = Duration::from_millis(20);
 
 /// A slowdown estimate and the source of its newest sample.
 #[derive(Default)]
-pub(crate) struct SharedPace {
+pub(crate) struct SharedSlowdown {
     pace: ServerPace,
     /// Source of the newest sample; `None` for this node.
     from: Option<Source>,
 }
 
-impl SharedPace {
+impl SharedSlowdown {
     /// Merges a sample from another node if it is newer by more than the transfer error: a relayed
     /// sample returns with a smaller age.
     fn take(&mut self, source: Source, (age_ms, percent): (u32, u32), now: Instant) {
@@ -29,8 +29,8 @@
             return;
         };
         let at = now.checked_sub(Duration::from_millis(u64::from(age_ms)));
-        let told = at.zip(Pace::of_percent(percent));
-        let newer = told.filter(|(at, _)| self.pace.is_older_than(*at, ECHO));
+        let reported = at.zip(Pace::of_percent(percent));
+        let newer = reported.filter(|(at, _)| self.pace.is_older_than(*at, RELAY_AGE_ERROR));
         if newer.is_some_and(|(at, pace)| self.pace.note(pace, at)) {
             self.from = Some(source);
         }
@@ -42,7 +42,7 @@
         let held = self.pace.now(now);
         self.pace.note(pace, now);
         self.from = None;
-        pace.differs_much(held)
+        pace.differs_significantly(held)
     }
 
     /// Age of the newest sample in milliseconds plus one, and its value, if it came from this node
@@ -50,7 +50,7 @@
     pub(crate) fn entry(&self, now: Instant, counted: impl Fn(&Source) -> bool) -> (u32, u32) {
         match self.pace.newest(now) {
             Some((age, pace))
-                if self.from.as_ref().is_none_or(counted) && !self.pace.is_usual(now) =>
+                if self.from.as_ref().is_none_or(counted) && !self.pace.is_normal(now) =>
             {
                 (age.as_millis() as u32 + 1, pace.percent())
             }
@@ -61,40 +61,40 @@
 
 /// Slowdown estimates of one server.
 #[derive(Default)]
-pub(crate) struct Paces {
+pub(crate) struct Slowdowns {
     /// Reported by the server.
-    pub(crate) told: SharedPace,
+    pub(crate) reported: SharedSlowdown,
     /// Measured slowdown relative to the reported one.
-    pub(crate) excess: SharedPace,
+    pub(crate) excess: SharedSlowdown,
 }
 
-impl Paces {
+impl Slowdowns {
     /// Merges a report of another node.
     pub(crate) fn take(&mut self, source: Source, entry: &LoadEntry, now: Instant) {
-        let told = (entry.pace_age_ms, entry.pace_percent);
-        self.told.take(source, told, now);
+        let reported = (entry.pace_age_ms, entry.pace_percent);
+        self.reported.take(source, reported, now);
         let excess = (entry.excess_pace_age_ms, entry.excess_pace_percent);
         self.excess.take(source, excess, now);
     }
 
     /// The current estimate.
     pub(crate) fn now(&self, now: Instant) -> Pace {
-        self.told.pace.now(now).of(self.excess.pace.now(now))
+        self.reported.pace.now(now).of(self.excess.pace.now(now))
     }
 
     /// The estimate over the last seconds.
-    pub(crate) fn lasting(&self, now: Instant) -> Pace {
-        let excess = self.excess.pace.lasting(now);
-        self.told.pace.lasting(now).of(excess)
+    pub(crate) fn long_term(&self, now: Instant) -> Pace {
+        let excess = self.excess.pace.long_term(now);
+        self.reported.pace.long_term(now).of(excess)
     }
 }
 
 impl LoadEntry {
     /// Whether the slowdown differs enough from `held` to be sent at once.
     pub(crate) fn is_pace_news(&self, held: &LoadEntry) -> bool {
-        let is_news = |told: u32, held: u32| {
+        let is_news = |reported: u32, held: u32| {
             let held = Pace::of_percent(held).unwrap_or_default();
-            Pace::of_percent(told).is_some_and(|pace| pace.differs_much(held))
+            Pace::of_percent(reported).is_some_and(|pace| pace.differs_significantly(held))
         };
         is_news(self.pace_percent, held.pace_percent)
             || is_news(self.excess_pace_percent, held.excess_pace_percent)
@@ -104,45 +104,47 @@
 impl LoadTable {
     /// The current slowdown estimate of a server.
     pub fn pace(&self, server: &str) -> Pace {
-        self.paces(server, |paces| paces.now(Instant::now()))
+        self.slowdowns(server, |slowdowns| slowdowns.now(Instant::now()))
     }
 
     /// The current slowdown as reported by the server.
     pub fn told_pace(&self, server: &str) -> Pace {
-        self.paces(server, |paces| paces.told.pace.now(Instant::now()))
+        self.slowdowns(server, |slowdowns| {
+            slowdowns.reported.pace.now(Instant::now())
+        })
     }
 
     /// Whether the server reports its slowdown.
     pub fn tells_pace(&self, server: &str) -> bool {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
-        loads.is_some_and(|loads| loads.paces.told.pace.is_known())
+        loads.is_some_and(|loads| loads.slowdowns.reported.pace.is_known())
     }
 
-    fn paces(&self, server: &str, of: impl Fn(&Paces) -> Pace) -> Pace {
+    fn slowdowns(&self, server: &str, of: impl Fn(&Slowdowns) -> Pace) -> Pace {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
-        loads.map_or(Pace::USUAL, |loads| of(&loads.paces))
+        loads.map_or(Pace::USUAL, |loads| of(&loads.slowdowns))
     }
 
     /// Adds a value reported by a server. Returns whether it differs significantly from the
     /// previous estimate.
     pub fn note_told_pace(&self, server: &str, pace: Pace) -> bool {
-        self.note_pace(server, |paces, now| paces.told.note(pace, now))
+        self.note_sample(server, |slowdowns, now| slowdowns.reported.note(pace, now))
     }
 
     /// Adds a measured slowdown relative to the reported one. Returns whether it differs
     /// significantly from the previous estimate.
     pub fn note_excess_pace(&self, server: &str, excess: Pace) -> bool {
-        self.note_pace(server, |paces, now| paces.excess.note(excess, now))
+        self.note_sample(server, |slowdowns, now| slowdowns.excess.note(excess, now))
     }
 
-    fn note_pace(&self, server: &str, note: impl Fn(&mut Paces, Instant) -> bool) -> bool {
+    fn note_sample(&self, server: &str, note: impl Fn(&mut Slowdowns, Instant) -> bool) -> bool {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        let news = note(&mut loads.paces, Instant::now());
+        let news = note(&mut loads.slowdowns, Instant::now());
         if news {
-            loads.untold = true;
+            loads.unsent = true;
             self.change.notify_one();
         }
         news
--- a/crates/cluster/src/server_pace.rs
+++ b/crates/cluster/src/slowdown.rs
@@ -13,18 +13,18 @@
 
 /// Age up to which the newest sample has full weight. Samples take some tens of milliseconds to
 /// arrive.
-const NEWEST_WHOLE: Duration = Duration::from_millis(100);
+const FULL_WEIGHT_AGE: Duration = Duration::from_millis(100);
 /// Age at which the newest sample expires and only the long-term average counts.
-pub(crate) const NEWEST_LIFE: Duration = Duration::from_millis(600);
+pub(crate) const SAMPLE_LIFE: Duration = Duration::from_millis(600);
 /// Time constant of the long-term average; spans several short slow periods.
-const LASTING: Duration = Duration::from_secs(2);
+const AVERAGE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// Time constant with which the average returns to normal without samples, so that a server that
 /// was slow is tried again.
-const FORGOTTEN: Duration = Duration::from_secs(10);
+const RECOVERY_TIME_CONSTANT: Duration = Duration::from_secs(10);
 /// Least and greatest accepted value.
 const BOUNDS: (f64, f64) = (0.25, 8.0);
 /// Ratio from which two values differ significantly.
-const MUCH: f64 = 1.25;
+const SIGNIFICANT_RATIO: f64 = 1.25;
 
 /// Service time relative to normal: 1.0 is normal, 2.0 takes twice as long.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -69,9 +69,9 @@
     }
 
     /// Whether the two values differ enough to notify other nodes.
-    pub fn differs_much(self, other: Self) -> bool {
+    pub fn differs_significantly(self, other: Self) -> bool {
         let (low, high) = (self.0.min(other.0), self.0.max(other.0));
-        high >= low * MUCH
+        high >= low * SIGNIFICANT_RATIO
     }
 }
 
@@ -79,7 +79,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServerPace {
     newest: Option<(Instant, Pace)>,
-    lasting: Pace,
+    long_term: Pace,
 }
 
 impl ServerPace {
@@ -87,17 +87,17 @@
     pub fn note(&mut self, pace: Pace, at: Instant) -> bool {
         let Some((held_at, _)) = self.newest else {
             self.newest = Some((at, pace));
-            self.lasting = pace;
+            self.long_term = pace;
             return true;
         };
         if at <= held_at {
             return false;
         }
-        let lasting = self.lasting(at);
+        let long_term = self.long_term(at);
         // A sample represents at most its lifetime.
-        let stands_for = at.duration_since(held_at).min(NEWEST_LIFE);
-        let share = 1.0 - (-stands_for.as_secs_f64() / LASTING.as_secs_f64()).exp();
-        self.lasting = Pace(lasting.0 + share * (pace.0 - lasting.0));
+        let stands_for = at.duration_since(held_at).min(SAMPLE_LIFE);
+        let share = 1.0 - (-stands_for.as_secs_f64() / AVERAGE_TIME_CONSTANT.as_secs_f64()).exp();
+        self.long_term = Pace(long_term.0 + share * (pace.0 - long_term.0));
         self.newest = Some((at, pace));
         true
     }
@@ -116,38 +116,38 @@
     pub fn newest(&self, now: Instant) -> Option<(Duration, Pace)> {
         let (at, pace) = self.newest?;
         let age = now.saturating_duration_since(at);
-        (age < NEWEST_LIFE).then_some((age, pace))
+        (age < SAMPLE_LIFE).then_some((age, pace))
     }
 
     /// The long-term average, which returns to normal while no samples arrive.
-    pub fn lasting(&self, now: Instant) -> Pace {
+    pub fn long_term(&self, now: Instant) -> Pace {
         let Some((at, _)) = self.newest else {
             return Pace::USUAL;
         };
         let age = now.saturating_duration_since(at);
-        if age <= NEWEST_LIFE || self.lasting == Pace::USUAL {
-            return self.lasting;
+        if age <= SAMPLE_LIFE || self.long_term == Pace::USUAL {
+            return self.long_term;
         }
-        let unheard = age.saturating_sub(NEWEST_LIFE).as_secs_f64();
-        let kept = (-unheard / FORGOTTEN.as_secs_f64()).exp();
-        Pace(1.0 + (self.lasting.0 - 1.0) * kept)
+        let unheard = age.saturating_sub(SAMPLE_LIFE).as_secs_f64();
+        let kept = (-unheard / RECOVERY_TIME_CONSTANT.as_secs_f64()).exp();
+        Pace(1.0 + (self.long_term.0 - 1.0) * kept)
     }
 
     /// Whether both the newest sample and the long-term average are close to normal.
-    pub fn is_usual(&self, now: Instant) -> bool {
+    pub fn is_normal(&self, now: Instant) -> bool {
         let newest = self.newest(now).map(|(_, pace)| pace);
-        let mut paces = newest.into_iter().chain([self.lasting(now)]);
-        !paces.any(|pace| pace.differs_much(Pace::USUAL))
+        let mut paces = newest.into_iter().chain([self.long_term(now)]);
+        !paces.any(|pace| pace.differs_significantly(Pace::USUAL))
     }
 
     /// The current estimate: the newest sample, blended into the long-term average as it ages.
     pub fn now(&self, now: Instant) -> Pace {
-        let lasting = self.lasting(now);
+        let long_term = self.long_term(now);
         let Some((age, newest)) = self.newest(now) else {
-            return lasting;
+            return long_term;
         };
-        let doubtful = age.saturating_sub(NEWEST_WHOLE).as_secs_f64();
-        let trust = 1.0 - doubtful / (NEWEST_LIFE - NEWEST_WHOLE).as_secs_f64();
-        Pace(lasting.0 + trust * (newest.0 - lasting.0))
+        let doubtful = age.saturating_sub(FULL_WEIGHT_AGE).as_secs_f64();
+        let trust = 1.0 - doubtful / (SAMPLE_LIFE - FULL_WEIGHT_AGE).as_secs_f64();
+        Pace(long_term.0 + trust * (newest.0 - long_term.0))
     }
 }
--- a/crates/cluster/src/waiting.rs
+++ b/crates/cluster/src/waiting.rs
@@ -13,7 +13,7 @@
 use crate::server_loads::Source;
 
 /// Older reports are ignored.
-const NEWS_LIFE: Duration = Duration::from_millis(1500);
+const REPORT_LIFE: Duration = Duration::from_millis(1500);
 
 #[derive(Default)]
 pub struct WaitingItems {
@@ -47,7 +47,7 @@
     }
 
     /// Sets the number of items waiting at another node.
-    pub fn set_others(&self, node: u64, items: u32) {
+    pub fn set_node(&self, node: u64, items: u32) {
         self.set_source(Source::Node(node), items);
     }
 
@@ -78,56 +78,56 @@
         let others = self.others.lock();
         let fresh = others
             .iter()
-            .filter(|(source, (at, _))| at.elapsed() < NEWS_LIFE && counted(source));
+            .filter(|(source, (at, _))| at.elapsed() < REPORT_LIFE && counted(source));
         fresh.map(|(_, (_, items))| items).sum()
     }
 
     /// Time of the newest report that has not expired.
-    fn news(&self) -> Option<Instant> {
+    fn newest_report(&self) -> Option<Instant> {
         let others = self.others.lock();
         let newest = others.values().map(|(at, _)| *at).max();
-        newest.filter(|at| at.elapsed() < NEWS_LIFE)
+        newest.filter(|at| at.elapsed() < REPORT_LIFE)
     }
 }
 
 /// Batch items that this node may start until the next report from other nodes.
 #[derive(Debug, Default)]
 pub struct Allowance {
-    news: Option<Instant>,
-    left: f64,
+    last_report: Option<Instant>,
+    remaining: f64,
     ended: u64,
 }
 
 impl Allowance {
-    /// Recomputes the allowance. `room` is the number of free slots that this node sees; `point` is
+    /// Recomputes the allowance. `room` is the number of free slots that this node sees; `sample` is
     /// a uniform sample from 0 to 1 for rounding.
-    pub fn refresh(&mut self, waiting: &WaitingItems, room: u32, point: f64) {
+    pub fn refresh(&mut self, waiting: &WaitingItems, room: u32, sample: f64) {
         let ended = waiting.ended.load(Ordering::Relaxed);
         let freed = ended.saturating_sub(self.ended);
         self.ended = ended;
-        let Some(news) = waiting.news() else {
+        let Some(last_report) = waiting.newest_report() else {
             // No other node is known to use the slots.
-            self.news = None;
-            self.left = f64::from(room);
+            self.last_report = None;
+            self.remaining = f64::from(room);
             return;
         };
-        if self.news == Some(news) {
-            self.left += freed as f64;
+        if self.last_report == Some(last_report) {
+            self.remaining += freed as f64;
             return;
         }
-        self.news = Some(news);
+        self.last_report = Some(last_report);
         let (own, others) = (f64::from(waiting.own()), f64::from(waiting.sum(|_| true)));
         let share = own / (own + others).max(1.0);
         let part = f64::from(room) * share;
-        self.left = part.floor() + f64::from(u8::from(point < part.fract()));
+        self.remaining = part.floor() + f64::from(u8::from(sample < part.fract()));
     }
 
-    /// Takes one start; `false` if none is left.
+    /// Takes one start; `false` if none is remaining.
     pub fn take(&mut self) -> bool {
-        if self.left < 1.0 {
+        if self.remaining < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.remaining -= 1.0;
         true
     }
 }
--- a/crates/cluster/src/temperature.rs
+++ b/crates/cluster/src/warmup.rs
@@ -11,18 +11,18 @@
 
 /// Time without bytes from a server to any node after which it may have restarted unnoticed.
 /// Shorter than the three heartbeats after which discovery drops it.
-const UNSEEN: Duration = Duration::from_millis(2_000);
+const UNOBSERVED_AFTER: Duration = Duration::from_millis(2_000);
 /// Delay of a registration row: one server heartbeat and the propagation through the store.
 const ROW_DELAY: Duration = Duration::from_millis(2_500);
 /// Propagation delay between nodes. A server is found silent after 900 ms without bytes, so an
 /// answer to a health check sent this long before such a report is newer than the silence.
-const NEWS_DELAY: Duration = Duration::from_millis(500);
+const PEER_REPORT_DELAY: Duration = Duration::from_millis(500);
 /// Greatest difference between the times at which nodes learn that a server was restored. Nodes
 /// send no health checks to evacuated servers, so a check within this time was sent by a node that
 /// already knew.
-const TAKEN_BACK_DELAY: Duration = Duration::from_millis(2_000);
+const RESTORE_DELAY: Duration = Duration::from_millis(2_000);
 /// A server first seen this long after its zone was restored was not there before.
-const TAKEN_BACK_LIFE: Duration = Duration::from_secs(10);
+const RESTORE_WINDOW: Duration = Duration::from_secs(10);
 
 /// Warm-up state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -78,7 +78,7 @@
 
 impl Checked {
     /// Whether the answer is still shared with other nodes.
-    pub fn is_told(&self, now: Instant) -> bool {
+    pub fn is_shared(&self, now: Instant) -> bool {
         now < self.at + self.cold.max(ROW_DELAY)
     }
 }
@@ -89,17 +89,17 @@
     /// Remaining warm-up time in the last row.
     row_cold_ms: Option<u64>,
     cold_until: Option<Instant>,
-    out_of_sight: Option<(Instant, Teller)>,
+    unobserved: Option<(Instant, Teller)>,
     /// The server has answered since, but without its warm-up state.
     reached: bool,
     checked: Option<Checked>,
     /// Latest known time at which any node received bytes from the server.
     heard: Option<Instant>,
     /// When this node learned that operators restored the server.
-    taken_back: Option<Instant>,
+    restored_at: Option<Instant>,
     /// When another node last reported the server as silent.
-    silence_told: Option<Instant>,
-    teller: Option<Teller>,
+    silence_reported: Option<Instant>,
+    source: Option<Teller>,
     /// When the server was first seen or last returned.
     back: Option<Instant>,
 }
@@ -108,47 +108,47 @@
     /// The current state and its source.
     pub fn temperature(&self, now: Instant) -> (Temperature, Teller) {
         let is_cold = self.cold_until.is_some_and(|until| until > now);
-        let out_of_sight = match is_cold {
+        let unobserved = match is_cold {
             // A cold server is limited whether it is used or not.
-            true => self.out_of_sight,
-            false => self.out_of_sight(now),
+            true => self.unobserved,
+            false => self.unobserved(now),
         };
-        if let Some((_, teller)) = out_of_sight {
+        if let Some((_, source)) = unobserved {
             return match self.reached {
-                true => (Temperature::InDoubt, teller),
-                false => (Temperature::Unknown, teller),
+                true => (Temperature::InDoubt, source),
+                false => (Temperature::Unknown, source),
             };
         }
         match self.cold_until {
-            Some(_) if is_cold => (Temperature::Cold, self.teller.unwrap_or(Teller::Row)),
+            Some(_) if is_cold => (Temperature::Cold, self.source.unwrap_or(Teller::Row)),
             Some(_) => (Temperature::Warm, Teller::Time),
-            None => (Temperature::Warm, self.teller.unwrap_or(Teller::Row)),
+            None => (Temperature::Warm, self.source.unwrap_or(Teller::Row)),
         }
     }
 
     /// Since when the server is unobserved, and why.
-    fn out_of_sight(&self, now: Instant) -> Option<(Instant, Teller)> {
-        if self.out_of_sight.is_some() {
-            return self.out_of_sight;
+    fn unobserved(&self, now: Instant) -> Option<(Instant, Teller)> {
+        if self.unobserved.is_some() {
+            return self.unobserved;
         }
         let checked = self.checked.map(|checked| checked.at);
         let seen = self.heard?.max(checked.unwrap_or(self.heard?));
-        (now.duration_since(seen) >= UNSEEN).then_some((seen, Teller::Unused))
+        (now.duration_since(seen) >= UNOBSERVED_AFTER).then_some((seen, Teller::Unused))
     }
 
     /// Whether the server's state is tracked, and must be kept while it has no work.
-    pub fn is_followed(&self) -> bool {
+    pub fn is_tracked(&self) -> bool {
         self.row_cold_ms.is_some()
     }
 
     /// Whether bytes came from the server after it became unobserved, so that a health check is
     /// worth sending.
     pub fn is_alive(&self, now: Instant) -> bool {
-        let since = self.out_of_sight(now).map(|(since, _)| since);
+        let since = self.unobserved(now).map(|(since, _)| since);
         // Reports of earlier bytes may arrive after the report of silence.
         let later = |since: Instant| {
             self.heard
-                .is_some_and(|heard| heard > since + 2 * NEWS_DELAY)
+                .is_some_and(|heard| heard > since + 2 * PEER_REPORT_DELAY)
         };
         since.is_some_and(later)
     }
@@ -178,15 +178,15 @@
         }
         let until = now + Duration::from_millis(cold_ms);
         self.cold_until = self.cold_until.max(Some(until));
-        self.teller = Some(Teller::Row);
+        self.source = Some(Teller::Row);
     }
 
     /// Marks the server as unobserved if no node has received bytes from it for long. It stays so
     /// until a health check is answered: later bytes may belong to a node that takes it for warm.
     pub fn note_unused(&mut self, now: Instant) {
         let is_cold = self.cold_until.is_some_and(|until| until > now);
-        if !is_cold && self.is_followed() {
-            self.out_of_sight = self.out_of_sight(now);
+        if !is_cold && self.is_tracked() {
+            self.unobserved = self.unobserved(now);
         }
     }
 
@@ -197,26 +197,26 @@
 
     /// Records that this node found the server silent or unreachable.
     pub fn note_silent(&mut self, now: Instant) {
-        self.out_of_sight = Some((now, Teller::Silence));
+        self.unobserved = Some((now, Teller::Silence));
         self.reached = false;
     }
 
     /// Applies another node's report that the server is silent; such reports are repeated.
-    pub fn note_told_silent(&mut self, now: Instant) {
-        let heard = |heard: Instant| now.duration_since(heard) < NEWS_DELAY;
+    pub fn note_reported_silent(&mut self, now: Instant) {
+        let heard = |heard: Instant| now.duration_since(heard) < PEER_REPORT_DELAY;
         if self.heard.is_some_and(heard) {
             // Other nodes receive bytes from the server, so the problem is likely the reporting
             // node's. Otherwise it repeats the report.
             return;
         }
-        let last = self.silence_told.replace(now);
-        if last.is_some_and(|last| now.duration_since(last) < NEWS_DELAY) {
+        let last = self.silence_reported.replace(now);
+        if last.is_some_and(|last| now.duration_since(last) < PEER_REPORT_DELAY) {
             return;
         }
-        let since = now.checked_sub(NEWS_DELAY).unwrap_or(now);
+        let since = now.checked_sub(PEER_REPORT_DELAY).unwrap_or(now);
         let answered = self.checked.is_some_and(|checked| checked.at >= since);
-        if !answered && self.out_of_sight.is_none_or(|(held, _)| held < since) {
-            self.out_of_sight = Some((since, Teller::Silence));
+        if !answered && self.unobserved.is_none_or(|(held, _)| held < since) {
+            self.unobserved = Some((since, Teller::Silence));
             self.reached = false;
         }
     }
@@ -224,42 +224,42 @@
     /// Records that operators restored the server. It may have turned cold without work. Repeated
     /// calls with the same time have no effect.
     pub fn note_taken_back(&mut self, at: Instant, now: Instant) {
-        if self.taken_back.replace(at) == Some(at) {
+        if self.restored_at.replace(at) == Some(at) {
             return;
         }
-        if !self.is_followed() && now.duration_since(at) > TAKEN_BACK_LIFE {
+        if !self.is_tracked() && now.duration_since(at) > RESTORE_WINDOW {
             // The server was registered later.
             return;
         }
-        let since = at.checked_sub(TAKEN_BACK_DELAY).unwrap_or(at);
+        let since = at.checked_sub(RESTORE_DELAY).unwrap_or(at);
         if self.checked.is_none_or(|checked| checked.at < since) {
-            self.out_of_sight = Some((since, Teller::TakenBack));
+            self.unobserved = Some((since, Teller::TakenBack));
             self.reached = false;
         }
     }
 
     /// Applies a health answer of this node or another; the one with the latest check wins.
-    pub fn note_checked(&mut self, answer: Checked, teller: Teller, now: Instant) {
+    pub fn note_checked(&mut self, answer: Checked, source: Teller, now: Instant) {
         if self.checked.is_some_and(|held| held.at >= answer.at) {
             return;
         }
-        if let Some((since, _)) = self.out_of_sight(now) {
+        if let Some((since, _)) = self.unobserved(now) {
             if answer.at < since {
                 return;
             }
-            self.out_of_sight = None;
+            self.unobserved = None;
             self.reached = false;
             self.back = Some(answer.at);
         }
         self.checked = Some(answer);
         self.cold_until = (!answer.cold.is_zero()).then(|| answer.at + answer.cold);
-        self.teller = Some(teller);
+        self.source = Some(source);
     }
 
     /// Records an answer without a warm-up state.
     pub fn note_reached(&mut self, now: Instant) {
-        if let Some(held) = self.out_of_sight(now) {
-            self.out_of_sight = Some(held);
+        if let Some(held) = self.unobserved(now) {
+            self.unobserved = Some(held);
             self.reached = true;
         }
     }
--- a/crates/cluster/src/cold_loads.rs
+++ b/crates/cluster/src/warmup_loads.rs
@@ -6,14 +6,14 @@
 use dappleyard_clock::Instant;
 use dappleyard_model::ServerRecord;
 
-use crate::cold_parts::ColdShare;
+use crate::cold_quota::ColdShare;
 use crate::loads::{LoadTable, server_number};
 use crate::messages::LoadEntry;
 use crate::server_loads::{HEARTBEAT_LIFE, ServerLoads};
-use crate::temperature::{Checked, Teller, Temperature};
+use crate::warmup::{Checked, Teller, Temperature};
 
 /// How long the warm-up state of a silent server is kept. It must outlast the evacuation of a zone.
-const FOLLOWED_LIFE: Duration = Duration::from_secs(600);
+const STATE_RETENTION: Duration = Duration::from_secs(600);
 
 fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX - 1)
@@ -22,7 +22,7 @@
 impl LoadEntry {
     /// Merges the health answer of another entry if it is newer. `age` is the time since that entry
     /// was received.
-    pub(crate) fn take_newer_check(&mut self, entry: &LoadEntry, age: Duration) {
+    pub(crate) fn merge_newer_report(&mut self, entry: &LoadEntry, age: Duration) {
         if entry.asked_ms == 0 {
             return;
         }
@@ -33,7 +33,7 @@
         }
     }
 
-    fn check(&self, at: Instant) -> Option<Checked> {
+    fn warmup_report(&self, at: Instant) -> Option<Checked> {
         let age_ms = u64::from(self.asked_ms.checked_sub(1)?);
         Some(Checked {
             at: at.checked_sub(Duration::from_millis(age_ms))?,
@@ -45,8 +45,8 @@
 impl ServerLoads {
     /// Age of the newest health check of this node in milliseconds plus one, and the remaining
     /// warm-up time it reported; zeros when there is nothing to share.
-    pub(crate) fn own_check_told(&self, now: Instant) -> (u32, u32) {
-        let told = self.own_check.filter(|check| check.is_told(now));
+    pub(crate) fn own_report_fields(&self, now: Instant) -> (u32, u32) {
+        let told = self.own_report.filter(|check| check.is_shared(now));
         told.map_or((0, 0), |check| {
             let age = now.duration_since(check.at);
             (millis(age) + 1, millis(check.cold))
@@ -54,40 +54,40 @@
     }
 
     /// Applies the warm-up state reported by other nodes.
-    pub(crate) fn take_thermal_news(&mut self, now: Instant) {
-        if !self.thermal.is_followed() {
+    pub(crate) fn apply_peer_reports(&mut self, now: Instant) {
+        if !self.warmup.is_tracked() {
             return;
         }
         for (at, entry) in self.peers.values() {
             if now.duration_since(*at) >= HEARTBEAT_LIFE {
                 continue;
             }
-            if let Some(check) = entry.check(*at) {
-                self.thermal.note_checked(check, Teller::Node, now);
+            if let Some(check) = entry.warmup_report(*at) {
+                self.warmup.note_checked(check, Teller::Node, now);
             }
             let heard_ms = entry.heard_ms.checked_sub(1);
             let heard = heard_ms.and_then(|ms| at.checked_sub(Duration::from_millis(ms.into())));
             if let Some(heard) = heard {
-                self.thermal.note_heard(heard);
+                self.warmup.note_heard(heard);
             }
             if entry.suspect && *at == now {
-                self.thermal.note_told_silent(now);
+                self.warmup.note_reported_silent(now);
             }
         }
     }
 
     /// The warm-up state; `None` if it is not tracked for this server.
-    pub(crate) fn followed_temperature(&self, now: Instant) -> Option<Temperature> {
-        let followed = self.thermal.is_followed();
-        followed.then(|| self.thermal.temperature(now).0)
+    pub(crate) fn tracked_state(&self, now: Instant) -> Option<Temperature> {
+        let tracked = self.warmup.is_tracked();
+        tracked.then(|| self.warmup.temperature(now).0)
     }
 
     /// Whether the warm-up state must be kept while the server has no work.
-    pub(crate) fn is_followed(&self, now: Instant) -> bool {
-        let followed = self
+    pub(crate) fn is_tracked(&self, now: Instant) -> bool {
+        let tracked = self
             .heard
-            .is_none_or(|at| now.duration_since(at) < FOLLOWED_LIFE);
-        self.thermal.is_followed() && followed
+            .is_none_or(|at| now.duration_since(at) < STATE_RETENTION);
+        self.warmup.is_tracked() && tracked
     }
 }
 
@@ -98,22 +98,22 @@
         let now = Instant::now();
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(&server.id)).or_default();
-        loads.thermal.note_row(server.cold_left_ms, now);
-        loads.thermal.note_unused(now);
-        loads.thermal.temperature(now)
+        loads.warmup.note_row(server.cold_left_ms, now);
+        loads.warmup.note_unused(now);
+        loads.warmup.temperature(now)
     }
 
     /// When the server was first seen or last returned; older connections may be dead.
     pub fn back(&self, server: &str) -> Option<Instant> {
         let servers = self.servers.lock();
-        servers.get(&server_number(server))?.thermal.back()
+        servers.get(&server_number(server))?.warmup.back()
     }
 
     /// Whether any node received bytes from the server after it became unobserved.
     pub fn is_alive(&self, server: &str) -> bool {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
-        loads.is_some_and(|loads| loads.thermal.is_alive(Instant::now()))
+        loads.is_some_and(|loads| loads.warmup.is_alive(Instant::now()))
     }
 
     /// Records a health answer that this node received, and shares it with the other nodes.
@@ -122,9 +122,9 @@
         let now = Instant::now();
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        loads.thermal.note_checked(check, Teller::Health, now);
-        loads.own_check = Some(check);
-        loads.untold = true;
+        loads.warmup.note_checked(check, Teller::Health, now);
+        loads.own_report = Some(check);
+        loads.unsent = true;
         self.change.notify_one();
     }
 
@@ -132,7 +132,7 @@
     pub fn note_reached(&self, server: &str) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        loads.thermal.note_reached(Instant::now());
+        loads.warmup.note_reached(Instant::now());
     }
 
     /// Records that the operators restored the server's zone; its warm-up state is unknown from
@@ -140,7 +140,7 @@
     pub fn note_taken_back(&self, server: &str, at: Instant) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        loads.thermal.note_taken_back(at, Instant::now());
+        loads.warmup.note_taken_back(at, Instant::now());
     }
 
     /// Whether this node has quota left for a cold server.
--- a/crates/cluster/src/zone_suspicion.rs
+++ b/crates/cluster/src/zone_suspicion.rs
@@ -10,19 +10,19 @@
 use dappleyard_clock::Instant;
 
 /// Silent servers from which a zone is suspected; all of them in a smaller zone.
-const LEAST_SILENT: usize = 3;
+const MIN_SILENT: usize = 3;
 /// Silent servers per responding one. High enough that independent crashes of a sixth of the
 /// servers do not count.
-const SILENT_PER_ANSWERING: usize = 4;
+const SILENT_PER_RESPONDING: usize = 4;
 /// Time since the last bytes to any node within which a server counts as responding. Reports of
 /// other nodes are up to 250 ms old.
-const ANSWERING: Duration = Duration::from_millis(300);
+const RESPONDING_WITHIN: Duration = Duration::from_millis(300);
 /// Servers that must respond to end a suspicion; doubled each time the zone is suspected again
 /// soon.
-const ANSWERED: usize = 2;
+const MIN_RESPONDING: usize = 2;
 /// A suspicion within this time after the previous one doubles the requirement.
-const SOON: Duration = Duration::from_secs(3);
-const MOST_DOUBLINGS: u32 = 3;
+const REPEAT_WINDOW: Duration = Duration::from_secs(3);
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Observed state of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -51,17 +51,19 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Belief {
+struct ZoneState {
     since: Option<Instant>,
     ended: Option<Instant>,
     doublings: u32,
 }
 
-impl Belief {
+impl ZoneState {
     fn enter(&mut self, now: Instant) {
-        let soon = self.ended.is_some_and(|at| now.duration_since(at) < SOON);
+        let soon = self
+            .ended
+            .is_some_and(|at| now.duration_since(at) < REPEAT_WINDOW);
         self.doublings = match soon {
-            true => (self.doublings + 1).min(MOST_DOUBLINGS),
+            true => (self.doublings + 1).min(MAX_DOUBLINGS),
             false => 0,
         };
         self.since = Some(now);
@@ -74,7 +76,9 @@
 
     /// Servers that must respond to end the suspicion, out of `servers`.
     fn needed(self, servers: usize) -> usize {
-        (ANSWERED << self.doublings).min(servers.div_ceil(2)).max(1)
+        (MIN_RESPONDING << self.doublings)
+            .min(servers.div_ceil(2))
+            .max(1)
     }
 }
 
@@ -86,16 +90,16 @@
 }
 
 impl Counts {
-    fn are_lost(self) -> bool {
-        let least = LEAST_SILENT.min(self.servers).max(2);
-        self.silent >= least && self.silent >= SILENT_PER_ANSWERING * self.answering
+    fn indicate_failure(self) -> bool {
+        let least = MIN_SILENT.min(self.servers).max(2);
+        self.silent >= least && self.silent >= SILENT_PER_RESPONDING * self.answering
     }
 }
 
 /// Suspicion state of all zones with servers.
 #[derive(Debug, Default)]
 pub struct ZoneSuspicion {
-    beliefs: BTreeMap<String, Belief>,
+    states: BTreeMap<String, ZoneState>,
 }
 
 impl ZoneSuspicion {
@@ -105,7 +109,7 @@
         let mut changes = self.forget(|zone| !counts.contains_key(zone), now);
         let judged = counts
             .into_iter()
-            .filter_map(|(zone, counts)| self.judge_zone(zone, counts, now));
+            .filter_map(|(zone, counts)| self.evaluate_zone(zone, counts, now));
         changes.extend(judged);
         changes
     }
@@ -113,9 +117,9 @@
     /// Drops zones without servers and returns the suspicions that ended with them.
     fn forget(&mut self, gone: impl Fn(&str) -> bool, now: Instant) -> Vec<SuspicionChange> {
         let mut changes = Vec::new();
-        self.beliefs.retain(|zone, belief| {
+        self.states.retain(|zone, state| {
             let gone = gone(zone);
-            if let Some(since) = belief.since.filter(|_| gone) {
+            if let Some(since) = state.since.filter(|_| gone) {
                 changes.push(SuspicionChange {
                     zone: zone.clone(),
                     suspected: false,
@@ -133,8 +137,8 @@
     fn count<'a>(&self, signs: &[ServerSign<'a>], now: Instant) -> BTreeMap<&'a str, Counts> {
         let mut zones: BTreeMap<&str, Counts> = BTreeMap::new();
         for sign in signs {
-            let since = self.beliefs.get(sign.zone).and_then(|belief| belief.since);
-            let recent = since.map_or(ANSWERING, |since| now.duration_since(since));
+            let since = self.states.get(sign.zone).and_then(|state| state.since);
+            let recent = since.map_or(RESPONDING_WITHIN, |since| now.duration_since(since));
             let answering = sign.silence.is_some_and(|silence| silence < recent);
             let counts = zones.entry(sign.zone).or_default();
             counts.servers += 1;
@@ -144,12 +148,17 @@
         zones
     }
 
-    fn judge_zone(&mut self, zone: &str, counts: Counts, now: Instant) -> Option<SuspicionChange> {
-        let belief = self.beliefs.entry(zone.to_owned()).or_default();
-        let before = belief.since;
+    fn evaluate_zone(
+        &mut self,
+        zone: &str,
+        counts: Counts,
+        now: Instant,
+    ) -> Option<SuspicionChange> {
+        let state = self.states.entry(zone.to_owned()).or_default();
+        let before = state.since;
         match before {
-            None if counts.are_lost() => belief.enter(now),
-            Some(_) if counts.answering >= belief.needed(counts.servers) => belief.leave(now),
+            None if counts.indicate_failure() => state.enter(now),
+            Some(_) if counts.answering >= state.needed(counts.servers) => state.leave(now),
             _ => return None,
         }
         Some(SuspicionChange {
@@ -164,20 +173,20 @@
 
     /// The suspected zones.
     pub fn suspected(&self) -> impl Iterator<Item = &str> {
-        let zones = self.beliefs.iter();
+        let zones = self.states.iter();
         zones
-            .filter(|(_, belief)| belief.since.is_some())
+            .filter(|(_, state)| state.since.is_some())
             .map(|(zone, _)| zone.as_str())
     }
 
     /// Whether requests to the zone are restricted: it is suspected and some other zone is not. If
     /// all zones are suspected, this node itself is likely cut off.
     pub fn holds_back(&self, zone: &str) -> bool {
-        let all = self.beliefs.values().all(|belief| belief.since.is_some());
+        let all = self.states.values().all(|state| state.since.is_some());
         !all && self
-            .beliefs
+            .states
             .get(zone)
-            .is_some_and(|belief| belief.since.is_some())
+            .is_some_and(|state| state.since.is_some())
     }
 
     /// Whether any zone is suspected.
--- a/crates/cluster/tests/cold_parts.rs
+++ b/crates/cluster/tests/cold_quota.rs
@@ -181,7 +181,7 @@
         runs.max().unwrap_or(0)
     };
     let (quick, slow, cut) = (most(25, false), most(150, false), most(150, true));
-    println!("counts told: {quick} at 25 ms, {slow} at 150 ms, {cut} cut in two");
+    println!("exchanged counts: {quick} at 25 ms, {slow} at 150 ms, {cut} partitioned");
     expect_that!(slow, gt(ALLOWED));
     expect_that!(cut, gt(ALLOWED));
 }
--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -34,43 +34,43 @@
 }
 
 fn evacuated(zones: &Evacuations) -> Vec<String> {
-    zones.standing().map(|held| held.zone.to_string()).collect()
+    zones.active().map(|held| held.zone.to_string()).collect()
 }
 
 #[gtest]
 fn newest_decides() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    expect_that!(zones.give(&zone("north"), 5, now), some(anything()));
+    expect_that!(zones.issue(&zone("north"), 5, now), some(anything()));
     expect_that!(zones.withdraw(&zone("north"), 4, now), none());
     expect_that!(zones.is_evacuated("north"), eq(true));
     expect_that!(zones.withdraw(&zone("north"), 7, now), some(anything()));
-    expect_that!(zones.give(&zone("north"), 6, now), none());
-    expect_that!(zones.give(&zone("north"), 7, now), none());
+    expect_that!(zones.issue(&zone("north"), 6, now), none());
+    expect_that!(zones.issue(&zone("north"), 7, now), none());
     expect_that!(zones.is_evacuated("north"), eq(false));
-    expect_that!(zones.give(&zone("north"), 8, now), some(anything()));
+    expect_that!(zones.issue(&zone("north"), 8, now), some(anything()));
     expect_that!(evacuated(&zones), elements_are![eq("north")]);
 }
 
 #[gtest]
 fn whole_read() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
-    zones.give(&zone("south"), 9, now);
+    zones.issue(&zone("north"), 5, now);
+    zones.issue(&zone("south"), 9, now);
     // As of revision 7, north was restored; the order for south is newer than this read.
     let changes = zones.replace(&[order("west", 6)], 7, now);
     expect_that!(changes.len(), eq(2));
     expect_that!(evacuated(&zones), elements_are![eq("south"), eq("west")]);
     // Rows older than the read are stale.
-    expect_that!(zones.give(&zone("east"), 6, now), none());
-    expect_that!(zones.give(&zone("north"), 5, now), none());
+    expect_that!(zones.issue(&zone("east"), 6, now), none());
+    expect_that!(zones.issue(&zone("north"), 5, now), none());
 }
 
 #[gtest]
 fn older_read() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     zones.withdraw(&zone("north"), 8, now);
-    zones.give(&zone("south"), 9, now);
+    zones.issue(&zone("south"), 9, now);
     expect_that!(zones.replace(&[order("north", 5)], 6, now), is_empty());
     expect_that!(evacuated(&zones), elements_are![eq("south")]);
 }
@@ -78,7 +78,7 @@
 #[gtest]
 fn unreadable_row() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     let unreadable = |name| ZoneRow {
         readable: false,
         ..order(name, 8)
@@ -92,7 +92,7 @@
 fn restored() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     expect_that!(zones.restored_at("north"), none());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     expect_that!(zones.restored_at("north"), none());
     let later = now + Duration::from_secs(3);
     zones.withdraw(&zone("north"), 6, later);
@@ -101,21 +101,21 @@
     zones.withdraw(&zone("south"), 7, later);
     expect_that!(zones.restored_at("south"), some(eq(later)));
     // A new order ends the restored state and counts from its own time.
-    zones.give(&zone("north"), 8, later);
+    zones.issue(&zone("north"), 8, later);
     expect_that!(zones.restored_at("north"), none());
-    let since: Vec<Instant> = zones.standing().map(|held| held.since).collect();
+    let since: Vec<Instant> = zones.active().map(|held| held.since).collect();
     expect_that!(since, elements_are![eq(&later)]);
 }
 
 #[gtest]
 fn given_again() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     let later = now + Duration::from_secs(3);
     // Withdrawn and issued again between two reads.
-    expect_that!(zones.give(&zone("north"), 9, later), some(anything()));
+    expect_that!(zones.issue(&zone("north"), 9, later), some(anything()));
     let held: Vec<(u64, Instant)> = zones
-        .standing()
+        .active()
         .map(|held| (held.revision, held.since))
         .collect();
     expect_that!(held, elements_are![eq(&(9, later))]);
@@ -127,7 +127,7 @@
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     for number in 0..1_000 {
         let name = zone(&format!("zone-{number}"));
-        zones.give(&name, 2 * number + 1, now);
+        zones.issue(&name, 2 * number + 1, now);
         zones.withdraw(&name, 2 * number + 2, now);
     }
     let remembered = (0..1_000).filter(|number| {
@@ -136,7 +136,7 @@
     });
     expect_that!(remembered.count(), eq(64));
     // A stale row of a dropped entry is ignored.
-    expect_that!(zones.give(&zone("zone-0"), 1, now), none());
+    expect_that!(zones.issue(&zone("zone-0"), 1, now), none());
     expect_that!(evacuated(&zones), is_empty());
 }
 
@@ -336,7 +336,7 @@
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime");
+        .expect("tokio runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
--- a/crates/cluster/tests/outcomes.rs
+++ b/crates/cluster/tests/outcomes.rs
@@ -25,7 +25,7 @@
 #[gtest]
 fn half_must_fail() {
     let now = Instant::now();
-    let out = |failed, served| Ejection::default().judge(counts(failed, served), now);
+    let out = |failed, served| Ejection::default().evaluate(counts(failed, served), now);
     expect_that!(out(2, 0), eq(false));
     expect_that!(out(3, 0), eq(true));
     expect_that!(out(3, 3), eq(true));
@@ -36,17 +36,17 @@
 fn times_double_until_it_serves() {
     let (start, mut ejection) = (Instant::now(), Ejection::default());
     let after = |ms| start + Duration::from_millis(ms);
-    expect_that!(ejection.judge(counts(5, 0), after(0)), eq(true));
-    expect_that!(ejection.is_out(after(2_400)), eq(true));
-    expect_that!(ejection.judge(counts(9, 0), after(100)), eq(false));
-    expect_that!(ejection.is_out(after(2_500)), eq(false));
-    expect_that!(ejection.judge(counts(3, 0), after(2_600)), eq(true));
-    expect_that!(ejection.is_out(after(7_500)), eq(true));
-    expect_that!(ejection.is_out(after(7_700)), eq(false));
+    expect_that!(ejection.evaluate(counts(5, 0), after(0)), eq(true));
+    expect_that!(ejection.is_ejected(after(2_400)), eq(true));
+    expect_that!(ejection.evaluate(counts(9, 0), after(100)), eq(false));
+    expect_that!(ejection.is_ejected(after(2_500)), eq(false));
+    expect_that!(ejection.evaluate(counts(3, 0), after(2_600)), eq(true));
+    expect_that!(ejection.is_ejected(after(7_500)), eq(true));
+    expect_that!(ejection.is_ejected(after(7_700)), eq(false));
     // A success resets the ejection time.
-    expect_that!(ejection.judge(counts(0, 1), after(7_800)), eq(false));
-    expect_that!(ejection.judge(counts(3, 0), after(9_000)), eq(true));
-    expect_that!(ejection.is_out(after(11_600)), eq(false));
+    expect_that!(ejection.evaluate(counts(0, 1), after(7_800)), eq(false));
+    expect_that!(ejection.evaluate(counts(3, 0), after(9_000)), eq(true));
+    expect_that!(ejection.is_ejected(after(11_600)), eq(false));
 }
 
 #[gtest]
--- a/crates/cluster/tests/server_pace.rs
+++ b/crates/cluster/tests/slowdown.rs
@@ -30,7 +30,7 @@
     let pace = ServerPace::default();
     let now = Instant::now();
     expect_that!(
-        (pace.now(now), pace.lasting(now)),
+        (pace.now(now), pace.long_term(now)),
         eq((Pace::USUAL, Pace::USUAL))
     );
 }
@@ -44,7 +44,7 @@
     expect_that!(pace.now(slow + ms(50)).percent(), eq(250));
     // The sample has expired.
     let after = pace.now(slow + ms(600));
-    expect_that!(after, eq(pace.lasting(slow + ms(600))));
+    expect_that!(after, eq(pace.long_term(slow + ms(600))));
     expect_that!(after.percent(), le(125));
 }
 
@@ -52,7 +52,7 @@
 fn lasting_pace() {
     let start = Instant::now();
     let pace = heard(3.0, ms(8_000), start);
-    expect_that!(pace.lasting(start + ms(8_600)).percent(), ge(290));
+    expect_that!(pace.long_term(start + ms(8_600)).percent(), ge(290));
 }
 
 #[gtest]
@@ -62,7 +62,7 @@
     (1..=20).for_each(|step| {
         pace.note(Pace::new(3.0), start + ms(4_000) + ms(200) * step);
     });
-    expect_that!(pace.lasting(start + ms(8_000)).percent(), ge(250));
+    expect_that!(pace.long_term(start + ms(8_000)).percent(), ge(250));
 }
 
 #[gtest]
@@ -78,13 +78,13 @@
 #[gtest]
 fn usual_is_untold() {
     let start = Instant::now();
-    let usual = heard(1.1, ms(4_000), start).is_usual(start + ms(4_000));
-    let slow = heard(1.7, ms(4_000), start).is_usual(start + ms(4_000));
+    let usual = heard(1.1, ms(4_000), start).is_normal(start + ms(4_000));
+    let slow = heard(1.7, ms(4_000), start).is_normal(start + ms(4_000));
     expect_that!((usual, slow), eq((true, false)));
     // The return to normal of a slow server is sent.
     let mut back = heard(3.0, ms(4_000), start);
     back.note(Pace::USUAL, start + ms(4_200));
-    expect_that!(back.is_usual(start + ms(4_200)), eq(false));
+    expect_that!(back.is_normal(start + ms(4_200)), eq(false));
 }
 
 #[gtest]
--- a/crates/cluster/tests/waiting.rs
+++ b/crates/cluster/tests/waiting.rs
@@ -38,7 +38,7 @@
 fn by_share() {
     let table = LoadTable::default();
     table.waiting.set_own(30);
-    table.waiting.set_others(node_number("b"), 60);
+    table.waiting.set_node(node_number("b"), 60);
     let mut allowance = Allowance::default();
     // A third of ten is 3.33; the sample 0.2 rounds it up.
     allowance.refresh(&table.waiting, 10, 0.2);
@@ -46,7 +46,7 @@
     // Without a new report the free slots are not divided again.
     allowance.refresh(&table.waiting, 10, 0.2);
     expect_that!(starts(&mut allowance), eq(0));
-    table.waiting.set_others(node_number("b"), 0);
+    table.waiting.set_node(node_number("b"), 0);
     allowance.refresh(&table.waiting, 10, 0.9);
     expect_that!(starts(&mut allowance), eq(10));
 }
@@ -57,7 +57,7 @@
     expect_that!(table.waiting.over_all(0), eq(0));
     table.waiting.set_own(30);
     expect_that!(table.waiting.over_all(7), eq(7));
-    table.waiting.set_others(node_number("b"), 60);
+    table.waiting.set_node(node_number("b"), 60);
     expect_that!(
         [0, 1, 7].map(|part| table.waiting.over_all(part)),
         eq([0, 3, 21])
@@ -68,7 +68,7 @@
 fn own_ends() {
     let table = Arc::new(LoadTable::default());
     table.waiting.set_own(1);
-    table.waiting.set_others(node_number("b"), 1_000);
+    table.waiting.set_node(node_number("b"), 1_000);
     let mut allowance = Allowance::default();
     allowance.refresh(&table.waiting, 10, 0.99);
     expect_that!(starts(&mut allowance), eq(0));
--- a/crates/cluster/tests/temperature.rs
+++ b/crates/cluster/tests/warmup.rs
@@ -131,7 +131,7 @@
 #[gtest]
 fn word_of_silence_after_the_answer_changes_nothing() {
     let (mut server, now) = in_use();
-    server.note_told_silent(now + ms(1_000));
+    server.note_reported_silent(now + ms(1_000));
     expect_that!(
         temperature(&server, now + ms(1_000)),
         eq(Temperature::Unknown)
@@ -143,7 +143,7 @@
     );
     // Other nodes repeat their report for a while.
     for after in (1_200..2_200).step_by(150) {
-        server.note_told_silent(now + ms(after));
+        server.note_reported_silent(now + ms(after));
         expect_that!(temperature(&server, now + ms(after)), eq(Temperature::Cold));
     }
 }
@@ -152,10 +152,10 @@
 fn word_of_silence_is_doubted_while_others_hear_the_server() {
     let (mut server, now) = in_use();
     server.note_heard(now + ms(900));
-    server.note_told_silent(now + ms(1_000));
+    server.note_reported_silent(now + ms(1_000));
     expect_that!(temperature(&server, now + ms(1_000)), eq(Temperature::Warm));
     // No node has received bytes since.
-    server.note_told_silent(now + ms(1_450));
+    server.note_reported_silent(now + ms(1_450));
     expect_that!(
         temperature(&server, now + ms(1_450)),
         eq(Temperature::Unknown)
@@ -165,10 +165,10 @@
 #[gtest]
 fn new_silence_is_heard_of_again() {
     let (mut server, now) = in_use();
-    server.note_told_silent(now + ms(1_000));
+    server.note_reported_silent(now + ms(1_000));
     server.note_checked(answer(now + ms(1_100), 0), Teller::Health, now + ms(1_110));
     server.note_heard(now + ms(2_900));
-    server.note_told_silent(now + ms(4_000));
+    server.note_reported_silent(now + ms(4_000));
     expect_that!(
         temperature(&server, now + ms(4_000)),
         eq(Temperature::Unknown)
