--- a/crates/cluster/src/waiting.rs
+++ b/crates/cluster/src/waiting.rs
@@ -93,7 +93,7 @@
 /// Batch items that this node may start until the next report from other nodes.
 #[derive(Debug, Default)]
 pub struct Allowance {
-    last_report: Option<Instant>,
+    newest_report: Option<Instant>,
     remaining: f64,
     ended: u64,
 }
@@ -105,24 +105,24 @@
         let ended = waiting.ended.load(Ordering::Relaxed);
         let freed = ended.saturating_sub(self.ended);
         self.ended = ended;
-        let Some(last_report) = waiting.newest_report() else {
+        let Some(newest_report) = waiting.newest_report() else {
             // No other node is known to use the slots.
-            self.last_report = None;
+            self.newest_report = None;
             self.remaining = f64::from(room);
             return;
         };
-        if self.last_report == Some(last_report) {
+        if self.newest_report == Some(newest_report) {
             self.remaining += freed as f64;
             return;
         }
-        self.last_report = Some(last_report);
+        self.newest_report = Some(newest_report);
         let (own, others) = (f64::from(waiting.own()), f64::from(waiting.sum(|_| true)));
         let share = own / (own + others).max(1.0);
         let part = f64::from(room) * share;
         self.remaining = part.floor() + f64::from(u8::from(sample < part.fract()));
     }
 
-    /// Takes one start; `false` if none is remaining.
+    /// Takes one start; `false` if none is left.
     pub fn take(&mut self) -> bool {
         if self.remaining < 1.0 {
             return false;
--- a/crates/cluster/tests/cold_assignment.rs
+++ b/crates/cluster/tests/cold_assignment.rs
@@ -90,7 +90,7 @@
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("tokio runtime");
+        .expect("a runtime");
     runtime.block_on(test);
 }
 
--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -336,7 +336,7 @@
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("tokio runtime");
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
