--- a/crates/cluster/src/cold_assignment.rs
+++ b/crates/cluster/src/cold_assignment.rs
@@ -19,18 +19,18 @@
         let listed = peers
             .iter()
             .filter(|(name, peer)| *name == own || newest.duration_since(peer.last()) < FORGOTTEN);
-        let (near, far): (Vec<_>, Vec<_>) = listed
+        let (local, remote): (Vec<_>, Vec<_>) = listed
             .map(|(name, peer)| (name.as_str(), peer))
             .partition(|(_, peer)| peer.row.zone == zone);
-        if near.len() < nodes as usize {
-            let all = near.iter().chain(&far).map(|(name, _)| *name);
+        if local.len() < nodes as usize {
+            let all = local.iter().chain(&remote).map(|(name, _)| *name);
             return standing(server, own, all, nodes);
         }
         if self.own_zone == zone {
-            return standing(server, own, near.iter().map(|(name, _)| *name), nodes);
+            return standing(server, own, local.iter().map(|(name, _)| *name), nodes);
         }
-        let place = standing(server, own, far.iter().map(|(name, _)| *name), nodes)?;
-        let assigned_nodes = assigned_nodes(server, near, nodes);
+        let place = standing(server, own, remote.iter().map(|(name, _)| *name), nodes)?;
+        let assigned_nodes = assigned_nodes(server, local, nodes);
         let silent = |peer: &Peer| self.judge(peer, now, peers.len()) == PeerStatus::Down;
         assigned_nodes
             .iter()
--- a/crates/cluster/src/cold_quota.rs
+++ b/crates/cluster/src/cold_quota.rs
@@ -58,8 +58,8 @@
 ) -> Option<u32> {
     let own_rank = rank(server, own);
     let before = others.filter(|name| *name != own && rank(server, name) > own_rank);
-    let place = u32::try_from(before.count()).unwrap_or(u32::MAX);
-    (place < nodes).then_some(place)
+    let own_place = u32::try_from(before.count()).unwrap_or(u32::MAX);
+    (own_place < nodes).then_some(own_place)
 }
 
 /// The nodes assigned to a server, with their values.
--- a/crates/cluster/src/evacuated_work.rs
+++ b/crates/cluster/src/evacuated_work.rs
@@ -86,7 +86,7 @@
     pub(crate) fn evacuated_work(&self, loads: &LoadTable) -> Vec<ZoneWork> {
         let zones = self.evacuations().into_iter();
         zones
-            .map(|held| self.work_in(held.zone.as_str(), loads))
+            .map(|entries| self.work_in(entries.zone.as_str(), loads))
             .collect()
     }
 
@@ -116,14 +116,14 @@
 impl ToldZones {
     pub(crate) fn note(&self, reported: Vec<ZoneWork>) {
         let now = Instant::now();
-        let mut held = self.0.lock();
-        held.retain(|_, (at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
-        held.extend(reported.into_iter().map(|work| (work.zone, (now, work))));
+        let mut entries = self.0.lock();
+        entries.retain(|_, (at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
+        entries.extend(reported.into_iter().map(|work| (work.zone, (now, work))));
     }
 
     fn reported(&self, zone: &str) -> Option<ZoneWork> {
-        let held = self.0.lock();
-        let (at, work) = held.get(&node_number(zone))?;
+        let entries = self.0.lock();
+        let (at, work) = entries.get(&node_number(zone))?;
         (at.elapsed() < HEARTBEAT_LIFE).then(|| work.clone())
     }
 }
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -2,7 +2,7 @@
 //!
 //! An order is a row of the operators' table. The higher revision wins, including when it is a
 //! withdrawal. Orders never expire: a node that loses contact with the store keeps the last known
-//! standing.
+//! state.
 
 use std::collections::BTreeMap;
 
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -104,8 +104,8 @@
     /// Whether the server is currently considered silent or unreachable by this node or another.
     pub(crate) fn is_found_silent(&self, now: Instant) -> bool {
         let heard = self.heard.map(|heard| now.duration_since(heard));
-        let told = self.peers.values();
-        let mut others = told.filter(|(_, entry)| entry.suspect || entry.doubted);
+        let reports = self.peers.values();
+        let mut others = reports.filter(|(_, entry)| entry.suspect || entry.doubted);
         self.is_suspect(now)
             || self.is_overdue(now)
             || (heard.is_none_or(|age| age > RECENT_BYTES)
@@ -128,8 +128,8 @@
 
     /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
     pub(crate) fn evaluate(&mut self, now: Instant) -> bool {
-        let told = self.peers.values();
-        let fresh = told.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
+        let reports = self.peers.values();
+        let fresh = reports.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
         let others = fresh.map(|(_, entry)| OutcomeCounts {
             failed: entry.failed,
             served: entry.served,
@@ -211,11 +211,11 @@
     /// This node's share of the items to pause, proportional to its batch work. The shares of all
     /// nodes add up on average; each report is acted on once.
     pub(crate) fn pause_share_of_sum(&mut self, over: u32, batch: u32) -> u32 {
-        let news = self.peers.values().map(|(at, _)| *at).max();
-        if over == 0 || self.batch == 0 || self.paused_for == news {
+        let newest_report = self.peers.values().map(|(at, _)| *at).max();
+        if over == 0 || self.batch == 0 || self.paused_for == newest_report {
             return 0;
         }
-        self.paused_for = news;
+        self.paused_for = newest_report;
         let share = f64::from(over) * f64::from(self.batch) / f64::from(batch.max(1));
         let whole = share.floor();
         let one_more = rand::random::<f64>() < share - whole;
@@ -225,6 +225,6 @@
 
 pub(crate) fn has_content(entry: &LoadEntry) -> bool {
     let silent = entry.suspect || entry.doubted;
-    let told = entry.asked_ms > 0 || entry.pace_age_ms > 0 || entry.excess_pace_age_ms > 0;
-    entry.online + entry.batch > 0 || silent || entry.failed > 0 || told
+    let reports = entry.asked_ms > 0 || entry.pace_age_ms > 0 || entry.excess_pace_age_ms > 0;
+    entry.online + entry.batch > 0 || silent || entry.failed > 0 || reports
 }
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -122,19 +122,19 @@
 
     /// Builds the set of a service with servers in other regions.
     fn multi_region_set(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
-        let some = |distance: Distance, most: usize| {
+        let select = |distance: Distance, most: usize| {
             let servers = all.iter();
-            let there = servers.filter(|server| self.ways.distance(&server.zone) == distance);
-            self.select(there, most)
+            let matching = servers.filter(|server| self.ways.distance(&server.zone) == distance);
+            self.select(matching, most)
         };
-        let mut used = some(Distance::SameZone, OWN_ZONE_USED);
-        used.extend(some(Distance::SameRegion, OWN_REGION_USED));
-        let far = match used.is_empty() {
+        let mut used = select(Distance::SameZone, OWN_ZONE_USED);
+        used.extend(select(Distance::SameRegion, OWN_REGION_USED));
+        let remote = match used.is_empty() {
             // The own region has no servers; use more of the others.
             true => OWN_ZONE_USED,
             false => REMOTE_USED,
         };
-        used.extend(some(Distance::OtherRegion, far));
+        used.extend(select(Distance::OtherRegion, remote));
         ServerSet {
             used,
             homes: self.multi_region_homes(&all),
@@ -147,8 +147,8 @@
     fn multi_region_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
         let within = |farthest: Distance| -> Vec<_> {
             let servers = all.iter();
-            let there = servers.filter(|server| self.ways.distance(&server.zone) <= farthest);
-            there.cloned().collect()
+            let matching = servers.filter(|server| self.ways.distance(&server.zone) <= farthest);
+            matching.cloned().collect()
         };
         let zone = within(Distance::SameZone);
         if all.len() > MAX_ALL_USED && !zone.is_empty() {
--- a/crates/cluster/src/shared_slowdown.rs
+++ b/crates/cluster/src/shared_slowdown.rs
@@ -92,12 +92,12 @@
 impl LoadEntry {
     /// Whether the slowdown differs enough from `held` to be sent at once.
     pub(crate) fn is_pace_news(&self, held: &LoadEntry) -> bool {
-        let is_news = |reported: u32, held: u32| {
+        let differs = |reported: u32, held: u32| {
             let held = Pace::of_percent(held).unwrap_or_default();
             Pace::of_percent(reported).is_some_and(|pace| pace.differs_significantly(held))
         };
-        is_news(self.pace_percent, held.pace_percent)
-            || is_news(self.excess_pace_percent, held.excess_pace_percent)
+        differs(self.pace_percent, held.pace_percent)
+            || differs(self.excess_pace_percent, held.excess_pace_percent)
     }
 }
 
@@ -142,11 +142,11 @@
     fn note_sample(&self, server: &str, note: impl Fn(&mut Slowdowns, Instant) -> bool) -> bool {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        let news = note(&mut loads.slowdowns, Instant::now());
-        if news {
+        let is_significant = note(&mut loads.slowdowns, Instant::now());
+        if is_significant {
             loads.unsent = true;
             self.change.notify_one();
         }
-        news
+        is_significant
     }
 }
--- a/crates/cluster/src/slowdown.rs
+++ b/crates/cluster/src/slowdown.rs
@@ -95,8 +95,8 @@
         }
         let long_term = self.long_term(at);
         // A sample represents at most its lifetime.
-        let stands_for = at.duration_since(held_at).min(SAMPLE_LIFE);
-        let share = 1.0 - (-stands_for.as_secs_f64() / AVERAGE_TIME_CONSTANT.as_secs_f64()).exp();
+        let represented = at.duration_since(held_at).min(SAMPLE_LIFE);
+        let share = 1.0 - (-represented.as_secs_f64() / AVERAGE_TIME_CONSTANT.as_secs_f64()).exp();
         self.long_term = Pace(long_term.0 + share * (pace.0 - long_term.0));
         self.newest = Some((at, pace));
         true
@@ -128,8 +128,8 @@
         if age <= SAMPLE_LIFE || self.long_term == Pace::USUAL {
             return self.long_term;
         }
-        let unheard = age.saturating_sub(SAMPLE_LIFE).as_secs_f64();
-        let kept = (-unheard / RECOVERY_TIME_CONSTANT.as_secs_f64()).exp();
+        let silent_for = age.saturating_sub(SAMPLE_LIFE).as_secs_f64();
+        let kept = (-silent_for / RECOVERY_TIME_CONSTANT.as_secs_f64()).exp();
         Pace(1.0 + (self.long_term.0 - 1.0) * kept)
     }
 
@@ -146,8 +146,8 @@
         let Some((age, newest)) = self.newest(now) else {
             return long_term;
         };
-        let doubtful = age.saturating_sub(FULL_WEIGHT_AGE).as_secs_f64();
-        let trust = 1.0 - doubtful / (SAMPLE_LIFE - FULL_WEIGHT_AGE).as_secs_f64();
-        Pace(long_term.0 + trust * (newest.0 - long_term.0))
+        let aged = age.saturating_sub(FULL_WEIGHT_AGE).as_secs_f64();
+        let weight = 1.0 - aged / (SAMPLE_LIFE - FULL_WEIGHT_AGE).as_secs_f64();
+        Pace(long_term.0 + weight * (newest.0 - long_term.0))
     }
 }
--- a/crates/cluster/src/warmup_loads.rs
+++ b/crates/cluster/src/warmup_loads.rs
@@ -46,10 +46,10 @@
     /// Age of the newest health check of this node in milliseconds plus one, and the remaining
     /// warm-up time it reported; zeros when there is nothing to share.
     pub(crate) fn own_report_fields(&self, now: Instant) -> (u32, u32) {
-        let told = self.own_report.filter(|check| check.is_shared(now));
-        told.map_or((0, 0), |check| {
-            let age = now.duration_since(check.at);
-            (millis(age) + 1, millis(check.cold))
+        let report = self.own_report.filter(|report| report.is_shared(now));
+        report.map_or((0, 0), |report| {
+            let age = now.duration_since(report.at);
+            (millis(age) + 1, millis(report.cold))
         })
     }
 
@@ -62,8 +62,8 @@
             if now.duration_since(*at) >= HEARTBEAT_LIFE {
                 continue;
             }
-            if let Some(check) = entry.warmup_report(*at) {
-                self.warmup.note_checked(check, Teller::Node, now);
+            if let Some(report) = entry.warmup_report(*at) {
+                self.warmup.note_checked(report, Teller::Node, now);
             }
             let heard_ms = entry.heard_ms.checked_sub(1);
             let heard = heard_ms.and_then(|ms| at.checked_sub(Duration::from_millis(ms.into())));
@@ -118,12 +118,12 @@
 
     /// Records a health answer that this node received, and shares it with the other nodes.
     pub fn note_checked(&self, server: &str, asked: Instant, cold: Duration) {
-        let check = Checked { at: asked, cold };
+        let report = Checked { at: asked, cold };
         let now = Instant::now();
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        loads.warmup.note_checked(check, Teller::Health, now);
-        loads.own_report = Some(check);
+        loads.warmup.note_checked(report, Teller::Health, now);
+        loads.own_report = Some(report);
         loads.unsent = true;
         self.change.notify_one();
     }
--- a/crates/cluster/tests/cold_assignment.rs
+++ b/crates/cluster/tests/cold_assignment.rs
@@ -52,8 +52,8 @@
 }
 
 fn standing(tables: &[(String, PeerTable)], server: &str) -> Vec<String> {
-    let stands = |table: &PeerTable| table.standing(server, "north", NODES).is_some();
-    let those = tables.iter().filter(|(_, table)| stands(table));
+    let is_assigned = |table: &PeerTable| table.standing(server, "north", NODES).is_some();
+    let those = tables.iter().filter(|(_, table)| is_assigned(table));
     those.map(|(name, _)| name.clone()).collect()
 }
 
@@ -85,7 +85,7 @@
 }
 
 /// Runs a test in paused time, without heartbeats.
-fn in_silence<F: Future<Output = ()>>(test: F) {
+fn in_paused_time<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -95,8 +95,8 @@
 }
 
 #[gtest]
-fn silence_of_all_adds_as_many_nodes_at_most() {
-    in_silence(async {
+fn total_silence_at_most_doubles_assignments() {
+    in_paused_time(async {
         let before = tables(all_rows);
         let server = |number: u32| format!("i-{number}");
         let near = |number| standing(&before, &server(number));
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn small_zone_is_helped_by_the_others() {
+fn small_zone_gets_nodes_of_other_zones() {
     let few = |table: &PeerTable| {
         let rows = fleet().into_iter();
         let kept = rows.filter(|(name, zone)| *zone == "south" || name.ends_with("-0"));
@@ -131,23 +131,23 @@
 }
 
 #[gtest]
-fn node_that_was_cut_off_for_long_stands_no_more_often() {
-    in_silence(async {
+fn isolation_does_not_add_assignments() {
+    in_paused_time(async {
         let tables = tables(all_rows);
-        let stood = |number: usize| {
+        let assignments = |number: usize| {
             let servers = (0..100).map(|server| format!("i-{server}"));
             let (_, table) = &tables[number];
-            let stands = |server: &String| table.standing(server, "north", NODES).is_some();
-            servers.filter(stands).count()
+            let is_assigned = |server: &String| table.standing(server, "north", NODES).is_some();
+            servers.filter(is_assigned).count()
         };
-        let before = stood(0);
+        let before = assignments(0);
         tokio::time::advance(Duration::from_secs(300)).await;
-        expect_that!(stood(0), eq(before));
+        expect_that!(assignments(0), eq(before));
     });
 }
 
 #[gtest]
-fn node_that_knows_no_row_stands_for_nothing() {
+fn no_assignment_without_rows() {
     let table = PeerTable::new("a", "north", Arc::new(EventLog::silent()));
     expect_that!(table.standing("i-1", "north", NODES), none());
 }
--- a/crates/cluster/tests/cold_quota.rs
+++ b/crates/cluster/tests/cold_quota.rs
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn rate_is_divided_within_half_of_the_bound() {
+fn quotas_add_up_to_half_of_operator_limit() {
     let share = ColdShare::new(PER_S, BOUNDS);
     expect_that!(
         share,
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn one_view_stays_below_what_a_server_bears() {
+fn one_view_stays_within_server_rate() {
     let standing: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
     expect_that!(standing.len(), eq(5));
     for seed in 0..5 {
@@ -136,7 +136,7 @@
 }
 
 #[gtest]
-fn two_views_without_a_common_node_stay_below_the_bound() {
+fn disjoint_views_stay_within_operator_limit() {
     let one = chosen(&names(0..22));
     let other = chosen(&names(22..44));
     let standing: BTreeSet<String> = one.into_iter().chain(other).collect();
@@ -150,7 +150,7 @@
 }
 
 #[gtest]
-fn restarts_add_nothing() {
+fn restarts_do_not_add_quota() {
     let standing: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
     for seed in 0..5 {
         expect_that!(most_in_a_second(arrivals(&standing, true, seed)), le(10));
@@ -158,7 +158,7 @@
 }
 
 #[gtest]
-fn lost_node_changes_one_place() {
+fn lost_node_changes_one_assignment() {
     let before: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
     for lost in 0..22 {
         let left: Vec<String> = names(0..22)
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn counts_that_are_told_pass_the_bound() {
+fn exchanged_counts_exceed_operator_limit() {
     // Justifies fixed quotas: exchanged counts exceed the limit because of their delay, and under a
     // partition.
     let most = |every_ms, split| {
@@ -187,7 +187,7 @@
 }
 
 #[gtest]
-fn part_of_a_new_life_counts_as_used() {
+fn quota_counts_as_used_after_start() {
     let start = Instant::now();
     let parts = ColdParts::new(start);
     expect_that!(
--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn newest_decides() {
+fn highest_revision_wins() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     expect_that!(zones.issue(&zone("north"), 5, now), some(anything()));
     expect_that!(zones.withdraw(&zone("north"), 4, now), none());
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn whole_read() {
+fn full_read() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     zones.issue(&zone("north"), 5, now);
     zones.issue(&zone("south"), 9, now);
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn older_read() {
+fn stale_read() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     zones.issue(&zone("north"), 5, now);
     zones.withdraw(&zone("north"), 8, now);
@@ -108,7 +108,7 @@
 }
 
 #[gtest]
-fn given_again() {
+fn order_reissued() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     zones.issue(&zone("north"), 5, now);
     let later = now + Duration::from_secs(3);
@@ -123,7 +123,7 @@
 }
 
 #[gtest]
-fn many_names() {
+fn withdrawn_orders_are_bounded() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     for number in 0..1_000 {
         let name = zone(&format!("zone-{number}"));
@@ -178,7 +178,7 @@
 
 impl TestView {
     /// Registers `count` servers across the zones.
-    fn list(&self, count: usize) {
+    fn register_servers(&self, count: usize) {
         for number in 0..count {
             let zone = ZONES[number % ZONES.len()];
             let entry = format!(
@@ -195,7 +195,7 @@
             .change(row(&format!("evacuate/{zone}"), Some("{}"), revision));
     }
 
-    fn take_back(&self, zone: &str, revision: u64) {
+    fn restore(&self, zone: &str, revision: u64) {
         self.orders
             .change(row(&format!("evacuate/{zone}"), None, revision));
     }
@@ -210,9 +210,9 @@
 }
 
 #[gtest]
-fn sets_of_servers() {
+fn server_sets_exclude_evacuated_zones() {
     let held = view();
-    held.list(6);
+    held.register_servers(6);
     held.evacuate("north", 3);
     let why = Some(Exclusion::ZoneEvacuated);
     expect_that!(held.view.exclusion("i-000"), eq(why));
@@ -226,16 +226,16 @@
     expect_that!(held.view.is_evacuated("llm"), eq(true));
     // A service without servers does not count as evacuated.
     expect_that!(held.view.is_evacuated("none"), eq(false));
-    held.take_back("south", 6);
+    held.restore("south", 6);
     let zones = held.zones();
     expect_that!(zones, elements_are![eq("south")]);
     expect_that!(held.view.restored_at("south"), some(anything()));
 }
 
 #[gtest]
-fn large_sets() {
+fn large_server_sets() {
     let held = view();
-    held.list(210);
+    held.register_servers(210);
     expect_that!(held.view.servers("llm").used.len(), eq(48));
     // With its own zone evacuated, the node uses as many servers as before.
     held.evacuate("north", 3);
@@ -251,7 +251,7 @@
 #[gtest]
 fn unknown_zone() {
     let held = view();
-    held.list(6);
+    held.register_servers(6);
     held.evacuate("nowhere", 3);
     expect_that!(held.view.servers("llm").all.len(), eq(6));
     expect_that!(held.view.evacuations().len(), eq(1));
@@ -261,7 +261,7 @@
 fn new_servers() {
     let held = view();
     held.evacuate("north", 3);
-    held.list(6);
+    held.register_servers(6);
     expect_that!(held.zones().iter().any(|zone| zone == "north"), eq(false));
 }
 
@@ -285,7 +285,7 @@
 fn malformed_rows() {
     let (lines, written) = channel();
     let held = view_with(EventLog::to(Lines(lines)));
-    held.list(6);
+    held.register_servers(6);
     held.evacuate("north", 3);
     held.orders.change(row("evacuate/north", Some("no"), 4));
     held.orders.change(row("evacuate/south", Some("[1]"), 5));
@@ -313,9 +313,9 @@
 }
 
 #[gtest]
-fn known_when_ready() {
+fn orders_known_when_ready() {
     let held = view();
-    held.list(3);
+    held.register_servers(3);
     held.servers.replace(Vec::new(), 0);
     let configuration = r#"{"version":1}"#;
     let changed = held.view.clone();
@@ -331,7 +331,7 @@
     expect_that!(changed.evacuations().len(), eq(1));
 }
 
-fn in_virtual_time<F: Future<Output = ()>>(test: F) {
+fn in_paused_time<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -340,18 +340,18 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-async fn pass(millis: u64) {
+async fn advance(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
 /// Zones with an order in the store.
-fn ordered(rows: &EmulatedRows) -> BTreeSet<String> {
+fn stored_orders(rows: &EmulatedRows) -> BTreeSet<String> {
     let rows = rows.table("op").into_iter();
     rows.filter_map(|(_, key, _)| Some(key.strip_prefix("evacuate/")?.to_owned()))
         .collect()
 }
 
-fn known(view: &View) -> BTreeSet<String> {
+fn known_orders(view: &View) -> BTreeSet<String> {
     let held = view.evacuations().into_iter();
     held.map(|held| held.zone.to_string()).collect()
 }
@@ -367,51 +367,54 @@
 }
 
 #[gtest]
-fn forgotten_history() {
-    in_virtual_time(async {
+fn lost_history() {
+    in_paused_time(async {
         let rows = EmulatedRows::default();
         rows.write("op", "", "evacuate/north", "{}");
         let view = follower(&rows);
-        pass(100).await;
-        expect_that!(known(&view), eq(&ordered(&rows)));
+        advance(100).await;
+        expect_that!(known_orders(&view), eq(&stored_orders(&rows)));
         rows.set_down(true);
-        pass(3_000).await;
+        advance(3_000).await;
         rows.remove("op", "", "evacuate/north");
         rows.write("op", "", "evacuate/south", "{}");
         rows.forget_history();
         rows.set_down(false);
-        pass(1_000).await;
-        expect_that!(known(&view), eq(&BTreeSet::from(["south".to_owned()])));
+        advance(1_000).await;
+        expect_that!(
+            known_orders(&view),
+            eq(&BTreeSet::from(["south".to_owned()]))
+        );
         expect_that!(view.restored_at("north"), some(anything()));
     });
 }
 
 #[gtest]
-fn within_a_second() {
-    in_virtual_time(async {
+fn changes_within_a_second() {
+    in_paused_time(async {
         let rows = EmulatedRows::default();
         let view = follower(&rows);
-        pass(100).await;
+        advance(100).await;
         rows.write("op", "", "evacuate/north", "{}");
-        pass(400).await;
-        expect_that!(known(&view).len(), eq(1));
+        advance(400).await;
+        expect_that!(known_orders(&view).len(), eq(1));
         rows.remove("op", "", "evacuate/north");
-        pass(400).await;
-        expect_that!(known(&view).len(), eq(0));
+        advance(400).await;
+        expect_that!(known_orders(&view).len(), eq(0));
         // Between two reads of the follower.
         rows.write("op", "", "evacuate/south", "{}");
         rows.remove("op", "", "evacuate/south");
-        pass(400).await;
-        expect_that!(known(&view).len(), eq(0));
+        advance(400).await;
+        expect_that!(known_orders(&view).len(), eq(0));
     });
 }
 
-/// Random orders, withdrawals, outages and lost histories. Once the store answers again, the known
+/// Random orders, withdrawals, outages and lost histories. Once the store answers again, the known orders
 /// orders equal the stored ones.
 #[gtest]
-fn any_order() {
+fn random_changes_converge() {
     for seed in 0..40 {
-        in_virtual_time(async move {
+        in_paused_time(async move {
             let mut random = ChaCha8Rng::seed_from_u64(seed);
             let rows = EmulatedRows::default();
             let view = follower(&rows);
@@ -423,11 +426,15 @@
                     4 => rows.set_down(random.random_bool(0.5)),
                     _ => rows.forget_history(),
                 }
-                pass(random.random_range(0..300)).await;
+                advance(random.random_range(0..300)).await;
             }
             rows.set_down(false);
-            pass(1_500).await;
-            expect_that!(known(&view), eq(&ordered(&rows)), "seed {seed}");
+            advance(1_500).await;
+            expect_that!(
+                known_orders(&view),
+                eq(&stored_orders(&rows)),
+                "seed {seed}"
+            );
         });
     }
 }
--- a/crates/cluster/tests/loads.rs
+++ b/crates/cluster/tests/loads.rs
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn work_is_counted_while_it_is_under_way() {
+fn work_is_counted_while_in_flight() {
     let table = Arc::new(LoadTable::default());
     let mut online = table.begin(&server(), WorkKind::Online, 500);
     let batch = table.begin(&server(), WorkKind::Batch, 1_000);
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn pauses_over_slots() {
+fn pauses_items_above_slots() {
     let table = Arc::new(LoadTable::default());
     let _batch: Vec<_> = (0..6)
         .map(|_| table.begin(&server(), WorkKind::Batch, 0))
@@ -69,14 +69,14 @@
 }
 
 #[gtest]
-fn a_small_fleet_is_used_whole() {
+fn small_fleet_uses_all_servers() {
     let servers = Standpoint::new("a", "north").servers(fleet(60));
     expect_that!((servers.used.len(), servers.homes.len()), eq((60, 60)));
     expect_that!(servers.is_large(), eq(false));
 }
 
 #[gtest]
-fn in_a_large_fleet_each_node_uses_some_servers_and_all_servers_are_used() {
+fn large_fleet_spreads_servers_over_nodes() {
     let mut uses = std::collections::HashMap::<String, u32>::new();
     for number in 0..100 {
         let node = Standpoint::new(&format!("node-{number}"), "north");
--- a/crates/cluster/tests/outcomes.rs
+++ b/crates/cluster/tests/outcomes.rs
@@ -12,7 +12,7 @@
 }
 
 #[gtest]
-fn outcomes_are_forgotten() {
+fn outcomes_expire() {
     let (start, mut outcomes) = (Instant::now(), Outcomes::default());
     let after = |ms| start + Duration::from_millis(ms);
     outcomes.note(false, after(0));
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn half_must_fail() {
+fn ejection_requires_half_to_fail() {
     let now = Instant::now();
     let out = |failed, served| Ejection::default().evaluate(counts(failed, served), now);
     expect_that!(out(2, 0), eq(false));
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn times_double_until_it_serves() {
+fn ejection_doubles_until_success() {
     let (start, mut ejection) = (Instant::now(), Ejection::default());
     let after = |ms| start + Duration::from_millis(ms);
     expect_that!(ejection.evaluate(counts(5, 0), after(0)), eq(true));
--- a/crates/cluster/tests/pace.rs
+++ b/crates/cluster/tests/pace.rs
@@ -13,7 +13,7 @@
 }
 
 #[gtest]
-fn change_kept() {
+fn change_stays_pending_until_sent() {
     let start = Instant::now();
     let mut pace = ChangePace::new(start);
     pace.note_change();
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn rested() {
+fn first_change_after_idle_is_sent_at_once() {
     let start = Instant::now();
     let mut pace = ChangePace::new(start);
     pace.note_change();
--- a/crates/cluster/tests/regions.rs
+++ b/crates/cluster/tests/regions.rs
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn few_servers_of_other_regions_at_any_size() {
+fn few_servers_of_other_regions_are_used() {
     let ways = ways("a1");
     let node = Standpoint::with_ways("node-1", ways.clone());
     for (servers, expected) in [
@@ -88,7 +88,7 @@
 }
 
 #[gtest]
-fn a_region_without_servers_uses_the_others() {
+fn region_without_servers_uses_others() {
     let node = Standpoint::with_ways("node-1", ways("a1"));
     let set = node.servers(fleet(60, &["b1", "c2"]));
     expect_that!(set.used.len(), eq(40));
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn a_service_within_the_region_is_used_as_before() {
+fn service_within_region_ignores_other_regions() {
     let node = Standpoint::with_ways("node-1", ways("a1"));
     let plain = Standpoint::new("node-1", "a1");
     for servers in [60, 400] {
@@ -106,22 +106,26 @@
 }
 
 #[gtest]
-fn each_far_delegate_hears_one_voice() {
-    for (tellers, there) in [(2, 2), (1, 2), (2, 1), (1, 1)] {
-        let names = &["x", "y"][..there];
-        let voices = |name: &str| {
-            let told = (0..tellers).map(|own| told_by(own, tellers, names.to_vec()));
+fn each_remote_delegate_has_one_sender() {
+    for (senders, receivers) in [(2, 2), (1, 2), (2, 1), (1, 1)] {
+        let names = &["x", "y"][..receivers];
+        let senders_to = |name: &str| {
+            let told = (0..senders).map(|own| told_by(own, senders, names.to_vec()));
             told.filter(|told| told.contains(&name)).count()
         };
         for name in names {
-            let expected = if tellers > there { tellers } else { 1 };
-            expect_that!(voices(name), eq(expected), "{tellers} tell {there}");
+            let expected = if senders > receivers { senders } else { 1 };
+            expect_that!(
+                senders_to(name),
+                eq(expected),
+                "{senders} senders, {receivers} receivers"
+            );
         }
     }
 }
 
 #[gtest]
-fn signs_and_whole_sums_go_to_regions_too() {
+fn life_signs_and_full_sums_go_to_regions() {
     let all = (0..72).map(|round| duties(round, 5));
     let due = |of: fn(&dappleyard_cluster::Duties) -> bool| all.clone().filter(of).count();
     expect_that!(due(|duties| duties.regions), eq(24));
@@ -147,7 +151,7 @@
 }
 
 #[gtest]
-fn changes_by_much() {
+fn significant_changes_are_sent() {
     let mut digest = ZoneDigest::coarse();
     let first = digest.next(vec![sum(1, 4), sum(2, 4)], true);
     expect_that!(first.loads.len(), eq(2));
--- a/crates/cluster/tests/silent_servers.rs
+++ b/crates/cluster/tests/silent_servers.rs
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn doubted_until_heard() {
+async fn unconfirmed_until_bytes_received() {
     let table = Arc::new(LoadTable::default());
     let _work = table.begin(&server("i-1"), WorkKind::Online, 0);
     table.heard("i-1");
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn held_back_with_zone() {
+async fn restricted_with_zone() {
     let table = LoadTable::default();
     table.hold_back(vec!["i-1", "i-2"]);
     // Includes servers that this node never used.
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn cold_unseen_with_zone() {
+async fn unknown_after_zone_restriction() {
     let table = LoadTable::default();
     let temperature = || table.temperature(&server("i-1")).0;
     table.heard("i-1");
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn cold_unseen_while_unused() {
+async fn unknown_after_disuse() {
     let table = LoadTable::default();
     let temperature = || table.temperature(&server("i-1")).0;
     table.heard("i-1");
--- a/crates/cluster/tests/slowdown.rs
+++ b/crates/cluster/tests/slowdown.rs
@@ -16,7 +16,7 @@
 }
 
 /// An estimate with a sample every 200 ms for `long`.
-fn heard(times: f64, long: Duration, from: Instant) -> ServerPace {
+fn sampled(times: f64, long: Duration, from: Instant) -> ServerPace {
     let mut pace = ServerPace::default();
     let steps = long.as_millis() as u32 / 200;
     (0..=steps).for_each(|step| {
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn nothing_known() {
+fn normal_without_samples() {
     let pace = ServerPace::default();
     let now = Instant::now();
     expect_that!(
@@ -36,9 +36,9 @@
 }
 
 #[gtest]
-fn passing_pace() {
+fn single_sample_expires() {
     let start = Instant::now();
-    let mut pace = heard(1.0, ms(4_000), start);
+    let mut pace = sampled(1.0, ms(4_000), start);
     let slow = start + ms(4_200);
     pace.note(Pace::new(2.5), slow);
     expect_that!(pace.now(slow + ms(50)).percent(), eq(250));
@@ -49,16 +49,16 @@
 }
 
 #[gtest]
-fn lasting_pace() {
+fn constant_slowdown() {
     let start = Instant::now();
-    let pace = heard(3.0, ms(8_000), start);
+    let pace = sampled(3.0, ms(8_000), start);
     expect_that!(pace.long_term(start + ms(8_600)).percent(), ge(290));
 }
 
 #[gtest]
-fn lasting_change() {
+fn average_follows_change() {
     let start = Instant::now();
-    let mut pace = heard(1.0, ms(4_000), start);
+    let mut pace = sampled(1.0, ms(4_000), start);
     (1..=20).for_each(|step| {
         pace.note(Pace::new(3.0), start + ms(4_000) + ms(200) * step);
     });
@@ -66,9 +66,9 @@
 }
 
 #[gtest]
-fn tried_again() {
+fn returns_to_normal_without_samples() {
     let start = Instant::now();
-    let pace = heard(3.0, ms(4_000), start);
+    let pace = sampled(3.0, ms(4_000), start);
     // A slow server gets no requests, so there are no samples that show its recovery.
     let later = pace.now(start + Duration::from_secs(60));
     expect_that!(later.percent(), le(102));
@@ -76,19 +76,19 @@
 
 /// Servers close to normal are omitted from messages.
 #[gtest]
-fn usual_is_untold() {
+fn normal_servers_are_omitted() {
     let start = Instant::now();
-    let usual = heard(1.1, ms(4_000), start).is_normal(start + ms(4_000));
-    let slow = heard(1.7, ms(4_000), start).is_normal(start + ms(4_000));
+    let usual = sampled(1.1, ms(4_000), start).is_normal(start + ms(4_000));
+    let slow = sampled(1.7, ms(4_000), start).is_normal(start + ms(4_000));
     expect_that!((usual, slow), eq((true, false)));
     // The return to normal of a slow server is sent.
-    let mut back = heard(3.0, ms(4_000), start);
+    let mut back = sampled(3.0, ms(4_000), start);
     back.note(Pace::USUAL, start + ms(4_200));
     expect_that!(back.is_normal(start + ms(4_200)), eq(false));
 }
 
 #[gtest]
-fn false_figures() {
+fn values_are_clamped() {
     expect_that!(Pace::of_percent(0), none());
     let bounded = [1, 10_000, u32::MAX].map(|percent| Pace::of_percent(percent).map(Pace::percent));
     expect_that!(bounded, eq([Some(25), Some(800), Some(800)]));
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn older_message() {
+fn stale_sample_is_ignored() {
     let start = Instant::now();
     let mut pace = ServerPace::default();
     pace.note(Pace::new(3.0), start + ms(100));
@@ -116,7 +116,7 @@
 }
 
 #[gtest]
-fn slower_than_it_says() {
+fn excess_multiplies_reported_value() {
     let loads = LoadTable::default();
     loads.note_told_pace("i-1", Pace::new(0.7));
     loads.note_excess_pace("i-1", Pace::new(6.0));
@@ -125,7 +125,7 @@
     expect_that!(loads.pace("i-1").percent(), eq(800));
 }
 
-fn told(percent: u32, pace_age_ms: u32) -> LoadEntry {
+fn report(percent: u32, pace_age_ms: u32) -> LoadEntry {
     LoadEntry {
         server: 1,
         online: 1,
@@ -136,36 +136,36 @@
 }
 
 #[gtest]
-fn small_changes() {
+fn small_changes_are_not_sent() {
     let mut digest = ZoneDigest::default();
-    digest.next(vec![told(100, 1)], true);
-    let quiet = [told(100, 30), told(110, 5), told(85, 5), told(0, 0)];
+    digest.next(vec![report(100, 1)], true);
+    let quiet = [report(100, 30), report(110, 5), report(85, 5), report(0, 0)];
     let quiet = quiet.map(|sum| digest.next(vec![sum], false).loads.len());
     expect_that!(quiet, eq([0, 0, 0, 0]));
-    expect_that!(digest.next(vec![told(250, 5)], false).loads.len(), eq(1));
+    expect_that!(digest.next(vec![report(250, 5)], false).loads.len(), eq(1));
 }
 
 #[gtest]
-fn word_of_a_slow_server() {
+fn report_reaches_all_nodes() {
     on_local(async {
         let nodes = fleet(9).await;
-        let told = tell_until_known(&nodes).await;
-        expect_that!(told, eq(true));
+        let report = report_until_known(&nodes).await;
+        expect_that!(report, eq(true));
     });
 }
 
 /// In a large fleet nodes receive the report through delegates, also nodes without work there.
 #[gtest]
-fn word_in_a_large_fleet() {
+fn report_reaches_all_nodes_of_large_fleet() {
     on_local(async {
         let nodes = fleet(36).await;
-        let told = tell_until_known(&nodes).await;
-        expect_that!(told, eq(true));
+        let report = report_until_known(&nodes).await;
+        expect_that!(report, eq(true));
     });
 }
 
 /// One node adds a slow sample every 50 ms. Returns whether all nodes learn of it.
-async fn tell_until_known(nodes: &[TestNode]) -> bool {
+async fn report_until_known(nodes: &[TestNode]) -> bool {
     until("the node knows its peers", || {
         nodes[7].peers.count() * 3 > nodes.len() * 2
     })
--- a/crates/cluster/tests/waiting.rs
+++ b/crates/cluster/tests/waiting.rs
@@ -6,7 +6,7 @@
 use dappleyard_model::ServerRecord;
 use googletest::prelude::*;
 
-fn starts(allowance: &mut Allowance) -> u32 {
+fn take_all(allowance: &mut Allowance) -> u32 {
     std::iter::from_fn(|| allowance.take().then_some(())).count() as u32
 }
 
@@ -24,35 +24,35 @@
 }
 
 #[gtest]
-fn alone() {
+fn single_node_uses_all_free_slots() {
     let table = LoadTable::default();
     table.waiting.set_own(30);
     let mut allowance = Allowance::default();
     allowance.refresh(&table.waiting, 12, 0.5);
-    expect_that!(starts(&mut allowance), eq(12));
+    expect_that!(take_all(&mut allowance), eq(12));
     allowance.refresh(&table.waiting, 3, 0.5);
-    expect_that!(starts(&mut allowance), eq(3));
+    expect_that!(take_all(&mut allowance), eq(3));
 }
 
 #[gtest]
-fn by_share() {
+fn free_slots_are_divided_by_waiting_items() {
     let table = LoadTable::default();
     table.waiting.set_own(30);
     table.waiting.set_node(node_number("b"), 60);
     let mut allowance = Allowance::default();
     // A third of ten is 3.33; the sample 0.2 rounds it up.
     allowance.refresh(&table.waiting, 10, 0.2);
-    expect_that!(starts(&mut allowance), eq(4));
+    expect_that!(take_all(&mut allowance), eq(4));
     // Without a new report the free slots are not divided again.
     allowance.refresh(&table.waiting, 10, 0.2);
-    expect_that!(starts(&mut allowance), eq(0));
+    expect_that!(take_all(&mut allowance), eq(0));
     table.waiting.set_node(node_number("b"), 0);
     allowance.refresh(&table.waiting, 10, 0.9);
-    expect_that!(starts(&mut allowance), eq(10));
+    expect_that!(take_all(&mut allowance), eq(10));
 }
 
 #[gtest]
-fn part_over_all() {
+fn part_is_scaled_to_fleet() {
     let table = LoadTable::default();
     expect_that!(table.waiting.over_all(0), eq(0));
     table.waiting.set_own(30);
@@ -65,15 +65,15 @@
 }
 
 #[gtest]
-fn own_ends() {
+fn freed_slot_can_be_refilled() {
     let table = Arc::new(LoadTable::default());
     table.waiting.set_own(1);
     table.waiting.set_node(node_number("b"), 1_000);
     let mut allowance = Allowance::default();
     allowance.refresh(&table.waiting, 10, 0.99);
-    expect_that!(starts(&mut allowance), eq(0));
+    expect_that!(take_all(&mut allowance), eq(0));
     // A slot freed by this node's own item may be refilled by it.
     drop(table.begin(&server(), WorkKind::Batch, 0));
     allowance.refresh(&table.waiting, 10, 0.99);
-    expect_that!(starts(&mut allowance), eq(1));
+    expect_that!(take_all(&mut allowance), eq(1));
 }
--- a/crates/cluster/tests/warmup.rs
+++ b/crates/cluster/tests/warmup.rs
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn silent_server_is_unknown_until_asked() {
+fn silent_server_is_unknown_until_checked() {
     let (mut server, now) = in_use();
     server.note_silent(now + ms(900));
     expect_that!(
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn question_before_the_silence_tells_nothing() {
+fn check_before_silence_is_ignored() {
     let (mut server, now) = in_use();
     server.note_silent(now + ms(900));
     server.note_checked(answer(now + ms(100), 0), Teller::Node, now + ms(950));
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn server_nobody_used_may_have_been_away() {
+fn unused_server_becomes_unknown() {
     let (mut server, now) = in_use();
     expect_that!(temperature(&server, now + ms(1_999)), eq(Temperature::Warm));
     expect_that!(
@@ -86,7 +86,7 @@
 }
 
 #[gtest]
-fn new_server_is_as_its_row_says() {
+fn new_server_has_state_of_its_row() {
     let now = Instant::now();
     let mut warm = Thermal::default();
     warm.note_row(0, now);
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn older_row_that_says_warm_does_not_override() {
+fn stale_warm_row_is_ignored() {
     let (mut server, now) = in_use();
     server.note_row(500, now);
     server.note_checked(answer(now + ms(100), 3_000), Teller::Health, now + ms(110));
@@ -109,7 +109,7 @@
 }
 
 #[gtest]
-fn older_row_that_says_cold_does_not_override() {
+fn stale_cold_row_is_ignored() {
     let (mut server, now) = in_use();
     server.note_checked(answer(now + ms(100), 0), Teller::Health, now + ms(110));
     server.note_row(3_000, now + ms(2_000));
@@ -121,7 +121,7 @@
 }
 
 #[gtest]
-fn newest_question_counts() {
+fn latest_check_wins() {
     let (mut server, now) = in_use();
     server.note_checked(answer(now + ms(300), 3_000), Teller::Node, now + ms(350));
     server.note_checked(answer(now + ms(200), 0), Teller::Health, now + ms(400));
@@ -129,7 +129,7 @@
 }
 
 #[gtest]
-fn word_of_silence_after_the_answer_changes_nothing() {
+fn repeated_silence_report_after_answer_is_ignored() {
     let (mut server, now) = in_use();
     server.note_reported_silent(now + ms(1_000));
     expect_that!(
@@ -149,7 +149,7 @@
 }
 
 #[gtest]
-fn word_of_silence_is_doubted_while_others_hear_the_server() {
+fn silence_report_is_ignored_while_bytes_arrive() {
     let (mut server, now) = in_use();
     server.note_heard(now + ms(900));
     server.note_reported_silent(now + ms(1_000));
@@ -163,7 +163,7 @@
 }
 
 #[gtest]
-fn new_silence_is_heard_of_again() {
+fn later_silence_is_reported_again() {
     let (mut server, now) = in_use();
     server.note_reported_silent(now + ms(1_000));
     server.note_checked(answer(now + ms(1_100), 0), Teller::Health, now + ms(1_110));
@@ -176,7 +176,7 @@
 }
 
 #[gtest]
-fn server_taken_back_is_unknown_until_asked() {
+fn restored_server_is_unknown_until_checked() {
     let (mut server, now) = in_use();
     let back = now + ms(10_000);
     server.note_taken_back(back, back);
@@ -197,7 +197,7 @@
 }
 
 #[gtest]
-fn server_that_came_after_its_zone_was_taken_back_is_as_its_row_says() {
+fn server_registered_after_restore_has_state_of_its_row() {
     let now = Instant::now() + Duration::from_secs(60);
     let mut server = Thermal::default();
     server.note_taken_back(now, now + ms(10_001));
@@ -214,7 +214,7 @@
 }
 
 #[gtest]
-fn node_that_learns_late_believes_who_asked() {
+fn check_shortly_before_late_restore_counts() {
     let (mut server, now) = in_use();
     let asked = now + ms(10_000);
     server.note_checked(answer(asked, 3_000), Teller::Node, asked + ms(100));
@@ -223,7 +223,7 @@
 }
 
 #[gtest]
-fn full_server_that_answers_gets_the_rate_of_a_cold_one() {
+fn answer_without_state_leaves_server_in_doubt() {
     let (mut server, now) = in_use();
     server.note_silent(now);
     server.note_reached(now + ms(200));
--- a/crates/cluster/tests/ways.rs
+++ b/crates/cluster/tests/ways.rs
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn shortest_way() {
+fn shortest_time_counts() {
     let ways = Ways::new("a", &places(["north", "north", "south"]));
     let ms = Duration::from_millis;
     expect_that!(ways.extra("c"), eq(Duration::ZERO));
--- a/crates/cluster/tests/zone_loss.rs
+++ b/crates/cluster/tests/zone_loss.rs
@@ -11,9 +11,9 @@
 use googletest::prelude::*;
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
-const IN_ZONE: usize = 12;
+const NODES_PER_ZONE: usize = 12;
 /// Time within which a heartbeat reaches all nodes.
-const NEWS: Duration = Duration::from_millis(450);
+const PROPAGATION: Duration = Duration::from_millis(450);
 
 fn name(zone: &str, number: usize) -> String {
     format!("{zone}-{number:02}")
@@ -44,7 +44,7 @@
     /// Registers all nodes of a zone at every table.
     fn register(&mut self, zone: &'static str) {
         let life = self.lives[zone];
-        for number in 0..IN_ZONE {
+        for number in 0..NODES_PER_ZONE {
             let node = name(zone, number);
             let row = prost::Message::encode_to_vec(&NodeRow {
                 life,
@@ -64,23 +64,23 @@
         }
     }
 
-    /// Advances time. `heard(own, other)` says whether nodes of zone `own` receive heartbeats from
+    /// Advances time. `reachable(own, other)` says whether nodes of zone `own` receive heartbeats from
     /// zone `other`.
-    async fn run(&mut self, time: Duration, heard: impl Fn(&str, &str) -> bool) {
+    async fn run(&mut self, time: Duration, reachable: impl Fn(&str, &str) -> bool) {
         let until = dappleyard_clock::Instant::now() + time;
         while dappleyard_clock::Instant::now() < until {
             self.sequence += 1;
             for (at, table) in &self.tables {
-                let zones = ZONES.iter().filter(|zone| heard(at, zone));
+                let zones = ZONES.iter().filter(|zone| reachable(at, zone));
                 for zone in zones {
-                    (0..IN_ZONE).for_each(|number| self.beat(table, zone, number));
+                    (0..NODES_PER_ZONE).for_each(|number| self.heartbeat(table, zone, number));
                 }
             }
-            tokio::time::sleep(NEWS).await;
+            tokio::time::sleep(PROPAGATION).await;
         }
     }
 
-    fn beat(&self, table: &PeerTable, zone: &'static str, number: usize) {
+    fn heartbeat(&self, table: &PeerTable, zone: &'static str, number: usize) {
         table.heard(&Heartbeat {
             name: name(zone, number),
             life: self.lives[zone],
@@ -92,7 +92,7 @@
 
     /// Addresses per zone in the directory response of a node to a caller in `zone`, without the
     /// node itself.
-    fn answer(&self, by: &str, zone: &str) -> [usize; 3] {
+    fn directory_response(&self, by: &str, zone: &str) -> [usize; 3] {
         let places: Places = ZONES
             .map(|zone| (zone.into(), "one".into()))
             .into_iter()
@@ -127,14 +127,14 @@
 async fn lost_zone() {
     let mut fleet = Fleet::new();
     fleet.run(2 * SECOND, |_, _| true).await;
-    let [north, south, west] = fleet.answer("south", "north");
-    assert_that!((north, south + west), eq((IN_ZONE, 4)));
+    let [north, south, west] = fleet.directory_response("south", "north");
+    assert_that!((north, south + west), eq((NODES_PER_ZONE, 4)));
     assert_that!(fleet.tables["south"].delegates("north").len(), eq(2));
     // The zone fails. After 1.8 s the directory no longer lists it, before its nodes count as down.
     fleet
         .run(1_800 * SECOND / 1_000, |_, of| of != "north")
         .await;
-    assert_that!(fleet.answer("south", "north")[0], eq(0));
+    assert_that!(fleet.directory_response("south", "north")[0], eq(0));
     assert_that!(fleet.status("south", "north", 1), eq(PeerStatus::Ready));
     fleet.run(SECOND, |_, of| of != "north").await;
     assert_that!(fleet.status("south", "north", 1), eq(PeerStatus::Down));
@@ -149,35 +149,41 @@
         fleet.tables["west"].count(),
         fleet.tables["west"].expected(),
     );
-    assert_that!(known, eq((2 * IN_ZONE, 3 * IN_ZONE)));
+    assert_that!(known, eq((2 * NODES_PER_ZONE, 3 * NODES_PER_ZONE)));
     // The zone returns with new processes; the old ones count as replaced at once.
     fleet.lives.insert("north", 2);
     fleet.register("north");
-    fleet.run(NEWS, |_, _| true).await;
+    fleet.run(PROPAGATION, |_, _| true).await;
     assert_that!(fleet.status("south", "north", 1), eq(PeerStatus::Replaced));
     assert_that!(fleet.status("south", "north", 2), eq(PeerStatus::Ready));
-    assert_that!(fleet.answer("south", "north")[0], eq(IN_ZONE));
+    assert_that!(
+        fleet.directory_response("south", "north")[0],
+        eq(NODES_PER_ZONE)
+    );
     assert_that!(fleet.tables["south"].delegates("north").len(), eq(2));
 }
 
 #[tokio::test(start_paused = true)]
-async fn cut_zone() {
+async fn partitioned_zone() {
     let mut fleet = Fleet::new();
     fleet.run(2 * SECOND, |_, _| true).await;
-    let cut = |at: &str, of: &str| (at == "north") == (of == "north");
-    fleet.run(1_800 * SECOND / 1_000, cut).await;
+    let partition = |at: &str, of: &str| (at == "north") == (of == "north");
+    fleet.run(1_800 * SECOND / 1_000, partition).await;
     // Other zones consider the zone lost. The zone considers itself partitioned and lists its own
     // nodes and others.
-    assert_that!(fleet.answer("south", "north")[0], eq(0));
-    let [north, south, west] = fleet.answer("north", "north");
-    assert_that!((north, south + west), eq((IN_ZONE - 1, IN_ZONE - 1)));
+    assert_that!(fleet.directory_response("south", "north")[0], eq(0));
+    let [north, south, west] = fleet.directory_response("north", "north");
+    assert_that!(
+        (north, south + west),
+        eq((NODES_PER_ZONE - 1, NODES_PER_ZONE - 1))
+    );
     // It keeps its delegates, so that loads and quotas are summed within it.
     let own = fleet.tables["north"].delegates("north");
     assert_that!(own.len(), eq(2));
     // It keeps sending life signs to the delegates of the other zones, which receive them once the
     // partition heals.
     let there = fleet.tables["south"].delegates("south");
-    fleet.run(SECOND, cut).await;
+    fleet.run(SECOND, partition).await;
     assert_that!(fleet.tables["north"].delegates("north"), eq(&own));
     assert_that!(fleet.status("north", "south", 1), eq(PeerStatus::Down));
     let mut told = fleet.tables["north"].silent_delegates();
@@ -188,12 +194,15 @@
         fleet.tables["north"].count(),
         fleet.tables["north"].expected(),
     );
-    assert_that!(known, eq((IN_ZONE, 3 * IN_ZONE)));
+    assert_that!(known, eq((NODES_PER_ZONE, 3 * NODES_PER_ZONE)));
     // Nodes without recent heartbeats are no longer listed.
-    fleet.run(2_500 * SECOND / 1_000, cut).await;
-    let [north, south, west] = fleet.answer("north", "north");
-    assert_that!((north, south + west), eq((IN_ZONE - 1, 0)));
-    fleet.run(NEWS, |_, _| true).await;
+    fleet.run(2_500 * SECOND / 1_000, partition).await;
+    let [north, south, west] = fleet.directory_response("north", "north");
+    assert_that!((north, south + west), eq((NODES_PER_ZONE - 1, 0)));
+    fleet.run(PROPAGATION, |_, _| true).await;
     assert_that!(fleet.status("north", "south", 1), eq(PeerStatus::Ready));
-    assert_that!(fleet.answer("south", "north")[0], eq(IN_ZONE));
+    assert_that!(
+        fleet.directory_response("south", "north")[0],
+        eq(NODES_PER_ZONE)
+    );
 }
