--- a/crates/cluster/src/cold_quota.rs
+++ b/crates/cluster/src/cold_quota.rs
@@ -75,13 +75,13 @@
 
 /// Requests that this node sent to cold servers within the last second.
 #[derive(Debug)]
-pub struct ColdParts {
+pub struct ColdQuotaUsage {
     /// No quota before this time: the previous process of this node may have used it up.
     available_from: Instant,
     sent: Mutex<HashMap<u32, VecDeque<Instant>>>,
 }
 
-impl ColdParts {
+impl ColdQuotaUsage {
     /// The quotas of a node that starts now: they count as used for the first second.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -124,7 +124,7 @@
     }
 }
 
-impl Default for ColdParts {
+impl Default for ColdQuotaUsage {
     fn default() -> Self {
         Self::new(Instant::now())
     }
--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -113,7 +113,7 @@
 
 impl DemandTable {
     /// Counts a request as waiting for a slot of a service until the guard is dropped.
-    pub fn wait(self: &Arc<Self>, service: &str) -> Waiting {
+    pub fn wait(self: &Arc<Self>, service: &str) -> WaitGuard {
         let service = service_number(service);
         let waiting = {
             let mut state = self.state.lock();
@@ -124,7 +124,7 @@
         if waiting == 1 {
             self.pressure.notify_one();
         }
-        Waiting {
+        WaitGuard {
             table: self.clone(),
             service,
         }
@@ -256,12 +256,12 @@
 }
 
 /// Counts one waiting request; dropping it ends the wait.
-pub struct Waiting {
+pub struct WaitGuard {
     table: Arc<DemandTable>,
     service: u32,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         if let Some(own) = self.table.state.lock().own.get_mut(&self.service) {
             own.waiting = own.waiting.saturating_sub(1);
--- a/crates/cluster/src/evacuated_work.rs
+++ b/crates/cluster/src/evacuated_work.rs
@@ -111,9 +111,9 @@
 
 /// Work in evacuated zones as reported by a delegate.
 #[derive(Default)]
-pub struct ToldZones(Mutex<HashMap<u64, (Instant, ZoneWork)>>);
+pub struct ReportedZoneWork(Mutex<HashMap<u64, (Instant, ZoneWork)>>);
 
-impl ToldZones {
+impl ReportedZoneWork {
     pub(crate) fn note(&self, reported: Vec<ZoneWork>) {
         let now = Instant::now();
         let mut entries = self.0.lock();
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -47,12 +47,12 @@
 mod zone_suspicion;
 
 pub use cadence::{Duties, duties, rounds_until_due};
-pub use cold_quota::{ColdParts, ColdShare, standing};
+pub use cold_quota::{ColdQuotaUsage, ColdShare, standing};
 pub use crash_rows::{CRASHES_TABLE, keep_refused};
 pub use delegates::{Candidate, delegates, is_strong, told_by};
-pub use demand::{DemandTable, Waiting, Work};
+pub use demand::{DemandTable, WaitGuard, Work};
 pub use eligibility::Exclusion;
-pub use evacuated_work::ToldZones;
+pub use evacuated_work::ReportedZoneWork;
 pub use evacuations::{Evacuation, EvacuationChange, Evacuations, ZoneRow};
 pub use follow::{Contact, TableSink, follow};
 pub use gossip::{Gossip, GossipSettings, GossipTables};
--- a/crates/cluster/src/loads.rs
+++ b/crates/cluster/src/loads.rs
@@ -9,9 +9,9 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::cold_quota::ColdParts;
+use crate::cold_quota::ColdQuotaUsage;
 use crate::demand::DemandTable;
-use crate::evacuated_work::ToldZones;
+use crate::evacuated_work::ReportedZoneWork;
 use crate::server_loads::{HEARTBEAT_LIFE, LoadSummary, ServerLoads, Source};
 use crate::waiting::WaitingItems;
 use dappleyard_clock::Instant;
@@ -39,9 +39,9 @@
     pub waiting: WaitingItems,
     pub demand: Arc<DemandTable>,
     /// Work in evacuated zones as reported by a delegate.
-    pub zones: ToldZones,
+    pub zones: ReportedZoneWork,
     /// Quotas for cold servers.
-    pub(crate) cold: ColdParts,
+    pub(crate) cold: ColdQuotaUsage,
     pub(crate) servers: Mutex<HashMap<u32, ServerLoads>>,
     /// Servers of suspected zones. Never locked together with `servers`.
     restricted: Mutex<HashSet<u32>>,
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -104,8 +104,8 @@
     /// Whether the server is currently considered silent or unreachable by this node or another.
     pub(crate) fn is_found_silent(&self, now: Instant) -> bool {
         let heard = self.heard.map(|heard| now.duration_since(heard));
-        let reports = self.peers.values();
-        let mut others = reports.filter(|(_, entry)| entry.suspect || entry.doubted);
+        let reported = self.peers.values();
+        let mut others = reported.filter(|(_, entry)| entry.suspect || entry.doubted);
         self.is_suspect(now)
             || self.is_overdue(now)
             || (heard.is_none_or(|age| age > RECENT_BYTES)
@@ -128,8 +128,8 @@
 
     /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
     pub(crate) fn evaluate(&mut self, now: Instant) -> bool {
-        let reports = self.peers.values();
-        let fresh = reports.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
+        let reported = self.peers.values();
+        let fresh = reported.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
         let others = fresh.map(|(_, entry)| OutcomeCounts {
             failed: entry.failed,
             served: entry.served,
@@ -225,6 +225,6 @@
 
 pub(crate) fn has_content(entry: &LoadEntry) -> bool {
     let silent = entry.suspect || entry.doubted;
-    let reports = entry.asked_ms > 0 || entry.pace_age_ms > 0 || entry.excess_pace_age_ms > 0;
-    entry.online + entry.batch > 0 || silent || entry.failed > 0 || reports
+    let reported = entry.asked_ms > 0 || entry.pace_age_ms > 0 || entry.excess_pace_age_ms > 0;
+    entry.online + entry.batch > 0 || silent || entry.failed > 0 || reported
 }
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -122,19 +122,19 @@
 
     /// Builds the set of a service with servers in other regions.
     fn multi_region_set(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
-        let select = |distance: Distance, most: usize| {
+        let at_distance = |distance: Distance, most: usize| {
             let servers = all.iter();
             let matching = servers.filter(|server| self.ways.distance(&server.zone) == distance);
             self.select(matching, most)
         };
-        let mut used = select(Distance::SameZone, OWN_ZONE_USED);
-        used.extend(select(Distance::SameRegion, OWN_REGION_USED));
+        let mut used = at_distance(Distance::SameZone, OWN_ZONE_USED);
+        used.extend(at_distance(Distance::SameRegion, OWN_REGION_USED));
         let remote = match used.is_empty() {
             // The own region has no servers; use more of the others.
             true => OWN_ZONE_USED,
             false => REMOTE_USED,
         };
-        used.extend(select(Distance::OtherRegion, remote));
+        used.extend(at_distance(Distance::OtherRegion, remote));
         ServerSet {
             used,
             homes: self.multi_region_homes(&all),
--- a/crates/cluster/src/warmup_loads.rs
+++ b/crates/cluster/src/warmup_loads.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    fn warmup_report(&self, at: Instant) -> Option<Checked> {
+    fn report(&self, at: Instant) -> Option<Checked> {
         let age_ms = u64::from(self.asked_ms.checked_sub(1)?);
         Some(Checked {
             at: at.checked_sub(Duration::from_millis(age_ms))?,
@@ -46,8 +46,8 @@
     /// Age of the newest health check of this node in milliseconds plus one, and the remaining
     /// warm-up time it reported; zeros when there is nothing to share.
     pub(crate) fn own_report_fields(&self, now: Instant) -> (u32, u32) {
-        let report = self.own_report.filter(|report| report.is_shared(now));
-        report.map_or((0, 0), |report| {
+        let shared = self.own_report.filter(|report| report.is_shared(now));
+        shared.map_or((0, 0), |report| {
             let age = now.duration_since(report.at);
             (millis(age) + 1, millis(report.cold))
         })
@@ -62,7 +62,7 @@
             if now.duration_since(*at) >= HEARTBEAT_LIFE {
                 continue;
             }
-            if let Some(report) = entry.warmup_report(*at) {
+            if let Some(report) = entry.report(*at) {
                 self.warmup.note_checked(report, Teller::Node, now);
             }
             let heard_ms = entry.heard_ms.checked_sub(1);
--- a/crates/cluster/tests/cold_assignment.rs
+++ b/crates/cluster/tests/cold_assignment.rs
@@ -51,7 +51,7 @@
     rows.for_each(|row| table.change(row));
 }
 
-fn standing(tables: &[(String, PeerTable)], server: &str) -> Vec<String> {
+fn assigned(tables: &[(String, PeerTable)], server: &str) -> Vec<String> {
     let is_assigned = |table: &PeerTable| table.standing(server, "north", NODES).is_some();
     let those = tables.iter().filter(|(_, table)| is_assigned(table));
     those.map(|(name, _)| name.clone()).collect()
@@ -61,10 +61,10 @@
 fn all_nodes_agree() {
     let tables = tables(all_rows);
     for server in 0..50 {
-        let standing = standing(&tables, &format!("i-{server}"));
-        expect_that!(standing.len(), eq(5));
+        let assigned = assigned(&tables, &format!("i-{server}"));
+        expect_that!(assigned.len(), eq(5));
         expect_that!(
-            standing.iter().all(|name| name.starts_with("north")),
+            assigned.iter().all(|name| name.starts_with("north")),
             eq(true)
         );
     }
@@ -80,7 +80,7 @@
     let after = tables(restarted);
     for server in 0..50 {
         let server = format!("i-{server}");
-        expect_that!(standing(&before, &server), eq(&standing(&after, &server)));
+        expect_that!(assigned(&before, &server), eq(&assigned(&after, &server)));
     }
 }
 
@@ -99,13 +99,13 @@
     in_paused_time(async {
         let before = tables(all_rows);
         let server = |number: u32| format!("i-{number}");
-        let near = |number| standing(&before, &server(number));
+        let near = |number| assigned(&before, &server(number));
         let near: Vec<Vec<String>> = (0..20).map(near).collect();
         // No node receives heartbeats, as if all were isolated.
         tokio::time::advance(Duration::from_secs(4)).await;
         for number in 0..20 {
-            let standing = standing(&before, &server(number));
-            let (own, far): (Vec<_>, Vec<_>) = standing
+            let assigned = assigned(&before, &server(number));
+            let (own, far): (Vec<_>, Vec<_>) = assigned
                 .into_iter()
                 .partition(|name| name.starts_with("north"));
             expect_that!(own, eq(&near[number as usize]));
@@ -123,7 +123,7 @@
     };
     let tables = tables(few);
     for server in 0..20 {
-        let listed: Vec<_> = standing(&tables, &format!("i-{server}"));
+        let listed: Vec<_> = assigned(&tables, &format!("i-{server}"));
         let rowless = |name: &String| name.starts_with("north") && !name.ends_with("-0");
         let with_row = listed.iter().filter(|name| !rowless(name));
         expect_that!(with_row.count(), eq(5));
--- a/crates/cluster/tests/cold_quota.rs
+++ b/crates/cluster/tests/cold_quota.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_cluster::{ColdParts, ColdShare, standing};
+use dappleyard_cluster::{ColdQuotaUsage, ColdShare, standing};
 use dappleyard_model::ColdBounds;
 use googletest::prelude::*;
 use rand::rngs::StdRng;
@@ -52,18 +52,21 @@
 
 /// Arrivals over ten seconds if these nodes are assigned to the server. With `restarts`, single
 /// nodes restart in between.
-fn arrivals(standing: &BTreeSet<String>, restarts: bool, seed: u64) -> Vec<u64> {
+fn arrivals(assigned: &BTreeSet<String>, restarts: bool, seed: u64) -> Vec<u64> {
     let share = ColdShare::new(PER_S, BOUNDS);
     let mut random = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let long_ago = start.checked_sub(Duration::from_secs(9)).unwrap_or(start);
-    let mut parts: Vec<ColdParts> = standing.iter().map(|_| ColdParts::new(long_ago)).collect();
+    let mut parts: Vec<ColdQuotaUsage> = assigned
+        .iter()
+        .map(|_| ColdQuotaUsage::new(long_ago))
+        .collect();
     let mut sent = Vec::new();
     for at_ms in 0..10_000 {
         let now = start + Duration::from_millis(at_ms);
         if restarts && at_ms % 700 == 350 {
             let node = random.random_range(0..parts.len());
-            parts[node] = ColdParts::new(now);
+            parts[node] = ColdQuotaUsage::new(now);
         }
         if random.random_range(0..1_000) >= ASKED_PER_S {
             continue;
@@ -126,10 +129,10 @@
 
 #[gtest]
 fn one_view_stays_within_server_rate() {
-    let standing: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
-    expect_that!(standing.len(), eq(5));
+    let assigned: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
+    expect_that!(assigned.len(), eq(5));
     for seed in 0..5 {
-        let most = most_in_a_second(arrivals(&standing, false, seed));
+        let most = most_in_a_second(arrivals(&assigned, false, seed));
         expect_that!(most, le(10));
         expect_that!(most, ge(9));
     }
@@ -139,11 +142,11 @@
 fn disjoint_views_stay_within_operator_limit() {
     let one = chosen(&names(0..22));
     let other = chosen(&names(22..44));
-    let standing: BTreeSet<String> = one.into_iter().chain(other).collect();
-    expect_that!(standing.len(), eq(10));
+    let assigned: BTreeSet<String> = one.into_iter().chain(other).collect();
+    expect_that!(assigned.len(), eq(10));
     for seed in 0..5 {
         expect_that!(
-            most_in_a_second(arrivals(&standing, false, seed)),
+            most_in_a_second(arrivals(&assigned, false, seed)),
             le(ALLOWED)
         );
     }
@@ -151,9 +154,9 @@
 
 #[gtest]
 fn restarts_do_not_add_quota() {
-    let standing: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
+    let assigned: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
     for seed in 0..5 {
-        expect_that!(most_in_a_second(arrivals(&standing, true, seed)), le(10));
+        expect_that!(most_in_a_second(arrivals(&assigned, true, seed)), le(10));
     }
 }
 
@@ -189,7 +192,7 @@
 #[gtest]
 fn quota_counts_as_used_after_start() {
     let start = Instant::now();
-    let parts = ColdParts::new(start);
+    let parts = ColdQuotaUsage::new(start);
     expect_that!(
         parts.take(1, 2, start + Duration::from_millis(1_000)),
         eq(false)
--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -409,7 +409,7 @@
     });
 }
 
-/// Random orders, withdrawals, outages and lost histories. Once the store answers again, the known orders
+/// Random orders, withdrawals, outages and lost histories. Once the store answers again, the known
 /// orders equal the stored ones.
 #[gtest]
 fn random_changes_converge() {
--- a/crates/cluster/tests/zone_loss.rs
+++ b/crates/cluster/tests/zone_loss.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Advances time. `reachable(own, other)` says whether nodes of zone `own` receive heartbeats from
-    /// zone `other`.
+    /// Advances time. `reachable(own, other)` says whether nodes of zone `own` receive heartbeats
+    /// from zone `other`.
     async fn run(&mut self, time: Duration, reachable: impl Fn(&str, &str) -> bool) {
         let until = dappleyard_clock::Instant::now() + time;
         while dappleyard_clock::Instant::now() < until {
