--- a/crates/cluster/src/cold_quota.rs
+++ b/crates/cluster/src/cold_quota.rs
@@ -1,8 +1,8 @@
 //! Rate limit for cold servers without coordination between nodes. Pure: time is an argument.
 //!
 //! Rendezvous hashing assigns a few nodes to each server, and each of them may send a fixed number
-//! of requests per second. Two membership views assign at most twice as many nodes, so the quotas
-//! of one view add up to at most half of the operators' limit.
+//! of requests per second. Two membership views can assign twice as many nodes, so the quotas of
+//! one view add up to half of the operators' limit.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
@@ -30,8 +30,9 @@
 }
 
 impl ColdShare {
-    /// Divides a rate. The sum over all assigned nodes stays below the rate, and below half of the
-    /// operators' limit, so that two disjoint membership views stay within it.
+    /// Divides a rate. The sum over all assigned nodes does not exceed the rate or half of the
+    /// operators' limit, so that two disjoint membership views stay within the limit. At least one
+    /// request per second is allowed, even if half of the limit is less.
     pub fn new(per_s: f64, bounds: ColdBounds) -> Self {
         let allowed = per_s * bounds.over + bounds.slack;
         let total = per_s.min(allowed / 2.0).floor().max(1.0) as u32;
--- a/crates/cluster/src/load_reports.rs
+++ b/crates/cluster/src/load_reports.rs
@@ -15,7 +15,7 @@
         let servers = self.servers.lock();
         let entries = servers
             .iter()
-            .map(|(number, loads)| loads.own(*number, now));
+            .map(|(number, loads)| loads.own_entry(*number, now));
         entries.filter(has_content).collect()
     }
 
@@ -30,7 +30,7 @@
                 LoadEntry {
                     // Heartbeats carry this; omitted here to save bytes.
                     heard_ms: 0,
-                    ..loads.own(*number, now)
+                    ..loads.own_entry(*number, now)
                 }
             })
             .collect()
@@ -42,7 +42,7 @@
         let mut servers = self.servers.lock();
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.slowdowns.take(source, &entry, now);
+            loads.slowdowns.merge(source, &entry, now);
             let (_, held) = loads
                 .peers
                 .entry(source)
@@ -71,7 +71,7 @@
         }
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.slowdowns.take(source, &entry, now);
+            loads.slowdowns.merge(source, &entry, now);
             loads.peers.insert(source, (now, entry));
             self.apply_reports(loads, now);
         }
@@ -83,7 +83,7 @@
         let mut servers = self.servers.lock();
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.slowdowns.take(source, &entry, now);
+            loads.slowdowns.merge(source, &entry, now);
             loads.peers.insert(source, (now, entry));
             self.apply_reports(loads, now);
         }
--- a/crates/cluster/src/outcomes.rs
+++ b/crates/cluster/src/outcomes.rs
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Ejection {
     /// Consecutive ejections.
-    consecutive: u32,
+    consecutive_ejections: u32,
     until: Option<Instant>,
 }
 
@@ -96,13 +96,13 @@
             return false;
         }
         if counts.is_failing() {
-            let time = BASE_EJECTION * 2_u32.saturating_pow(self.consecutive);
+            let time = BASE_EJECTION * 2_u32.saturating_pow(self.consecutive_ejections);
             self.until = Some(now + time.min(MAX_EJECTION));
-            self.consecutive = (self.consecutive + 1).min(8);
+            self.consecutive_ejections = (self.consecutive_ejections + 1).min(8);
             return true;
         }
         if counts.served > counts.failed {
-            self.consecutive = 0;
+            self.consecutive_ejections = 0;
         }
         false
     }
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -140,7 +140,7 @@
     }
 
     /// Load entry of this node alone.
-    pub(crate) fn own(&self, server: u32, now: Instant) -> LoadEntry {
+    pub(crate) fn own_entry(&self, server: u32, now: Instant) -> LoadEntry {
         let outcomes = self.outcomes.counts(now);
         let (asked_ms, cold_ms) = self.own_report_fields(now);
         let (pace_age_ms, pace_percent) = self.slowdowns.reported.entry(now, |_| false);
@@ -174,7 +174,7 @@
         now: Instant,
         counted: impl Fn(&Source) -> bool,
     ) -> LoadEntry {
-        let mut sum = self.own(server, now);
+        let mut sum = self.own_entry(server, now);
         (sum.pace_age_ms, sum.pace_percent) = self.slowdowns.reported.entry(now, &counted);
         (sum.excess_pace_age_ms, sum.excess_pace_percent) =
             self.slowdowns.excess.entry(now, &counted);
--- a/crates/cluster/src/shared_slowdown.rs
+++ b/crates/cluster/src/shared_slowdown.rs
@@ -24,7 +24,7 @@
 impl SharedSlowdown {
     /// Merges a sample from another node if it is newer by more than the transfer error: a relayed
     /// sample returns with a smaller age.
-    fn take(&mut self, source: Source, (age_ms, percent): (u32, u32), now: Instant) {
+    fn merge(&mut self, source: Source, (age_ms, percent): (u32, u32), now: Instant) {
         let Some(age_ms) = age_ms.checked_sub(1) else {
             return;
         };
@@ -70,11 +70,11 @@
 
 impl Slowdowns {
     /// Merges a report of another node.
-    pub(crate) fn take(&mut self, source: Source, entry: &LoadEntry, now: Instant) {
+    pub(crate) fn merge(&mut self, source: Source, entry: &LoadEntry, now: Instant) {
         let reported = (entry.pace_age_ms, entry.pace_percent);
-        self.reported.take(source, reported, now);
+        self.reported.merge(source, reported, now);
         let excess = (entry.excess_pace_age_ms, entry.excess_pace_percent);
-        self.excess.take(source, excess, now);
+        self.excess.merge(source, excess, now);
     }
 
     /// The current estimate.
--- a/crates/cluster/src/warmup.rs
+++ b/crates/cluster/src/warmup.rs
@@ -169,10 +169,10 @@
             // Its address may have belonged to another server.
             self.back = Some(now);
         }
-        let asked_lately = self
+        let checked_recently = self
             .checked
             .is_some_and(|checked| now.duration_since(checked.at) < ROW_DELAY);
-        if cold_ms == 0 || asked_lately {
+        if cold_ms == 0 || checked_recently {
             // A row that says warm may be older than the cold state, which expires by itself.
             return;
         }
--- a/crates/cluster/src/ways.rs
+++ b/crates/cluster/src/ways.rs
@@ -22,7 +22,7 @@
     zone: String,
     places: Places,
     /// Whether there is more than one region.
-    regions: bool,
+    multi_region: bool,
     /// Shortest connection setup time per zone in microseconds; 0 before the first. The minimum
     /// over the life of the process: load on a machine can only lengthen a single measurement.
     shortest_us: BTreeMap<ZoneName, AtomicU32>,
@@ -33,7 +33,7 @@
     pub fn new(zone: &str, places: &Places) -> Self {
         Self {
             zone: zone.to_owned(),
-            regions: places.has_regions(),
+            multi_region: places.has_regions(),
             places: places.clone(),
             shortest_us: places
                 .zones()
@@ -60,7 +60,7 @@
     /// The own region; `None` if there is only one.
     pub fn region(&self) -> Option<&RegionName> {
         let region = self.places.region(&self.zone);
-        region.filter(|_| self.regions)
+        region.filter(|_| self.multi_region)
     }
 
     pub fn is_in(&self, zone: &str, region: &str) -> bool {
@@ -71,7 +71,7 @@
     /// Distance to a zone; at most [`Distance::SameRegion`] if there is only one region.
     pub fn distance(&self, zone: &str) -> Distance {
         match self.places.distance(&self.zone, zone) {
-            Distance::OtherRegion if !self.regions => Distance::SameRegion,
+            Distance::OtherRegion if !self.multi_region => Distance::SameRegion,
             distance => distance,
         }
     }
@@ -81,7 +81,7 @@
     }
 
     pub fn has_regions(&self) -> bool {
-        self.regions
+        self.multi_region
     }
 
     /// Records the setup time of a connection to a zone: one round trip.
--- a/crates/cluster/src/zone_suspicion.rs
+++ b/crates/cluster/src/zone_suspicion.rs
@@ -104,18 +104,22 @@
 
 impl ZoneSuspicion {
     /// Evaluates the observed servers and returns the changes.
-    pub fn judge(&mut self, signs: &[ServerSign<'_>], now: Instant) -> Vec<SuspicionChange> {
-        let counts = self.count(signs, now);
-        let mut changes = self.forget(|zone| !counts.contains_key(zone), now);
-        let judged = counts
+    pub fn judge(&mut self, observations: &[ServerSign<'_>], now: Instant) -> Vec<SuspicionChange> {
+        let counts = self.count(observations, now);
+        let mut changes = self.remove_missing(|zone| !counts.contains_key(zone), now);
+        let evaluated = counts
             .into_iter()
             .filter_map(|(zone, counts)| self.evaluate_zone(zone, counts, now));
-        changes.extend(judged);
+        changes.extend(evaluated);
         changes
     }
 
     /// Drops zones without servers and returns the suspicions that ended with them.
-    fn forget(&mut self, gone: impl Fn(&str) -> bool, now: Instant) -> Vec<SuspicionChange> {
+    fn remove_missing(
+        &mut self,
+        gone: impl Fn(&str) -> bool,
+        now: Instant,
+    ) -> Vec<SuspicionChange> {
         let mut changes = Vec::new();
         self.states.retain(|zone, state| {
             let gone = gone(zone);
@@ -134,16 +138,23 @@
         changes
     }
 
-    fn count<'a>(&self, signs: &[ServerSign<'a>], now: Instant) -> BTreeMap<&'a str, Counts> {
+    fn count<'a>(
+        &self,
+        observations: &[ServerSign<'a>],
+        now: Instant,
+    ) -> BTreeMap<&'a str, Counts> {
         let mut zones: BTreeMap<&str, Counts> = BTreeMap::new();
-        for sign in signs {
-            let since = self.states.get(sign.zone).and_then(|state| state.since);
+        for observation in observations {
+            let since = self
+                .states
+                .get(observation.zone)
+                .and_then(|state| state.since);
             let recent = since.map_or(RESPONDING_WITHIN, |since| now.duration_since(since));
-            let answering = sign.silence.is_some_and(|silence| silence < recent);
-            let counts = zones.entry(sign.zone).or_default();
+            let answering = observation.silence.is_some_and(|silence| silence < recent);
+            let counts = zones.entry(observation.zone).or_default();
             counts.servers += 1;
             counts.answering += usize::from(answering);
-            counts.silent += usize::from(sign.suspect && !answering);
+            counts.silent += usize::from(observation.suspect && !answering);
         }
         zones
     }
