--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -1,4 +1,4 @@
-//! Online demand for each service: this node's exactly, the other nodes' as they told it last.
+//! Online demand per service: exact for this node, last reported for the others.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,12 +11,11 @@
 
 use crate::server_loads::Source;
 
-/// Demand older than this tells nothing.
-const NEWS_LIFE: Duration = Duration::from_millis(1_500);
-/// Tenants of one service told of in one message at most: those with little work are not short of room.
-const TENANTS_TOLD: usize = 32;
+/// Older reports are ignored.
+const REPORT_LIFE: Duration = Duration::from_millis(1_500);
+/// Most tenants per service in one message; those with the least work are left out.
+const MAX_TENANTS_SENT: usize = 32;
 
-/// Demand of this node for one service.
 struct OwnDemand {
     waiting: u32,
     returns: ReturnSchedule,
@@ -24,7 +23,7 @@
 }
 
 impl OwnDemand {
-    fn told(&mut self, service: u32, now: Instant) -> Demand {
+    fn report(&mut self, service: u32, now: Instant) -> Demand {
         let mut tenants: Vec<TenantWork> = self
             .tenants
             .iter()
@@ -58,32 +57,32 @@
         })
     }
 
-    fn own_told(&mut self, now: Instant) -> Vec<Demand> {
-        let told = self
+    fn own_report(&mut self, now: Instant) -> Vec<Demand> {
+        let report = self
             .own
             .iter_mut()
-            .map(|(service, own)| own.told(*service, now))
-            .map(|mut told| {
-                told.keep_busiest(TENANTS_TOLD);
-                told
+            .map(|(service, own)| own.report(*service, now))
+            .map(|mut report| {
+                report.keep_busiest(MAX_TENANTS_SENT);
+                report
             });
-        told.filter(|demand| !demand.is_empty()).collect()
+        report.filter(|demand| !demand.is_empty()).collect()
     }
 
-    /// What a source told, and how many spans ago; `None` when it tells nothing any more.
-    fn told_by(&self, source: &Source, now: Instant) -> Option<(usize, &[Demand])> {
+    /// The report of a source and its age in spans; `None` if it has expired.
+    fn report_of(&self, source: &Source, now: Instant) -> Option<(usize, &[Demand])> {
         let (at, demands) = self.others.get(source)?;
         let age = now.saturating_duration_since(*at);
         let spans = (age.as_millis() / SPAN.as_millis()) as usize;
-        (age < NEWS_LIFE).then_some((spans, demands.as_slice()))
+        (age < REPORT_LIFE).then_some((spans, demands.as_slice()))
     }
 
-    /// Own demand and that of some sources, by service.
+    /// Sum of this node's demand and that of the counted sources, by service.
     fn sum(&mut self, counted: impl Fn(&Source) -> bool, now: Instant) -> HashMap<u32, Demand> {
-        let own = self.own_told(now).into_iter();
+        let own = self.own_report(now).into_iter();
         let mut sums: HashMap<u32, Demand> = own.map(|demand| (demand.service, demand)).collect();
         let sources = self.others.keys().filter(|source| counted(source));
-        for (spans, demands) in sources.filter_map(|source| self.told_by(source, now)) {
+        for (spans, demands) in sources.filter_map(|source| self.report_of(source, now)) {
             for demand in demands {
                 let sum = sums
                     .entry(demand.service)
@@ -95,26 +94,26 @@
     }
 }
 
-/// Sums as they are told.
-fn as_told(sums: HashMap<u32, Demand>) -> Vec<Demand> {
+/// Limits the sums to what is sent in messages.
+fn limited(sums: HashMap<u32, Demand>) -> Vec<Demand> {
     let mut sums: Vec<Demand> = sums.into_values().collect();
     sums.iter_mut()
-        .for_each(|sum| sum.keep_busiest(TENANTS_TOLD));
+        .for_each(|sum| sum.keep_busiest(MAX_TENANTS_SENT));
     sums.retain(|sum| !sum.is_empty());
     sums
 }
 
-/// Online demand for all services. The lock is taken alone.
+/// Online demand for all services. No other lock is held while its lock is taken.
 #[derive(Default)]
 pub struct DemandTable {
     state: Mutex<State>,
-    /// A request waits, here or at another node, that did not a moment ago.
+    /// Signalled when requests begin to wait at this node or another.
     pressure: Notify,
 }
 
 impl DemandTable {
     /// Counts a request as waiting for a slot of a service until the guard is dropped.
-    pub fn wait(self: &Arc<Self>, service: &str) -> Waiting {
+    pub fn wait(self: &Arc<Self>, service: &str) -> WaitGuard {
         let service = service_number(service);
         let waiting = {
             let mut state = self.state.lock();
@@ -125,26 +124,26 @@
         if waiting == 1 {
             self.pressure.notify_one();
         }
-        Waiting {
+        WaitGuard {
             table: self.clone(),
             service,
         }
     }
 
-    /// Wakes who waits for pressure when requests of a source begin to wait.
-    fn tell_pressure(&self, before: &[Demand], now: &[Demand]) {
+    /// Signals pressure when the requests of a source begin to wait.
+    fn signal_pressure(&self, before: &[Demand], now: &[Demand]) {
         let waits = |demands: &[Demand]| demands.iter().any(|demand| demand.waiting > 0);
         if waits(now) && !waits(before) {
             self.pressure.notify_one();
         }
     }
 
-    /// Waits until requests begin to wait for a slot of some service.
+    /// Waits until requests begin to wait for a slot of any service.
     pub async fn pressed(&self) {
         self.pressure.notified().await;
     }
 
-    /// Counts a request of a tenant as work at a service until the guard is dropped.
+    /// Counts a request of a tenant as in flight at a service until the guard is dropped.
     pub fn work(self: &Arc<Self>, service: &str, tenant: u32) -> Work {
         let service = service_number(service);
         let mut state = self.state.lock();
@@ -157,7 +156,7 @@
         }
     }
 
-    /// A refused request was told to come back after some time.
+    /// Records that a rejected request must retry after `after`.
     pub fn note_return(&self, service: &str, after: Duration) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -169,72 +168,74 @@
 
     /// Demand of all nodes for a service.
     pub fn total(&self, service: &str) -> Demand {
-        self.add_all(service, Demand::add)
+        self.sum_with(service, Demand::add)
     }
 
-    /// Requests that wait for a slot of a service and those that are expected back, at all nodes; without whose they
-    /// are.
+    /// Waiting requests and expected retries for a service at all nodes, without the split by
+    /// tenant.
     pub fn pressure_on(&self, service: &str) -> Demand {
-        self.add_all(service, Demand::add_pressure)
+        self.sum_with(service, Demand::add_pressure)
     }
 
-    fn add_all(&self, service: &str, add: impl Fn(&mut Demand, &Demand, usize)) -> Demand {
+    fn sum_with(&self, service: &str, add: impl Fn(&mut Demand, &Demand, usize)) -> Demand {
         let number = service_number(service);
         let now = Instant::now();
         let mut state = self.state.lock();
         let mut sum = Demand::of(number);
         if let Some(own) = state.own.get_mut(&number) {
-            add(&mut sum, &own.told(number, now), 0);
+            add(&mut sum, &own.report(number, now), 0);
         }
         let sources = state.others.keys();
-        for (spans, demands) in sources.filter_map(|source| state.told_by(source, now)) {
-            let told = demands.iter().filter(|demand| demand.service == number);
-            told.for_each(|demand| add(&mut sum, demand, spans));
+        for (spans, demands) in sources.filter_map(|source| state.report_of(source, now)) {
+            let report = demands.iter().filter(|demand| demand.service == number);
+            report.for_each(|demand| add(&mut sum, demand, spans));
         }
         sum
     }
 
-    /// Demand of this node, as it is told.
+    /// Demand of this node, as sent in messages.
     pub(crate) fn own(&self) -> Vec<Demand> {
-        self.state.lock().own_told(Instant::now())
+        self.state.lock().own_report(Instant::now())
     }
 
     /// Demand of the nodes of this zone.
     pub(crate) fn zone_sum(&self) -> Vec<Demand> {
         let mut state = self.state.lock();
-        as_told(state.sum(|source| matches!(source, Source::Node(_)), Instant::now()))
+        limited(state.sum(|source| matches!(source, Source::Node(_)), Instant::now()))
     }
 
-    /// Demand of all nodes but one, for each of some nodes. All are summed once, and each one's own is taken off.
+    /// For each of `nodes`, the demand of all other nodes. Sums all sources once and subtracts the
+    /// node's own demand.
     pub(crate) fn sums_without(&self, nodes: &[u64]) -> Vec<Vec<Demand>> {
         let now = Instant::now();
         let mut state = self.state.lock();
         let all = state.sum(|source| *source != Source::Fleet, now);
         let without = |node: &u64| {
             let mut sums = all.clone();
-            let told = state.told_by(&Source::Node(*node), now);
-            let (spans, own) = told.unwrap_or_default();
+            let report = state.report_of(&Source::Node(*node), now);
+            let (spans, own) = report.unwrap_or_default();
             for demand in own {
                 if let Some(sum) = sums.get_mut(&demand.service) {
                     sum.take_off(demand, spans);
                 }
             }
-            as_told(sums)
+            limited(sums)
         };
         nodes.iter().map(without).collect()
     }
 
-    /// What a source wants now, where a heartbeat has told that it wants the same servers as this node.
+    /// Updates the demand of a source from which a heartbeat was received before.
     pub(crate) fn change_source(&self, source: Source, demands: Vec<Demand>) {
-        let news = (Instant::now(), demands);
+        let update = (Instant::now(), demands);
         let mut state = self.state.lock();
         if let Some(held) = state.others.get_mut(&source) {
-            let before = std::mem::replace(held, news);
-            self.tell_pressure(&before.1, &held.1);
+            let before = std::mem::replace(held, update);
+            self.signal_pressure(&before.1, &held.1);
         }
     }
 
-    /// Demand from one source. A sum over the fleet takes the place of everything else, and the other way round.
+    /// Replaces the demand of a source. A fleet-wide sum replaces all other sources, and any other
+    /// source replaces the fleet-wide sum.
     pub(crate) fn set_source(&self, source: Source, demands: Vec<Demand>) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -246,21 +247,21 @@
         }
         let before = state.others.remove(&source);
         let before = before.map_or_else(Vec::new, |(_, demands)| demands);
-        self.tell_pressure(&before, &demands);
+        self.signal_pressure(&before, &demands);
         state.others.insert(source, (now, demands));
         state
             .others
-            .retain(|_, (at, _)| now.saturating_duration_since(*at) < NEWS_LIFE);
+            .retain(|_, (at, _)| now.saturating_duration_since(*at) < REPORT_LIFE);
     }
 }
 
-/// A request that waits for a slot; dropping it ends the wait.
-pub struct Waiting {
+/// Counts one waiting request; dropping it ends the wait.
+pub struct WaitGuard {
     table: Arc<DemandTable>,
     service: u32,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         if let Some(own) = self.table.state.lock().own.get_mut(&self.service) {
             own.waiting = own.waiting.saturating_sub(1);
@@ -268,7 +269,7 @@
     }
 }
 
-/// A request of a tenant under way; dropping it ends the work.
+/// Counts one request of a tenant in flight; dropping it ends the count.
 pub struct Work {
     table: Arc<DemandTable>,
     service: u32,
--- a/crates/cluster/src/evacuated_work.rs
+++ b/crates/cluster/src/evacuated_work.rs
@@ -1,4 +1,4 @@
-//! Zones as a view knows them: which are evacuated, which servers they have, and what still runs there.
+//! Evacuated zones in a view: their servers and the work still in flight there.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,7 +14,7 @@
 use crate::view::View;
 
 impl View {
-    /// Whether a service has servers, and all that could serve are in evacuated zones.
+    /// Whether the service has servers and all that are not draining are in evacuated zones.
     pub fn is_evacuated(&self, service: &str) -> bool {
         let known = self.known.lock();
         let servers = known.servers.values().map(|(_, server)| server);
@@ -26,17 +26,17 @@
         open.peek().is_some() && open.all(|why| why == Some(Exclusion::ZoneEvacuated))
     }
 
-    /// The zones that are evacuated.
     pub fn evacuations(&self) -> Vec<Evacuation> {
-        self.known.lock().evacuations.standing().collect()
+        self.known.lock().evacuations.active().collect()
     }
 
-    /// When this node learnt that an evacuated zone was taken back, as [`Evacuations::restored_at`] says.
+    /// When this node learned that an evacuated zone was restored; see
+    /// [`Evacuations::restored_at`].
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         self.known.lock().evacuations.restored_at(zone)
     }
 
-    /// Number of servers in each zone, draining ones included.
+    /// Number of servers in each zone, including draining ones.
     pub fn servers_by_zone(&self) -> BTreeMap<String, u32> {
         let known = self.known.lock();
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
@@ -46,8 +46,8 @@
         zones
     }
 
-    /// Numbers of the servers of a zone.
-    fn numbers_in(&self, zone: &str) -> Vec<u32> {
+    /// Hashes of the identifiers of a zone's servers.
+    fn server_hashes_in(&self, zone: &str) -> Vec<u32> {
         let known = self.known.lock();
         let servers = known.servers.values();
         servers
@@ -56,7 +56,8 @@
             .collect()
     }
 
-    /// Changes what is known of evacuated zones. The sets of all services are built anew when anything changes.
+    /// Applies a change to the evacuation orders. Any change invalidates the server sets of all
+    /// services.
     pub(crate) fn change_zones(
         &self,
         change: impl FnOnce(&mut Evacuations) -> Vec<EvacuationChange>,
@@ -75,22 +76,22 @@
             };
             self.log().write(kind, || {
                 serde_json::json!({"zone": change.zone.to_string(), "revision": change.revision,
-                    "servers": self.numbers_in(change.zone.as_str()).len()})
+                    "servers": self.server_hashes_in(change.zone.as_str()).len()})
             });
         }
         self.changed.notify_waiters();
     }
 
-    /// What still runs in each evacuated zone, over all nodes, as this node's table of loads knows it.
+    /// Work in flight in each evacuated zone over all nodes, according to the local load table.
     pub(crate) fn evacuated_work(&self, loads: &LoadTable) -> Vec<ZoneWork> {
         let zones = self.evacuations().into_iter();
         zones
-            .map(|held| self.work_in(held.zone.as_str(), loads))
+            .map(|entries| self.work_in(entries.zone.as_str(), loads))
             .collect()
     }
 
     fn work_in(&self, zone: &str, loads: &LoadTable) -> ZoneWork {
-        let (online, batch) = loads.work_at(&self.numbers_in(zone));
+        let (online, batch) = loads.in_flight_at(&self.server_hashes_in(zone));
         ZoneWork {
             zone: node_number(zone),
             online,
@@ -98,32 +99,31 @@
         }
     }
 
-    /// What still runs in a zone, over all nodes; `None` while this node has not been told. In a large fleet
-    /// only delegates hear of all servers, and tell the other nodes of the zones that are evacuated.
+    /// Work in flight in a zone over all nodes; `None` if it is not known. In a large fleet only
+    /// delegates receive the loads of all servers; they report evacuated zones to the other nodes.
     pub fn zone_work(&self, zone: &str, loads: &LoadTable, peers: &PeerTable) -> Option<ZoneWork> {
         match peers.is_large() && !peers.is_delegate() {
-            true => loads.zones.told(zone),
+            true => loads.zones.reported(zone),
             false => Some(self.work_in(zone, loads)),
         }
     }
 }
 
-/// What a delegate told of the work in evacuated zones.
+/// Work in evacuated zones as reported by a delegate.
 #[derive(Default)]
-pub struct ToldZones(Mutex<HashMap<u64, (Instant, ZoneWork)>>);
+pub struct ReportedZoneWork(Mutex<HashMap<u64, (Instant, ZoneWork)>>);
 
-impl ToldZones {
-    /// Takes what a delegate told.
-    pub(crate) fn note(&self, told: Vec<ZoneWork>) {
+impl ReportedZoneWork {
+    pub(crate) fn note(&self, reported: Vec<ZoneWork>) {
         let now = Instant::now();
-        let mut held = self.0.lock();
-        held.retain(|_, (at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
-        held.extend(told.into_iter().map(|work| (work.zone, (now, work))));
+        let mut entries = self.0.lock();
+        entries.retain(|_, (at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
+        entries.extend(reported.into_iter().map(|work| (work.zone, (now, work))));
     }
 
-    fn told(&self, zone: &str) -> Option<ZoneWork> {
-        let held = self.0.lock();
-        let (at, work) = held.get(&node_number(zone))?;
+    fn reported(&self, zone: &str) -> Option<ZoneWork> {
+        let entries = self.0.lock();
+        let (at, work) = entries.get(&node_number(zone))?;
         (at.elapsed() < HEARTBEAT_LIFE).then(|| work.clone())
     }
 }
--- a/crates/cluster/src/load_sources.rs
+++ b/crates/cluster/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! What a node tells of its work at servers, and what it takes over of the work of others.
+//! Load reports: those sent by this node and those received from others.
 
 use std::collections::HashMap;
 
@@ -6,43 +6,43 @@
 
 use crate::loads::LoadTable;
 use crate::messages::LoadEntry;
-use crate::server_loads::{Source, tells_something};
+use crate::server_loads::{Source, has_content};
 
 impl LoadTable {
-    /// This node's work, for its heartbeat.
+    /// This node's loads, for its heartbeat.
     pub(crate) fn own_entries(&self) -> Vec<LoadEntry> {
         let now = Instant::now();
         let servers = self.servers.lock();
         let entries = servers
             .iter()
-            .map(|(number, loads)| loads.own(*number, now));
-        entries.filter(tells_something).collect()
+            .map(|(number, loads)| loads.own_entry(*number, now));
+        entries.filter(has_content).collect()
     }
 
-    /// This node's work at the servers where it has changed since this was last asked.
+    /// Loads of this node that changed since the last call.
     pub(crate) fn take_changes(&self) -> Vec<LoadEntry> {
         let now = Instant::now();
         let mut servers = self.servers.lock();
-        let changed = servers.iter_mut().filter(|(_, loads)| loads.untold);
+        let changed = servers.iter_mut().filter(|(_, loads)| loads.unsent);
         changed
             .map(|(number, loads)| {
-                loads.untold = false;
+                loads.unsent = false;
                 LoadEntry {
-                    // Heartbeats tell this; here it would only cost bytes.
+                    // Heartbeats carry this; omitted here to save bytes.
                     heard_ms: 0,
-                    ..loads.own(*number, now)
+                    ..loads.own_entry(*number, now)
                 }
             })
             .collect()
     }
 
-    /// Takes over what another node tells of the servers where its work has changed.
+    /// Merges a report of changed loads from another node.
     pub(crate) fn change_source(&self, source: Source, entries: Vec<LoadEntry>) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.paces.take(source, &entry, now);
+            loads.slowdowns.merge(source, &entry, now);
             let (_, held) = loads
                 .peers
                 .entry(source)
@@ -51,12 +51,12 @@
                 heard_ms: held.heard_ms,
                 ..entry
             };
-            self.note_news(loads, now);
+            self.apply_reports(loads, now);
         }
     }
 
-    /// The work of others, from one source. A sum over the fleet takes the place of everything
-    /// else, and the other way round.
+    /// Replaces the loads of a source. A fleet-wide sum replaces all other sources, and any other
+    /// source replaces the fleet-wide sum.
     pub(crate) fn set_source(&self, source: Source, entries: Vec<LoadEntry>) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
@@ -71,37 +71,37 @@
         }
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.paces.take(source, &entry, now);
+            loads.slowdowns.merge(source, &entry, now);
             loads.peers.insert(source, (now, entry));
-            self.note_news(loads, now);
+            self.apply_reports(loads, now);
         }
     }
 
-    /// The work of others at some servers only; what the source told of the rest stays.
+    /// Merges the loads of a source at some servers; its loads at other servers stay.
     pub(crate) fn merge_source(&self, source: Source, entries: Vec<LoadEntry>) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
         for entry in entries {
             let loads = servers.entry(entry.server).or_default();
-            loads.paces.take(source, &entry, now);
+            loads.slowdowns.merge(source, &entry, now);
             loads.peers.insert(source, (now, entry));
-            self.note_news(loads, now);
+            self.apply_reports(loads, now);
         }
     }
 
-    /// The work of this node's zone at each server with any.
+    /// Sums of the loads of this node's zone, per server.
     pub(crate) fn zone_sums(&self) -> Vec<LoadEntry> {
         let now = Instant::now();
         let servers = self.servers.lock();
         let sums = servers.iter().map(|(number, loads)| {
             loads.sum(*number, now, |source| matches!(source, Source::Node(_)))
         });
-        sums.filter(tells_something).collect()
+        sums.filter(has_content).collect()
     }
 
-    /// The work of all nodes but one, at the servers that this one uses, for each of some nodes;
-    /// no servers stand for all. Each server is summed once, and once more for the nodes that have
-    /// work there: few of many have.
+    /// For each of `nodes`, the loads of all other nodes at the servers it uses; an empty list
+    /// stands for all servers. Totals are computed once and recomputed only for nodes with loads at
+    /// a server.
     pub(crate) fn sums_without(&self, nodes: &[(u64, &[u32])]) -> Vec<Vec<LoadEntry>> {
         let now = Instant::now();
         let servers = self.servers.lock();
@@ -109,7 +109,7 @@
             .iter()
             .map(|(number, loads)| loads.sum(*number, now, |source| *source != Source::Fleet))
             .map(|total| (total.server, total))
-            .filter(|(_, total)| tells_something(total))
+            .filter(|(_, total)| has_content(total))
             .collect();
         let sum_for = |node: u64, total: &LoadEntry| -> LoadEntry {
             let own = Source::Node(node);
@@ -131,7 +131,7 @@
                     .map(|total| sum_for(*node, total))
                     .collect(),
             };
-            sums.into_iter().filter(tells_something).collect()
+            sums.into_iter().filter(has_content).collect()
         };
         nodes.iter().map(sums_for).collect()
     }
--- a/crates/cluster/src/outcomes.rs
+++ b/crates/cluster/src/outcomes.rs
@@ -1,34 +1,34 @@
-//! Servers that answer, and answer with failures. Pure: time is an argument.
+//! Ejection of failing servers. Pure: time is an argument.
 //!
-//! A server that fails everything at once has the least work of all, so placement by load alone sends it ever
-//! more. All nodes count how their requests end at each server and tell the counts with the loads; a server at
-//! which at least half of them fail gets no work for a time, which doubles until it serves again. The figures below
-//! are chosen, not derived.
+//! A server that fails every request at once has the lowest load and would attract ever more work.
+//! All nodes count outcomes per server and share the counts with their loads. A server at which at
+//! least half of the requests fail is ejected for a time that doubles until it succeeds again.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Outcomes count for one to two spans of this length.
-const SPAN: Duration = Duration::from_millis(1_000);
-/// Failures over all nodes below which a server is not judged.
-const LEAST_FAILED: u32 = 3;
-/// First time without work: longer than outcomes count, so that the same failures are not judged twice.
-const FIRST_TIME: Duration = Duration::from_millis(2_500);
-/// Longest time without work. Afterwards some requests try the server again.
-const LONGEST_TIME: Duration = Duration::from_secs(10);
+/// Length of a counting window. Outcomes count for one to two windows.
+const WINDOW: Duration = Duration::from_millis(1_000);
+/// Failures over all nodes below which a server is not ejected.
+const MIN_FAILED: u32 = 3;
+/// First ejection time. Longer than two counting windows, so that the same failures do not eject a
+/// server twice.
+const BASE_EJECTION: Duration = Duration::from_millis(2_500);
+/// Longest ejection time; some requests try the server again afterwards.
+const MAX_EJECTION: Duration = Duration::from_secs(10);
 
-/// How requests ended lately.
+/// Counts of recent outcomes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct OutcomeCounts {
-    /// The server answered with an error of its own, or broke off before the head of its answer.
+    /// Responses with a server error, or connections closed before the response head.
     pub failed: u32,
-    /// The server answered with success.
+    /// Successful responses.
     pub served: u32,
 }
 
 impl OutcomeCounts {
-    /// Both together.
+    /// Sum of two counts.
     pub(crate) fn plus(self, other: Self) -> Self {
         Self {
             failed: self.failed + other.failed,
@@ -37,76 +37,78 @@
     }
 
     fn is_failing(self) -> bool {
-        self.failed >= LEAST_FAILED && self.failed >= self.served
+        self.failed >= MIN_FAILED && self.failed >= self.served
     }
 }
 
-/// Outcomes of one node at one server, of the last one to two spans.
+/// Outcomes of one node at one server in the current and the previous window.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcomes {
-    now: OutcomeCounts,
-    before: OutcomeCounts,
-    began: Option<Instant>,
+    current: OutcomeCounts,
+    previous: OutcomeCounts,
+    window_start: Option<Instant>,
 }
 
 impl Outcomes {
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     pub fn note(&mut self, served: bool, now: Instant) {
-        self.turn(now);
+        self.rotate(now);
         match served {
-            true => self.now.served += 1,
-            false => self.now.failed += 1,
+            true => self.current.served += 1,
+            false => self.current.failed += 1,
         }
     }
 
-    fn turn(&mut self, now: Instant) {
-        let age = self.began.map(|began| now.duration_since(began));
-        if age.is_some_and(|age| age < SPAN) {
+    fn rotate(&mut self, now: Instant) {
+        let age = self
+            .window_start
+            .map(|window_start| now.duration_since(window_start));
+        if age.is_some_and(|age| age < WINDOW) {
             return;
         }
-        self.before = match age {
-            Some(age) if age < 2 * SPAN => self.now,
+        self.previous = match age {
+            Some(age) if age < 2 * WINDOW => self.current,
             _ => OutcomeCounts::default(),
         };
-        self.now = OutcomeCounts::default();
-        self.began = Some(now);
+        self.current = OutcomeCounts::default();
+        self.window_start = Some(now);
     }
 
-    /// What counts now.
+    /// Counts of both windows.
     pub fn counts(mut self, now: Instant) -> OutcomeCounts {
-        self.turn(now);
-        self.now.plus(self.before)
+        self.rotate(now);
+        self.current.plus(self.previous)
     }
 }
 
-/// Whether a server is kept without work for its failures.
+/// Ejection state of a server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Ejection {
-    /// Times in a row that it was.
-    strikes: u32,
+    /// Consecutive ejections.
+    consecutive_ejections: u32,
     until: Option<Instant>,
 }
 
 impl Ejection {
-    /// Takes the outcomes over all nodes; whether the server is newly kept without work.
-    pub fn judge(&mut self, counts: OutcomeCounts, now: Instant) -> bool {
-        if self.is_out(now) {
+    /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
+    pub fn evaluate(&mut self, counts: OutcomeCounts, now: Instant) -> bool {
+        if self.is_ejected(now) {
             return false;
         }
         if counts.is_failing() {
-            let time = FIRST_TIME * 2_u32.saturating_pow(self.strikes);
-            self.until = Some(now + time.min(LONGEST_TIME));
-            self.strikes = (self.strikes + 1).min(8);
+            let time = BASE_EJECTION * 2_u32.saturating_pow(self.consecutive_ejections);
+            self.until = Some(now + time.min(MAX_EJECTION));
+            self.consecutive_ejections = (self.consecutive_ejections + 1).min(8);
             return true;
         }
         if counts.served > counts.failed {
-            self.strikes = 0;
+            self.consecutive_ejections = 0;
         }
         false
     }
 
-    /// Whether the server gets no work now.
-    pub fn is_out(&self, now: Instant) -> bool {
+    /// Whether the server is ejected now.
+    pub fn is_ejected(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| until > now)
     }
 }
--- a/crates/cluster/src/server_digest.rs
+++ b/crates/cluster/src/server_digest.rs
@@ -1,8 +1,8 @@
-//! What matters of a server's entry, as nodes keep it and tell it to each other.
+//! Compact form of a server registration, in which nodes keep it and send it to each other.
 //!
-//! The platform's entries are texts of about 250 bytes, most of which no node goes by. A large fleet hands the whole table
-//! to hundreds of nodes whenever it starts: 10,000 servers whose names of service and zone have 32 bytes together are 0.88 MB as
-//! digests, names included, instead of 3 MB.
+//! The platform's entries are JSON of about 250 bytes with fields that nodes do not use. A digest
+//! is about a third as large, which matters when a large fleet starts and hundreds of nodes read
+//! the whole table.
 
 use std::net::SocketAddr;
 
@@ -10,13 +10,13 @@
 use dappleyard_model::{Row, ServerRecord};
 use prost::Message;
 
-/// What a digest begins with. No entry of a server does, since it is a text.
-const MARK: &[u8] = b"\0srv1";
+/// Prefix of a digest. A server's own entry is text and never starts with it.
+const PREFIX: &[u8] = b"\0srv1";
 
-/// What matters of an entry.
+/// The fields of an entry that nodes use.
 #[derive(Clone, PartialEq, Eq, Message)]
 struct ServerDigest {
-    /// Moment of the start, milliseconds since 1970, where the server tells it.
+    /// Start time in milliseconds since the Unix epoch, if the server reports it.
     #[prost(uint64, optional, tag = "1")]
     born_ms: Option<u64>,
     #[prost(string, tag = "2")]
@@ -31,21 +31,20 @@
     draining: bool,
     #[prost(uint64, tag = "7")]
     cold_left_ms: u64,
-    /// Why the entry names no server; the other fields are empty then.
+    /// Why the entry is invalid; the other fields are then empty.
     #[prost(string, tag = "8")]
     refused: String,
 }
 
-/// What an entry says: a server, or why it names none.
-pub(crate) type ReadEntry = Result<ServerRecord, String>;
+/// A parsed entry: a server, or why the entry is invalid.
+pub(crate) type ParsedEntry = Result<ServerRecord, String>;
 
-/// Whether the value of a row is a digest.
 fn is_digest(value: &[u8]) -> bool {
-    value.starts_with(MARK)
+    value.starts_with(PREFIX)
 }
 
-/// The row with a digest for its value.
-pub(crate) fn digest(row: Row, read: impl FnOnce(&Row) -> ReadEntry) -> Row {
+/// Replaces the value of a row by its digest. Deletions and digests are returned unchanged.
+pub(crate) fn digest(row: Row, read: impl FnOnce(&Row) -> ParsedEntry) -> Row {
     let Some(value) = &row.value else {
         return row;
     };
@@ -68,7 +67,7 @@
             ..ServerDigest::default()
         },
     };
-    let mut value = MARK.to_vec();
+    let mut value = PREFIX.to_vec();
     value.extend(digest.encode_to_vec());
     Row {
         value: Some(Bytes::from(value)),
@@ -76,21 +75,21 @@
     }
 }
 
-/// The server of a digest, by its name; `None` for a value that is no digest.
-pub(crate) fn read_digest(name: &str, value: &[u8]) -> Option<ReadEntry> {
-    let body = value.strip_prefix(MARK)?;
+/// Parses a digest; `None` for a value that is not one.
+pub(crate) fn parse_digest(name: &str, value: &[u8]) -> Option<ParsedEntry> {
+    let body = value.strip_prefix(PREFIX)?;
     Some(server(name, body))
 }
 
-fn server(name: &str, body: &[u8]) -> ReadEntry {
-    let digest = ServerDigest::decode(body).map_err(|error| format!("digest: {error}"))?;
+fn server(name: &str, body: &[u8]) -> ParsedEntry {
+    let digest = ServerDigest::decode(body).map_err(|error| format!("invalid digest: {error}"))?;
     if !digest.refused.is_empty() {
         return Err(digest.refused);
     }
     let address: SocketAddr = digest
         .address
         .parse()
-        .map_err(|error| format!("digest, address: {error}"))?;
+        .map_err(|error| format!("invalid address in digest: {error}"))?;
     Ok(ServerRecord {
         id: ServerRecord::start_id(name, digest.born_ms),
         instance: name.to_owned(),
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -1,4 +1,4 @@
-//! Work under way at one server, as one node knows it.
+//! In-flight work and health of one server, as one node knows it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,38 +7,37 @@
 
 use crate::messages::LoadEntry;
 use crate::outcomes::{Ejection, OutcomeCounts, Outcomes};
-use crate::server_pace::Pace;
-use crate::shared_paces::Paces;
-use crate::temperature::{Checked, Temperature, Thermal};
-
-/// Time since a server was last heard here in which it does not count as silent for others' sake: they may be cut
-/// off from it, or slow themselves.
-const HEARD_HERE: Duration = Duration::from_millis(200);
-/// Heartbeats older than this tell nothing.
+use crate::shared_slowdown::Slowdowns;
+use crate::slowdown::Pace;
+use crate::warmup::{Checked, Temperature, Thermal};
+
+/// Time since the last bytes from a server during which reports of its silence are ignored: the
+/// reporting nodes may be partitioned from it, or slow themselves.
+const RECENT_BYTES: Duration = Duration::from_millis(200);
+/// Older heartbeats are ignored.
 pub(crate) const HEARTBEAT_LIFE: Duration = Duration::from_millis(1500);
 
-/// Load of one server, over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadSummary {
-    /// Online requests under way.
+    /// Online requests in flight.
     pub online: u32,
-    /// Batch items under way.
+    /// Batch items in flight.
     pub batch: u32,
-    /// Prompt tokens that the server has yet to read.
+    /// Prompt tokens that the server has yet to process.
     pub unread_tokens: u32,
-    /// The server was found silent or broken a moment ago, here or by another node.
+    /// Whether the server is currently considered silent by any node, or is ejected.
     pub suspect: bool,
-    /// Running mean of the time to the first event, over what was expected.
+    /// Moving average of the delay of the first event beyond the expected time.
     pub excess_ms: f64,
-    /// How cold it is; `None` where that is not followed.
+    /// Warm-up state; `None` if it is not tracked.
     pub temperature: Option<Temperature>,
-    /// How long work takes there now, as far as is known.
+    /// Current slowdown estimate.
     pub pace: Pace,
-    /// How long it took in the last seconds.
+    /// Slowdown over the last seconds.
     pub lasting_pace: Pace,
 }
 
-/// Whose work an entry counts.
+/// Origin of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Source {
     /// One other node.
@@ -56,25 +55,24 @@
     pub(crate) unread_tokens: u32,
     pub(crate) slots: u32,
     pub(crate) peers: HashMap<Source, (Instant, LoadEntry)>,
-    /// The news for which this node has paused its share already.
+    /// The newest report for which this node has already paused its share.
     pub(crate) paused_for: Option<Instant>,
     pub(crate) suspect_until: Option<Instant>,
-    /// It has said nothing for longer than its answers take.
-    pub(crate) doubt_until: Option<Instant>,
+    /// The server sent nothing for longer than its responses take; avoided until this time.
+    pub(crate) overdue_until: Option<Instant>,
     pub(crate) heard: Option<Instant>,
     pub(crate) excess_ms: f64,
     pub(crate) excess_at: Option<Instant>,
-    /// This node's work has changed since the others were told.
-    pub(crate) untold: bool,
-    /// How this node's requests ended.
+    /// Whether the loads changed since they were last sent.
+    pub(crate) unsent: bool,
+    /// Outcomes of this node's requests.
     pub(crate) outcomes: Outcomes,
     pub(crate) ejection: Ejection,
-    /// How cold the server is.
-    pub(crate) thermal: Thermal,
-    /// This node's own newest answer to a question of how cold it is.
-    pub(crate) own_check: Option<Checked>,
-    /// How long work takes there.
-    pub(crate) paces: Paces,
+    pub(crate) warmup: Thermal,
+    /// The newest health answer that this node received itself.
+    pub(crate) own_report: Option<Checked>,
+    /// Slowdown estimates.
+    pub(crate) slowdowns: Slowdowns,
 }
 
 impl ServerLoads {
@@ -83,10 +81,10 @@
             online: self.online,
             batch: self.batch,
             unread_tokens: self.unread_tokens,
-            suspect: self.is_found_silent(now) || self.ejection.is_out(now),
-            temperature: self.followed_temperature(now),
-            pace: self.paces.now(now),
-            lasting_pace: self.paces.lasting(now),
+            suspect: self.is_found_silent(now) || self.ejection.is_ejected(now),
+            temperature: self.tracked_state(now),
+            pace: self.slowdowns.now(now),
+            lasting_pace: self.slowdowns.long_term(now),
             ..LoadSummary::default()
         };
         for (at, entry) in self.peers.values() {
@@ -103,50 +101,50 @@
         summary
     }
 
-    /// The server was silent or could not be reached a moment ago, here or at another node.
+    /// Whether the server is currently considered silent or unreachable by this node or another.
     pub(crate) fn is_found_silent(&self, now: Instant) -> bool {
         let heard = self.heard.map(|heard| now.duration_since(heard));
-        let told = self.peers.values();
-        let mut others = told.filter(|(_, entry)| entry.suspect || entry.doubted);
+        let reported = self.peers.values();
+        let mut others = reported.filter(|(_, entry)| entry.suspect || entry.doubted);
         self.is_suspect(now)
-            || self.is_slow_to_answer(now)
-            || (heard.is_none_or(|age| age > HEARD_HERE)
+            || self.is_overdue(now)
+            || (heard.is_none_or(|age| age > RECENT_BYTES)
                 && others.any(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE))
     }
 
-    /// The server was found silent, and has not been heard here since.
+    /// Whether the server was found silent and this node has received nothing from it since.
     pub(crate) fn is_doubted(&self, now: Instant) -> bool {
-        self.suspect_until.is_some() || self.doubt_until.is_some() || self.is_found_silent(now)
+        self.suspect_until.is_some() || self.overdue_until.is_some() || self.is_found_silent(now)
     }
 
-    fn is_slow_to_answer(&self, now: Instant) -> bool {
-        self.doubt_until.is_some_and(|until| until > now)
+    fn is_overdue(&self, now: Instant) -> bool {
+        self.overdue_until.is_some_and(|until| until > now)
     }
 
-    /// The server was silent or could not be reached a moment ago.
+    /// Whether this node currently considers the server silent or unreachable.
     fn is_suspect(&self, now: Instant) -> bool {
         self.suspect_until.is_some_and(|until| until > now)
     }
 
-    /// Judges the server by how requests ended there, at all nodes; whether it is newly kept without work.
-    pub(crate) fn judge(&mut self, now: Instant) -> bool {
-        let told = self.peers.values();
-        let fresh = told.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
+    /// Evaluates the outcomes of all nodes. Returns whether the server is newly ejected.
+    pub(crate) fn evaluate(&mut self, now: Instant) -> bool {
+        let reported = self.peers.values();
+        let fresh = reported.filter(|(at, _)| now.duration_since(*at) < HEARTBEAT_LIFE);
         let others = fresh.map(|(_, entry)| OutcomeCounts {
             failed: entry.failed,
             served: entry.served,
         });
         let own = self.outcomes.counts(now);
         self.ejection
-            .judge(others.fold(own, OutcomeCounts::plus), now)
+            .evaluate(others.fold(own, OutcomeCounts::plus), now)
     }
 
-    /// This node's own work.
-    pub(crate) fn own(&self, server: u32, now: Instant) -> LoadEntry {
+    /// Load entry of this node alone.
+    pub(crate) fn own_entry(&self, server: u32, now: Instant) -> LoadEntry {
         let outcomes = self.outcomes.counts(now);
-        let (asked_ms, cold_ms) = self.own_check_told(now);
-        let (pace_age_ms, pace_percent) = self.paces.told.entry(now, |_| false);
-        let (excess_pace_age_ms, excess_pace_percent) = self.paces.excess.entry(now, |_| false);
+        let (asked_ms, cold_ms) = self.own_report_fields(now);
+        let (pace_age_ms, pace_percent) = self.slowdowns.reported.entry(now, |_| false);
+        let (excess_pace_age_ms, excess_pace_percent) = self.slowdowns.excess.entry(now, |_| false);
         LoadEntry {
             pace_age_ms,
             pace_percent,
@@ -161,7 +159,7 @@
             batch: self.batch,
             unread_tokens: self.unread_tokens,
             suspect: self.is_suspect(now),
-            doubted: self.is_slow_to_answer(now),
+            doubted: self.is_overdue(now),
             heard_ms: self.heard.map_or(0, |heard| {
                 let age = now.duration_since(heard).as_millis();
                 u32::try_from(age).unwrap_or(u32::MAX - 1) + 1
@@ -169,16 +167,17 @@
         }
     }
 
-    /// This node's own work and that of some others.
+    /// Sum of this node's entry and those of the counted sources.
     pub(crate) fn sum(
         &self,
         server: u32,
         now: Instant,
         counted: impl Fn(&Source) -> bool,
     ) -> LoadEntry {
-        let mut sum = self.own(server, now);
-        (sum.pace_age_ms, sum.pace_percent) = self.paces.told.entry(now, &counted);
-        (sum.excess_pace_age_ms, sum.excess_pace_percent) = self.paces.excess.entry(now, &counted);
+        let mut sum = self.own_entry(server, now);
+        (sum.pace_age_ms, sum.pace_percent) = self.slowdowns.reported.entry(now, &counted);
+        (sum.excess_pace_age_ms, sum.excess_pace_percent) =
+            self.slowdowns.excess.entry(now, &counted);
         for (source, (at, entry)) in &self.peers {
             let age = now.duration_since(*at);
             if age >= HEARTBEAT_LIFE || !counted(source) {
@@ -191,7 +190,7 @@
             sum.doubted |= entry.doubted;
             sum.failed = sum.failed.saturating_add(entry.failed);
             sum.served = sum.served.saturating_add(entry.served);
-            sum.take_newer_check(entry, age);
+            sum.merge_newer_report(entry, age);
             if entry.heard_ms > 0 {
                 let heard_ms = entry.heard_ms.saturating_add(age.as_millis() as u32);
                 sum.heard_ms = match sum.heard_ms {
@@ -203,20 +202,20 @@
         sum
     }
 
-    /// Whether the work of others is known as sums only.
-    pub(crate) fn is_summed(&self) -> bool {
+    /// Whether any report is a sum over several nodes.
+    pub(crate) fn has_sums(&self) -> bool {
         let mut sources = self.peers.keys();
         sources.any(|source| !matches!(source, Source::Node(_)))
     }
 
-    /// This node's share of what is to be paused, in proportion to its batch work. The shares of
-    /// all nodes add up on average; each piece of news is acted on once.
-    pub(crate) fn share_of_sum(&mut self, over: u32, batch: u32) -> u32 {
-        let news = self.peers.values().map(|(at, _)| *at).max();
-        if over == 0 || self.batch == 0 || self.paused_for == news {
+    /// This node's share of the items to pause, proportional to its batch work. The shares of all
+    /// nodes add up on average; each report is acted on once.
+    pub(crate) fn pause_share_of_sum(&mut self, over: u32, batch: u32) -> u32 {
+        let newest_report = self.peers.values().map(|(at, _)| *at).max();
+        if over == 0 || self.batch == 0 || self.paused_for == newest_report {
             return 0;
         }
-        self.paused_for = news;
+        self.paused_for = newest_report;
         let share = f64::from(over) * f64::from(self.batch) / f64::from(batch.max(1));
         let whole = share.floor();
         let one_more = rand::random::<f64>() < share - whole;
@@ -224,8 +223,8 @@
     }
 }
 
-pub(crate) fn tells_something(entry: &LoadEntry) -> bool {
+pub(crate) fn has_content(entry: &LoadEntry) -> bool {
     let silent = entry.suspect || entry.doubted;
-    let told = entry.asked_ms > 0 || entry.pace_age_ms > 0 || entry.excess_pace_age_ms > 0;
-    entry.online + entry.batch > 0 || silent || entry.failed > 0 || told
+    let reported = entry.asked_ms > 0 || entry.pace_age_ms > 0 || entry.excess_pace_age_ms > 0;
+    entry.online + entry.batch > 0 || silent || entry.failed > 0 || reported
 }
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -1,9 +1,8 @@
-//! The servers of a service as one node uses them.
+//! Selects the servers of a service that one node uses.
 //!
-//! In a large fleet a node does not weigh, nor connect to, all servers: it uses a subset of its own
-//! zone that differs from node to node, so that work per request and connections stay bounded. Where
-//! a service is spread over regions, a node uses few servers of the others however small the service
-//! is: connections there serve only while its own region cannot.
+//! In a large fleet each node uses a different subset of its own zone, which bounds its connections
+//! and the cost of placing a request. Of a service in several regions it uses few servers in other
+//! regions, since they serve only while its own region cannot.
 
 use std::sync::Arc;
 
@@ -12,51 +11,52 @@
 
 use crate::ways::Ways;
 
-/// Servers up to which a node uses all of them, where they stand in one region.
-const ALL_USED: usize = 64;
-/// Servers of the own zone that a node of a large fleet uses.
-const NEAR_USED: usize = 40;
-/// Servers of any other zone that it uses besides; in a service that is spread over regions, servers of other
-/// regions. Where the own zone has none, evacuated ones say, a node uses as many of other zones as it would of all:
-/// eight would be full while most of the fleet has room.
-const FAR_USED: usize = 8;
-/// Servers of the other zones of its region that it uses, where a service is spread over regions: the
-/// sum of all is then no more than where all are used.
-const REGION_USED: usize = ALL_USED - NEAR_USED - FAR_USED;
+/// Up to this many servers in one region, a node uses all of them.
+const MAX_ALL_USED: usize = 64;
+/// Servers of its own zone that a node of a large fleet uses.
+const OWN_ZONE_USED: usize = 40;
+/// Servers of other zones that it uses, or of other regions if the service is in several. If its
+/// own zone has none, for example while it is evacuated, it uses as many servers of other zones as
+/// it would use in total.
+const REMOTE_USED: usize = 8;
+/// Servers in the other zones of its region that it uses if the service is in several regions. The
+/// total then equals `MAX_ALL_USED`.
+const OWN_REGION_USED: usize = MAX_ALL_USED - OWN_ZONE_USED - REMOTE_USED;
 
-/// Where a node stands.
+/// Location and identity of a node, which determine the servers it uses.
 #[derive(Debug)]
 pub struct Standpoint {
     number: u64,
     ways: Arc<Ways>,
 }
 
-/// Servers of one service that take new work.
+/// The servers of one service that accept new work.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServerSet {
-    /// All of them, by identifier.
+    /// All servers, ordered by identifier.
     pub all: Vec<Arc<ServerRecord>>,
-    /// Those that the node sends work to.
+    /// Servers that this node sends requests to.
     pub used: Vec<Arc<ServerRecord>>,
-    /// Those among which prompts have their homes: all, or those of the zone in a large fleet where it has
-    /// any; never those of another region while the own one has any.
+    /// Servers over which prompts are hashed for cache affinity: all, or in a large fleet those of
+    /// the own zone if there are any. Servers of other regions are included only if the own region
+    /// has none.
     pub homes: Vec<Arc<ServerRecord>>,
 }
 
 impl ServerSet {
-    /// Whether the node uses only some of the servers.
+    /// Whether the node uses only a subset of the servers.
     pub fn is_large(&self) -> bool {
         self.used.len() < self.all.len()
     }
 }
 
 impl Standpoint {
-    /// The standpoint of a node in a deployment of one region.
+    /// A node in a deployment of one region.
     pub fn new(node: &str, zone: &str) -> Self {
         Self::with_ways(node, Arc::new(Ways::within(zone)))
     }
 
-    /// The standpoint of a node from which these ways begin.
+    /// A node with the given network costs.
     pub fn with_ways(node: &str, ways: Arc<Ways>) -> Self {
         Self {
             number: xxh3_64(node.as_bytes()),
@@ -64,24 +64,22 @@
         }
     }
 
-    /// The ways from here.
+    /// Network costs from this node.
     pub fn ways(&self) -> &Arc<Ways> {
         &self.ways
     }
 
-    /// Sorts the servers of a service into those that the node uses.
-    ///
-    /// A set is built anew after each change of a server. Of a large service it takes one look at each server and no sort of
-    /// them all: 3.3 ms for 10,000 of them, in a build on a shared machine.
+    /// Builds the set of a service. Runs after each change of a server, so a large service costs
+    /// one pass over its servers and no full sort.
     pub fn servers(&self, mut all: Vec<Arc<ServerRecord>>) -> ServerSet {
         if !all.is_sorted_by(|a, b| a.id <= b.id) {
             all.sort_by(|a, b| a.id.cmp(&b.id));
         }
-        let spread = all.iter().any(|server| !self.ways.is_near(&server.zone));
-        if spread {
-            return self.spread_servers(all);
+        let multi_region = all.iter().any(|server| !self.ways.is_near(&server.zone));
+        if multi_region {
+            return self.multi_region_set(all);
         }
-        if all.len() <= ALL_USED {
+        if all.len() <= MAX_ALL_USED {
             return ServerSet {
                 used: all.clone(),
                 homes: all.clone(),
@@ -92,68 +90,68 @@
         let homes: Vec<_> = all.iter().filter(is_near).cloned().collect();
         if homes.is_empty() {
             return ServerSet {
-                used: self.first(all.iter(), NEAR_USED + FAR_USED),
+                used: self.select(all.iter(), OWN_ZONE_USED + REMOTE_USED),
                 homes: all.clone(),
                 all,
             };
         }
-        let mut used = self.first(homes.iter(), NEAR_USED);
-        used.extend(self.first(all.iter().filter(|server| !is_near(server)), FAR_USED));
+        let mut used = self.select(homes.iter(), OWN_ZONE_USED);
+        used.extend(self.select(all.iter().filter(|server| !is_near(server)), REMOTE_USED));
         ServerSet { used, homes, all }
     }
 
-    /// The first of some servers in this node's own order.
-    fn first<'a>(
+    /// Selects up to `most` servers by a hash that differs from node to node.
+    fn select<'a>(
         &self,
         servers: impl Iterator<Item = &'a Arc<ServerRecord>>,
         most: usize,
     ) -> Vec<Arc<ServerRecord>> {
-        let turn = |server: &ServerRecord| xxh3_64_with_seed(server.id.as_bytes(), self.number);
-        let mut turns: Vec<(u64, &Arc<ServerRecord>)> =
-            servers.map(|server| (turn(server), server)).collect();
-        if turns.len() > most {
-            turns.select_nth_unstable_by_key(most, |(turn, _)| *turn);
-            turns.truncate(most);
+        let hash = |server: &ServerRecord| xxh3_64_with_seed(server.id.as_bytes(), self.number);
+        let mut hashes: Vec<(u64, &Arc<ServerRecord>)> =
+            servers.map(|server| (hash(server), server)).collect();
+        if hashes.len() > most {
+            hashes.select_nth_unstable_by_key(most, |(hash, _)| *hash);
+            hashes.truncate(most);
         }
-        turns.sort_unstable_by_key(|(turn, _)| *turn);
-        turns
+        hashes.sort_unstable_by_key(|(hash, _)| *hash);
+        hashes
             .into_iter()
             .map(|(_, server)| server.clone())
             .collect()
     }
 
-    /// The same where some servers stand in other regions.
-    fn spread_servers(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
-        let some = |distance: Distance, most: usize| {
+    /// Builds the set of a service with servers in other regions.
+    fn multi_region_set(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
+        let at_distance = |distance: Distance, most: usize| {
             let servers = all.iter();
-            let there = servers.filter(|server| self.ways.distance(&server.zone) == distance);
-            self.first(there, most)
+            let matching = servers.filter(|server| self.ways.distance(&server.zone) == distance);
+            self.select(matching, most)
         };
-        let mut used = some(Distance::SameZone, NEAR_USED);
-        used.extend(some(Distance::SameRegion, REGION_USED));
-        let far = match used.is_empty() {
-            // The node's own region has none: the others are all that it has.
-            true => NEAR_USED,
-            false => FAR_USED,
+        let mut used = at_distance(Distance::SameZone, OWN_ZONE_USED);
+        used.extend(at_distance(Distance::SameRegion, OWN_REGION_USED));
+        let remote = match used.is_empty() {
+            // The own region has no servers; use more of the others.
+            true => OWN_ZONE_USED,
+            false => REMOTE_USED,
         };
-        used.extend(some(Distance::OtherRegion, far));
+        used.extend(at_distance(Distance::OtherRegion, remote));
         ServerSet {
             used,
-            homes: self.spread_homes(&all),
+            homes: self.multi_region_homes(&all),
             all,
         }
     }
 
-    /// Homes of prompts: in a large fleet the own zone's servers, else those of the region, and all where
-    /// the region has none.
-    fn spread_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
+    /// Servers for prompt hashing: those of the own zone in a large fleet, otherwise those of the
+    /// region, or all if the region has none.
+    fn multi_region_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
         let within = |farthest: Distance| -> Vec<_> {
             let servers = all.iter();
-            let there = servers.filter(|server| self.ways.distance(&server.zone) <= farthest);
-            there.cloned().collect()
+            let matching = servers.filter(|server| self.ways.distance(&server.zone) <= farthest);
+            matching.cloned().collect()
         };
         let zone = within(Distance::SameZone);
-        if all.len() > ALL_USED && !zone.is_empty() {
+        if all.len() > MAX_ALL_USED && !zone.is_empty() {
             return zone;
         }
         let region = within(Distance::SameRegion);
--- a/crates/cluster/tests/pace.rs
+++ b/crates/cluster/tests/change_throttle.rs
@@ -1,4 +1,4 @@
-//! When changed work is told.
+//! Rate limit for load change messages.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 #[gtest]
-fn change_kept() {
+fn change_stays_pending_until_sent() {
     let start = Instant::now();
     let mut pace = ChangePace::new(start);
     pace.note_change();
@@ -27,10 +27,9 @@
 }
 
 #[gtest]
-fn rested() {
+fn next_message_is_due_within_50_ms() {
     let start = Instant::now();
     let mut pace = ChangePace::new(start);
     pace.note_change();
-    // After a rest the news goes out at once.
     expect_that!(pace.next() < start + Duration::from_millis(50), eq(true));
 }
--- a/crates/cluster/tests/standing.rs
+++ b/crates/cluster/tests/cold_assignment.rs
@@ -1,4 +1,4 @@
-//! Which nodes stand for a cold server, as restarts, silence and lost zones change what is known of them.
+//! Assignment of cold servers to nodes under restarts, silence and zone loss.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
         .collect()
 }
 
-/// The table of each node.
+/// The peer table of each node.
 fn tables(rows: impl Fn(&PeerTable)) -> Vec<(String, PeerTable)> {
     let log = Arc::new(EventLog::silent());
     let table = |(name, zone): (String, &'static str)| {
@@ -51,9 +51,9 @@
     rows.for_each(|row| table.change(row));
 }
 
-fn standing(tables: &[(String, PeerTable)], server: &str) -> Vec<String> {
-    let stands = |table: &PeerTable| table.standing(server, "north", NODES).is_some();
-    let those = tables.iter().filter(|(_, table)| stands(table));
+fn assigned(tables: &[(String, PeerTable)], server: &str) -> Vec<String> {
+    let is_assigned = |table: &PeerTable| table.standing(server, "north", NODES).is_some();
+    let those = tables.iter().filter(|(_, table)| is_assigned(table));
     those.map(|(name, _)| name.clone()).collect()
 }
 
@@ -61,10 +61,10 @@
 fn all_nodes_agree() {
     let tables = tables(all_rows);
     for server in 0..50 {
-        let standing = standing(&tables, &format!("i-{server}"));
-        expect_that!(standing.len(), eq(5));
+        let assigned = assigned(&tables, &format!("i-{server}"));
+        expect_that!(assigned.len(), eq(5));
         expect_that!(
-            standing.iter().all(|name| name.starts_with("north")),
+            assigned.iter().all(|name| name.starts_with("north")),
             eq(true)
         );
     }
@@ -80,12 +80,12 @@
     let after = tables(restarted);
     for server in 0..50 {
         let server = format!("i-{server}");
-        expect_that!(standing(&before, &server), eq(&standing(&after, &server)));
+        expect_that!(assigned(&before, &server), eq(&assigned(&after, &server)));
     }
 }
 
-/// Lets time pass without a heartbeat from anybody.
-fn in_silence<F: Future<Output = ()>>(test: F) {
+/// Runs a test in paused time, without heartbeats.
+fn in_paused_time<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -95,17 +95,17 @@
 }
 
 #[gtest]
-fn silence_of_all_adds_as_many_nodes_at_most() {
-    in_silence(async {
+fn total_silence_at_most_doubles_assignments() {
+    in_paused_time(async {
         let before = tables(all_rows);
         let server = |number: u32| format!("i-{number}");
-        let near = |number| standing(&before, &server(number));
+        let near = |number| assigned(&before, &server(number));
         let near: Vec<Vec<String>> = (0..20).map(near).collect();
-        // Nobody hears anybody, as if each were cut off from all.
+        // No node receives heartbeats, as if all were isolated.
         tokio::time::advance(Duration::from_secs(4)).await;
         for number in 0..20 {
-            let standing = standing(&before, &server(number));
-            let (own, far): (Vec<_>, Vec<_>) = standing
+            let assigned = assigned(&before, &server(number));
+            let (own, far): (Vec<_>, Vec<_>) = assigned
                 .into_iter()
                 .partition(|name| name.starts_with("north"));
             expect_that!(own, eq(&near[number as usize]));
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn small_zone_is_helped_by_the_others() {
+fn small_zone_gets_nodes_of_other_zones() {
     let few = |table: &PeerTable| {
         let rows = fleet().into_iter();
         let kept = rows.filter(|(name, zone)| *zone == "south" || name.ends_with("-0"));
@@ -123,7 +123,7 @@
     };
     let tables = tables(few);
     for server in 0..20 {
-        let listed: Vec<_> = standing(&tables, &format!("i-{server}"));
+        let listed: Vec<_> = assigned(&tables, &format!("i-{server}"));
         let rowless = |name: &String| name.starts_with("north") && !name.ends_with("-0");
         let with_row = listed.iter().filter(|name| !rowless(name));
         expect_that!(with_row.count(), eq(5));
@@ -131,23 +131,23 @@
 }
 
 #[gtest]
-fn node_that_was_cut_off_for_long_stands_no_more_often() {
-    in_silence(async {
+fn isolation_does_not_add_assignments() {
+    in_paused_time(async {
         let tables = tables(all_rows);
-        let stood = |number: usize| {
+        let assignments = |number: usize| {
             let servers = (0..100).map(|server| format!("i-{server}"));
             let (_, table) = &tables[number];
-            let stands = |server: &String| table.standing(server, "north", NODES).is_some();
-            servers.filter(stands).count()
+            let is_assigned = |server: &String| table.standing(server, "north", NODES).is_some();
+            servers.filter(is_assigned).count()
         };
-        let before = stood(0);
+        let before = assignments(0);
         tokio::time::advance(Duration::from_secs(300)).await;
-        expect_that!(stood(0), eq(before));
+        expect_that!(assignments(0), eq(before));
     });
 }
 
 #[gtest]
-fn node_that_knows_no_row_stands_for_nothing() {
+fn no_assignment_without_rows() {
     let table = PeerTable::new("a", "north", Arc::new(EventLog::silent()));
     expect_that!(table.standing("i-1", "north", NODES), none());
 }
--- a/crates/cluster/tests/cold_parts.rs
+++ b/crates/cluster/tests/cold_quota.rs
@@ -1,11 +1,11 @@
-//! The bound on what a cold server gets from all nodes together, in virtual time: parts without a word, beside
-//! counts that are told.
+//! Rate limit for a cold server over all nodes, in simulated time: fixed quotas compared with
+//! exchanged counts.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_cluster::{ColdParts, ColdShare, standing};
+use dappleyard_cluster::{ColdQuotaUsage, ColdShare, standing};
 use dappleyard_model::ColdBounds;
 use googletest::prelude::*;
 use rand::rngs::StdRng;
@@ -18,14 +18,14 @@
 const PER_S: f64 = 11.0;
 const ALLOWED: usize = 21;
 const SERVER: &str = "i-7";
-/// Requests that all nodes together have for the server, a second: far more than it bears.
+/// Requests per second offered by all nodes: far more than the server accepts.
 const ASKED_PER_S: u64 = 400;
 
 fn names(nodes: std::ops::Range<usize>) -> Vec<String> {
     nodes.map(|number| format!("node-{number}")).collect()
 }
 
-/// The nodes that stand for the server where these are known.
+/// The nodes assigned to the server if `known` are the members.
 fn chosen(known: &[String]) -> Vec<String> {
     let nodes = ColdShare::new(PER_S, BOUNDS).nodes;
     let place = |own: &&String| {
@@ -35,7 +35,7 @@
     known.iter().filter(place).cloned().collect()
 }
 
-/// Most times in any second.
+/// Maximum number of requests within any second.
 fn most_in_a_second(mut sent: Vec<u64>) -> usize {
     sent.sort_unstable();
     let mut window = VecDeque::new();
@@ -50,20 +50,23 @@
     most
 }
 
-/// What arrives in ten seconds when these nodes stand for the server, each with a part of its own; one node may begin
-/// a new life in between.
-fn arrivals(standing: &BTreeSet<String>, restarts: bool, seed: u64) -> Vec<u64> {
+/// Arrivals over ten seconds if these nodes are assigned to the server. With `restarts`, single
+/// nodes restart in between.
+fn arrivals(assigned: &BTreeSet<String>, restarts: bool, seed: u64) -> Vec<u64> {
     let share = ColdShare::new(PER_S, BOUNDS);
     let mut random = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let long_ago = start.checked_sub(Duration::from_secs(9)).unwrap_or(start);
-    let mut parts: Vec<ColdParts> = standing.iter().map(|_| ColdParts::new(long_ago)).collect();
+    let mut parts: Vec<ColdQuotaUsage> = assigned
+        .iter()
+        .map(|_| ColdQuotaUsage::new(long_ago))
+        .collect();
     let mut sent = Vec::new();
     for at_ms in 0..10_000 {
         let now = start + Duration::from_millis(at_ms);
         if restarts && at_ms % 700 == 350 {
             let node = random.random_range(0..parts.len());
-            parts[node] = ColdParts::new(now);
+            parts[node] = ColdQuotaUsage::new(now);
         }
         if random.random_range(0..1_000) >= ASKED_PER_S {
             continue;
@@ -76,8 +79,8 @@
     sent
 }
 
-/// The same load over all nodes of a fleet that tell each other each `every_ms` what they have sent, and send while
-/// the sum of what is known is below what the server bears.
+/// The same load on nodes that exchange counts every `every_ms` and send while the known sum is
+/// below the server's rate. With `split`, the fleet is partitioned in two.
 fn arrivals_by_counts(nodes: usize, every_ms: u64, split: bool, seed: u64) -> Vec<u64> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut sent: Vec<(u64, usize)> = Vec::new();
@@ -100,7 +103,7 @@
 }
 
 #[gtest]
-fn rate_is_divided_within_half_of_the_bound() {
+fn quotas_add_up_to_half_of_operator_limit() {
     let share = ColdShare::new(PER_S, BOUNDS);
     expect_that!(
         share,
@@ -125,40 +128,40 @@
 }
 
 #[gtest]
-fn one_view_stays_below_what_a_server_bears() {
-    let standing: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
-    expect_that!(standing.len(), eq(5));
+fn one_view_stays_within_server_rate() {
+    let assigned: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
+    expect_that!(assigned.len(), eq(5));
     for seed in 0..5 {
-        let most = most_in_a_second(arrivals(&standing, false, seed));
+        let most = most_in_a_second(arrivals(&assigned, false, seed));
         expect_that!(most, le(10));
         expect_that!(most, ge(9));
     }
 }
 
 #[gtest]
-fn two_views_without_a_common_node_stay_below_the_bound() {
+fn disjoint_views_stay_within_operator_limit() {
     let one = chosen(&names(0..22));
     let other = chosen(&names(22..44));
-    let standing: BTreeSet<String> = one.into_iter().chain(other).collect();
-    expect_that!(standing.len(), eq(10));
+    let assigned: BTreeSet<String> = one.into_iter().chain(other).collect();
+    expect_that!(assigned.len(), eq(10));
     for seed in 0..5 {
         expect_that!(
-            most_in_a_second(arrivals(&standing, false, seed)),
+            most_in_a_second(arrivals(&assigned, false, seed)),
             le(ALLOWED)
         );
     }
 }
 
 #[gtest]
-fn restarts_add_nothing() {
-    let standing: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
+fn restarts_do_not_add_quota() {
+    let assigned: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
     for seed in 0..5 {
-        expect_that!(most_in_a_second(arrivals(&standing, true, seed)), le(10));
+        expect_that!(most_in_a_second(arrivals(&assigned, true, seed)), le(10));
     }
 }
 
 #[gtest]
-fn lost_node_changes_one_place() {
+fn lost_node_changes_one_assignment() {
     let before: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
     for lost in 0..22 {
         let left: Vec<String> = names(0..22)
@@ -171,8 +174,9 @@
 }
 
 #[gtest]
-fn counts_that_are_told_pass_the_bound() {
-    // Why parts were taken: what 22 nodes have not told each other yet, and what two sides never do.
+fn exchanged_counts_exceed_operator_limit() {
+    // Justifies fixed quotas: exchanged counts exceed the limit because of their delay, and under a
+    // partition.
     let most = |every_ms, split| {
         let seeds = 0..5;
         let runs =
@@ -180,15 +184,15 @@
         runs.max().unwrap_or(0)
     };
     let (quick, slow, cut) = (most(25, false), most(150, false), most(150, true));
-    println!("counts told: {quick} at 25 ms, {slow} at 150 ms, {cut} cut in two");
+    println!("exchanged counts: {quick} at 25 ms, {slow} at 150 ms, {cut} partitioned");
     expect_that!(slow, gt(ALLOWED));
     expect_that!(cut, gt(ALLOWED));
 }
 
 #[gtest]
-fn part_of_a_new_life_counts_as_used() {
+fn quota_counts_as_used_after_start() {
     let start = Instant::now();
-    let parts = ColdParts::new(start);
+    let parts = ColdQuotaUsage::new(start);
     expect_that!(
         parts.take(1, 2, start + Duration::from_millis(1_000)),
         eq(false)
--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Zones that the operators have evacuated: orders, withdrawals, and reads that overtake each other.
+//! Evacuation orders, withdrawals, and reads that arrive out of order.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -34,43 +34,43 @@
 }
 
 fn evacuated(zones: &Evacuations) -> Vec<String> {
-    zones.standing().map(|held| held.zone.to_string()).collect()
+    zones.active().map(|held| held.zone.to_string()).collect()
 }
 
 #[gtest]
-fn newest_decides() {
+fn highest_revision_wins() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    expect_that!(zones.give(&zone("north"), 5, now), some(anything()));
+    expect_that!(zones.issue(&zone("north"), 5, now), some(anything()));
     expect_that!(zones.withdraw(&zone("north"), 4, now), none());
     expect_that!(zones.is_evacuated("north"), eq(true));
     expect_that!(zones.withdraw(&zone("north"), 7, now), some(anything()));
-    expect_that!(zones.give(&zone("north"), 6, now), none());
-    expect_that!(zones.give(&zone("north"), 7, now), none());
+    expect_that!(zones.issue(&zone("north"), 6, now), none());
+    expect_that!(zones.issue(&zone("north"), 7, now), none());
     expect_that!(zones.is_evacuated("north"), eq(false));
-    expect_that!(zones.give(&zone("north"), 8, now), some(anything()));
+    expect_that!(zones.issue(&zone("north"), 8, now), some(anything()));
     expect_that!(evacuated(&zones), elements_are![eq("north")]);
 }
 
 #[gtest]
-fn whole_read() {
+fn full_read() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
-    zones.give(&zone("south"), 9, now);
-    // As of 7 north was taken back; south came later than this read.
+    zones.issue(&zone("north"), 5, now);
+    zones.issue(&zone("south"), 9, now);
+    // As of revision 7, north was restored; the order for south is newer than this read.
     let changes = zones.replace(&[order("west", 6)], 7, now);
     expect_that!(changes.len(), eq(2));
     expect_that!(evacuated(&zones), elements_are![eq("south"), eq("west")]);
-    // An order that this read would have shown is older than it.
-    expect_that!(zones.give(&zone("east"), 6, now), none());
-    expect_that!(zones.give(&zone("north"), 5, now), none());
+    // Rows older than the read are stale.
+    expect_that!(zones.issue(&zone("east"), 6, now), none());
+    expect_that!(zones.issue(&zone("north"), 5, now), none());
 }
 
 #[gtest]
-fn older_read() {
+fn stale_read() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     zones.withdraw(&zone("north"), 8, now);
-    zones.give(&zone("south"), 9, now);
+    zones.issue(&zone("south"), 9, now);
     expect_that!(zones.replace(&[order("north", 5)], 6, now), is_empty());
     expect_that!(evacuated(&zones), elements_are![eq("south")]);
 }
@@ -78,7 +78,7 @@
 #[gtest]
 fn unreadable_row() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     let unreadable = |name| ZoneRow {
         readable: false,
         ..order(name, 8)
@@ -92,30 +92,30 @@
 fn restored() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     expect_that!(zones.restored_at("north"), none());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     expect_that!(zones.restored_at("north"), none());
     let later = now + Duration::from_secs(3);
     zones.withdraw(&zone("north"), 6, later);
     expect_that!(zones.restored_at("north"), some(eq(later)));
-    // An order that came and went unheard has left the zone's servers cold all the same.
+    // A withdrawal counts even if the order was never seen.
     zones.withdraw(&zone("south"), 7, later);
     expect_that!(zones.restored_at("south"), some(eq(later)));
-    // Given again, it is no longer restored; the new order counts from then on.
-    zones.give(&zone("north"), 8, later);
+    // A new order ends the restored state and counts from its own time.
+    zones.issue(&zone("north"), 8, later);
     expect_that!(zones.restored_at("north"), none());
-    let since: Vec<Instant> = zones.standing().map(|held| held.since).collect();
+    let since: Vec<Instant> = zones.active().map(|held| held.since).collect();
     expect_that!(since, elements_are![eq(&later)]);
 }
 
 #[gtest]
-fn given_again() {
+fn order_reissued() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
-    zones.give(&zone("north"), 5, now);
+    zones.issue(&zone("north"), 5, now);
     let later = now + Duration::from_secs(3);
-    // Withdrawn and given again between two answers of the store.
-    expect_that!(zones.give(&zone("north"), 9, later), some(anything()));
+    // Withdrawn and issued again between two reads.
+    expect_that!(zones.issue(&zone("north"), 9, later), some(anything()));
     let held: Vec<(u64, Instant)> = zones
-        .standing()
+        .active()
         .map(|held| (held.revision, held.since))
         .collect();
     expect_that!(held, elements_are![eq(&(9, later))]);
@@ -123,11 +123,11 @@
 }
 
 #[gtest]
-fn many_names() {
+fn withdrawn_orders_are_bounded() {
     let (mut zones, now) = (Evacuations::default(), Instant::now());
     for number in 0..1_000 {
         let name = zone(&format!("zone-{number}"));
-        zones.give(&name, 2 * number + 1, now);
+        zones.issue(&name, 2 * number + 1, now);
         zones.withdraw(&name, 2 * number + 2, now);
     }
     let remembered = (0..1_000).filter(|number| {
@@ -135,8 +135,8 @@
         zones.restored_at(&name).is_some()
     });
     expect_that!(remembered.count(), eq(64));
-    // What is forgotten does not come back.
-    expect_that!(zones.give(&zone("zone-0"), 1, now), none());
+    // A stale row of a dropped entry is ignored.
+    expect_that!(zones.issue(&zone("zone-0"), 1, now), none());
     expect_that!(evacuated(&zones), is_empty());
 }
 
@@ -177,8 +177,8 @@
 }
 
 impl TestView {
-    /// Lists `count` servers, spread over the zones.
-    fn list(&self, count: usize) {
+    /// Registers `count` servers across the zones.
+    fn register_servers(&self, count: usize) {
         for number in 0..count {
             let zone = ZONES[number % ZONES.len()];
             let entry = format!(
@@ -195,12 +195,12 @@
             .change(row(&format!("evacuate/{zone}"), Some("{}"), revision));
     }
 
-    fn take_back(&self, zone: &str, revision: u64) {
+    fn restore(&self, zone: &str, revision: u64) {
         self.orders
             .change(row(&format!("evacuate/{zone}"), None, revision));
     }
 
-    /// Zones that servers which get work are in.
+    /// Zones of the servers that get requests.
     fn zones(&self) -> Vec<String> {
         let servers = self.view.servers("llm");
         let sets = [&servers.all, &servers.used, &servers.homes];
@@ -210,9 +210,9 @@
 }
 
 #[gtest]
-fn sets_of_servers() {
+fn server_sets_exclude_evacuated_zones() {
     let held = view();
-    held.list(6);
+    held.register_servers(6);
     held.evacuate("north", 3);
     let why = Some(Exclusion::ZoneEvacuated);
     expect_that!(held.view.exclusion("i-000"), eq(why));
@@ -224,26 +224,26 @@
     held.evacuate("west", 5);
     expect_that!(held.view.servers("llm").all, is_empty());
     expect_that!(held.view.is_evacuated("llm"), eq(true));
-    // A service without any server is another matter.
+    // A service without servers does not count as evacuated.
     expect_that!(held.view.is_evacuated("none"), eq(false));
-    held.take_back("south", 6);
+    held.restore("south", 6);
     let zones = held.zones();
     expect_that!(zones, elements_are![eq("south")]);
     expect_that!(held.view.restored_at("south"), some(anything()));
 }
 
 #[gtest]
-fn large_sets() {
+fn large_server_sets() {
     let held = view();
-    held.list(210);
+    held.register_servers(210);
     expect_that!(held.view.servers("llm").used.len(), eq(48));
-    // Where the own zone is evacuated, the node still weighs as many servers as others do.
+    // With its own zone evacuated, the node uses as many servers as before.
     held.evacuate("north", 3);
     let servers = held.view.servers("llm");
     expect_that!(servers.used.len(), eq(48));
     expect_that!(servers.homes.len(), eq(140));
     expect_that!(held.zones().iter().any(|zone| zone == "north"), eq(false));
-    // The rest of two zones is still a large set.
+    // The remaining zone still forms a large set.
     held.evacuate("south", 4);
     expect_that!(held.view.servers("llm").used.len(), eq(48));
 }
@@ -251,7 +251,7 @@
 #[gtest]
 fn unknown_zone() {
     let held = view();
-    held.list(6);
+    held.register_servers(6);
     held.evacuate("nowhere", 3);
     expect_that!(held.view.servers("llm").all.len(), eq(6));
     expect_that!(held.view.evacuations().len(), eq(1));
@@ -261,17 +261,17 @@
 fn new_servers() {
     let held = view();
     held.evacuate("north", 3);
-    held.list(6);
+    held.register_servers(6);
     expect_that!(held.zones().iter().any(|zone| zone == "north"), eq(false));
 }
 
-/// What the log writes, line by line.
+/// Sends the log output to a channel.
 struct Lines(Sender<String>);
 
 impl Write for Lines {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let text = String::from_utf8_lossy(bytes).into_owned();
-        // The test may have ended.
+        // The receiver may be gone.
         let _ = self.0.send(text);
         Ok(bytes.len())
     }
@@ -285,7 +285,7 @@
 fn malformed_rows() {
     let (lines, written) = channel();
     let held = view_with(EventLog::to(Lines(lines)));
-    held.list(6);
+    held.register_servers(6);
     held.evacuate("north", 3);
     held.orders.change(row("evacuate/north", Some("no"), 4));
     held.orders.change(row("evacuate/south", Some("[1]"), 5));
@@ -293,7 +293,7 @@
     let zones = held.zones();
     expect_that!(zones, elements_are![eq("south"), eq("west")]);
     drop(held);
-    // The last holder of the log is gone: its writer ends, and so does what it sent.
+    // Dropping the last reference ends the log writer and closes the channel.
     let text: String = written.iter().collect();
     let refused = |key: &str, revision: u64| {
         text.lines().any(|line| {
@@ -313,9 +313,9 @@
 }
 
 #[gtest]
-fn known_when_ready() {
+fn orders_known_when_ready() {
     let held = view();
-    held.list(3);
+    held.register_servers(3);
     held.servers.replace(Vec::new(), 0);
     let configuration = r#"{"version":1}"#;
     let changed = held.view.clone();
@@ -331,7 +331,7 @@
     expect_that!(changed.evacuations().len(), eq(1));
 }
 
-fn in_virtual_time<F: Future<Output = ()>>(test: F) {
+fn in_paused_time<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -340,23 +340,23 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-async fn pass(millis: u64) {
+async fn advance(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-/// Zones that the store holds orders for.
-fn ordered(rows: &EmulatedRows) -> BTreeSet<String> {
+/// Zones with an order in the store.
+fn stored_orders(rows: &EmulatedRows) -> BTreeSet<String> {
     let rows = rows.table("op").into_iter();
     rows.filter_map(|(_, key, _)| Some(key.strip_prefix("evacuate/")?.to_owned()))
         .collect()
 }
 
-fn known(view: &View) -> BTreeSet<String> {
+fn known_orders(view: &View) -> BTreeSet<String> {
     let held = view.evacuations().into_iter();
     held.map(|held| held.zone.to_string()).collect()
 }
 
-/// Follows the store's table.
+/// Starts a task that follows the operators' table.
 fn follower(rows: &EmulatedRows) -> Arc<View> {
     let held = view();
     let (rows, orders) = (rows.clone(), held.orders.clone());
@@ -367,51 +367,54 @@
 }
 
 #[gtest]
-fn forgotten_history() {
-    in_virtual_time(async {
+fn lost_history() {
+    in_paused_time(async {
         let rows = EmulatedRows::default();
         rows.write("op", "", "evacuate/north", "{}");
         let view = follower(&rows);
-        pass(100).await;
-        expect_that!(known(&view), eq(&ordered(&rows)));
+        advance(100).await;
+        expect_that!(known_orders(&view), eq(&stored_orders(&rows)));
         rows.set_down(true);
-        pass(3_000).await;
+        advance(3_000).await;
         rows.remove("op", "", "evacuate/north");
         rows.write("op", "", "evacuate/south", "{}");
         rows.forget_history();
         rows.set_down(false);
-        pass(1_000).await;
-        expect_that!(known(&view), eq(&BTreeSet::from(["south".to_owned()])));
+        advance(1_000).await;
+        expect_that!(
+            known_orders(&view),
+            eq(&BTreeSet::from(["south".to_owned()]))
+        );
         expect_that!(view.restored_at("north"), some(anything()));
     });
 }
 
 #[gtest]
-fn within_a_second() {
-    in_virtual_time(async {
+fn changes_within_a_second() {
+    in_paused_time(async {
         let rows = EmulatedRows::default();
         let view = follower(&rows);
-        pass(100).await;
+        advance(100).await;
         rows.write("op", "", "evacuate/north", "{}");
-        pass(400).await;
-        expect_that!(known(&view).len(), eq(1));
+        advance(400).await;
+        expect_that!(known_orders(&view).len(), eq(1));
         rows.remove("op", "", "evacuate/north");
-        pass(400).await;
-        expect_that!(known(&view).len(), eq(0));
-        // Between two looks of the follower.
+        advance(400).await;
+        expect_that!(known_orders(&view).len(), eq(0));
+        // Between two reads of the follower.
         rows.write("op", "", "evacuate/south", "{}");
         rows.remove("op", "", "evacuate/south");
-        pass(400).await;
-        expect_that!(known(&view).len(), eq(0));
+        advance(400).await;
+        expect_that!(known_orders(&view).len(), eq(0));
     });
 }
 
-/// Orders, withdrawals, outages and forgotten histories in any order: once the store answers again, what is known
-/// is what it holds, and no order stands that was withdrawn.
+/// Random orders, withdrawals, outages and lost histories. Once the store answers again, the known
+/// orders equal the stored ones.
 #[gtest]
-fn any_order() {
+fn random_changes_converge() {
     for seed in 0..40 {
-        in_virtual_time(async move {
+        in_paused_time(async move {
             let mut random = ChaCha8Rng::seed_from_u64(seed);
             let rows = EmulatedRows::default();
             let view = follower(&rows);
@@ -423,11 +426,15 @@
                     4 => rows.set_down(random.random_bool(0.5)),
                     _ => rows.forget_history(),
                 }
-                pass(random.random_range(0..300)).await;
+                advance(random.random_range(0..300)).await;
             }
             rows.set_down(false);
-            pass(1_500).await;
-            expect_that!(known(&view), eq(&ordered(&rows)), "seed {seed}");
+            advance(1_500).await;
+            expect_that!(
+                known_orders(&view),
+                eq(&stored_orders(&rows)),
+                "seed {seed}"
+            );
         });
     }
 }
--- a/crates/cluster/tests/outcomes.rs
+++ b/crates/cluster/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Servers that fail what they are sent.
+//! Ejection of failing servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 }
 
 #[gtest]
-fn outcomes_are_forgotten() {
+fn outcomes_expire() {
     let (start, mut outcomes) = (Instant::now(), Outcomes::default());
     let after = |ms| start + Duration::from_millis(ms);
     outcomes.note(false, after(0));
@@ -23,9 +23,9 @@
 }
 
 #[gtest]
-fn half_must_fail() {
+fn ejection_requires_half_to_fail() {
     let now = Instant::now();
-    let out = |failed, served| Ejection::default().judge(counts(failed, served), now);
+    let out = |failed, served| Ejection::default().evaluate(counts(failed, served), now);
     expect_that!(out(2, 0), eq(false));
     expect_that!(out(3, 0), eq(true));
     expect_that!(out(3, 3), eq(true));
@@ -33,20 +33,20 @@
 }
 
 #[gtest]
-fn times_double_until_it_serves() {
+fn ejection_doubles_until_success() {
     let (start, mut ejection) = (Instant::now(), Ejection::default());
     let after = |ms| start + Duration::from_millis(ms);
-    expect_that!(ejection.judge(counts(5, 0), after(0)), eq(true));
-    expect_that!(ejection.is_out(after(2_400)), eq(true));
-    expect_that!(ejection.judge(counts(9, 0), after(100)), eq(false));
-    expect_that!(ejection.is_out(after(2_500)), eq(false));
-    expect_that!(ejection.judge(counts(3, 0), after(2_600)), eq(true));
-    expect_that!(ejection.is_out(after(7_500)), eq(true));
-    expect_that!(ejection.is_out(after(7_700)), eq(false));
-    // It serves again: the next time is the first one anew.
-    expect_that!(ejection.judge(counts(0, 1), after(7_800)), eq(false));
-    expect_that!(ejection.judge(counts(3, 0), after(9_000)), eq(true));
-    expect_that!(ejection.is_out(after(11_600)), eq(false));
+    expect_that!(ejection.evaluate(counts(5, 0), after(0)), eq(true));
+    expect_that!(ejection.is_ejected(after(2_400)), eq(true));
+    expect_that!(ejection.evaluate(counts(9, 0), after(100)), eq(false));
+    expect_that!(ejection.is_ejected(after(2_500)), eq(false));
+    expect_that!(ejection.evaluate(counts(3, 0), after(2_600)), eq(true));
+    expect_that!(ejection.is_ejected(after(7_500)), eq(true));
+    expect_that!(ejection.is_ejected(after(7_700)), eq(false));
+    // A success resets the ejection time.
+    expect_that!(ejection.evaluate(counts(0, 1), after(7_800)), eq(false));
+    expect_that!(ejection.evaluate(counts(3, 0), after(9_000)), eq(true));
+    expect_that!(ejection.is_ejected(after(11_600)), eq(false));
 }
 
 #[gtest]
@@ -57,7 +57,7 @@
     expect_that!(loads.summary("i-1").suspect, eq(false));
     loads.note_outcome("i-1", false);
     expect_that!(loads.summary("i-1").suspect, eq(true));
-    // Bytes of an answer do not clear it: it does answer.
+    // Received bytes do not end an ejection: error responses have bytes too.
     loads.heard("i-1");
     expect_that!(loads.summary("i-1").suspect, eq(true));
     expect_that!(loads.summary("i-2").suspect, eq(false));
--- a/crates/cluster/tests/temperature.rs
+++ b/crates/cluster/tests/warmup.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the temperature of a server, as news comes in any order.
+//! Warm-up state of a server as reports arrive in any order.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Duration::from_millis(time)
 }
 
-/// A server that is in use and warm, and the time of its last byte.
+/// A warm server in use, and the time of its last bytes.
 fn in_use() -> (Thermal, Instant) {
     let now = Instant::now() + Duration::from_secs(60);
     let mut server = Thermal::default();
@@ -31,14 +31,14 @@
 }
 
 #[gtest]
-fn silent_server_is_unknown_until_asked() {
+fn silent_server_is_unknown_until_checked() {
     let (mut server, now) = in_use();
     server.note_silent(now + ms(900));
     expect_that!(
         temperature(&server, now + ms(900)),
         eq(Temperature::Unknown)
     );
-    // Bytes alone do not tell that it is warm.
+    // Received bytes do not show that it is warm.
     server.note_heard(now + ms(4_000));
     expect_that!(
         temperature(&server, now + ms(4_000)),
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn question_before_the_silence_tells_nothing() {
+fn check_before_silence_is_ignored() {
     let (mut server, now) = in_use();
     server.note_silent(now + ms(900));
     server.note_checked(answer(now + ms(100), 0), Teller::Node, now + ms(950));
@@ -73,20 +73,20 @@
 }
 
 #[gtest]
-fn server_nobody_used_may_have_been_away() {
+fn unused_server_becomes_unknown() {
     let (mut server, now) = in_use();
     expect_that!(temperature(&server, now + ms(1_999)), eq(Temperature::Warm));
     expect_that!(
         server.temperature(now + ms(2_000)),
         eq((Temperature::Unknown, Teller::Unused))
     );
-    // Somebody else uses it.
+    // Another node uses it.
     server.note_heard(now + ms(1_500));
     expect_that!(temperature(&server, now + ms(2_000)), eq(Temperature::Warm));
 }
 
 #[gtest]
-fn new_server_is_as_its_row_says() {
+fn new_server_has_state_of_its_row() {
     let now = Instant::now();
     let mut warm = Thermal::default();
     warm.note_row(0, now);
@@ -94,13 +94,13 @@
     let mut cold = Thermal::default();
     cold.note_row(3_000, now);
     expect_that!(temperature(&cold, now), eq(Temperature::Cold));
-    // The same row again, later, is no news.
+    // A repeated row does not extend the cold state.
     cold.note_row(3_000, now + ms(2_000));
     expect_that!(temperature(&cold, now + ms(3_000)), eq(Temperature::Warm));
 }
 
 #[gtest]
-fn older_row_that_says_warm_does_not_override() {
+fn stale_warm_row_is_ignored() {
     let (mut server, now) = in_use();
     server.note_row(500, now);
     server.note_checked(answer(now + ms(100), 3_000), Teller::Health, now + ms(110));
@@ -109,19 +109,19 @@
 }
 
 #[gtest]
-fn older_row_that_says_cold_does_not_override() {
+fn stale_cold_row_is_ignored() {
     let (mut server, now) = in_use();
     server.note_checked(answer(now + ms(100), 0), Teller::Health, now + ms(110));
     server.note_row(3_000, now + ms(2_000));
     expect_that!(temperature(&server, now + ms(2_000)), eq(Temperature::Warm));
-    // Written after the question, for certain.
+    // This row was written after the health check.
     server.note_heard(now + ms(2_600));
     server.note_row(2_900, now + ms(2_700));
     expect_that!(temperature(&server, now + ms(2_700)), eq(Temperature::Cold));
 }
 
 #[gtest]
-fn newest_question_counts() {
+fn latest_check_wins() {
     let (mut server, now) = in_use();
     server.note_checked(answer(now + ms(300), 3_000), Teller::Node, now + ms(350));
     server.note_checked(answer(now + ms(200), 0), Teller::Health, now + ms(400));
@@ -129,9 +129,9 @@
 }
 
 #[gtest]
-fn word_of_silence_after_the_answer_changes_nothing() {
+fn repeated_silence_report_after_answer_is_ignored() {
     let (mut server, now) = in_use();
-    server.note_told_silent(now + ms(1_000));
+    server.note_reported_silent(now + ms(1_000));
     expect_that!(
         temperature(&server, now + ms(1_000)),
         eq(Temperature::Unknown)
@@ -141,21 +141,21 @@
         Teller::Health,
         now + ms(1_110),
     );
-    // The others repeat their word for a while.
+    // Other nodes repeat their report for a while.
     for after in (1_200..2_200).step_by(150) {
-        server.note_told_silent(now + ms(after));
+        server.note_reported_silent(now + ms(after));
         expect_that!(temperature(&server, now + ms(after)), eq(Temperature::Cold));
     }
 }
 
 #[gtest]
-fn word_of_silence_is_doubted_while_others_hear_the_server() {
+fn silence_report_is_ignored_while_bytes_arrive() {
     let (mut server, now) = in_use();
     server.note_heard(now + ms(900));
-    server.note_told_silent(now + ms(1_000));
+    server.note_reported_silent(now + ms(1_000));
     expect_that!(temperature(&server, now + ms(1_000)), eq(Temperature::Warm));
-    // Nobody has heard it since.
-    server.note_told_silent(now + ms(1_450));
+    // No node has received bytes since.
+    server.note_reported_silent(now + ms(1_450));
     expect_that!(
         temperature(&server, now + ms(1_450)),
         eq(Temperature::Unknown)
@@ -163,12 +163,12 @@
 }
 
 #[gtest]
-fn new_silence_is_heard_of_again() {
+fn later_silence_is_reported_again() {
     let (mut server, now) = in_use();
-    server.note_told_silent(now + ms(1_000));
+    server.note_reported_silent(now + ms(1_000));
     server.note_checked(answer(now + ms(1_100), 0), Teller::Health, now + ms(1_110));
     server.note_heard(now + ms(2_900));
-    server.note_told_silent(now + ms(4_000));
+    server.note_reported_silent(now + ms(4_000));
     expect_that!(
         temperature(&server, now + ms(4_000)),
         eq(Temperature::Unknown)
@@ -176,7 +176,7 @@
 }
 
 #[gtest]
-fn server_taken_back_is_unknown_until_asked() {
+fn restored_server_is_unknown_until_checked() {
     let (mut server, now) = in_use();
     let back = now + ms(10_000);
     server.note_taken_back(back, back);
@@ -188,7 +188,7 @@
     server.note_checked(asked, Teller::Health, back + ms(30));
     server.note_taken_back(back, back);
     expect_that!(temperature(&server, back + ms(30)), eq(Temperature::Cold));
-    // It is evacuated once more.
+    // Evacuated and restored again.
     server.note_taken_back(back + ms(9_000), back + ms(9_000));
     expect_that!(
         temperature(&server, back + ms(9_000)),
@@ -197,7 +197,7 @@
 }
 
 #[gtest]
-fn server_that_came_after_its_zone_was_taken_back_is_as_its_row_says() {
+fn server_registered_after_restore_has_state_of_its_row() {
     let now = Instant::now() + Duration::from_secs(60);
     let mut server = Thermal::default();
     server.note_taken_back(now, now + ms(10_001));
@@ -206,7 +206,7 @@
         temperature(&server, now + ms(10_001)),
         eq(Temperature::Warm)
     );
-    // One that was there all the time, at a node that had no use for it, is not.
+    // A server that existed before, but that this node did not track, is unknown.
     let mut server = Thermal::default();
     server.note_taken_back(now, now + ms(50));
     server.note_row(0, now + ms(50));
@@ -214,7 +214,7 @@
 }
 
 #[gtest]
-fn node_that_learns_late_believes_who_asked() {
+fn check_shortly_before_late_restore_counts() {
     let (mut server, now) = in_use();
     let asked = now + ms(10_000);
     server.note_checked(answer(asked, 3_000), Teller::Node, asked + ms(100));
@@ -223,7 +223,7 @@
 }
 
 #[gtest]
-fn full_server_that_answers_gets_the_rate_of_a_cold_one() {
+fn answer_without_state_leaves_server_in_doubt() {
     let (mut server, now) = in_use();
     server.note_silent(now);
     server.note_reached(now + ms(200));
