--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -1,4 +1,4 @@
-//! How a node reaches the store: by itself, or by way of other nodes.
+//! Selects how a node reaches the store: directly or through other nodes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,71 +14,67 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between two looks.
+/// Interval between updates of the path.
 const LOOK: Duration = Duration::from_millis(150);
-/// The same for a node of a large fleet that takes tables from others: it looks at once when they fail it.
+/// The same for a node that copies tables in a large fleet; it also updates the path as soon as its sources fail.
 const FOLLOWER_LOOK: Duration = Duration::from_millis(450);
-/// Time without an answer of the store after which a node that follows tables there makes sure.
+/// Time without an answer of the store after which it is probed.
 const QUIET: Duration = Duration::from_millis(900);
-/// Longest wait for the answer that makes sure.
 const PROBE_LIMIT: Duration = Duration::from_millis(350);
-/// A node that the store answered this long ago, as far as is known, may pass calls on.
+/// A peer may forward calls if the store answered it within this time.
 const FIT: Duration = Duration::from_millis(2_000);
-/// Time for which a node reads the store itself after its readers failed it.
+/// How long a node reads from the store directly after all sources failed.
 const AFTER_FAILURE: Duration = Duration::from_secs(2);
-/// Each node of a zone adds this to the time from one call for changes to the next of each of them. Rows of jobs change some
-/// fifty times a second in a fleet of a thousand nodes; were each change a call of each node, the two readers of a zone of 200
-/// would answer 10,000 a second. With this they answer 800, in a zone of any size, and such a node learns of a change 0.25 s
-/// later.
+/// Poll interval per node of the zone: the interval grows with the zone, so its delegates together answer at most 800
+/// polls per second whatever its size. In a zone of 200 nodes this delays changes by 0.25 s.
 const PACE_BY_NODE: Duration = Duration::from_micros(1_250);
-/// In a large fleet nodes that all readers failed go to the store one after the other, so far apart in the mean for each
-/// node of the zone: a thousand that follow 10,000 servers at the store read 0.6 GB a second, more than its link carries.
+/// Window per node of the zone over which nodes spread their fallback to the store when all sources fail. A large fleet
+/// that read the store at the same time would saturate its link.
 const BETWEEN_NODES: Duration = Duration::from_millis(20);
-/// Nodes of a region that follow the tables at the store for the others: when one is lost, the other goes on.
+/// Nodes per region that read the tables from the store for the others; two, so that one may fail.
 const STORE_READERS: usize = 2;
-/// How long another node may hold its answer.
+/// Long-poll wait of a call for changes.
 const WAIT: Duration = Duration::from_millis(400);
-/// The same for a call of a delegate.
+/// The same for a delegate.
 const DELEGATE_WAIT: Duration = Duration::from_millis(150);
-/// Rows of nodes that one call of the survey reads.
+/// Page size of node discovery.
 const SURVEYED: usize = 500;
-/// Failed calls after which the survey ends without an answer.
+/// Failed reads after which node discovery gives up.
 const SURVEYS: u32 = 4;
-/// The same while the store has answered nothing to this node for a while: others may have the tables.
+/// The same while the store is unreachable: peers may have the tables.
 const SURVEYS_WHEN_LOST: u32 = 1;
-/// Pause after the first time that this failed; it doubles.
+/// Backoff after the first failed read; doubles with each failure.
 const SURVEY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How tables are followed.
+/// Where tables are followed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Path {
     /// At the store.
     #[display("direct")]
     Direct,
-    /// By way of another node.
+    /// Through another node.
     #[display("by_peer")]
     ByPeer,
-    /// Not yet: this node first looks which nodes there are.
+    /// Not decided until node discovery has finished.
     #[display("undecided")]
     Undecided,
 }
 
-/// What the choice of a path rests on.
+/// Inputs to the choice of a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Situation {
-    /// The fleet is so large that only readers follow tables at the store.
+    /// The fleet is large: only readers follow tables at the store.
     pub large: bool,
-    /// This node is one of those that follow the tables for all others.
+    /// This node reads the tables from the store for others.
     pub reader: bool,
-    /// The store does not answer this node.
+    /// This node cannot reach the store.
     pub lost: bool,
-    /// Other nodes could pass on what they know.
+    /// Number of nodes that could serve the tables.
     pub peers: usize,
-    /// Those failed a moment ago.
+    /// All of them failed recently.
     pub peers_failed: bool,
 }
 
-/// Chooses a path.
 pub fn decide(situation: &Situation) -> Path {
     let needs_others = situation.lost || (situation.large && !situation.reader);
     match needs_others && situation.peers > 0 && !situation.peers_failed {
@@ -87,7 +83,7 @@
     }
 }
 
-/// How this node reaches the store, shared by all threads.
+/// Path of this node to the store, shared by all threads.
 pub struct Access {
     name: String,
     zone: String,
@@ -103,7 +99,7 @@
 }
 
 impl Access {
-    /// Direct access of a node.
+    /// Creates an access that starts on [`Path::Direct`].
     pub fn new(
         name: &str,
         zone: &str,
@@ -126,26 +122,25 @@
         }
     }
 
-    /// The same in a deployment where these ways begin at the node.
+    /// Sets the distances from this node to the zones of the deployment.
     pub fn with_ways(self, ways: Arc<Ways>) -> Self {
         Self { ways, ..self }
     }
 
-    /// The same for a node that looks which nodes there are before it follows any table: see [`Access::survey`].
+    /// Starts on [`Path::Undecided`], for a node that calls [`Access::survey`] first.
     pub fn undecided(self) -> Self {
         self.path.send_replace(Path::Undecided);
         self
     }
 
-    /// The same where these tables hold bodies of requests. While the configuration binds any request to home
-    /// regions, nodes of the own region alone pass calls about them on: a node holds bodies only of requests
-    /// that may be in its region.
+    /// Marks tables that hold request bodies. While the configuration restricts any request to home regions, calls for these
+    /// tables are forwarded only within the region, so that no body leaves it.
     pub fn with_bodies(self, view: Arc<View>, tables: &'static [&'static str]) -> Self {
         let bodies = Some((view, tables));
         Self { bodies, ..self }
     }
 
-    /// Nodes that may pass a call about these tables on, the best first.
+    /// Nodes that may forward a call for these tables, best first.
     pub fn relays_for<'a>(&self, tables: impl IntoIterator<Item = &'a str>) -> Vec<RelayPeer> {
         let mut relays = self.relays();
         let Some((view, bodies)) = &self.bodies else {
@@ -159,25 +154,23 @@
         relays
     }
 
-    /// Outcomes of this node's own calls.
+    /// Health of the direct path, from the outcomes of this node's own calls.
     pub fn health(&self) -> &StoreHealth {
         &self.health
     }
 
-    /// The store's clock, for the age of what it or another node tells.
+    /// Estimate of the store's clock, used to compute the age of data.
     pub fn clock(&self) -> &StoreClock {
         &self.clock
     }
 
-    /// How tables are followed now.
+    /// The current path.
     pub fn path(&self) -> Path {
         *self.path.borrow()
     }
 
-    /// Names of the nodes that follow the tables at the store for the region: two of the delegates of its zones. All delegates
-    /// take the tables from them, and each tells its zone. The entries of 10,000 servers change 2,000 times a second with
-    /// their heartbeats, 0.6 MB, of which hardly anything matters: read by two delegates of each of five zones that is 0.3 GB
-    /// in 50 s, by two nodes 0.06 GB.
+    /// Names of the nodes that read the tables from the store for the region, chosen among the delegates of its zones. The
+    /// other delegates copy from them, since server heartbeats are too much traffic for every delegate to read at the store.
     fn store_readers(&self, roster: &Roster) -> Vec<String> {
         let zones = roster.zones().filter(|zone| self.ways.is_near(zone));
         let delegates = zones.flat_map(|zone| roster.delegates(zone));
@@ -189,13 +182,12 @@
         first.map(|(_, name)| name.clone()).collect()
     }
 
-    /// Whether this node follows the tables at the store for others.
+    /// Whether this node reads the tables from the store for others.
     fn is_store_reader(&self, roster: &Roster) -> bool {
         roster.own_place().is_some() && self.store_readers(roster).contains(&self.name)
     }
 
-    /// How long another node may hold its answer to this one. A delegate tells its whole zone what it hears, so it asks more
-    /// often: ages add up on the way.
+    /// Long-poll wait to request. Delegates poll more often, since the ages of copies add up along the chain.
     pub(crate) fn held(&self) -> Duration {
         match self.serves_others() {
             true => DELEGATE_WAIT,
@@ -203,8 +195,7 @@
         }
     }
 
-    /// Shortest time from one call for changes to the next, so that the readers of a zone have the same work however many
-    /// nodes it has.
+    /// Shortest interval between polls; it grows with the zone, so the load on its delegates does not.
     pub(crate) fn pace(&self) -> Duration {
         let roster = self.peers.roster();
         match self.peers.is_large() && roster.own_place().is_none() {
@@ -213,7 +204,7 @@
         }
     }
 
-    /// How long this node waits before it follows tables at the store since no other gave them.
+    /// Random delay before falling back to the store when no source is left.
     pub(crate) fn before_store(&self) -> Duration {
         if !self.peers.is_large() || self.peers.is_delegate() {
             return Duration::ZERO;
@@ -222,30 +213,30 @@
         (BETWEEN_NODES * nodes).mul_f64(rand::random_range(0.0..1.0))
     }
 
-    /// Whether other nodes take tables from this one as a rule.
+    /// Whether other nodes normally copy tables from this one.
     pub fn serves_others(&self) -> bool {
         self.peers.is_large() && self.peers.is_delegate()
     }
 
-    /// Waits until tables are followed by this path.
+    /// Waits until this is the current path.
     pub async fn until(&self, wanted: Path) {
         let mut path = self.path.subscribe();
-        // The sender lives as long as this does.
+        // Cannot fail: `self` owns the sender.
         let _ = path.wait_for(|path| *path == wanted).await;
     }
 
-    /// Whether this node does not know all tables yet.
+    /// Whether this node has not loaded all tables yet.
     pub fn is_starting(&self) -> bool {
         self.starting.load(Ordering::Relaxed)
     }
 
-    /// All tables are known.
+    /// Records that all tables are loaded.
     pub(crate) fn started(&self) {
         self.starting.store(false, Ordering::Relaxed);
     }
 
-    /// Nodes to take tables from, the best first. A node that starts while the store is away takes
-    /// them from anybody: old knowledge is better than none.
+    /// Nodes to copy tables from, best first. A node that starts while the store is down copies from any node: old data is
+    /// better than none.
     pub fn sources(&self) -> Vec<RelayPeer> {
         let roster = self.peers.roster();
         if self.is_starting() && self.health.is_lost() {
@@ -263,7 +254,7 @@
                 readers.cloned().collect()
             }
             None => {
-                // Those of the own zone come first. Another one of the region is still better than the store.
+                // Includes delegates of the region's other zones, preferred over the store; `sort` puts the own zone first.
                 let zones = roster.zones().filter(|zone| self.ways.is_near(zone));
                 let delegates = zones.flat_map(|zone| roster.delegate_peers(zone));
                 delegates.cloned().collect()
@@ -273,7 +264,7 @@
         sources
     }
 
-    /// Nodes that may pass a call on, the best first.
+    /// Nodes that may forward a call, best first.
     pub fn relays(&self) -> Vec<RelayPeer> {
         let mut relays = self.fit();
         if relays.is_empty() && self.peers.is_large() {
@@ -282,9 +273,8 @@
         relays
     }
 
-    /// Looks which nodes there are in the own zone, and chooses the first path by it. Where they are many, all tables come by
-    /// way of one of them: if each node of a large fleet read them at the store when it begins, a thousand nodes before 10,000
-    /// servers would read 3 GB, and keep the store busy for as long as they keep failing.
+    /// Reads the nodes of the own zone from the store and chooses the first path. In a large fleet a starting node then
+    /// copies the tables from a peer, so that a restart of the fleet does not overload the store.
     pub async fn survey(&self, store: &dyn RowStore, nodes: &dyn TableSink) {
         let mut pause = SURVEY_PAUSE;
         let mut from = String::new();
@@ -313,12 +303,12 @@
         self.choose();
     }
 
-    /// Notes that no node gave what was asked.
+    /// Records that all sources failed.
     pub fn note_peers_failed(&self) {
         *self.peers_failed.lock() = Some(Instant::now());
     }
 
-    /// Watches over the access until the process ends.
+    /// Probes the store and updates the path until the process ends.
     pub async fn run(&self, store: &dyn RowStore) {
         loop {
             let follows = self.peers.is_large() && self.path() == Path::ByPeer;
@@ -332,7 +322,7 @@
         }
     }
 
-    /// Chooses the path anew, once there is one.
+    /// Updates the path unless it is still undecided.
     pub fn look(&self) {
         if self.path() != Path::Undecided {
             self.choose();
@@ -364,7 +354,7 @@
         }
     }
 
-    /// Makes sure of the store when it has been quiet, or whether it answers again.
+    /// Probes the store with a small read if it has not answered for a while and this node follows it or has lost it.
     async fn probe(&self, store: &dyn RowStore) {
         let quiet = self.health.age().is_none_or(|age| age > QUIET);
         let follows = self.path() == Path::Direct;
@@ -382,17 +372,17 @@
         self.health.note(&outcome);
     }
 
-    /// Nodes that the store answered a moment ago, as far as is known.
+    /// Nodes that the store answered recently.
     fn fit(&self) -> Vec<RelayPeer> {
         let answered = |peer: &RelayPeer| peer.answered.is_some_and(|at| at.elapsed() < FIT);
-        // Not of the roster, which does not know the newest answers.
+        // The roster may be outdated here: it lacks the latest answer times.
         let mut fit = self.peers.relay_peers();
         fit.retain(answered);
         self.sort(&mut fit);
         fit
     }
 
-    /// Nodes of the own zone first, then those of the region, in an order of this node's own.
+    /// Sorts by distance; ties are broken by a hash of both names, so that nodes spread over their peers.
     fn sort(&self, peers: &mut [RelayPeer]) {
         peers.sort_by_key(|peer| {
             let mut bytes = self.name.as_bytes().to_vec();
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls from node to node.
+//! Client for calls to other nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,36 +12,33 @@
 
 use crate::messages::{AnswerKind, CallKind, RelayAnswer, RelayCall};
 
-/// Time for a connection to come up.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-/// Longest answer, bytes.
 const LONGEST_ANSWER: usize = 16 * 1024 * 1024;
-/// Resting connections to one node.
+/// Idle connections kept per node.
 const RESTING: usize = 4;
-/// How long a resting connection may be used again.
+/// How long an idle connection may be reused.
 const IDLE: IdleLimit = IdleLimit {
     default: Duration::from_secs(20),
     margin: Duration::from_millis(500),
 };
 
-/// Longest time in which nothing comes of an answer that has begun. Whole tables take as long as the link of the node that
-/// tells them needs for all that ask; what has come is never thrown away while more comes.
+/// Longest gap between two chunks of an answer. There is no limit on the whole answer: the sender of a snapshot may be
+/// serving many nodes at once.
 const STALLED: Duration = Duration::from_millis(1_000);
 
-/// Connections to other nodes, of one thread.
+/// Connection pool of one thread to other nodes.
 pub(crate) struct PeerCalls {
     pool: Pool,
 }
 
 impl PeerCalls {
-    /// No connection yet.
     pub fn new() -> Self {
         Self {
             pool: Pool::new(IDLE, RESTING),
         }
     }
 
-    /// Makes a call. *Unavailable* says that nothing was done.
+    /// Makes a call. [`StoreError::Unavailable`] means that it had no effect.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -63,11 +60,11 @@
         match answer {
             Some(AnswerKind::Failure(failure)) => Err(failure.into()),
             Some(answer) => Ok(answer),
-            None => Err(lost(address, "not an answer")),
+            None => Err(lost(address, "malformed answer")),
         }
     }
 
-    /// Sends a call; its answer must begin within `limit`, and go on from there.
+    /// Sends a call; the head of the answer must arrive within `limit`.
     async fn exchange(
         &self,
         address: SocketAddr,
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -1,4 +1,4 @@
-//! Copies of followed tables with their latest changes, for other nodes to take from.
+//! Table copies with a log of recent changes, served to other nodes.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -17,9 +17,9 @@
 use crate::access::Access;
 use crate::messages::{RowMessage, TableChanges};
 
-/// Changes kept of one table; who is further behind takes the whole table.
+/// Changes kept per table; callers further behind get a snapshot.
 const KEPT_CHANGES: usize = 4_096;
-/// How long the store may hold a reader's call for changes: other nodes count on fresh knowledge.
+/// Long-poll wait at the store of a node that serves others; short, to keep their copies fresh.
 const READER_WAIT: Duration = Duration::from_millis(400);
 
 type Place = (String, String);
@@ -33,34 +33,34 @@
 struct State {
     rows: BTreeMap<Place, Held>,
     changes: VecDeque<(u64, Place)>,
-    /// All changes after this revision are kept.
+    /// The log is complete after this revision.
     kept_after: u64,
-    /// What the store told last, and when that was taken; `None` before the whole table is known.
+    /// Latest contact and when it was received; `None` until the table is loaded.
     contact: Option<(Contact, Instant)>,
-    /// All rows, encoded, as long as none of them changes.
+    /// Cached encoding of all rows; cleared by a change.
     whole: Option<Bytes>,
 }
 
-/// Rows that are told of one table.
+/// Rows of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ToldRows {
-    /// The whole table, encoded as the rows of a message.
+    /// The whole table, encoded as a [`TableChanges`] message.
     Whole(Bytes),
-    /// What has changed; a row without a value is gone.
+    /// Changed rows; a row without a value was removed.
     Changes(Vec<Row>),
 }
 
-/// What is told of one table.
+/// Update of one table for a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Told {
-    /// The rows.
+    /// Snapshot or changes.
     pub rows: ToldRows,
-    /// What the store said with them.
+    /// Revision, store time and age of the update.
     pub contact: Contact,
 }
 
 impl Told {
-    /// Whether any row is told.
+    /// Whether the update has changes or is a snapshot.
     pub fn is_news(&self) -> bool {
         match &self.rows {
             ToldRows::Whole(_) => true,
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Whether the whole table is told.
+    /// Whether the update is a snapshot.
     pub fn is_whole(&self) -> bool {
         matches!(self.rows, ToldRows::Whole(_))
     }
 
-    /// The rows one by one.
+    /// Returns the rows, decoded if needed.
     pub fn rows(&self) -> Vec<Row> {
         match &self.rows {
             ToldRows::Whole(encoded) => {
@@ -85,14 +85,14 @@
     }
 }
 
-/// One table as a node knows it, with its latest changes; shared by all threads.
+/// Copy of one table with its recent changes, shared by all threads.
 #[derive(Default)]
 pub struct TableHistory {
     state: Mutex<State>,
 }
 
 impl TableHistory {
-    /// Takes a changed row; whether it matters.
+    /// Applies a changed row; returns whether its essence changed.
     fn change(&self, row: &Row, essence: u64) -> bool {
         let mut state = self.state.lock();
         let place = (row.part.clone(), row.key.clone());
@@ -110,7 +110,7 @@
                 return false;
             }
             if held.essence == essence {
-                // The encoded table stays: an older revision of a row that is alike does no harm.
+                // The cached snapshot stays valid: its older revision of the row has the same essence.
                 held.row = row.clone();
                 return false;
             }
@@ -122,7 +122,7 @@
         true
     }
 
-    /// Takes the whole table as of a revision; rows that have not changed are no change.
+    /// Replaces the table as of a revision and logs the rows that differ.
     fn replace(&self, rows: Vec<(Row, u64)>, revision: u64) {
         let mut state = self.state.lock();
         let mut next = BTreeMap::new();
@@ -142,7 +142,7 @@
         changed.extend(gone.map(|place| (revision, place.clone())));
         changed.sort();
         if state.contact.is_none() {
-            // Nobody was told anything before.
+            // First load: no caller can hold an earlier revision.
             state.kept_after = revision;
             changed.clear();
         }
@@ -163,21 +163,21 @@
         state.contact = Some((contact, Instant::now()));
     }
 
-    /// Revision up to which the whole table is known.
+    /// Revision of the copy; `None` until the table is loaded.
     pub fn revision(&self) -> Option<u64> {
         let state = self.state.lock();
         state.contact.map(|(contact, _)| contact.revision)
     }
 
-    /// Revision up to which the whole table is known, and how old that knowledge is.
+    /// Revision and age of the copy.
     fn known(&self) -> Option<(u64, Duration)> {
         let state = self.state.lock();
         let (contact, at) = state.contact?;
         Some((contact.revision, contact.age + at.elapsed()))
     }
 
-    /// What changed after a revision, or the whole table; `None` before the table is known. A caller
-    /// that knows more than this node is told nothing: it would refuse an older table anyway.
+    /// Changes after a revision, or a snapshot if there is no revision or the log does not reach back to it; `None` until
+    /// the table is loaded. A caller that is ahead of this node gets no rows.
     pub fn told(&self, after: Option<u64>) -> Option<Told> {
         let mut state = self.state.lock();
         let (contact, at) = state.contact?;
@@ -207,8 +207,7 @@
         }
     }
 
-    /// All rows, encoded once for all that ask until one changes: of 10,000 servers that is 0.7 MB and some milliseconds
-    /// of a processor, and a hundred nodes ask when a fleet starts.
+    /// All rows, encoded; cached, since many nodes request the same snapshot when a fleet starts.
     fn whole(&mut self) -> Bytes {
         let rows = &self.rows;
         let encode = || {
@@ -223,10 +222,10 @@
         self.whole.get_or_insert_with(encode).clone()
     }
 
-    /// Each row that changed after a revision, once, as it is.
+    /// Current state of each row that changed after a revision.
     fn changed_after(&self, after: u64) -> Vec<Row> {
         let mut seen: HashMap<&Place, u64> = HashMap::new();
-        // Changes are kept in the order of their revisions: few of them are new to a caller.
+        // The log is in revision order; scan back from the newest change.
         let newest = self.changes.iter().rev();
         for (revision, place) in newest.take_while(|(revision, _)| *revision > after) {
             seen.entry(place).or_insert(*revision);
@@ -248,7 +247,7 @@
     }
 }
 
-/// Histories of all tables that are followed.
+/// Histories of all replicated tables.
 #[derive(Clone)]
 pub struct Histories {
     tables: Arc<HashMap<&'static str, Arc<TableHistory>>>,
@@ -256,7 +255,7 @@
 }
 
 impl Histories {
-    /// Empty histories of some tables.
+    /// Creates empty histories.
     pub fn new(tables: &[&'static str]) -> Self {
         let tables = tables.iter().map(|table| (*table, Arc::default()));
         Self {
@@ -265,18 +264,17 @@
         }
     }
 
-    /// The history of a table.
     pub fn get(&self, table: &str) -> Option<&Arc<TableHistory>> {
         self.tables.get(table)
     }
 
-    /// Whether all tables are known.
+    /// Whether all tables are loaded.
     fn are_known(&self) -> bool {
         let mut tables = self.tables.values();
         tables.all(|table| table.revision().is_some())
     }
 
-    /// Tells of every change that matters.
+    /// Notifies of logged changes.
     pub(crate) fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -286,18 +284,18 @@
     }
 }
 
-/// A sink whose table other nodes may take from this one.
+/// Sink that also records its table's history for other nodes.
 pub struct Replica {
     sink: Rc<dyn TableSink>,
     history: Arc<TableHistory>,
     histories: Histories,
     access: Arc<Access>,
-    /// Something has changed that others were not told yet.
+    /// Changes were recorded since the last notification.
     untold: Cell<bool>,
 }
 
 impl Replica {
-    /// A replica of the sink's table; `None` when the histories do not hold it.
+    /// Wraps a sink; `None` if `histories` lacks its table.
     pub fn new(
         sink: Rc<dyn TableSink>,
         histories: &Histories,
@@ -312,7 +310,7 @@
         })
     }
 
-    /// Revision up to which the whole table is held, and how old that is.
+    /// Revision and age of the copy; `None` until the table is loaded.
     pub(crate) fn known(&self) -> Option<(u64, Duration)> {
         self.history.known()
     }
@@ -358,7 +356,7 @@
         }
     }
 
-    /// The one place where knowledge gets its age: what its teller says, and its time on the way.
+    /// Records a contact after adding the transit time to its age. No other code ages a contact on receipt.
     fn contact(&self, contact: &Contact) {
         let way = self.access.clock().time_on_way(contact.now_ms);
         let contact = &Contact {
@@ -368,7 +366,7 @@
         };
         self.history.contact(contact);
         self.sink.contact(contact);
-        // The rows of one answer are told together.
+        // One notification for all rows of an answer.
         if self.untold.take() {
             self.histories.notify();
         }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,17 +1,15 @@
-//! The row store by way of another node.
+//! Access to the row store through other nodes.
 //!
-//! A node reads and writes the store itself where it can. Two things pass through other nodes:
+//! A node calls the store directly when it can. Two kinds of traffic go through peers:
 //!
-//! - **Tables that are followed** (configuration, servers, nodes, jobs). In a large fleet two
-//!   nodes of a region follow them at the store, the delegates of its zones take the changes from these, and the
-//!   other nodes from their delegates, so that calls to the store do not grow with the fleet.
-//! - **Calls** of a node that the store refuses or does not reach. Another node makes the call and
-//!   passes the answer back. What is safe rests on conditions in the store alone, never on who made
-//!   the call, so a call passed on is as good as one's own; one whose answer is lost is in doubt, as
-//!   it is without a relay.
+//! - **Replicated tables** (configuration, servers, nodes, jobs). In a large fleet two nodes per region read them from
+//!   the store, zone delegates copy from those readers, and the other nodes copy from their delegates, so the load on
+//!   the store does not grow with the fleet.
+//! - **Forwarded calls** of a node that cannot reach the store. A peer makes the call and returns the answer.
+//!   Correctness depends only on the conditions of the transaction, not on who sends it. If the answer is lost, the
+//!   outcome is ambiguous, as for a direct call.
 //!
-//! A copy never goes back: changes are taken in the order of the store's revisions, and each answer
-//! tells how old the reader's own knowledge is.
+//! A copy never goes back to an older revision, and each answer carries the age of the data.
 
 mod access;
 mod call;
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -1,50 +1,50 @@
-//! Messages between a node and the one that relays for it.
+//! Protobuf messages exchanged between nodes.
 
 use bytes::Bytes;
 use dappleyard_model::{Committed, Condition, Row, RowKey, Rows, StoreError, Transaction};
 use prost::{Message, Oneof};
 
-/// A row's place, with what is expected of it or written to it.
+/// A row, a row to write, or a condition on a row.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct RowMessage {
-    /// Table; empty where the message names it elsewhere.
+    /// Empty where the enclosing message names the table.
     #[prost(string, tag = "1")]
     pub table: String,
     #[prost(string, tag = "2")]
     pub part: String,
     #[prost(string, tag = "3")]
     pub key: String,
-    /// Absent for a row that is gone, or where no value matters.
+    /// Absent for a removed row, and where no value is needed.
     #[prost(bytes = "bytes", optional, tag = "4")]
     pub value: Option<Bytes>,
     #[prost(uint64, tag = "5")]
     pub revision: u64,
 }
 
-/// Where a node stands in one table.
+/// Revision of the caller's copy of one table.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct TablePosition {
     #[prost(string, tag = "1")]
     pub table: String,
-    /// The table is known up to this revision; absent when it is not known whole.
+    /// Absent if the caller has no complete copy yet.
     #[prost(uint64, optional, tag = "2")]
     pub revision: Option<u64>,
 }
 
-/// Asks for what changed in some tables.
+/// Long poll for changes of some tables.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct ChangesCall {
     #[prost(message, repeated, tag = "1")]
     pub tables: Vec<TablePosition>,
-    /// How long the answer may be held for a change.
+    /// How long the answer may be delayed until something changes.
     #[prost(uint32, tag = "2")]
     pub wait_ms: u32,
-    /// The caller reads rows as they are kept; one that does not is an earlier version of the program.
+    /// The caller understands rows in digest form; false for earlier versions of the program.
     #[prost(bool, tag = "3")]
     pub reads_digests: bool,
 }
 
-/// A transaction to carry out at the store.
+/// A transaction to forward to the store.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct TransactCall {
     #[prost(message, repeated, tag = "1")]
@@ -55,7 +55,7 @@
     pub removals: Vec<RowMessage>,
 }
 
-/// A read to carry out at the store.
+/// A read to forward to the store.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct ReadCall {
     #[prost(string, tag = "1")]
@@ -70,7 +70,7 @@
     pub limit: u32,
 }
 
-/// What a node asks of another.
+/// Body of a call.
 #[derive(Clone, PartialEq, Eq, Oneof)]
 pub(crate) enum CallKind {
     #[prost(message, tag = "1")]
@@ -81,65 +81,65 @@
     Read(ReadCall),
 }
 
-/// One call.
+/// Call from one node to another.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct RelayCall {
     #[prost(oneof = "CallKind", tags = "1, 2, 3")]
     pub kind: Option<CallKind>,
 }
 
-/// What changed in one table.
+/// Changes or snapshot of one table.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct TableChanges {
     #[prost(string, tag = "1")]
     pub table: String,
-    /// The rows are the whole table; otherwise they are changes.
+    /// Whether `rows` is the complete table rather than changes.
     #[prost(bool, tag = "2")]
     pub whole: bool,
     #[prost(message, repeated, tag = "3")]
     pub rows: Vec<RowMessage>,
     #[prost(uint64, tag = "4")]
     pub revision: u64,
-    /// Steady clock of the store.
+    /// Monotonic clock of the store.
     #[prost(uint64, tag = "5")]
     pub now_ms: u64,
-    /// Time since the store told this to the reader.
+    /// Time since the store sent this data.
     #[prost(uint32, tag = "6")]
     pub age_ms: u32,
 }
 
-/// Answer to a call for changes.
+/// Answer to [`ChangesCall`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct ChangesAnswer {
-    /// What is told of each table; none while the node that answers does not know them yet.
+    /// Empty while the answering node is still loading the tables.
     #[prost(message, repeated, tag = "1")]
     pub tables: Vec<TableChanges>,
 }
 
-/// The same with each table encoded before: on the wire a message and its bytes look alike. A whole table is encoded once
-/// for all that ask.
+/// Same wire format as [`ChangesAnswer`], with tables that are already encoded, so that a snapshot is encoded once for
+/// all callers.
 #[derive(Clone, PartialEq, Eq, Message)]
 struct EncodedChanges {
     #[prost(bytes = "bytes", repeated, tag = "1")]
     tables: Vec<Bytes>,
 }
 
-/// An answer to a call for changes with its content encoded before.
+/// Same wire format as a [`RelayAnswer`] with encoded changes.
 #[derive(Clone, PartialEq, Eq, Message)]
 struct EncodedAnswer {
-    /// Present also where it is empty: it says which kind of answer this is.
+    /// Always present, even if empty, since it selects the kind of answer.
     #[prost(bytes = "bytes", optional, tag = "1")]
     changes: Option<Bytes>,
 }
 
-/// The answer to a call for changes, of tables that are encoded already.
+/// Encodes the answer to a [`ChangesCall`] from encoded tables.
 pub(crate) fn encoded_answer(tables: Vec<Bytes>) -> Bytes {
     let changes = EncodedChanges { tables }.encode_to_vec();
     let changes = Some(Bytes::from(changes));
     Bytes::from(EncodedAnswer { changes }.encode_to_vec())
 }
 
-/// The encoded changes of a table of which the rows are encoded already. The fields of a message may stand in any order.
+/// Joins encoded rows with the other fields of a [`TableChanges`]; protobuf fields may come in any order.
 pub(crate) fn encoded_table(rows: &Bytes, rest: &TableChanges) -> Bytes {
     let mut table = Vec::with_capacity(rows.len() + 64);
     table.extend_from_slice(rows);
@@ -147,7 +147,7 @@
     Bytes::from(table)
 }
 
-/// Answer to a transaction that took effect.
+/// Answer to a committed transaction.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct CommittedAnswer {
     #[prost(uint64, tag = "1")]
@@ -156,7 +156,7 @@
     pub now_ms: u64,
 }
 
-/// Answer to a read.
+/// Answer to [`ReadCall`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct RowsAnswer {
     #[prost(message, repeated, tag = "1")]
@@ -169,23 +169,23 @@
     pub now_ms: u64,
 }
 
-/// Why a call did not give what was asked.
+/// Error answer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct FailureAnswer {
     #[prost(enumeration = "FailureKind", tag = "1")]
     pub kind: i32,
     #[prost(string, tag = "2")]
     pub reason: String,
-    /// The rows of the conditions, after a conflict.
+    /// Current rows of the conditions, after a conflict.
     #[prost(message, repeated, tag = "3")]
     pub rows: Vec<RowMessage>,
 }
 
-/// Kinds of failure, those of the store's port.
+/// Kinds of failure, as in [`StoreError`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum FailureKind {
-    /// Nothing is known; never sent.
+    /// Default for values that cannot be decoded; never sent.
     Unknown = 0,
     Unavailable = 1,
     Ambiguous = 2,
@@ -194,7 +194,7 @@
     Invalid = 5,
 }
 
-/// How a call ended.
+/// Body of an answer.
 #[derive(Clone, PartialEq, Eq, Oneof)]
 pub(crate) enum AnswerKind {
     #[prost(message, tag = "1")]
@@ -207,7 +207,7 @@
     Failure(FailureAnswer),
 }
 
-/// Answer to one call.
+/// Answer to a [`RelayCall`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct RelayAnswer {
     #[prost(oneof = "AnswerKind", tags = "1, 2, 3, 4")]
@@ -266,15 +266,15 @@
 }
 
 impl TransactCall {
-    /// The transaction; `table` gives the lasting name of a table, `None` for one that nodes do
-    /// not write.
+    /// Converts to a transaction; `table` returns the static name of a table, or `None` if nodes may not write it.
     pub fn transaction(
         self,
         table: impl Fn(&str) -> Option<&'static str>,
     ) -> Result<Transaction, String> {
         let key = |message: &RowMessage| {
             let known = table(&message.table);
-            let known = known.ok_or_else(|| format!("{}: no table of nodes", message.table))?;
+            let known =
+                known.ok_or_else(|| format!("table {} is not open to nodes", message.table))?;
             Ok::<_, String>(RowKey::new(
                 known,
                 message.part.clone(),
@@ -372,7 +372,7 @@
         let reason = answer.reason.clone();
         match answer.kind() {
             FailureKind::Unavailable => StoreError::Unavailable { reason },
-            // Of a failure that is not told nothing is known.
+            // An unknown kind of failure says nothing about whether the call took effect.
             FailureKind::Ambiguous | FailureKind::Unknown => StoreError::Ambiguous { reason },
             FailureKind::Conflict => StoreError::Conflict {
                 rows: rows(answer.rows),
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -1,4 +1,4 @@
-//! Follows tables: at the store, or by way of a node that does.
+//! Follows tables, at the store or through other nodes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,26 +14,25 @@
     AnswerKind, CallKind, ChangesAnswer, ChangesCall, TableChanges, TablePosition,
 };
 
-/// Longest wait for the beginning of an answer.
+/// Time limit for the start of an answer.
 const LIMIT: Duration = Duration::from_millis(700);
-/// Longest wait for the beginning of an answer with whole tables: the node that tells them has others before this one.
+/// Time limit for the start of an answer with snapshots; the sender may be serving other nodes first.
 const WHOLE_LIMIT: Duration = Duration::from_millis(2_000);
-/// Time between two looks for a reader while all that were asked know nothing yet.
+/// Interval between searches for a source while no source has loaded the tables.
 const LOOK: Duration = Duration::from_millis(100);
-/// How long a node waits for readers that know nothing yet: one reads 10,000 rows from the store in about a second.
+/// How long to wait for sources that have not loaded the tables; a reader needs about 1 s for 10,000 rows.
 const NOT_YET: Duration = Duration::from_millis(3_000);
-/// Time for which a reader that knows nothing yet is not asked: another one may know already.
+/// How long to skip a source that has not loaded the tables, so that others are tried.
 const ASKED_AGAIN: Duration = Duration::from_millis(300);
-/// A copy whose reader has had no answer of the store for longer is not good enough while the store
-/// itself can be asked.
+/// Oldest copy accepted while this node can reach the store itself.
 const OLDEST: Duration = Duration::from_millis(1_000);
-/// The same while the store does not answer this node. A reader waits up to two seconds for a change
-/// in a table that is quiet.
+/// Oldest copy accepted while this node cannot reach the store; longer than the two seconds that a reader may wait for a
+/// change of an idle table.
 const OLDEST_WHEN_LOST: Duration = Duration::from_millis(3_000);
-/// Time for which a node that failed is not asked.
+/// How long to skip a source that failed.
 const AVOIDED: Duration = Duration::from_secs(2);
 
-/// Follows a table at the store whenever that is the path.
+/// Follows a table at the store while the path is [`Path::Direct`].
 pub async fn follow_directly(
     store: Rc<dyn RowStore>,
     replica: Rc<Replica>,
@@ -49,7 +48,7 @@
     }
 }
 
-/// Takes the tables from other nodes whenever that is the path.
+/// Copies tables from other nodes while the path is [`Path::ByPeer`].
 pub async fn mirror(replicas: &[Rc<Replica>], access: &Access, log: &EventLog) {
     let mut mirror = Mirror {
         replicas,
@@ -70,23 +69,23 @@
 struct Mirror<'a> {
     replicas: &'a [Rc<Replica>],
     calls: PeerCalls,
-    /// Nodes that are not asked for a time, and until when.
+    /// Sources to skip, each with the end of its pause.
     avoided: Vec<(String, Instant)>,
     from: Option<String>,
-    /// Since when readers have known nothing yet.
+    /// Time of the first "not ready" answer since the last update.
     without_answer: Option<Instant>,
 }
 
-/// What came of a call to another node.
+/// Outcome of a poll.
 enum Asked {
-    /// It told of the tables.
+    /// The source sent updates.
     Told,
-    /// It knows nothing yet.
+    /// The source has not loaded the tables yet.
     NotYet,
 }
 
 impl Mirror<'_> {
-    /// Takes changes until no node gives any.
+    /// Polls sources for changes until none is left, then requests the direct path.
     async fn take(&mut self, access: &Access, log: &EventLog) {
         loop {
             let now = Instant::now();
@@ -100,7 +99,7 @@
                     tokio::time::sleep(LOOK).await;
                     continue;
                 }
-                // Those that are to blame fail all nodes of a zone at once: not all may go to the store together.
+                // A failed source affects all nodes of a zone; spread their fallback to the store.
                 tokio::time::sleep(access.before_store()).await;
                 access.note_peers_failed();
                 access.look();
@@ -180,7 +179,7 @@
             .calls
             .call(source.address, CallKind::Changes(call), limit);
         let AnswerKind::Changes(answer) = answer.await? else {
-            return Err(unfit("the answer to another call"));
+            return Err(unfit("the answer has the wrong type"));
         };
         if answer.tables.is_empty() {
             return Ok(Asked::NotYet);
@@ -209,22 +208,21 @@
     }
 }
 
-/// What a node does with what another one tells of a table.
+/// What to do with a table copy offered by another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It takes it over.
+    /// Apply the copy.
     Take,
-    /// It knows more, and goes on asking until the other one has caught up.
+    /// Ignore it and poll again: the source is slightly behind this node.
     Wait,
-    /// It asks another node.
+    /// Switch to another source.
     Unfit(&'static str),
 }
 
-/// Judges what another node tells of a table as of a revision, when it says that its knowledge is of
-/// some age, and when this node knows the table up to a revision, and since when.
+/// Judges a copy by its revision and age, and by the revision and age of this node's own copy.
 ///
-/// A node that has followed the store itself is a little ahead of its reader. That is no fault of the
-/// reader: taking it for one sent nodes to the store again and again.
+/// A node that has just stopped following the store is ahead of its source. That alone must not disqualify the source, or
+/// the node would alternate between the two paths.
 pub fn judge(
     revision: u64,
     age: Duration,
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -1,5 +1,4 @@
-//! The row store as a node uses it: its own calls, or calls passed on by another node while the
-//! store does not answer this one.
+//! [`RowStore`] that calls the store directly, or through another node while the store is unreachable.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,12 +11,12 @@
 use crate::call::PeerCalls;
 use crate::messages::{AnswerKind, CallKind, ReadCall, TransactCall};
 
-/// Longest wait for a call that another node makes.
+/// Time limit of a forwarded call.
 const LIMIT: Duration = Duration::from_millis(1_800);
-/// Nodes that are asked to make one call.
+/// Peers tried for one call.
 const MOST_ASKED: usize = 3;
 
-/// The row store of one thread.
+/// Row store client of one thread.
 pub struct RelayedRows {
     direct: Rc<dyn RowStore>,
     access: Arc<Access>,
@@ -25,7 +24,7 @@
 }
 
 impl RelayedRows {
-    /// Calls through `direct` while the store answers there.
+    /// Uses `direct` while the store is reachable.
     pub fn new(direct: Rc<dyn RowStore>, access: Arc<Access>) -> Self {
         Self {
             direct,
@@ -39,7 +38,7 @@
         outcome
     }
 
-    /// Has another node make the call; `None` when none did anything about it.
+    /// Forwards the call to a peer; `None` if the store is reachable directly or no peer took the call.
     async fn by_peer<'a>(
         &self,
         kind: &CallKind,
@@ -50,7 +49,7 @@
         }
         for peer in self.access.relays_for(tables).into_iter().take(MOST_ASKED) {
             match self.calls.call(peer.address, kind.clone(), LIMIT).await {
-                // Nothing was done there.
+                // The call had no effect there: try the next peer.
                 Err(StoreError::Unavailable { .. }) => {}
                 outcome => return Some(outcome),
             }
@@ -61,7 +60,7 @@
 
 fn unexpected() -> StoreError {
     StoreError::Ambiguous {
-        reason: "another node gave the answer to another call".to_owned(),
+        reason: "the answer of another node has the wrong type".to_owned(),
     }
 }
 
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! What a node does for others: tells of its tables, and makes calls to the store.
+//! Server side: answers other nodes' polls for table changes and forwards their calls to the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
     TransactCall, encoded_answer, encoded_table,
 };
 
-/// Longest time that an answer is held for a change.
+/// Upper bound on how long a poll waits for a change.
 const LONGEST_WAIT: Duration = Duration::from_millis(600);
 
-/// Serves the calls of other nodes, on one thread.
+/// Answers the calls of other nodes, on one thread.
 pub struct RelayService {
     direct: Rc<dyn RowStore>,
     access: Arc<Access>,
@@ -28,7 +28,7 @@
 }
 
 impl RelayService {
-    /// Makes calls through `direct`; `written` names the tables that nodes read and write.
+    /// Forwards calls through `direct`, for the tables in `written` only.
     pub fn new(
         direct: Rc<dyn RowStore>,
         access: Arc<Access>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Answers a call; bytes that are none are answered with a failure.
+    /// Answers an encoded call; malformed input gets a failure answer.
     pub async fn answer(&self, call: Bytes) -> Bytes {
         let kind = RelayCall::decode(call).ok().and_then(|call| call.kind);
         let outcome = match kind {
@@ -53,7 +53,7 @@
             },
             Some(CallKind::Transact(call)) => self.transact(call).await,
             Some(CallKind::Read(call)) => self.read(call).await,
-            None => Err(invalid("not a call")),
+            None => Err(invalid("malformed call")),
         };
         let kind = outcome.unwrap_or_else(AnswerKind::from);
         Bytes::from(RelayAnswer { kind: Some(kind) }.encode_to_vec())
@@ -61,7 +61,7 @@
 
     async fn changes(&self, call: ChangesCall) -> Result<Bytes, StoreError> {
         if !call.reads_digests {
-            return Err(unavailable("this node keeps digests only"));
+            return Err(unavailable("this node serves rows in digest form only"));
         }
         let wait = Duration::from_millis(u64::from(call.wait_ms)).min(LONGEST_WAIT);
         let until = Instant::now() + wait;
@@ -73,35 +73,32 @@
                 Some(told) if is_over || told.iter().any(|(_, told)| told.is_news()) => {
                     return Ok(answer(told));
                 }
-                // The caller learns that this node will know, and asks again.
+                // An empty answer tells the caller to poll again.
                 None if is_over => return Ok(answer(Vec::new())),
                 Some(_) | None => {}
             }
-            // The end of the wait is an answer too.
+            // On timeout the loop answers with what is known.
             let _ = dappleyard_clock::timeout_at(until, changed.changed()).await;
         }
     }
 
-    /// What is told of the tables that a call names; `None` while this node begins and does not know all of them. When a
-    /// whole fleet begins, nodes ask their readers before these know anything: a failure would send all of them to the
-    /// store.
+    /// Updates of the tables that a call names, or `None` while this node is starting and has not loaded them all. A failure
+    /// would make every node of a starting fleet fall back to the store.
     fn told(&self, call: &ChangesCall) -> Result<Option<Vec<(String, Told)>>, StoreError> {
         let begins = self.access.is_starting();
-        // A delegate tells what it was told: with each table goes its age, from when the store said it.
+        // A delegate may serve copies: each update carries the time since the store sent the data.
         let follows = self.access.path() == Path::Direct || self.access.serves_others();
         if !follows && !begins {
-            return Err(unavailable(
-                "this node does not follow the tables for others",
-            ));
+            return Err(unavailable("this node does not serve tables to others"));
         }
         let mut tables = Vec::with_capacity(call.tables.len());
         for position in &call.tables {
             let history = self.histories.get(&position.table);
-            let history = history.ok_or_else(|| invalid("no such table is followed"))?;
+            let history = history.ok_or_else(|| invalid("table is not replicated"))?;
             let Some(told) = history.told(position.revision) else {
                 return match begins {
                     true => Ok(None),
-                    false => Err(unavailable("the table is not known yet")),
+                    false => Err(unavailable("the table is not loaded yet")),
                 };
             };
             tables.push((position.table.clone(), told));
@@ -122,7 +119,7 @@
     async fn read(&self, call: ReadCall) -> Result<AnswerKind, StoreError> {
         self.expect_contact()?;
         let table = self.table(&call.table);
-        let table = table.ok_or_else(|| invalid("no table of nodes"))?;
+        let table = table.ok_or_else(|| invalid("table is not open to nodes"))?;
         let limit = call.limit as usize;
         let read = self
             .direct
@@ -132,7 +129,7 @@
         outcome.map(AnswerKind::from)
     }
 
-    /// A call is passed on once at most.
+    /// Refuses a forwarded call when this node cannot reach the store, so that no call is forwarded twice.
     fn expect_contact(&self) -> Result<(), StoreError> {
         match self.access.health().is_lost() {
             true => Err(unavailable("the store does not answer this node either")),
--- a/crates/relay/tests/begin.rs
+++ b/crates/relay/tests/begin.rs
@@ -1,4 +1,4 @@
-//! A node of a large fleet that begins: what it asks the store for.
+//! Startup: a node of a large fleet reads only the node table from the store.
 
 mod support;
 
@@ -16,12 +16,12 @@
 use support::until;
 
 const TABLE: &str = "things";
-/// Rows of the table: several pages.
+/// More than one page.
 const ROWS: usize = 1_200;
 
 type TestNode = support::TestNode<Keys>;
 
-/// Keys of the rows that are held.
+/// Sink that records row keys.
 #[derive(Default)]
 struct Keys(RefCell<BTreeSet<String>>);
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// The rows of a zone: one strong node, which reads for the others, and many weak ones.
+/// Writes the node rows of a zone: one strong node, which becomes the reader, and many weak ones.
 fn register(rows: &EmulatedRows, reader: &TestNode) {
     let row = |peer: String, strong: bool| NodeRow {
         life: 1,
@@ -109,7 +109,7 @@
     })
     .await;
     assert_that!(node.access.path(), eq(Path::ByPeer));
-    // The store was asked which nodes there are, and for nothing else.
+    // Only the node table was read from the store.
     assert_that!(*node.asked.borrow(), elements_are![eq(&NODES_TABLE)]);
 }
 
@@ -117,7 +117,7 @@
 async fn reader_that_begins() {
     let rows = EmulatedRows::default();
     fill(&rows);
-    // The reader reaches the store later than the node asks it: a whole fleet begins.
+    // The reader is polled before it has loaded the table, as when a whole fleet starts.
     let reader = reader(&rows).await;
     reader.cut.set(true);
     let node = TestNode::begin("weak-3", &rows, Keys::default());
@@ -146,7 +146,7 @@
         node.sink.0.borrow().len() == ROWS
     })
     .await;
-    // The store does not answer: another node has the tables, and there is nothing to wait for.
+    // With the store unreachable, the node must copy from its peer without further attempts at the store.
     assert_that!(began.elapsed(), lt(Duration::from_millis(1_500)));
 }
 
--- a/crates/relay/tests/evacuations.rs
+++ b/crates/relay/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Orders of the operators on their way to a node: at the store, by way of another node, and from copies.
+//! Evacuation orders reach a node from the store, through a peer, and from copies.
 
 mod support;
 
@@ -82,7 +82,7 @@
     withdraw(&rows, "first");
     until("the withdrawal passes", || a.knows(&["second"])).await;
     expect_that!(a.sink.view.restored_at("first"), some(anything()));
-    // The age of what is told passes with it.
+    // The age of the copy is passed on with it.
     expect_that!(a.sink.view.configuration_age(), some(anything()));
     expect_that!(a.access.path(), eq(Path::ByPeer));
     a.cut.set(false);
@@ -101,7 +101,7 @@
     withdraw(&rows, "first");
     give(&rows, "second");
     rows.forget_history();
-    // What is known holds until more is heard.
+    // The last known orders stay in force.
     expect_that!(a.knows(&["first"]), eq(true));
     b.cut.set(false);
     until("the read is passed on", || a.knows(&["second"])).await;
@@ -168,7 +168,7 @@
     replica.replace(vec![order("north", true, 3), order("south", true, 4)], 5);
     replica.contact(&contact(5));
     replica.change(order("south", false, 6));
-    // Given again with the same value: another order all the same.
+    // Rewritten with the same value: still a new order.
     replica.change(order("north", true, 7));
     replica.contact(&contact(7));
     let history = histories.get(TABLE).expect("a history");
@@ -186,7 +186,7 @@
     replica.contact(&contact(5));
     replica.change(order("north", false, 8));
     replica.contact(&contact(8));
-    // A copy from before, and a row from before.
+    // An older snapshot and an older row.
     replica.replace(vec![order("north", true, 3)], 6);
     replica.change(order("north", true, 7));
     expect_that!(known(&view), is_empty());
--- a/crates/relay/tests/history.rs
+++ b/crates/relay/tests/history.rs
@@ -1,4 +1,4 @@
-//! What a node tells others of a table.
+//! Table updates served to other nodes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 const TABLE: &str = "things";
 
-/// A sink in which a value's first byte is all that matters.
+/// Sink whose rows are equal if the first byte of their values is.
 #[derive(Default)]
 struct Sink {
     changes: RefCell<Vec<String>>,
@@ -102,7 +102,7 @@
     );
     expect_that!(keys(&histories, Some(7)), eq(&(false, vec![])));
     expect_that!(*sink.changes.borrow(), elements_are![eq("b")]);
-    // What is told of the row that did not matter is its newest value all the same.
+    // The snapshot is encoded after the change that had no effect, and holds its revision.
     let whole = histories.get(TABLE).unwrap().told(None).unwrap();
     expect_that!(whole.rows()[0].revision, eq(6));
 }
@@ -123,7 +123,7 @@
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
-    // Before the history begins.
+    // Revision 4 precedes the change log.
     expect_that!(keys(&histories, Some(4)).0, eq(true));
     for revision in 6..6_000 {
         let value = format!("{}", revision % 2);
@@ -142,7 +142,7 @@
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
-    // Who has followed the store itself and knows more is told nothing, above all not all rows.
+    // A caller that is ahead must not get a snapshot.
     expect_that!(keys(&histories, Some(9)), eq(&(false, vec![])));
     replica.change(row("a", Some("2"), 10));
     replica.contact(&contact(10));
@@ -163,7 +163,7 @@
     changed.sort();
     expect_that!(whole, eq(false));
     expect_that!(changed, elements_are![eq("b"), eq("c")]);
-    // An older table never takes the place of a newer one.
+    // A snapshot of an older revision is ignored.
     replica.replace(vec![], 6);
     expect_that!(keys(&histories, None).1.len(), eq(2));
     expect_that!(sink.replaced.get(), eq(2));
--- a/crates/relay/tests/homes.rs
+++ b/crates/relay/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Which nodes pass on calls that carry bodies, where requests are bound to home regions.
+//! Calls that carry request bodies are forwarded only within the region if requests are bound to home regions.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A node in region `a` that hears one in its region, and one in region `b`.
+/// Peers of a node in region `a`: one in the same region and one in region `b`.
 fn peers(log: &Arc<EventLog>) -> Arc<PeerTable> {
     let peers = PeerTable::new("own", "north", log.clone());
     for (number, (name, zone)) in [("near", "east"), ("far", "south")].into_iter().enumerate() {
--- a/crates/relay/tests/paths.rs
+++ b/crates/relay/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Which way a node reaches the store.
+//! Choice of the path to the store, of delegates and of copies.
 
 use dappleyard_cluster::{Candidate, delegates};
 use dappleyard_relay::{Path, Situation, Verdict, decide, judge};
@@ -67,7 +67,7 @@
     let reversed = delegates(names.iter().rev().copied().map(weak));
     expect_that!(chosen.len(), eq(2));
     expect_that!(chosen, eq(&reversed));
-    // A node that leaves changes no more than its own place.
+    // Removing a delegate keeps the other one.
     let without = names.iter().copied().filter(|name| *name != chosen[0]);
     let next = delegates(without.map(weak));
     expect_that!(next[0], eq(chosen[1]));
@@ -85,7 +85,7 @@
     let mut chosen = delegates(candidates(&["d", "e"]).into_iter());
     chosen.sort();
     expect_that!(chosen, eq(&["d", "e"]));
-    // One strong machine is not enough: a weak one stands by.
+    // With only one strong machine, a weak one is the second delegate.
     let chosen = delegates(candidates(&["c"]).into_iter());
     expect_that!((chosen.len(), chosen[0]), eq((2, "c")));
 }
@@ -94,18 +94,18 @@
 fn reader_behind() {
     let ms = Duration::from_millis;
     let oldest = ms(1_000);
-    // What is as new as this node's own knowledge, or newer, is taken.
+    // Without an own copy, or at its revision, the source is accepted.
     expect_that!(judge(9, ms(300), None, oldest), eq(Verdict::Take));
     expect_that!(
         judge(9, ms(300), Some((9, ms(20))), oldest),
         eq(Verdict::Take)
     );
-    // A reader that is a little behind is asked again.
+    // A source that is slightly behind is polled again.
     expect_that!(
         judge(8, ms(300), Some((9, ms(20))), oldest),
         eq(Verdict::Wait)
     );
-    // One that stays behind, or whose knowledge is old, is not.
+    // A source that stays behind or has old data is rejected.
     let unfit = |verdict| matches!(verdict, Verdict::Unfit(_));
     expect_that!(
         unfit(judge(8, ms(300), Some((9, ms(1_100))), oldest)),
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -1,4 +1,4 @@
-//! A node that the store does not answer, beside one that it does.
+//! A node that cannot reach the store works through a peer that can.
 
 mod support;
 
@@ -93,7 +93,7 @@
     cut_off(&a).await;
     expect_that!(a.write("second").await, ok(anything()));
     expect_that!(rows.table(TABLE).len(), eq(2));
-    // A condition that fails is told with the row as it is.
+    // A conflict carries the current row.
     let again = a.write("second").await;
     let Err(StoreError::Conflict { rows }) = again else {
         panic!("{again:?}");
@@ -125,7 +125,7 @@
         a.holds("second") && !a.holds("first")
     })
     .await;
-    // Back at the store, nothing is lost and nothing goes back.
+    // After the link is restored, changes still arrive and no revision goes back.
     a.cut.set(false);
     until("the store answers", || a.access.path() == Path::Direct).await;
     rows.write(TABLE, "", "third", "3");
@@ -159,7 +159,7 @@
 async fn foreign_bytes() {
     let (_rows, _a, b) = pair().await;
     for call in ["", "GET / HTTP/1.1", "\u{1}\u{2}\u{3}"] {
-        // A failure, told in the protocol.
+        // Malformed calls get an encoded failure.
         let answer = b.service.answer(Bytes::from(call)).await;
         expect_that!(answer.is_empty(), eq(false));
     }
@@ -171,7 +171,7 @@
     let (rows, a, _b) = pair().await;
     rows.set_down(true);
     until("the store is lost", || a.access.health().is_lost()).await;
-    // Others cannot pass calls on, but they know the tables.
+    // Peers cannot forward calls but can serve their copies.
     let late = start("late", &rows);
     let heartbeat = Heartbeat {
         name: "a".to_owned(),
@@ -195,8 +195,7 @@
 async fn quiet_tables() {
     let (_rows, a, _b) = pair().await;
     cut_off(&a).await;
-    // The other node waits two seconds for a change that does not come; what it knows is taken
-    // all the same, for there is nothing better.
+    // The peer waits for a change of an idle table, so its copy ages; it is still accepted while the store is unreachable.
     let old = Duration::from_millis(1_200);
     until("an old copy is taken", || a.sink.oldest.get() > old).await;
     expect_that!(a.access.path(), eq(Path::ByPeer));
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes of the relay over the emulated store, each with a path to it that can be cut.
+//! Relay nodes over an emulated store, each with a link to it that can be cut.
 
 #![allow(dead_code)]
 
@@ -19,7 +19,7 @@
 };
 use prost::Message;
 
-/// The store as one node reaches it.
+/// Link from one node to the store.
 #[derive(Clone)]
 struct Link {
     rows: EmulatedRows,
@@ -79,12 +79,12 @@
     }
 }
 
-/// One node of the relay, with a sink of its own.
+/// Relay node with one followed table.
 pub struct TestNode<S> {
     pub name: &'static str,
     pub address: SocketAddr,
     pub cut: Rc<Cell<bool>>,
-    /// Tables that the node asked the store for.
+    /// Tables that the node read or followed at the store.
     pub asked: Rc<RefCell<Vec<&'static str>>>,
     pub peers: Arc<PeerTable>,
     pub access: Arc<Access>,
@@ -94,19 +94,19 @@
 }
 
 impl<S: TableSink + 'static> TestNode<S> {
-    /// Starts a node that follows the table of its sink.
+    /// Starts a node that follows its table directly from the start.
     pub fn start(name: &'static str, rows: &EmulatedRows, sink: S) -> Self {
         Self::start_as(name, rows, sink, |access| access)
     }
 
-    /// Starts a node that looks which others there are before it follows any table.
+    /// Starts a node that discovers its peers before it follows any table.
     pub fn begin(name: &'static str, rows: &EmulatedRows, sink: S) -> Self {
         let node = Self::start_as(name, rows, sink, Access::undecided);
         node.survey();
         node
     }
 
-    /// The same while the store answers nothing to it.
+    /// The same with the link to the store cut.
     pub fn start_cut_off(name: &'static str, rows: &EmulatedRows, sink: S) -> Self {
         let node = Self::start_as(name, rows, sink, Access::undecided);
         node.cut.set(true);
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Makes another node known, as its row and its heartbeats do.
+    /// Feeds this node the row and the heartbeats of another node.
     pub fn meet(&self, other: &TestNode<S>) {
         let row = NodeRow {
             life: 1,
@@ -204,7 +204,7 @@
     }
 }
 
-/// Serves the calls of other nodes on a port of the operating system's choice.
+/// Serves the calls of other nodes on an ephemeral port.
 fn serve(service: Rc<RelayService>) -> SocketAddr {
     let (calls, mut received) =
         tokio::sync::mpsc::unbounded_channel::<(Bytes, tokio::sync::oneshot::Sender<Bytes>)>();
@@ -212,7 +212,7 @@
         while let Some((call, answer)) = received.recv().await {
             let service = service.clone();
             tokio::task::spawn_local(async move {
-                // A caller that left wants no answer.
+                // The caller may have disconnected.
                 let _ = answer.send(service.answer(call).await);
             });
         }
@@ -236,7 +236,7 @@
     address
 }
 
-/// Waits until something holds; fails loudly when it does not come.
+/// Polls a condition for 10 s, then panics.
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
     for _ in 0..2_000 {
         if holds() {
@@ -244,10 +244,10 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("did not come: {what}");
+    panic!("timed out waiting until {what}");
 }
 
-/// Cuts a node off the store, and waits until it takes tables from others.
+/// Cuts a node off the store and waits until it follows tables through a peer.
 pub async fn cut_off<S>(node: &TestNode<S>) {
     node.cut.set(true);
     until("the store counts as lost", || {
--- a/crates/relay/tests/zones.rs
+++ b/crates/relay/tests/zones.rs
@@ -1,4 +1,4 @@
-//! By whom a node reaches the store while a zone is lost, and while its own is cut off.
+//! Relays available to a node while another zone is down and while its own zone is isolated.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     format!("{zone}-{number}")
 }
 
-/// What the first node of the northern zone knows.
+/// State of the first node of zone `north`.
 struct Node {
     peers: Arc<PeerTable>,
     health: Arc<StoreHealth>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Time passes. `heard` says which zones are heard, and `answered` which of them the store answers.
+    /// Advances time by `ms` with heartbeats from the zones in `heard`; the store answers the zones in `answered`.
     async fn run(&mut self, ms: u64, heard: &[&str], answered: &[&str]) {
         for _ in 0..ms / 100 {
             self.sequence += 1;
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Zones of the nodes that may pass calls on.
+    /// Zones of the nodes that may forward calls.
     fn relays(&self) -> Vec<String> {
         let relays = self.access.relays().into_iter();
         relays.map(|peer| peer.zone).collect()
@@ -101,7 +101,7 @@
     let mut node = Node::new();
     node.run(2_000, &ZONES, &ZONES).await;
     assert_that!(node.relays().len(), eq(8));
-    // Calls are not passed to a zone that is gone.
+    // Calls are not forwarded to a zone that is down.
     node.run(1_800, &["north", "west"], &["north", "west"])
         .await;
     assert_that!(node.relays(), not(contains(eq("south"))));
@@ -113,8 +113,8 @@
 async fn cut_zone() {
     let mut node = Node::new();
     node.run(2_000, &ZONES, &ZONES).await;
-    // The zone hears neither the store nor anybody else. For two seconds its nodes pass calls to each other; then
-    // each asks the store itself, so that it knows of the end of the cut at once.
+    // The zone is isolated. Its nodes forward calls to each other for two seconds, then each calls the store directly, so
+    // that it sees the recovery at once.
     node.run(400, &["north"], &[]).await;
     assert_that!(
         node.relays().iter().filter(|zone| *zone == "north").count(),
@@ -122,7 +122,7 @@
     );
     node.run(2_400, &["north"], &[]).await;
     assert_that!(node.relays().is_empty(), eq(true));
-    // One node of it is answered again: the others go by it.
+    // The store answers one node of the zone again, which becomes a relay.
     node.sequence += 1;
     node.beat("north", 1, true);
     assert_that!(node.relays(), eq(&["north"]));
