--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -15,36 +15,36 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Interval between updates of the path.
-const LOOK: Duration = Duration::from_millis(150);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(150);
 /// The same for a node that copies tables in a large fleet; it also updates the path as soon as its sources fail.
-const FOLLOWER_LOOK: Duration = Duration::from_millis(450);
+const FOLLOWER_REFRESH_INTERVAL: Duration = Duration::from_millis(450);
 /// Time without an answer of the store after which it is probed.
-const QUIET: Duration = Duration::from_millis(900);
-const PROBE_LIMIT: Duration = Duration::from_millis(350);
+const PROBE_AFTER: Duration = Duration::from_millis(900);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(350);
 /// A peer may forward calls if the store answered it within this time.
-const FIT: Duration = Duration::from_millis(2_000);
+const MAX_RELAY_STORE_AGE: Duration = Duration::from_millis(2_000);
 /// How long a node reads from the store directly after all sources failed.
-const AFTER_FAILURE: Duration = Duration::from_secs(2);
+const PEER_FAILURE_BACKOFF: Duration = Duration::from_secs(2);
 /// Poll interval per node of the zone: the interval grows with the zone, so its delegates together answer at most 800
 /// polls per second whatever its size. In a zone of 200 nodes this delays changes by 0.25 s.
-const PACE_BY_NODE: Duration = Duration::from_micros(1_250);
+const POLL_INTERVAL_PER_NODE: Duration = Duration::from_micros(1_250);
 /// Window per node of the zone over which nodes spread their fallback to the store when all sources fail. A large fleet
 /// that read the store at the same time would saturate its link.
-const BETWEEN_NODES: Duration = Duration::from_millis(20);
+const FALLBACK_SPREAD_PER_NODE: Duration = Duration::from_millis(20);
 /// Nodes per region that read the tables from the store for the others; two, so that one may fail.
 const STORE_READERS: usize = 2;
 /// Long-poll wait of a call for changes.
-const WAIT: Duration = Duration::from_millis(400);
+const POLL_WAIT: Duration = Duration::from_millis(400);
 /// The same for a delegate.
-const DELEGATE_WAIT: Duration = Duration::from_millis(150);
+const DELEGATE_POLL_WAIT: Duration = Duration::from_millis(150);
 /// Page size of node discovery.
-const SURVEYED: usize = 500;
+const DISCOVERY_PAGE_ROWS: usize = 500;
 /// Failed reads after which node discovery gives up.
-const SURVEYS: u32 = 4;
+const MAX_DISCOVERY_FAILURES: u32 = 4;
 /// The same while the store is unreachable: peers may have the tables.
-const SURVEYS_WHEN_LOST: u32 = 1;
+const MAX_DISCOVERY_FAILURES_WHEN_LOST: u32 = 1;
 /// Backoff after the first failed read; doubles with each failure.
-const SURVEY_PAUSE: Duration = Duration::from_millis(100);
+const DISCOVERY_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Where tables are followed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -62,7 +62,7 @@
 
 /// Inputs to the choice of a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Situation {
+pub struct PathInputs {
     /// The fleet is large: only readers follow tables at the store.
     pub large: bool,
     /// This node reads the tables from the store for others.
@@ -75,9 +75,9 @@
     pub peers_failed: bool,
 }
 
-pub fn decide(situation: &Situation) -> Path {
-    let needs_others = situation.lost || (situation.large && !situation.reader);
-    match needs_others && situation.peers > 0 && !situation.peers_failed {
+pub fn choose_path(inputs: &PathInputs) -> Path {
+    let needs_others = inputs.lost || (inputs.large && !inputs.reader);
+    match needs_others && inputs.peers > 0 && !inputs.peers_failed {
         true => Path::ByPeer,
         false => Path::Direct,
     }
@@ -88,7 +88,7 @@
     name: String,
     zone: String,
     ways: Arc<Ways>,
-    bodies: Option<(Arc<View>, &'static [&'static str])>,
+    body_tables: Option<(Arc<View>, &'static [&'static str])>,
     health: Arc<StoreHealth>,
     clock: StoreClock,
     peers: Arc<PeerTable>,
@@ -111,7 +111,7 @@
             name: name.to_owned(),
             zone: zone.to_owned(),
             ways: Arc::new(Ways::within(zone)),
-            bodies: None,
+            body_tables: None,
             health,
             clock: StoreClock::default(),
             peers,
@@ -136,19 +136,22 @@
     /// Marks tables that hold request bodies. While the configuration restricts any request to home regions, calls for these
     /// tables are forwarded only within the region, so that no body leaves it.
     pub fn with_bodies(self, view: Arc<View>, tables: &'static [&'static str]) -> Self {
-        let bodies = Some((view, tables));
-        Self { bodies, ..self }
+        let body_tables = Some((view, tables));
+        Self {
+            body_tables,
+            ..self
+        }
     }
 
     /// Nodes that may forward a call for these tables, best first.
     pub fn relays_for<'a>(&self, tables: impl IntoIterator<Item = &'a str>) -> Vec<RelayPeer> {
         let mut relays = self.relays();
-        let Some((view, bodies)) = &self.bodies else {
+        let Some((view, body_tables)) = &self.body_tables else {
             return relays;
         };
         let mut tables = tables.into_iter();
         let bound = || view.configuration().is_some_and(|held| held.has_homes());
-        if tables.any(|table| bodies.contains(&table)) && bound() {
+        if tables.any(|table| body_tables.contains(&table)) && bound() {
             relays.retain(|peer| self.ways.is_near(&peer.zone));
         }
         relays
@@ -188,29 +191,29 @@
     }
 
     /// Long-poll wait to request. Delegates poll more often, since the ages of copies add up along the chain.
-    pub(crate) fn held(&self) -> Duration {
+    pub(crate) fn poll_wait(&self) -> Duration {
         match self.serves_others() {
-            true => DELEGATE_WAIT,
-            false => WAIT,
+            true => DELEGATE_POLL_WAIT,
+            false => POLL_WAIT,
         }
     }
 
     /// Shortest interval between polls; it grows with the zone, so the load on its delegates does not.
-    pub(crate) fn pace(&self) -> Duration {
+    pub(crate) fn poll_interval(&self) -> Duration {
         let roster = self.peers.roster();
         match self.peers.is_large() && roster.own_place().is_none() {
-            true => PACE_BY_NODE * roster.near().count() as u32,
+            true => POLL_INTERVAL_PER_NODE * roster.near().count() as u32,
             false => Duration::ZERO,
         }
     }
 
     /// Random delay before falling back to the store when no source is left.
-    pub(crate) fn before_store(&self) -> Duration {
+    pub(crate) fn store_fallback_delay(&self) -> Duration {
         if !self.peers.is_large() || self.peers.is_delegate() {
             return Duration::ZERO;
         }
         let nodes = self.peers.roster().near().count() as u32;
-        (BETWEEN_NODES * nodes).mul_f64(rand::random_range(0.0..1.0))
+        (FALLBACK_SPREAD_PER_NODE * nodes).mul_f64(rand::random_range(0.0..1.0))
     }
 
     /// Whether other nodes normally copy tables from this one.
@@ -219,7 +222,7 @@
     }
 
     /// Waits until this is the current path.
-    pub async fn until(&self, wanted: Path) {
+    pub async fn wait_for_path(&self, wanted: Path) {
         let mut path = self.path.subscribe();
         // Cannot fail: `self` owns the sender.
         let _ = path.wait_for(|path| *path == wanted).await;
@@ -231,7 +234,7 @@
     }
 
     /// Records that all tables are loaded.
-    pub(crate) fn started(&self) {
+    pub(crate) fn mark_started(&self) {
         self.starting.store(false, Ordering::Relaxed);
     }
 
@@ -245,7 +248,7 @@
             return peers;
         }
         if !self.peers.is_large() {
-            return self.fit();
+            return self.usable_relays();
         }
         let mut sources: Vec<RelayPeer> = match roster.own_place() {
             Some(_) => {
@@ -266,7 +269,7 @@
 
     /// Nodes that may forward a call, best first.
     pub fn relays(&self) -> Vec<RelayPeer> {
-        let mut relays = self.fit();
+        let mut relays = self.usable_relays();
         if relays.is_empty() && self.peers.is_large() {
             relays = self.sources();
         }
@@ -276,12 +279,14 @@
     /// Reads the nodes of the own zone from the store and chooses the first path. In a large fleet a starting node then
     /// copies the tables from a peer, so that a restart of the fleet does not overload the store.
     pub async fn survey(&self, store: &dyn RowStore, nodes: &dyn TableSink) {
-        let mut pause = SURVEY_PAUSE;
+        let mut pause = DISCOVERY_BACKOFF;
         let mut from = String::new();
         let mut failures = 0;
-        while failures < SURVEYS && !(self.health.is_lost() && failures >= SURVEYS_WHEN_LOST) {
+        while failures < MAX_DISCOVERY_FAILURES
+            && !(self.health.is_lost() && failures >= MAX_DISCOVERY_FAILURES_WHEN_LOST)
+        {
             let read = store
-                .read(NODES_TABLE, &self.zone, &from, "", SURVEYED)
+                .read(NODES_TABLE, &self.zone, &from, "", DISCOVERY_PAGE_ROWS)
                 .await;
             self.health.note(&read);
             let Ok(read) = read else {
@@ -300,11 +305,11 @@
                 _ => break,
             }
         }
-        self.choose();
+        self.update_path();
     }
 
     /// Records that all sources failed.
-    pub fn note_peers_failed(&self) {
+    pub fn mark_peers_failed(&self) {
         *self.peers_failed.lock() = Some(Instant::now());
     }
 
@@ -312,33 +317,33 @@
     pub async fn run(&self, store: &dyn RowStore) {
         loop {
             let follows = self.peers.is_large() && self.path() == Path::ByPeer;
-            let look = match follows && !self.health.is_lost() {
-                true => FOLLOWER_LOOK,
-                false => LOOK,
+            let refresh = match follows && !self.health.is_lost() {
+                true => FOLLOWER_REFRESH_INTERVAL,
+                false => REFRESH_INTERVAL,
             };
-            tokio::time::sleep(look).await;
+            tokio::time::sleep(refresh).await;
             self.probe(store).await;
-            self.look();
+            self.refresh();
         }
     }
 
     /// Updates the path unless it is still undecided.
-    pub fn look(&self) {
+    pub fn refresh(&self) {
         if self.path() != Path::Undecided {
-            self.choose();
+            self.update_path();
         }
     }
 
-    fn choose(&self) {
+    fn update_path(&self) {
         let failed = *self.peers_failed.lock();
-        let situation = Situation {
+        let inputs = PathInputs {
             large: self.peers.is_large(),
             reader: self.is_store_reader(&self.peers.roster()),
             lost: self.health.is_lost(),
             peers: self.sources().len(),
-            peers_failed: failed.is_some_and(|at| at.elapsed() < AFTER_FAILURE),
+            peers_failed: failed.is_some_and(|at| at.elapsed() < PEER_FAILURE_BACKOFF),
         };
-        let next = decide(&situation);
+        let next = choose_path(&inputs);
         let changed = self.path.send_if_modified(|path| {
             let changed = *path != next;
             *path = next;
@@ -346,9 +351,9 @@
         });
         if changed {
             self.log.write("store_path", || {
-                serde_json::json!({"path": next.to_string(), "lost": situation.lost,
-                    "reader": situation.reader, "large": situation.large,
-                    "peers": situation.peers, "peers_failed": situation.peers_failed,
+                serde_json::json!({"path": next.to_string(), "lost": inputs.lost,
+                    "reader": inputs.reader, "large": inputs.large,
+                    "peers": inputs.peers, "peers_failed": inputs.peers_failed,
                     "store_age_ms": self.health.age().map(|age| age.as_millis() as u64)})
             });
         }
@@ -356,14 +361,14 @@
 
     /// Probes the store with a small read if it has not answered for a while and this node follows it or has lost it.
     async fn probe(&self, store: &dyn RowStore) {
-        let quiet = self.health.age().is_none_or(|age| age > QUIET);
+        let is_idle = self.health.age().is_none_or(|age| age > PROBE_AFTER);
         let follows = self.path() == Path::Direct;
-        if !(quiet && (follows || self.health.is_lost())) {
+        if !(is_idle && (follows || self.health.is_lost())) {
             return;
         }
-        let behind = format!("{}\u{1}", self.name);
-        let read = store.read(NODES_TABLE, &self.zone, &self.name, &behind, 1);
-        let outcome = tokio::time::timeout(PROBE_LIMIT, read).await;
+        let next_key = format!("{}\u{1}", self.name);
+        let read = store.read(NODES_TABLE, &self.zone, &self.name, &next_key, 1);
+        let outcome = tokio::time::timeout(PROBE_TIMEOUT, read).await;
         let outcome = outcome.unwrap_or_else(|_| {
             Err(dappleyard_model::StoreError::Ambiguous {
                 reason: "no answer to a probe".to_owned(),
@@ -373,13 +378,16 @@
     }
 
     /// Nodes that the store answered recently.
-    fn fit(&self) -> Vec<RelayPeer> {
-        let answered = |peer: &RelayPeer| peer.answered.is_some_and(|at| at.elapsed() < FIT);
+    fn usable_relays(&self) -> Vec<RelayPeer> {
+        let answered = |peer: &RelayPeer| {
+            peer.answered
+                .is_some_and(|at| at.elapsed() < MAX_RELAY_STORE_AGE)
+        };
         // The roster may be outdated here: it lacks the latest answer times.
-        let mut fit = self.peers.relay_peers();
-        fit.retain(answered);
-        self.sort(&mut fit);
-        fit
+        let mut usable_relays = self.peers.relay_peers();
+        usable_relays.retain(answered);
+        self.sort(&mut usable_relays);
+        usable_relays
     }
 
     /// Sorts by distance; ties are broken by a hash of both names, so that nodes spread over their peers.
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -12,19 +12,19 @@
 
 use crate::messages::{AnswerKind, CallKind, RelayAnswer, RelayCall};
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-const LONGEST_ANSWER: usize = 16 * 1024 * 1024;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// Idle connections kept per node.
-const RESTING: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 /// How long an idle connection may be reused.
-const IDLE: IdleLimit = IdleLimit {
+const IDLE_LIMIT: IdleLimit = IdleLimit {
     default: Duration::from_secs(20),
     margin: Duration::from_millis(500),
 };
 
 /// Longest gap between two chunks of an answer. There is no limit on the whole answer: the sender of a snapshot may be
 /// serving many nodes at once.
-const STALLED: Duration = Duration::from_millis(1_000);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Connection pool of one thread to other nodes.
 pub(crate) struct PeerCalls {
@@ -34,7 +34,7 @@
 impl PeerCalls {
     pub fn new() -> Self {
         Self {
-            pool: Pool::new(IDLE, RESTING),
+            pool: Pool::new(IDLE_LIMIT, MAX_IDLE_CONNECTIONS),
         }
     }
 
@@ -54,13 +54,15 @@
                     reason: format!("node at {address}: {error}"),
                 });
             }
-            Err(error) => return Err(lost(address, &error.to_string())),
+            Err(error) => return Err(ambiguous(address, &error.to_string())),
         };
-        let answer = RelayAnswer::decode(answer).ok().and_then(|held| held.kind);
+        let answer = RelayAnswer::decode(answer)
+            .ok()
+            .and_then(|decoded| decoded.kind);
         match answer {
             Some(AnswerKind::Failure(failure)) => Err(failure.into()),
             Some(answer) => Ok(answer),
-            None => Err(lost(address, "malformed answer")),
+            None => Err(ambiguous(address, "malformed answer")),
         }
     }
 
@@ -76,11 +78,11 @@
         let request = request_bytes(&Method::POST, "/", headers.into_iter(), body);
         let mut connection = match self.pool.take(address) {
             Some(connection) => connection,
-            None => Connection::open(address, CONNECT_LIMIT).await?,
+            None => Connection::open(address, CONNECT_TIMEOUT).await?,
         };
         let sending = connection.send(&request);
         let head = dappleyard_clock::timeout(limit, sending).await;
-        head.map_err(|_| late(Stage::Head, "no answer in time"))??;
+        head.map_err(|_| exchange_error(Stage::Head, "no answer in time"))??;
         let answer = read_answer(&mut connection).await?;
         self.pool.put(address, connection);
         Ok(answer)
@@ -90,26 +92,26 @@
 async fn read_answer(connection: &mut Connection) -> Result<Bytes, ExchangeError> {
     let mut answer = BytesMut::new();
     loop {
-        let piece = dappleyard_clock::timeout(STALLED, connection.next_piece()).await;
-        let piece = piece.map_err(|_| late(Stage::Body, "the answer has stalled"))??;
-        let Some(piece) = piece else {
+        let chunk = dappleyard_clock::timeout(STALL_TIMEOUT, connection.next_piece()).await;
+        let chunk = chunk.map_err(|_| exchange_error(Stage::Body, "the answer has stalled"))??;
+        let Some(chunk) = chunk else {
             return Ok(answer.freeze());
         };
-        if answer.len() + piece.len() > LONGEST_ANSWER {
-            return Err(late(Stage::Body, "answer too long"));
+        if answer.len() + chunk.len() > MAX_ANSWER_BYTES {
+            return Err(exchange_error(Stage::Body, "answer too long"));
         }
-        answer.extend_from_slice(&piece);
+        answer.extend_from_slice(&chunk);
     }
 }
 
-fn late(stage: Stage, reason: &str) -> ExchangeError {
+fn exchange_error(stage: Stage, reason: &str) -> ExchangeError {
     ExchangeError {
         stage,
         reason: reason.to_owned(),
     }
 }
 
-fn lost(address: SocketAddr, reason: &str) -> StoreError {
+fn ambiguous(address: SocketAddr, reason: &str) -> StoreError {
     StoreError::Ambiguous {
         reason: format!("node at {address}: {reason}"),
     }
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -18,69 +18,69 @@
 use crate::messages::{RowMessage, TableChanges};
 
 /// Changes kept per table; callers further behind get a snapshot.
-const KEPT_CHANGES: usize = 4_096;
+const MAX_CHANGES: usize = 4_096;
 /// Long-poll wait at the store of a node that serves others; short, to keep their copies fresh.
-const READER_WAIT: Duration = Duration::from_millis(400);
+const SERVING_POLL_WAIT: Duration = Duration::from_millis(400);
 
-type Place = (String, String);
+type RowId = (String, String);
 
-struct Held {
+struct CachedRow {
     row: Row,
     essence: u64,
 }
 
 #[derive(Default)]
 struct State {
-    rows: BTreeMap<Place, Held>,
-    changes: VecDeque<(u64, Place)>,
+    rows: BTreeMap<RowId, CachedRow>,
+    changes: VecDeque<(u64, RowId)>,
     /// The log is complete after this revision.
-    kept_after: u64,
+    log_start: u64,
     /// Latest contact and when it was received; `None` until the table is loaded.
     contact: Option<(Contact, Instant)>,
     /// Cached encoding of all rows; cleared by a change.
-    whole: Option<Bytes>,
+    snapshot: Option<Bytes>,
 }
 
 /// Rows of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ToldRows {
+pub enum UpdateRows {
     /// The whole table, encoded as a [`TableChanges`] message.
-    Whole(Bytes),
+    Snapshot(Bytes),
     /// Changed rows; a row without a value was removed.
     Changes(Vec<Row>),
 }
 
 /// Update of one table for a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct TableUpdates {
     /// Snapshot or changes.
-    pub rows: ToldRows,
+    pub rows: UpdateRows,
     /// Revision, store time and age of the update.
     pub contact: Contact,
 }
 
-impl Told {
+impl TableUpdates {
     /// Whether the update has changes or is a snapshot.
-    pub fn is_news(&self) -> bool {
+    pub fn has_news(&self) -> bool {
         match &self.rows {
-            ToldRows::Whole(_) => true,
-            ToldRows::Changes(rows) => !rows.is_empty(),
+            UpdateRows::Snapshot(_) => true,
+            UpdateRows::Changes(rows) => !rows.is_empty(),
         }
     }
 
     /// Whether the update is a snapshot.
-    pub fn is_whole(&self) -> bool {
-        matches!(self.rows, ToldRows::Whole(_))
+    pub fn is_snapshot(&self) -> bool {
+        matches!(self.rows, UpdateRows::Snapshot(_))
     }
 
     /// Returns the rows, decoded if needed.
     pub fn rows(&self) -> Vec<Row> {
         match &self.rows {
-            ToldRows::Whole(encoded) => {
+            UpdateRows::Snapshot(encoded) => {
                 let table = TableChanges::decode(encoded.clone()).unwrap_or_default();
                 table.rows.into_iter().map(Row::from).collect()
             }
-            ToldRows::Changes(rows) => rows.clone(),
+            UpdateRows::Changes(rows) => rows.clone(),
         }
     }
 }
@@ -95,17 +95,17 @@
     /// Applies a changed row; returns whether its essence changed.
     fn change(&self, row: &Row, essence: u64) -> bool {
         let mut state = self.state.lock();
-        let place = (row.part.clone(), row.key.clone());
+        let row_id = (row.part.clone(), row.key.clone());
         if row.value.is_none() {
-            let older = |held: &Held| held.row.revision < row.revision;
-            if !state.rows.get(&place).is_some_and(older) {
+            let older = |held: &CachedRow| held.row.revision < row.revision;
+            if !state.rows.get(&row_id).is_some_and(older) {
                 return false;
             }
-            state.rows.remove(&place);
-            state.note(row.revision, place);
+            state.rows.remove(&row_id);
+            state.log_change(row.revision, row_id);
             return true;
         }
-        if let Some(held) = state.rows.get_mut(&place) {
+        if let Some(held) = state.rows.get_mut(&row_id) {
             if held.row.revision >= row.revision {
                 return false;
             }
@@ -117,8 +117,10 @@
         }
         let row = row.clone();
         let revision = row.revision;
-        state.rows.insert(place.clone(), Held { row, essence });
-        state.note(revision, place);
+        state
+            .rows
+            .insert(row_id.clone(), CachedRow { row, essence });
+        state.log_change(revision, row_id);
         true
     }
 
@@ -127,29 +129,35 @@
         let mut state = self.state.lock();
         let mut next = BTreeMap::new();
         for (row, essence) in rows {
-            next.insert((row.part.clone(), row.key.clone()), Held { row, essence });
+            next.insert(
+                (row.part.clone(), row.key.clone()),
+                CachedRow { row, essence },
+            );
         }
-        let differs = |state: &State, place: &Place, held: &Held| {
-            let known = state.rows.get(place);
+        let differs = |state: &State, row_id: &RowId, held: &CachedRow| {
+            let known = state.rows.get(row_id);
             known.is_none_or(|known| known.essence != held.essence)
         };
-        let mut changed: Vec<(u64, Place)> = next
+        let mut changed: Vec<(u64, RowId)> = next
             .iter()
-            .filter(|(place, held)| differs(&state, place, held))
-            .map(|(place, held)| (held.row.revision, place.clone()))
+            .filter(|(row_id, held)| differs(&state, row_id, held))
+            .map(|(row_id, held)| (held.row.revision, row_id.clone()))
             .collect();
-        let gone = state.rows.keys().filter(|place| !next.contains_key(*place));
-        changed.extend(gone.map(|place| (revision, place.clone())));
+        let gone = state
+            .rows
+            .keys()
+            .filter(|row_id| !next.contains_key(*row_id));
+        changed.extend(gone.map(|row_id| (revision, row_id.clone())));
         changed.sort();
         if state.contact.is_none() {
             // First load: no caller can hold an earlier revision.
-            state.kept_after = revision;
+            state.log_start = revision;
             changed.clear();
         }
         state.rows = next;
-        state.whole = None;
-        for (at, place) in changed {
-            state.note(at, place);
+        state.snapshot = None;
+        for (at, row_id) in changed {
+            state.log_change(at, row_id);
         }
     }
 
@@ -170,7 +178,7 @@
     }
 
     /// Revision and age of the copy.
-    fn known(&self) -> Option<(u64, Duration)> {
+    fn revision_and_age(&self) -> Option<(u64, Duration)> {
         let state = self.state.lock();
         let (contact, at) = state.contact?;
         Some((contact.revision, contact.age + at.elapsed()))
@@ -178,7 +186,7 @@
 
     /// Changes after a revision, or a snapshot if there is no revision or the log does not reach back to it; `None` until
     /// the table is loaded. A caller that is ahead of this node gets no rows.
-    pub fn told(&self, after: Option<u64>) -> Option<Told> {
+    pub fn updates(&self, after: Option<u64>) -> Option<TableUpdates> {
         let mut state = self.state.lock();
         let (contact, at) = state.contact?;
         let since = at.elapsed();
@@ -187,28 +195,28 @@
             age: contact.age + since,
             ..contact
         };
-        let after = after.filter(|after| *after >= state.kept_after);
+        let after = after.filter(|after| *after >= state.log_start);
         let rows = match after {
-            Some(after) => ToldRows::Changes(state.changed_after(after)),
-            None => ToldRows::Whole(state.whole()),
+            Some(after) => UpdateRows::Changes(state.changed_after(after)),
+            None => UpdateRows::Snapshot(state.snapshot()),
         };
-        Some(Told { rows, contact })
+        Some(TableUpdates { rows, contact })
     }
 }
 
 impl State {
-    fn note(&mut self, revision: u64, place: Place) {
-        self.whole = None;
-        self.changes.push_back((revision, place));
-        while self.changes.len() > KEPT_CHANGES {
+    fn log_change(&mut self, revision: u64, row_id: RowId) {
+        self.snapshot = None;
+        self.changes.push_back((revision, row_id));
+        while self.changes.len() > MAX_CHANGES {
             if let Some((dropped, _)) = self.changes.pop_front() {
-                self.kept_after = self.kept_after.max(dropped);
+                self.log_start = self.log_start.max(dropped);
             }
         }
     }
 
     /// All rows, encoded; cached, since many nodes request the same snapshot when a fleet starts.
-    fn whole(&mut self) -> Bytes {
+    fn snapshot(&mut self) -> Bytes {
         let rows = &self.rows;
         let encode = || {
             let rows = rows.values().map(|held| RowMessage::from(held.row.clone()));
@@ -219,24 +227,24 @@
             };
             Bytes::from(table.encode_to_vec())
         };
-        self.whole.get_or_insert_with(encode).clone()
+        self.snapshot.get_or_insert_with(encode).clone()
     }
 
     /// Current state of each row that changed after a revision.
     fn changed_after(&self, after: u64) -> Vec<Row> {
-        let mut seen: HashMap<&Place, u64> = HashMap::new();
+        let mut seen: HashMap<&RowId, u64> = HashMap::new();
         // The log is in revision order; scan back from the newest change.
         let newest = self.changes.iter().rev();
-        for (revision, place) in newest.take_while(|(revision, _)| *revision > after) {
-            seen.entry(place).or_insert(*revision);
+        for (revision, row_id) in newest.take_while(|(revision, _)| *revision > after) {
+            seen.entry(row_id).or_insert(*revision);
         }
         let mut rows: Vec<Row> = seen
             .into_iter()
-            .map(|(place, revision)| match self.rows.get(place) {
+            .map(|(row_id, revision)| match self.rows.get(row_id) {
                 Some(held) => held.row.clone(),
                 None => Row {
-                    part: place.0.clone(),
-                    key: place.1.clone(),
+                    part: row_id.0.clone(),
+                    key: row_id.1.clone(),
                     value: None,
                     revision,
                 },
@@ -291,7 +299,7 @@
     histories: Histories,
     access: Arc<Access>,
     /// Changes were recorded since the last notification.
-    untold: Cell<bool>,
+    unnotified: Cell<bool>,
 }
 
 impl Replica {
@@ -306,13 +314,13 @@
             histories: histories.clone(),
             sink,
             access,
-            untold: Cell::new(false),
+            unnotified: Cell::new(false),
         })
     }
 
     /// Revision and age of the copy; `None` until the table is loaded.
-    pub(crate) fn known(&self) -> Option<(u64, Duration)> {
-        self.history.known()
+    pub(crate) fn revision_and_age(&self) -> Option<(u64, Duration)> {
+        self.history.revision_and_age()
     }
 }
 
@@ -331,7 +339,7 @@
 
     fn wait(&self) -> Duration {
         match self.access.serves_others() {
-            true => READER_WAIT,
+            true => SERVING_POLL_WAIT,
             false => self.sink.wait(),
         }
     }
@@ -341,10 +349,10 @@
             return;
         }
         let rows: Vec<Row> = rows.into_iter().map(|row| self.sink.digest(row)).collect();
-        let judged = rows.iter().map(|row| (row.clone(), self.essence(row)));
-        self.history.replace(judged.collect(), revision);
+        let with_essence = rows.iter().map(|row| (row.clone(), self.essence(row)));
+        self.history.replace(with_essence.collect(), revision);
         self.sink.replace(rows, revision);
-        self.untold.set(true);
+        self.unnotified.set(true);
     }
 
     fn change(&self, row: Row) {
@@ -352,26 +360,26 @@
         let essence = self.essence(&row);
         if self.history.change(&row, essence) {
             self.sink.change(row);
-            self.untold.set(true);
+            self.unnotified.set(true);
         }
     }
 
     /// Records a contact after adding the transit time to its age. No other code ages a contact on receipt.
     fn contact(&self, contact: &Contact) {
-        let way = self.access.clock().time_on_way(contact.now_ms);
+        let transit_time = self.access.clock().time_on_way(contact.now_ms);
         let contact = &Contact {
             revision: contact.revision,
-            now_ms: contact.now_ms + way.as_millis() as u64,
-            age: contact.age + way,
+            now_ms: contact.now_ms + transit_time.as_millis() as u64,
+            age: contact.age + transit_time,
         };
         self.history.contact(contact);
         self.sink.contact(contact);
         // One notification for all rows of an answer.
-        if self.untold.take() {
+        if self.unnotified.take() {
             self.histories.notify();
         }
         if self.access.is_starting() && self.histories.are_known() {
-            self.access.started();
+            self.access.mark_started();
         }
     }
 
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -19,8 +19,8 @@
 mod rows;
 mod serve;
 
-pub use access::{Access, Path, Situation, decide};
-pub use history::{Histories, Replica, TableHistory, Told, ToldRows};
-pub use mirror::{Verdict, follow_directly, judge, mirror};
+pub use access::{Access, Path, PathInputs, choose_path};
+pub use history::{Histories, Replica, TableHistory, TableUpdates, UpdateRows};
+pub use mirror::{CopyVerdict, follow_directly, judge_copy, mirror};
 pub use rows::RelayedRows;
 pub use serve::RelayService;
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -133,14 +133,14 @@
 }
 
 /// Encodes the answer to a [`ChangesCall`] from encoded tables.
-pub(crate) fn encoded_answer(tables: Vec<Bytes>) -> Bytes {
+pub(crate) fn encode_changes_answer(tables: Vec<Bytes>) -> Bytes {
     let changes = EncodedChanges { tables }.encode_to_vec();
     let changes = Some(Bytes::from(changes));
     Bytes::from(EncodedAnswer { changes }.encode_to_vec())
 }
 
 /// Joins encoded rows with the other fields of a [`TableChanges`]; protobuf fields may come in any order.
-pub(crate) fn encoded_table(rows: &Bytes, rest: &TableChanges) -> Bytes {
+pub(crate) fn encode_table_changes(rows: &Bytes, rest: &TableChanges) -> Bytes {
     let mut table = Vec::with_capacity(rows.len() + 64);
     table.extend_from_slice(rows);
     table.extend(rest.encode_to_vec());
@@ -237,7 +237,7 @@
     }
 }
 
-fn place(row: &RowKey) -> RowMessage {
+fn row_message(row: &RowKey) -> RowMessage {
     RowMessage {
         table: row.table.to_owned(),
         part: row.part.clone(),
@@ -251,16 +251,16 @@
     fn from(transaction: &Transaction) -> Self {
         let conditions = transaction.conditions.iter().map(|condition| RowMessage {
             revision: condition.revision,
-            ..place(&condition.row)
+            ..row_message(&condition.row)
         });
         let puts = transaction.puts.iter().map(|(row, value)| RowMessage {
             value: Some(value.clone()),
-            ..place(row)
+            ..row_message(row)
         });
         Self {
             conditions: conditions.collect(),
             puts: puts.collect(),
-            removals: transaction.removals.iter().map(place).collect(),
+            removals: transaction.removals.iter().map(row_message).collect(),
         }
     }
 }
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -15,22 +15,22 @@
 };
 
 /// Time limit for the start of an answer.
-const LIMIT: Duration = Duration::from_millis(700);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time limit for the start of an answer with snapshots; the sender may be serving other nodes first.
-const WHOLE_LIMIT: Duration = Duration::from_millis(2_000);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Interval between searches for a source while no source has loaded the tables.
-const LOOK: Duration = Duration::from_millis(100);
+const SOURCE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// How long to wait for sources that have not loaded the tables; a reader needs about 1 s for 10,000 rows.
-const NOT_YET: Duration = Duration::from_millis(3_000);
+const MAX_NOT_READY: Duration = Duration::from_millis(3_000);
 /// How long to skip a source that has not loaded the tables, so that others are tried.
-const ASKED_AGAIN: Duration = Duration::from_millis(300);
+const NOT_READY_PAUSE: Duration = Duration::from_millis(300);
 /// Oldest copy accepted while this node can reach the store itself.
-const OLDEST: Duration = Duration::from_millis(1_000);
+const MAX_COPY_AGE: Duration = Duration::from_millis(1_000);
 /// Oldest copy accepted while this node cannot reach the store; longer than the two seconds that a reader may wait for a
 /// change of an idle table.
-const OLDEST_WHEN_LOST: Duration = Duration::from_millis(3_000);
+const MAX_COPY_AGE_WHEN_LOST: Duration = Duration::from_millis(3_000);
 /// How long to skip a source that failed.
-const AVOIDED: Duration = Duration::from_secs(2);
+const FAILED_SOURCE_PAUSE: Duration = Duration::from_secs(2);
 
 /// Follows a table at the store while the path is [`Path::Direct`].
 pub async fn follow_directly(
@@ -40,10 +40,10 @@
     log: &EventLog,
 ) {
     loop {
-        access.until(Path::Direct).await;
+        access.wait_for_path(Path::Direct).await;
         tokio::select! {
             () = follow(store.as_ref(), replica.as_ref(), log) => {}
-            () = access.until(Path::ByPeer) => {}
+            () = access.wait_for_path(Path::ByPeer) => {}
         }
     }
 }
@@ -53,15 +53,15 @@
     let mut mirror = Mirror {
         replicas,
         calls: PeerCalls::new(),
-        avoided: Vec::new(),
-        from: None,
-        without_answer: None,
+        paused_sources: Vec::new(),
+        current_source: None,
+        not_ready_since: None,
     };
     loop {
-        access.until(Path::ByPeer).await;
+        access.wait_for_path(Path::ByPeer).await;
         tokio::select! {
-            () = mirror.take(access, log) => {}
-            () = access.until(Path::Direct) => {}
+            () = mirror.poll_sources(access, log) => {}
+            () = access.wait_for_path(Path::Direct) => {}
         }
     }
 }
@@ -70,93 +70,98 @@
     replicas: &'a [Rc<Replica>],
     calls: PeerCalls,
     /// Sources to skip, each with the end of its pause.
-    avoided: Vec<(String, Instant)>,
-    from: Option<String>,
+    paused_sources: Vec<(String, Instant)>,
+    current_source: Option<String>,
     /// Time of the first "not ready" answer since the last update.
-    without_answer: Option<Instant>,
+    not_ready_since: Option<Instant>,
 }
 
 /// Outcome of a poll.
-enum Asked {
+enum PollOutcome {
     /// The source sent updates.
-    Told,
+    Updated,
     /// The source has not loaded the tables yet.
-    NotYet,
+    NotReady,
 }
 
 impl Mirror<'_> {
     /// Polls sources for changes until none is left, then requests the direct path.
-    async fn take(&mut self, access: &Access, log: &EventLog) {
+    async fn poll_sources(&mut self, access: &Access, log: &EventLog) {
         loop {
             let now = Instant::now();
-            self.avoided.retain(|(_, until)| *until > now);
-            let source = access.sources().into_iter().find(|peer| !self.avoids(peer));
+            self.paused_sources.retain(|(_, until)| *until > now);
+            let source = access
+                .sources()
+                .into_iter()
+                .find(|peer| !self.is_paused(peer));
             let Some(source) = source else {
                 if self
-                    .without_answer
-                    .is_some_and(|since| since.elapsed() < NOT_YET)
+                    .not_ready_since
+                    .is_some_and(|since| since.elapsed() < MAX_NOT_READY)
                 {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(SOURCE_RETRY_INTERVAL).await;
                     continue;
                 }
                 // A failed source affects all nodes of a zone; spread their fallback to the store.
-                tokio::time::sleep(access.before_store()).await;
-                access.note_peers_failed();
-                access.look();
+                tokio::time::sleep(access.store_fallback_delay()).await;
+                access.mark_peers_failed();
+                access.refresh();
                 return;
             };
-            let asked = Instant::now();
-            let oldest = match access.health().is_lost() {
-                true => OLDEST_WHEN_LOST,
-                false => OLDEST,
+            let poll_start = Instant::now();
+            let max_age = match access.health().is_lost() {
+                true => MAX_COPY_AGE_WHEN_LOST,
+                false => MAX_COPY_AGE,
             };
-            match self.ask(&source, access.held(), oldest).await {
-                Ok(Asked::Told) => {
-                    self.without_answer = None;
-                    self.note_followed(&source, log);
+            match self.poll(&source, access.poll_wait(), max_age).await {
+                Ok(PollOutcome::Updated) => {
+                    self.not_ready_since = None;
+                    self.log_source(&source, log);
                 }
-                Ok(Asked::NotYet) => {
-                    self.without_answer.get_or_insert(asked);
-                    self.avoid(&source, ASKED_AGAIN);
+                Ok(PollOutcome::NotReady) => {
+                    self.not_ready_since.get_or_insert(poll_start);
+                    self.pause_source(&source, NOT_READY_PAUSE);
                 }
                 Err(error) => {
                     log.write(
                         "reader_failed",
                         || serde_json::json!({"peer": source.name, "cause": error.to_string()}),
                     );
-                    self.avoid(&source, AVOIDED);
-                    self.from = None;
+                    self.pause_source(&source, FAILED_SOURCE_PAUSE);
+                    self.current_source = None;
                 }
             }
-            dappleyard_clock::sleep_until(asked + access.pace()).await;
+            dappleyard_clock::sleep_until(poll_start + access.poll_interval()).await;
         }
     }
 
-    fn note_followed(&mut self, source: &RelayPeer, log: &EventLog) {
-        if self.from.as_ref() != Some(&source.name) {
+    fn log_source(&mut self, source: &RelayPeer, log: &EventLog) {
+        if self.current_source.as_ref() != Some(&source.name) {
             log.write(
                 "reader_followed",
                 || serde_json::json!({"peer": source.name}),
             );
-            self.from = Some(source.name.clone());
+            self.current_source = Some(source.name.clone());
         }
     }
 
-    fn avoid(&mut self, source: &RelayPeer, time: Duration) {
-        self.avoided
+    fn pause_source(&mut self, source: &RelayPeer, time: Duration) {
+        self.paused_sources
             .push((source.name.clone(), Instant::now() + time));
     }
 
-    fn avoids(&self, peer: &RelayPeer) -> bool {
-        self.avoided.iter().any(|(name, _)| *name == peer.name)
+    fn is_paused(&self, peer: &RelayPeer) -> bool {
+        self.paused_sources
+            .iter()
+            .any(|(name, _)| *name == peer.name)
     }
 
-    async fn ask(
+    async fn poll(
         &self,
         source: &RelayPeer,
         wait: Duration,
-        oldest: Duration,
-    ) -> Result<Asked, StoreError> {
+        max_age: Duration,
+    ) -> Result<PollOutcome, StoreError> {
         let wait_ms = wait.as_millis() as u32;
         let positions = self.replicas.iter().map(|replica| TablePosition {
             table: replica.table().to_owned(),
@@ -172,23 +177,23 @@
             .iter()
             .all(|position| position.revision.is_some())
         {
-            true => LIMIT,
-            false => WHOLE_LIMIT,
+            true => ANSWER_TIMEOUT,
+            false => SNAPSHOT_TIMEOUT,
         };
         let answer = self
             .calls
             .call(source.address, CallKind::Changes(call), limit);
         let AnswerKind::Changes(answer) = answer.await? else {
-            return Err(unfit("the answer has the wrong type"));
+            return Err(unavailable("the answer has the wrong type"));
         };
         if answer.tables.is_empty() {
-            return Ok(Asked::NotYet);
+            return Ok(PollOutcome::NotReady);
         }
-        self.apply(answer, oldest)?;
-        Ok(Asked::Told)
+        self.apply(answer, max_age)?;
+        Ok(PollOutcome::Updated)
     }
 
-    fn apply(&self, answer: ChangesAnswer, oldest: Duration) -> Result<(), StoreError> {
+    fn apply(&self, answer: ChangesAnswer, max_age: Duration) -> Result<(), StoreError> {
         for table in answer.tables {
             let replica = self
                 .replicas
@@ -198,10 +203,10 @@
                 continue;
             };
             let age = Duration::from_millis(u64::from(table.age_ms));
-            match judge(table.revision, age, replica.known(), oldest) {
-                Verdict::Take => apply(replica, table),
-                Verdict::Wait => {}
-                Verdict::Unfit(reason) => return Err(unfit(reason)),
+            match judge_copy(table.revision, age, replica.revision_and_age(), max_age) {
+                CopyVerdict::Accept => apply(replica, table),
+                CopyVerdict::Wait => {}
+                CopyVerdict::Reject(reason) => return Err(unavailable(reason)),
             }
         }
         Ok(())
@@ -210,35 +215,35 @@
 
 /// What to do with a table copy offered by another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CopyVerdict {
     /// Apply the copy.
-    Take,
+    Accept,
     /// Ignore it and poll again: the source is slightly behind this node.
     Wait,
     /// Switch to another source.
-    Unfit(&'static str),
+    Reject(&'static str),
 }
 
 /// Judges a copy by its revision and age, and by the revision and age of this node's own copy.
 ///
 /// A node that has just stopped following the store is ahead of its source. That alone must not disqualify the source, or
 /// the node would alternate between the two paths.
-pub fn judge(
+pub fn judge_copy(
     revision: u64,
     age: Duration,
     known: Option<(u64, Duration)>,
-    oldest: Duration,
-) -> Verdict {
+    max_age: Duration,
+) -> CopyVerdict {
     let Some((known_revision, known_age)) = known else {
-        return Verdict::Take;
+        return CopyVerdict::Accept;
     };
-    if age > oldest {
-        return Verdict::Unfit("its own knowledge is old");
+    if age > max_age {
+        return CopyVerdict::Reject("its own knowledge is old");
     }
-    match (revision >= known_revision, known_age > oldest) {
-        (true, _) => Verdict::Take,
-        (false, false) => Verdict::Wait,
-        (false, true) => Verdict::Unfit("it is behind this node"),
+    match (revision >= known_revision, known_age > max_age) {
+        (true, _) => CopyVerdict::Accept,
+        (false, false) => CopyVerdict::Wait,
+        (false, true) => CopyVerdict::Reject("it is behind this node"),
     }
 }
 
@@ -255,7 +260,7 @@
     });
 }
 
-fn unfit(reason: &str) -> StoreError {
+fn unavailable(reason: &str) -> StoreError {
     StoreError::Unavailable {
         reason: reason.to_owned(),
     }
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -12,9 +12,9 @@
 use crate::messages::{AnswerKind, CallKind, ReadCall, TransactCall};
 
 /// Time limit of a forwarded call.
-const LIMIT: Duration = Duration::from_millis(1_800);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// Peers tried for one call.
-const MOST_ASKED: usize = 3;
+const MAX_PEERS_TRIED: usize = 3;
 
 /// Row store client of one thread.
 pub struct RelayedRows {
@@ -33,13 +33,13 @@
         }
     }
 
-    fn noted<T>(&self, outcome: Result<T, StoreError>) -> Result<T, StoreError> {
+    fn record_outcome<T>(&self, outcome: Result<T, StoreError>) -> Result<T, StoreError> {
         self.access.health().note(&outcome);
         outcome
     }
 
     /// Forwards the call to a peer; `None` if the store is reachable directly or no peer took the call.
-    async fn by_peer<'a>(
+    async fn forward<'a>(
         &self,
         kind: &CallKind,
         tables: impl IntoIterator<Item = &'a str>,
@@ -47,8 +47,17 @@
         if !self.access.health().is_lost() {
             return None;
         }
-        for peer in self.access.relays_for(tables).into_iter().take(MOST_ASKED) {
-            match self.calls.call(peer.address, kind.clone(), LIMIT).await {
+        for peer in self
+            .access
+            .relays_for(tables)
+            .into_iter()
+            .take(MAX_PEERS_TRIED)
+        {
+            match self
+                .calls
+                .call(peer.address, kind.clone(), FORWARD_TIMEOUT)
+                .await
+            {
                 // The call had no effect there: try the next peer.
                 Err(StoreError::Unavailable { .. }) => {}
                 outcome => return Some(outcome),
@@ -58,7 +67,7 @@
     }
 }
 
-fn unexpected() -> StoreError {
+fn wrong_answer_type() -> StoreError {
     StoreError::Ambiguous {
         reason: "the answer of another node has the wrong type".to_owned(),
     }
@@ -69,11 +78,11 @@
     async fn transact(&self, transaction: &Transaction) -> Result<Committed, StoreError> {
         let call = CallKind::Transact(TransactCall::from(transaction));
         let tables = transaction.puts.iter().map(|(row, _)| row.table);
-        match self.by_peer(&call, tables).await {
+        match self.forward(&call, tables).await {
             Some(Ok(AnswerKind::Committed(committed))) => Ok(committed.into()),
-            Some(Ok(_)) => Err(unexpected()),
+            Some(Ok(_)) => Err(wrong_answer_type()),
             Some(Err(error)) => Err(error),
-            None => self.noted(self.direct.transact(transaction).await),
+            None => self.record_outcome(self.direct.transact(transaction).await),
         }
     }
 
@@ -92,16 +101,16 @@
             to: to.to_owned(),
             limit: u32::try_from(limit).unwrap_or(u32::MAX),
         });
-        match self.by_peer(&call, [table]).await {
+        match self.forward(&call, [table]).await {
             Some(Ok(AnswerKind::Rows(rows))) => Ok(rows.into()),
-            Some(Ok(_)) => Err(unexpected()),
+            Some(Ok(_)) => Err(wrong_answer_type()),
             Some(Err(error)) => Err(error),
-            None => self.noted(self.direct.read(table, part, from, to, limit).await),
+            None => self.record_outcome(self.direct.read(table, part, from, to, limit).await),
         }
     }
 
     async fn parts(&self, table: &'static str) -> Result<Vec<String>, StoreError> {
-        self.noted(self.direct.parts(table).await)
+        self.record_outcome(self.direct.parts(table).await)
     }
 
     async fn feed(
@@ -110,6 +119,6 @@
         after: u64,
         wait_ms: u64,
     ) -> Result<Feed, StoreError> {
-        self.noted(self.direct.feed(table, after, wait_ms).await)
+        self.record_outcome(self.direct.feed(table, after, wait_ms).await)
     }
 }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -10,21 +10,21 @@
 use prost::Message;
 
 use crate::access::{Access, Path};
-use crate::history::{Histories, Told, ToldRows};
+use crate::history::{Histories, TableUpdates, UpdateRows};
 use crate::messages::{
     AnswerKind, CallKind, ChangesCall, ReadCall, RelayAnswer, RelayCall, RowMessage, TableChanges,
-    TransactCall, encoded_answer, encoded_table,
+    TransactCall, encode_changes_answer, encode_table_changes,
 };
 
 /// Upper bound on how long a poll waits for a change.
-const LONGEST_WAIT: Duration = Duration::from_millis(600);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(600);
 
 /// Answers the calls of other nodes, on one thread.
 pub struct RelayService {
     direct: Rc<dyn RowStore>,
     access: Arc<Access>,
     histories: Histories,
-    written: Vec<&'static str>,
+    writable: Vec<&'static str>,
 }
 
 impl RelayService {
@@ -33,13 +33,13 @@
         direct: Rc<dyn RowStore>,
         access: Arc<Access>,
         histories: Histories,
-        written: Vec<&'static str>,
+        writable: Vec<&'static str>,
     ) -> Self {
         Self {
             direct,
             access,
             histories,
-            written,
+            writable,
         }
     }
 
@@ -63,15 +63,17 @@
         if !call.reads_digests {
             return Err(unavailable("this node serves rows in digest form only"));
         }
-        let wait = Duration::from_millis(u64::from(call.wait_ms)).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(u64::from(call.wait_ms)).min(MAX_POLL_WAIT);
         let until = Instant::now() + wait;
         let mut changed = self.histories.watch();
         loop {
             changed.borrow_and_update();
             let is_over = Instant::now() >= until;
-            match self.told(&call)? {
-                Some(told) if is_over || told.iter().any(|(_, told)| told.is_news()) => {
-                    return Ok(answer(told));
+            match self.updates(&call)? {
+                Some(updates)
+                    if is_over || updates.iter().any(|(_, updates)| updates.has_news()) =>
+                {
+                    return Ok(answer(updates));
                 }
                 // An empty answer tells the caller to poll again.
                 None if is_over => return Ok(answer(Vec::new())),
@@ -84,30 +86,33 @@
 
     /// Updates of the tables that a call names, or `None` while this node is starting and has not loaded them all. A failure
     /// would make every node of a starting fleet fall back to the store.
-    fn told(&self, call: &ChangesCall) -> Result<Option<Vec<(String, Told)>>, StoreError> {
-        let begins = self.access.is_starting();
+    fn updates(
+        &self,
+        call: &ChangesCall,
+    ) -> Result<Option<Vec<(String, TableUpdates)>>, StoreError> {
+        let starting = self.access.is_starting();
         // A delegate may serve copies: each update carries the time since the store sent the data.
-        let follows = self.access.path() == Path::Direct || self.access.serves_others();
-        if !follows && !begins {
+        let serves = self.access.path() == Path::Direct || self.access.serves_others();
+        if !serves && !starting {
             return Err(unavailable("this node does not serve tables to others"));
         }
         let mut tables = Vec::with_capacity(call.tables.len());
         for position in &call.tables {
             let history = self.histories.get(&position.table);
             let history = history.ok_or_else(|| invalid("table is not replicated"))?;
-            let Some(told) = history.told(position.revision) else {
-                return match begins {
+            let Some(updates) = history.updates(position.revision) else {
+                return match starting {
                     true => Ok(None),
                     false => Err(unavailable("the table is not loaded yet")),
                 };
             };
-            tables.push((position.table.clone(), told));
+            tables.push((position.table.clone(), updates));
         }
         Ok(Some(tables))
     }
 
     async fn transact(&self, call: TransactCall) -> Result<AnswerKind, StoreError> {
-        self.expect_contact()?;
+        self.ensure_store_reachable()?;
         let transaction = call
             .transaction(|table| self.table(table))
             .map_err(|reason| invalid(&reason))?;
@@ -117,7 +122,7 @@
     }
 
     async fn read(&self, call: ReadCall) -> Result<AnswerKind, StoreError> {
-        self.expect_contact()?;
+        self.ensure_store_reachable()?;
         let table = self.table(&call.table);
         let table = table.ok_or_else(|| invalid("table is not open to nodes"))?;
         let limit = call.limit as usize;
@@ -130,7 +135,7 @@
     }
 
     /// Refuses a forwarded call when this node cannot reach the store, so that no call is forwarded twice.
-    fn expect_contact(&self) -> Result<(), StoreError> {
+    fn ensure_store_reachable(&self) -> Result<(), StoreError> {
         match self.access.health().is_lost() {
             true => Err(unavailable("the store does not answer this node either")),
             false => Ok(()),
@@ -138,26 +143,28 @@
     }
 
     fn table(&self, name: &str) -> Option<&'static str> {
-        self.written.iter().find(|table| **table == name).copied()
+        self.writable.iter().find(|table| **table == name).copied()
     }
 }
 
-fn answer(tables: Vec<(String, Told)>) -> Bytes {
-    let tables = tables.into_iter().map(|(table, told)| encoded(table, told));
-    encoded_answer(tables.collect())
+fn answer(tables: Vec<(String, TableUpdates)>) -> Bytes {
+    let tables = tables
+        .into_iter()
+        .map(|(table, updates)| encode_updates(table, updates));
+    encode_changes_answer(tables.collect())
 }
 
-fn encoded(table: String, told: Told) -> Bytes {
+fn encode_updates(table: String, updates: TableUpdates) -> Bytes {
     let mut rest = TableChanges {
         table,
-        revision: told.contact.revision,
-        now_ms: told.contact.now_ms,
-        age_ms: u32::try_from(told.contact.age.as_millis()).unwrap_or(u32::MAX),
+        revision: updates.contact.revision,
+        now_ms: updates.contact.now_ms,
+        age_ms: u32::try_from(updates.contact.age.as_millis()).unwrap_or(u32::MAX),
         ..TableChanges::default()
     };
-    match told.rows {
-        ToldRows::Whole(rows) => encoded_table(&rows, &rest),
-        ToldRows::Changes(rows) => {
+    match updates.rows {
+        UpdateRows::Snapshot(rows) => encode_table_changes(&rows, &rest),
+        UpdateRows::Changes(rows) => {
             rest.rows = rows.into_iter().map(RowMessage::from).collect();
             Bytes::from(rest.encode_to_vec())
         }
--- a/crates/relay/tests/evacuations.rs
+++ b/crates/relay/tests/evacuations.rs
@@ -15,7 +15,7 @@
 use dappleyard_platform::PlatformDialect;
 use dappleyard_relay::{Access, Histories, Path, Replica};
 use googletest::prelude::*;
-use support::{cut_off, until};
+use support::{cut_off, wait_until};
 
 const TABLE: &str = "op";
 
@@ -32,7 +32,7 @@
     TestNode::start(name, rows, sink(name))
 }
 
-fn known(view: &View) -> Vec<String> {
+fn evacuated_zones(view: &View) -> Vec<String> {
     let held = view.evacuations().into_iter();
     let zones: BTreeSet<String> = held.map(|held| held.zone.to_string()).collect();
     zones.into_iter().collect()
@@ -40,97 +40,97 @@
 
 impl TestNode {
     fn knows(&self, zones: &[&str]) -> bool {
-        known(&self.sink.view) == zones
+        evacuated_zones(&self.sink.view) == zones
     }
 }
 
-fn give(rows: &EmulatedRows, zone: &str) {
+fn issue_order(rows: &EmulatedRows, zone: &str) {
     rows.write(TABLE, "", &format!("evacuate/{zone}"), "{}");
 }
 
-fn withdraw(rows: &EmulatedRows, zone: &str) {
+fn withdraw_order(rows: &EmulatedRows, zone: &str) {
     rows.remove(TABLE, "", &format!("evacuate/{zone}"));
 }
 
 async fn pair() -> (EmulatedRows, TestNode, TestNode) {
     let rows = EmulatedRows::default();
-    give(&rows, "first");
+    issue_order(&rows, "first");
     let (a, b) = (start("a", &rows), start("b", &rows));
-    a.meet(&b);
-    b.meet(&a);
-    until("both know", || a.knows(&["first"]) && b.knows(&["first"])).await;
+    a.add_peer(&b);
+    b.add_peer(&a);
+    wait_until("both know", || a.knows(&["first"]) && b.knows(&["first"])).await;
     (rows, a, b)
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn at_the_store() {
+async fn orders_from_store() {
     let (rows, a, b) = pair().await;
     expect_that!(a.access.path(), eq(Path::Direct));
-    give(&rows, "second");
-    withdraw(&rows, "first");
-    until("both know", || a.knows(&["second"]) && b.knows(&["second"])).await;
+    issue_order(&rows, "second");
+    withdraw_order(&rows, "first");
+    wait_until("both know", || a.knows(&["second"]) && b.knows(&["second"])).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn by_another_node() {
+async fn orders_through_peer() {
     let (rows, a, _b) = pair().await;
     cut_off(&a).await;
-    give(&rows, "second");
-    until("the order passes", || a.knows(&["first", "second"])).await;
-    withdraw(&rows, "first");
-    until("the withdrawal passes", || a.knows(&["second"])).await;
+    issue_order(&rows, "second");
+    wait_until("the order passes", || a.knows(&["first", "second"])).await;
+    withdraw_order(&rows, "first");
+    wait_until("the withdrawal passes", || a.knows(&["second"])).await;
     expect_that!(a.sink.view.restored_at("first"), some(anything()));
     // The age of the copy is passed on with it.
     expect_that!(a.sink.view.configuration_age(), some(anything()));
     expect_that!(a.access.path(), eq(Path::ByPeer));
     a.cut.set(false);
-    until("the store answers", || a.access.path() == Path::Direct).await;
-    withdraw(&rows, "second");
-    until("the withdrawal comes", || a.knows(&[])).await;
+    wait_until("the store answers", || a.access.path() == Path::Direct).await;
+    withdraw_order(&rows, "second");
+    wait_until("the withdrawal comes", || a.knows(&[])).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn history_forgotten() {
+async fn compacted_history() {
     let (rows, a, b) = pair().await;
     cut_off(&a).await;
     b.cut.set(true);
-    until("both are lost", || b.access.health().is_lost()).await;
-    withdraw(&rows, "first");
-    give(&rows, "second");
+    wait_until("both are lost", || b.access.health().is_lost()).await;
+    withdraw_order(&rows, "first");
+    issue_order(&rows, "second");
     rows.forget_history();
     // The last known orders stay in force.
     expect_that!(a.knows(&["first"]), eq(true));
     b.cut.set(false);
-    until("the read is passed on", || a.knows(&["second"])).await;
+    wait_until("the read is passed on", || a.knows(&["second"])).await;
     expect_that!(b.knows(&["second"]), eq(true));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn started_in_an_outage() {
+async fn startup_during_outage() {
     let (rows, a, _b) = pair().await;
-    withdraw(&rows, "first");
-    give(&rows, "second");
-    until("it knows", || a.knows(&["second"])).await;
+    withdraw_order(&rows, "first");
+    issue_order(&rows, "second");
+    wait_until("it knows", || a.knows(&["second"])).await;
     rows.set_down(true);
-    until("the store is lost", || a.access.health().is_lost()).await;
+    wait_until("the store is lost", || a.access.health().is_lost()).await;
     let late = start("late", &rows);
     let heartbeat = Heartbeat {
         name: "a".to_owned(),
         life: 1,
         ..Heartbeat::default()
     };
-    until("it knows the copy", || {
+    wait_until("it knows the copy", || {
         late.peers.meet(&heartbeat, a.address);
         late.knows(&["second"])
     })
     .await;
     rows.set_down(false);
-    withdraw(&rows, "second");
-    until("the store is followed", || late.knows(&[])).await;
+    withdraw_order(&rows, "second");
+    wait_until("the store is followed", || late.knows(&[])).await;
 }
 
 fn replica(name: &str) -> (Arc<View>, Histories, Replica) {
@@ -163,7 +163,7 @@
 }
 
 #[gtest]
-fn copies_hold_orders() {
+fn copies_keep_orders() {
     let (_, histories, replica) = replica("a");
     replica.replace(vec![order("north", true, 3), order("south", true, 4)], 5);
     replica.contact(&contact(5));
@@ -172,15 +172,15 @@
     replica.change(order("north", true, 7));
     replica.contact(&contact(7));
     let history = histories.get(TABLE).expect("a history");
-    let told = history.told(Some(5)).expect("changes");
+    let updates = history.updates(Some(5)).expect("changes");
     let expected = [order("south", false, 6), order("north", true, 7)];
-    expect_that!(told.rows(), eq(&expected.to_vec()));
-    let whole = history.told(None).expect("the table");
+    expect_that!(updates.rows(), eq(&expected.to_vec()));
+    let whole = history.updates(None).expect("the table");
     expect_that!(whole.rows(), eq(&vec![order("north", true, 7)]));
 }
 
 #[gtest]
-fn late_copies() {
+fn stale_copies_are_ignored() {
     let (view, _, replica) = replica("a");
     replica.replace(vec![order("north", true, 3)], 5);
     replica.contact(&contact(5));
@@ -189,5 +189,5 @@
     // An older snapshot and an older row.
     replica.replace(vec![order("north", true, 3)], 6);
     replica.change(order("north", true, 7));
-    expect_that!(known(&view), is_empty());
+    expect_that!(evacuated_zones(&view), is_empty());
 }
--- a/crates/relay/tests/history.rs
+++ b/crates/relay/tests/history.rs
@@ -73,22 +73,22 @@
 }
 
 fn keys(histories: &Histories, after: Option<u64>) -> (bool, Vec<String>) {
-    let told = histories.get(TABLE).expect("a history").told(after);
-    let told = told.expect("a known table");
-    let keys = told.rows().into_iter();
-    (told.is_whole(), keys.map(|row| row.key).collect())
+    let updates = histories.get(TABLE).expect("a history").updates(after);
+    let updates = updates.expect("a known table");
+    let keys = updates.rows().into_iter();
+    (updates.is_snapshot(), keys.map(|row| row.key).collect())
 }
 
 #[gtest]
-fn nothing_before_whole() {
+fn no_updates_before_load() {
     let (_, histories, replica) = replica();
     replica.change(row("a", Some("1"), 3));
-    expect_that!(histories.get(TABLE).unwrap().told(None), none());
+    expect_that!(histories.get(TABLE).unwrap().updates(None), none());
     expect_that!(replica.held(), none());
 }
 
 #[gtest]
-fn only_what_matters() {
+fn rows_with_equal_essence_are_not_sent() {
     let (sink, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1x"), 2), row("b", Some("1x"), 3)], 5);
     replica.contact(&contact(5));
@@ -103,23 +103,23 @@
     expect_that!(keys(&histories, Some(7)), eq(&(false, vec![])));
     expect_that!(*sink.changes.borrow(), elements_are![eq("b")]);
     // The snapshot is encoded after the change that had no effect, and holds its revision.
-    let whole = histories.get(TABLE).unwrap().told(None).unwrap();
+    let whole = histories.get(TABLE).unwrap().updates(None).unwrap();
     expect_that!(whole.rows()[0].revision, eq(6));
 }
 
 #[gtest]
-fn gone_rows() {
+fn removed_rows() {
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
     replica.change(row("a", None, 6));
     replica.contact(&contact(6));
-    let told = histories.get(TABLE).unwrap().told(Some(5)).unwrap();
-    expect_that!(told.rows(), elements_are![eq(&row("a", None, 6))]);
+    let updates = histories.get(TABLE).unwrap().updates(Some(5)).unwrap();
+    expect_that!(updates.rows(), elements_are![eq(&row("a", None, 6))]);
 }
 
 #[gtest]
-fn far_behind() {
+fn snapshot_for_caller_far_behind() {
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
@@ -138,7 +138,7 @@
 }
 
 #[gtest]
-fn caller_ahead() {
+fn no_rows_for_caller_ahead() {
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn whole_again() {
+fn reload_sends_differences() {
     let (sink, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2), row("b", Some("1"), 3)], 5);
     replica.contact(&contact(5));
--- a/crates/relay/tests/paths.rs
+++ b/crates/relay/tests/paths.rs
@@ -1,11 +1,11 @@
 //! Choice of the path to the store, of delegates and of copies.
 
 use dappleyard_cluster::{Candidate, delegates};
-use dappleyard_relay::{Path, Situation, Verdict, decide, judge};
+use dappleyard_relay::{CopyVerdict, Path, PathInputs, choose_path, judge_copy};
 use googletest::prelude::*;
 use std::time::Duration;
 
-const SMALL: Situation = Situation {
+const SMALL: PathInputs = PathInputs {
     large: false,
     reader: false,
     lost: false,
@@ -15,48 +15,51 @@
 
 #[gtest]
 fn small_fleet() {
-    expect_that!(decide(&SMALL), eq(Path::Direct));
-    let lost = Situation {
+    expect_that!(choose_path(&SMALL), eq(Path::Direct));
+    let lost = PathInputs {
         lost: true,
         ..SMALL
     };
-    expect_that!(decide(&lost), eq(Path::ByPeer));
-    expect_that!(decide(&Situation { peers: 0, ..lost }), eq(Path::Direct));
-    let failed = Situation {
+    expect_that!(choose_path(&lost), eq(Path::ByPeer));
+    expect_that!(
+        choose_path(&PathInputs { peers: 0, ..lost }),
+        eq(Path::Direct)
+    );
+    let failed = PathInputs {
         peers_failed: true,
         ..lost
     };
-    expect_that!(decide(&failed), eq(Path::Direct));
+    expect_that!(choose_path(&failed), eq(Path::Direct));
 }
 
 #[gtest]
 fn large_fleet() {
-    let large = Situation {
+    let large = PathInputs {
         large: true,
         ..SMALL
     };
-    expect_that!(decide(&large), eq(Path::ByPeer));
-    let reader = Situation {
+    expect_that!(choose_path(&large), eq(Path::ByPeer));
+    let reader = PathInputs {
         reader: true,
         ..large
     };
-    expect_that!(decide(&reader), eq(Path::Direct));
+    expect_that!(choose_path(&reader), eq(Path::Direct));
     expect_that!(
-        decide(&Situation {
+        choose_path(&PathInputs {
             lost: true,
             ..reader
         }),
         eq(Path::ByPeer)
     );
-    let failed = Situation {
+    let failed = PathInputs {
         peers_failed: true,
         ..large
     };
-    expect_that!(decide(&failed), eq(Path::Direct));
+    expect_that!(choose_path(&failed), eq(Path::Direct));
 }
 
 #[gtest]
-fn same_delegates() {
+fn delegates_do_not_depend_on_order() {
     let names: Vec<String> = (0..50).map(|number| format!("node-{number}")).collect();
     let weak = |name: &'static str| Candidate {
         name,
@@ -74,7 +77,7 @@
 }
 
 #[gtest]
-fn strong_delegates() {
+fn strong_machines_are_preferred() {
     let candidates = |strong: &[&str]| -> Vec<Candidate<'static>> {
         let of = |name| Candidate {
             name,
@@ -91,28 +94,31 @@
 }
 
 #[gtest]
-fn reader_behind() {
+fn copy_verdicts() {
     let ms = Duration::from_millis;
     let oldest = ms(1_000);
     // Without an own copy, or at its revision, the source is accepted.
-    expect_that!(judge(9, ms(300), None, oldest), eq(Verdict::Take));
     expect_that!(
-        judge(9, ms(300), Some((9, ms(20))), oldest),
-        eq(Verdict::Take)
+        judge_copy(9, ms(300), None, oldest),
+        eq(CopyVerdict::Accept)
+    );
+    expect_that!(
+        judge_copy(9, ms(300), Some((9, ms(20))), oldest),
+        eq(CopyVerdict::Accept)
     );
     // A source that is slightly behind is polled again.
     expect_that!(
-        judge(8, ms(300), Some((9, ms(20))), oldest),
-        eq(Verdict::Wait)
+        judge_copy(8, ms(300), Some((9, ms(20))), oldest),
+        eq(CopyVerdict::Wait)
     );
     // A source that stays behind or has old data is rejected.
-    let unfit = |verdict| matches!(verdict, Verdict::Unfit(_));
+    let is_rejected = |verdict| matches!(verdict, CopyVerdict::Reject(_));
     expect_that!(
-        unfit(judge(8, ms(300), Some((9, ms(1_100))), oldest)),
+        is_rejected(judge_copy(8, ms(300), Some((9, ms(1_100))), oldest)),
         eq(true)
     );
     expect_that!(
-        unfit(judge(9, ms(1_100), Some((9, ms(20))), oldest)),
+        is_rejected(judge_copy(9, ms(1_100), Some((9, ms(20))), oldest)),
         eq(true)
     );
 }
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -12,7 +12,7 @@
 use dappleyard_model::{Committed, Row, RowKey, RowStore, StoreError, Transaction};
 use dappleyard_relay::Path;
 use googletest::prelude::*;
-use support::{cut_off, until};
+use support::{cut_off, wait_until};
 
 const TABLE: &str = "things";
 
@@ -22,8 +22,8 @@
 struct Sink {
     rows: RefCell<BTreeMap<String, u64>>,
     newest: Cell<u64>,
-    went_back: Cell<bool>,
-    oldest: Cell<Duration>,
+    revision_decreased: Cell<bool>,
+    max_age: Cell<Duration>,
 }
 
 impl TableSink for Sink {
@@ -48,10 +48,11 @@
     }
 
     fn contact(&self, contact: &Contact) {
-        let back = contact.revision < self.newest.get();
-        self.went_back.set(self.went_back.get() || back);
+        let decreased = contact.revision < self.newest.get();
+        self.revision_decreased
+            .set(self.revision_decreased.get() || decreased);
         self.newest.set(contact.revision);
-        self.oldest.set(self.oldest.get().max(contact.age));
+        self.max_age.set(self.max_age.get().max(contact.age));
     }
 }
 
@@ -77,9 +78,9 @@
     let rows = EmulatedRows::default();
     rows.write(TABLE, "", "first", "1");
     let (a, b) = (start("a", &rows), start("b", &rows));
-    a.meet(&b);
-    b.meet(&a);
-    until("both know the table", || {
+    a.add_peer(&b);
+    b.add_peer(&a);
+    wait_until("both know the table", || {
         a.holds("first") && b.holds("first")
     })
     .await;
@@ -88,7 +89,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn calls_passed_on() {
+async fn calls_forwarded() {
     let (rows, a, _b) = pair().await;
     cut_off(&a).await;
     expect_that!(a.write("second").await, ok(anything()));
@@ -116,30 +117,30 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn tables_mirrored() {
+async fn tables_copied() {
     let (rows, a, b) = pair().await;
     cut_off(&a).await;
     rows.write(TABLE, "", "second", "2");
     rows.remove(TABLE, "", "first");
-    until("the change passes", || {
+    wait_until("the change passes", || {
         a.holds("second") && !a.holds("first")
     })
     .await;
     // After the link is restored, changes still arrive and no revision goes back.
     a.cut.set(false);
-    until("the store answers", || a.access.path() == Path::Direct).await;
+    wait_until("the store answers", || a.access.path() == Path::Direct).await;
     rows.write(TABLE, "", "third", "3");
-    until("the change comes", || a.holds("third") && b.holds("third")).await;
-    expect_that!(a.sink.went_back.get(), eq(false));
+    wait_until("the change comes", || a.holds("third") && b.holds("third")).await;
+    expect_that!(a.sink.revision_decreased.get(), eq(false));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn nobody_reaches_it() {
+async fn store_unreachable_from_all_nodes() {
     let (_rows, a, b) = pair().await;
     a.cut.set(true);
     b.cut.set(true);
-    until("lost", || {
+    wait_until("lost", || {
         a.access.health().is_lost() && b.access.health().is_lost()
     })
     .await;
@@ -149,14 +150,14 @@
         err(matches_pattern!(StoreError::Unavailable { .. }))
     );
     b.cut.set(false);
-    until("one is answered", || !b.access.health().is_lost()).await;
-    until("the other's calls pass", || !b.cut.get()).await;
+    wait_until("one is answered", || !b.access.health().is_lost()).await;
+    wait_until("the other's calls pass", || !b.cut.get()).await;
     expect_that!(a.write("second").await, ok(anything()));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn foreign_bytes() {
+async fn malformed_calls() {
     let (_rows, _a, b) = pair().await;
     for call in ["", "GET / HTTP/1.1", "\u{1}\u{2}\u{3}"] {
         // Malformed calls get an encoded failure.
@@ -167,10 +168,10 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn started_in_an_outage() {
+async fn startup_during_outage() {
     let (rows, a, _b) = pair().await;
     rows.set_down(true);
-    until("the store is lost", || a.access.health().is_lost()).await;
+    wait_until("the store is lost", || a.access.health().is_lost()).await;
     // Peers cannot forward calls but can serve their copies.
     let late = start("late", &rows);
     let heartbeat = Heartbeat {
@@ -178,7 +179,7 @@
         life: 1,
         ..Heartbeat::default()
     };
-    until("the table is known", || {
+    wait_until("the table is known", || {
         late.peers.meet(&heartbeat, a.address);
         late.holds("first")
     })
@@ -186,17 +187,17 @@
     expect_that!(late.access.is_starting(), eq(false));
     rows.set_down(false);
     rows.write(TABLE, "", "second", "2");
-    until("the store is followed", || late.holds("second")).await;
-    expect_that!(late.sink.went_back.get(), eq(false));
+    wait_until("the store is followed", || late.holds("second")).await;
+    expect_that!(late.sink.revision_decreased.get(), eq(false));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn quiet_tables() {
+async fn idle_tables() {
     let (_rows, a, _b) = pair().await;
     cut_off(&a).await;
     // The peer waits for a change of an idle table, so its copy ages; it is still accepted while the store is unreachable.
     let old = Duration::from_millis(1_200);
-    until("an old copy is taken", || a.sink.oldest.get() > old).await;
+    wait_until("an old copy is taken", || a.sink.max_age.get() > old).await;
     expect_that!(a.access.path(), eq(Path::ByPeer));
 }
--- a/crates/relay/tests/begin.rs
+++ b/crates/relay/tests/startup.rs
@@ -13,7 +13,7 @@
 use dappleyard_relay::Path;
 use googletest::prelude::*;
 use prost::Message;
-use support::until;
+use support::wait_until;
 
 const TABLE: &str = "things";
 /// More than one page.
@@ -77,12 +77,12 @@
 async fn reader(rows: &EmulatedRows) -> TestNode {
     let reader = TestNode::start("reader", rows, Keys::default());
     register(rows, &reader);
-    let read = rows_of_nodes(rows).await;
+    let read = node_rows(rows).await;
     read.into_iter().for_each(|row| reader.peers.change(row));
     reader
 }
 
-async fn rows_of_nodes(rows: &EmulatedRows) -> Vec<Row> {
+async fn node_rows(rows: &EmulatedRows) -> Vec<Row> {
     use dappleyard_model::RowStore;
     let read = rows.read(NODES_TABLE, "north", "", "", 500).await;
     let rows = read.expect("the nodes' rows").rows.into_iter();
@@ -95,54 +95,54 @@
 }
 
 #[actix_rt::test]
-async fn tables_by_a_reader() {
+async fn tables_copied_from_reader() {
     let rows = EmulatedRows::default();
     fill(&rows);
     let reader = reader(&rows).await;
-    until("the reader knows the table", || {
+    wait_until("the reader knows the table", || {
         reader.sink.0.borrow().len() == ROWS
     })
     .await;
-    let node = TestNode::begin("weak-3", &rows, Keys::default());
-    until("the node knows the table", || {
+    let node = TestNode::start_undecided("weak-3", &rows, Keys::default());
+    wait_until("the node knows the table", || {
         node.sink.0.borrow().len() == ROWS
     })
     .await;
     assert_that!(node.access.path(), eq(Path::ByPeer));
     // Only the node table was read from the store.
-    assert_that!(*node.asked.borrow(), elements_are![eq(&NODES_TABLE)]);
+    assert_that!(*node.read_tables.borrow(), elements_are![eq(&NODES_TABLE)]);
 }
 
 #[actix_rt::test]
-async fn reader_that_begins() {
+async fn reader_still_loading() {
     let rows = EmulatedRows::default();
     fill(&rows);
     // The reader is polled before it has loaded the table, as when a whole fleet starts.
     let reader = reader(&rows).await;
     reader.cut.set(true);
-    let node = TestNode::begin("weak-3", &rows, Keys::default());
+    let node = TestNode::start_undecided("weak-3", &rows, Keys::default());
     tokio::time::sleep(Duration::from_millis(250)).await;
     reader.cut.set(false);
-    until("the node knows the table", || {
+    wait_until("the node knows the table", || {
         node.sink.0.borrow().len() == ROWS
     })
     .await;
-    assert_that!(*node.asked.borrow(), elements_are![eq(&NODES_TABLE)]);
+    assert_that!(*node.read_tables.borrow(), elements_are![eq(&NODES_TABLE)]);
 }
 
 #[actix_rt::test]
-async fn begins_without_the_store() {
+async fn startup_without_store() {
     let rows = EmulatedRows::default();
     fill(&rows);
     let other = TestNode::start("other", &rows, Keys::default());
-    until("the other knows the table", || {
+    wait_until("the other knows the table", || {
         other.sink.0.borrow().len() == ROWS
     })
     .await;
     let node = TestNode::start_cut_off("alone", &rows, Keys::default());
-    node.meet(&other);
+    node.add_peer(&other);
     let began = Instant::now();
-    until("the node knows the table", || {
+    wait_until("the node knows the table", || {
         node.sink.0.borrow().len() == ROWS
     })
     .await;
@@ -154,8 +154,8 @@
 async fn small_fleet() {
     let rows = EmulatedRows::default();
     fill(&rows);
-    let node = TestNode::begin("alone", &rows, Keys::default());
-    until("the node knows the table", || {
+    let node = TestNode::start_undecided("alone", &rows, Keys::default());
+    wait_until("the node knows the table", || {
         node.sink.0.borrow().len() == ROWS
     })
     .await;
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -25,7 +25,7 @@
     rows: EmulatedRows,
     cut: Rc<Cell<bool>>,
     /// Tables that were read or followed.
-    asked: Rc<RefCell<Vec<&'static str>>>,
+    read_tables: Rc<RefCell<Vec<&'static str>>>,
 }
 
 impl Link {
@@ -57,7 +57,7 @@
         to: &str,
         limit: usize,
     ) -> std::result::Result<Rows, StoreError> {
-        self.asked.borrow_mut().push(table);
+        self.read_tables.borrow_mut().push(table);
         self.check()?;
         self.rows.read(table, part, from, to, limit).await
     }
@@ -73,7 +73,7 @@
         after: u64,
         wait_ms: u64,
     ) -> std::result::Result<Feed, StoreError> {
-        self.asked.borrow_mut().push(table);
+        self.read_tables.borrow_mut().push(table);
         self.check()?;
         self.rows.feed(table, after, wait_ms).await
     }
@@ -85,7 +85,7 @@
     pub address: SocketAddr,
     pub cut: Rc<Cell<bool>>,
     /// Tables that the node read or followed at the store.
-    pub asked: Rc<RefCell<Vec<&'static str>>>,
+    pub read_tables: Rc<RefCell<Vec<&'static str>>>,
     pub peers: Arc<PeerTable>,
     pub access: Arc<Access>,
     pub store: Rc<RelayedRows>,
@@ -100,7 +100,7 @@
     }
 
     /// Starts a node that discovers its peers before it follows any table.
-    pub fn begin(name: &'static str, rows: &EmulatedRows, sink: S) -> Self {
+    pub fn start_undecided(name: &'static str, rows: &EmulatedRows, sink: S) -> Self {
         let node = Self::start_as(name, rows, sink, Access::undecided);
         node.survey();
         node
@@ -132,12 +132,12 @@
         let health = Arc::new(StoreHealth::default());
         let access = Access::new(name, "north", health, peers.clone(), log.clone());
         let access = Arc::new(change(access));
-        let asked = Rc::new(RefCell::new(Vec::new()));
+        let read_tables = Rc::new(RefCell::new(Vec::new()));
         let cut = Rc::new(Cell::new(false));
         let link: Rc<dyn RowStore> = Rc::new(Link {
             rows: rows.clone(),
             cut: cut.clone(),
-            asked: asked.clone(),
+            read_tables: read_tables.clone(),
         });
         let table = sink.table();
         let histories = Histories::new(&[table]);
@@ -161,7 +161,7 @@
             name,
             address: serve(service.clone()),
             cut,
-            asked,
+            read_tables,
             peers,
             access,
             store,
@@ -171,7 +171,7 @@
     }
 
     /// Feeds this node the row and the heartbeats of another node.
-    pub fn meet(&self, other: &TestNode<S>) {
+    pub fn add_peer(&self, other: &TestNode<S>) {
         let row = NodeRow {
             life: 1,
             front: other.address.to_string(),
@@ -237,7 +237,7 @@
 }
 
 /// Polls a condition for 10 s, then panics.
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     for _ in 0..2_000 {
         if holds() {
             return;
@@ -250,9 +250,9 @@
 /// Cuts a node off the store and waits until it follows tables through a peer.
 pub async fn cut_off<S>(node: &TestNode<S>) {
     node.cut.set(true);
-    until("the store counts as lost", || {
+    wait_until("the store counts as lost", || {
         node.access.health().is_lost()
     })
     .await;
-    until("tables come by peer", || node.access.path() == Path::ByPeer).await;
+    wait_until("tables come by peer", || node.access.path() == Path::ByPeer).await;
 }
--- a/crates/relay/tests/zones.rs
+++ b/crates/relay/tests/zones.rs
@@ -12,7 +12,7 @@
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
 /// Nodes in each zone.
-const IN_ZONE: usize = 3;
+const NODES_PER_ZONE: usize = 3;
 
 fn name(zone: &str, number: usize) -> String {
     format!("{zone}-{number}")
@@ -32,7 +32,7 @@
         let own = name("north", 0);
         let peers = Arc::new(PeerTable::new(&own, "north", log.clone()));
         for zone in ZONES {
-            (0..IN_ZONE).for_each(|number| peers.change(row(zone, number)));
+            (0..NODES_PER_ZONE).for_each(|number| peers.change(row(zone, number)));
         }
         let health = Arc::new(StoreHealth::default());
         let access = Access::new(&own, "north", health.clone(), peers.clone(), log);
@@ -45,7 +45,7 @@
     }
 
     /// Advances time by `ms` with heartbeats from the zones in `heard`; the store answers the zones in `answered`.
-    async fn run(&mut self, ms: u64, heard: &[&str], answered: &[&str]) {
+    async fn advance(&mut self, ms: u64, heard: &[&str], answered: &[&str]) {
         for _ in 0..ms / 100 {
             self.sequence += 1;
             let own = match answered.contains(&"north") {
@@ -56,14 +56,15 @@
             };
             self.health.note(&own);
             for zone in heard {
-                (0..IN_ZONE).for_each(|number| self.beat(zone, number, answered.contains(zone)));
+                (0..NODES_PER_ZONE)
+                    .for_each(|number| self.send_heartbeat(zone, number, answered.contains(zone)));
             }
-            self.access.look();
+            self.access.refresh();
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    fn beat(&self, zone: &str, number: usize, answered: bool) {
+    fn send_heartbeat(&self, zone: &str, number: usize, answered: bool) {
         self.peers.heard(&Heartbeat {
             name: name(zone, number),
             life: 1,
@@ -99,10 +100,10 @@
 #[tokio::test(start_paused = true)]
 async fn lost_zone() {
     let mut node = Node::new();
-    node.run(2_000, &ZONES, &ZONES).await;
+    node.advance(2_000, &ZONES, &ZONES).await;
     assert_that!(node.relays().len(), eq(8));
     // Calls are not forwarded to a zone that is down.
-    node.run(1_800, &["north", "west"], &["north", "west"])
+    node.advance(1_800, &["north", "west"], &["north", "west"])
         .await;
     assert_that!(node.relays(), not(contains(eq("south"))));
     assert_that!(node.relays().len(), eq(5));
@@ -110,23 +111,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn cut_zone() {
+async fn isolated_zone() {
     let mut node = Node::new();
-    node.run(2_000, &ZONES, &ZONES).await;
+    node.advance(2_000, &ZONES, &ZONES).await;
     // The zone is isolated. Its nodes forward calls to each other for two seconds, then each calls the store directly, so
     // that it sees the recovery at once.
-    node.run(400, &["north"], &[]).await;
+    node.advance(400, &["north"], &[]).await;
     assert_that!(
         node.relays().iter().filter(|zone| *zone == "north").count(),
         eq(2)
     );
-    node.run(2_400, &["north"], &[]).await;
+    node.advance(2_400, &["north"], &[]).await;
     assert_that!(node.relays().is_empty(), eq(true));
     // The store answers one node of the zone again, which becomes a relay.
     node.sequence += 1;
-    node.beat("north", 1, true);
+    node.send_heartbeat("north", 1, true);
     assert_that!(node.relays(), eq(&["north"]));
-    node.run(200, &ZONES, &ZONES).await;
+    node.advance(200, &ZONES, &ZONES).await;
     assert_that!(node.access.path(), eq(Path::Direct));
     assert_that!(node.relays().len(), eq(8));
 }
