--- a/crates/model/src/dialect.rs
+++ b/crates/model/src/dialect.rs
@@ -1,4 +1,4 @@
-//! Port of the formats spoken with callers, servers and operators.
+//! Trait for the formats of requests, server answers and configuration.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -6,146 +6,145 @@
 
 use crate::{AnswerFacts, Configuration, ItemSubmission, RequestFacts, ServerRecord, ZoneName};
 
-/// What a call to the node's own interface asks for.
+/// Endpoint addressed by a request to the node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Endpoint {
-    /// Whether the node takes requests.
+    /// Readiness check.
     Ready,
-    /// Where callers should go.
+    /// Addresses that callers should use.
     Resolve,
     /// Results of a job.
     JobResults {
-        /// Job.
+        /// Identifier of the job.
         job: String,
-        /// First position wanted.
+        /// First position to return.
         from: u64,
     },
-    /// Body of an item that is not yet listed.
+    /// Upload of the body of a job item.
     JobItem {
-        /// Job.
+        /// Identifier of the job.
         job: String,
-        /// Item.
+        /// Identifier of the item.
         item: String,
     },
     /// End of a job.
     JobEnd {
-        /// Job.
+        /// Identifier of the job.
         job: String,
     },
-    /// A request for a route.
+    /// Request that is matched against the routes.
     Routed,
 }
 
-/// What a row of the operators asks for.
+/// Meaning of a row in the operators' table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorOrder {
     /// The configuration.
     Configuration,
-    /// As long as the row stands, the servers of a zone get no new work.
+    /// While the row exists, the servers of the zone get no new work.
     Evacuation(ZoneName),
 }
 
-/// Where service discovery keeps its rows.
+/// Tables used by service discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServersSource {
-    /// Table of the operators' configuration.
+    /// Configuration and operator orders.
     pub configuration_table: &'static str,
-    /// Table of the servers.
+    /// Server entries.
     pub servers_table: &'static str,
 }
 
-/// What a server is told of the tenant of a request.
+/// Tenant information in the headers sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TenantStamp<'a> {
-    /// The configuration knows no tenants: what the caller sent is passed on.
+    /// No tenants are configured: the caller's headers are forwarded unchanged.
     Untouched,
-    /// The request belongs to no tenant. Neither a key nor a tenant of the caller's is passed on.
+    /// The request has no tenant; key and tenant headers of the caller are removed.
     Nobody,
-    /// The tenant, whatever the caller named. The key is not passed on.
+    /// Name of the tenant, which replaces the one sent by the caller; the key is removed.
     Tenant(&'a str),
 }
 
-/// What the system itself says to a server beside the caller's own headers.
+/// Values of the headers that the system adds to a request for a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerStamp<'a> {
-    /// Time that is left.
+    /// Time left until the deadline.
     pub remaining_ms: Option<u64>,
-    /// Server that is meant.
+    /// Server instance that the request is meant for.
     pub expect_instance: &'a str,
-    /// Event after which the server should go on.
+    /// Event after which the server should resume the stream.
     pub last_event_id: Option<u64>,
-    /// Whose request it is.
+    /// Tenant of the request.
     pub tenant: TenantStamp<'a>,
 }
 
-/// A message that is not in the format.
+/// A message could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{place}: {reason}")]
 pub struct FormatError {
-    /// Field or line.
+    /// Field or line with the error.
     pub place: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub reason: String,
 }
 
 /// One result of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResultEntry {
-    /// Item.
+    /// Identifier of the item.
     pub item: String,
-    /// The item ran to its end; otherwise it was given up.
+    /// Whether the item ran to its end; false if it was given up.
     pub completed: bool,
-    /// Text of the item.
+    /// Output of the item.
     pub text: String,
 }
 
-/// Formats of one platform.
+/// Formats of a platform.
 pub trait Dialect: Send + Sync {
-    /// What a call asks for.
+    /// Maps a request to an endpoint.
     fn endpoint(&self, method: &Method, path: &str, query: &str) -> Endpoint;
 
-    /// Reads the head of a caller's request.
+    /// Parses the headers of a request.
     fn request_facts(&self, headers: &HeaderMap) -> RequestFacts;
 
-    /// Headers for a server.
+    /// Headers that the system adds to a request for a server.
     fn stamp(&self, stamp: &ServerStamp<'_>) -> Vec<(HeaderName, HeaderValue)>;
 
-    /// Whether the system sets this header itself on requests.
+    /// Whether the system sets or removes this header, so that the caller's value is not forwarded.
     fn is_stamped(&self, name: &HeaderName, stamp: &ServerStamp<'_>) -> bool;
 
-    /// The header that names a request.
+    /// Header that carries the request identifier.
     fn request_id_header(&self) -> HeaderName;
 
-    /// Reads the head of a server's answer.
+    /// Parses the status and headers of a server's answer.
     fn answer_facts(&self, status: u16, headers: &HeaderMap) -> AnswerFacts;
 
-    /// Answer to a caller that asks where to go.
+    /// Body of the answer to [`Endpoint::Resolve`].
     fn resolve_answer(&self, addresses: &[String], ttl_ms: u64) -> Bytes;
 
-    /// Zone named in a query for the directory.
+    /// Zone given in the query of [`Endpoint::Resolve`].
     fn resolve_zone(&self, query: &str) -> Option<String>;
 
-    /// Host that a caller means to call when it asks where to go.
+    /// Host given in the query of [`Endpoint::Resolve`].
     fn resolve_host(&self, query: &str) -> Option<String>;
 
-    /// Reads a job.
+    /// Parses a submitted job.
     fn job(&self, body: &[u8]) -> Result<Vec<ItemSubmission>, FormatError>;
 
-    /// One page of a job's results.
+    /// Body of one page of a job's results.
     fn results_page(&self, total: u64, next: u64, results: &[ResultEntry]) -> Bytes;
 
-    /// Where the operators' rows are.
     fn sources(&self) -> ServersSource;
 
-    /// What a row of the operators' table asks for, by its key; `None` for a key that means nothing.
+    /// Parses the key of a row in the operators' table; `None` for an unknown key.
     fn order(&self, key: &str) -> Option<OperatorOrder>;
 
-    /// Reads the value of an evacuation. It says nothing that matters, but one that cannot be read is no order.
+    /// Validates the value of an evacuation row. Its content is not used, but a row with an invalid value is ignored.
     fn evacuation(&self, value: &[u8]) -> Result<(), FormatError>;
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     fn configuration(&self, value: &[u8]) -> Result<Configuration, FormatError>;
 
-    /// Reads a server's entry.
+    /// Parses a server entry.
     fn server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, FormatError>;
 }
--- a/crates/model/src/homes.rs
+++ b/crates/model/src/homes.rs
@@ -1,21 +1,21 @@
-//! The regions in which a request may be served and kept. Pure.
+//! Home regions: where a request may be served and stored.
 
 use crate::configuration::{Configuration, Route};
 use crate::place::{Places, RegionName};
 use crate::tenant::Tenant;
 
-/// Regions to which a request is bound by its route and its tenant; both bind where both name some.
+/// Regions to which the route and the tenant restrict a request; if both do, the intersection applies.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Homes {
-    /// Neither names any.
+    /// No restriction.
     #[default]
     Anywhere,
-    /// These only; none where the regions of route and tenant have nothing in common.
+    /// Only these regions; empty if route and tenant have no region in common.
     Within(Vec<RegionName>),
 }
 
 impl Homes {
-    /// The homes of the requests of a tenant on a route.
+    /// Home regions of a tenant's requests on a route.
     pub fn of(route: &Route, tenant: Option<&Tenant>) -> Self {
         let tenant = tenant.map_or(&[][..], |tenant| &tenant.home_regions);
         match (route.home_regions.as_slice(), tenant) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The homes of the items of a job, by the names that its row holds.
+    /// Home regions of a job's items, by the names of its route and tenant; unrestricted if the route is not configured.
     pub fn of_job(configuration: &Configuration, route: &str, tenant: &str) -> Self {
         let Some(route) = configuration.route_named(route) else {
             return Self::Anywhere;
@@ -38,12 +38,12 @@
         Self::of(route, tenant.map(AsRef::as_ref))
     }
 
-    /// Whether there are any.
+    /// Whether the request is restricted to certain regions.
     pub fn bind(&self) -> bool {
         *self != Self::Anywhere
     }
 
-    /// Whether a zone is in one of them. A zone whose region is not known is in none.
+    /// Whether a zone is allowed. A zone of unknown region is allowed only without restriction.
     pub fn allow(&self, zone: &str, places: &Places) -> bool {
         match self {
             Self::Anywhere => true,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether a region is one of them.
+    /// Whether a region is allowed.
     pub fn allow_region(&self, region: &RegionName) -> bool {
         match self {
             Self::Anywhere => true,
@@ -63,7 +63,7 @@
 }
 
 impl Configuration {
-    /// Whether a route or a tenant has homes.
+    /// Whether any route or tenant has home regions.
     pub fn has_homes(&self) -> bool {
         let mut tenants = self.tenants.iter().flat_map(|tenants| tenants.iter());
         self.routes
@@ -72,8 +72,8 @@
             || tenants.any(|tenant| !tenant.home_regions.is_empty())
     }
 
-    /// The homes of the routes of a host, where all of its routes have some. Those of tenants are not known
-    /// before a request comes.
+    /// Home regions of each route of a host; empty if any of its routes is unrestricted. Tenants are not considered, since
+    /// they are only known per request.
     pub fn homes_of_host(&self, host: &str) -> Vec<Homes> {
         let homes: Vec<Homes> = self
             .routes_of(host)
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Homes that no zone of the deployment is in: the place in the configuration, and the name.
+    /// Home regions that have no zone in the deployment, each with its path in the configuration.
     pub fn unknown_homes(&self, places: &Places) -> Vec<(String, RegionName)> {
         let routes = self.routes.iter();
         let routes = routes.map(|route| (format!("routes.{}", route.name), &route.home_regions));
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Domain types of a serving node, and the ports through which it meets the platform.
+//! Domain types of a serving node, and the traits through which it uses the platform.
 //!
-//! Nothing here performs I/O or knows a name of any wire. Durations are in milliseconds unless a
-//! field says otherwise.
+//! Apart from the writer thread of [`EventLog`], this crate performs no I/O, and it is independent of wire formats.
+//! Durations are in milliseconds unless a field says otherwise.
 
 pub mod configuration;
 pub mod dialect;
@@ -28,4 +28,4 @@
 pub use settings::{
     Bounds, ColdBounds, Listen, NodeSettings, QuotaBounds, Resources, StoreSettings, Tolerated,
 };
-pub use tenant::{KeyDigest, RateLimit, SharedKey, Tenant, TenantName, Tenants};
+pub use tenant::{DuplicateKey, KeyDigest, RateLimit, Tenant, TenantName, Tenants};
--- a/crates/model/src/place.rs
+++ b/crates/model/src/place.rs
@@ -1,4 +1,4 @@
-//! Where nodes and servers stand: zones, each in one region, and how far two of them are apart.
+//! Zones, their regions, and the distance between zones.
 
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
@@ -8,16 +8,13 @@
 
 use derive_more::Display;
 
-/// Name of a zone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 pub struct ZoneName(Arc<str>);
 
-/// Name of a region.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 pub struct RegionName(Arc<str>);
 
 impl ZoneName {
-    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -50,7 +47,6 @@
 }
 
 impl RegionName {
-    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -64,16 +60,16 @@
     }
 }
 
-/// How far two zones are apart.
+/// Distance between two zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub enum Distance {
-    /// They are the same zone.
+    /// The zones are the same.
     #[display("zone")]
     SameZone,
-    /// They are two zones of one region.
+    /// Different zones of one region.
     #[display("region")]
     SameRegion,
-    /// They are in different regions, or one of them is in no region that is known.
+    /// Zones of different regions, or a zone whose region is unknown.
     #[display("far")]
     OtherRegion,
 }
@@ -85,12 +81,12 @@
 }
 
 impl Places {
-    /// The region of a zone; `None` where the settings do not name the zone.
+    /// Region of a zone; `None` if the settings do not list the zone.
     pub fn region(&self, zone: &str) -> Option<&RegionName> {
         self.region_of.get(zone)
     }
 
-    /// How far two zones are apart. Where the settings name no region at all, all zones are one region.
+    /// Distance between two zones. If the settings list no zones, all zones count as one region.
     pub fn distance(&self, from: &str, to: &str) -> Distance {
         if from == to {
             return Distance::SameZone;
@@ -99,12 +95,12 @@
             return Distance::SameRegion;
         }
         match (self.region(from), self.region(to)) {
-            (Some(one), Some(other)) if one == other => Distance::SameRegion,
+            (Some(left), Some(right)) if left == right => Distance::SameRegion,
             _ => Distance::OtherRegion,
         }
     }
 
-    /// Whether there is more than one region.
+    /// Whether the deployment spans several regions.
     pub fn has_regions(&self) -> bool {
         let mut regions = self.region_of.values();
         let first = regions.next();
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,4 +1,4 @@
-//! What a node learns from the heads of requests and answers.
+//! Data parsed from requests, answers and server entries.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::tenant::KeyDigest;
 
-/// One part of a prompt that may be shared between requests.
+/// Part of a prompt that requests may share, used for prefix caching.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// Hash of the part's identifier.
@@ -15,117 +15,113 @@
     pub tokens: u32,
 }
 
-/// What the head of a caller's request says.
+/// Data from the headers of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Identifier of this attempt; empty when the caller sent none.
+    /// Identifier of this attempt; empty if the caller sent none.
     pub id: String,
-    /// How long the caller waits.
+    /// Deadline of the caller, from now.
     pub deadline_ms: Option<u64>,
     /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub tokens_in: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub tokens_out: u32,
-    /// Event after which the caller wants the stream to go on.
+    /// Event after which the caller wants to resume the stream.
     pub last_event_id: Option<u64>,
-    /// How long an answer may be held for something to report.
+    /// Long-poll wait for new results.
     pub wait_ms: u64,
-    /// Digest of the key that the caller showed.
+    /// Digest of the caller's API key.
     pub key: Option<KeyDigest>,
 }
 
-/// Load that a server told of itself.
+/// Load reported by a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that may run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// How long work takes there now, where the server tells it: 100 is as usual. It shares its machine with others, so
-    /// this changes many times a second.
+    /// Current duration of work relative to normal (100), if reported. It changes many times per second on a shared machine.
     pub work_percent: Option<u32>,
 }
 
-/// What the head of a server's answer says.
+/// Data from the status and headers of a server's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerFacts {
-    /// Identifier of the request that it answers.
+    /// Identifier of the answered request.
     pub request_id: Option<String>,
-    /// The server says that it did not run the request.
+    /// The server reports that it did not run the request.
     pub not_run: bool,
-    /// The answer carries the server's signature.
+    /// The answer carries the header by which servers mark their own answers.
     pub sealed: bool,
-    /// Load of the server.
+    /// Load of the server, if reported.
     pub load: Option<ServerLoad>,
-    /// How much longer the server is cold, as its answer to a health check says; `None` where the answer
-    /// says nothing of it.
+    /// Remaining warm-up time, from an answer to a health check; `None` if not reported.
     pub cold_left_ms: Option<u64>,
-    /// The server that answered, as its answer to a health check says.
+    /// Instance that answered, from an answer to a health check.
     pub instance: Option<String>,
 }
 
-/// One server as service discovery shows it.
+/// Server entry of service discovery.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ServerRecord {
-    /// Identifier of this start of the server, unlike that of any other start: see [`ServerRecord::start_id`]. All that is
-    /// known of a server is kept by it, so nothing outlives a restart.
+    /// Identifier of one start of the server, see [`ServerRecord::start_id`]. State about servers is keyed by it, so that it
+    /// is discarded on a restart.
     pub id: String,
-    /// Name by which the server goes, which a later start of it may have too.
+    /// Name of the server, which stays the same across restarts.
     pub instance: String,
-    /// Service that it belongs to.
+    /// Service it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Zone that it is in.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// It is about to leave and takes no new work.
+    /// It is shutting down and takes no new work.
     pub draining: bool,
-    /// How much longer it stays slow.
+    /// Remaining warm-up time.
     pub cold_left_ms: u64,
 }
 
-/// Stands between the name of a server and the moment of its start.
-const START_MARK: char = '@';
+/// Separates name and start time in a start identifier.
+const START_SEPARATOR: char = '@';
 
 impl ServerRecord {
-    /// Identifier of one start of a server. A server that starts again under its name knows nothing of before; the moment
-    /// of its start, milliseconds since 1970, tells the two apart. Where a server does not tell it, its name alone does.
+    /// Builds the identifier of one start of a server from its name and start time in Unix milliseconds. A server that does
+    /// not report its start time is identified by name alone.
     pub fn start_id(instance: &str, born_ms: Option<u64>) -> String {
         match born_ms {
-            Some(born_ms) => format!("{instance}{START_MARK}{born_ms}"),
+            Some(born_ms) => format!("{instance}{START_SEPARATOR}{born_ms}"),
             None => instance.to_owned(),
         }
     }
 
-    /// When the server started, milliseconds since 1970, where it tells.
+    /// Start time in Unix milliseconds, if reported.
     pub fn born_ms(&self) -> Option<u64> {
-        let born = self.id.strip_prefix(&self.instance)?;
-        born.strip_prefix(START_MARK)?.parse().ok()
+        let started = self.id.strip_prefix(&self.instance)?;
+        started.strip_prefix(START_SEPARATOR)?.parse().ok()
     }
 
-    /// The name in the identifier of a start that was told.
+    /// Extracts the server name from a start identifier.
     pub fn instance_of(id: &str) -> &str {
-        id.rsplit_once(START_MARK).map_or(id, |(name, _)| name)
+        id.rsplit_once(START_SEPARATOR).map_or(id, |(name, _)| name)
     }
 }
 
-/// One item of a job as a caller submits it.
+/// Item of a submitted job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemSubmission {
-    /// Identifier of the item.
     pub id: String,
-    /// Path at the server.
+    /// Request path at the server.
     pub path: String,
-    /// Headers, name and value.
+    /// Names and values of headers.
     pub headers: Vec<(String, String)>,
-    /// Body, decoded.
+    /// Decoded body.
     pub body: Bytes,
-    /// Tokens of the prompt and the most out, together.
+    /// Prompt tokens plus the maximum number of generated tokens.
     pub tokens: u64,
 }
--- a/crates/model/src/rows.rs
+++ b/crates/model/src/rows.rs
@@ -1,22 +1,20 @@
-//! Port of the transactional row store.
+//! Trait and types of the transactional row store.
 
 use async_trait::async_trait;
 use bytes::Bytes;
 use derive_more::{Display, Error};
 
-/// Place of a row.
+/// Address of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RowKey {
-    /// Table.
     pub table: &'static str,
-    /// Partition of the table; all rows of one transaction share it.
+    /// Partition of the table; all rows of a transaction must be in the same one.
     pub part: String,
-    /// Key inside the partition.
+    /// Key within the partition.
     pub key: String,
 }
 
 impl RowKey {
-    /// A row's place.
     pub fn new(table: &'static str, part: impl Into<String>, key: impl Into<String>) -> Self {
         Self {
             table,
@@ -26,36 +24,31 @@
     }
 }
 
-/// One row as read, or as changed in a feed.
+/// Row of a read, or change of a feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Partition.
     pub part: String,
-    /// Key.
     pub key: String,
-    /// Value; `None` for a removed row in a feed.
+    /// `None` for a row removed, in a feed.
     pub value: Option<Bytes>,
     /// Revision at which it was written.
     pub revision: u64,
 }
 
-/// A row that a transaction expects at a revision; 0 is an absent row.
+/// Precondition of a transaction: a row must have the given revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
-    /// Place of the row.
     pub row: RowKey,
-    /// Revision that it must have.
+    /// Expected revision; 0 means that the row must not exist.
     pub revision: u64,
 }
 
-/// Conditions and writes that take effect together or not at all.
+/// Atomic set of conditions and writes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Conditions; each must hold.
+    /// All must hold.
     pub conditions: Vec<Condition>,
-    /// Rows to write.
     pub puts: Vec<(RowKey, Bytes)>,
-    /// Rows to remove.
     pub removals: Vec<RowKey>,
 }
 
@@ -74,7 +67,7 @@
         self
     }
 
-    /// Bytes of the values that are written.
+    /// Total size of the written values.
     pub fn value_bytes(&self) -> usize {
         self.puts.iter().map(|(_, value)| value.len()).sum()
     }
@@ -87,78 +80,78 @@
     }
 }
 
-/// Outcome of a transaction that took effect.
+/// Result of a committed transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Committed {
     /// Revision of the rows written.
     pub revision: u64,
-    /// Steady clock of the store.
+    /// Monotonic clock of the store.
     pub now_ms: u64,
 }
 
-/// Rows read at one moment.
+/// Rows of one consistent read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Rows {
-    /// The rows, keys rising.
+    /// Rows in ascending key order.
     pub rows: Vec<Row>,
-    /// More rows follow.
+    /// Whether the limit cut off further rows.
     pub more: bool,
-    /// Revision of the store at that moment.
+    /// Revision of the store at the time of the read.
     pub revision: u64,
-    /// Steady clock of the store.
+    /// Monotonic clock of the store.
     pub now_ms: u64,
 }
 
-/// Changes of a table in order.
+/// Changes of a table, in revision order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Feed {
     /// Changed rows.
     pub rows: Vec<Row>,
-    /// Continue after this revision.
+    /// Revision to continue after.
     pub revision: u64,
-    /// Steady clock of the store.
+    /// Monotonic clock of the store.
     pub now_ms: u64,
 }
 
-/// Why a call to the store did not give what was asked.
+/// Error of a store call.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum StoreError {
-    /// The store was not reached or refused; nothing was changed.
+    /// The store could not be reached or refused the call; nothing was changed.
     #[display("the store is unavailable and changed nothing: {reason}")]
     Unavailable {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// The answer was lost; the change may take effect, now or later.
+    /// The answer was lost; the change may have taken effect or may still do so.
     #[display("the store's answer was lost: {reason}")]
     Ambiguous {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
     /// A condition failed; nothing was changed.
     #[display("a condition of the transaction failed")]
     Conflict {
-        /// The rows of the conditions, as they are.
+        /// Current rows of the conditions.
         rows: Vec<Row>,
     },
-    /// The feed no longer reaches back to the revision asked for.
+    /// The feed no longer reaches back to the requested revision.
     #[display("the history of the feed is gone")]
     Compacted,
     /// The call is malformed or too large; nothing was changed.
     #[display("the store refuses the call: {reason}")]
     Invalid {
-        /// What the store said.
+        /// Reason given by the store.
         reason: String,
     },
 }
 
-/// The row store.
+/// A transactional row store.
 #[async_trait(?Send)]
 pub trait RowStore {
     /// Applies a transaction.
     async fn transact(&self, transaction: &Transaction) -> Result<Committed, StoreError>;
 
-    /// Reads rows of one partition from a key on, up to `to` (left out) when it is not empty.
+    /// Reads rows of a partition with keys in `from..to`; an empty `to` means no upper bound.
     async fn read(
         &self,
         table: &'static str,
@@ -168,10 +161,10 @@
         limit: usize,
     ) -> Result<Rows, StoreError>;
 
-    /// Names the partitions of a table.
+    /// Lists the partitions of a table.
     async fn parts(&self, table: &'static str) -> Result<Vec<String>, StoreError>;
 
-    /// Reads the changes of a table after a revision; waits up to `wait_ms` for one.
+    /// Reads the changes of a table after a revision, waiting up to `wait_ms` for the first one.
     async fn feed(&self, table: &'static str, after: u64, wait_ms: u64)
     -> Result<Feed, StoreError>;
 }
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -1,98 +1,98 @@
-//! Settings of one node, as the program uses them.
+//! Settings of a node.
 
 use std::net::{IpAddr, SocketAddr};
 
 use crate::place::Places;
 
-/// Addresses that a node listens on.
+/// Listen addresses of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listen {
-    /// Requests and jobs of callers.
+    /// Requests and jobs from callers.
     pub front: SocketAddr,
     /// Readiness checks.
     pub ready: SocketAddr,
-    /// Callers that ask where to go.
+    /// Resolution of addresses for callers.
     pub directory: SocketAddr,
-    /// Counters and histograms; not served where it is left out.
+    /// Metrics; disabled if `None`.
     pub metrics: Option<SocketAddr>,
 }
 
-/// The row store as the settings describe it.
+/// Settings of the row store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Longest value of a row, bytes.
+    /// Maximum size of a row's value, bytes.
     pub row_bytes: usize,
 }
 
-/// Bounds that the operators hold the system to.
+/// Guarantees that the deployment must keep.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Time that a stopping process has.
+    /// Shutdown grace period.
     pub grace_ms: u64,
-    /// Longest time to live of a directory answer.
+    /// Maximum TTL of a directory answer.
     pub directory_ttl_ms: u64,
-    /// Time for which results stay readable, from the sending of the job.
+    /// Retention of results, from the submission of the job.
     pub status_ms: u64,
-    /// Time from which what one node has told of a job holds at every node.
+    /// Time within which the state of a job reported by one node is visible at every node.
     pub settle_ms: u64,
-    /// Time from which an accepted configuration is in force at every node.
+    /// Time within which an accepted configuration takes effect at every node.
     pub config_apply_ms: u64,
-    /// Age of the configuration from which a node that cannot learn of a newer one refuses keys.
+    /// Age of the configuration above which a node that cannot refresh it rejects API keys.
     pub revoke_ms: u64,
-    /// That holds for every node; otherwise only for one that is cut off from most others.
+    /// Whether `revoke_ms` applies to every node; if false, only to nodes that are cut off from most others.
     pub revoke_strict: bool,
-    /// How quotas are measured.
+    /// Measurement of tenant quotas.
     pub quota: QuotaBounds,
-    /// Time from which the servers of a zone get nothing more after its evacuation was accepted.
+    /// Time after the acceptance of an evacuation from which the servers of the zone get no more requests.
     pub evacuation_ms: u64,
-    /// How the requests at a server that is cold are measured; `None` where they are not.
+    /// Measurement of requests to cold servers; `None` if they are not measured.
     pub cold: Option<ColdBounds>,
 }
 
-/// How the operators measure the requests that a cold server gets from all nodes in one second: at most
-/// `rate x over + slack`, where the configuration of the service gives the rate.
+/// Limit on the requests that a cold server gets from all nodes in one second: `rate * over + slack`, where `rate` is
+/// configured for the service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBounds {
-    /// Multiple of the rate.
+    /// Factor applied to the rate.
     pub over: f64,
-    /// Requests beyond it.
+    /// Requests allowed in addition.
     pub slack: f64,
 }
 
-/// What may be lost at once without a rule broken.
+/// Simultaneous failures that the deployment must tolerate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Tolerated {
-    /// Zones.
+    /// Number of zones.
     pub zones: u32,
-    /// Regions.
+    /// Number of regions.
     pub regions: u32,
 }
 
-/// How the operators measure the quota of a tenant.
+/// Measurement of tenant quotas.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBounds {
-    /// Span in which requests are counted, milliseconds.
+    /// Length of the measurement window.
     pub window_ms: u64,
-    /// Share of what a quota allows in a span by which all nodes together may pass it.
+    /// Fraction of a window's quota by which all nodes together may exceed it.
     pub over: f64,
-    /// Requests by which they may pass it besides.
+    /// Requests allowed in addition.
     pub slack: f64,
 }
 
-/// What a machine has for the process of a node.
+/// Machine resources available to the node process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Resources {
-    /// Processor time, thousandths of a core.
+    /// CPU time, thousandths of a core.
     pub core_millis: u32,
-    /// Bandwidth of the machine's link, megabits a second.
+    /// Network bandwidth, megabits per second.
     pub link_mbps: u32,
     /// Memory, megabytes.
     pub memory_mb: u32,
 }
 
-/// Settings of one node.
+/// Settings of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeSettings {
     /// Name of the machine.
@@ -101,21 +101,17 @@
     pub ip: IpAddr,
     /// Zone of the machine.
     pub zone: String,
-    /// All zones, and the region of each.
+    /// Zones of the deployment and their regions.
     pub places: Places,
-    /// What the deployment is to bear.
+    /// Failures that the deployment must tolerate.
     pub tolerated: Tolerated,
-    /// Port for talk between nodes, alike on all machines.
+    /// Port for traffic between nodes, the same on all machines.
     pub peer_port: u16,
-    /// Addresses to listen on.
     pub listen: Listen,
-    /// The row store.
     pub store: StoreSettings,
-    /// Bounds.
     pub bounds: Bounds,
-    /// What the machine has.
     pub resources: Resources,
-    /// While a service has too little room, requests that can't be served in time are refused at once, tenants get
-    /// fair shares, and batch work makes way for online requests wholly.
+    /// Whether an overloaded service sheds load: requests that cannot be served in time are rejected at once, tenants get
+    /// fair shares, and batch work yields entirely to online requests.
     pub load_shedding: bool,
 }
--- a/crates/model/src/tenant.rs
+++ b/crates/model/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants of the configuration: their keys, their rank and how much they may ask.
+//! Tenants: API keys, priorities and rate limits.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
@@ -13,7 +13,6 @@
 
 use crate::place::RegionName;
 
-/// Name of a tenant.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 pub struct TenantName(Arc<str>);
 
@@ -24,7 +23,6 @@
 }
 
 impl TenantName {
-    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -38,18 +36,18 @@
     }
 }
 
-/// Digest of an API key. The key itself is dropped where it is decoded, so that no log line, error or
-/// stored row can hold it; a digest prints as nothing.
+/// SHA-256 digest of an API key. The key itself is dropped when a request is decoded, so that it cannot reach a log, an
+/// error or a stored row; the `Debug` output is redacted.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key as a caller sends it.
+    /// Computes the digest of a key as sent by a caller.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Whether two digests are alike, in a time that does not depend on where they differ.
+    /// Compares in constant time.
     fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -61,38 +59,38 @@
     }
 }
 
-/// Requests that a tenant may send, over all nodes.
+/// Rate limit of a tenant, over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Requests beyond that at once.
+    /// Burst size, in requests.
     pub burst: f64,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Name, as servers are told it.
+    /// Name as sent to servers.
     pub name: TenantName,
-    /// Rank of its requests; it goes before the rank of the route. 0 is the highest.
+    /// Priority of its requests, which overrides that of the route; 0 is the highest.
     pub priority: Option<u32>,
-    /// What it may ask; `None` is without limit.
+    /// Rate limit; `None` means no limit.
     pub limit: Option<RateLimit>,
-    /// Regions in which its requests may be served and kept; empty is without bound.
+    /// Regions in which its requests may be served and stored; empty means any.
     pub home_regions: Vec<RegionName>,
 }
 
-/// A key that two tenants hold.
+/// Error: a key belongs to two tenants.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SharedKey {
-    /// Place of the key among those of the later tenant.
+pub struct DuplicateKey {
+    /// Index of the key in the list of the tenant being added.
     pub position: usize,
-    /// The tenant that holds it already.
+    /// Tenant that already has the key.
     pub holder: TenantName,
 }
 
-/// All tenants of one configuration, found by their keys.
+/// Tenants of a configuration, indexed by key and name.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tenants {
     all: Vec<Arc<Tenant>>,
@@ -101,14 +99,14 @@
 }
 
 impl Tenants {
-    /// Adds a tenant and its keys.
-    pub fn add(&mut self, tenant: Tenant, keys: &[KeyDigest]) -> Result<(), SharedKey> {
+    /// Adds a tenant with its keys.
+    pub fn add(&mut self, tenant: Tenant, keys: &[KeyDigest]) -> Result<(), DuplicateKey> {
         let index = self.all.len();
         for (position, key) in keys.iter().enumerate() {
-            let before = self.by_key.insert(*key, index);
-            if let Some(holder) = before.filter(|before| *before != index) {
+            let previous = self.by_key.insert(*key, index);
+            if let Some(holder) = previous.filter(|previous| *previous != index) {
                 let holder = self.all[holder].name.clone();
-                return Err(SharedKey { position, holder });
+                return Err(DuplicateKey { position, holder });
             }
         }
         self.by_name.insert(tenant.name.clone(), index);
@@ -116,18 +114,17 @@
         Ok(())
     }
 
-    /// The tenant that holds a key.
+    /// Finds a tenant by key.
     pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
-        let (held, index) = self.by_key.get_key_value(key)?;
-        held.matches(key).then(|| &self.all[*index])
+        let (stored, index) = self.by_key.get_key_value(key)?;
+        stored.matches(key).then(|| &self.all[*index])
     }
 
-    /// The tenant of a name.
+    /// Finds a tenant by name.
     pub fn named(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.by_name.get(name).map(|index| &self.all[*index])
     }
 
-    /// All tenants.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.all.iter()
     }
--- a/crates/model/tests/events.rs
+++ b/crates/model/tests/events.rs
@@ -1,4 +1,4 @@
-//! Decision records: their form, their budget, and that they never wait for a reader.
+//! Event log: format, rate limit, and no blocking on a slow reader.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 impl Write for Lines {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         for line in String::from_utf8_lossy(bytes).lines() {
-            // The test may have seen enough.
+            // The receiver may be dropped already.
             let _ = self.0.send(line.to_owned());
         }
         Ok(bytes.len())
@@ -25,10 +25,10 @@
     }
 }
 
-/// An output whose reader does not read.
-struct Stuck(Arc<Mutex<()>>);
+/// Output whose writes block while the lock is held.
+struct BlockedOutput(Arc<Mutex<()>>);
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         drop(self.0.lock());
         Ok(bytes.len())
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn each_record_is_one_line_of_json() {
+fn events_are_json_lines() {
     let (sender, lines) = channel();
     let log = EventLog::to(Lines(sender));
     log.write("placed", || json!({"request": "r1", "candidates": 3}));
@@ -52,10 +52,10 @@
 }
 
 #[gtest]
-fn frame_kept() {
+fn fields_cannot_replace_time_or_kind() {
     let (sender, lines) = channel();
     let log = EventLog::to(Lines(sender));
-    // No fact takes the place of a record's time or kind.
+    // Event fields must not replace the time or the kind.
     log.write(
         "placed",
         || json!({"at_ms": "x", "uptime_ms": "x", "event": "x"}),
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn a_flood_of_one_kind_is_bounded_and_hides_no_other() {
+fn rate_limit_is_per_kind() {
     let (sender, lines) = channel();
     let log = EventLog::to(Lines(sender));
     for number in 0..5_000 {
@@ -85,10 +85,10 @@
 }
 
 #[gtest]
-fn a_reader_that_does_not_read_holds_nobody_up() {
+fn blocked_output_does_not_block_writers() {
     let gate = Arc::new(Mutex::new(()));
     let held = gate.lock();
-    let log = EventLog::to(Stuck(gate.clone()));
+    let log = EventLog::to(BlockedOutput(gate.clone()));
     for kind in ["a", "b", "c", "d"] {
         for _ in 0..10_000 {
             log.write(kind, || json!({}));
--- a/crates/model/tests/homes.rs
+++ b/crates/model/tests/homes.rs
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn both_bind() {
+fn route_and_tenant_regions_intersect() {
     let of = |on_route: &[&str], of_tenant: &[&str]| {
         Homes::of(&route("r", on_route), Some(&tenant(of_tenant)))
     };
@@ -87,8 +87,8 @@
 }
 
 #[gtest]
-fn unknown_names() {
-    // Without regions in the settings, no server is known to be at home.
+fn unknown_regions() {
+    // Without regions in the settings, a restricted request is allowed in no zone.
     let bound = Homes::of(&route("r", &["a"]), None);
     expect_that!(bound.allow("a1", &Places::default()), eq(false));
     let configuration = configuration(vec![route("one", &["a", "x"]), route("two", &[])], &["y"]);
@@ -107,11 +107,11 @@
 }
 
 #[gtest]
-fn hosts() {
+fn regions_of_hosts() {
     let homes = |routes: Vec<Route>| configuration(routes, &[]).homes_of_host("shop.example");
     let bound = homes(vec![route("one", &["a"]), route("two", &["b"])]);
     expect_that!(bound.len(), eq(2));
-    // One route without homes: its callers may go anywhere.
+    // One unrestricted route makes the host unrestricted.
     expect_that!(
         homes(vec![route("one", &["a"]), route("two", &[])]),
         elements_are![]
@@ -120,7 +120,7 @@
 }
 
 #[gtest]
-fn jobs() {
+fn regions_of_jobs() {
     let held = configuration(vec![route("one", &["a", "b"])], &["b"]);
     expect_that!(
         zones(&Homes::of_job(&held, "one", "t1")),
--- a/crates/model/tests/places.rs
+++ b/crates/model/tests/places.rs
@@ -1,4 +1,4 @@
-//! Zones, regions and how far they are apart.
+//! Distances between zones.
 
 use dappleyard_model::{Distance, Places, RegionName, ZoneName};
 use googletest::prelude::*;
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn an_unknown_zone() {
+fn unknown_zone() {
     let named = places(&[("a", "north")]);
     expect_that!(named.distance("a", "x"), eq(Distance::OtherRegion));
     expect_that!(
--- a/crates/model/tests/routing.rs
+++ b/crates/model/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of a route and of its service.
+//! Selection of a route and its service.
 
 use dappleyard_model::{Configuration, Route, RouteKind, Target, TrafficLimits};
 use googletest::prelude::*;
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_wins() {
     let configuration = Configuration {
         version: 1,
         routes: vec![route("short", "/a/"), route("long", "/a/b/")],
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn services_get_their_shares() {
+fn services_are_picked_by_weight() {
     let route = route("r", "/");
     let steps = 1_000_u32;
     let first = (0..steps)
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn only_what_its_kind_allows_may_be_repeated() {
+fn repeatable_route_kinds() {
     let mut route = route("r", "/");
     expect_that!(route.may_repeat(), eq(false));
     route.resumable = true;
