--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -1,46 +1,45 @@
-//! Moments.
+//! Counterpart of tokio's `Instant` that includes suspensions.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 use std::time::Duration;
 
 use crate::suspension::suspended;
 
-/// A moment on a steady clock that goes on while the machine is suspended.
+/// Point in time on a monotonic clock that includes suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(tokio::time::Instant);
 
 impl Instant {
-    /// Now.
     pub fn now() -> Self {
         Self(tokio::time::Instant::now() + suspended())
     }
 
-    /// Time since this moment; none when it has yet to come.
+    /// Time since this instant, or zero if it is in the future.
     pub fn elapsed(&self) -> Duration {
         Self::now().saturating_duration_since(*self)
     }
 
-    /// Time from an earlier moment to this one; none when the other is later.
+    /// Time since `earlier`, or zero if `earlier` is later than this instant.
     pub fn duration_since(&self, earlier: Self) -> Duration {
         self.saturating_duration_since(earlier)
     }
 
-    /// Time from an earlier moment to this one; none when the other is later.
+    /// Time since `earlier`, or zero if `earlier` is later than this instant.
     pub fn saturating_duration_since(&self, earlier: Self) -> Duration {
         self.0.saturating_duration_since(earlier.0)
     }
 
-    /// Time from an earlier moment to this one; `None` when the other is later.
+    /// Time since `earlier`, or `None` if `earlier` is later than this instant.
     pub fn checked_duration_since(&self, earlier: Self) -> Option<Duration> {
         self.0.checked_duration_since(earlier.0)
     }
 
-    /// A later moment; `None` when the clock cannot tell it.
+    /// Adds a duration; `None` on overflow.
     pub fn checked_add(&self, time: Duration) -> Option<Self> {
         self.0.checked_add(time).map(Self)
     }
 
-    /// An earlier moment; `None` when the clock cannot tell it.
+    /// Subtracts a duration; `None` on underflow.
     pub fn checked_sub(&self, time: Duration) -> Option<Self> {
         self.0.checked_sub(time).map(Self)
     }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,12 +1,11 @@
-//! A steady clock that goes on while the machine is suspended.
+//! Monotonic clock that includes the time for which the machine was suspended.
 //!
-//! The monotonic clock of Linux stands still in a suspension, so on it a lease, a copy or a life sign of before the
-//! suspension looks as fresh after it as it was. `CLOCK_BOOTTIME` goes on. An [`Instant`] is tokio's, later by the time
-//! by which the two have moved apart: one suspended machine ages all that it holds, before its first decision, and a
-//! suspension is to the program what a freeze is.
+//! Linux's `CLOCK_MONOTONIC` stops during a suspension, so leases, copies and heartbeats from before it would look
+//! fresh afterwards. `CLOCK_BOOTTIME` keeps running. An [`Instant`] is tokio's instant plus the time by which the two
+//! clocks have drifted apart, so everything has aged correctly when the machine resumes.
 //!
-//! Timers still run on the monotonic clock. [`timeout`] and [`sleep_until`] look at this one now and then, so that they
-//! end in time after a suspension. Tests in virtual time stay in it.
+//! Timers still run on the monotonic clock; [`timeout`] and [`sleep_until`] check this clock regularly to end on time
+//! after a suspension. Virtual time in tests works as usual.
 
 mod instant;
 mod suspension;
@@ -16,4 +15,4 @@
 #[cfg(feature = "pretend")]
 pub use suspension::pretend_suspension;
 pub use suspension::suspended;
-pub use wait::{TimeOver, sleep_until, timeout, timeout_at};
+pub use wait::{Elapsed, sleep_until, timeout, timeout_at};
--- a/crates/clock/src/suspension.rs
+++ b/crates/clock/src/suspension.rs
@@ -1,4 +1,4 @@
-//! How long the machine has been suspended.
+//! Measures how long the machine has been suspended.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,62 +6,61 @@
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// Shortest suspension that is noticed. The two clocks are read one after the other, and a busy machine may let other
-/// programs run in between; nothing here is decided by less.
-const SHORTEST: Duration = Duration::from_millis(50);
-/// Times that the clocks are read before they count as apart: each reading may be interrupted.
+/// Shortest suspension that is detected. Above the error of reading two clocks in sequence on a busy machine.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
+/// Readings of which the least disturbed one counts, since a reading may be preempted.
 const READINGS: usize = 5;
 
-/// By how much `CLOCK_BOOTTIME` was ahead of the monotonic clock when the process first looked.
-static FIRST: OnceLock<Duration> = OnceLock::new();
-/// Suspensions since then, microseconds.
+/// Lead of `CLOCK_BOOTTIME` over `CLOCK_MONOTONIC` at the first call.
+static INITIAL_LEAD: OnceLock<Duration> = OnceLock::new();
+/// Suspended time since then, microseconds.
 static SUSPENDED_US: AtomicU64 = AtomicU64::new(0);
 #[cfg(feature = "pretend")]
-static PRETENDED_US: AtomicU64 = AtomicU64::new(0);
+static SIMULATED_US: AtomicU64 = AtomicU64::new(0);
 
-/// Time for which the machine has been suspended since the process first read the clock.
+/// Total time for which the machine has been suspended since the first call.
 pub fn suspended() -> Duration {
-    let first = *FIRST.get_or_init(steady_ahead);
-    let known = Duration::from_micros(SUSPENDED_US.load(Ordering::Relaxed));
-    let seen = ahead().saturating_sub(first);
-    if seen > known + SHORTEST {
-        let seen = steady_ahead().saturating_sub(first);
-        if seen > known + SHORTEST {
-            SUSPENDED_US.fetch_max(seen.as_micros() as u64, Ordering::Relaxed);
+    let initial_lead = *INITIAL_LEAD.get_or_init(min_lead);
+    let recorded = Duration::from_micros(SUSPENDED_US.load(Ordering::Relaxed));
+    let measured = lead().saturating_sub(initial_lead);
+    if measured > recorded + MIN_SUSPENSION {
+        let measured = min_lead().saturating_sub(initial_lead);
+        if measured > recorded + MIN_SUSPENSION {
+            SUSPENDED_US.fetch_max(measured.as_micros() as u64, Ordering::Relaxed);
         }
     }
-    Duration::from_micros(SUSPENDED_US.load(Ordering::Relaxed)) + pretended()
+    Duration::from_micros(SUSPENDED_US.load(Ordering::Relaxed)) + simulated()
 }
 
-/// By how much `CLOCK_BOOTTIME` is ahead, at most: time passes between the two readings.
-fn ahead() -> Duration {
-    let monotonic = since(clock_gettime(ClockId::Monotonic));
-    since(clock_gettime(ClockId::Boottime)).saturating_sub(monotonic)
+/// Lead of `CLOCK_BOOTTIME`; too large by the time between the two readings.
+fn lead() -> Duration {
+    let monotonic = to_duration(clock_gettime(ClockId::Monotonic));
+    to_duration(clock_gettime(ClockId::Boottime)).saturating_sub(monotonic)
 }
 
-/// The same, from the least disturbed of several readings.
-fn steady_ahead() -> Duration {
-    (0..READINGS).map(|_| ahead()).min().unwrap_or_default()
+/// Minimum over several readings.
+fn min_lead() -> Duration {
+    (0..READINGS).map(|_| lead()).min().unwrap_or_default()
 }
 
-fn since(time: Timespec) -> Duration {
+fn to_duration(time: Timespec) -> Duration {
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanoseconds = u32::try_from(time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanoseconds)
 }
 
 #[cfg(feature = "pretend")]
-fn pretended() -> Duration {
-    Duration::from_micros(PRETENDED_US.load(Ordering::Relaxed))
+fn simulated() -> Duration {
+    Duration::from_micros(SIMULATED_US.load(Ordering::Relaxed))
 }
 
 #[cfg(not(feature = "pretend"))]
-fn pretended() -> Duration {
+fn simulated() -> Duration {
     Duration::ZERO
 }
 
-/// For tests: moves the two clocks apart, for all threads of the process, as a suspension of the machine does.
+/// Simulates a suspension for all threads of the process, for tests.
 #[cfg(feature = "pretend")]
 pub fn pretend_suspension(time: Duration) {
-    PRETENDED_US.fetch_add(time.as_micros() as u64, Ordering::Relaxed);
+    SIMULATED_US.fetch_add(time.as_micros() as u64, Ordering::Relaxed);
 }
--- a/crates/clock/src/wait.rs
+++ b/crates/clock/src/wait.rs
@@ -1,45 +1,44 @@
-//! Waits that end in time although the machine was suspended meanwhile.
+//! Timeouts and sleeps that end on time after a suspension.
 
 use std::time::Duration;
 
 use crate::instant::Instant;
 
-/// Longest time after a suspension until a wait notices it. A timer of its own runs on the monotonic clock, and would
-/// be late by the whole suspension.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which waits check the clock. A single timer on the monotonic clock would be late by the whole suspension.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The time was over before the work was done.
+/// Error of a timeout that expired before the future completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TimeOver;
+pub struct Elapsed;
 
-impl std::fmt::Display for TimeOver {
+impl std::fmt::Display for Elapsed {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the time is over")
+        formatter.write_str("deadline has elapsed")
     }
 }
 
-impl std::error::Error for TimeOver {}
+impl std::error::Error for Elapsed {}
 
-/// Waits for work until a moment.
-pub async fn timeout_at<T>(until: Instant, work: impl Future<Output = T>) -> Result<T, TimeOver> {
-    tokio::pin!(work);
+/// Runs a future with a deadline.
+pub async fn timeout_at<T>(deadline: Instant, task: impl Future<Output = T>) -> Result<T, Elapsed> {
+    tokio::pin!(task);
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        match tokio::time::timeout(left.min(LOOK), &mut work).await {
-            Ok(done) => return Ok(done),
-            Err(_) if left <= LOOK => return Err(TimeOver),
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        match tokio::time::timeout(remaining.min(CHECK_INTERVAL), &mut task).await {
+            Ok(output) => return Ok(output),
+            Err(_) if remaining <= CHECK_INTERVAL => return Err(Elapsed),
             Err(_) => {}
         }
     }
 }
 
-/// Waits for work for a time.
-pub async fn timeout<T>(time: Duration, work: impl Future<Output = T>) -> Result<T, TimeOver> {
-    timeout_at(Instant::now() + time, work).await
+/// Runs a future with a time limit.
+pub async fn timeout<T>(time: Duration, task: impl Future<Output = T>) -> Result<T, Elapsed> {
+    timeout_at(Instant::now() + time, task).await
 }
 
-/// Waits until a moment.
-pub async fn sleep_until(until: Instant) {
-    // Nothing is waited for but the time.
-    let _ = timeout_at(until, std::future::pending::<()>()).await;
+/// Sleeps until an instant.
+pub async fn sleep_until(deadline: Instant) {
+    // Always ends with the timeout.
+    let _ = timeout_at(deadline, std::future::pending::<()>()).await;
 }
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -1,14 +1,14 @@
-//! The two clocks move apart. One test: what it pretends holds for the whole process.
+//! Instants and waits across a simulated suspension. A single test, since the simulation affects the whole process.
 
 use std::time::Duration;
 
-use dappleyard_clock::{Instant, TimeOver, pretend_suspension, sleep_until, suspended, timeout};
+use dappleyard_clock::{Elapsed, Instant, pretend_suspension, sleep_until, suspended, timeout};
 use googletest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[gtest]
-fn ages_and_waits() {
+fn instants_and_timeouts_include_suspensions() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -22,21 +22,21 @@
         pretend_suspension(8 * SECOND);
         expect_that!(before.elapsed(), eq(9 * SECOND));
         expect_that!(suspended(), eq(8 * SECOND));
-        // Virtual time goes on as before.
+        // Virtual time still advances normally.
         tokio::time::advance(SECOND).await;
         expect_that!(before.elapsed(), eq(10 * SECOND));
 
-        // A wait of five seconds, suspended for four after the first, is over within the sixth.
+        // A timeout of 5 s with a suspension of 4 s after the first second ends at most half a second later.
         let waiting = tokio::spawn(timeout(5 * SECOND, std::future::pending::<()>()));
         tokio::time::sleep(SECOND).await;
         pretend_suspension(4 * SECOND);
         let timer = tokio::time::Instant::now();
-        expect_that!(waiting.await.expect("a result"), err(eq(TimeOver)));
+        expect_that!(waiting.await.expect("a result"), err(eq(Elapsed)));
         expect_that!(timer.elapsed(), le(SECOND / 2));
 
-        let until = Instant::now() + SECOND;
-        sleep_until(until).await;
-        expect_that!(Instant::now(), ge(until));
+        let deadline = Instant::now() + SECOND;
+        sleep_until(deadline).await;
+        expect_that!(Instant::now(), ge(deadline));
         expect_that!(timeout(SECOND, async { 7 }).await, ok(eq(7)));
     });
 }
