--- a/crates/store/src/client/http.rs
+++ b/crates/store/src/client/http.rs
@@ -1,4 +1,4 @@
-//! One call to a service of the platform, with its failures told apart.
+//! HTTP calls to the platform, with errors classified by whether the call may have taken effect.
 
 use std::time::Duration;
 
@@ -12,42 +12,38 @@
 use super::protocol::{ConflictBody, OBJECT_SIZE_HEADER, RateLimitedBody};
 use crate::tables::StoreError;
 
-/// Largest body of an answer, bytes.
 const MAXIMUM_ANSWER_BYTES: usize = 256 * 1024 * 1024;
-/// Advice when a rate-limited answer gives none that can be read, milliseconds.
+/// Used if a rate-limited answer has no valid retry time.
 const DEFAULT_RETRY_AFTER_MS: u32 = 100;
 
-/// Whether a call may change something.
+/// Whether a call may change data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Effect {
-    /// It only reads.
     Read,
-    /// It may change something.
     Write,
 }
 
 /// A successful answer.
 pub(super) struct Answer {
-    /// Body.
     pub(super) bytes: Bytes,
-    /// Size of the whole object, where the service gave it.
+    /// Size of the whole object, if the service sent it.
     pub(super) object_size: Option<u64>,
 }
 
-/// The client of one worker thread.
+/// HTTP client of one worker thread.
 pub(super) struct Http {
     client: Client,
     timeout: Duration,
 }
 
-/// One call.
+/// Parameters of a call.
 pub(super) struct Call<'a, Q> {
     pub(super) method: Method,
     pub(super) url: &'a str,
     pub(super) query: &'a Q,
     pub(super) body: Bytes,
     pub(super) effect: Effect,
-    /// Time allowed beyond the usual, for a call that waits by design.
+    /// Added to the timeout, for long polls.
     pub(super) extra: Duration,
 }
 
@@ -62,7 +58,7 @@
         Http { client, timeout }
     }
 
-    /// Reads JSON.
+    /// Sends a GET and parses the JSON answer.
     pub(super) async fn read<T: DeserializeOwned>(
         &self,
         url: &str,
@@ -82,13 +78,13 @@
         parse(&answer.bytes, Effect::Read)
     }
 
-    /// Sends one call and reads its whole answer.
+    /// Sends a call and reads the whole answer.
     pub(super) async fn call<Q: Serialize>(&self, call: Call<'_, Q>) -> Result<Answer, StoreError> {
         let effect = call.effect;
-        let allowed = self.timeout + call.extra;
-        match tokio::time::timeout(allowed, self.send(call)).await {
+        let total_timeout = self.timeout + call.extra;
+        match tokio::time::timeout(total_timeout, self.send(call)).await {
             Ok(result) => result,
-            Err(_) => Err(lost(effect, "no answer in time")),
+            Err(_) => Err(unanswered(effect, "no answer in time")),
         }
     }
 
@@ -111,19 +107,18 @@
         let body = response.body().limit(MAXIMUM_ANSWER_BYTES).await;
         match (status.is_success(), body) {
             (true, Ok(bytes)) => Ok(Answer { bytes, object_size }),
-            (true, Err(error)) => Err(lost(effect, error)),
-            (false, body) => Err(refusal(effect, status, &body.unwrap_or_default())),
+            (true, Err(error)) => Err(unanswered(effect, error)),
+            (false, body) => Err(status_error(effect, status, &body.unwrap_or_default())),
         }
     }
 }
 
-/// Reads the JSON of a successful answer. A write whose answer cannot be read has taken effect or
-/// not: nobody knows.
+/// Parses the JSON of a successful answer. A write whose answer cannot be parsed is ambiguous.
 pub(super) fn parse<T: DeserializeOwned>(bytes: &[u8], effect: Effect) -> Result<T, StoreError> {
-    serde_json::from_slice(bytes).map_err(|error| lost(effect, error))
+    serde_json::from_slice(bytes).map_err(|error| unanswered(effect, error))
 }
 
-fn refusal(effect: Effect, status: StatusCode, body: &[u8]) -> StoreError {
+fn status_error(effect: Effect, status: StatusCode, body: &[u8]) -> StoreError {
     let reason = || format!("{status}: {}", String::from_utf8_lossy(body));
     match status {
         StatusCode::CONFLICT => match serde_json::from_slice::<ConflictBody>(body) {
@@ -131,7 +126,7 @@
                 key: conflict.key,
                 actual: conflict.actual,
             },
-            Err(_) => lost(effect, reason()),
+            Err(_) => unanswered(effect, reason()),
         },
         StatusCode::TOO_MANY_REQUESTS => {
             let advice = serde_json::from_slice::<RateLimitedBody>(body);
@@ -140,24 +135,24 @@
             }
         }
         StatusCode::SERVICE_UNAVAILABLE => StoreError::Unavailable { reason: reason() },
-        StatusCode::REQUEST_TIMEOUT => lost(effect, reason()),
+        StatusCode::REQUEST_TIMEOUT => unanswered(effect, reason()),
         status if status.is_client_error() => StoreError::Invalid { reason: reason() },
-        _ => lost(effect, reason()),
+        _ => unanswered(effect, reason()),
     }
 }
 
 fn send_error(effect: Effect, error: &SendRequestError) -> StoreError {
     match error {
-        // This is what `awc` says when a connection breaks after the call was sent on it.
-        SendRequestError::Connect(ConnectError::Disconnected) => lost(effect, error),
+        // `awc` reports this if the connection breaks after the call was sent.
+        SendRequestError::Connect(ConnectError::Disconnected) => unanswered(effect, error),
         SendRequestError::Connect(_) | SendRequestError::Url(_) => StoreError::Unavailable {
             reason: error.to_string(),
         },
-        _ => lost(effect, error),
+        _ => unanswered(effect, error),
     }
 }
 
-pub(super) fn lost(effect: Effect, reason: impl ToString) -> StoreError {
+pub(super) fn unanswered(effect: Effect, reason: impl ToString) -> StoreError {
     let reason = reason.to_string();
     match effect {
         Effect::Read => StoreError::Unavailable { reason },
@@ -165,7 +160,7 @@
     }
 }
 
-/// A call that could not be put together: it was never sent.
+/// Error of a call that could not be encoded and was never sent.
 pub(super) fn invalid(reason: impl ToString) -> StoreError {
     StoreError::Invalid {
         reason: reason.to_string(),
--- a/crates/store/src/client/mod.rs
+++ b/crates/store/src/client/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP clients of the platform's services: JSON bodies, one client for each worker thread.
+//! HTTP clients of the platform's services, with JSON bodies.
 //!
-//! A failure tells what is known of the change. Not connected, or refused by the service:
-//! [`StoreError::Unavailable`]. Sent, and the answer lost or late: [`StoreError::Ambiguous`] for a
-//! write, `Unavailable` for a read, which changes nothing.
+//! Errors state what is known about the effect of a call. If the connection failed or the service answered 503, it is
+//! [`StoreError::Unavailable`]. If the call was sent but its answer was lost or late, it is [`StoreError::Ambiguous`] for
+//! a write and `Unavailable` for a read, which changes nothing.
 
 mod http;
 mod machines;
@@ -22,13 +22,13 @@
 use objects::HttpObjectStore;
 use tables::HttpTableStore;
 
-/// Makes direct clients, without the store gate, for the worker thread that calls the factory.
+/// Creates a factory of clients without the store gate.
 pub fn factory(settings: &PlatformSettings) -> PlatformFactory {
     let settings = settings.clone();
     Arc::new(move || direct(&settings))
 }
 
-/// Direct clients for the calling thread.
+/// Creates clients without the store gate for the calling thread.
 pub fn direct(settings: &PlatformSettings) -> Platform {
     let http = Rc::new(Http::new(Duration::from_millis(settings.call_timeout_ms)));
     Platform {
--- a/crates/store/src/client/objects.rs
+++ b/crates/store/src/client/objects.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-use super::http::{Answer, Call, Effect, Http, lost};
+use super::http::{Answer, Call, Effect, Http, unanswered};
 use super::protocol::{ObjectBody, ObjectPartQuery, ObjectQuery, RangeQuery};
 use crate::objects::{ObjectData, ObjectStore};
 use crate::tables::StoreError;
@@ -46,7 +46,7 @@
     }
 }
 
-fn named(name: &str) -> ObjectQuery {
+fn object_query(name: &str) -> ObjectQuery {
     ObjectQuery {
         name: name.to_owned(),
     }
@@ -55,7 +55,7 @@
 #[async_trait(?Send)]
 impl ObjectStore for HttpObjectStore {
     async fn create(&self, name: &str, bytes: Bytes) -> Result<(), StoreError> {
-        self.call(Method::PUT, &named(name), bytes, Effect::Write)
+        self.call(Method::PUT, &object_query(name), bytes, Effect::Write)
             .await
             .map(drop)
     }
@@ -77,13 +77,13 @@
         let Some(size) = answer.object_size else {
             return Ok(None);
         };
-        // The HTTP client takes a connection that breaks within a body for its end.
+        // The HTTP client treats a connection that breaks within a body as its end.
         let expected = size.saturating_sub(offset).min(limit);
         if answer.bytes.len() as u64 != expected {
             let read = answer.bytes.len();
-            return Err(lost(
+            return Err(unanswered(
                 Effect::Read,
-                format!("{read} of {expected} bytes of {name} were read"),
+                format!("truncated body: {read} of {expected} bytes of {name}"),
             ));
         }
         Ok(Some(ObjectData {
@@ -93,9 +93,14 @@
     }
 
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
-        self.call(Method::DELETE, &named(name), Bytes::new(), Effect::Write)
-            .await
-            .map(drop)
+        self.call(
+            Method::DELETE,
+            &object_query(name),
+            Bytes::new(),
+            Effect::Write,
+        )
+        .await
+        .map(drop)
     }
 
     async fn list(
--- a/crates/store/src/client/protocol.rs
+++ b/crates/store/src/client/protocol.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the platform's services. Values are base64.
+//! JSON bodies of the platform's services. Values are base64-encoded.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -7,10 +7,10 @@
 
 use crate::tables::{Changes, Expect, Row, Transaction, Write};
 
-/// Header of a part of an object: size of the whole object, bytes.
+/// Header with the size of the whole object in bytes, on reads of a part.
 pub const OBJECT_SIZE_HEADER: &str = "x-object-size";
 
-/// A value: bytes as base64 text.
+/// Bytes serialized as base64.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Value(pub Bytes);
 
@@ -28,16 +28,16 @@
     }
 }
 
-/// One comparison of a transaction.
+/// Comparison of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompareBody {
     /// Key of the row.
     pub key: String,
-    /// What is expected of it.
+    /// Expected state of the row.
     pub expect: ExpectBody,
 }
 
-/// What a comparison expects of a row.
+/// Expected state of a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExpectBody {
@@ -49,7 +49,7 @@
     Revision(u64),
 }
 
-/// One write of a transaction: a put, or with no value a delete.
+/// Write of a transaction: a put, or a delete if there is no value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteBody {
     /// Key of the row.
@@ -61,9 +61,9 @@
 /// Body of `POST {tables}/transact`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionBody {
-    /// Comparisons.
+    /// All must hold.
     pub compare: Vec<CompareBody>,
-    /// Writes.
+    /// Applied in order.
     pub writes: Vec<WriteBody>,
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// Answer of `POST {tables}/transact` with status 200.
+/// Answer of `POST {tables}/transact` with status 200: the transaction took effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedBody {
     /// The store's new revision.
@@ -125,20 +125,20 @@
 /// Answer with status 409: a comparison failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConflictBody {
-    /// First row that was not as expected.
+    /// First row that differs.
     pub key: String,
-    /// Its revision; `None` when it is absent.
+    /// Its revision; `None` if it does not exist.
     pub actual: Option<u64>,
 }
 
-/// Answer with status 429.
+/// Answer with status 429: too many calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimitedBody {
-    /// When to come back, milliseconds.
+    /// Time to wait before a retry.
     pub retry_after_ms: u32,
 }
 
-/// One row.
+/// Row of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowBody {
     /// Key.
@@ -169,14 +169,14 @@
     }
 }
 
-/// Answer of `GET {tables}/row?key=` (at most one) and `GET {tables}/range?prefix=&after=&limit=`.
+/// Answer of `GET {tables}/row?key=`, with at most one row, and `GET {tables}/range?prefix=&after=&limit=`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowsBody {
     /// Rows in key order.
     pub rows: Vec<RowBody>,
 }
 
-/// One changed row.
+/// Changed row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBody {
     /// Key.
@@ -194,7 +194,7 @@
     pub rows: Vec<ChangeBody>,
     /// Revision up to which the feed was read.
     pub up_to: u64,
-    /// The feed no longer reaches back far enough.
+    /// The feed no longer reaches back to the requested revision.
     pub compacted: bool,
 }
 
@@ -234,58 +234,58 @@
     }
 }
 
-/// Query of a read of one row.
+/// Query for one row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowQuery {
     /// Key of the row.
     pub key: String,
 }
 
-/// Query of a range of rows or of a list of objects.
+/// Query for a range of rows or a list of objects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeQuery {
     /// Prefix of the keys.
     pub prefix: String,
-    /// Only keys greater than this.
+    /// Exclusive lower bound of the keys.
     pub after: String,
-    /// Most rows.
+    /// Maximum number of rows or objects.
     pub limit: usize,
 }
 
-/// Query of the change feed.
+/// Query for the change feed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesQuery {
     /// Prefix of the keys.
     pub prefix: String,
-    /// Changes after this revision.
+    /// Exclusive lower bound of the revisions.
     pub after: u64,
-    /// Longest wait for a change, milliseconds.
+    /// Maximum wait for a change.
     pub wait_ms: u32,
 }
 
-/// Query that names an object.
+/// Query for a whole object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectQuery {
     /// Name of the object.
     pub name: String,
 }
 
-/// Query of a part of an object.
+/// Query for part of an object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectPartQuery {
     /// Name of the object.
     pub name: String,
-    /// First byte.
+    /// Offset of the first byte.
     pub offset: u64,
-    /// Most bytes.
+    /// Maximum number of bytes.
     pub limit: u64,
 }
 
-/// One object in a list.
+/// Entry in a list of objects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectBody {
     /// Name.
     pub name: String,
-    /// Size, bytes.
+    /// Size in bytes.
     pub size: u64,
 }
--- a/crates/store/src/gate/budget.rs
+++ b/crates/store/src/gate/budget.rs
@@ -1,35 +1,35 @@
-//! Retry budget: repeated calls as a share of first calls.
+//! Retry budget: limits retries to a share of first calls.
 
-/// A budget that first calls fill and repeated calls use up.
+/// Budget credited by first calls and debited by retries.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share: f64,
-    saved: f64,
+    balance: f64,
 }
 
-/// Most repeated calls that are saved up.
-const MAXIMUM_SAVED: f64 = 10.0;
+/// Maximum balance, in retries.
+const MAXIMUM_BALANCE: f64 = 10.0;
 
 impl RetryBudget {
-    /// A budget of `percent` repeated calls for each hundred first ones.
+    /// Creates a full budget that earns `percent` retries per hundred first calls.
     pub fn new(percent: u32) -> RetryBudget {
         RetryBudget {
             share: f64::from(percent) / 100.0,
-            saved: MAXIMUM_SAVED,
+            balance: MAXIMUM_BALANCE,
         }
     }
 
-    /// Counts a first call.
-    pub fn first(&mut self) {
-        self.saved = (self.saved + self.share).min(MAXIMUM_SAVED);
+    /// Credits a first call.
+    pub fn credit_call(&mut self) {
+        self.balance = (self.balance + self.share).min(MAXIMUM_BALANCE);
     }
 
-    /// Takes a repeated call; `false` when the budget is used up.
-    pub fn repeat(&mut self) -> bool {
-        if self.saved < 1.0 {
+    /// Takes one retry; `false` if the budget is exhausted.
+    pub fn take_retry(&mut self) -> bool {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- a/crates/store/src/gate/class.rs
+++ b/crates/store/src/gate/class.rs
@@ -1,49 +1,49 @@
-//! Classes of calls, chosen by the rows that a call touches.
+//! Priority classes of calls, derived from the keys that a call touches.
 
 use dappleyard_wire::keys;
 
 use crate::tables::{Transaction, Write};
 
-/// Class of a call; the first one goes first.
+/// Priority class of a call, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallClass {
     /// At-most-once records, chunk commits, cancels and acceptance of jobs.
-    Promise,
+    Critical,
     /// Configuration, plans and epochs.
     Control,
     /// Claims, splits, feeds and reads of batch work.
     Batch,
-    /// Decision journal and other things that may wait.
+    /// Decision journal and other deferrable work.
     Journal,
 }
 
 impl CallClass {
-    /// Share of the burst that stays untouched by this class, percent.
+    /// Share of the burst reserved for higher classes, percent.
     pub const fn reserve_percent(self) -> u32 {
         match self {
-            CallClass::Promise => 0,
+            CallClass::Critical => 0,
             CallClass::Control => 10,
             CallClass::Batch => 20,
             CallClass::Journal => 50,
         }
     }
 
-    /// Name in metrics.
+    /// Label in metrics.
     pub const fn name(self) -> &'static str {
         match self {
-            CallClass::Promise => "promise",
+            CallClass::Critical => "promise",
             CallClass::Control => "control",
             CallClass::Batch => "batch",
             CallClass::Journal => "journal",
         }
     }
 
-    /// Class of a read.
+    /// Class of a call for a key or key prefix.
     pub fn of_key(key: &str) -> CallClass {
-        let begins = |prefixes: &[&str]| prefixes.iter().any(|prefix| key.starts_with(prefix));
-        if begins(&["once/", "client-key/", keys::JOB_PREFIX]) {
-            CallClass::Promise
-        } else if begins(&[
+        let has_prefix = |prefixes: &[&str]| prefixes.iter().any(|prefix| key.starts_with(prefix));
+        if has_prefix(&["once/", "client-key/", keys::JOB_PREFIX]) {
+            CallClass::Critical
+        } else if has_prefix(&[
             keys::CONFIGURATION_PREFIX,
             keys::CONFIGURATION_HEAD,
             keys::PLAN_PREFIX,
@@ -51,15 +51,15 @@
             keys::REGION_PREFIX,
         ]) {
             CallClass::Control
-        } else if begins(&["journal/", "decision/", "decisions/"]) {
+        } else if has_prefix(&["journal/", "decision/", "decisions/"]) {
             CallClass::Journal
         } else {
             CallClass::Batch
         }
     }
 
-    /// Class of a transaction: the first one among its rows, written or compared. So a chunk commit,
-    /// which compares the job row, is a promise, and a claim, which touches chunk rows only, is not.
+    /// Highest class among the rows that a transaction writes or compares. A chunk commit, which compares the job row, thus
+    /// ranks above a claim, which touches chunk rows only.
     pub fn of_transaction(transaction: &Transaction) -> CallClass {
         let compared = transaction.compare.iter().map(|(key, _)| key.as_str());
         let written = transaction.writes.iter().map(|write| match write {
--- a/crates/store/src/gate/group.rs
+++ b/crates/store/src/gate/group.rs
@@ -1,8 +1,7 @@
-//! Group commit: transactions that touch different rows go out as one.
+//! Group commit: merges transactions that touch different rows.
 //!
-//! A transaction waits a few milliseconds for others of the same worker thread. The joined one takes
-//! effect as a whole or not at all; when a comparison fails, the transaction it belongs to is told
-//! so and the others go out again.
+//! A transaction waits a few milliseconds for others of the same worker thread. The merged transaction is atomic; when a
+//! comparison fails, the transactions that contain it get the conflict and the others are sent again.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -12,113 +11,124 @@
 
 use tokio::sync::oneshot;
 
+use super::caller::StoreCaller;
 use super::class::CallClass;
-use super::lane::Lane;
 use crate::tables::Write;
 use crate::{StoreError, TableStore, Transaction};
 
-/// Most writes and comparisons of a joined transaction.
+/// Maximum number of writes and comparisons in a merged transaction.
 const MAXIMUM_ROWS: usize = 100;
-/// Most bytes of the values of a joined transaction.
+/// Maximum size of the values in a merged transaction.
 const MAXIMUM_BYTES: usize = 256 * 1024;
 
-/// One transaction and who waits for it.
-struct Member {
+/// Queued transaction and the channel for its result.
+struct PendingTransaction {
     transaction: Transaction,
     answer: oneshot::Sender<Result<u64, StoreError>>,
 }
 
-/// Joins the transactions of one worker thread.
+/// Merges the transactions of one worker thread.
 pub struct GroupCommit {
     inner: Rc<dyn TableStore>,
-    lane: Arc<Lane>,
+    caller: Arc<StoreCaller>,
     wait_ms: u64,
-    waiting: RefCell<Vec<Member>>,
+    queue: RefCell<Vec<PendingTransaction>>,
 }
 
 impl GroupCommit {
-    /// Joins transactions that come within `wait_ms` milliseconds.
-    pub fn new(inner: Rc<dyn TableStore>, lane: Arc<Lane>, wait_ms: u64) -> Rc<GroupCommit> {
+    /// Merges transactions that arrive within `wait_ms` milliseconds; 0 disables merging.
+    pub fn new(
+        inner: Rc<dyn TableStore>,
+        caller: Arc<StoreCaller>,
+        wait_ms: u64,
+    ) -> Rc<GroupCommit> {
         Rc::new(GroupCommit {
             inner,
-            lane,
+            caller,
             wait_ms,
-            waiting: RefCell::new(Vec::new()),
+            queue: RefCell::new(Vec::new()),
         })
     }
 
-    /// The table service itself.
+    /// The wrapped table service.
     pub fn inner(&self) -> Rc<dyn TableStore> {
         self.inner.clone()
     }
 
-    /// Applies a transaction, alone or joined with others.
+    /// Applies a transaction, possibly merged with others.
     pub async fn transact(self: &Rc<Self>, transaction: Transaction) -> Result<u64, StoreError> {
         if self.wait_ms == 0 {
-            return send(&self.inner, &self.lane, &transaction).await;
+            return send(&self.inner, &self.caller, &transaction).await;
         }
         let (answer, answered) = oneshot::channel();
         let first = {
-            let mut waiting = self.waiting.borrow_mut();
-            waiting.push(Member {
+            let mut queue = self.queue.borrow_mut();
+            queue.push(PendingTransaction {
                 transaction,
                 answer,
             });
-            waiting.len() == 1
+            queue.len() == 1
         };
         if first {
             let group = self.clone();
             actix_rt::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(group.wait_ms)).await;
-                group.send_waiting();
+                group.flush();
             });
         }
         answered.await.unwrap_or_else(|_| {
             Err(StoreError::Ambiguous {
-                reason: "the sender of the transaction ended".to_owned(),
+                reason: "the group commit task was dropped".to_owned(),
             })
         })
     }
 
-    /// Sends all that waits, joined as far as their rows differ.
-    fn send_waiting(&self) {
-        let mut waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        while !waiting.is_empty() {
-            let (group, rest) = take_group(waiting);
-            waiting = rest;
+    /// Sends all queued transactions, merged as far as their rows allow.
+    fn flush(&self) {
+        let mut queue = std::mem::take(&mut *self.queue.borrow_mut());
+        while !queue.is_empty() {
+            let (group, rest) = take_group(queue);
+            queue = rest;
             let inner = self.inner.clone();
-            let lane = self.lane.clone();
-            actix_rt::spawn(async move { send_group(inner, lane, group).await });
+            let caller = self.caller.clone();
+            actix_rt::spawn(async move { send_group(inner, caller, group).await });
         }
     }
 }
 
 async fn send(
     inner: &Rc<dyn TableStore>,
-    lane: &Lane,
+    caller: &StoreCaller,
     transaction: &Transaction,
 ) -> Result<u64, StoreError> {
     let class = CallClass::of_transaction(transaction);
-    lane.call(class, || inner.transact(transaction.clone()))
+    caller
+        .call(class, || inner.transact(transaction.clone()))
         .await
 }
 
-async fn send_group(inner: Rc<dyn TableStore>, lane: Arc<Lane>, mut group: Vec<Member>) {
+async fn send_group(
+    inner: Rc<dyn TableStore>,
+    caller: Arc<StoreCaller>,
+    mut group: Vec<PendingTransaction>,
+) {
     while !group.is_empty() {
-        let joined = join(&group);
+        let joined = merge(&group);
         for _ in 1..group.len() {
-            lane.joined();
+            caller.count_merged();
         }
-        let result = send(&inner, &lane, &joined).await;
+        let result = send(&inner, &caller, &joined).await;
         let Err(StoreError::Conflict { key, .. }) = &result else {
             for member in group {
                 let _ = member.answer.send(result.clone());
             }
             return;
         };
-        let compares = |member: &Member| member.transaction.compare.iter().any(|(k, _)| k == key);
-        let (failed, rest): (Vec<Member>, Vec<Member>) = group.into_iter().partition(compares);
-        // A conflict that names no comparison of ours cannot be told apart: all are told.
+        let compares =
+            |member: &PendingTransaction| member.transaction.compare.iter().any(|(k, _)| k == key);
+        let (failed, rest): (Vec<PendingTransaction>, Vec<PendingTransaction>) =
+            group.into_iter().partition(compares);
+        // The conflict matches no comparison of the group: report it to all.
         if failed.is_empty() {
             for member in rest {
                 let _ = member.answer.send(result.clone());
@@ -132,7 +142,7 @@
     }
 }
 
-fn join(group: &[Member]) -> Transaction {
+fn merge(group: &[PendingTransaction]) -> Transaction {
     let mut joined = Transaction::default();
     for member in group {
         let transaction = &member.transaction;
@@ -146,18 +156,20 @@
     joined
 }
 
-/// Takes transactions of one class that may go out together: no one writes a row that another one
-/// writes or compares, and comparisons of the same row expect the same.
-fn take_group(waiting: Vec<Member>) -> (Vec<Member>, Vec<Member>) {
-    let mut group: Vec<Member> = Vec::new();
+/// Splits off transactions of one class that can be merged: none writes a row that another writes or compares, and
+/// comparisons of the same row expect the same.
+fn take_group(
+    queue: Vec<PendingTransaction>,
+) -> (Vec<PendingTransaction>, Vec<PendingTransaction>) {
+    let mut group: Vec<PendingTransaction> = Vec::new();
     let mut rest = Vec::new();
     let mut rows = Rows::default();
-    for member in waiting {
+    for member in queue {
         let class = CallClass::of_transaction(&member.transaction);
         let same_class = group
             .first()
             .is_none_or(|first| CallClass::of_transaction(&first.transaction) == class);
-        if same_class && rows.admits(&member.transaction, group.is_empty()) {
+        if same_class && rows.fits_with(&member.transaction, group.is_empty()) {
             rows.add(&member.transaction);
             group.push(member);
         } else {
@@ -167,7 +179,7 @@
     (group, rest)
 }
 
-/// Rows that a group touches.
+/// Rows and bytes of a group.
 #[derive(Default)]
 struct Rows {
     written: HashSet<String>,
@@ -177,18 +189,18 @@
 }
 
 impl Rows {
-    fn admits(&self, transaction: &Transaction, first: bool) -> bool {
-        let fits = self.rows + rows_of(transaction) <= MAXIMUM_ROWS
-            && self.bytes + size(transaction) <= MAXIMUM_BYTES;
-        let writes_apart = transaction.writes.iter().all(|write| {
+    fn fits_with(&self, transaction: &Transaction, first: bool) -> bool {
+        let fits = self.rows + row_count(transaction) <= MAXIMUM_ROWS
+            && self.bytes + value_bytes(transaction) <= MAXIMUM_BYTES;
+        let writes_are_disjoint = transaction.writes.iter().all(|write| {
             let key = key_of(write);
             !self.written.contains(key) && !self.compared.iter().any(|(row, _)| row == key)
         });
-        let compares_apart = transaction.compare.iter().all(|(key, expect)| {
+        let compares_are_compatible = transaction.compare.iter().all(|(key, expect)| {
             let others = self.compared.iter().filter(|(row, _)| row == key);
             !self.written.contains(key) && others.clone().all(|(_, other)| other == expect)
         });
-        first || fits && writes_apart && compares_apart
+        first || fits && writes_are_disjoint && compares_are_compatible
     }
 
     fn add(&mut self, transaction: &Transaction) {
@@ -196,12 +208,12 @@
         self.written
             .extend(written.map(|write| key_of(write).to_owned()));
         self.compared.extend(transaction.compare.iter().cloned());
-        self.rows += rows_of(transaction);
-        self.bytes += size(transaction);
+        self.rows += row_count(transaction);
+        self.bytes += value_bytes(transaction);
     }
 }
 
-fn rows_of(transaction: &Transaction) -> usize {
+fn row_count(transaction: &Transaction) -> usize {
     transaction.writes.len() + transaction.compare.len()
 }
 
@@ -211,7 +223,7 @@
     }
 }
 
-fn size(transaction: &Transaction) -> usize {
+fn value_bytes(transaction: &Transaction) -> usize {
     let sizes = transaction.writes.iter().map(|write| match write {
         Write::Put { value, .. } => value.len(),
         Write::Delete { .. } => 0,
--- a/crates/store/src/gate/metrics.rs
+++ b/crates/store/src/gate/metrics.rs
@@ -2,23 +2,23 @@
 
 use prometheus::{HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry};
 
-/// Metrics of one node's store gate.
+/// Metrics of a node's store gate.
 #[derive(Clone)]
 pub struct GateMetrics {
-    /// Calls that went out, by store, class and outcome.
+    /// Calls sent, by store, class and outcome.
     pub calls: IntCounterVec,
-    /// Calls repeated, by store.
+    /// Retries, by store.
     pub retries: IntCounterVec,
-    /// Transactions that went out inside another one.
+    /// Transactions merged into another one, by store.
     pub joined: IntCounterVec,
-    /// Seconds that calls waited for the rate limit, by store and class.
+    /// Time that calls waited for the rate limit in seconds, by store and class.
     pub waited: HistogramVec,
     /// 1 while the breaker of a store is open.
     pub open: IntGaugeVec,
 }
 
 impl GateMetrics {
-    /// Registers the metrics.
+    /// Creates and registers the metrics.
     pub fn register(registry: &Registry) -> GateMetrics {
         let metrics = GateMetrics {
             calls: counters("calls", "Calls by outcome.", &["store", "class", "outcome"]),
@@ -40,14 +40,14 @@
         ];
         for collector in collectors {
             if let Err(error) = registry.register(collector) {
-                tracing::debug!(%error, "a metric of the store gate is registered already");
+                tracing::debug!(%error, "failed to register a store gate metric");
             }
         }
         metrics
     }
 }
 
-const VALID: &str = "the name is a constant and valid";
+const VALID: &str = "metric names and labels are valid constants";
 
 fn options(suffix: &str, help: &str) -> Opts {
     Opts::new(format!("dappleyard_store_{suffix}"), help)
--- a/crates/store/src/gate/mod.rs
+++ b/crates/store/src/gate/mod.rs
@@ -1,15 +1,14 @@
-//! The store gate: the one place through which a node calls the table service and the object store.
+//! Store gate: all calls of a node to the table service and the object store go through it.
 //!
-//! All worker threads of a node share one [`StoreGate`]. It limits the rate, lets the calls that
-//! protect promises go before the others, repeats calls that changed nothing within a budget, stops
-//! calling a store that does not answer, and joins small writes into one transaction. It never
-//! repeats a write whose answer was lost: only the caller knows how to read back what became of it.
+//! All worker threads share one [`StoreGate`]. It limits the call rate by priority class, retries calls that changed
+//! nothing within a budget, stops calling a store that does not answer, and merges small writes into one transaction. It
+//! never retries a write whose answer was lost: only the caller can find out whether it took effect.
 
 mod breaker;
 mod budget;
+mod caller;
 mod class;
 mod group;
-mod lane;
 mod limiter;
 mod metrics;
 mod objects;
@@ -26,39 +25,39 @@
 pub use limiter::Limiter;
 
 use crate::{Platform, PlatformFactory};
+use caller::StoreCaller;
 use group::GroupCommit;
-use lane::Lane;
 use metrics::GateMetrics;
 use objects::GatedObjects;
 use tables::GatedTables;
 
-/// The gate that all worker threads of a node share.
+/// Gate shared by all worker threads of a node.
 pub struct StoreGate {
-    tables: Arc<Lane>,
-    objects: Arc<Lane>,
+    tables: Arc<StoreCaller>,
+    objects: Arc<StoreCaller>,
     group_commit_ms: u64,
 }
 
 impl StoreGate {
-    /// A gate; its metrics go into `registry`.
+    /// Creates a gate and registers its metrics.
     pub fn new(settings: &PlatformSettings, registry: &prometheus::Registry) -> Arc<StoreGate> {
         let metrics = GateMetrics::register(registry);
         Arc::new(StoreGate {
-            tables: Arc::new(Lane::new("tables", settings, metrics.clone())),
-            objects: Arc::new(Lane::new("objects", settings, metrics)),
+            tables: Arc::new(StoreCaller::new("tables", settings, metrics.clone())),
+            objects: Arc::new(StoreCaller::new("objects", settings, metrics)),
             group_commit_ms: settings.group_commit_ms,
         })
     }
 
-    /// A factory whose platforms go through this gate.
+    /// Wraps a factory so that its platforms go through this gate.
     pub fn wrap(self: &Arc<Self>, factory: PlatformFactory) -> PlatformFactory {
         let gate = self.clone();
         Arc::new(move || gate.gated(factory()))
     }
 
-    /// Whether the table service answered lately: `false` while its breaker is open.
-    pub fn tables_answer(&self) -> bool {
-        self.tables.answers()
+    /// Whether the breaker of the table service is closed.
+    pub fn tables_available(&self) -> bool {
+        self.tables.is_available()
     }
 
     fn gated(&self, platform: Platform) -> Platform {
--- a/crates/store/src/gate/objects.rs
+++ b/crates/store/src/gate/objects.rs
@@ -1,4 +1,4 @@
-//! The object store behind the gate.
+//! Object store behind the gate.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -6,26 +6,25 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 
+use super::caller::StoreCaller;
 use super::class::CallClass;
-use super::lane::Lane;
 use crate::{ObjectData, ObjectStore, StoreError};
 
-/// An object store whose calls go through a lane.
+/// [`ObjectStore`] whose calls go through the gate.
 pub struct GatedObjects {
     inner: Rc<dyn ObjectStore>,
-    lane: Arc<Lane>,
+    caller: Arc<StoreCaller>,
 }
 
 impl GatedObjects {
-    /// Puts a store behind a lane.
-    pub fn new(inner: Rc<dyn ObjectStore>, lane: Arc<Lane>) -> GatedObjects {
-        GatedObjects { inner, lane }
+    pub fn new(inner: Rc<dyn ObjectStore>, caller: Arc<StoreCaller>) -> GatedObjects {
+        GatedObjects { inner, caller }
     }
 }
 
 fn class_of(name: &str) -> CallClass {
     match name.starts_with("files/") || name.starts_with("results/") {
-        true => CallClass::Promise,
+        true => CallClass::Critical,
         false => CallClass::of_key(name),
     }
 }
@@ -34,7 +33,7 @@
 impl ObjectStore for GatedObjects {
     async fn create(&self, name: &str, bytes: Bytes) -> Result<(), StoreError> {
         let send = || self.inner.create(name, bytes.clone());
-        self.lane.call(class_of(name), send).await
+        self.caller.call(class_of(name), send).await
     }
 
     async fn read(
@@ -44,12 +43,12 @@
         limit: u64,
     ) -> Result<Option<ObjectData>, StoreError> {
         let send = || self.inner.read(name, offset, limit);
-        self.lane.call(class_of(name), send).await
+        self.caller.call(class_of(name), send).await
     }
 
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
         let send = || self.inner.delete(name);
-        self.lane.call(CallClass::Journal, send).await
+        self.caller.call(CallClass::Journal, send).await
     }
 
     async fn list(
@@ -59,6 +58,6 @@
         limit: usize,
     ) -> Result<Vec<(String, u64)>, StoreError> {
         let send = || self.inner.list(prefix, after, limit);
-        self.lane.call(class_of(prefix), send).await
+        self.caller.call(class_of(prefix), send).await
     }
 }
--- a/crates/store/src/gate/tables.rs
+++ b/crates/store/src/gate/tables.rs
@@ -1,29 +1,28 @@
-//! The table service behind the gate.
+//! Table service behind the gate.
 
 use std::rc::Rc;
 use std::sync::Arc;
 
 use async_trait::async_trait;
 
+use super::caller::StoreCaller;
 use super::class::CallClass;
 use super::group::GroupCommit;
-use super::lane::Lane;
 use crate::{Changes, Row, StoreError, TableStore, Transaction};
 
-/// A table service whose reads go through a lane and whose writes are joined before they do.
+/// [`TableStore`] whose calls go through the gate and whose writes are merged before.
 pub struct GatedTables {
     inner: Rc<dyn TableStore>,
     writes: Rc<GroupCommit>,
-    lane: Arc<Lane>,
+    caller: Arc<StoreCaller>,
 }
 
 impl GatedTables {
-    /// Puts a table service behind a lane.
-    pub fn new(writes: Rc<GroupCommit>, lane: Arc<Lane>) -> GatedTables {
+    pub fn new(writes: Rc<GroupCommit>, caller: Arc<StoreCaller>) -> GatedTables {
         GatedTables {
             inner: writes.inner(),
             writes,
-            lane,
+            caller,
         }
     }
 }
@@ -36,20 +35,24 @@
 
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
         let send = || self.inner.get(key);
-        self.lane.call(CallClass::of_key(key), send).await
+        self.caller.call(CallClass::of_key(key), send).await
     }
 
     async fn range(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>, StoreError> {
         let send = || self.inner.range(prefix, after, limit);
-        self.lane.call(CallClass::of_key(prefix), send).await
+        self.caller.call(CallClass::of_key(prefix), send).await
     }
 
     async fn changes(&self, prefix: &str, after: u64, wait_ms: u32) -> Result<Changes, StoreError> {
-        // A call that waits for changes would keep the breaker open for as long as it waits.
+        // A long poll as a probe would keep the breaker open until it returns.
         let send = || {
-            let wait_ms = if self.lane.answers() { wait_ms } else { 0 };
+            let wait_ms = if self.caller.is_available() {
+                wait_ms
+            } else {
+                0
+            };
             self.inner.changes(prefix, after, wait_ms)
         };
-        self.lane.call(CallClass::of_key(prefix), send).await
+        self.caller.call(CallClass::of_key(prefix), send).await
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,7 @@
-//! Ports of the platform: tables, objects, weights and the machine list.
+//! Traits and clients of the platform's services: tables, objects and the machine list.
 //!
-//! The traits here are what the rest of the system depends on; `client` implements them over HTTP,
-//! and `gate` wraps the table and object stores with the one place for rate limits, classes of
-//! call, retries and the breaker. Futures are not `Send`: each worker thread has its own client.
+//! `client` implements the traits over HTTP, `memory` in memory, and `gate` wraps the table and object stores with rate
+//! limits, call classes, retries and a circuit breaker. Futures are not `Send`: each worker thread has its own clients.
 
 pub mod client;
 pub mod gate;
@@ -19,16 +18,16 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The platform as one worker thread uses it.
+/// Platform clients of one worker thread.
 #[derive(Clone)]
 pub struct Platform {
-    /// Table service, behind the store gate.
+    /// Table service.
     pub tables: Rc<dyn TableStore>,
-    /// Object store, behind the store gate.
+    /// Object store.
     pub objects: Rc<dyn ObjectStore>,
     /// Machine list.
     pub machines: Rc<dyn MachineList>,
 }
 
-/// Makes a [`Platform`] for the worker thread that calls it; all of them share one store gate.
+/// Creates a [`Platform`] for the calling worker thread.
 pub type PlatformFactory = Arc<dyn Fn() -> Platform + Send + Sync>;
--- a/crates/store/src/machines.rs
+++ b/crates/store/src/machines.rs
@@ -1,4 +1,4 @@
-//! Port of the platform's lagging list of live and leaving machines.
+//! Trait of the platform's machine list, which may be seconds out of date.
 
 use async_trait::async_trait;
 use dappleyard_wire::ids::{RegionId, ServiceId, ZoneId};
@@ -6,7 +6,7 @@
 
 use crate::tables::StoreError;
 
-/// What a machine runs.
+/// Role of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineRole {
@@ -16,30 +16,30 @@
     Server,
 }
 
-/// One machine as the list shows it; the list lags behind the truth by seconds.
+/// Machine as shown by the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name: a node id or a server id.
+    /// Node id or server id.
     pub name: String,
-    /// What it runs.
+    /// What the machine runs.
     pub role: MachineRole,
-    /// Region.
+    /// Region of the machine.
     pub region: RegionId,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: ZoneId,
-    /// Hall within the zone; the zone's name where there are no halls.
+    /// Hall within the zone; the zone's name if it has no halls.
     pub hall: String,
-    /// For a server its base URL; for a node `host:port` of its gossip socket.
+    /// Base URL of a server, or `host:port` of a node's gossip socket.
     pub address: String,
-    /// For a server the service that it is meant for; empty for a node.
+    /// Service of a server; empty for a node.
     pub service: ServiceId,
-    /// The machine has been told to leave.
+    /// Whether the machine is about to be removed.
     pub leaving: bool,
 }
 
-/// The platform's machine list.
+/// Machine list of the platform.
 #[async_trait(?Send)]
 pub trait MachineList {
-    /// All machines that the list shows at present.
+    /// Returns the current list.
     async fn machines(&self) -> Result<Vec<Machine>, StoreError>;
 }
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,8 +1,8 @@
-//! In-memory platform for tests and hollow fleets: tables, objects and a machine list in one process.
+//! In-memory platform for tests and simulated fleets: tables, objects and a machine list.
 //!
-//! It keeps the contract of the ports to the letter (transactions are atomic, revisions grow, a
-//! conflict names the first row that differs) and can be told to fail calls: see [`Fault`]. Clones
-//! share one state, also between threads. [`rows`] and [`objects`] are the states without ports.
+//! It follows the contract of the traits: transactions are atomic, revisions increase, and a conflict names the first
+//! row that differs. Calls can be made to fail, see [`Fault`]. Clones share their state across threads. [`rows`] and
+//! [`objects`] hold the data structures.
 
 pub mod objects;
 pub mod rows;
@@ -24,14 +24,14 @@
 use objects::Objects;
 use rows::Rows;
 
-/// How a call to the in-memory platform fails.
+/// Injected failure of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The store was not reached; nothing is changed.
+    /// The store is unreachable; nothing is changed.
     Unavailable,
-    /// The answer is lost and nothing was changed.
+    /// The answer is lost before the transaction takes effect.
     LostBeforeEffect,
-    /// The answer is lost after the change took effect.
+    /// The answer is lost after the transaction took effect.
     LostAfterEffect,
     /// Too many calls; nothing is changed.
     RateLimited,
@@ -60,7 +60,6 @@
     }
 }
 
-/// The in-memory platform.
 #[derive(Debug, Clone)]
 pub struct MemoryPlatform {
     state: Arc<Mutex<State>>,
@@ -77,7 +76,7 @@
 }
 
 impl MemoryPlatform {
-    /// The three ports over this state, for the thread that calls.
+    /// Creates clients for the calling thread.
     pub fn platform(&self) -> Platform {
         Platform {
             tables: Rc::new(self.clone()),
@@ -86,18 +85,18 @@
         }
     }
 
-    /// Makes [`Platform`]s over this state for any thread.
+    /// Creates a factory for clients on any thread.
     pub fn factory(&self) -> PlatformFactory {
         let shared = self.clone();
         Arc::new(move || shared.platform())
     }
 
-    /// Sets what becomes of coming transactions, in order; `None` lets one through.
+    /// Injects faults into the next transactions, in order; `None` lets one succeed.
     pub fn fail_transactions(&self, faults: impl IntoIterator<Item = Option<Fault>>) {
         self.state.lock().transaction_faults.extend(faults);
     }
 
-    /// Takes the whole platform down, or brings it back.
+    /// Makes all calls fail, or ends that.
     pub fn set_down(&self, down: bool) {
         self.state.lock().down = down;
     }
@@ -107,37 +106,35 @@
         self.state.lock().machines = machines;
     }
 
-    /// Forgets the change feed up to now, as a store does after a while.
+    /// Compacts the change feed up to the current revision.
     pub fn compact(&self) {
         let mut state = self.state.lock();
         let revision = state.rows.revision();
         state.rows.compact_to(revision);
     }
 
-    /// A row, read without faults.
+    /// Reads a row, ignoring faults.
     pub fn row(&self, key: &str) -> Option<Row> {
         self.state.lock().rows.get(key).cloned()
     }
 
-    /// All rows under a prefix, read without faults.
+    /// Reads all rows under a prefix, ignoring faults.
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         let state = self.state.lock();
         state.rows.range(prefix, "").cloned().collect()
     }
 
-    /// Names of all objects.
     pub fn object_names(&self) -> Vec<String> {
         let state = self.state.lock();
         let objects = state.objects.list("", "", usize::MAX).into_iter();
         objects.map(|(name, _)| name).collect()
     }
 
-    /// Revision of the store.
     pub fn revision(&self) -> u64 {
         self.state.lock().rows.revision()
     }
 
-    /// Transactions that took effect.
+    /// Number of transactions that took effect.
     pub fn transactions(&self) -> u64 {
         self.state.lock().transactions
     }
@@ -156,7 +153,7 @@
     }
 }
 
-fn lost() -> StoreError {
+fn ambiguous() -> StoreError {
     StoreError::Ambiguous {
         reason: "the in-memory platform lost the answer".to_owned(),
     }
@@ -179,7 +176,7 @@
             let fault = state.transaction_faults.pop_front().flatten();
             let result = match fault {
                 Some(Fault::Unavailable) => Err(unavailable()),
-                Some(Fault::LostBeforeEffect) => Err(lost()),
+                Some(Fault::LostBeforeEffect) => Err(ambiguous()),
                 Some(Fault::RateLimited) => Err(StoreError::RateLimited { retry_after_ms: 50 }),
                 Some(Fault::LostAfterEffect) | None => state.apply(transaction),
             };
@@ -189,7 +186,7 @@
             self.revision.send_replace(revision);
         }
         match fault {
-            Some(Fault::LostAfterEffect) => Err(lost()),
+            Some(Fault::LostAfterEffect) => Err(ambiguous()),
             _ => result,
         }
     }
--- a/crates/store/src/memory/objects.rs
+++ b/crates/store/src/memory/objects.rs
@@ -1,4 +1,4 @@
-//! Objects of an object store in memory.
+//! In-memory objects.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 }
 
 impl Objects {
-    /// Creates an object unless the name exists.
+    /// Creates an object; fails if the name exists.
     pub fn create(&mut self, name: &str, bytes: Bytes) -> Result<(), StoreError> {
         if self.objects.contains_key(name) {
             return Err(StoreError::Conflict {
@@ -26,12 +26,12 @@
         Ok(())
     }
 
-    /// A whole object.
+    /// Returns a whole object.
     pub fn get(&self, name: &str) -> Option<&Bytes> {
         self.objects.get(name)
     }
 
-    /// A part of an object.
+    /// Returns part of an object.
     pub fn read(&self, name: &str, offset: u64, limit: u64) -> Option<ObjectData> {
         let whole = self.objects.get(name)?;
         let size = whole.len() as u64;
@@ -48,7 +48,7 @@
         self.objects.remove(name);
     }
 
-    /// Names under a prefix after a name, in order, with sizes.
+    /// Lists names greater than `after` under a prefix, in order, with their sizes.
     pub fn list(&self, prefix: &str, after: &str, limit: usize) -> Vec<(String, u64)> {
         let from = prefix.max(after).to_owned();
         let objects = self.objects.range(from..);
--- a/crates/store/src/memory/rows.rs
+++ b/crates/store/src/memory/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of a table service in memory: one revision for all, and a feed of changes.
+//! In-memory rows with a global revision and a change feed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,19 +13,19 @@
     value: Option<Bytes>,
 }
 
-/// Rows, their revision and the feed of their changes.
+/// Rows with their change feed.
 #[derive(Debug)]
 pub struct Rows {
     rows: BTreeMap<String, Row>,
     revision: u64,
     feed: VecDeque<Change>,
-    /// Revision of the last change that the feed has forgotten.
+    /// Revision of the last change dropped from the feed.
     compacted_to: u64,
     maximum_feed: usize,
 }
 
 impl Rows {
-    /// No rows, at revision 0; the feed reaches back at most `maximum_feed` changes.
+    /// Creates an empty store at revision 0 whose feed keeps at most `maximum_feed` changes.
     pub fn new(maximum_feed: usize) -> Rows {
         Rows {
             rows: BTreeMap::new(),
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Revision of the last transaction that wrote.
+    /// Revision of the last transaction with writes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Applies a transaction, all of it or nothing; returns the revision after it.
+    /// Applies a transaction atomically and returns the revision after it.
     pub fn transact(&mut self, transaction: Transaction) -> Result<u64, StoreError> {
         self.compare(&transaction.compare)?;
         if transaction.writes.is_empty() {
@@ -51,7 +51,7 @@
         for write in transaction.writes {
             self.write(write);
         }
-        self.forget_old_changes();
+        self.trim_feed();
         Ok(self.revision)
     }
 
@@ -97,7 +97,7 @@
         });
     }
 
-    fn forget_old_changes(&mut self) {
+    fn trim_feed(&mut self) {
         while self.feed.len() > self.maximum_feed {
             let Some(oldest) = self.feed.pop_front() else {
                 return;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Forgets the feed up to a revision.
+    /// Drops the feed up to a revision.
     pub fn compact_to(&mut self, revision: u64) {
         while let Some(oldest) = self.feed.front()
             && oldest.revision <= revision
@@ -116,12 +116,12 @@
         self.compacted_to = self.compacted_to.max(revision.min(self.revision));
     }
 
-    /// One row.
+    /// Returns a row.
     pub fn get(&self, key: &str) -> Option<&Row> {
         self.rows.get(key)
     }
 
-    /// Rows under a prefix after a key, in key order.
+    /// Rows under a prefix with keys greater than `after`, in key order.
     pub fn range(&self, prefix: &str, after: &str) -> impl Iterator<Item = &Row> {
         let from = prefix.max(after).to_owned();
         let rows = self.rows.range(from..).map(|(_, row)| row);
@@ -129,13 +129,13 @@
             .filter(move |row| after.is_empty() || row.key.as_str() > after)
     }
 
-    /// All that the feed holds, oldest first: key, revision and value, `None` for a removed row.
+    /// Content of the feed, oldest first: key, revision, and value, which is `None` for a removed row.
     pub fn feed(&self) -> impl Iterator<Item = (&str, u64, Option<&Bytes>)> {
         let changes = self.feed.iter();
         changes.map(|change| (&*change.key, change.revision, change.value.as_ref()))
     }
 
-    /// Changes under a prefix after a revision, about `maximum` of them; transactions stay whole.
+    /// Changes under a prefix after a revision. Stops after `maximum` changes, but never within a transaction.
     pub fn changes(&self, prefix: &str, after: u64, maximum: usize) -> Changes {
         let mut changes = Changes {
             up_to: self.revision,
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -1,21 +1,21 @@
-//! Port of the transactional table service.
+//! Trait and types of the transactional table service.
 
 use async_trait::async_trait;
 use bytes::Bytes;
 use derive_more::{Display, Error};
 
-/// One row as read.
+/// Row of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Key of the row.
     pub key: String,
-    /// Value, a message of `rows.proto`.
+    /// Encoded message of `rows.proto`.
     pub value: Bytes,
-    /// Revision of the store at which this value was written; grows with each change.
+    /// Revision of the store at which this value was written.
     pub revision: u64,
 }
 
-/// What a transaction expects of a row.
+/// Expected state of a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
     /// The row does not exist.
@@ -26,7 +26,7 @@
     Present,
 }
 
-/// One write of a transaction.
+/// Write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
     /// Writes a row.
@@ -43,12 +43,12 @@
     },
 }
 
-/// Comparisons and writes that take effect together or not at all.
+/// Atomic set of comparisons and writes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Comparisons; each must hold.
+    /// All must hold.
     pub compare: Vec<(String, Expect)>,
-    /// Writes; applied in order at one revision.
+    /// Applied in order, at one revision.
     pub writes: Vec<Write>,
 }
 
@@ -60,7 +60,7 @@
         self
     }
 
-    /// Adds a write of a row.
+    /// Adds a put.
     #[must_use]
     pub fn put(mut self, key: impl Into<String>, value: impl Into<Bytes>) -> Self {
         self.writes.push(Write::Put {
@@ -70,7 +70,7 @@
         self
     }
 
-    /// Adds the removal of a row.
+    /// Adds a delete.
     #[must_use]
     pub fn delete(mut self, key: impl Into<String>) -> Self {
         self.writes.push(Write::Delete { key: key.into() });
@@ -78,55 +78,55 @@
     }
 }
 
-/// Rows that changed, in order of their revisions.
+/// Changed rows, in revision order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Changed rows; `None` for a removed one.
+    /// Key, revision and value; `None` for a removed row.
     pub rows: Vec<(String, u64, Option<Bytes>)>,
-    /// Revision up to which the feed was read; continue after it.
+    /// Revision up to which the feed was read, to continue after.
     pub up_to: u64,
-    /// The feed no longer reaches back to the revision asked for: read the range instead.
+    /// The feed no longer reaches back to the requested revision: read the range instead.
     pub compacted: bool,
 }
 
-/// Why a call to a store did not give what was asked.
+/// Error of a store call.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum StoreError {
-    /// The store was not reached, or refused: nothing was changed.
+    /// The store could not be reached or refused the call; nothing was changed.
     #[display("the store is unavailable and changed nothing: {reason}")]
     Unavailable {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// The answer was lost: the change may have taken effect. Read back to learn which.
+    /// The answer was lost; the change may have taken effect. Read back to find out.
     #[display("the store's answer was lost: {reason}")]
     Ambiguous {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// A comparison failed: nothing was changed.
+    /// A comparison failed; nothing was changed.
     #[display("row {key} is not as expected (revision {actual:?})")]
     Conflict {
-        /// First row that was not as expected.
+        /// First row that differs.
         key: String,
-        /// Its revision; `None` when it is absent.
+        /// Its revision; `None` if it does not exist.
         actual: Option<u64>,
     },
-    /// Too many calls: nothing was changed.
+    /// Too many calls; nothing was changed.
     #[display("the store asks to wait {retry_after_ms} ms")]
     RateLimited {
-        /// When to come back, milliseconds.
+        /// Time to wait before a retry.
         retry_after_ms: u32,
     },
-    /// The call is malformed or too large: nothing was changed.
+    /// The call is malformed or too large; nothing was changed.
     #[display("the store refuses the call: {reason}")]
     Invalid {
-        /// What the store said.
+        /// Reason given by the store.
         reason: String,
     },
 }
 
-/// The platform's transactional table service.
+/// Transactional table service of the platform.
 #[async_trait(?Send)]
 pub trait TableStore {
     /// Applies a transaction and returns the store's new revision.
@@ -138,6 +138,6 @@
     /// Reads rows whose keys start with `prefix` and are greater than `after`, in key order.
     async fn range(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>, StoreError>;
 
-    /// Reads changes of rows under `prefix` after a revision. Waits up to `wait_ms` for one.
+    /// Reads changes of rows under `prefix` after a revision, waiting up to `wait_ms` for the first one.
     async fn changes(&self, prefix: &str, after: u64, wait_ms: u32) -> Result<Changes, StoreError>;
 }
--- a/crates/store/tests/gate.rs
+++ b/crates/store/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The store gate over a scripted store, in virtual time.
+//! Store gate with a scripted store, in virtual time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
 use googletest::prelude::*;
 use tokio::task::LocalSet;
 
-/// Answers in a given order, then with success; keeps what was sent.
+/// Returns the given answers in order, then success, and records the transactions.
 #[derive(Default)]
 struct Scripted {
     answers: RefCell<VecDeque<Result<u64, StoreError>>>,
@@ -95,8 +95,8 @@
     }
 }
 
-/// A platform behind a gate, and the store behind it. The factory makes its parts on the calling
-/// thread, where the script lives too.
+/// Returns a platform behind a gate and its scripted store. The script is passed in a thread-local, since the factory must
+/// be `Send`.
 fn gated(settings: &PlatformSettings) -> (Platform, Rc<Scripted>) {
     thread_local! {
         static SCRIPT: RefCell<Rc<Scripted>> = RefCell::default();
@@ -123,7 +123,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn writes_of_different_rows_go_out_together() {
+async fn writes_of_different_rows_are_merged() {
     LocalSet::new()
         .run_until(async {
             let (platform, script) = gated(&PlatformSettings::default());
@@ -134,7 +134,7 @@
                 tables.transact(put("chunk/a")),
             );
             expect_that!([first, second, third], each(ok(eq(&7))));
-            // The third writes the same row as the first and goes out on its own.
+            // The third writes the same row as the first and is sent separately.
             expect_that!(script.calls.get(), eq(2));
             expect_that!(script.sent.borrow()[0].writes.len(), eq(2));
         })
@@ -143,7 +143,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_conflict_is_told_to_its_own_transaction_only() {
+async fn conflict_fails_only_its_own_transaction() {
     LocalSet::new()
         .run_until(async {
             let (platform, script) = gated(&PlatformSettings::default());
@@ -169,7 +169,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_write_whose_answer_was_lost_is_not_repeated() {
+async fn ambiguous_write_is_not_retried() {
     LocalSet::new()
         .run_until(async {
             let (platform, script) = gated(&PlatformSettings::default());
@@ -185,21 +185,21 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_store_that_is_down_sees_few_calls_and_is_used_again_when_it_answers() {
+async fn breaker_limits_calls_during_an_outage_and_recovers() {
     LocalSet::new()
         .run_until(async {
             let settings = PlatformSettings::default();
             let (platform, script) = gated(&settings);
             script.down.set(true);
             let until = dappleyard_clock::Instant::now() + Duration::from_secs(120);
-            let mut asked = 0;
+            let mut calls_made = 0;
             while dappleyard_clock::Instant::now() < until {
-                asked += 1;
+                calls_made += 1;
                 expect_that!(platform.tables.get("job/a").await, err(anything()));
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            expect_that!(asked, gt(3_000));
-            // Probes about every second, and what came before the breaker opened.
+            expect_that!(calls_made, gt(3_000));
+            // About one probe per second, plus the calls before the breaker opened.
             expect_that!(script.calls.get(), lt(260));
             script.down.set(false);
             tokio::time::sleep(Duration::from_millis(2 * settings.breaker_probe_ms)).await;
@@ -210,7 +210,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_feed_that_waits_does_not_keep_the_breaker_open() {
+async fn long_poll_does_not_keep_the_breaker_open() {
     LocalSet::new()
         .run_until(async {
             let settings = PlatformSettings::default();
@@ -221,55 +221,55 @@
             }
             script.down.set(false);
             tokio::time::sleep(Duration::from_millis(2 * settings.breaker_probe_ms)).await;
-            let asked = dappleyard_clock::Instant::now();
+            let calls_made = dappleyard_clock::Instant::now();
             let probe = platform.tables.changes("active-job/", 0, 10_000).await;
             expect_that!(probe, ok(anything()));
-            expect_that!(asked.elapsed().as_millis(), lt(100));
+            expect_that!(calls_made.elapsed().as_millis(), lt(100));
             expect_that!(platform.tables.get("job/a").await, ok(none()));
         })
         .await;
 }
 
 #[gtest]
-fn calls_that_may_wait_leave_tokens_to_those_that_protect_promises() {
+fn low_classes_leave_tokens_to_critical_calls() {
     let mut limiter = Limiter::new(10.0, 20.0, 0);
     let mut journal = 0;
     while limiter.take(CallClass::Journal, 0).is_ok() {
         journal += 1;
     }
-    let mut promises = 0;
-    while limiter.take(CallClass::Promise, 0).is_ok() {
-        promises += 1;
+    let mut critical = 0;
+    while limiter.take(CallClass::Critical, 0).is_ok() {
+        critical += 1;
     }
     expect_that!(journal, eq(10));
-    expect_that!(promises, eq(10));
-    expect_that!(limiter.take(CallClass::Promise, 0), err(eq(100)));
-    expect_that!(limiter.take(CallClass::Promise, 100), ok(anything()));
+    expect_that!(critical, eq(10));
+    expect_that!(limiter.take(CallClass::Critical, 0), err(eq(100)));
+    expect_that!(limiter.take(CallClass::Critical, 100), ok(anything()));
 }
 
 #[gtest]
-fn the_class_of_a_call_follows_from_its_rows() {
+fn class_follows_from_keys() {
     let commit = Transaction::default()
         .expect("chunk/a/0", Expect::Revision(1))
         .expect("job/t/a", Expect::Revision(1))
         .put("chunk/a/0", "done");
-    expect_that!(CallClass::of_transaction(&commit), eq(CallClass::Promise));
+    expect_that!(CallClass::of_transaction(&commit), eq(CallClass::Critical));
     let claim = put("chunk/a/0");
     expect_that!(CallClass::of_transaction(&claim), eq(CallClass::Batch));
     expect_that!(
         CallClass::of_key("config/service/a"),
         eq(CallClass::Control)
     );
-    expect_that!(CallClass::of_key("once/t/key"), eq(CallClass::Promise));
+    expect_that!(CallClass::of_key("once/t/key"), eq(CallClass::Critical));
 }
 
 #[gtest]
-fn a_breaker_opens_after_failures_in_a_row_and_lets_one_probe_through() {
+fn breaker_opens_after_consecutive_failures_and_probes() {
     let mut breaker = Breaker::new(3, 1_000);
-    expect_that!(breaker.failed(0, 0.5), eq(false));
-    breaker.answered();
+    expect_that!(breaker.record_failure(0, 0.5), eq(false));
+    breaker.record_success();
     for expected in [false, false, true] {
-        expect_that!(breaker.failed(0, 0.5), eq(expected));
+        expect_that!(breaker.record_failure(0, 0.5), eq(expected));
     }
     expect_that!(
         breaker.admit(500, 0.5),
@@ -284,18 +284,18 @@
             retry_after_ms: 1_000
         })
     );
-    expect_that!(breaker.answered(), eq(true));
+    expect_that!(breaker.record_success(), eq(true));
     expect_that!(breaker.admit(1_001, 0.5), eq(Admission::Yes));
 }
 
 #[gtest]
-fn repeated_calls_are_a_share_of_first_ones() {
+fn retries_are_limited_to_a_share_of_first_calls() {
     let mut budget = RetryBudget::new(20);
-    let mut repeated = 0;
+    let mut retries = 0;
     for _ in 0..1_000 {
-        budget.first();
-        repeated += u32::from(budget.repeat());
+        budget.credit_call();
+        retries += u32::from(budget.take_retry());
     }
-    expect_that!(repeated, le(210));
-    expect_that!(repeated, ge(190));
+    expect_that!(retries, le(210));
+    expect_that!(retries, ge(190));
 }
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -1,11 +1,11 @@
-//! The in-memory platform keeps the contract of the ports.
+//! The in-memory platform follows the contract of the traits.
 
 use dappleyard_store::{Expect, Fault, MemoryPlatform, StoreError, TableStore, Transaction};
 use googletest::prelude::*;
 
 #[gtest]
 #[tokio::test]
-async fn transactions_are_atomic_and_conflicts_name_the_row() -> Result<()> {
+async fn atomic_transactions_and_conflict_rows() -> Result<()> {
     let store = MemoryPlatform::default();
     let first = Transaction::default().put("a", "1").put("b", "1");
     expect_that!(store.transact(first).await, ok(eq(&1)));
@@ -24,7 +24,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_lost_answer_may_or_may_not_have_taken_effect() -> Result<()> {
+async fn lost_answers_before_and_after_effect() -> Result<()> {
     let store = MemoryPlatform::default();
     store.fail_transactions([Some(Fault::LostBeforeEffect), Some(Fault::LostAfterEffect)]);
     for key in ["before", "after"] {
@@ -38,7 +38,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn the_change_feed_is_ordered_and_tells_of_compaction() -> Result<()> {
+async fn change_feed_is_ordered_and_reports_compaction() -> Result<()> {
     let store = MemoryPlatform::default();
     store
         .transact(Transaction::default().put("config/a", "1"))
