--- a/crates/tables/src/configuration.rs
+++ b/crates/tables/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration in force on this node, typed.
+//! Decoded configuration in force on this node.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,23 +12,22 @@
 use crate::directory::ServerEntry;
 use crate::rank::{Rank, Ranked};
 
-/// All configuration at one revision, decoded.
+/// Decoded configuration at one revision.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
-    /// Revision applied.
     pub revision: u64,
     /// Services by name.
     pub services: BTreeMap<String, ServiceRow>,
     /// Tenants by name.
     pub tenants: BTreeMap<String, TenantRow>,
-    /// Drains by (kind, name).
+    /// Drains by kind and name.
     pub drains: BTreeMap<(String, String), DrainRow>,
     /// Demand windows by name.
     pub windows: BTreeMap<String, WindowRow>,
 }
 
 impl Configuration {
-    /// Whether a drain names this server, its hall or its zone.
+    /// Whether a drain covers a server, its hall or its zone.
     pub fn is_draining(&self, server: &str, hall: &str, zone: &str) -> bool {
         [("server", server), ("hall", hall), ("zone", zone)]
             .into_iter()
@@ -38,7 +37,7 @@
             })
     }
 
-    /// Whether a drain names a server, its hall or its zone.
+    /// Whether a drain covers a server entry.
     pub fn drains(&self, entry: &ServerEntry) -> bool {
         !self.drains.is_empty()
             && self.is_draining(entry.server.as_str(), &entry.hall, entry.zone.as_str())
@@ -55,7 +54,7 @@
         decoded
     }
 
-    /// Rows that do not decode are left out: they were written by a later version of the system.
+    /// Skips rows that cannot be decoded, such as those of a later version.
     fn insert(&mut self, key: &str, value: &[u8]) {
         let Some(path) = key.strip_prefix(CONFIGURATION_PREFIX) else {
             return;
@@ -81,7 +80,6 @@
     }
 }
 
-/// Table of the configuration in force.
 pub struct ConfigurationTable {
     state: Ranked<ConfigurationState>,
     current: watch::Sender<Arc<Configuration>>,
@@ -107,7 +105,7 @@
         self.current.borrow().revision
     }
 
-    /// A receiver that sees each configuration put in force.
+    /// Subscribes to changes of the configuration in force.
     pub fn subscribe(&self) -> watch::Receiver<Arc<Configuration>> {
         self.current.subscribe()
     }
@@ -117,24 +115,23 @@
         self.update(|state| state.apply(change))
     }
 
-    /// Takes a snapshot when it is newer.
+    /// Replaces the configuration by a snapshot if that is newer.
     pub fn replace(&self, snapshot: ConfigurationState) -> Applied {
         self.update(|state| state.replace(snapshot))
     }
 
-    /// Takes all entries changed after a revision, up to a later one, at once.
+    /// Applies all entries that changed between two revisions, atomically.
     pub fn merge(&self, after: u64, entries: &[ConfigurationEntry], up_to: u64) -> Applied {
         self.update(|state| state.merge(after, entries, up_to))
     }
 
-    /// Revision in force and the entries last changed after a revision; `None` when deletions since
-    /// then have been forgotten.
+    /// Revision in force and the entries changed after `revision`; `None` if deletions since then are no longer recorded.
     pub fn entries_after(&self, revision: u64) -> (u64, Option<Vec<ConfigurationEntry>>) {
         let state = self.state.lock();
         (state.revision, state.entries_after(revision))
     }
 
-    /// The entries in force, deletions included, for a peer that starts.
+    /// All entries, including deletions, for a peer that is starting.
     pub fn snapshot(&self) -> ConfigurationState {
         self.state.lock().clone()
     }
--- a/crates/tables/src/crashes.rs
+++ b/crates/tables/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines ended, and the ends that this node saw.
+//! Requests that crashed engines, and the crashes that this node observed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,40 +10,41 @@
 
 use crate::rank::{Rank, Ranked};
 
-/// Records that are put on the way at a time; datagrams carry as many as fit.
-const RECORDS_TOLD: usize = 24;
-/// Time within which an engine does not end twice: no process begins and takes work again so soon.
-const ONE_END_MS: u64 = 500;
+/// Records offered to gossip at a time; a datagram carries as many as fit.
+const NEWS_RECORDS: usize = 24;
+/// Crashes of one engine within this time count as one; an engine cannot restart and take work sooner.
+const CRASH_MERGE_WINDOW_MS: u64 = 500;
 
-struct Crashes {
+struct CrashState {
     ledger: Ledger,
-    /// The newest end of each engine: an engine keeps its name over restarts, and the ledger tells ends apart by name.
-    ends: BTreeMap<ServerId, (Millis, String)>,
+    /// Latest crash of each engine, with its identifier. Engines keep their name across restarts, and the ledger identifies
+    /// crashes by name.
+    last_crashes: BTreeMap<ServerId, (Millis, String)>,
 }
 
-/// Table of requests under which engines ended.
+/// Table of requests that crashed engines.
 pub struct CrashesTable {
-    crashes: Ranked<Crashes>,
+    crashes: Ranked<CrashState>,
 }
 
 impl CrashesTable {
-    /// Nothing is known. `own` is the number of this node and life.
-    pub fn new(own: u64) -> Arc<CrashesTable> {
-        let crashes = Crashes {
-            ledger: Ledger::new(own),
-            ends: BTreeMap::new(),
+    /// Creates an empty table. `node_start` identifies this start of the node.
+    pub fn new(node_start: u64) -> Arc<CrashesTable> {
+        let crashes = CrashState {
+            ledger: Ledger::new(node_start),
+            last_crashes: BTreeMap::new(),
         };
         Arc::new(CrashesTable {
             crashes: Ranked::new(Rank::Crashes, crashes),
         })
     }
 
-    /// What holds for the next run of a request.
+    /// Whether a request may run.
     pub fn permit(&self, request: &Fingerprint) -> Permit {
         self.crashes.lock().ledger.permit(request, Instant::now())
     }
 
-    /// Begins a run at an engine; the permit when it must wait or is refused.
+    /// Begins a run at an engine; fails with the permit if the request must wait or is refused.
     pub fn begin(
         self: &Arc<Self>,
         request: Fingerprint,
@@ -63,25 +64,25 @@
         }
     }
 
-    /// What is to be told now, that which was told before too.
+    /// News to send to other nodes, including news that was sent before.
     pub fn news(&self) -> CrashNews {
         let mut crashes = self.crashes.lock();
-        crashes.ledger.news(true, RECORDS_TOLD, Instant::now())
+        crashes.ledger.news(true, NEWS_RECORDS, Instant::now())
     }
 
-    /// Takes a record that another node tells; whether it was new.
+    /// Merges a record from another node; returns whether it was new.
     pub fn learn(&self, record: CrashRecord) -> bool {
         let mut crashes = self.crashes.lock();
         crashes.ledger.merge(record, true, Instant::now()).is_new
     }
 
-    /// Forgets what is too old.
+    /// Removes expired records.
     pub fn sweep(&self) {
         self.crashes.lock().ledger.sweep(Instant::now());
     }
 }
 
-/// One run of a request at an engine, until it is dropped.
+/// Run of a request at an engine; ends when dropped.
 pub struct RunAtEngine {
     table: Arc<CrashesTable>,
     request: Fingerprint,
@@ -89,23 +90,25 @@
 }
 
 impl RunAtEngine {
-    /// The engine ended while it ran the request; how many have by now.
+    /// Records that the engine crashed during the run; returns the number of crashes under the request.
     pub fn note_ended(&self, now: Millis, unix_ms: u64) -> usize {
         let mut crashes = self.table.crashes.lock();
-        let newest = crashes.ends.get(&self.server);
-        let newest = newest.filter(|(at, _)| now.since(*at) < ONE_END_MS);
+        let newest = crashes.last_crashes.get(&self.server);
+        let newest = newest.filter(|(at, _)| now.since(*at) < CRASH_MERGE_WINDOW_MS);
         let end = match newest {
             Some((_, end)) => end.clone(),
             None => format!("{} at {unix_ms}", self.server),
         };
-        crashes.ends.insert(self.server.clone(), (now, end.clone()));
+        crashes
+            .last_crashes
+            .insert(self.server.clone(), (now, end.clone()));
         let noted = crashes
             .ledger
             .note_ended(&self.request, &end, false, Instant::now());
         noted.ended
     }
 
-    /// The engine ran the request to a good end.
+    /// Records that the engine completed the request.
     pub fn note_served(&self) {
         let mut crashes = self.table.crashes.lock();
         crashes.ledger.note_served(&self.request, Instant::now());
--- a/crates/tables/src/decisions.rs
+++ b/crates/tables/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Typed decision records, bounded in memory: what was decided, why, and from which inputs.
+//! Bounded in-memory log of decisions with their causes and inputs.
 
 use std::collections::VecDeque;
 
@@ -6,10 +6,9 @@
 
 use crate::rank::{Rank, Ranked};
 
-/// Most records kept in memory.
 pub const MAXIMUM_RECORDS: usize = 4096;
 
-/// What a record is about.
+/// Subject of a decision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
@@ -27,54 +26,54 @@
     Plan(String),
 }
 
-/// What was decided.
+/// Kind of decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionKind {
     /// A request was refused before anything ran.
     Refused,
-    /// A request was placed again after a bounce or a loss.
+    /// A request was placed again after a rejection or a lost server.
     PlacedAgain,
-    /// Batch work was paused for online work.
+    /// Batch work was preempted by online work.
     Preempted,
-    /// A chunk or a controlled resource was taken over.
+    /// A chunk or a controlled resource was taken over from another node.
     TakenOver,
-    /// A result was not committed, since its epoch was old.
+    /// A result was not committed because its epoch was outdated.
     Fenced,
-    /// An order was given to an engine.
+    /// A command was sent to an engine.
     Ordered,
-    /// A step of a plan was taken or held back.
+    /// A step of a plan was executed or held back.
     PlanStep,
-    /// A server or node takes no new work.
+    /// A server or node stopped taking new work.
     Withdrawn,
-    /// A member was suspected, declared dead or came back.
+    /// A member was suspected, declared dead or recovered.
     MemberChanged,
-    /// A configuration revision was put in force.
+    /// A configuration revision took effect.
     ConfigurationApplied,
-    /// The store gate opened or closed its breaker.
+    /// The circuit breaker of a store opened or closed.
     StoreGate,
     /// A job was accepted, finished, failed or cancelled.
     JobChanged,
-    /// A rollout moved forward, was held or was rolled back.
+    /// A rollout advanced, was paused or was rolled back.
     Rollout,
 }
 
-/// One decision.
+/// Record of a decision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Wall-clock time, milliseconds since 1970.
+    /// Wall-clock time in Unix milliseconds.
     pub unix_ms: u64,
     /// Node that decided.
     pub node: String,
-    /// What was decided.
+    /// Kind of decision.
     pub kind: DecisionKind,
-    /// What it is about; several when a decision ties them together.
+    /// Everything that the decision concerns.
     pub subjects: Vec<Subject>,
-    /// Why, in plain words.
+    /// Human-readable reason.
     pub cause: String,
-    /// Inputs by name, in the order in which they mattered.
+    /// Names and values of the inputs, in order of importance.
     pub inputs: Vec<(String, String)>,
-    /// What came of it.
+    /// Human-readable result.
     pub outcome: String,
 }
 
@@ -85,7 +84,6 @@
     dropped: u64,
 }
 
-/// Table of decision records.
 pub struct DecisionsTable {
     records: Ranked<Records>,
 }
@@ -99,7 +97,8 @@
 }
 
 impl DecisionsTable {
-    /// Adds a record; the oldest one goes when the table is full.
+    /// Adds a record and drops the oldest one when the table is full. If too many records are unsaved, the new one is kept in
+    /// memory only.
     pub fn record(&self, decision: Decision) {
         let mut records = self.records.lock();
         if records.recent.len() == MAXIMUM_RECORDS {
@@ -113,7 +112,7 @@
         records.recent.push_back(decision);
     }
 
-    /// Records about a subject, oldest first.
+    /// Records of a subject, oldest first.
     pub fn about(&self, subject: &Subject) -> Vec<Decision> {
         let records = self.records.lock();
         records
@@ -131,7 +130,7 @@
         records.recent.iter().skip(skipped).cloned().collect()
     }
 
-    /// Takes the records that are not yet in the object store.
+    /// Takes the records added since the last call, to be written to the object store.
     pub fn take_unsaved(&self) -> Vec<Decision> {
         std::mem::take(&mut self.records.lock().unsaved)
     }
--- a/crates/tables/src/directory.rs
+++ b/crates/tables/src/directory.rs
@@ -1,4 +1,4 @@
-//! Servers of the fleet, from the machine list, and the node that owns each.
+//! Servers of the fleet from the machine list, with their owners.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 
 use crate::rank::{Rank, Ranked};
 
-/// One server of the fleet.
+/// Server of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
     /// Server id.
     pub server: ServerId,
-    /// Service that it is meant for.
+    /// Service that the server runs.
     pub service: ServiceId,
     /// Region.
     pub region: RegionId,
@@ -22,13 +22,13 @@
     pub hall: String,
     /// Base URL of the engine.
     pub base_url: String,
-    /// The machine list says that it is leaving.
+    /// Whether the machine list reports that the server is about to be removed.
     pub leaving: bool,
-    /// Owner by rendezvous hash over the live members of its cell; `None` before any is known.
+    /// Owner by rendezvous hashing over the live members of its cell; `None` until one is known.
     pub owner: Option<NodeId>,
 }
 
-/// Table of servers. The fleet part writes it; everyone else reads it.
+/// Table of servers, written by the fleet component only.
 pub struct DirectoryTable {
     servers: Ranked<BTreeMap<ServerId, ServerEntry>>,
     changed: watch::Sender<u64>,
@@ -44,7 +44,7 @@
 }
 
 impl DirectoryTable {
-    /// Replaces all entries.
+    /// Replaces all entries; subscribers are not notified if nothing changed.
     pub fn replace(&self, entries: Vec<ServerEntry>) {
         let next = entries
             .into_iter()
@@ -59,7 +59,7 @@
         self.changed.send_modify(|version| *version += 1);
     }
 
-    /// Puts and removes some entries; owners of those known already stay.
+    /// Inserts or updates some entries, keeping the owners of known ones, and removes others.
     pub fn change(&self, put: Vec<ServerEntry>, removed: &[ServerId]) {
         if put.is_empty() && removed.is_empty() {
             return;
@@ -94,32 +94,27 @@
         self.changed.send_modify(|version| *version += 1);
     }
 
-    /// Reads all entries under one lock, without copies.
+    /// Reads all entries under the lock, without copying.
     pub fn read<R>(&self, reader: impl FnOnce(&BTreeMap<ServerId, ServerEntry>) -> R) -> R {
         reader(&self.servers.lock())
     }
 
-    /// One entry.
     pub fn get(&self, server: &ServerId) -> Option<ServerEntry> {
         self.servers.lock().get(server).cloned()
     }
 
-    /// All entries.
     pub fn all(&self) -> Vec<ServerEntry> {
         self.servers.lock().values().cloned().collect()
     }
 
-    /// Number of entries.
     pub fn len(&self) -> usize {
         self.servers.lock().len()
     }
 
-    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Entries owned by a node.
     pub fn owned_by(&self, node: &NodeId) -> Vec<ServerEntry> {
         let servers = self.servers.lock();
         servers
@@ -129,7 +124,7 @@
             .collect()
     }
 
-    /// A receiver that sees a new value whenever an entry changes.
+    /// Subscribes to changes; the value is a change counter.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -1,8 +1,7 @@
-//! Shared tables of a node: what its worker threads read and write.
+//! Shared state of a node's worker threads.
 //!
-//! Each table has one lock of a stated rank ([`rank::Rank`]); locks are taken in order of rank, and a
-//! debug build panics on an acquisition out of order. No lock is held across an await. The tables
-//! hold state and answer questions; decisions are taken by `dappleyard-decide`.
+//! The locks of the tables have ranks ([`rank::Rank`]) and are acquired in that order; debug builds panic on a violation.
+//! No lock is held across an await. The tables only hold state; the decision logic is in `dappleyard-decide`.
 
 pub mod clock;
 pub mod configuration;
@@ -26,7 +25,7 @@
 
 use crate::rank::{Rank, Ranked};
 
-/// Who this node is.
+/// Identity of this node.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// Node id.
@@ -35,36 +34,35 @@
     pub zone: ZoneId,
     /// Region.
     pub region: RegionId,
-    /// Grows with each start; membership raises it to refute a suspicion.
+    /// Increases with each start; membership also raises it to refute a suspicion.
     pub incarnation: u64,
 }
 
-/// Where the node is in its life.
+/// Lifecycle state of the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Learning members and configuration: serves nothing.
+    /// Loading members and configuration; does not serve.
     Starting,
-    /// Serves.
+    /// Serving.
     Ready,
-    /// Cannot vouch for its configuration: finishes what it has, takes nothing new.
+    /// Cannot confirm its configuration; finishes current work and takes no new work.
     Withdrawn,
-    /// Told to stop: finishes what it has, takes nothing new, then leaves.
+    /// Shutting down; finishes current work, takes no new work, then leaves.
     Draining,
-    /// Has left.
     Stopped,
 }
 
 /// All tables of a node.
 pub struct NodeTables {
-    /// Who this node is.
+    /// Identity of this node.
     pub identity: Identity,
-    /// The node's monotonic clock.
+    /// Clock of this node.
     pub clock: clock::Clock,
-    /// Life cycle; every part subscribes.
+    /// Lifecycle state, which the components watch.
     pub lifecycle: watch::Sender<Lifecycle>,
     /// Members of the fleet.
     pub members: members::MembersTable,
-    /// Servers of the fleet and who owns them.
+    /// Servers of the fleet and their owners.
     pub directory: directory::DirectoryTable,
     /// Configuration in force.
     pub configuration: configuration::ConfigurationTable,
@@ -72,23 +70,23 @@
     pub servers: servers::ServersTable,
     /// Load summaries of other nodes and cells.
     pub loads: loads::LoadsTable,
-    /// Jobs known to be cancelled, spread by gossip.
+    /// Cancelled jobs, spread by gossip.
     pub cancelled_jobs: Ranked<BTreeSet<String>>,
-    /// Requests under which engines ended, spread by gossip.
+    /// Requests that crashed engines, spread by gossip.
     pub crashes: Arc<crashes::CrashesTable>,
     /// Bounded decision records.
     pub decisions: decisions::DecisionsTable,
-    /// Registry of this node's metrics.
+    /// Metrics of this node.
     pub metrics: prometheus::Registry,
-    vouched_until: AtomicU64,
+    lifecycle_valid_until: AtomicU64,
 }
 
 impl NodeTables {
-    /// Empty tables of a starting node.
+    /// Creates the empty tables of a starting node.
     pub fn new(identity: Identity) -> Arc<NodeTables> {
-        let number = rendezvous_weight(identity.incarnation, identity.node.as_str());
+        let node_start = rendezvous_weight(identity.incarnation, identity.node.as_str());
         Arc::new(NodeTables {
-            crashes: crashes::CrashesTable::new(number),
+            crashes: crashes::CrashesTable::new(node_start),
             identity,
             clock: clock::Clock::start(),
             lifecycle: watch::Sender::new(Lifecycle::Starting),
@@ -100,20 +98,19 @@
             cancelled_jobs: Ranked::new(Rank::CancelledJobs, BTreeSet::new()),
             decisions: decisions::DecisionsTable::default(),
             metrics: prometheus::Registry::new(),
-            vouched_until: AtomicU64::new(u64::MAX),
+            lifecycle_valid_until: AtomicU64::new(u64::MAX),
         })
     }
 
-    /// Whether the node takes new work: it is ready, and the fleet part has vouched for that a moment
-    /// ago. After a pause of the process this is false at once on every thread.
+    /// Whether the node takes new work: it is ready, and the fleet component has confirmed that recently. After a pause of the
+    /// process this is false on all threads until the next confirmation.
     pub fn takes_new_work(&self) -> bool {
-        let vouched = self.clock.now().0 <= self.vouched_until.load(Ordering::Relaxed);
-        vouched && *self.lifecycle.borrow() == Lifecycle::Ready
+        let is_valid = self.clock.now().0 <= self.lifecycle_valid_until.load(Ordering::Relaxed);
+        is_valid && *self.lifecycle.borrow() == Lifecycle::Ready
     }
 
-    /// Sets until when the life cycle holds without another word of the fleet part. Until the first
-    /// call it holds for ever.
+    /// Sets the time until which the lifecycle state is valid without another call. Before the first call it never expires.
     pub fn set_vouched_until(&self, until: Millis) {
-        self.vouched_until.store(until.0, Ordering::Relaxed);
+        self.lifecycle_valid_until.store(until.0, Ordering::Relaxed);
     }
 }
--- a/crates/tables/src/loads.rs
+++ b/crates/tables/src/loads.rs
@@ -1,4 +1,4 @@
-//! Load summaries: of the nodes of this cell, and of other cells as a whole.
+//! Load summaries of the nodes of this cell and of other cells.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,11 @@
 
 use crate::rank::{Rank, Ranked};
 
-/// A summary and when it came.
+/// Summary with the time of its arrival.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Stamped<T> {
-    /// The summary.
     pub value: T,
-    /// When it came.
+    /// Time of arrival.
     pub at: Millis,
 }
 
@@ -22,7 +21,6 @@
     cells: BTreeMap<String, Stamped<CellAggregate>>,
 }
 
-/// Table of load summaries.
 pub struct LoadsTable {
     loads: Ranked<Loads>,
 }
@@ -36,7 +34,7 @@
 }
 
 impl LoadsTable {
-    /// Takes a node's summary unless a later one is known.
+    /// Stores a node's summary unless a later one is known.
     pub fn put_node(&self, load: NodeLoad, at: Millis) {
         let mut loads = self.loads.lock();
         let older = loads
@@ -50,7 +48,7 @@
         }
     }
 
-    /// Takes a cell's summary unless a later one is known.
+    /// Stores a cell's summary unless a later one is known.
     pub fn put_cell(&self, aggregate: CellAggregate, at: Millis) {
         let mut loads = self.loads.lock();
         let known = loads.cells.get(&aggregate.cell);
@@ -65,7 +63,6 @@
         }
     }
 
-    /// Forgets a node.
     pub fn remove_node(&self, node: &str) {
         self.loads.lock().nodes.remove(node);
     }
--- a/crates/tables/src/mutex.rs
+++ b/crates/tables/src/mutex.rs
@@ -1,5 +1,4 @@
-//! The mutex under the tables: `parking_lot`'s, or one under the control of `shuttle`'s scheduler when
-//! schedules are explored.
+//! Mutex of the tables: `parking_lot`'s, or `shuttle`'s in tests that explore schedules.
 
 #[cfg(not(feature = "shuttle"))]
 pub(crate) use parking_lot::{Mutex, MutexGuard};
@@ -11,13 +10,12 @@
 #[cfg(not(feature = "shuttle"))]
 pub(crate) use std::thread_local;
 
-/// Takes the lock.
 #[cfg(not(feature = "shuttle"))]
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock()
 }
 
-/// Takes the lock; a schedule in which a holder panicked has failed anyway.
+/// Panics if a holder panicked; that schedule has failed anyway.
 #[cfg(feature = "shuttle")]
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder of the lock panicked")
--- a/crates/tables/src/rank.rs
+++ b/crates/tables/src/rank.rs
@@ -1,11 +1,11 @@
-//! Lock ranks: the one statement of the order in which a thread may take the tables' locks.
+//! Lock ranks, which define the order of lock acquisition.
 
 use std::cell::RefCell;
 use std::ops::{Deref, DerefMut};
 
 use crate::mutex::{Mutex, MutexGuard, lock, thread_local};
 
-/// Rank of a table's lock. A thread takes locks in increasing order only.
+/// Rank of a lock. A thread must acquire locks in increasing order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
     /// Members of the fleet.
@@ -24,7 +24,7 @@
     Batch = 7,
     /// Cancelled jobs.
     CancelledJobs = 8,
-    /// Requests under which engines ended.
+    /// Requests that crashed engines.
     Crashes = 9,
     /// Store gate.
     Gate = 10,
@@ -33,10 +33,10 @@
 }
 
 thread_local! {
-    static HELD: RefCell<Vec<Rank>> = const { RefCell::new(Vec::new()) };
+    static HELD_RANKS: RefCell<Vec<Rank>> = const { RefCell::new(Vec::new()) };
 }
 
-/// A mutex with a rank.
+/// Mutex with a rank.
 #[derive(Debug)]
 pub struct Ranked<T> {
     rank: Rank,
@@ -44,7 +44,6 @@
 }
 
 impl<T> Ranked<T> {
-    /// A mutex of this rank.
     pub fn new(rank: Rank, value: T) -> Self {
         Self {
             rank,
@@ -52,11 +51,10 @@
         }
     }
 
-    /// Takes the lock. A debug build panics when this thread holds a lock of the same or a higher
-    /// rank.
+    /// Acquires the lock. Debug builds panic if this thread holds a lock of the same or a higher rank.
     pub fn lock(&self) -> RankedGuard<'_, T> {
         if cfg!(debug_assertions) {
-            HELD.with(|held| {
+            HELD_RANKS.with(|held| {
                 let mut held = held.borrow_mut();
                 if let Some(highest) = held.iter().max() {
                     assert!(
@@ -75,7 +73,7 @@
     }
 }
 
-/// The lock while it is held.
+/// Guard of a [`Ranked`] mutex.
 #[derive(Debug)]
 pub struct RankedGuard<'a, T> {
     rank: Rank,
@@ -99,7 +97,7 @@
 impl<T> Drop for RankedGuard<'_, T> {
     fn drop(&mut self) {
         if cfg!(debug_assertions) {
-            HELD.with(|held| {
+            HELD_RANKS.with(|held| {
                 let mut held = held.borrow_mut();
                 if let Some(position) = held.iter().rposition(|rank| *rank == self.rank) {
                     held.remove(position);
--- a/crates/tables/src/servers.rs
+++ b/crates/tables/src/servers.rs
@@ -1,8 +1,7 @@
-//! Live state of the servers this node owns: the meeting point of the online and the batch path.
+//! Live state of the servers this node owns, shared by the online and the batch path.
 //!
-//! The owner counts what it has itself in flight on each server, which corrects the engine's lagged
-//! reports. The online path announces each arrival and end; the batch path is woken by
-//! [`ServersTable::subscribe`] and adapts its width at once.
+//! The owner tracks its own sequences in flight on each server, since the engine's reports lag. The online path records
+//! each start and end of a sequence, which wakes the batch path through [`ServersTable::subscribe`] to adapt its width.
 
 use std::collections::BTreeMap;
 
@@ -14,48 +13,48 @@
 use crate::directory::ServerEntry;
 use crate::rank::{Rank, Ranked};
 
-/// One sequence that this node has in flight on a server.
+/// Sequence in flight from this node on a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InFlight {
-    /// Tokens that it may still hold in KV memory: prompt and the most it may generate.
+    /// Maximum number of tokens in KV memory: prompt plus generation limit.
     pub tokens: u32,
-    /// Prompt tokens still to be prefilled when it was sent.
+    /// Prompt tokens left to prefill when it was sent.
     pub prefill_tokens: u32,
-    /// When it was sent.
+    /// Time of sending.
     pub since: Millis,
-    /// The first output token has come back.
+    /// Whether the first output token has arrived.
     pub started: bool,
 }
 
-/// State of one owned server.
+/// State of an owned server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OwnedServer {
-    /// Who and where it is.
+    /// Directory entry.
     pub entry: ServerEntry,
-    /// Last report and when it came.
+    /// Last report and the time of its arrival.
     pub report: Option<(EngineReport, Millis)>,
     /// Online sequences in flight from this node.
     pub online: BTreeMap<RequestId, InFlight>,
-    /// Online sequences that other nodes have there, as far as reports show them.
+    /// Online sequences of other nodes, according to the reports.
     pub foreign_online: u32,
     /// Batch sequences in flight from this node.
     pub batch: BTreeMap<RequestId, InFlight>,
-    /// Most batch sequences at present, as the width control decided.
+    /// Current limit on batch sequences, set by the width control.
     pub batch_width: u32,
-    /// Online work is kept off the server: it is in the batch share of the policy `static-split`.
+    /// Whether the server is reserved for batch work by the `static-split` policy.
     pub batch_only: bool,
-    /// Time between two tokens that online streams of this server see, smoothed, milliseconds.
+    /// Smoothed inter-token latency of online streams, milliseconds.
     pub online_step_ms: f64,
-    /// Why the server takes no new work, with the time since when; `None` while it does.
+    /// Reason why the server takes no new work, and since when; `None` if it does.
     pub withdrawn: Option<(String, Millis)>,
-    /// Calls to the engine that failed in a row.
+    /// Consecutive failed calls to the engine.
     pub failures: u32,
-    /// When the engine was last asked or told us that it takes new work.
+    /// Time as of which the engine is known to take new work; zero if unknown.
     pub accepting_known_at: Millis,
 }
 
 impl OwnedServer {
-    /// Version that the last report shows as loaded.
+    /// Model version loaded according to the last report.
     pub fn version(&self) -> Option<&str> {
         let (report, _) = self.report.as_ref()?;
         report.model.as_ref().map(|model| model.version.as_str())
@@ -66,7 +65,7 @@
         self.withdrawn.is_none() && !self.entry.leaving && self.version().is_some()
     }
 
-    /// Tokens held by online and batch sequences in flight.
+    /// Sum of [`InFlight::tokens`] over online and batch sequences.
     pub fn tokens_in_flight(&self) -> u32 {
         self.online
             .values()
@@ -76,7 +75,6 @@
     }
 }
 
-/// Table of owned servers.
 pub struct ServersTable {
     servers: Ranked<BTreeMap<ServerId, OwnedServer>>,
     online_changed: watch::Sender<u64>,
@@ -92,8 +90,8 @@
 }
 
 impl ServersTable {
-    /// Makes `entries` the owned servers; state of those kept stays. Servers no longer owned are
-    /// forgotten; streams that run on them go on.
+    /// Sets the owned servers. State of servers that stay owned is kept; that of others is dropped, without affecting streams
+    /// that still run on them.
     pub fn set_owned(&self, entries: Vec<ServerEntry>) {
         let mut servers = self.servers.lock();
         let mut next = BTreeMap::new();
@@ -108,7 +106,7 @@
         *servers = next;
     }
 
-    /// Reads or changes one server's state; `None` when it is not owned.
+    /// Reads or changes a server's state; `None` if it is not owned.
     pub fn with<R>(
         &self,
         server: &ServerId,
@@ -117,23 +115,23 @@
         self.servers.lock().get_mut(server).map(change)
     }
 
-    /// Reads all servers under one lock.
+    /// Reads all servers under the lock.
     pub fn read<R>(&self, reader: impl FnOnce(&BTreeMap<ServerId, OwnedServer>) -> R) -> R {
         reader(&self.servers.lock())
     }
 
-    /// Copies of all servers' states.
+    /// Copies the states of all servers.
     pub fn all(&self) -> Vec<OwnedServer> {
         self.servers.lock().values().cloned().collect()
     }
 
-    /// Counts an online sequence as sent and wakes the batch path.
+    /// Records the start of an online sequence and wakes the batch path.
     pub fn begin_online(&self, server: &ServerId, request: &RequestId, flight: InFlight) {
         self.with(server, |state| state.online.insert(request.clone(), flight));
         self.wake();
     }
 
-    /// Notes that the first token of an online sequence came back.
+    /// Records the first token of an online sequence.
     pub fn started_online(&self, server: &ServerId, request: &RequestId) {
         self.with(server, |state| {
             if let Some(flight) = state.online.get_mut(request) {
@@ -142,23 +140,23 @@
         });
     }
 
-    /// Counts an online sequence as ended and wakes the batch path.
+    /// Records the end of an online sequence and wakes the batch path.
     pub fn end_online(&self, server: &ServerId, request: &RequestId) {
         self.with(server, |state| state.online.remove(request));
         self.wake();
     }
 
-    /// Counts a batch sequence as sent.
+    /// Records the start of a batch sequence.
     pub fn begin_batch(&self, server: &ServerId, request: &RequestId, flight: InFlight) {
         self.with(server, |state| state.batch.insert(request.clone(), flight));
     }
 
-    /// Counts a batch sequence as ended.
+    /// Records the end of a batch sequence.
     pub fn end_batch(&self, server: &ServerId, request: &RequestId) {
         self.with(server, |state| state.batch.remove(request));
     }
 
-    /// A receiver that sees a new value whenever online work comes or goes.
+    /// Subscribes to starts and ends of online sequences; the value is a change counter.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.online_changed.subscribe()
     }
--- a/crates/tables/tests/members.rs
+++ b/crates/tables/tests/members.rs
@@ -1,4 +1,4 @@
-//! What members are believed to be.
+//! Liveness of members across restarts.
 
 use dappleyard_tables::members::MembersTable;
 use dappleyard_wire::messages::{Member, MemberState};
@@ -14,7 +14,7 @@
 }
 
 #[gtest]
-fn only_news_of_the_same_or_a_later_start_makes_a_node_gone() {
+fn gone_depends_on_the_start() {
     let table = MembersTable::default();
     let second_start = 2 << 16;
     expect_that!(table.is_gone("n1", second_start), is_true());
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn a_refutation_is_no_restart() {
+fn refutation_is_not_a_restart() {
     let table = MembersTable::default();
     let mut refuted = member(2, MemberState::MemberAlive);
     refuted.incarnation += 3;
--- a/crates/tables/tests/schedules.rs
+++ b/crates/tables/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! The shared tables under schedules chosen by shuttle:
+//! Concurrency tests of the tables under `shuttle`'s schedulers:
 //! `cargo test -p dappleyard-tables --features shuttle --test schedules`.
 
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 use dappleyard_wire::messages::{ConfigurationEntry, NodeLoad};
 use shuttle::thread;
 
-/// Schedules tried by each test.
+/// Schedules per scheduler and test.
 const SCHEDULES: usize = 2_000;
-/// Most preemptions that a schedule of the probabilistic scheduler is biased to.
+/// Bug depth of the probabilistic (PCT) scheduler.
 const DEPTH: usize = 3;
 
 fn explore(scenario: impl Fn() + Send + Sync + Copy + 'static) {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn configuration_never_goes_back() {
+fn configuration_revision_never_decreases() {
     explore(|| {
         let table = Arc::new(ConfigurationTable::default());
         let writers = [1, 2].map(|writer| {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_later_load_is_never_replaced_by_an_earlier_one() {
+fn later_load_is_not_replaced_by_an_earlier_one() {
     explore(|| {
         let table = Arc::new(LoadsTable::default());
         let threads = [[1, 4], [2, 3]].map(|sequences| {
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn locks_in_order_of_rank_never_block_each_other() {
+fn ordered_locks_do_not_deadlock() {
     explore(|| {
         let locks = Arc::new((
             Ranked::new(Rank::Members, 0),
@@ -205,10 +205,10 @@
     });
 }
 
-/// The other order would block for ever in some schedule; the rank check ends the first one.
+/// Acquiring locks out of order could deadlock; the rank check must panic instead.
 #[test]
 #[should_panic(expected = "taken while holding")]
-fn locks_against_the_order_of_rank_are_found() {
+fn out_of_order_locks_panic() {
     explore(|| {
         let low = Ranked::new(Rank::Members, ());
         let high = Ranked::new(Rank::Servers, ());
