--- a/crates/model/src/configuration.rs
+++ b/crates/model/src/configuration.rs
@@ -21,7 +21,6 @@
 /// Service of a route, with its share of the requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Name of the service.
     pub service: String,
     /// Relative weight.
     pub weight: u32,
@@ -105,7 +104,6 @@
 /// A model service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Name of the service.
     pub name: String,
     /// Maximum number of connections per server.
     pub max_conns: u32,
@@ -117,7 +115,6 @@
     pub cold_per_s: f64,
 }
 
-/// Limits on callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrafficLimits {
     pub max_body_bytes: usize,
@@ -132,7 +129,6 @@
     pub version: u64,
     pub routes: Vec<Route>,
     pub services: Vec<Service>,
-    /// Limits on callers.
     pub limits: TrafficLimits,
     /// Tenants that may call; `None` if requests carry no API key.
     pub tenants: Option<Tenants>,
--- a/crates/model/src/dialect.rs
+++ b/crates/model/src/dialect.rs
@@ -13,7 +13,6 @@
     Ready,
     /// Addresses that callers should use.
     Resolve,
-    /// Results of a job.
     JobResults {
         /// Identifier of the job.
         job: String,
@@ -27,7 +26,6 @@
         /// Identifier of the item.
         item: String,
     },
-    /// End of a job.
     JobEnd {
         /// Identifier of the job.
         job: String,
@@ -39,7 +37,6 @@
 /// Meaning of a row in the operators' table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorOrder {
-    /// The configuration.
     Configuration,
     /// While the row exists, the servers of the zone get no new work.
     Evacuation(ZoneName),
--- a/crates/model/src/rows.rs
+++ b/crates/model/src/rows.rs
@@ -105,7 +105,6 @@
 /// Changes of a table, in revision order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Feed {
-    /// Changed rows.
     pub rows: Vec<Row>,
     /// Revision to continue after.
     pub revision: u64,
@@ -148,7 +147,6 @@
 /// A transactional row store.
 #[async_trait(?Send)]
 pub trait RowStore {
-    /// Applies a transaction.
     async fn transact(&self, transaction: &Transaction) -> Result<Committed, StoreError>;
 
     /// Reads rows of a partition with keys in `from..to`; an empty `to` means no upper bound.
--- a/crates/relay/tests/zones.rs
+++ b/crates/relay/tests/zones.rs
@@ -11,7 +11,6 @@
 use prost::Message;
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
-/// Nodes in each zone.
 const NODES_PER_ZONE: usize = 3;
 
 fn name(zone: &str, number: usize) -> String {
--- a/crates/store/src/client/protocol.rs
+++ b/crates/store/src/client/protocol.rs
@@ -31,7 +31,6 @@
 /// Comparison of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompareBody {
-    /// Key of the row.
     pub key: String,
     /// Expected state of the row.
     pub expect: ExpectBody,
@@ -52,7 +51,6 @@
 /// Write of a transaction: a put, or a delete if there is no value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteBody {
-    /// Key of the row.
     pub key: String,
     /// New value; `None` removes the row.
     pub value: Option<Value>,
@@ -141,9 +139,7 @@
 /// Row of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowBody {
-    /// Key.
     pub key: String,
-    /// Value.
     pub value: Value,
     /// Revision of its last write.
     pub revision: u64,
@@ -179,7 +175,6 @@
 /// Changed row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBody {
-    /// Key.
     pub key: String,
     /// Revision of the change.
     pub revision: u64,
@@ -190,7 +185,6 @@
 /// Answer of `GET {tables}/changes?prefix=&after=&wait_ms=`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesBody {
-    /// Changed rows.
     pub rows: Vec<ChangeBody>,
     /// Revision up to which the feed was read.
     pub up_to: u64,
@@ -237,14 +231,12 @@
 /// Query for one row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowQuery {
-    /// Key of the row.
     pub key: String,
 }
 
 /// Query for a range of rows or a list of objects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeQuery {
-    /// Prefix of the keys.
     pub prefix: String,
     /// Exclusive lower bound of the keys.
     pub after: String,
@@ -255,7 +247,6 @@
 /// Query for the change feed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesQuery {
-    /// Prefix of the keys.
     pub prefix: String,
     /// Exclusive lower bound of the revisions.
     pub after: u64,
@@ -266,14 +257,12 @@
 /// Query for a whole object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectQuery {
-    /// Name of the object.
     pub name: String,
 }
 
 /// Query for part of an object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectPartQuery {
-    /// Name of the object.
     pub name: String,
     /// Offset of the first byte.
     pub offset: u64,
@@ -284,7 +273,6 @@
 /// Entry in a list of objects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectBody {
-    /// Name.
     pub name: String,
     /// Size in bytes.
     pub size: u64,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -21,11 +21,8 @@
 /// Platform clients of one worker thread.
 #[derive(Clone)]
 pub struct Platform {
-    /// Table service.
     pub tables: Rc<dyn TableStore>,
-    /// Object store.
     pub objects: Rc<dyn ObjectStore>,
-    /// Machine list.
     pub machines: Rc<dyn MachineList>,
 }
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -101,7 +101,6 @@
         self.state.lock().down = down;
     }
 
-    /// Replaces the machine list.
     pub fn set_machines(&self, machines: Vec<Machine>) {
         self.state.lock().machines = machines;
     }
--- a/crates/store/src/memory/objects.rs
+++ b/crates/store/src/memory/objects.rs
@@ -43,7 +43,6 @@
         })
     }
 
-    /// Removes an object.
     pub fn delete(&mut self, name: &str) {
         self.objects.remove(name);
     }
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -7,7 +7,6 @@
 /// Row of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Key of the row.
     pub key: String,
     /// Encoded message of `rows.proto`.
     pub value: Bytes,
@@ -29,18 +28,8 @@
 /// Write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// Writes a row.
-    Put {
-        /// Key of the row.
-        key: String,
-        /// New value.
-        value: Bytes,
-    },
-    /// Removes a row.
-    Delete {
-        /// Key of the row.
-        key: String,
-    },
+    Put { key: String, value: Bytes },
+    Delete { key: String },
 }
 
 /// Atomic set of comparisons and writes.
@@ -132,7 +121,6 @@
     /// Applies a transaction and returns the store's new revision.
     async fn transact(&self, transaction: Transaction) -> Result<u64, StoreError>;
 
-    /// Reads one row.
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError>;
 
     /// Reads rows whose keys start with `prefix` and are greater than `after`, in key order.
--- a/crates/tables/src/configuration.rs
+++ b/crates/tables/src/configuration.rs
@@ -95,12 +95,10 @@
 }
 
 impl ConfigurationTable {
-    /// The configuration in force.
     pub fn current(&self) -> Arc<Configuration> {
         self.current.borrow().clone()
     }
 
-    /// Revision in force.
     pub fn revision(&self) -> u64 {
         self.current.borrow().revision
     }
--- a/crates/tables/src/decisions.rs
+++ b/crates/tables/src/decisions.rs
@@ -12,17 +12,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
-    /// A request.
     Request(String),
-    /// A batch job.
     Job(String),
-    /// A server.
     Server(String),
-    /// A node.
     Node(String),
-    /// A service.
     Service(String),
-    /// A plan.
     Plan(String),
 }
 
--- a/crates/tables/src/directory.rs
+++ b/crates/tables/src/directory.rs
@@ -10,15 +10,11 @@
 /// Server of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// Server id.
     pub server: ServerId,
     /// Service that the server runs.
     pub service: ServiceId,
-    /// Region.
     pub region: RegionId,
-    /// Zone.
     pub zone: ZoneId,
-    /// Hall.
     pub hall: String,
     /// Base URL of the engine.
     pub base_url: String,
@@ -79,7 +75,6 @@
         self.changed.send_modify(|version| *version += 1);
     }
 
-    /// Sets the owners of some servers.
     pub fn set_owners(&self, owners: Vec<(ServerId, Option<NodeId>)>) {
         if owners.is_empty() {
             return;
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -28,11 +28,8 @@
 /// Identity of this node.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Node id.
     pub node: NodeId,
-    /// Zone.
     pub zone: ZoneId,
-    /// Region.
     pub region: RegionId,
     /// Increases with each start; membership also raises it to refute a suspicion.
     pub incarnation: u64,
@@ -64,7 +61,6 @@
     pub members: members::MembersTable,
     /// Servers of the fleet and their owners.
     pub directory: directory::DirectoryTable,
-    /// Configuration in force.
     pub configuration: configuration::ConfigurationTable,
     /// Live state of the servers this node owns.
     pub servers: servers::ServersTable,
--- a/crates/tables/src/rank.rs
+++ b/crates/tables/src/rank.rs
@@ -8,27 +8,21 @@
 /// Rank of a lock. A thread must acquire locks in increasing order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// Members of the fleet.
     Members = 1,
     /// Servers of the fleet and their owners.
     Directory = 2,
-    /// Configuration.
     Configuration = 3,
     /// Owned servers.
     Servers = 4,
-    /// Load summaries.
     Loads = 5,
     /// Admission state of tenants.
     Tenants = 6,
     /// Running batch work.
     Batch = 7,
-    /// Cancelled jobs.
     CancelledJobs = 8,
     /// Requests that crashed engines.
     Crashes = 9,
-    /// Store gate.
     Gate = 10,
-    /// Decision records.
     Decisions = 11,
 }
 
