--- a/crates/relay/tests/evacuations.rs
+++ b/crates/relay/tests/evacuations.rs
@@ -78,9 +78,9 @@
     let (rows, a, _b) = pair().await;
     cut_off(&a).await;
     issue_order(&rows, "second");
-    wait_until("the order passes", || a.knows(&["first", "second"])).await;
+    wait_until("the order arrives", || a.knows(&["first", "second"])).await;
     withdraw_order(&rows, "first");
-    wait_until("the withdrawal passes", || a.knows(&["second"])).await;
+    wait_until("the withdrawal arrives", || a.knows(&["second"])).await;
     expect_that!(a.sink.view.restored_at("first"), some(anything()));
     // The age of the copy is passed on with it.
     expect_that!(a.sink.view.configuration_age(), some(anything()));
@@ -88,7 +88,7 @@
     a.cut.set(false);
     wait_until("the store answers", || a.access.path() == Path::Direct).await;
     withdraw_order(&rows, "second");
-    wait_until("the withdrawal comes", || a.knows(&[])).await;
+    wait_until("the withdrawal arrives", || a.knows(&[])).await;
 }
 
 #[gtest]
@@ -97,14 +97,14 @@
     let (rows, a, b) = pair().await;
     cut_off(&a).await;
     b.cut.set(true);
-    wait_until("both are lost", || b.access.health().is_lost()).await;
+    wait_until("both nodes lose the store", || b.access.health().is_lost()).await;
     withdraw_order(&rows, "first");
     issue_order(&rows, "second");
     rows.forget_history();
     // The last known orders stay in force.
     expect_that!(a.knows(&["first"]), eq(true));
     b.cut.set(false);
-    wait_until("the read is passed on", || a.knows(&["second"])).await;
+    wait_until("the order arrives", || a.knows(&["second"])).await;
     expect_that!(b.knows(&["second"]), eq(true));
 }
 
@@ -123,7 +123,7 @@
         life: 1,
         ..Heartbeat::default()
     };
-    wait_until("it knows the copy", || {
+    wait_until("it copies the table", || {
         late.peers.meet(&heartbeat, a.address);
         late.knows(&["second"])
     })
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -122,7 +122,7 @@
     cut_off(&a).await;
     rows.write(TABLE, "", "second", "2");
     rows.remove(TABLE, "", "first");
-    wait_until("the change passes", || {
+    wait_until("the change arrives", || {
         a.holds("second") && !a.holds("first")
     })
     .await;
@@ -130,7 +130,10 @@
     a.cut.set(false);
     wait_until("the store answers", || a.access.path() == Path::Direct).await;
     rows.write(TABLE, "", "third", "3");
-    wait_until("the change comes", || a.holds("third") && b.holds("third")).await;
+    wait_until("the change arrives", || {
+        a.holds("third") && b.holds("third")
+    })
+    .await;
     expect_that!(a.sink.revision_decreased.get(), eq(false));
 }
 
@@ -140,7 +143,7 @@
     let (_rows, a, b) = pair().await;
     a.cut.set(true);
     b.cut.set(true);
-    wait_until("lost", || {
+    wait_until("both nodes lose the store", || {
         a.access.health().is_lost() && b.access.health().is_lost()
     })
     .await;
@@ -150,7 +153,7 @@
         err(matches_pattern!(StoreError::Unavailable { .. }))
     );
     b.cut.set(false);
-    wait_until("one is answered", || !b.access.health().is_lost()).await;
+    wait_until("the store answers b", || !b.access.health().is_lost()).await;
     wait_until("the other's calls pass", || !b.cut.get()).await;
     expect_that!(a.write("second").await, ok(anything()));
 }
@@ -198,6 +201,6 @@
     cut_off(&a).await;
     // The peer waits for a change of an idle table, so its copy ages; it is still accepted while the store is unreachable.
     let old = Duration::from_millis(1_200);
-    wait_until("an old copy is taken", || a.sink.max_age.get() > old).await;
+    wait_until("an old copy is accepted", || a.sink.max_age.get() > old).await;
     expect_that!(a.access.path(), eq(Path::ByPeer));
 }
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -254,5 +254,8 @@
         node.access.health().is_lost()
     })
     .await;
-    wait_until("tables come by peer", || node.access.path() == Path::ByPeer).await;
+    wait_until("tables are followed through a peer", || {
+        node.access.path() == Path::ByPeer
+    })
+    .await;
 }
