--- a/crates/model/tests/homes.rs
+++ b/crates/model/tests/homes.rs
@@ -121,17 +121,17 @@
 
 #[gtest]
 fn regions_of_jobs() {
-    let held = configuration(vec![route("one", &["a", "b"])], &["b"]);
+    let config = configuration(vec![route("one", &["a", "b"])], &["b"]);
     expect_that!(
-        zones(&Homes::of_job(&held, "one", "t1")),
+        zones(&Homes::of_job(&config, "one", "t1")),
         elements_are![eq(&"b1")]
     );
     expect_that!(
-        zones(&Homes::of_job(&held, "one", "")),
+        zones(&Homes::of_job(&config, "one", "")),
         elements_are![eq(&"a1"), eq(&"a2"), eq(&"b1")]
     );
-    expect_that!(Homes::of_job(&held, "gone", "t1").bind(), eq(false));
-    expect_that!(held.has_homes(), eq(true));
+    expect_that!(Homes::of_job(&config, "gone", "t1").bind(), eq(false));
+    expect_that!(config.has_homes(), eq(true));
     expect_that!(
         configuration(vec![route("one", &[])], &[]).has_homes(),
         eq(false)
--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -238,8 +238,8 @@
         self.starting.store(false, Ordering::Relaxed);
     }
 
-    /// Nodes to copy tables from, best first. A node that starts while the store is down copies from any node: old data is
-    /// better than none.
+    /// Nodes to copy tables from, best first. A node that starts while it cannot reach the store copies from any node: old
+    /// data is better than none.
     pub fn sources(&self) -> Vec<RelayPeer> {
         let roster = self.peers.roster();
         if self.is_starting() && self.health.is_lost() {
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -44,7 +44,7 @@
 /// Rows of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpdateRows {
-    /// The whole table, encoded as a [`TableChanges`] message.
+    /// The whole table, encoded as the rows of a protobuf message.
     Snapshot(Bytes),
     /// Changed rows; a row without a value was removed.
     Changes(Vec<Row>),
@@ -97,7 +97,7 @@
         let mut state = self.state.lock();
         let row_id = (row.part.clone(), row.key.clone());
         if row.value.is_none() {
-            let older = |held: &CachedRow| held.row.revision < row.revision;
+            let older = |cached: &CachedRow| cached.row.revision < row.revision;
             if !state.rows.get(&row_id).is_some_and(older) {
                 return false;
             }
@@ -105,13 +105,13 @@
             state.log_change(row.revision, row_id);
             return true;
         }
-        if let Some(held) = state.rows.get_mut(&row_id) {
-            if held.row.revision >= row.revision {
+        if let Some(cached) = state.rows.get_mut(&row_id) {
+            if cached.row.revision >= row.revision {
                 return false;
             }
-            if held.essence == essence {
+            if cached.essence == essence {
                 // The cached snapshot stays valid: its older revision of the row has the same essence.
-                held.row = row.clone();
+                cached.row = row.clone();
                 return false;
             }
         }
@@ -134,14 +134,14 @@
                 CachedRow { row, essence },
             );
         }
-        let differs = |state: &State, row_id: &RowId, held: &CachedRow| {
+        let differs = |state: &State, row_id: &RowId, cached: &CachedRow| {
             let known = state.rows.get(row_id);
-            known.is_none_or(|known| known.essence != held.essence)
+            known.is_none_or(|known| known.essence != cached.essence)
         };
         let mut changed: Vec<(u64, RowId)> = next
             .iter()
-            .filter(|(row_id, held)| differs(&state, row_id, held))
-            .map(|(row_id, held)| (held.row.revision, row_id.clone()))
+            .filter(|(row_id, cached)| differs(&state, row_id, cached))
+            .map(|(row_id, cached)| (cached.row.revision, row_id.clone()))
             .collect();
         let gone = state
             .rows
@@ -163,7 +163,7 @@
 
     fn contact(&self, contact: &Contact) {
         let mut state = self.state.lock();
-        let revision = state.contact.map_or(0, |(held, _)| held.revision);
+        let revision = state.contact.map_or(0, |(previous, _)| previous.revision);
         let contact = Contact {
             revision: contact.revision.max(revision),
             ..*contact
@@ -219,7 +219,9 @@
     fn snapshot(&mut self) -> Bytes {
         let rows = &self.rows;
         let encode = || {
-            let rows = rows.values().map(|held| RowMessage::from(held.row.clone()));
+            let rows = rows
+                .values()
+                .map(|cached| RowMessage::from(cached.row.clone()));
             let table = TableChanges {
                 whole: true,
                 rows: rows.collect(),
@@ -241,7 +243,7 @@
         let mut rows: Vec<Row> = seen
             .into_iter()
             .map(|(row_id, revision)| match self.rows.get(row_id) {
-                Some(held) => held.row.clone(),
+                Some(cached) => cached.row.clone(),
                 None => Row {
                     part: row_id.0.clone(),
                     key: row_id.1.clone(),
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -198,7 +198,7 @@
             let replica = self
                 .replicas
                 .iter()
-                .find(|held| held.table() == table.table);
+                .find(|candidate| candidate.table() == table.table);
             let Some(replica) = replica else {
                 continue;
             };
--- a/crates/relay/tests/homes.rs
+++ b/crates/relay/tests/homes.rs
@@ -27,13 +27,13 @@
 fn peers(log: &Arc<EventLog>) -> Arc<PeerTable> {
     let peers = PeerTable::new("own", "north", log.clone());
     for (number, (name, zone)) in [("near", "east"), ("far", "south")].into_iter().enumerate() {
-        let held = NodeRow {
+        let node = NodeRow {
             life: 1,
             zone: zone.to_owned(),
             peer: format!("10.0.0.{number}:2"),
             ..NodeRow::default()
         };
-        peers.change(row(name, held.encode_to_vec(), 1));
+        peers.change(row(name, node.encode_to_vec(), 1));
         peers.heard(&Heartbeat {
             name: name.to_owned(),
             life: 1,
--- a/crates/tables/src/rank.rs
+++ b/crates/tables/src/rank.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Guard of a [`Ranked`] mutex.
+/// Guard of a [`Ranked`] lock.
 #[derive(Debug)]
 pub struct RankedGuard<'a, T> {
     rank: Rank,
