--- a/crates/model/tests/homes.rs
+++ b/crates/model/tests/homes.rs
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn both_bind() {
+fn route_and_tenant_regions_intersect() {
     let of = |on_route: &[&str], of_tenant: &[&str]| {
         Homes::of(&route("r", on_route), Some(&tenant(of_tenant)))
     };
@@ -87,8 +87,8 @@
 }
 
 #[gtest]
-fn unknown_names() {
-    // Without regions in the settings, no server is known to be at home.
+fn unknown_regions() {
+    // Without regions in the settings, a restricted request is allowed in no zone.
     let bound = Homes::of(&route("r", &["a"]), None);
     expect_that!(bound.allow("a1", &Places::default()), eq(false));
     let configuration = configuration(vec![route("one", &["a", "x"]), route("two", &[])], &["y"]);
@@ -107,11 +107,11 @@
 }
 
 #[gtest]
-fn hosts() {
+fn regions_of_hosts() {
     let homes = |routes: Vec<Route>| configuration(routes, &[]).homes_of_host("shop.example");
     let bound = homes(vec![route("one", &["a"]), route("two", &["b"])]);
     expect_that!(bound.len(), eq(2));
-    // One route without homes: its callers may go anywhere.
+    // One unrestricted route makes the host unrestricted.
     expect_that!(
         homes(vec![route("one", &["a"]), route("two", &[])]),
         elements_are![]
@@ -120,18 +120,18 @@
 }
 
 #[gtest]
-fn jobs() {
-    let held = configuration(vec![route("one", &["a", "b"])], &["b"]);
+fn regions_of_jobs() {
+    let config = configuration(vec![route("one", &["a", "b"])], &["b"]);
     expect_that!(
-        zones(&Homes::of_job(&held, "one", "t1")),
+        zones(&Homes::of_job(&config, "one", "t1")),
         elements_are![eq(&"b1")]
     );
     expect_that!(
-        zones(&Homes::of_job(&held, "one", "")),
+        zones(&Homes::of_job(&config, "one", "")),
         elements_are![eq(&"a1"), eq(&"a2"), eq(&"b1")]
     );
-    expect_that!(Homes::of_job(&held, "gone", "t1").bind(), eq(false));
-    expect_that!(held.has_homes(), eq(true));
+    expect_that!(Homes::of_job(&config, "gone", "t1").bind(), eq(false));
+    expect_that!(config.has_homes(), eq(true));
     expect_that!(
         configuration(vec![route("one", &[])], &[]).has_homes(),
         eq(false)
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -1,4 +1,4 @@
-//! Copies of followed tables with their latest changes, for other nodes to take from.
+//! Table copies with a log of recent changes, served to other nodes.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -17,145 +17,153 @@
 use crate::access::Access;
 use crate::messages::{RowMessage, TableChanges};
 
-/// Changes kept of one table; who is further behind takes the whole table.
-const KEPT_CHANGES: usize = 4_096;
-/// How long the store may hold a reader's call for changes: other nodes count on fresh knowledge.
-const READER_WAIT: Duration = Duration::from_millis(400);
+/// Changes kept per table; callers further behind get a snapshot.
+const MAX_CHANGES: usize = 4_096;
+/// Long-poll wait at the store of a node that serves others; short, to keep their copies fresh.
+const SERVING_POLL_WAIT: Duration = Duration::from_millis(400);
 
-type Place = (String, String);
+type RowId = (String, String);
 
-struct Held {
+struct CachedRow {
     row: Row,
     essence: u64,
 }
 
 #[derive(Default)]
 struct State {
-    rows: BTreeMap<Place, Held>,
-    changes: VecDeque<(u64, Place)>,
-    /// All changes after this revision are kept.
-    kept_after: u64,
-    /// What the store told last, and when that was taken; `None` before the whole table is known.
+    rows: BTreeMap<RowId, CachedRow>,
+    changes: VecDeque<(u64, RowId)>,
+    /// The log is complete after this revision.
+    log_start: u64,
+    /// Latest contact and when it was received; `None` until the table is loaded.
     contact: Option<(Contact, Instant)>,
-    /// All rows, encoded, as long as none of them changes.
-    whole: Option<Bytes>,
+    /// Cached encoding of all rows; cleared by a change.
+    snapshot: Option<Bytes>,
 }
 
-/// Rows that are told of one table.
+/// Rows of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ToldRows {
-    /// The whole table, encoded as the rows of a message.
-    Whole(Bytes),
-    /// What has changed; a row without a value is gone.
+pub enum UpdateRows {
+    /// The whole table, encoded as the rows of a protobuf message.
+    Snapshot(Bytes),
+    /// Changed rows; a row without a value was removed.
     Changes(Vec<Row>),
 }
 
-/// What is told of one table.
+/// Update of one table for a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
-    /// The rows.
-    pub rows: ToldRows,
-    /// What the store said with them.
+pub struct TableUpdates {
+    /// Snapshot or changes.
+    pub rows: UpdateRows,
+    /// Revision, store time and age of the update.
     pub contact: Contact,
 }
 
-impl Told {
-    /// Whether any row is told.
-    pub fn is_news(&self) -> bool {
+impl TableUpdates {
+    /// Whether the update has changes or is a snapshot.
+    pub fn has_news(&self) -> bool {
         match &self.rows {
-            ToldRows::Whole(_) => true,
-            ToldRows::Changes(rows) => !rows.is_empty(),
+            UpdateRows::Snapshot(_) => true,
+            UpdateRows::Changes(rows) => !rows.is_empty(),
         }
     }
 
-    /// Whether the whole table is told.
-    pub fn is_whole(&self) -> bool {
-        matches!(self.rows, ToldRows::Whole(_))
+    /// Whether the update is a snapshot.
+    pub fn is_snapshot(&self) -> bool {
+        matches!(self.rows, UpdateRows::Snapshot(_))
     }
 
-    /// The rows one by one.
+    /// Returns the rows, decoded if needed.
     pub fn rows(&self) -> Vec<Row> {
         match &self.rows {
-            ToldRows::Whole(encoded) => {
+            UpdateRows::Snapshot(encoded) => {
                 let table = TableChanges::decode(encoded.clone()).unwrap_or_default();
                 table.rows.into_iter().map(Row::from).collect()
             }
-            ToldRows::Changes(rows) => rows.clone(),
+            UpdateRows::Changes(rows) => rows.clone(),
         }
     }
 }
 
-/// One table as a node knows it, with its latest changes; shared by all threads.
+/// Copy of one table with its recent changes, shared by all threads.
 #[derive(Default)]
 pub struct TableHistory {
     state: Mutex<State>,
 }
 
 impl TableHistory {
-    /// Takes a changed row; whether it matters.
+    /// Applies a changed row; returns whether its essence changed.
     fn change(&self, row: &Row, essence: u64) -> bool {
         let mut state = self.state.lock();
-        let place = (row.part.clone(), row.key.clone());
+        let row_id = (row.part.clone(), row.key.clone());
         if row.value.is_none() {
-            let older = |held: &Held| held.row.revision < row.revision;
-            if !state.rows.get(&place).is_some_and(older) {
+            let older = |cached: &CachedRow| cached.row.revision < row.revision;
+            if !state.rows.get(&row_id).is_some_and(older) {
                 return false;
             }
-            state.rows.remove(&place);
-            state.note(row.revision, place);
+            state.rows.remove(&row_id);
+            state.log_change(row.revision, row_id);
             return true;
         }
-        if let Some(held) = state.rows.get_mut(&place) {
-            if held.row.revision >= row.revision {
+        if let Some(cached) = state.rows.get_mut(&row_id) {
+            if cached.row.revision >= row.revision {
                 return false;
             }
-            if held.essence == essence {
-                // The encoded table stays: an older revision of a row that is alike does no harm.
-                held.row = row.clone();
+            if cached.essence == essence {
+                // The cached snapshot stays valid: its older revision of the row has the same essence.
+                cached.row = row.clone();
                 return false;
             }
         }
         let row = row.clone();
         let revision = row.revision;
-        state.rows.insert(place.clone(), Held { row, essence });
-        state.note(revision, place);
+        state
+            .rows
+            .insert(row_id.clone(), CachedRow { row, essence });
+        state.log_change(revision, row_id);
         true
     }
 
-    /// Takes the whole table as of a revision; rows that have not changed are no change.
+    /// Replaces the table as of a revision and logs the rows that differ.
     fn replace(&self, rows: Vec<(Row, u64)>, revision: u64) {
         let mut state = self.state.lock();
         let mut next = BTreeMap::new();
         for (row, essence) in rows {
-            next.insert((row.part.clone(), row.key.clone()), Held { row, essence });
+            next.insert(
+                (row.part.clone(), row.key.clone()),
+                CachedRow { row, essence },
+            );
         }
-        let differs = |state: &State, place: &Place, held: &Held| {
-            let known = state.rows.get(place);
-            known.is_none_or(|known| known.essence != held.essence)
+        let differs = |state: &State, row_id: &RowId, cached: &CachedRow| {
+            let known = state.rows.get(row_id);
+            known.is_none_or(|known| known.essence != cached.essence)
         };
-        let mut changed: Vec<(u64, Place)> = next
+        let mut changed: Vec<(u64, RowId)> = next
             .iter()
-            .filter(|(place, held)| differs(&state, place, held))
-            .map(|(place, held)| (held.row.revision, place.clone()))
+            .filter(|(row_id, cached)| differs(&state, row_id, cached))
+            .map(|(row_id, cached)| (cached.row.revision, row_id.clone()))
             .collect();
-        let gone = state.rows.keys().filter(|place| !next.contains_key(*place));
-        changed.extend(gone.map(|place| (revision, place.clone())));
+        let gone = state
+            .rows
+            .keys()
+            .filter(|row_id| !next.contains_key(*row_id));
+        changed.extend(gone.map(|row_id| (revision, row_id.clone())));
         changed.sort();
         if state.contact.is_none() {
-            // Nobody was told anything before.
-            state.kept_after = revision;
+            // First load: no caller can hold an earlier revision.
+            state.log_start = revision;
             changed.clear();
         }
         state.rows = next;
-        state.whole = None;
-        for (at, place) in changed {
-            state.note(at, place);
+        state.snapshot = None;
+        for (at, row_id) in changed {
+            state.log_change(at, row_id);
         }
     }
 
     fn contact(&self, contact: &Contact) {
         let mut state = self.state.lock();
-        let revision = state.contact.map_or(0, |(held, _)| held.revision);
+        let revision = state.contact.map_or(0, |(previous, _)| previous.revision);
         let contact = Contact {
             revision: contact.revision.max(revision),
             ..*contact
@@ -163,22 +171,22 @@
         state.contact = Some((contact, Instant::now()));
     }
 
-    /// Revision up to which the whole table is known.
+    /// Revision of the copy; `None` until the table is loaded.
     pub fn revision(&self) -> Option<u64> {
         let state = self.state.lock();
         state.contact.map(|(contact, _)| contact.revision)
     }
 
-    /// Revision up to which the whole table is known, and how old that knowledge is.
-    fn known(&self) -> Option<(u64, Duration)> {
+    /// Revision and age of the copy.
+    fn revision_and_age(&self) -> Option<(u64, Duration)> {
         let state = self.state.lock();
         let (contact, at) = state.contact?;
         Some((contact.revision, contact.age + at.elapsed()))
     }
 
-    /// What changed after a revision, or the whole table; `None` before the table is known. A caller
-    /// that knows more than this node is told nothing: it would refuse an older table anyway.
-    pub fn told(&self, after: Option<u64>) -> Option<Told> {
+    /// Changes after a revision, or a snapshot if there is no revision or the log does not reach back to it; `None` until
+    /// the table is loaded. A caller that is ahead of this node gets no rows.
+    pub fn updates(&self, after: Option<u64>) -> Option<TableUpdates> {
         let mut state = self.state.lock();
         let (contact, at) = state.contact?;
         let since = at.elapsed();
@@ -187,32 +195,33 @@
             age: contact.age + since,
             ..contact
         };
-        let after = after.filter(|after| *after >= state.kept_after);
+        let after = after.filter(|after| *after >= state.log_start);
         let rows = match after {
-            Some(after) => ToldRows::Changes(state.changed_after(after)),
-            None => ToldRows::Whole(state.whole()),
+            Some(after) => UpdateRows::Changes(state.changed_after(after)),
+            None => UpdateRows::Snapshot(state.snapshot()),
         };
-        Some(Told { rows, contact })
+        Some(TableUpdates { rows, contact })
     }
 }
 
 impl State {
-    fn note(&mut self, revision: u64, place: Place) {
-        self.whole = None;
-        self.changes.push_back((revision, place));
-        while self.changes.len() > KEPT_CHANGES {
+    fn log_change(&mut self, revision: u64, row_id: RowId) {
+        self.snapshot = None;
+        self.changes.push_back((revision, row_id));
+        while self.changes.len() > MAX_CHANGES {
             if let Some((dropped, _)) = self.changes.pop_front() {
-                self.kept_after = self.kept_after.max(dropped);
+                self.log_start = self.log_start.max(dropped);
             }
         }
     }
 
-    /// All rows, encoded once for all that ask until one changes: of 10,000 servers that is 0.7 MB and some milliseconds
-    /// of a processor, and a hundred nodes ask when a fleet starts.
-    fn whole(&mut self) -> Bytes {
+    /// All rows, encoded; cached, since many nodes request the same snapshot when a fleet starts.
+    fn snapshot(&mut self) -> Bytes {
         let rows = &self.rows;
         let encode = || {
-            let rows = rows.values().map(|held| RowMessage::from(held.row.clone()));
+            let rows = rows
+                .values()
+                .map(|cached| RowMessage::from(cached.row.clone()));
             let table = TableChanges {
                 whole: true,
                 rows: rows.collect(),
@@ -220,24 +229,24 @@
             };
             Bytes::from(table.encode_to_vec())
         };
-        self.whole.get_or_insert_with(encode).clone()
+        self.snapshot.get_or_insert_with(encode).clone()
     }
 
-    /// Each row that changed after a revision, once, as it is.
+    /// Current state of each row that changed after a revision.
     fn changed_after(&self, after: u64) -> Vec<Row> {
-        let mut seen: HashMap<&Place, u64> = HashMap::new();
-        // Changes are kept in the order of their revisions: few of them are new to a caller.
+        let mut seen: HashMap<&RowId, u64> = HashMap::new();
+        // The log is in revision order; scan back from the newest change.
         let newest = self.changes.iter().rev();
-        for (revision, place) in newest.take_while(|(revision, _)| *revision > after) {
-            seen.entry(place).or_insert(*revision);
+        for (revision, row_id) in newest.take_while(|(revision, _)| *revision > after) {
+            seen.entry(row_id).or_insert(*revision);
         }
         let mut rows: Vec<Row> = seen
             .into_iter()
-            .map(|(place, revision)| match self.rows.get(place) {
-                Some(held) => held.row.clone(),
+            .map(|(row_id, revision)| match self.rows.get(row_id) {
+                Some(cached) => cached.row.clone(),
                 None => Row {
-                    part: place.0.clone(),
-                    key: place.1.clone(),
+                    part: row_id.0.clone(),
+                    key: row_id.1.clone(),
                     value: None,
                     revision,
                 },
@@ -248,7 +257,7 @@
     }
 }
 
-/// Histories of all tables that are followed.
+/// Histories of all replicated tables.
 #[derive(Clone)]
 pub struct Histories {
     tables: Arc<HashMap<&'static str, Arc<TableHistory>>>,
@@ -256,7 +265,7 @@
 }
 
 impl Histories {
-    /// Empty histories of some tables.
+    /// Creates empty histories.
     pub fn new(tables: &[&'static str]) -> Self {
         let tables = tables.iter().map(|table| (*table, Arc::default()));
         Self {
@@ -265,18 +274,17 @@
         }
     }
 
-    /// The history of a table.
     pub fn get(&self, table: &str) -> Option<&Arc<TableHistory>> {
         self.tables.get(table)
     }
 
-    /// Whether all tables are known.
+    /// Whether all tables are loaded.
     fn are_known(&self) -> bool {
         let mut tables = self.tables.values();
         tables.all(|table| table.revision().is_some())
     }
 
-    /// Tells of every change that matters.
+    /// Notifies of logged changes.
     pub(crate) fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -286,18 +294,18 @@
     }
 }
 
-/// A sink whose table other nodes may take from this one.
+/// Sink that also records its table's history for other nodes.
 pub struct Replica {
     sink: Rc<dyn TableSink>,
     history: Arc<TableHistory>,
     histories: Histories,
     access: Arc<Access>,
-    /// Something has changed that others were not told yet.
-    untold: Cell<bool>,
+    /// Changes were recorded since the last notification.
+    unnotified: Cell<bool>,
 }
 
 impl Replica {
-    /// A replica of the sink's table; `None` when the histories do not hold it.
+    /// Wraps a sink; `None` if `histories` lacks its table.
     pub fn new(
         sink: Rc<dyn TableSink>,
         histories: &Histories,
@@ -308,13 +316,13 @@
             histories: histories.clone(),
             sink,
             access,
-            untold: Cell::new(false),
+            unnotified: Cell::new(false),
         })
     }
 
-    /// Revision up to which the whole table is held, and how old that is.
-    pub(crate) fn known(&self) -> Option<(u64, Duration)> {
-        self.history.known()
+    /// Revision and age of the copy; `None` until the table is loaded.
+    pub(crate) fn revision_and_age(&self) -> Option<(u64, Duration)> {
+        self.history.revision_and_age()
     }
 }
 
@@ -333,7 +341,7 @@
 
     fn wait(&self) -> Duration {
         match self.access.serves_others() {
-            true => READER_WAIT,
+            true => SERVING_POLL_WAIT,
             false => self.sink.wait(),
         }
     }
@@ -343,10 +351,10 @@
             return;
         }
         let rows: Vec<Row> = rows.into_iter().map(|row| self.sink.digest(row)).collect();
-        let judged = rows.iter().map(|row| (row.clone(), self.essence(row)));
-        self.history.replace(judged.collect(), revision);
+        let with_essence = rows.iter().map(|row| (row.clone(), self.essence(row)));
+        self.history.replace(with_essence.collect(), revision);
         self.sink.replace(rows, revision);
-        self.untold.set(true);
+        self.unnotified.set(true);
     }
 
     fn change(&self, row: Row) {
@@ -354,26 +362,26 @@
         let essence = self.essence(&row);
         if self.history.change(&row, essence) {
             self.sink.change(row);
-            self.untold.set(true);
+            self.unnotified.set(true);
         }
     }
 
-    /// The one place where knowledge gets its age: what its teller says, and its time on the way.
+    /// Records a contact after adding the transit time to its age. No other code ages a contact on receipt.
     fn contact(&self, contact: &Contact) {
-        let way = self.access.clock().time_on_way(contact.now_ms);
+        let transit_time = self.access.clock().time_on_way(contact.now_ms);
         let contact = &Contact {
             revision: contact.revision,
-            now_ms: contact.now_ms + way.as_millis() as u64,
-            age: contact.age + way,
+            now_ms: contact.now_ms + transit_time.as_millis() as u64,
+            age: contact.age + transit_time,
         };
         self.history.contact(contact);
         self.sink.contact(contact);
-        // The rows of one answer are told together.
-        if self.untold.take() {
+        // One notification for all rows of an answer.
+        if self.unnotified.take() {
             self.histories.notify();
         }
         if self.access.is_starting() && self.histories.are_known() {
-            self.access.started();
+            self.access.mark_started();
         }
     }
 
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! What a node does for others: tells of its tables, and makes calls to the store.
+//! Server side: answers other nodes' polls for table changes and forwards their calls to the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,40 +10,40 @@
 use prost::Message;
 
 use crate::access::{Access, Path};
-use crate::history::{Histories, Told, ToldRows};
+use crate::history::{Histories, TableUpdates, UpdateRows};
 use crate::messages::{
     AnswerKind, CallKind, ChangesCall, ReadCall, RelayAnswer, RelayCall, RowMessage, TableChanges,
-    TransactCall, encoded_answer, encoded_table,
+    TransactCall, encode_changes_answer, encode_table_changes,
 };
 
-/// Longest time that an answer is held for a change.
-const LONGEST_WAIT: Duration = Duration::from_millis(600);
+/// Upper bound on how long a poll waits for a change.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(600);
 
-/// Serves the calls of other nodes, on one thread.
+/// Answers the calls of other nodes, on one thread.
 pub struct RelayService {
     direct: Rc<dyn RowStore>,
     access: Arc<Access>,
     histories: Histories,
-    written: Vec<&'static str>,
+    writable: Vec<&'static str>,
 }
 
 impl RelayService {
-    /// Makes calls through `direct`; `written` names the tables that nodes read and write.
+    /// Forwards calls through `direct`, for the tables in `written` only.
     pub fn new(
         direct: Rc<dyn RowStore>,
         access: Arc<Access>,
         histories: Histories,
-        written: Vec<&'static str>,
+        writable: Vec<&'static str>,
     ) -> Self {
         Self {
             direct,
             access,
             histories,
-            written,
+            writable,
         }
     }
 
-    /// Answers a call; bytes that are none are answered with a failure.
+    /// Answers an encoded call; malformed input gets a failure answer.
     pub async fn answer(&self, call: Bytes) -> Bytes {
         let kind = RelayCall::decode(call).ok().and_then(|call| call.kind);
         let outcome = match kind {
@@ -53,7 +53,7 @@
             },
             Some(CallKind::Transact(call)) => self.transact(call).await,
             Some(CallKind::Read(call)) => self.read(call).await,
-            None => Err(invalid("not a call")),
+            None => Err(invalid("malformed call")),
         };
         let kind = outcome.unwrap_or_else(AnswerKind::from);
         Bytes::from(RelayAnswer { kind: Some(kind) }.encode_to_vec())
@@ -61,56 +61,58 @@
 
     async fn changes(&self, call: ChangesCall) -> Result<Bytes, StoreError> {
         if !call.reads_digests {
-            return Err(unavailable("this node keeps digests only"));
+            return Err(unavailable("this node serves rows in digest form only"));
         }
-        let wait = Duration::from_millis(u64::from(call.wait_ms)).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(u64::from(call.wait_ms)).min(MAX_POLL_WAIT);
         let until = Instant::now() + wait;
         let mut changed = self.histories.watch();
         loop {
             changed.borrow_and_update();
             let is_over = Instant::now() >= until;
-            match self.told(&call)? {
-                Some(told) if is_over || told.iter().any(|(_, told)| told.is_news()) => {
-                    return Ok(answer(told));
+            match self.updates(&call)? {
+                Some(updates)
+                    if is_over || updates.iter().any(|(_, updates)| updates.has_news()) =>
+                {
+                    return Ok(answer(updates));
                 }
-                // The caller learns that this node will know, and asks again.
+                // An empty answer tells the caller to poll again.
                 None if is_over => return Ok(answer(Vec::new())),
                 Some(_) | None => {}
             }
-            // The end of the wait is an answer too.
+            // On timeout the loop answers with what is known.
             let _ = dappleyard_clock::timeout_at(until, changed.changed()).await;
         }
     }
 
-    /// What is told of the tables that a call names; `None` while this node begins and does not know all of them. When a
-    /// whole fleet begins, nodes ask their readers before these know anything: a failure would send all of them to the
-    /// store.
-    fn told(&self, call: &ChangesCall) -> Result<Option<Vec<(String, Told)>>, StoreError> {
-        let begins = self.access.is_starting();
-        // A delegate tells what it was told: with each table goes its age, from when the store said it.
-        let follows = self.access.path() == Path::Direct || self.access.serves_others();
-        if !follows && !begins {
-            return Err(unavailable(
-                "this node does not follow the tables for others",
-            ));
+    /// Updates of the tables that a call names, or `None` while this node is starting and has not loaded them all. A failure
+    /// would make every node of a starting fleet fall back to the store.
+    fn updates(
+        &self,
+        call: &ChangesCall,
+    ) -> Result<Option<Vec<(String, TableUpdates)>>, StoreError> {
+        let starting = self.access.is_starting();
+        // A delegate may serve copies: each update carries the time since the store sent the data.
+        let serves = self.access.path() == Path::Direct || self.access.serves_others();
+        if !serves && !starting {
+            return Err(unavailable("this node does not serve tables to others"));
         }
         let mut tables = Vec::with_capacity(call.tables.len());
         for position in &call.tables {
             let history = self.histories.get(&position.table);
-            let history = history.ok_or_else(|| invalid("no such table is followed"))?;
-            let Some(told) = history.told(position.revision) else {
-                return match begins {
+            let history = history.ok_or_else(|| invalid("table is not replicated"))?;
+            let Some(updates) = history.updates(position.revision) else {
+                return match starting {
                     true => Ok(None),
-                    false => Err(unavailable("the table is not known yet")),
+                    false => Err(unavailable("the table is not loaded yet")),
                 };
             };
-            tables.push((position.table.clone(), told));
+            tables.push((position.table.clone(), updates));
         }
         Ok(Some(tables))
     }
 
     async fn transact(&self, call: TransactCall) -> Result<AnswerKind, StoreError> {
-        self.expect_contact()?;
+        self.ensure_store_reachable()?;
         let transaction = call
             .transaction(|table| self.table(table))
             .map_err(|reason| invalid(&reason))?;
@@ -120,9 +122,9 @@
     }
 
     async fn read(&self, call: ReadCall) -> Result<AnswerKind, StoreError> {
-        self.expect_contact()?;
+        self.ensure_store_reachable()?;
         let table = self.table(&call.table);
-        let table = table.ok_or_else(|| invalid("no table of nodes"))?;
+        let table = table.ok_or_else(|| invalid("table is not open to nodes"))?;
         let limit = call.limit as usize;
         let read = self
             .direct
@@ -132,8 +134,8 @@
         outcome.map(AnswerKind::from)
     }
 
-    /// A call is passed on once at most.
-    fn expect_contact(&self) -> Result<(), StoreError> {
+    /// Refuses a forwarded call when this node cannot reach the store, so that no call is forwarded twice.
+    fn ensure_store_reachable(&self) -> Result<(), StoreError> {
         match self.access.health().is_lost() {
             true => Err(unavailable("the store does not answer this node either")),
             false => Ok(()),
@@ -141,26 +143,28 @@
     }
 
     fn table(&self, name: &str) -> Option<&'static str> {
-        self.written.iter().find(|table| **table == name).copied()
+        self.writable.iter().find(|table| **table == name).copied()
     }
 }
 
-fn answer(tables: Vec<(String, Told)>) -> Bytes {
-    let tables = tables.into_iter().map(|(table, told)| encoded(table, told));
-    encoded_answer(tables.collect())
+fn answer(tables: Vec<(String, TableUpdates)>) -> Bytes {
+    let tables = tables
+        .into_iter()
+        .map(|(table, updates)| encode_updates(table, updates));
+    encode_changes_answer(tables.collect())
 }
 
-fn encoded(table: String, told: Told) -> Bytes {
+fn encode_updates(table: String, updates: TableUpdates) -> Bytes {
     let mut rest = TableChanges {
         table,
-        revision: told.contact.revision,
-        now_ms: told.contact.now_ms,
-        age_ms: u32::try_from(told.contact.age.as_millis()).unwrap_or(u32::MAX),
+        revision: updates.contact.revision,
+        now_ms: updates.contact.now_ms,
+        age_ms: u32::try_from(updates.contact.age.as_millis()).unwrap_or(u32::MAX),
         ..TableChanges::default()
     };
-    match told.rows {
-        ToldRows::Whole(rows) => encoded_table(&rows, &rest),
-        ToldRows::Changes(rows) => {
+    match updates.rows {
+        UpdateRows::Snapshot(rows) => encode_table_changes(&rows, &rest),
+        UpdateRows::Changes(rows) => {
             rest.rows = rows.into_iter().map(RowMessage::from).collect();
             Bytes::from(rest.encode_to_vec())
         }
--- a/crates/relay/tests/history.rs
+++ b/crates/relay/tests/history.rs
@@ -1,4 +1,4 @@
-//! What a node tells others of a table.
+//! Table updates served to other nodes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 const TABLE: &str = "things";
 
-/// A sink in which a value's first byte is all that matters.
+/// Sink whose rows are equal if the first byte of their values is.
 #[derive(Default)]
 struct Sink {
     changes: RefCell<Vec<String>>,
@@ -73,22 +73,22 @@
 }
 
 fn keys(histories: &Histories, after: Option<u64>) -> (bool, Vec<String>) {
-    let told = histories.get(TABLE).expect("a history").told(after);
-    let told = told.expect("a known table");
-    let keys = told.rows().into_iter();
-    (told.is_whole(), keys.map(|row| row.key).collect())
+    let updates = histories.get(TABLE).expect("a history").updates(after);
+    let updates = updates.expect("a known table");
+    let keys = updates.rows().into_iter();
+    (updates.is_snapshot(), keys.map(|row| row.key).collect())
 }
 
 #[gtest]
-fn nothing_before_whole() {
+fn no_updates_before_load() {
     let (_, histories, replica) = replica();
     replica.change(row("a", Some("1"), 3));
-    expect_that!(histories.get(TABLE).unwrap().told(None), none());
+    expect_that!(histories.get(TABLE).unwrap().updates(None), none());
     expect_that!(replica.held(), none());
 }
 
 #[gtest]
-fn only_what_matters() {
+fn rows_with_equal_essence_are_not_sent() {
     let (sink, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1x"), 2), row("b", Some("1x"), 3)], 5);
     replica.contact(&contact(5));
@@ -102,28 +102,28 @@
     );
     expect_that!(keys(&histories, Some(7)), eq(&(false, vec![])));
     expect_that!(*sink.changes.borrow(), elements_are![eq("b")]);
-    // What is told of the row that did not matter is its newest value all the same.
-    let whole = histories.get(TABLE).unwrap().told(None).unwrap();
+    // The snapshot is encoded after the change that had no effect, and holds its revision.
+    let whole = histories.get(TABLE).unwrap().updates(None).unwrap();
     expect_that!(whole.rows()[0].revision, eq(6));
 }
 
 #[gtest]
-fn gone_rows() {
+fn removed_rows() {
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
     replica.change(row("a", None, 6));
     replica.contact(&contact(6));
-    let told = histories.get(TABLE).unwrap().told(Some(5)).unwrap();
-    expect_that!(told.rows(), elements_are![eq(&row("a", None, 6))]);
+    let updates = histories.get(TABLE).unwrap().updates(Some(5)).unwrap();
+    expect_that!(updates.rows(), elements_are![eq(&row("a", None, 6))]);
 }
 
 #[gtest]
-fn far_behind() {
+fn snapshot_for_caller_far_behind() {
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
-    // Before the history begins.
+    // Revision 4 precedes the change log.
     expect_that!(keys(&histories, Some(4)).0, eq(true));
     for revision in 6..6_000 {
         let value = format!("{}", revision % 2);
@@ -138,11 +138,11 @@
 }
 
 #[gtest]
-fn caller_ahead() {
+fn no_rows_for_caller_ahead() {
     let (_, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2)], 5);
     replica.contact(&contact(5));
-    // Who has followed the store itself and knows more is told nothing, above all not all rows.
+    // A caller that is ahead must not get a snapshot.
     expect_that!(keys(&histories, Some(9)), eq(&(false, vec![])));
     replica.change(row("a", Some("2"), 10));
     replica.contact(&contact(10));
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn whole_again() {
+fn reload_sends_differences() {
     let (sink, histories, replica) = replica();
     replica.replace(vec![row("a", Some("1"), 2), row("b", Some("1"), 3)], 5);
     replica.contact(&contact(5));
@@ -163,7 +163,7 @@
     changed.sort();
     expect_that!(whole, eq(false));
     expect_that!(changed, elements_are![eq("b"), eq("c")]);
-    // An older table never takes the place of a newer one.
+    // A snapshot of an older revision is ignored.
     replica.replace(vec![], 6);
     expect_that!(keys(&histories, None).1.len(), eq(2));
     expect_that!(sink.replaced.get(), eq(2));
--- a/crates/relay/tests/zones.rs
+++ b/crates/relay/tests/zones.rs
@@ -1,4 +1,4 @@
-//! By whom a node reaches the store while a zone is lost, and while its own is cut off.
+//! Relays available to a node while another zone is down and while its own zone is isolated.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +11,13 @@
 use prost::Message;
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
-/// Nodes in each zone.
-const IN_ZONE: usize = 3;
+const NODES_PER_ZONE: usize = 3;
 
 fn name(zone: &str, number: usize) -> String {
     format!("{zone}-{number}")
 }
 
-/// What the first node of the northern zone knows.
+/// State of the first node of zone `north`.
 struct Node {
     peers: Arc<PeerTable>,
     health: Arc<StoreHealth>,
@@ -32,7 +31,7 @@
         let own = name("north", 0);
         let peers = Arc::new(PeerTable::new(&own, "north", log.clone()));
         for zone in ZONES {
-            (0..IN_ZONE).for_each(|number| peers.change(row(zone, number)));
+            (0..NODES_PER_ZONE).for_each(|number| peers.change(row(zone, number)));
         }
         let health = Arc::new(StoreHealth::default());
         let access = Access::new(&own, "north", health.clone(), peers.clone(), log);
@@ -44,8 +43,8 @@
         }
     }
 
-    /// Time passes. `heard` says which zones are heard, and `answered` which of them the store answers.
-    async fn run(&mut self, ms: u64, heard: &[&str], answered: &[&str]) {
+    /// Advances time by `ms` with heartbeats from the zones in `heard`; the store answers the zones in `answered`.
+    async fn advance(&mut self, ms: u64, heard: &[&str], answered: &[&str]) {
         for _ in 0..ms / 100 {
             self.sequence += 1;
             let own = match answered.contains(&"north") {
@@ -56,14 +55,15 @@
             };
             self.health.note(&own);
             for zone in heard {
-                (0..IN_ZONE).for_each(|number| self.beat(zone, number, answered.contains(zone)));
+                (0..NODES_PER_ZONE)
+                    .for_each(|number| self.send_heartbeat(zone, number, answered.contains(zone)));
             }
-            self.access.look();
+            self.access.refresh();
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    fn beat(&self, zone: &str, number: usize, answered: bool) {
+    fn send_heartbeat(&self, zone: &str, number: usize, answered: bool) {
         self.peers.heard(&Heartbeat {
             name: name(zone, number),
             life: 1,
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Zones of the nodes that may pass calls on.
+    /// Zones of the nodes that may forward calls.
     fn relays(&self) -> Vec<String> {
         let relays = self.access.relays().into_iter();
         relays.map(|peer| peer.zone).collect()
@@ -99,10 +99,10 @@
 #[tokio::test(start_paused = true)]
 async fn lost_zone() {
     let mut node = Node::new();
-    node.run(2_000, &ZONES, &ZONES).await;
+    node.advance(2_000, &ZONES, &ZONES).await;
     assert_that!(node.relays().len(), eq(8));
-    // Calls are not passed to a zone that is gone.
-    node.run(1_800, &["north", "west"], &["north", "west"])
+    // Calls are not forwarded to a zone that is down.
+    node.advance(1_800, &["north", "west"], &["north", "west"])
         .await;
     assert_that!(node.relays(), not(contains(eq("south"))));
     assert_that!(node.relays().len(), eq(5));
@@ -110,23 +110,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn cut_zone() {
+async fn isolated_zone() {
     let mut node = Node::new();
-    node.run(2_000, &ZONES, &ZONES).await;
-    // The zone hears neither the store nor anybody else. For two seconds its nodes pass calls to each other; then
-    // each asks the store itself, so that it knows of the end of the cut at once.
-    node.run(400, &["north"], &[]).await;
+    node.advance(2_000, &ZONES, &ZONES).await;
+    // The zone is isolated. Its nodes forward calls to each other for two seconds, then each calls the store directly, so
+    // that it sees the recovery at once.
+    node.advance(400, &["north"], &[]).await;
     assert_that!(
         node.relays().iter().filter(|zone| *zone == "north").count(),
         eq(2)
     );
-    node.run(2_400, &["north"], &[]).await;
+    node.advance(2_400, &["north"], &[]).await;
     assert_that!(node.relays().is_empty(), eq(true));
-    // One node of it is answered again: the others go by it.
+    // The store answers one node of the zone again, which becomes a relay.
     node.sequence += 1;
-    node.beat("north", 1, true);
+    node.send_heartbeat("north", 1, true);
     assert_that!(node.relays(), eq(&["north"]));
-    node.run(200, &ZONES, &ZONES).await;
+    node.advance(200, &ZONES, &ZONES).await;
     assert_that!(node.access.path(), eq(Path::Direct));
     assert_that!(node.relays().len(), eq(8));
 }
