--- a/crates/jobs/src/accept.rs
+++ b/crates/jobs/src/accept.rs
@@ -8,7 +8,7 @@
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::calls::NodeJobs;
+use crate::api::NodeJobs;
 use crate::keys::{CHUNK_BYTES, items_key, job_key, quota_key};
 use crate::messages::{ItemsBlob, JobRow, StoredItem};
 use dappleyard_clock::Instant;
--- a/crates/jobs/src/end.rs
+++ b/crates/jobs/src/end.rs
@@ -7,7 +7,7 @@
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::calls::{NodeJobs, unsure};
+use crate::api::{NodeJobs, unsure};
 use crate::keys::job_key;
 use crate::messages::{JobRow, JobState};
 use dappleyard_clock::Instant;
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -5,35 +5,35 @@
 //! row alone; heartbeats only tell when another node should try to claim it.
 
 mod accept;
-mod calls;
+mod admission;
+mod api;
 mod claiming;
-mod cleaning;
 mod end;
-mod give_up;
-mod homes;
+mod expiry;
+mod garbage_collection;
 mod keys;
 mod messages;
 mod order;
 mod owned;
+mod ownership;
 pub mod partials;
+mod placement;
 mod preempt;
 mod read;
 mod release;
+mod residency;
 mod run;
 mod runner;
 mod scheduling;
-mod service_loads;
+mod service_state;
 mod table;
-mod taking;
-mod width;
-mod yielding;
 
-pub use calls::NodeJobs;
+pub use admission::{Change, ServiceLoad, Yielding, is_urgent, spread};
+pub use api::NodeJobs;
 pub use claiming::{Ground, may_claim, may_claim_away, preferred};
 pub use keys::{BODY_TABLES, JOB_TABLES, partition};
 pub use messages::{ItemsBlob, JobRow, JobState, StoredItem, StoredPartial};
 pub use order::{Rank, RunEstimate, rank};
+pub use placement::{ServerRoom, pick_server, room, within_reach};
 pub use runner::Runner;
 pub use table::JobTable;
-pub use width::{ServerRoom, pick_server, room, within_reach};
-pub use yielding::{Change, ServiceLoad, Yielding, is_urgent, spread};
--- a/crates/jobs/src/read.rs
+++ b/crates/jobs/src/read.rs
@@ -9,7 +9,7 @@
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::calls::{NodeJobs, unsure};
+use crate::api::{NodeJobs, unsure};
 use crate::keys::{ITEMS_TABLE, RESULTS_TABLE, partition, range_end, range_from, range_start};
 use crate::messages::{ItemsBlob, JobState, StoredItem, StoredResult};
 use dappleyard_clock::Instant;
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -15,7 +15,7 @@
 use crate::owned::{OwnedJob, commit_results};
 use crate::preempt::preempt;
 use crate::release::release;
-use crate::service_loads::{ServiceView, look};
+use crate::service_state::{ServiceView, look};
 use crate::table::JobTable;
 use dappleyard_clock::Instant;
 
--- a/crates/jobs/src/scheduling.rs
+++ b/crates/jobs/src/scheduling.rs
@@ -10,13 +10,13 @@
 use dappleyard_ingress::{apart, reached};
 use dappleyard_model::{Configuration, Homes, Route, ServerRecord};
 
-use crate::give_up::{give_up, is_over};
+use crate::admission::is_urgent;
+use crate::expiry::{give_up, is_over};
 use crate::order::{Rank, rank};
 use crate::owned::{OwnedJob, Progress, Run};
+use crate::placement::{ServerRoom, pick_server, room, within_reach};
 use crate::run::{BegunRun, begin_work, run_item};
 use crate::runner::Runner;
-use crate::width::{ServerRoom, pick_server, room, within_reach};
-use crate::yielding::is_urgent;
 
 /// An item that waits for its turn.
 struct Turn {
--- a/crates/jobs/src/service_loads.rs
+++ b/crates/jobs/src/service_state.rs
@@ -7,10 +7,10 @@
 use dappleyard_ingress::Metrics;
 use dappleyard_model::Configuration;
 
+use crate::admission::{Change, ServiceLoad, Yielding, spread};
 use crate::owned::Progress;
+use crate::placement::takes_items;
 use crate::runner::Runner;
-use crate::width::takes_items;
-use crate::yielding::{Change, ServiceLoad, Yielding, spread};
 
 /// One service, as of the last look.
 #[derive(Default)]
