--- a/crates/jobs/src/accept.rs
+++ b/crates/jobs/src/accept.rs
@@ -1,4 +1,4 @@
-//! Takes a job: durable before it is accepted, and taken once however often it is sent.
+//! Accepts jobs: a job is durable before it is acknowledged, and submitting it again is idempotent.
 
 use std::time::Duration;
 
@@ -13,19 +13,19 @@
 use crate::messages::{ItemsBlob, JobRow, StoredItem};
 use dappleyard_clock::Instant;
 
-/// Time for which a submission is tried.
-const TRY_LIMIT: Duration = Duration::from_millis(1_500);
-/// Pause after a call that changed nothing.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Longest wait for the table to learn of another acceptance.
-const CATCH_UP: Duration = Duration::from_millis(300);
-/// Most bytes of items that one transaction takes.
-const MOST_BYTES: usize = 700_000;
-/// Free tokens above which acceptances need not wait for each other.
-const AMPLE_TOKENS: u64 = 300_000;
+/// Total time for the attempts of one submission.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay after an attempt that changed nothing.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Longest wait for the table to include another node's submission.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
+/// Size limit of a job's encoded items, which are written in one transaction.
+const MAX_JOB_BYTES: usize = 700_000;
+/// With fewer free tokens than this, submissions to a quota are serialized.
+const SERIALIZE_BELOW_TOKENS: u64 = 300_000;
 
 struct Submission<'a> {
-    calls: &'a NodeJobs,
+    service: &'a NodeJobs,
     caller: &'a Caller,
     route: &'a Route,
     job: &'a str,
@@ -36,20 +36,20 @@
     in_doubt: bool,
 }
 
-/// What one try came to.
-enum Step {
+/// Outcome of one attempt.
+enum StepOutcome {
     Reply(JobReply),
-    Again,
+    Retry,
 }
 
 pub(crate) async fn submit(
-    calls: &NodeJobs,
+    service: &NodeJobs,
     caller: &Caller,
     route: &Route,
     facts: &RequestFacts,
     body: Bytes,
 ) -> JobReply {
-    let items = match calls.node.dialect.job(&body) {
+    let items = match service.node.dialect.job(&body) {
         Ok(items) => items,
         Err(error) => return JobReply::Refused(ErrorKind::Malformed, error.to_string()),
     };
@@ -58,7 +58,7 @@
         items: items.clone(),
     };
     let mut encoded = Bytes::from(blob.encode_to_vec());
-    if encoded.len() > MOST_BYTES {
+    if encoded.len() > MAX_JOB_BYTES {
         return JobReply::Refused(ErrorKind::BodyTooLong, "the job is too long".to_owned());
     }
     let mut chunks = Vec::new();
@@ -66,7 +66,7 @@
         chunks.push(encoded.split_to(encoded.len().min(CHUNK_BYTES)));
     }
     let mut submission = Submission {
-        calls,
+        service,
         caller,
         route,
         job: &facts.id,
@@ -86,90 +86,89 @@
         let started = Instant::now();
         loop {
             match self.step().await {
-                Step::Reply(reply) => return reply,
-                Step::Again if started.elapsed() < TRY_LIMIT => {}
-                Step::Again => return self.give_up(),
+                StepOutcome::Reply(reply) => return reply,
+                StepOutcome::Retry if started.elapsed() < SUBMIT_TIMEOUT => {}
+                StepOutcome::Retry => return self.timeout_reply(),
             }
         }
     }
 
-    /// The answer to a job that is there already: its caller sends it once more, or another tenant has
-    /// taken its identifier.
-    fn sent_again(&self, row: &JobRow) -> JobReply {
+    /// Reply for an identifier that exists already: the same caller submits it again, or another tenant uses it.
+    fn reply_for_existing(&self, row: &JobRow) -> JobReply {
         match row.is_open_to(self.caller) {
             true => JobReply::Accepted,
             false => JobReply::Refused(ErrorKind::Malformed, "the identifier is taken".to_owned()),
         }
     }
 
-    fn give_up(&self) -> JobReply {
+    fn timeout_reply(&self) -> JobReply {
         match self.in_doubt {
             true => JobReply::Refused(ErrorKind::StoreInDoubt, "no certain answer".to_owned()),
             false => JobReply::Refused(ErrorKind::StoreUnavailable, "no answer".to_owned()),
         }
     }
 
-    async fn step(&mut self) -> Step {
-        let table = &self.calls.table;
+    async fn step(&mut self) -> StepOutcome {
+        let table = &self.service.table;
         if let Some(known) = table.get(self.job) {
-            return Step::Reply(self.sent_again(&known.row));
+            return StepOutcome::Reply(self.reply_for_existing(&known.row));
         }
-        // Neither the waiting tokens nor the clock can be told before the table was read.
+        // The queued tokens and the clock are unknown until the table has been read.
         let now_ms = match table.now_ms() {
             Some(now_ms) if table.is_fresh() => now_ms,
             _ => {
-                table.changed(PAUSE).await;
-                return Step::Again;
+                table.changed(RETRY_DELAY).await;
+                return StepOutcome::Retry;
             }
         };
         let limit = self.route.max_queued_tokens;
-        let waiting = table.open_tokens(&self.route.name, self.caller.tenant_name());
-        let free = limit.saturating_sub(waiting + self.tokens);
-        if limit > 0 && waiting + self.tokens > limit {
+        let queued = table.open_tokens(&self.route.name, self.caller.tenant_name());
+        let free = limit.saturating_sub(queued + self.tokens);
+        if limit > 0 && queued + self.tokens > limit {
             if self.in_doubt {
-                return Step::Reply(self.give_up());
+                return StepOutcome::Reply(self.timeout_reply());
             }
-            let detail = format!("{waiting} of {limit} tokens wait, {} more", self.tokens);
-            return Step::Reply(JobReply::Refused(ErrorKind::QuotaExceeded, detail));
+            let detail = format!("{queued} of {limit} tokens wait, {} more", self.tokens);
+            return StepOutcome::Reply(JobReply::Refused(ErrorKind::QuotaExceeded, detail));
         }
-        let in_turn = limit > 0 && free < AMPLE_TOKENS.max(limit / 2);
+        let serialized = limit > 0 && free < SERIALIZE_BELOW_TOKENS.max(limit / 2);
         let row = self.row(now_ms);
-        let transaction = self.transaction(&row, in_turn);
-        match self.calls.store.transact(&transaction).await {
+        let transaction = self.transaction(&row, serialized);
+        match self.service.store.transact(&transaction).await {
             Ok(committed) => {
-                self.accepted(row, committed.revision);
-                Step::Reply(JobReply::Accepted)
+                self.record_accepted(row, committed.revision);
+                StepOutcome::Reply(JobReply::Accepted)
             }
-            Err(StoreError::Conflict { rows }) => self.conflict(&rows).await,
+            Err(StoreError::Conflict { rows }) => self.handle_conflict(&rows).await,
             Err(StoreError::Ambiguous { .. }) => {
                 self.in_doubt = true;
-                Step::Again
+                StepOutcome::Retry
             }
             Err(StoreError::Invalid { reason }) => {
-                Step::Reply(JobReply::Refused(ErrorKind::BodyTooLong, reason))
+                StepOutcome::Reply(JobReply::Refused(ErrorKind::BodyTooLong, reason))
             }
             Err(_) => {
-                tokio::time::sleep(PAUSE).await;
-                Step::Again
+                tokio::time::sleep(RETRY_DELAY).await;
+                StepOutcome::Retry
             }
         }
     }
 
-    fn accepted(&mut self, row: JobRow, revision: u64) {
-        let table = &self.calls.table;
+    fn record_accepted(&mut self, row: JobRow, revision: u64) {
+        let table = &self.service.table;
         if !row.owner.is_empty() {
-            table.hand_over(self.job, std::mem::take(&mut self.items));
+            table.stash_items(self.job, std::mem::take(&mut self.items));
         }
         table.put(self.job, row, revision);
-        Metrics::count(&self.calls.node.metrics.jobs_accepted);
+        Metrics::count(&self.service.node.metrics.jobs_accepted);
     }
 
-    async fn conflict(&mut self, rows: &[dappleyard_model::Row]) -> Step {
-        if self.calls.table.put_found(self.job, rows) {
-            let found = self.calls.table.get(self.job);
+    async fn handle_conflict(&mut self, rows: &[dappleyard_model::Row]) -> StepOutcome {
+        if self.service.table.put_from_conflict(self.job, rows) {
+            let found = self.service.table.get(self.job);
             return match found {
-                Some(known) => Step::Reply(self.sent_again(&known.row)),
-                None => Step::Again,
+                Some(known) => StepOutcome::Reply(self.reply_for_existing(&known.row)),
+                None => StepOutcome::Retry,
             };
         }
         let quota = quota_key(&self.route.name, self.caller.tenant_name());
@@ -182,20 +181,20 @@
             self.quota_revision = revision;
             self.catch_up(revision).await;
         }
-        Step::Again
+        StepOutcome::Retry
     }
 
-    /// Waits until the table holds everything up to the last acceptance in turn.
+    /// Waits until the table includes the submission that last wrote the quota row.
     async fn catch_up(&self, revision: u64) {
-        let until = Instant::now() + CATCH_UP;
-        while self.calls.table.revision() < revision && Instant::now() < until {
-            self.calls.table.changed(CATCH_UP / 10).await;
+        let until = Instant::now() + CATCH_UP_TIMEOUT;
+        while self.service.table.revision() < revision && Instant::now() < until {
+            self.service.table.changed(CATCH_UP_TIMEOUT / 10).await;
         }
     }
 
     fn row(&self, now_ms: u64) -> JobRow {
-        let node = &self.calls.node;
-        // A leaving node leaves the job to the others.
+        let node = &self.service.node;
+        // A node that shuts down leaves the job to the others.
         let (owner, life) = match node.is_leaving() {
             true => (String::new(), 0),
             false => (node.settings.name.clone(), node.life),
@@ -219,7 +218,7 @@
         }
     }
 
-    fn transaction(&self, row: &JobRow, in_turn: bool) -> Transaction {
+    fn transaction(&self, row: &JobRow, serialized: bool) -> Transaction {
         let key = job_key(self.job);
         let mut transaction = Transaction::default()
             .expect(key.clone(), 0)
@@ -227,7 +226,7 @@
         for (chunk, bytes) in self.chunks.iter().enumerate() {
             transaction = transaction.put(items_key(self.job, chunk), bytes.clone());
         }
-        if in_turn {
+        if serialized {
             let quota = quota_key(&self.route.name, self.caller.tenant_name());
             transaction = transaction
                 .expect(quota.clone(), self.quota_revision)
@@ -241,10 +240,10 @@
             JobReply::Refused(kind, detail) => format!("{kind}: {detail}"),
             _ => "accepted".to_owned(),
         };
-        self.calls.node.log.write("job_submitted", || {
+        self.service.node.log.write("job_submitted", || {
             serde_json::json!({"job": self.job, "route": self.route.name,
                 "tenant": self.caller.tenant_name(), "tokens": self.tokens, "in_doubt": self.in_doubt,
-                "table_revision": self.calls.table.revision(), "outcome": outcome})
+                "table_revision": self.service.table.revision(), "outcome": outcome})
         });
     }
 }
--- a/crates/jobs/src/api.rs
+++ b/crates/jobs/src/api.rs
@@ -1,4 +1,4 @@
-//! Calls of callers about jobs, for one worker thread.
+//! Job requests of callers, handled on one worker thread.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 
 use crate::keys::job_key;
 use crate::messages::JobRow;
-use crate::table::{JobTable, Known};
+use crate::table::{CachedJob, JobTable};
 use crate::{accept, end, read};
 
-/// Calls about jobs.
+/// Handler of job requests.
 pub struct NodeJobs {
     pub(crate) node: Arc<Node>,
     pub(crate) table: Arc<JobTable>,
@@ -24,18 +24,18 @@
 }
 
 impl NodeJobs {
-    /// Calls that use a store client of this thread.
+    /// Creates a handler that uses a store client of this thread.
     pub fn new(node: Arc<Node>, table: Arc<JobTable>, store: Rc<dyn RowStore>) -> Self {
         Self { node, table, store }
     }
 
-    /// Reads a job's row from the store and notes it.
-    pub(crate) async fn fetch(&self, job: &str) -> Result<Option<Known>, StoreError> {
+    /// Reads a job's row from the store and updates the table.
+    pub(crate) async fn fetch(&self, job: &str) -> Result<Option<CachedJob>, StoreError> {
         let key = job_key(job);
-        let behind = format!("{job}\u{1}");
+        let after = format!("{job}\u{1}");
         let read = self
             .store
-            .read(key.table, &key.part, job, &behind, 1)
+            .read(key.table, &key.part, job, &after, 1)
             .await?;
         let found = read.rows.into_iter().find(|row| row.key == job);
         let Some((value, revision)) = found.and_then(|row| Some((row.value?, row.revision))) else {
@@ -48,12 +48,12 @@
         Ok(self.table.get(job))
     }
 
-    /// A job as the table knows it, or else as the store does; `None` for another tenant's.
+    /// Looks a job up in the table, or in the store if the table is out of date; `None` for another tenant's job.
     pub(crate) async fn find(
         &self,
         caller: &Caller,
         job: &str,
-    ) -> Result<Option<Known>, StoreError> {
+    ) -> Result<Option<CachedJob>, StoreError> {
         let known = match self.table.get(job) {
             Some(known) if self.table.is_fresh() => Some(known),
             _ => self.fetch(job).await?,
@@ -62,8 +62,8 @@
     }
 }
 
-/// Answer when the store did not tell what is so.
-pub(crate) fn unsure(error: &StoreError) -> JobReply {
+/// Reply to a request that failed because of the store.
+pub(crate) fn store_error_reply(error: &StoreError) -> JobReply {
     JobReply::Refused(ErrorKind::StoreUnavailable, error.to_string())
 }
 
--- a/crates/jobs/src/claiming.rs
+++ b/crates/jobs/src/claiming.rs
@@ -1,75 +1,76 @@
-//! When a node may try to take a job over. Pure.
+//! Decides when a node may try to claim another node's job. Pure functions.
 //!
-//! The claim itself is safe whenever it is tried, since the row decides. But a job that changes
-//! hands loses the text of its running items, so a node tries only when it has reason to trust what
-//! it believes of the owner.
+//! A claim is always safe, since it is conditional on the job's row. But a job that changes owner loses the
+//! unsaved output of its running items, so a node claims only if it can trust its view of the owner.
 
 use std::time::Duration;
 
 use dappleyard_cluster::{PeerStatus, Worker};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time for which the belief must have stood, so that rows which cross on their way do not matter.
-const SUSPECTED: Duration = Duration::from_millis(250);
-/// Time for which this node must have run and had answers of the store without a gap before it
-/// trusts the silence of others: a node that was itself paused hears nobody for a moment.
-const STEADY_FOR_SILENCE: Duration = Duration::from_millis(1_000);
-/// The same before it trusts that the store answers others no more: after an outage all nodes are
-/// answered again at about the same time.
-const STEADY_FOR_ISOLATION: Duration = Duration::from_millis(2_500);
-/// The same before it takes any job of another region: all nodes of that region are heard by then, or are
-/// silent.
-const STEADY_FOR_AWAY: Duration = Duration::from_millis(2_500);
+/// Time for which the owner must have been suspected, so that row updates in transit are not mistaken for a
+/// failure.
+const MIN_SUSPECTED: Duration = Duration::from_millis(250);
+/// Time for which this node must have been stable before it claims from an owner that is down. A node that was
+/// paused itself has missed heartbeats.
+const MIN_STABLE_DOWN_OWNER: Duration = Duration::from_millis(1_000);
+/// The same for an owner that is isolated from the store: after an outage, the nodes regain the store at slightly
+/// different times.
+const MIN_STABLE_ISOLATED_OWNER: Duration = Duration::from_millis(2_500);
+/// The same for a job of another region: by then a node has heard every live node of that region.
+const MIN_STABLE_REMOTE: Duration = Duration::from_millis(2_500);
 
-/// Time for which a node does not take back a job that another one has taken from it: each may hear
-/// nothing of the other and call it gone, and the job would go to and fro.
-const TAKEN_REST: Duration = Duration::from_millis(5_000);
+/// Time for which a node does not reclaim a job that it lost. Two nodes that cannot hear each other would otherwise
+/// claim the job in turns.
+const RECLAIM_DELAY: Duration = Duration::from_millis(5_000);
 
-/// What a claim rests on.
+/// State on which the decision to claim a job is based.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ground {
-    /// What is believed of the owner; `None` when the job has none.
+pub struct ClaimContext {
+    /// Status of the owner; `None` if the job has none.
     pub owner: Option<PeerStatus>,
-    /// For how long that belief has stood.
-    pub suspected: Duration,
-    /// For how long this node has run and had answers of the store without a gap.
-    pub steady: Duration,
-    /// The store answers this node itself. One that is cut off from the store may be cut off from
-    /// the owners of jobs too, and what it hears of them says little.
-    pub answered: bool,
-    /// Time since the job was taken from this node.
-    pub taken: Option<Duration>,
+    /// Time for which the owner has been suspected.
+    pub suspected_for: Duration,
+    /// Time for which this node has run without a stall and without losing the store.
+    pub stable_for: Duration,
+    /// Whether this node reaches the store. A node without the store may be partitioned from job owners too, so their
+    /// silence proves nothing.
+    pub store_reachable: bool,
+    /// Time since this node lost the job to another one.
+    pub since_lost: Option<Duration>,
 }
 
 /// Whether a claim may be tried.
-pub fn may_claim(ground: Ground) -> bool {
-    let Some(owner) = ground.owner else {
+pub fn may_claim(context: ClaimContext) -> bool {
+    let Some(owner) = context.owner else {
         return true;
     };
-    let needed = match owner {
+    let min_stable = match owner {
         PeerStatus::Replaced => Duration::ZERO,
-        PeerStatus::Down => STEADY_FOR_SILENCE,
-        PeerStatus::Isolated => STEADY_FOR_ISOLATION,
+        PeerStatus::Down => MIN_STABLE_DOWN_OWNER,
+        PeerStatus::Isolated => MIN_STABLE_ISOLATED_OWNER,
         PeerStatus::Ready | PeerStatus::Present => return false,
     };
     if owner != PeerStatus::Replaced {
-        let rests = ground.taken.is_some_and(|taken| taken < TAKEN_REST);
-        if rests || !ground.answered {
+        let recently_lost = context
+            .since_lost
+            .is_some_and(|since_lost| since_lost < RECLAIM_DELAY);
+        if recently_lost || !context.store_reachable {
             return false;
         }
     }
-    ground.suspected >= SUSPECTED && ground.steady >= needed
+    context.suspected_for >= MIN_SUSPECTED && context.stable_for >= min_stable
 }
 
-/// Whether a node may take a job of another region, when it has run and had answers of the store for so long: one
-/// that has just begun has heard few of that region, which go first.
-pub fn may_claim_away(steady: Duration) -> bool {
-    steady >= STEADY_FOR_AWAY
+/// Whether a node that has been stable for so long may claim a job of another region. A node that has just started
+/// has not yet heard the nodes of that region, which are preferred.
+pub fn may_claim_remote(stable_for: Duration) -> bool {
+    stable_for >= MIN_STABLE_REMOTE
 }
 
-/// The worker that should take a job: by hash, among those of the region where it was accepted, and among
-/// all when that has none. `is_home` tells whether a zone is in that region.
-pub fn preferred<'a>(
+/// The worker that should claim a job, by rendezvous hashing: among the workers of the job's home region, or among
+/// all workers if that region has none. `is_home` tells whether a zone is in that region.
+pub fn preferred_worker<'a>(
     job: &str,
     workers: &'a [Worker],
     is_home: impl Fn(&str) -> bool,
--- a/crates/jobs/src/end.rs
+++ b/crates/jobs/src/end.rs
@@ -1,4 +1,4 @@
-//! Ends a job at its caller's wish.
+//! Ends a job at the request of its caller.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::api::{NodeJobs, unsure};
+use crate::api::{NodeJobs, store_error_reply};
 use crate::keys::job_key;
 use crate::messages::{JobRow, JobState};
 use dappleyard_clock::Instant;
 
-/// Time for which an end is tried.
-const TRY_LIMIT: Duration = Duration::from_millis(2_500);
-/// Pause after a call that the store did not answer.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Total time for the attempts of one request.
+const END_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Delay before a retry after a store error.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-pub(crate) async fn end(calls: &NodeJobs, caller: &Caller, job: &str) -> JobReply {
+pub(crate) async fn end(service: &NodeJobs, caller: &Caller, job: &str) -> JobReply {
     let started = Instant::now();
     loop {
-        let error = match try_end(calls, caller, job).await {
+        let error = match try_end(service, caller, job).await {
             Ok(reply) => {
                 let found = matches!(reply, JobReply::Ended);
-                calls.node.log.write("job_end_asked", || {
+                service.node.log.write("job_end_asked", || {
                     serde_json::json!({"job": job, "found": found,
                         "took_ms": started.elapsed().as_millis() as u64})
                 });
@@ -31,17 +31,17 @@
             }
             Err(error) => error,
         };
-        if started.elapsed() > TRY_LIMIT {
-            return unsure(&error);
+        if started.elapsed() > END_TIMEOUT {
+            return store_error_reply(&error);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn try_end(calls: &NodeJobs, caller: &Caller, job: &str) -> Result<JobReply, StoreError> {
-    let known = match calls.table.get(job) {
+async fn try_end(service: &NodeJobs, caller: &Caller, job: &str) -> Result<JobReply, StoreError> {
+    let known = match service.table.get(job) {
         Some(known) => known,
-        None => match calls.fetch(job).await? {
+        None => match service.fetch(job).await? {
             Some(known) => known,
             None => return Ok(JobReply::Refused(ErrorKind::NoJob, job.to_owned())),
         },
@@ -58,14 +58,14 @@
     let transaction = Transaction::default()
         .expect(key.clone(), known.revision)
         .put(key, row.encode_to_vec());
-    match calls.store.transact(&transaction).await {
+    match service.store.transact(&transaction).await {
         Ok(committed) => {
-            calls.table.put(job, row, committed.revision);
+            service.table.put(job, row, committed.revision);
             Ok(JobReply::Ended)
         }
         Err(error) => {
-            // The row may have changed under this call, and the change may be this very end.
-            calls.fetch(job).await?;
+            // The row may have changed concurrently, or this update may have been committed without a reply.
+            service.fetch(job).await?;
             Err(error)
         }
     }
--- a/crates/jobs/src/expiry.rs
+++ b/crates/jobs/src/expiry.rs
@@ -1,20 +1,20 @@
-//! Gives up items whose time is over or whose route is gone.
+//! Abandons items that have exceeded their maximum wait or have lost their route.
 
 use crate::owned::{OwnedJob, Progress};
 use crate::runner::Runner;
 
-/// Added to the time from which an item may be given up, so that clocks may differ.
-const MARGIN_MS: u64 = 1_000;
+/// Tolerance for clock skew between nodes.
+const CLOCK_SKEW_MARGIN_MS: u64 = 1_000;
 
-/// Gives up all unfinished items of a job, with the cause.
-pub(crate) fn give_up(runner: &Runner, job: &OwnedJob, cause: &str) {
+/// Abandons all unfinished items of a job.
+pub(crate) fn abandon_items(runner: &Runner, job: &OwnedJob, cause: &str) {
     let open: Vec<usize> = {
         let mut state = job.state.borrow_mut();
         let open = state.items.iter_mut().enumerate();
         open.filter(|(_, item)| item.progress != Progress::Finished)
             .map(|(index, item)| {
-                if let Some(task) = item.task.take() {
-                    task.abort();
+                if let Some(active_run) = item.active_run.take() {
+                    active_run.abort();
                 }
                 index
             })
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whether the time of a job is over.
-pub(crate) fn is_over(accepted_ms: u64, max_wait_s: u64, now_ms: u64) -> bool {
-    max_wait_s > 0 && now_ms > accepted_ms + max_wait_s * 1000 + MARGIN_MS
+/// Whether a job has exceeded its maximum wait; `max_wait_s` of 0 means no limit.
+pub(crate) fn is_expired(accepted_ms: u64, max_wait_s: u64, now_ms: u64) -> bool {
+    max_wait_s > 0 && now_ms > accepted_ms + max_wait_s * 1000 + CLOCK_SKEW_MARGIN_MS
 }
--- a/crates/jobs/src/garbage_collection.rs
+++ b/crates/jobs/src/garbage_collection.rs
@@ -1,4 +1,4 @@
-//! Removes the rows of jobs that nobody reads any more.
+//! Deletes the rows of closed jobs after their retention period.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 };
 use crate::runner::Runner;
 
-/// Time between two looks for jobs that nobody reads any more.
-const CLEANING: Duration = Duration::from_secs(10);
-/// Added to the time for which results stay readable.
-const CLEANING_MARGIN_MS: u64 = 60_000;
-/// Rows removed by one transaction.
-const CLEANING_ROWS: usize = 90;
+/// Interval between two collections.
+const GC_INTERVAL: Duration = Duration::from_secs(10);
+/// Added to the retention period of results.
+const RETENTION_MARGIN_MS: u64 = 60_000;
+/// Rows deleted by one transaction.
+const GC_BATCH_ROWS: usize = 90;
 
 impl Runner {
-    /// Removes the rows of jobs that nobody reads any more.
-    pub(crate) fn clean(self: &Rc<Self>) {
-        if self.cleaned.get().elapsed() < CLEANING {
+    /// Deletes the rows of closed jobs whose retention period has passed.
+    pub(crate) fn collect_garbage(self: &Rc<Self>) {
+        if self.last_gc.get().elapsed() < GC_INTERVAL {
             return;
         }
-        self.cleaned.set(Instant::now());
-        let kept_ms = self.node.settings.bounds.status_ms + CLEANING_MARGIN_MS;
+        self.last_gc.set(Instant::now());
+        let kept_ms = self.node.settings.bounds.status_ms + RETENTION_MARGIN_MS;
         let Some(now_ms) = self.table.now_ms() else {
             return;
         };
@@ -36,21 +36,21 @@
             if self.table.is_fresh() && self.is_preferred(&name, &known.row, &Homes::Anywhere) {
                 let runner = self.clone();
                 tokio::task::spawn_local(async move {
-                    // What fails now is removed at the next look.
-                    let _ = runner.remove(&name, known.revision).await;
+                    // Rows that could not be deleted are retried by the next collection.
+                    let _ = runner.remove_job_rows(&name, known.revision).await;
                 });
             }
         }
     }
 
-    async fn remove(&self, name: &str, revision: u64) -> Result<(), StoreError> {
+    async fn remove_job_rows(&self, name: &str, revision: u64) -> Result<(), StoreError> {
         let part = partition(name);
         for table in [RESULTS_TABLE, PARTIALS_TABLE, ITEMS_TABLE] {
             loop {
                 let (start, end) = (range_start(name), range_end(name));
                 let read = self
                     .store
-                    .read(table, &part, &start, &end, CLEANING_ROWS)
+                    .read(table, &part, &start, &end, GC_BATCH_ROWS)
                     .await?;
                 if read.rows.is_empty() {
                     break;
--- a/crates/jobs/src/keys.rs
+++ b/crates/jobs/src/keys.rs
@@ -1,20 +1,20 @@
-//! Places of rows.
+//! Tables and keys of job rows.
 
 use dappleyard_model::RowKey;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Rows of jobs.
+/// One row per job.
 pub const JOBS_TABLE: &str = "jobs";
-/// Items of jobs, in chunks.
+/// Submitted items, in chunks.
 pub const ITEMS_TABLE: &str = "items";
-/// Results of jobs, in chunks.
+/// Results, in chunks.
 pub const RESULTS_TABLE: &str = "results";
-/// Text of items whose run moved to another node.
+/// Saved output of unfinished items, in segments.
 pub const PARTIALS_TABLE: &str = "partials";
-/// One row for each route and tenant, written by acceptances that must not overtake each other.
+/// One row per route and tenant, which serializes submissions close to the quota.
 pub const QUOTAS_TABLE: &str = "quotas";
 
-/// All tables of jobs.
+/// All tables of this crate.
 pub const JOB_TABLES: [&str; 5] = [
     JOBS_TABLE,
     ITEMS_TABLE,
@@ -23,25 +23,25 @@
     QUOTAS_TABLE,
 ];
 
-/// Tables that hold what callers sent.
+/// Tables that hold request bodies.
 pub const BODY_TABLES: [&str; 1] = [ITEMS_TABLE];
 
-/// Partitions that jobs are spread over.
+/// Number of partitions of the job tables.
 const PARTITIONS: u64 = 4;
-/// Longest value written to one row, bytes, before the store's encoding.
+/// Size limit of a row's value in bytes, before the store encodes it.
 pub const CHUNK_BYTES: usize = 48_000;
 
-/// Partition of a job.
+/// Partition of a job, by the hash of its identifier.
 pub fn partition(job: &str) -> String {
     (xxh3_64(job.as_bytes()) % PARTITIONS).to_string()
 }
 
-/// Row of a job.
+/// Key of a job's row.
 pub fn job_key(job: &str) -> RowKey {
     RowKey::new(JOBS_TABLE, partition(job), job)
 }
 
-/// Row of a tenant's quota on a route. A hash stands for the tenant, since keys are short.
+/// Key of the quota row of a route and tenant. The tenant is hashed because the length of keys is limited.
 pub fn quota_key(route: &str, tenant: &str) -> RowKey {
     let key = match tenant.is_empty() {
         true => route.to_owned(),
@@ -50,34 +50,34 @@
     RowKey::new(QUOTAS_TABLE, "quota", key)
 }
 
-/// Row of one chunk of a job's items.
+/// Key of one chunk of a job's items.
 pub fn items_key(job: &str, chunk: usize) -> RowKey {
     RowKey::new(ITEMS_TABLE, partition(job), format!("{job}/{chunk:05}"))
 }
 
-/// Row of one chunk of a result.
+/// Key of one chunk of a result.
 pub fn result_key(job: &str, position: u64, chunk: usize) -> RowKey {
     let key = format!("{job}/{position:06}/{chunk:04}");
     RowKey::new(RESULTS_TABLE, partition(job), key)
 }
 
-/// Row of one chunk of an unfinished item's text.
+/// Key of one segment of an unfinished item's output.
 pub fn partial_key(job: &str, item: usize, chunk: usize) -> RowKey {
     let key = format!("{job}/{item:06}/{chunk:04}");
     RowKey::new(PARTIALS_TABLE, partition(job), key)
 }
 
-/// First key of a job's rows from a position on.
+/// Lower bound of a job's rows from a position on.
 pub fn range_from(job: &str, position: u64) -> String {
     format!("{job}/{position:06}/")
 }
 
-/// First key of all rows of a job.
+/// Lower bound of a job's rows.
 pub fn range_start(job: &str) -> String {
     format!("{job}/")
 }
 
-/// Key behind the last row of a job.
+/// Exclusive upper bound of a job's rows: `0` is the character after `/`.
 pub fn range_end(job: &str) -> String {
     format!("{job}0")
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,8 +1,8 @@
-//! Batch jobs on the row store.
+//! Batch jobs, persisted in the row store.
 //!
-//! Every write about a job is conditional on the revision of the job's row, so that a node that
-//! lost a job without knowing it can commit nothing more. Which node runs a job is decided by that
-//! row alone; heartbeats only tell when another node should try to claim it.
+//! Every write about a job is conditional on the revision of its row, so a node that lost the job without
+//! noticing cannot commit stale results. The row alone decides which node owns a job; heartbeats only tell
+//! the other nodes when to try to claim it.
 
 mod accept;
 mod admission;
@@ -28,12 +28,12 @@
 mod service_state;
 mod table;
 
-pub use admission::{Change, ServiceLoad, Yielding, is_urgent, spread};
+pub use admission::{AdmissionChange, BatchAdmission, ServiceLoad, apportion, is_urgent};
 pub use api::NodeJobs;
-pub use claiming::{Ground, may_claim, may_claim_away, preferred};
+pub use claiming::{ClaimContext, may_claim, may_claim_remote, preferred_worker};
 pub use keys::{BODY_TABLES, JOB_TABLES, partition};
 pub use messages::{ItemsBlob, JobRow, JobState, StoredItem, StoredPartial};
 pub use order::{Rank, RunEstimate, rank};
-pub use placement::{ServerRoom, pick_server, room, within_reach};
+pub use placement::{ServerCapacity, capacity, pick_server, prefer_local_region};
 pub use runner::Runner;
 pub use table::JobTable;
--- a/crates/jobs/src/messages.rs
+++ b/crates/jobs/src/messages.rs
@@ -1,129 +1,124 @@
-//! Values of rows.
+//! Protobuf messages stored as row values.
 
 use bytes::Bytes;
 use dappleyard_model::ItemSubmission;
 use dappleyard_tenants::Caller;
 use prost::{Enumeration, Message};
 
-/// State of a job.
+/// Lifecycle state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum JobState {
-    /// Items are still to be listed.
+    /// Some items have no committed result yet.
     Open = 0,
-    /// Its caller ended it.
+    /// Ended by its caller.
     Ended = 1,
-    /// Every item is listed.
+    /// Every item has a committed result.
     Done = 2,
 }
 
-/// Row of a job.
+/// Value of a job's row.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct JobRow {
     /// Name of the route.
     #[prost(string, tag = "1")]
     pub route: String,
-    /// Host that the job was sent to.
+    /// Host to which the job was submitted.
     #[prost(string, tag = "2")]
     pub host: String,
     /// Number of items.
     #[prost(uint64, tag = "3")]
     pub total: u64,
-    /// The store's clock when the job was accepted.
+    /// Acceptance time on the store's clock.
     #[prost(uint64, tag = "4")]
     pub accepted_ms: u64,
-    /// Node that runs it; empty when no node does.
+    /// Node that runs the job; empty if none does.
     #[prost(string, tag = "5")]
     pub owner: String,
-    /// Life of that node's process.
+    /// Process incarnation of the owner.
     #[prost(fixed64, tag = "6")]
     pub life: u64,
-    /// Rises with each change of owner.
+    /// Incremented with each change of owner.
     #[prost(uint64, tag = "7")]
     pub epoch: u64,
-    /// State.
+    /// A [`JobState`].
     #[prost(enumeration = "JobState", tag = "8")]
     pub state: i32,
-    /// Results listed.
+    /// Number of committed results.
     #[prost(uint64, tag = "9")]
     pub listed: u64,
-    /// Tokens of the items that are not listed.
+    /// Tokens of the items without a committed result.
     #[prost(uint64, tag = "10")]
     pub open_tokens: u64,
-    /// One bit for each item that is listed.
+    /// Bitmap of the items that have a committed result.
     #[prost(bytes = "bytes", tag = "11")]
     pub listed_items: Bytes,
-    /// The store's clock at which results are due.
+    /// Deadline of the results on the store's clock.
     #[prost(uint64, tag = "12")]
     pub due_ms: u64,
-    /// Texts of unfinished items lie in the store.
+    /// Whether the partials table holds output of unfinished items.
     #[prost(bool, tag = "13")]
     pub has_partials: bool,
-    /// Tenant that it belongs to; empty when it belongs to none.
+    /// Tenant that owns the job; empty for an anonymous caller.
     #[prost(string, tag = "14")]
     pub tenant: String,
-    /// Region in which it was accepted; none in a deployment of one region.
+    /// Region that accepted the job; `None` in a deployment with a single region.
     #[prost(string, optional, tag = "15")]
     pub region: Option<String>,
 }
 
 impl JobRow {
-    /// Whether a caller may read and end the job. A job without a tenant was accepted from
-    /// somebody who needed no key.
+    /// Whether a caller may read and end the job. A job without a tenant was submitted without a key and is open to
+    /// everyone.
     pub fn is_open_to(&self, caller: &Caller) -> bool {
         self.tenant.is_empty() || self.tenant == caller.tenant_name()
     }
 
-    /// Whether items are still to be listed.
+    /// Whether some items have no committed result and the job was not ended.
     pub fn is_open(&self) -> bool {
         self.state() == JobState::Open
     }
 
-    /// Whether an item is listed.
+    /// Whether an item has a committed result.
     pub fn is_listed(&self, item: usize) -> bool {
         let byte = self.listed_items.get(item / 8).copied().unwrap_or(0);
         byte & (1 << (item % 8)) != 0
     }
 
-    /// The bits with one more item listed.
+    /// The bitmap with one more item set.
     pub fn with_listed(&self, item: usize) -> Bytes {
         let mut bits = self.listed_items.to_vec();
-        let place = item / 8;
-        if bits.len() <= place {
-            bits.resize(place + 1, 0);
+        let byte_index = item / 8;
+        if bits.len() <= byte_index {
+            bits.resize(byte_index + 1, 0);
         }
-        bits[place] |= 1 << (item % 8);
+        bits[byte_index] |= 1 << (item % 8);
         Bytes::from(bits)
     }
 }
 
-/// One header of an item.
+/// One HTTP header of an item.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredHeader {
-    /// Name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Value.
     #[prost(string, tag = "2")]
     pub value: String,
 }
 
-/// One item of a job.
+/// One item of a job, as submitted.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredItem {
-    /// Identifier.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Path at the server.
+    /// Path of the request to the server.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// Headers.
     #[prost(message, repeated, tag = "3")]
     pub headers: Vec<StoredHeader>,
-    /// Body.
     #[prost(bytes = "bytes", tag = "4")]
     pub body: Bytes,
-    /// Tokens of the prompt and the most out.
+    /// Prompt tokens plus the maximum number of output tokens.
     #[prost(uint64, tag = "5")]
     pub tokens: u64,
 }
@@ -143,51 +138,51 @@
     }
 }
 
-/// All items of a job; cut into chunks for the store.
+/// All items of a job; encoded and split into chunks for the store.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ItemsBlob {
-    /// The items, in the order of the submission.
+    /// Items in the order of submission.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<StoredItem>,
 }
 
-/// One result; cut into chunks for the store.
+/// One result; encoded and split into chunks for the store.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredResult {
     /// Identifier of the item.
     #[prost(string, tag = "1")]
     pub item: String,
-    /// The item ran to its end; otherwise it was given up.
+    /// Whether the item was completed; otherwise it was abandoned.
     #[prost(bool, tag = "2")]
     pub completed: bool,
-    /// Text.
+    /// Output text.
     #[prost(string, tag = "3")]
     pub text: String,
 }
 
-/// A piece of the text of an item whose run has not come to its end. Each piece has a row of its own;
-/// together they are the text so far.
+/// One segment of the output of an unfinished item. Each segment is one row; joined in order they form the output
+/// so far.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredPartial {
-    /// Last event that the text holds with this piece.
+    /// Identifier of the last event up to and including this segment.
     #[prost(uint64, tag = "1")]
     pub last_event: u64,
-    /// Text behind the pieces before.
+    /// Text that follows the earlier segments.
     #[prost(string, tag = "2")]
     pub text: String,
-    /// Answers of failure so far.
+    /// Failed responses so far.
     #[prost(uint32, tag = "3")]
     pub failures: u32,
-    /// Last event of the piece before; `None` in the first one.
+    /// Last event of the previous segment; `None` in the first one.
     #[prost(uint64, optional, tag = "4")]
     pub after_event: Option<u64>,
-    /// Epoch of the job in which the piece was written.
+    /// Epoch of the job in which the segment was written.
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
-    /// Events of the piece.
+    /// Number of events in the segment.
     #[prost(uint64, tag = "6")]
     pub events: u64,
-    /// The text goes on in the next piece, without which it ends inside an event.
+    /// Whether the next segment continues this one; without it the text ends inside an event.
     #[prost(bool, tag = "7")]
     pub continued: bool,
 }
--- a/crates/jobs/src/order.rs
+++ b/crates/jobs/src/order.rs
@@ -1,15 +1,15 @@
-//! The order in which items get their turn. Pure.
+//! The order in which waiting items are started. Pure functions.
 
-/// Share of a new figure in a running mean.
-const MEAN_SHARE: f64 = 0.1;
-/// Events of an item before any was seen to its end.
-const FIRST_EVENTS: f64 = 200.0;
-/// Time of an event before any was seen.
-const FIRST_EVENT_MS: f64 = 30.0;
-/// Share of the mean that even a nearly finished item is thought to need.
-const LEAST_SHARE: f64 = 0.1;
+/// Weight of a new sample in the exponential moving averages.
+const SMOOTHING_FACTOR: f64 = 0.1;
+/// Initial estimate of the events per item.
+const INITIAL_EVENTS: f64 = 200.0;
+/// Initial estimate of the time per event.
+const INITIAL_EVENT_MS: f64 = 30.0;
+/// Lower bound of an item's remaining events, as a fraction of the average.
+const MIN_REMAINING_FRACTION: f64 = 0.1;
 
-/// What finished items took, for the time that others will need.
+/// Estimates an item's remaining run time from earlier runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunEstimate {
     events: f64,
@@ -19,50 +19,49 @@
 impl Default for RunEstimate {
     fn default() -> Self {
         Self {
-            events: FIRST_EVENTS,
-            event_ms: FIRST_EVENT_MS,
+            events: INITIAL_EVENTS,
+            event_ms: INITIAL_EVENT_MS,
         }
     }
 }
 
 impl RunEstimate {
-    /// Notes the number of events of an item that ran to its end.
-    pub fn note_events(&mut self, events: u64) {
-        self.events += MEAN_SHARE * (events as f64 - self.events);
+    /// Records the number of events of a completed item.
+    pub fn record_events(&mut self, events: u64) {
+        self.events += SMOOTHING_FACTOR * (events as f64 - self.events);
     }
 
-    /// Notes how long a run took for some events.
-    pub fn note_run(&mut self, events: u64, run_ms: u64) {
+    /// Records the duration of a run and the events that it produced.
+    pub fn record_run(&mut self, events: u64, run_ms: u64) {
         if events > 0 {
             let event_ms = run_ms as f64 / events as f64;
-            self.event_ms += MEAN_SHARE * (event_ms - self.event_ms);
+            self.event_ms += SMOOTHING_FACTOR * (event_ms - self.event_ms);
         }
     }
 
-    /// Time that an item still needs, in milliseconds, when it has some events already.
+    /// Estimated time in milliseconds to complete an item that has produced so many events.
     pub fn remaining_ms(&self, events: u64) -> u64 {
-        let left = (self.events - events as f64).max(self.events * LEAST_SHARE);
+        let left = (self.events - events as f64).max(self.events * MIN_REMAINING_FRACTION);
         (left * self.event_ms) as u64
     }
 }
 
-/// Place of an item in the order; the least has its turn first.
+/// Sort key of an item; the smallest starts first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// The item can no longer be in time.
+    /// Whether the item will miss its deadline.
     pub late: bool,
-    /// Rank of its tenant, or else of its route; 0 is the highest.
+    /// Priority of its tenant, or else of its route; 0 is the highest.
     pub priority: u32,
-    /// When it is due, on the store's clock.
+    /// Deadline on the store's clock.
     pub due_ms: u64,
 }
 
-/// Rank of an item. One that can still be in time goes before one that cannot, whatever their
-/// priorities: a late one loses nothing more by waiting. Then the higher priority, then the earlier due
-/// one.
-pub fn rank(due_ms: u64, needs_ms: u64, now_ms: u64, priority: u32) -> Rank {
+/// Ranks an item. Items that can meet their deadline come before those that cannot, whatever their priority, since
+/// a late item loses nothing more by waiting; then by priority and by deadline.
+pub fn rank(due_ms: u64, needed_ms: u64, now_ms: u64, priority: u32) -> Rank {
     Rank {
-        late: now_ms + needs_ms > due_ms,
+        late: now_ms + needed_ms > due_ms,
         priority,
         due_ms,
     }
--- a/crates/jobs/src/owned.rs
+++ b/crates/jobs/src/owned.rs
@@ -1,4 +1,4 @@
-//! A job that this node runs, and the commits of its results.
+//! State of a job that this node owns, and the commits of its results.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,25 +12,24 @@
 
 use crate::keys::{CHUNK_BYTES, job_key, result_key};
 use crate::messages::{JobRow, JobState, StoredItem, StoredResult};
-use crate::partials::{Mark, Saved, add_pieces, has_grown};
+use crate::partials::{PendingSave, SavedOutput, add_segments, has_unsaved_output};
 use crate::runner::Runner;
 use dappleyard_clock::Instant;
 
-/// Most bytes of results in one commit.
-const COMMIT_BYTES: usize = 500_000;
-/// Most rows of results in one commit.
-const COMMIT_ROWS: usize = 80;
-/// First pause after a commit that the store did not answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// Time between two writes of unfinished text: what a killed node loses of its items' runs.
-const SAVE_EVERY: Duration = Duration::from_millis(1_000);
+/// Limit on the result bytes in one commit.
+const MAX_COMMIT_BYTES: usize = 500_000;
+/// Limit on the result rows in one commit.
+const MAX_COMMIT_ROWS: usize = 80;
+/// Initial delay before a commit is retried.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest delay before a commit is retried.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// Interval between saves of unfinished output: at most this much work is lost when a node is killed.
+const SAVE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Runs of an item in a row that may be paused before their answer begins.
-const PAUSED_UNANSWERED: u32 = 2;
+/// Consecutive runs of an item that may be preempted before the server responds.
+const MAX_PAUSES_BEFORE_RESPONSE: u32 = 2;
 
-/// How far an item is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Progress {
     Waiting,
@@ -38,7 +37,7 @@
     Finished,
 }
 
-/// One item of an owned job.
+/// Execution state of one item.
 pub(crate) struct Item {
     pub stored: StoredItem,
     pub fingerprint: Fingerprint,
@@ -49,23 +48,23 @@
     pub failures: u32,
     pub runs: u32,
     pub not_before: Option<Instant>,
-    pub avoid: Option<String>,
+    pub avoided_server: Option<String>,
     pub last_server: Option<String>,
-    pub saved: Saved,
-    pub task: Option<Run>,
-    /// The server's answer to the present run has begun.
-    pub answered: bool,
-    /// Runs in a row that were paused before their answer began.
-    pub paused_unanswered: u32,
+    pub saved: SavedOutput,
+    pub active_run: Option<ActiveRun>,
+    /// Whether the server has started to respond to the current run.
+    pub response_started: bool,
+    /// Consecutive runs that were preempted before the server responded.
+    pub pauses_before_response: u32,
 }
 
-/// One run of an item under way.
-pub(crate) struct Run {
+/// A run in progress.
+pub(crate) struct ActiveRun {
     pub server: String,
     handle: tokio::task::AbortHandle,
 }
 
-impl Run {
+impl ActiveRun {
     pub(crate) fn new(server: &str, handle: tokio::task::AbortHandle) -> Self {
         Self {
             server: server.to_owned(),
@@ -73,14 +72,14 @@
         }
     }
 
-    /// Ends the run; what it has brought stays with the item.
+    /// Cancels the run; output received so far stays with the item.
     pub(crate) fn abort(&self) {
         self.handle.abort();
     }
 }
 
 impl Item {
-    /// An item of the job of a row.
+    /// Creates the state of an item of the given job; `listed` items are finished already.
     pub(crate) fn new(stored: StoredItem, row: &JobRow, listed: bool) -> Self {
         let fingerprint = Fingerprint::of(&RequestParts {
             caller: &row.tenant,
@@ -102,23 +101,23 @@
             failures: 0,
             runs: 0,
             not_before: None,
-            avoid: None,
+            avoided_server: None,
             last_server: None,
-            saved: Saved::default(),
-            task: None,
-            answered: false,
-            paused_unanswered: 0,
+            saved: SavedOutput::default(),
+            active_run: None,
+            response_started: false,
+            pauses_before_response: 0,
         }
     }
 
-    /// Whether its run may be paused. A server that says at once that the item can never be done would
-    /// not be heard if each run were paused before its answer, and the item would be sent for ever.
-    pub(crate) fn may_be_paused(&self) -> bool {
-        self.answered || self.paused_unanswered < PAUSED_UNANSWERED
+    /// Whether the current run may be preempted. Were every run preempted before the response, a permanent rejection
+    /// by the server would never be seen and the item would be retried forever.
+    pub(crate) fn is_preemptible(&self) -> bool {
+        self.response_started || self.pauses_before_response < MAX_PAUSES_BEFORE_RESPONSE
     }
 }
 
-/// What changes while a job is owned.
+/// Mutable state of an owned job.
 pub(crate) struct OwnedState {
     pub row: JobRow,
     pub revision: u64,
@@ -130,7 +129,7 @@
 }
 
 impl OwnedState {
-    /// The route by which an item is sent; `None` when no batch route takes it any more.
+    /// The batch route of an item; `None` if the configuration no longer has one.
     pub(crate) fn route<'a>(
         &self,
         configuration: &'a Configuration,
@@ -140,34 +139,33 @@
         route.filter(|route| route.kind == RouteKind::Batch)
     }
 
-    /// Whether there is anything to commit.
-    pub(crate) fn has_news(&self) -> bool {
+    /// Whether there are finished results or output to commit.
+    pub(crate) fn has_uncommitted(&self) -> bool {
         !self.finished.is_empty() || self.is_save_due()
     }
 
-    /// Whether unfinished text is to be stored.
+    /// Whether unfinished output should be saved now.
     fn is_save_due(&self) -> bool {
-        self.saved_at.elapsed() >= SAVE_EVERY && self.items.iter().any(has_grown)
+        self.saved_at.elapsed() >= SAVE_INTERVAL && self.items.iter().any(has_unsaved_output)
     }
 }
 
-/// A job that this node runs.
+/// A job that this node owns.
 pub(crate) struct OwnedJob {
     pub job: String,
     pub state: RefCell<OwnedState>,
 }
 
-/// One commit: items whose results it lists, in the order of their positions, what it stores of
-/// unfinished text, and the row that follows.
+/// One commit: the items whose results it adds in order of position, the output that it saves, and the new row.
 struct Commit {
     items: Vec<usize>,
-    marks: Vec<Mark>,
+    saves: Vec<PendingSave>,
     row: JobRow,
     transaction: Transaction,
 }
 
 impl Commit {
-    /// Whether the row of the job changes with it.
+    /// Whether the commit changes the job's row.
     fn writes_row(&self, job: &OwnedJob) -> bool {
         self.row != job.state.borrow().row
     }
@@ -189,7 +187,7 @@
         }
     }
 
-    /// Notes that an item is finished; its result is committed later.
+    /// Marks an item as finished; its result is committed later.
     pub(crate) fn finish(&self, item: usize, completed: bool) {
         let mut state = self.state.borrow_mut();
         if state.items[item].progress != Progress::Finished {
@@ -198,37 +196,37 @@
         }
     }
 
-    /// Stops all runs; nothing more is committed.
-    pub(crate) fn lose(&self) {
+    /// Marks the job as lost: cancels all runs and commits nothing more.
+    pub(crate) fn mark_lost(&self) {
         let mut state = self.state.borrow_mut();
         state.lost = true;
         for item in &mut state.items {
-            if let Some(task) = item.task.take() {
-                task.abort();
+            if let Some(active_run) = item.active_run.take() {
+                active_run.abort();
             }
         }
     }
 
-    fn next_commit(&self) -> Option<Commit> {
+    fn build_commit(&self) -> Option<Commit> {
         let state = self.state.borrow();
         let mut row = state.row.clone();
         let mut transaction = Transaction::default().expect(job_key(&self.job), state.revision);
         let mut items = Vec::new();
         let mut bytes = 0;
         for (item, completed) in &state.finished {
-            let held = &state.items[*item];
+            let pending = &state.items[*item];
             let result = StoredResult {
-                item: held.stored.id.clone(),
+                item: pending.stored.id.clone(),
                 completed: *completed,
                 text: match completed {
-                    true => held.text.clone(),
+                    true => pending.text.clone(),
                     false => String::new(),
                 },
             };
             let value = Bytes::from(result.encode_to_vec());
             let chunks = value.len().div_ceil(CHUNK_BYTES).max(1);
-            let full =
-                bytes + value.len() > COMMIT_BYTES || transaction.puts.len() + chunks > COMMIT_ROWS;
+            let full = bytes + value.len() > MAX_COMMIT_BYTES
+                || transaction.puts.len() + chunks > MAX_COMMIT_ROWS;
             if full && !items.is_empty() {
                 break;
             }
@@ -241,18 +239,18 @@
             }
             row.listed += 1;
             row.listed_items = row.with_listed(*item);
-            row.open_tokens = row.open_tokens.saturating_sub(held.stored.tokens);
+            row.open_tokens = row.open_tokens.saturating_sub(pending.stored.tokens);
             items.push(*item);
         }
         if row.listed == row.total {
             row.set_state(JobState::Done);
         }
-        let mut marks = Vec::new();
+        let mut saves = Vec::new();
         if state.is_save_due() {
-            (transaction, marks) = add_pieces(&self.job, row.epoch, &state.items, transaction);
-            row.has_partials |= !marks.is_empty();
+            (transaction, saves) = add_segments(&self.job, row.epoch, &state.items, transaction);
+            row.has_partials |= !saves.is_empty();
         }
-        if items.is_empty() && marks.is_empty() {
+        if items.is_empty() && saves.is_empty() {
             return None;
         }
         if row != state.row {
@@ -260,13 +258,13 @@
         }
         Some(Commit {
             items,
-            marks,
+            saves,
             row,
             transaction,
         })
     }
 
-    fn committed(&self, commit: &Commit, revision: u64) {
+    fn apply_commit(&self, commit: &Commit, revision: u64) {
         let mut state = self.state.borrow_mut();
         if state.row != commit.row {
             state.row = commit.row.clone();
@@ -276,31 +274,31 @@
             state.finished.pop_front();
             state.items[*item].text = String::new();
         }
-        for mark in &commit.marks {
-            state.items[mark.item].saved = mark.saved;
+        for save in &commit.saves {
+            state.items[save.item].saved = save.saved;
         }
-        if !commit.marks.is_empty() {
+        if !commit.saves.is_empty() {
             state.saved_at = Instant::now();
         }
     }
 }
 
-/// Commits finished results until none is left or the job is lost.
+/// Commits results until none is left or the job is lost.
 pub(crate) async fn commit_results(runner: &Runner, job: &OwnedJob) {
-    let mut pause = FIRST_PAUSE;
-    let mut held: Option<Commit> = None;
+    let mut backoff = INITIAL_BACKOFF;
+    let mut pending: Option<Commit> = None;
     loop {
         if job.state.borrow().lost {
             break;
         }
-        // A commit in doubt is repeated as it was.
-        let Some(commit) = held.take().or_else(|| job.next_commit()) else {
+        // A commit whose outcome is unknown is retried unchanged.
+        let Some(commit) = pending.take().or_else(|| job.build_commit()) else {
             break;
         };
         match runner.store.transact(&commit.transaction).await {
             Ok(committed) => {
-                note_committed(runner, job, &commit, committed.revision);
-                pause = FIRST_PAUSE;
+                record_commit(runner, job, &commit, committed.revision);
+                backoff = INITIAL_BACKOFF;
             }
             Err(StoreError::Conflict { rows }) => {
                 if !resolve_conflict(runner, job, &commit, &rows) {
@@ -312,18 +310,18 @@
                     serde_json::json!({"job": job.job, "results": commit.items.len(),
                         "cause": error.to_string()})
                 });
-                held = Some(commit);
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pending = Some(commit);
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
     job.state.borrow_mut().committing = false;
 }
 
-fn note_committed(runner: &Runner, job: &OwnedJob, commit: &Commit, revision: u64) {
+fn record_commit(runner: &Runner, job: &OwnedJob, commit: &Commit, revision: u64) {
     let row_written = commit.writes_row(job);
-    job.committed(commit, revision);
+    job.apply_commit(commit, revision);
     if !row_written {
         return;
     }
@@ -336,11 +334,11 @@
     runner.table.put(&job.job, commit.row.clone(), revision);
     runner.node.log.write("results_committed", || {
         serde_json::json!({"job": job.job, "results": results, "listed": commit.row.listed,
-            "total": commit.row.total, "pieces": commit.marks.len(), "epoch": commit.row.epoch, "revision": revision})
+            "total": commit.row.total, "pieces": commit.saves.len(), "epoch": commit.row.epoch, "revision": revision})
     });
 }
 
-/// Learns from a failed condition what became of the job; whether it is still owned.
+/// Handles a failed condition of a commit; returns whether the job is still owned.
 fn resolve_conflict(runner: &Runner, job: &OwnedJob, commit: &Commit, rows: &[Row]) -> bool {
     let found = rows.iter().find(|row| row.key == job.job);
     let row = found
@@ -349,7 +347,7 @@
     let revision = found.map_or(0, |row| row.revision);
     match row {
         Some(row) if row == commit.row && commit.writes_row(job) => {
-            note_committed(runner, job, commit, revision);
+            record_commit(runner, job, commit, revision);
             true
         }
         Some(row) if row == job.state.borrow().row => {
@@ -366,7 +364,7 @@
             if let Some(row) = row {
                 runner.table.put(&job.job, row, revision);
             }
-            job.lose();
+            job.mark_lost();
             false
         }
     }
--- a/crates/jobs/src/ownership.rs
+++ b/crates/jobs/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Which jobs a node owns: it claims those whose owner is gone, and lets go of those that another one took.
+//! Job ownership: claims jobs whose owner has failed and drops jobs that another node has claimed.
 
 use std::rc::Rc;
 
@@ -8,17 +8,17 @@
 use dappleyard_model::{Homes, StoreError, Transaction};
 use prost::Message;
 
-use crate::claiming::{Ground, may_claim, may_claim_away, preferred};
+use crate::claiming::{ClaimContext, may_claim, may_claim_remote, preferred_worker};
 use crate::keys::job_key;
 use crate::messages::JobRow;
 use crate::owned::{Item, OwnedJob};
 use crate::partials;
 use crate::read::{read_items, retry};
-use crate::runner::{Runner, TICK};
-use crate::table::Known;
+use crate::runner::{ACTIVE_TICK, Runner};
+use crate::table::CachedJob;
 
 impl Runner {
-    /// Brings what is owned into line with the rows.
+    /// Reconciles the owned jobs with the job rows.
     pub(crate) fn reconcile(self: &Rc<Self>) {
         let own = (&self.node.settings.name, self.node.life);
         self.owned.borrow_mut().retain(|name, job| {
@@ -36,7 +36,7 @@
                 taken.insert(name.clone(), Instant::now());
             }
             if !kept || done {
-                job.lose();
+                job.mark_lost();
             }
             kept && !done
         });
@@ -48,11 +48,13 @@
             .borrow_mut()
             .retain(|name, _| open.iter().any(|(job, _)| job == name));
         for (name, known) in open {
-            if self.owned.borrow().contains_key(&name) || self.busy.borrow().contains(&name) {
+            if self.owned.borrow().contains_key(&name)
+                || self.in_transition.borrow().contains(&name)
+            {
                 continue;
             }
             if (&known.row.owner, known.row.life) == own {
-                self.spawn_adopt(name, known);
+                self.spawn_load(name, known);
             } else if self.should_claim(&name, &known.row) {
                 self.spawn_claim(name, known);
             }
@@ -71,37 +73,39 @@
             return false;
         }
         let since = *suspected.entry(job.to_owned()).or_insert(now);
-        let ground = Ground {
+        let context = ClaimContext {
             owner,
-            suspected: now.duration_since(since),
-            steady: now.duration_since(self.steady_since.get()),
-            answered: !self.node.health.is_lost(),
-            taken: self.taken.borrow().get(job).map(Instant::elapsed),
+            suspected_for: now.duration_since(since),
+            stable_for: now.duration_since(self.stable_since.get()),
+            store_reachable: !self.node.health.is_lost(),
+            since_lost: self.taken.borrow().get(job).map(Instant::elapsed),
         };
-        let away = self.is_away(row) && !may_claim_away(ground.steady);
-        may_claim(ground) && !away && self.is_preferred(job, row, &self.homes_of(row))
+        let too_early_for_remote = self.is_remote(row) && !may_claim_remote(context.stable_for);
+        may_claim(context)
+            && !too_early_for_remote
+            && self.is_preferred(job, row, &self.job_homes(row))
     }
 
     /// Whether a job was accepted in another region.
-    fn is_away(&self, row: &JobRow) -> bool {
+    fn is_remote(&self, row: &JobRow) -> bool {
         let settings = &self.node.settings;
         let region = row.region.as_deref();
         region.is_some_and(|region| !self.node.view.ways().is_in(&settings.zone, region))
     }
 
-    /// Whether this node is the one of all that should take a job.
+    /// Whether this node is the preferred worker for a job.
     pub(crate) fn is_preferred(&self, job: &str, row: &JobRow, homes: &Homes) -> bool {
         let mut workers = self.node.peers.workers(true);
         let ways = self.node.view.ways();
         let region = row.region.as_deref();
         let is_home = |zone: &str| region.is_some_and(|region| ways.is_in(zone, region));
         workers.retain(|worker| homes.allow(&worker.zone, ways.places()) || is_home(&worker.zone));
-        let preferred = preferred(job, &workers, is_home);
-        preferred.is_some_and(|worker| worker.name == self.node.settings.name)
+        let preferred_worker = preferred_worker(job, &workers, is_home);
+        preferred_worker.is_some_and(|worker| worker.name == self.node.settings.name)
     }
 
-    fn spawn_claim(self: &Rc<Self>, name: String, known: Known) {
-        self.busy.borrow_mut().insert(name.clone());
+    fn spawn_claim(self: &Rc<Self>, name: String, known: CachedJob) {
+        self.in_transition.borrow_mut().insert(name.clone());
         let runner = self.clone();
         tokio::task::spawn_local(async move {
             let mut row = JobRow::clone(&known.row);
@@ -123,20 +127,20 @@
                     runner.table.put(&name, row, committed.revision);
                 }
                 Err(StoreError::Conflict { rows }) => {
-                    // Somebody else was first: until the feed tells, the claim would be tried again.
-                    runner.table.put_found(&name, &rows);
+                    // Another node was first. Updating the table at once avoids further attempts until the change feed catches up.
+                    runner.table.put_from_conflict(&name, &rows);
                     runner.suspected.borrow_mut().remove(&name);
                 }
-                // The record above names it; the claim is tried again.
+                // Logged above; the claim is retried.
                 Err(_) => {}
             }
-            runner.busy.borrow_mut().remove(&name);
+            runner.in_transition.borrow_mut().remove(&name);
             runner.wake.notify_one();
         });
     }
 
-    fn spawn_adopt(self: &Rc<Self>, name: String, known: Known) {
-        self.busy.borrow_mut().insert(name.clone());
+    fn spawn_load(self: &Rc<Self>, name: String, known: CachedJob) {
+        self.in_transition.borrow_mut().insert(name.clone());
         let runner = self.clone();
         tokio::task::spawn_local(async move {
             match runner.load(&name, &known.row).await {
@@ -151,16 +155,16 @@
                         "job_load_failed",
                         || serde_json::json!({"job": name, "cause": error.to_string()}),
                     );
-                    tokio::time::sleep(TICK).await;
+                    tokio::time::sleep(ACTIVE_TICK).await;
                 }
             }
-            runner.busy.borrow_mut().remove(&name);
+            runner.in_transition.borrow_mut().remove(&name);
             runner.wake.notify_one();
         });
     }
 
     async fn load(&self, name: &str, row: &JobRow) -> Result<Vec<Item>, StoreError> {
-        let stored = match self.table.take_handed_over(name) {
+        let stored = match self.table.take_stashed_items(name) {
             Some(items) => items,
             None => retry(|| read_items(self.store.as_ref(), name)).await?,
         };
--- a/crates/jobs/src/partials.rs
+++ b/crates/jobs/src/partials.rs
@@ -1,9 +1,9 @@
-//! Text of unfinished items in the store, so that a job that changes hands, or whose node loses
-//! power, goes on behind the last stored event.
+//! Saved output of unfinished items, so that a job resumes after the last saved event when its owner changes or
+//! crashes.
 //!
-//! A piece holds what came since the piece before. A piece whose write was in doubt may be written
-//! late, over a newer one; the pieces are therefore joined only as far as each goes on where the one
-//! before ended, in no earlier epoch. What is joined is always a beginning of one true text.
+//! A segment holds the output since the previous segment. A write whose outcome was unknown may arrive late and
+//! overwrite a newer segment. Segments are therefore joined only while each continues exactly where the previous
+//! one ended, in the same or a later epoch, so the restored output is always a prefix of one run's output.
 
 use std::collections::BTreeMap;
 
@@ -16,104 +16,106 @@
 use crate::owned::{Item, Progress};
 use crate::read::retry;
 
-/// Most rows of one transaction, results and pieces together.
-const MOST_ROWS: usize = 90;
-/// Most bytes of pieces in one transaction.
-const MOST_BYTES: usize = 400_000;
-/// Most bytes of values in one transaction: the platform takes 1 MB, and its encoding as base64 makes
-/// four bytes of three.
-const TRANSACTION_BYTES: usize = 700_000;
-/// Bytes kept free for the row of the job: it holds a bit for each of its 200 items at most, and names.
-const JOB_ROW_BYTES: usize = 4_000;
-/// Bytes of a row that a piece of text leaves to its other fields.
-const PIECE_FIELDS_BYTES: usize = 100;
-/// Rows read by one call.
+/// Row limit of one transaction, results and segments together.
+const MAX_TRANSACTION_ROWS: usize = 90;
+/// Limit on the segment bytes in one transaction.
+const MAX_SEGMENT_BYTES: usize = 400_000;
+/// Limit on the value bytes in one transaction. The store accepts 1 MB after base64 encoding, which adds a third.
+const MAX_TRANSACTION_BYTES: usize = 700_000;
+/// Bytes reserved for the job's row, which has a bit for each of at most 200 items.
+const RESERVED_JOB_ROW_BYTES: usize = 4_000;
+/// Bytes reserved in a segment's row for fields other than the text.
+const RESERVED_FIELD_BYTES: usize = 100;
+/// Rows per read request.
 const PAGE_ROWS: usize = 400;
 
-/// How much of an item's text lies in the store.
+/// The part of an item's output that is saved in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Saved {
-    /// Bytes of the text.
+pub struct SavedOutput {
+    /// Length of the text in bytes.
     pub bytes: usize,
-    /// Events of the text.
+    /// Number of events.
     pub events: u64,
-    /// Last event of the text.
+    /// Identifier of the last event.
     pub last_event: Option<u64>,
-    /// Pieces.
-    pub pieces: usize,
+    /// Number of segments.
+    pub segments: usize,
 }
 
-/// How much of the text of an item will lie in the store after a transaction.
+/// The saved part of an item's output after a transaction has been committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Mark {
+pub(crate) struct PendingSave {
     pub item: usize,
-    pub saved: Saved,
+    pub saved: SavedOutput,
 }
 
-/// The text of an item as the store holds it.
+/// Output of an item, restored from the store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Joined {
-    /// Text.
+pub struct RestoredOutput {
     pub text: String,
-    /// Answers of failure so far.
+    /// Failed responses so far.
     pub failures: u32,
-    /// How much that is.
-    pub saved: Saved,
+    /// Extent of the restored output.
+    pub saved: SavedOutput,
 }
 
-/// Whether an item has text that does not lie in the store.
-pub(crate) fn has_grown(item: &Item) -> bool {
+/// Whether an item has output that is not saved.
+pub(crate) fn has_unsaved_output(item: &Item) -> bool {
     item.progress != Progress::Finished && item.last_event != item.saved.last_event
 }
 
-/// Adds the new text of unfinished items to a transaction, as far as there is room.
-pub(crate) fn add_pieces(
+/// Adds the unsaved output of unfinished items to a transaction, as far as it fits.
+pub(crate) fn add_segments(
     job: &str,
     epoch: u64,
     items: &[Item],
     mut transaction: Transaction,
-) -> (Transaction, Vec<Mark>) {
-    let mut marks = Vec::new();
-    let mut room = room_for_pieces(&transaction);
-    let grown = items.iter().enumerate().filter(|(_, item)| has_grown(item));
-    for (index, item) in grown {
-        let values = next_pieces(item, epoch);
+) -> (Transaction, Vec<PendingSave>) {
+    let mut saves = Vec::new();
+    let mut capacity = segment_capacity(&transaction);
+    let unsaved = items
+        .iter()
+        .enumerate()
+        .filter(|(_, item)| has_unsaved_output(item));
+    for (index, item) in unsaved {
+        let values = unsaved_segments(item, epoch);
         let bytes: usize = values.iter().map(Bytes::len).sum();
-        if bytes > room || transaction.puts.len() + values.len() > MOST_ROWS {
-            // A shorter text of another item may still fit.
+        if bytes > capacity || transaction.puts.len() + values.len() > MAX_TRANSACTION_ROWS {
+            // Shorter output of another item may still fit.
             continue;
         }
-        room -= bytes;
-        let pieces = item.saved.pieces + values.len();
-        for (number, value) in (item.saved.pieces..).zip(values) {
+        capacity -= bytes;
+        let segments = item.saved.segments + values.len();
+        for (number, value) in (item.saved.segments..).zip(values) {
             transaction = transaction.put(partial_key(job, index, number), value);
         }
-        let saved = Saved {
+        let saved = SavedOutput {
             bytes: item.text.len(),
             events: item.events,
             last_event: item.last_event,
-            pieces,
+            segments,
         };
-        marks.push(Mark { item: index, saved });
+        saves.push(PendingSave { item: index, saved });
     }
-    (transaction, marks)
+    (transaction, saves)
 }
 
-/// Bytes of pieces that a transaction still takes beside what it writes.
-pub fn room_for_pieces(transaction: &Transaction) -> usize {
-    let free = TRANSACTION_BYTES.saturating_sub(transaction.value_bytes() + JOB_ROW_BYTES);
-    free.min(MOST_BYTES)
+/// Segment bytes that still fit into a transaction.
+pub fn segment_capacity(transaction: &Transaction) -> usize {
+    let free =
+        MAX_TRANSACTION_BYTES.saturating_sub(transaction.value_bytes() + RESERVED_JOB_ROW_BYTES);
+    free.min(MAX_SEGMENT_BYTES)
 }
 
-/// The new text of an item, one value for each row that it takes; empty where there is none.
-fn next_pieces(item: &Item, epoch: u64) -> Vec<Bytes> {
+/// Encodes the unsaved output of an item, one value per row; empty if there is none.
+fn unsaved_segments(item: &Item, epoch: u64) -> Vec<Bytes> {
     let new_text = item.text.get(item.saved.bytes..);
     let (Some(last_event), Some(text)) = (item.last_event, new_text) else {
         return Vec::new();
     };
-    let parts = split_text(text, CHUNK_BYTES - PIECE_FIELDS_BYTES);
+    let parts = split_text(text, CHUNK_BYTES - RESERVED_FIELD_BYTES);
     let last = parts.len() - 1;
-    let piece = |(number, text): (usize, &str)| StoredPartial {
+    let segment = |(number, text): (usize, &str)| StoredPartial {
         last_event,
         text: text.to_owned(),
         failures: item.failures,
@@ -122,84 +124,84 @@
         events: item.events - item.saved.events,
         continued: number < last,
     };
-    let pieces = parts.into_iter().enumerate().map(piece);
-    pieces
-        .map(|piece| Bytes::from(piece.encode_to_vec()))
+    let segments = parts.into_iter().enumerate().map(segment);
+    segments
+        .map(|segment| Bytes::from(segment.encode_to_vec()))
         .collect()
 }
 
-/// Cuts a text into parts of at most so many bytes, between characters; one part at least.
-pub fn split_text(text: &str, most: usize) -> Vec<&str> {
+/// Splits a text at character boundaries into parts of at most `max_bytes`; returns at least one part.
+pub fn split_text(text: &str, max_bytes: usize) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut rest = text;
-    while rest.len() > most {
-        let at = rest.floor_char_boundary(most);
-        let (part, behind) = rest.split_at(at);
+    while rest.len() > max_bytes {
+        let at = rest.floor_char_boundary(max_bytes);
+        let (part, tail) = rest.split_at(at);
         parts.push(part);
-        rest = behind;
+        rest = tail;
     }
     parts.push(rest);
     parts
 }
 
-/// Joins the pieces of each item, by the item's number.
-pub fn join(rows: &[Row]) -> BTreeMap<usize, Joined> {
+/// Joins the segments of each item, keyed by the item's number.
+pub fn join_segments(rows: &[Row]) -> BTreeMap<usize, RestoredOutput> {
     let mut items: BTreeMap<usize, Vec<(usize, StoredPartial)>> = BTreeMap::new();
     for row in rows {
         let value = row.value.clone();
-        let piece = value.and_then(|value| StoredPartial::decode(value).ok());
-        if let (Some((item, number)), Some(piece)) = (place(&row.key), piece) {
-            items.entry(item).or_default().push((number, piece));
+        let segment = value.and_then(|value| StoredPartial::decode(value).ok());
+        if let (Some((item, number)), Some(segment)) = (parse_key(&row.key), segment) {
+            items.entry(item).or_default().push((number, segment));
         }
     }
-    let joined = items.into_iter();
-    joined
-        .map(|(item, pieces)| (item, join_item(pieces)))
+    let restored = items.into_iter();
+    restored
+        .map(|(item, segments)| (item, join_item(segments)))
         .collect()
 }
 
-/// Number of the item and of the piece in a key `JOB/ITEM/PIECE`.
-fn place(key: &str) -> Option<(usize, usize)> {
-    let mut segments = key.rsplit('/');
-    let piece = segments.next()?.parse().ok()?;
-    let item = segments.next()?.parse().ok()?;
-    Some((item, piece))
+/// Parses the item and segment numbers of a key `JOB/ITEM/SEGMENT`.
+fn parse_key(key: &str) -> Option<(usize, usize)> {
+    let mut key_parts = key.rsplit('/');
+    let segment = key_parts.next()?.parse().ok()?;
+    let item = key_parts.next()?.parse().ok()?;
+    Some((item, segment))
 }
 
-fn join_item(mut pieces: Vec<(usize, StoredPartial)>) -> Joined {
-    pieces.sort_by_key(|(number, _)| *number);
-    let mut joined = Joined::default();
+fn join_item(mut segments: Vec<(usize, StoredPartial)>) -> RestoredOutput {
+    segments.sort_by_key(|(number, _)| *number);
+    let mut restored = RestoredOutput::default();
     let mut epoch = 0;
-    // Pieces whose text goes on in a later one count only with it.
+    // Continued segments count only together with the segment that completes them.
     let mut open = String::new();
-    let mut open_pieces = 0;
-    for (number, piece) in pieces {
-        let follows = number == joined.saved.pieces + open_pieces
-            && piece.after_event == joined.saved.last_event
-            && piece.epoch >= epoch;
+    let mut open_segments = 0;
+    for (number, segment) in segments {
+        let follows = number == restored.saved.segments + open_segments
+            && segment.after_event == restored.saved.last_event
+            && segment.epoch >= epoch;
         if !follows {
             break;
         }
-        epoch = piece.epoch;
-        open.push_str(&piece.text);
-        if piece.continued {
-            open_pieces += 1;
+        epoch = segment.epoch;
+        open.push_str(&segment.text);
+        if segment.continued {
+            open_segments += 1;
             continue;
         }
-        joined.text.push_str(&std::mem::take(&mut open));
-        open_pieces = 0;
-        joined.failures = piece.failures;
-        joined.saved = Saved {
-            bytes: joined.text.len(),
-            events: joined.saved.events + piece.events,
-            last_event: Some(piece.last_event),
-            pieces: number + 1,
+        restored.text.push_str(&std::mem::take(&mut open));
+        open_segments = 0;
+        restored.failures = segment.failures;
+        restored.saved = SavedOutput {
+            bytes: restored.text.len(),
+            events: restored.saved.events + segment.events,
+            last_event: Some(segment.last_event),
+            segments: number + 1,
         };
     }
-    joined
+    restored
 }
 
-/// Reads the text of a job's unfinished items from the store.
+/// Restores the saved output of a job's unfinished items.
 pub(crate) async fn load(
     store: &dyn RowStore,
     job: &str,
@@ -214,20 +216,20 @@
         let last = page.rows.last().map(|row| format!("{}\u{1}", row.key));
         rows.extend(page.rows);
         match last.filter(|_| page.more) {
-            Some(behind) => start = behind,
+            Some(tail) => start = tail,
             None => break,
         }
     }
-    for (index, joined) in join(&rows) {
+    for (index, restored) in join_segments(&rows) {
         let Some(item) = items.get_mut(index) else {
             continue;
         };
         if item.progress == Progress::Waiting {
-            item.text = joined.text;
-            item.events = joined.saved.events;
-            item.last_event = joined.saved.last_event;
-            item.failures = joined.failures;
-            item.saved = joined.saved;
+            item.text = restored.text;
+            item.events = restored.saved.events;
+            item.last_event = restored.saved.last_event;
+            item.failures = restored.failures;
+            item.saved = restored.saved;
         }
     }
     Ok(())
--- a/crates/jobs/src/placement.rs
+++ b/crates/jobs/src/placement.rs
@@ -1,94 +1,95 @@
-//! How much batch work a server takes beside its online work. Pure.
+//! Placement of items: how many items a server can run beside its online requests, and which server is chosen. Pure
+//! functions.
 
 use dappleyard_cluster::{LoadSummary, Temperature, Ways};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Slots that stay free for the next online request. More would idle: items that are in the way
-/// of a burst are paused at once.
-const SPARE_SLOTS: u32 = 1;
-/// Unread prompt tokens above which no further item begins at a server.
-const UNREAD_TOKENS: u32 = 4_000;
-/// Weight of a server in another zone.
-const OTHER_ZONE: f64 = 3.0;
-/// Weight of the server where the item ran last: it may keep the prompt.
-const SAME_SERVER: f64 = -2.0;
-/// Weight of an item's own time at a server of the usual pace: what a slower server adds when it is empty.
-const ITEM: f64 = 4.0;
-/// Spread between nodes that see the same loads.
-const SPREAD: f64 = 2.0;
+/// Slots kept free for the next online request. One is enough, since items that block a burst are preempted.
+const RESERVED_SLOTS: u32 = 1;
+/// Queued prompt tokens above which a server accepts no items.
+const MAX_UNREAD_TOKENS: u32 = 4_000;
+/// Cost of a server in another zone.
+const OTHER_ZONE_COST: f64 = 3.0;
+/// Cost of the server that ran the item last, negative because it may have the prompt cached.
+const SAME_SERVER_COST: f64 = -2.0;
+/// Work of the item itself, in the cost of an idle slow server.
+const ITEM_WEIGHT: f64 = 4.0;
+/// Largest cost added by hash, so that nodes that see the same loads choose different servers.
+const MAX_TIE_BREAK: f64 = 2.0;
 
-/// One server as batch work sees it.
+/// A server and its load, as input to placement.
 #[derive(Debug, Clone)]
-pub struct ServerRoom<'a> {
-    /// Identifier.
+pub struct ServerCapacity<'a> {
     pub id: &'a str,
-    /// Zone.
     pub zone: &'a str,
-    /// Requests that it works on at once.
+    /// Concurrent requests that it supports.
     pub slots: u32,
-    /// Load over all nodes.
+    /// Load from all nodes.
     pub load: LoadSummary,
 }
 
 /// Whether items may be sent to a server at all.
-pub(crate) fn takes_items(load: &LoadSummary) -> bool {
-    // What a cold server bears is left to online requests.
+pub(crate) fn accepts_items(load: &LoadSummary) -> bool {
+    // The limited load that a cold server can handle is left to online requests.
     let warm = matches!(load.temperature, None | Some(Temperature::Warm));
     !load.suspect && warm
 }
 
-/// Items that a server still takes.
-pub fn room(slots: u32, load: &LoadSummary) -> u32 {
-    if !takes_items(load) || load.unread_tokens > UNREAD_TOKENS {
+/// Number of items that a server can still accept.
+pub fn capacity(slots: u32, load: &LoadSummary) -> u32 {
+    if !accepts_items(load) || load.unread_tokens > MAX_UNREAD_TOKENS {
         return 0;
     }
-    // The next online request waits the longer for a slot here, the longer work takes.
-    let slower = f64::from(SPARE_SLOTS) * load.lasting_pace.times().max(1.0);
-    // A server without work takes items at any pace: there may be no other one.
-    let spare = (slower.round() as u32).min(slots / 2).max(SPARE_SLOTS);
-    slots.saturating_sub(load.online + load.batch + spare)
+    // On a slow server a slot is freed later, so more slots are reserved for online requests.
+    let slowdown = f64::from(RESERVED_SLOTS) * load.lasting_pace.times().max(1.0);
+    // At most half the slots are reserved, since a service may have only slow servers.
+    let reserved = (slowdown.round() as u32).min(slots / 2).max(RESERVED_SLOTS);
+    slots.saturating_sub(load.online + load.batch + reserved)
 }
 
-/// The servers among which an item is placed: those of the own region while any of them has room, else all.
-/// The time of the way is nothing beside that of an item; its bytes are dear, so that no server elsewhere is
-/// taken for being less busy.
-pub fn within_reach<'a>(servers: Vec<ServerRoom<'a>>, ways: &Ways) -> Vec<ServerRoom<'a>> {
-    let is_near = |server: &ServerRoom<'a>| ways.is_near(server.zone);
-    let has_room = |server: &ServerRoom<'a>| room(server.slots, &server.load) > 0;
-    let stays = |server: &ServerRoom<'a>| is_near(server) && has_room(server);
-    match ways.has_regions() && servers.iter().any(stays) {
+/// Restricts placement to the local region while it has capacity. Compared with an item's run time, the latency
+/// between regions is negligible, but traffic between regions is expensive, so it is not used to balance load.
+pub fn prefer_local_region<'a>(
+    servers: Vec<ServerCapacity<'a>>,
+    ways: &Ways,
+) -> Vec<ServerCapacity<'a>> {
+    let is_near = |server: &ServerCapacity<'a>| ways.is_near(server.zone);
+    let has_capacity = |server: &ServerCapacity<'a>| capacity(server.slots, &server.load) > 0;
+    let is_near_with_capacity =
+        |server: &ServerCapacity<'a>| is_near(server) && has_capacity(server);
+    match ways.has_regions() && servers.iter().any(is_near_with_capacity) {
         true => servers.into_iter().filter(is_near).collect(),
         false => servers,
     }
 }
 
-/// The server for the next item; `node` and `zone` are those of the caller, and `last` is the
-/// server where the item ran last.
+/// Chooses the server for the next item. `node` and `zone` are those of the caller; `last` is the server that ran
+/// the item last.
 pub fn pick_server<'a>(
-    servers: &'a [ServerRoom<'a>],
+    servers: &'a [ServerCapacity<'a>],
     node: &str,
     zone: &str,
     last: Option<&str>,
-) -> Option<&'a ServerRoom<'a>> {
+) -> Option<&'a ServerCapacity<'a>> {
     servers
         .iter()
-        .filter(|server| room(server.slots, &server.load) > 0)
-        .min_by(|a, b| weight(a, node, zone, last).total_cmp(&weight(b, node, zone, last)))
+        .filter(|server| capacity(server.slots, &server.load) > 0)
+        .min_by(|a, b| cost(a, node, zone, last).total_cmp(&cost(b, node, zone, last)))
 }
 
-fn weight(server: &ServerRoom<'_>, node: &str, zone: &str, last: Option<&str>) -> f64 {
+fn cost(server: &ServerCapacity<'_>, node: &str, zone: &str, last: Option<&str>) -> f64 {
     let work = f64::from(server.load.online + server.load.batch);
-    let away = match server.zone == zone {
+    let zone_cost = match server.zone == zone {
         true => 0.0,
-        false => OTHER_ZONE,
+        false => OTHER_ZONE_COST,
     };
     let mut bytes = node.as_bytes().to_vec();
     bytes.extend_from_slice(server.id.as_bytes());
-    let spread = xxh3_64(&bytes) as f64 / u64::MAX as f64 * SPREAD;
-    let same = match last == Some(server.id) {
-        true => SAME_SERVER,
+    let tie_break = xxh3_64(&bytes) as f64 / u64::MAX as f64 * MAX_TIE_BREAK;
+    let affinity = match last == Some(server.id) {
+        true => SAME_SERVER_COST,
         false => 0.0,
     };
-    let slower = (server.load.lasting_pace.times() - 1.0) * (work + ITEM);
-    work + slower + away + same + spread + server.load.excess_ms / 20.0
+    let slowdown = (server.load.lasting_pace.times() - 1.0) * (work + ITEM_WEIGHT);
+    work + slowdown + zone_cost + affinity + tie_break + server.load.excess_ms / 20.0
 }
--- a/crates/jobs/src/preempt.rs
+++ b/crates/jobs/src/preempt.rs
@@ -1,5 +1,5 @@
-//! Pauses items at servers where online work presses. A paused item keeps its text and goes on
-//! behind its last event, at whichever server has room.
+//! Preempts items on servers that online requests need. A preempted item keeps its output and resumes after its
+//! last event on any server with capacity.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,18 +13,18 @@
 use crate::runner::Runner;
 use dappleyard_clock::Instant;
 
-/// Time before a paused item is sent again: its server has then let it go, and the others have heard
-/// what took its place.
-const PAUSE: Duration = Duration::from_millis(80);
+/// Delay before a preempted item is restarted, by which time its server has released it and the other servers'
+/// loads are up to date.
+const RESUME_DELAY: Duration = Duration::from_millis(80);
 
-/// One item that runs.
-struct Running {
+/// A running item that may be preempted.
+struct RunningItem {
     job: Rc<OwnedJob>,
     index: usize,
     rank: Rank,
 }
 
-/// Pauses this node's share of the items that stand in the way of online work.
+/// Preempts this node's share of the items that block online requests.
 pub(crate) fn preempt(runner: &Runner) {
     let own = node_number(&runner.node.settings.name);
     for (server, mut running) in running_by_server(runner) {
@@ -32,32 +32,34 @@
             continue;
         };
         let load = runner.node.loads.summary(&server);
-        let left = match to_leave(runner, &server) {
+        let capacity = match items_to_preempt(runner, &server) {
             0 => slots,
-            leaving => slots.min(load.online + load.batch).saturating_sub(leaving),
+            preempted => slots
+                .min(load.online + load.batch)
+                .saturating_sub(preempted),
         };
-        let count = runner.node.loads.pause_share(&server, left, own);
-        // The item whose turn comes last waits first.
+        let count = runner.node.loads.pause_share(&server, capacity, own);
+        // The lowest-ranked items are preempted first.
         running.sort_by_key(|item| std::cmp::Reverse(item.rank));
         for item in running.into_iter().take(count as usize) {
-            pause(runner, &server, &item, load.online, load.batch);
+            preempt_item(runner, &server, &item, load.online, load.batch);
         }
     }
 }
 
-/// Items that all nodes take from a server for requests that wait for a slot of its service.
-fn to_leave(runner: &Runner, server: &str) -> u32 {
+/// Number of items that all nodes together preempt on a server for requests that wait for its service.
+fn items_to_preempt(runner: &Runner, server: &str) -> u32 {
     let Some(record) = runner.node.view.server(server) else {
         return 0;
     };
     let services = runner.services.borrow();
     let service = services.get(&record.service);
-    let leaving = service.and_then(|service| service.to_leave.get(server));
-    leaving.copied().unwrap_or(0)
+    let preempted = service.and_then(|service| service.items_to_preempt.get(server));
+    preempted.copied().unwrap_or(0)
 }
 
-fn running_by_server(runner: &Runner) -> HashMap<String, Vec<Running>> {
-    let mut servers: HashMap<String, Vec<Running>> = HashMap::new();
+fn running_by_server(runner: &Runner) -> HashMap<String, Vec<RunningItem>> {
+    let mut servers: HashMap<String, Vec<RunningItem>> = HashMap::new();
     let now_ms = runner.table.now_ms().unwrap_or(0);
     let configuration = runner.node.view.configuration();
     for job in runner.owned.borrow().values() {
@@ -67,18 +69,18 @@
             let route = configuration.route_named(&row.route)?;
             Some(configuration.priority(route, &row.tenant))
         });
-        // Without a route the items are given up at the next look.
+        // Without a route, the scheduler abandons the items in its next pass.
         let priority = priority.unwrap_or_default();
         for (index, item) in state.items.iter().enumerate() {
-            if let Some(run) = item.task.as_ref().filter(|_| item.may_be_paused()) {
-                let needs_ms = runner.estimate.get().remaining_ms(item.events);
+            if let Some(run) = item.active_run.as_ref().filter(|_| item.is_preemptible()) {
+                let needed_ms = runner.estimate.get().remaining_ms(item.events);
                 servers
                     .entry(run.server.clone())
                     .or_default()
-                    .push(Running {
+                    .push(RunningItem {
                         job: job.clone(),
                         index,
-                        rank: rank(state.row.due_ms, needs_ms, now_ms, priority),
+                        rank: rank(state.row.due_ms, needed_ms, now_ms, priority),
                     });
             }
         }
@@ -86,18 +88,18 @@
     servers
 }
 
-fn pause(runner: &Runner, server: &str, running: &Running, online: u32, batch: u32) {
+fn preempt_item(runner: &Runner, server: &str, running: &RunningItem, online: u32, batch: u32) {
     let mut state = running.job.state.borrow_mut();
     let item = &mut state.items[running.index];
-    let Some(run) = item.task.take() else {
+    let Some(run) = item.active_run.take() else {
         return;
     };
     run.abort();
-    if !item.answered {
-        item.paused_unanswered += 1;
+    if !item.response_started {
+        item.pauses_before_response += 1;
     }
     item.progress = Progress::Waiting;
-    item.not_before = Some(Instant::now() + PAUSE);
+    item.not_before = Some(Instant::now() + RESUME_DELAY);
     Metrics::count(&runner.node.metrics.items_paused);
     runner.node.log.write("item_paused", || {
         serde_json::json!({"job": running.job.job, "item": item.stored.id, "server": server,
--- a/crates/jobs/src/read.rs
+++ b/crates/jobs/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads results and items.
+//! Reads results and items of jobs for callers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,75 +9,78 @@
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::api::{NodeJobs, unsure};
+use crate::api::{NodeJobs, store_error_reply};
 use crate::keys::{ITEMS_TABLE, RESULTS_TABLE, partition, range_end, range_from, range_start};
 use crate::messages::{ItemsBlob, JobState, StoredItem, StoredResult};
 use dappleyard_clock::Instant;
 
-/// Rows read by one call.
+/// Rows per read request.
 const PAGE_ROWS: usize = 400;
-/// Most bytes of text in one page for a caller.
-const PAGE_BYTES: usize = 900_000;
-/// Tries of a read that the store does not answer.
-const READ_TRIES: usize = 3;
-/// Pause between them.
-const READ_PAUSE: Duration = Duration::from_millis(50);
-/// Longest that an answer is held for something to report.
-const LONGEST_WAIT_MS: u64 = 1_000;
+/// Limit on the text bytes in one page of results.
+const MAX_PAGE_BYTES: usize = 900_000;
+/// Attempts of a read that the store does not answer.
+const MAX_READ_ATTEMPTS: usize = 3;
+/// Delay between two attempts.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest time for which a request waits for new results.
+const MAX_WAIT_MS: u64 = 1_000;
 
 pub(crate) async fn results(
-    calls: &NodeJobs,
+    service: &NodeJobs,
     caller: &Caller,
     job: &str,
     from: u64,
     wait_ms: u64,
 ) -> JobReply {
-    let mut known = match retry(|| calls.find(caller, job)).await {
+    let mut known = match retry(|| service.find(caller, job)).await {
         Ok(Some(known)) => known,
         Ok(None) => return JobReply::Refused(ErrorKind::NoJob, job.to_owned()),
-        Err(error) => return unsure(&error),
+        Err(error) => return store_error_reply(&error),
     };
-    let until = Instant::now() + Duration::from_millis(wait_ms.min(LONGEST_WAIT_MS));
+    let until = Instant::now() + Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
     while known.row.listed <= from && known.row.is_open() {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
             break;
         }
-        calls.table.changed(left).await;
-        known = calls.table.get(job).unwrap_or(known);
+        service.table.changed(left).await;
+        known = service.table.get(job).unwrap_or(known);
     }
-    if known.row.listed <= from && !calls.table.is_known_within(oldest_listing(calls)) {
-        // Another node may have told more by now than this copy knows.
-        known = match retry(|| calls.fetch(job)).await {
+    if known.row.listed <= from && !service.table.is_synced_within(max_listing_age(service)) {
+        // Another node may have reported more results than this copy of the row shows.
+        known = match retry(|| service.fetch(job)).await {
             Ok(Some(fetched)) => fetched,
             Ok(None) => return JobReply::Refused(ErrorKind::NoJob, job.to_owned()),
-            Err(error) => return unsure(&error),
+            Err(error) => return store_error_reply(&error),
         };
     }
     if known.row.listed <= from {
-        let page = calls.node.dialect.results_page(known.row.total, from, &[]);
+        let page = service
+            .node
+            .dialect
+            .results_page(known.row.total, from, &[]);
         return JobReply::Page(page);
     }
-    match retry(|| read_page(calls.store.as_ref(), job, from)).await {
-        Ok(results) if results.is_empty() => unsure(&StoreError::Unavailable {
+    match retry(|| read_page(service.store.as_ref(), job, from)).await {
+        Ok(results) if results.is_empty() => store_error_reply(&StoreError::Unavailable {
             reason: "a listed result was not found".to_owned(),
         }),
         Ok(results) => {
             let next = from + results.len() as u64;
-            let dialect = &calls.node.dialect;
+            let dialect = &service.node.dialect;
             JobReply::Page(dialect.results_page(known.row.total, next, &results))
         }
-        Err(error) => unsure(&error),
+        Err(error) => store_error_reply(&error),
     }
 }
 
-/// Oldest copy of a job's row that tells callers that nothing is listed behind a position: half of
-/// the time from which a result that one node has told holds at every node.
-fn oldest_listing(calls: &NodeJobs) -> Duration {
-    Duration::from_millis(calls.node.settings.bounds.settle_ms / 2)
+/// Age limit of a cached row from which callers are told that there are no further results: half of the time after
+/// which a result reported by one node must be visible on every node.
+fn max_listing_age(service: &NodeJobs) -> Duration {
+    Duration::from_millis(service.node.settings.bounds.settle_ms / 2)
 }
 
-/// Results from a position on, as many as one page holds.
+/// Reads the results from a position on, as many as fit into one page.
 async fn read_page(
     store: &dyn RowStore,
     job: &str,
@@ -93,14 +96,14 @@
             PAGE_ROWS,
         )
         .await?;
-    let mut whole = assemble(&read.rows);
-    if read.more && whole.len() > 1 {
-        // The last result may lack chunks.
-        whole.pop_last();
+    let mut complete = assemble(&read.rows);
+    if read.more && complete.len() > 1 {
+        // The last result may be incomplete.
+        complete.pop_last();
     }
     let mut results = Vec::new();
     let mut bytes = 0;
-    for (position, value) in whole {
+    for (position, value) in complete {
         if position != from + results.len() as u64 {
             break;
         }
@@ -108,7 +111,7 @@
             break;
         };
         bytes += result.text.len();
-        if bytes > PAGE_BYTES && !results.is_empty() {
+        if bytes > MAX_PAGE_BYTES && !results.is_empty() {
             break;
         }
         results.push(ResultEntry {
@@ -120,7 +123,7 @@
     Ok(results)
 }
 
-/// Joins the chunks of `JOB/NUMBER/CHUNK` rows by their number.
+/// Joins the chunks of rows with the key `JOB/NUMBER/CHUNK` by their number.
 pub(crate) fn assemble(rows: &[Row]) -> BTreeMap<u64, Bytes> {
     let mut values: BTreeMap<u64, BytesMut> = BTreeMap::new();
     for row in rows {
@@ -136,7 +139,7 @@
         .collect()
 }
 
-/// All items of a job.
+/// Reads all items of a job.
 pub(crate) async fn read_items(
     store: &dyn RowStore,
     job: &str,
@@ -163,37 +166,37 @@
         })
 }
 
-pub(crate) async fn item(calls: &NodeJobs, caller: &Caller, job: &str, item: &str) -> JobReply {
-    let known = match retry(|| calls.find(caller, job)).await {
+pub(crate) async fn item(service: &NodeJobs, caller: &Caller, job: &str, item: &str) -> JobReply {
+    let known = match retry(|| service.find(caller, job)).await {
         Ok(Some(known)) => known,
         Ok(None) => return JobReply::Refused(ErrorKind::NoJob, job.to_owned()),
-        Err(error) => return unsure(&error),
+        Err(error) => return store_error_reply(&error),
     };
     if known.row.state() == JobState::Ended {
         return JobReply::Refused(ErrorKind::NoJob, "the job is ended".to_owned());
     }
-    match retry(|| read_items(calls.store.as_ref(), job)).await {
+    match retry(|| read_items(service.store.as_ref(), job)).await {
         Ok(items) => match items.into_iter().find(|stored| stored.id == item) {
             Some(stored) => JobReply::Body(stored.body),
             None => JobReply::Refused(ErrorKind::NoJob, item.to_owned()),
         },
-        Err(error) => unsure(&error),
+        Err(error) => store_error_reply(&error),
     }
 }
 
-/// Repeats a read that the store did not answer.
+/// Retries a read that the store did not answer.
 pub(crate) async fn retry<T, F>(mut call: impl FnMut() -> F) -> Result<T, StoreError>
 where
     F: Future<Output = Result<T, StoreError>>,
 {
-    let mut tried = 0;
+    let mut attempts = 0;
     loop {
         match call().await {
             Err(StoreError::Unavailable { .. } | StoreError::Ambiguous { .. })
-                if tried + 1 < READ_TRIES =>
+                if attempts + 1 < MAX_READ_ATTEMPTS =>
             {
-                tried += 1;
-                tokio::time::sleep(READ_PAUSE).await;
+                attempts += 1;
+                tokio::time::sleep(READ_RETRY_DELAY).await;
             }
             outcome => return outcome,
         }
--- a/crates/jobs/src/release.rs
+++ b/crates/jobs/src/release.rs
@@ -1,15 +1,15 @@
-//! Gives a job back before the process ends, so that another node goes on with it at once.
+//! Releases a job on shutdown, so that another node can resume it without waiting for a timeout.
 
 use dappleyard_model::{StoreError, Transaction};
 use prost::Message;
 
 use crate::keys::job_key;
 use crate::owned::OwnedJob;
-use crate::partials::add_pieces;
+use crate::partials::add_segments;
 use crate::runner::Runner;
 
-/// Stops the runs of a job and gives it back, with the text of its unfinished items. Finished
-/// results must have been committed.
+/// Clears the owner of a job and saves the output of its unfinished items. Runs must have been cancelled and
+/// finished results committed before.
 pub(crate) async fn release(runner: &Runner, job: &OwnedJob) -> Result<(), StoreError> {
     let transaction = {
         let state = job.state.borrow();
@@ -18,10 +18,10 @@
         row.life = 0;
         row.epoch += 1;
         let transaction = Transaction::default().expect(job_key(&job.job), state.revision);
-        // The pieces belong to the epoch in which their text came.
+        // The segments belong to the epoch in which their output was produced.
         let epoch = state.row.epoch;
-        let (transaction, marks) = add_pieces(&job.job, epoch, &state.items, transaction);
-        row.has_partials |= !marks.is_empty();
+        let (transaction, saves) = add_segments(&job.job, epoch, &state.items, transaction);
+        row.has_partials |= !saves.is_empty();
         transaction.put(job_key(&job.job), row.encode_to_vec())
     };
     let outcome = runner.store.transact(&transaction).await;
--- a/crates/jobs/src/residency.rs
+++ b/crates/jobs/src/residency.rs
@@ -1,4 +1,4 @@
-//! Regions to which jobs and items are bound.
+//! Data residency: the regions in which jobs and items may run.
 
 use dappleyard_model::{Homes, Route};
 
@@ -7,7 +7,7 @@
 
 impl Runner {
     /// Regions in which the items of a tenant on a route may run.
-    pub(crate) fn homes(&self, route: &Route, tenant: &str) -> Homes {
+    pub(crate) fn item_homes(&self, route: &Route, tenant: &str) -> Homes {
         let configuration = self.node.view.configuration();
         let tenants = configuration
             .as_ref()
@@ -16,8 +16,8 @@
         Homes::of(route, tenant.map(AsRef::as_ref))
     }
 
-    /// Regions to which a job is bound.
-    pub(crate) fn homes_of(&self, row: &JobRow) -> Homes {
+    /// Regions to which a job is restricted.
+    pub(crate) fn job_homes(&self, row: &JobRow) -> Homes {
         let configuration = self.node.view.configuration();
         let configuration = configuration.as_deref();
         configuration.map_or(Homes::Anywhere, |held| {
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one item at one server.
+//! Runs one item on one server.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,63 +19,62 @@
 use crate::runner::Runner;
 use dappleyard_clock::Instant;
 
-/// Silence of a server after which an item goes to another one.
-const SERVER_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Time for which a server that broke or fell silent is avoided.
-const SUSPECT_TIME: Duration = Duration::from_millis(1_200);
-/// Pause before an item is sent again after a server did not take it.
-const PAUSE_NOT_RUN: Duration = Duration::from_millis(120);
-/// Pause before an item is sent again after a run that broke.
-const PAUSE_BROKEN: Duration = Duration::from_millis(40);
-/// Pause before an item is sent again after its server has ended, for each server that ended under it. Online
-/// requests that ran beside it go on at once: the one that crashes servers has ended its next one within 0.2 s, and
-/// the item is not there.
-const PAUSE_ENDED: Duration = Duration::from_millis(500);
-/// Longest failure answer that is read, bytes.
-const FAILURE_BYTES: usize = 256 * 1024;
-/// Status of an item that can never be done.
-const NEVER: u16 = 422;
+/// Time without data from the server after which a run is abandoned and the item is retried elsewhere.
+const SERVER_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time for which a failed or unresponsive server is avoided.
+const SUSPECT_DURATION: Duration = Duration::from_millis(1_200);
+/// Delay before a retry if the server did not run the item.
+const RETRY_DELAY_NOT_RUN: Duration = Duration::from_millis(120);
+/// Delay before a retry after an interrupted run.
+const RETRY_DELAY_BROKEN: Duration = Duration::from_millis(40);
+/// Delay before a retry after a server crash, for each server that has crashed while running the item. Online
+/// requests on the crashed server are retried at once; if one of them causes the crashes, it fails again before
+/// the item is placed beside it.
+const RETRY_DELAY_PER_CRASH: Duration = Duration::from_millis(500);
+/// Size limit in bytes of a failure response that is read to the end.
+const MAX_FAILURE_BODY_BYTES: usize = 256 * 1024;
+/// HTTP status for an item that the server can never process.
+const STATUS_UNPROCESSABLE: u16 = 422;
 
-/// A run that begins.
-pub(crate) struct BegunRun {
-    /// The work at the server.
+/// A run that has been registered but not yet sent.
+pub(crate) struct StartedRun {
+    /// Counts the item towards the server's load.
     pub(crate) work: InFlight,
-    /// The run, as it is counted over all nodes.
+    /// Registers the run with crash tracking.
     pub(crate) run: RunUnderWay,
 }
 
-/// How a run ended.
-enum RunEnd {
-    /// The whole output is there.
-    Whole,
-    /// The server answered that it can never be done.
-    Never,
-    /// The server answered with a failure.
-    Failure(u16),
-    /// The run broke, or did not begin.
-    Broke(AttemptError),
+enum RunOutcome {
+    /// The output is complete.
+    Completed,
+    /// The server rejected the item permanently.
+    Unprocessable,
+    /// The server responded with this failure status.
+    Failed(u16),
+    /// The run was interrupted or could not be started.
+    Interrupted(AttemptError),
 }
 
-/// Runs an item and notes how the run ended.
+/// Runs an item and records the outcome.
 pub(crate) async fn run_item(
     runner: Rc<Runner>,
     job: Rc<OwnedJob>,
     index: usize,
     server: Arc<ServerRecord>,
     route: Route,
-    begun: BegunRun,
+    started_run: StartedRun,
 ) {
     let started = Instant::now();
     let events = job.state.borrow().items[index].events;
-    let end = run(&runner, &job, index, &server, &route, begun).await;
+    let end = run(&runner, &job, index, &server, &route, started_run).await;
     let now_events = job.state.borrow().items[index].events;
     let mut estimate = runner.estimate.get();
-    estimate.note_run(now_events - events, started.elapsed().as_millis() as u64);
-    if matches!(end, RunEnd::Whole) {
-        estimate.note_events(now_events);
+    estimate.record_run(now_events - events, started.elapsed().as_millis() as u64);
+    if matches!(end, RunOutcome::Completed) {
+        estimate.record_events(now_events);
     }
     runner.estimate.set(estimate);
-    note_end(&runner, &job, index, &server, &route, end);
+    record_outcome(&runner, &job, index, &server, &route, end);
     runner.wake.notify_one();
 }
 
@@ -85,12 +84,12 @@
     index: usize,
     server: &Arc<ServerRecord>,
     route: &Route,
-    begun: BegunRun,
-) -> RunEnd {
-    let BegunRun {
+    started_run: StartedRun,
+) -> RunOutcome {
+    let StartedRun {
         mut work,
-        run: counted,
-    } = begun;
+        run: tracked_run,
+    } = started_run;
     let (request, last_event, host, tenant) = {
         let state = job.state.borrow();
         let (item, row) = (&state.items[index], &state.row);
@@ -98,7 +97,7 @@
         (item.stored.clone(), item.last_event, host, tenant)
     };
     let headers = item_headers(runner, &request, &host);
-    let homes = runner.homes(route, &tenant);
+    let homes = runner.item_homes(route, &tenant);
     let attempt = Attempt {
         method: &Method::POST,
         target: &request.path,
@@ -107,9 +106,9 @@
         id: &request.id,
         remaining_ms: None,
         last_event_id: last_event,
-        tenant: stamp(runner, &tenant),
+        tenant: tenant_stamp(runner, &tenant),
         homes: &homes,
-        patience: Patience::leave_after(SERVER_PATIENCE),
+        patience: Patience::leave_after(SERVER_IDLE_TIMEOUT),
     };
     let mut exchange = match runner.upstreams.attempt(server, &attempt).await {
         Ok(exchange) => exchange,
@@ -118,51 +117,51 @@
                 error: &error,
                 output_for: None,
             };
-            runner.upstreams.judge(counted, server, &broken).await;
-            return RunEnd::Broke(error);
+            runner.upstreams.judge(tracked_run, server, &broken).await;
+            return RunOutcome::Interrupted(error);
         }
     };
-    note_answered(job, index);
+    mark_response_started(job, index);
     let status = exchange.head.status;
     if status / 100 != 2 {
         work.prompt_read();
-        // Only the status matters; the body is read so that the connection can be used again.
-        let reading = exchange.connection.whole_body(FAILURE_BYTES);
-        let _ = dappleyard_clock::timeout(SERVER_PATIENCE, reading).await;
+        // Drains the body, so that the connection can be reused; only the status matters.
+        let reading = exchange.connection.whole_body(MAX_FAILURE_BODY_BYTES);
+        let _ = dappleyard_clock::timeout(SERVER_IDLE_TIMEOUT, reading).await;
         runner.upstreams.release(exchange);
         return match status {
-            NEVER => RunEnd::Never,
-            status => RunEnd::Failure(status),
+            STATUS_UNPROCESSABLE => RunOutcome::Unprocessable,
+            status => RunOutcome::Failed(status),
         };
     }
     let output_since = Cell::new(None);
-    match collect(runner, job, index, &mut exchange, &mut work, &output_since).await {
+    match read_output(runner, job, index, &mut exchange, &mut work, &output_since).await {
         Ok(()) => {
-            runner.upstreams.note_served(&counted);
+            runner.upstreams.note_served(&tracked_run);
             runner.upstreams.release(exchange);
-            RunEnd::Whole
+            RunOutcome::Completed
         }
         Err(error) => {
             let broken = Broken {
                 error: &error,
                 output_for: output_since.get().map(|since: Instant| since.elapsed()),
             };
-            runner.upstreams.judge(counted, server, &broken).await;
-            RunEnd::Broke(error)
+            runner.upstreams.judge(tracked_run, server, &broken).await;
+            RunOutcome::Interrupted(error)
         }
     }
 }
 
-/// The server's answer has begun: the run may be paused again.
-fn note_answered(job: &OwnedJob, index: usize) {
+/// Records that the server has started to respond, which makes the run preemptible again.
+fn mark_response_started(job: &OwnedJob, index: usize) {
     let mut state = job.state.borrow_mut();
     let item = &mut state.items[index];
-    item.answered = true;
-    item.paused_unanswered = 0;
+    item.response_started = true;
+    item.pauses_before_response = 0;
 }
 
-/// Adds events to the item's text until the answer is whole, and notes when the first of them came.
-async fn collect(
+/// Appends events to the item's text until the response is complete, and records when the first one arrived.
+async fn read_output(
     runner: &Rc<Runner>,
     job: &Rc<OwnedJob>,
     index: usize,
@@ -178,7 +177,7 @@
             piece.map_err(|error| AttemptError::inside_answer(&error))
         };
         let notice = runner.node.times.pause_notice(&exchange.server.service);
-        let patience = Patience::leave_after(SERVER_PATIENCE).notice_after(notice);
+        let patience = Patience::leave_after(SERVER_IDLE_TIMEOUT).notice_after(notice);
         let waiting = runner
             .upstreams
             .with_patience(&exchange.server, patience, reading);
@@ -196,22 +195,24 @@
         }
     }
     if !splitter.rest().is_empty() {
-        return Err(cut("the answer ended inside an event"));
+        return Err(interrupted("the response ended inside an event"));
     }
     if !exchange.is_framed() {
-        // The end of the connection does not show that the output is whole: ask for the rest.
-        return Err(cut("the answer has no end of its own"));
+        // An unframed response that ends with the connection may be truncated; a retry requests the rest.
+        return Err(interrupted(
+            "the response has no framing that marks its end",
+        ));
     }
     Ok(())
 }
 
-fn cut(reason: &str) -> AttemptError {
+fn interrupted(reason: &str) -> AttemptError {
     AttemptError::own(Ran::Yes, reason)
 }
 
 fn add_event(item: &mut Item, event: &dappleyard_ingress::Event) -> Result<(), AttemptError> {
     if event.id.is_some() && event.id <= item.last_event {
-        return Err(cut("an event came twice"));
+        return Err(interrupted("the server repeated an event"));
     }
     if let Some(data) = event.data() {
         if item.events > 0 {
@@ -224,9 +225,8 @@
     Ok(())
 }
 
-/// Notes that an item begins at a server. This happens before its task runs, so that the next
-/// choice of a server sees it.
-pub(crate) fn begin_work(
+/// Adds an item to a server's load. This happens before its task runs, so that the next placement decision sees it.
+pub(crate) fn begin_in_flight(
     runner: &Runner,
     item: &StoredItem,
     host: &str,
@@ -237,8 +237,8 @@
     runner.node.loads.begin(server, WorkKind::Batch, tokens)
 }
 
-/// What servers are told of the tenant of a job's items.
-fn stamp<'a>(runner: &Runner, tenant: &'a str) -> TenantStamp<'a> {
+/// Tenant header that is sent to the server with a job's items.
+fn tenant_stamp<'a>(runner: &Runner, tenant: &'a str) -> TenantStamp<'a> {
     let configuration = runner.node.view.configuration();
     let has_tenants = configuration.is_some_and(|held| held.tenants.is_some());
     match (tenant.is_empty(), has_tenants) {
@@ -270,75 +270,75 @@
     headers
 }
 
-fn note_end(
+fn record_outcome(
     runner: &Runner,
     job: &OwnedJob,
     index: usize,
     server: &ServerRecord,
     route: &Route,
-    end: RunEnd,
+    end: RunOutcome,
 ) {
     let mut outcome = "again";
     let mut finished = None;
     {
         let mut state = job.state.borrow_mut();
         let item = &mut state.items[index];
-        item.task = None;
+        item.active_run = None;
         item.runs += 1;
         item.progress = Progress::Waiting;
         match &end {
-            RunEnd::Whole => {
+            RunOutcome::Completed => {
                 outcome = "completed";
                 finished = Some(true);
             }
-            RunEnd::Never => {
+            RunOutcome::Unprocessable => {
                 outcome = "abandoned";
                 finished = Some(false);
             }
-            RunEnd::Failure(_) => {
+            RunOutcome::Failed(_) => {
                 item.failures += 1;
-                item.not_before = Some(Instant::now() + PAUSE_NOT_RUN);
+                item.not_before = Some(Instant::now() + RETRY_DELAY_NOT_RUN);
                 if item.failures >= route.max_attempts {
                     outcome = "abandoned";
                     finished = Some(false);
                 }
             }
-            RunEnd::Broke(error) => {
+            RunOutcome::Interrupted(error) => {
                 let ended = runner.node.crashes.ended_under(&item.fingerprint).len() as u32;
                 let pause = match error.ran {
-                    Ran::No => PAUSE_NOT_RUN,
-                    _ if error.broken_off && ended > 0 => PAUSE_ENDED * ended,
-                    _ => PAUSE_BROKEN,
+                    Ran::No => RETRY_DELAY_NOT_RUN,
+                    _ if error.broken_off && ended > 0 => RETRY_DELAY_PER_CRASH * ended,
+                    _ => RETRY_DELAY_BROKEN,
                 };
                 item.not_before = Some(Instant::now() + pause);
-                item.avoid = Some(server.id.clone());
+                item.avoided_server = Some(server.id.clone());
             }
         }
     }
     if let Some(completed) = finished {
         job.finish(index, completed);
     }
-    log_end(runner, job, index, server, &end, outcome);
+    log_outcome(runner, job, index, server, &end, outcome);
 }
 
-fn log_end(
+fn log_outcome(
     runner: &Runner,
     job: &OwnedJob,
     index: usize,
     server: &ServerRecord,
-    end: &RunEnd,
+    end: &RunOutcome,
     outcome: &str,
 ) {
     let (status, cause) = match end {
-        RunEnd::Whole => (200, String::new()),
-        RunEnd::Never => (NEVER, String::new()),
-        RunEnd::Failure(status) => (*status, String::new()),
-        RunEnd::Broke(error) => {
+        RunOutcome::Completed => (200, String::new()),
+        RunOutcome::Unprocessable => (STATUS_UNPROCESSABLE, String::new()),
+        RunOutcome::Failed(status) => (*status, String::new()),
+        RunOutcome::Interrupted(error) => {
             if error.ran > Ran::No {
                 Metrics::count(&runner.node.metrics.items_again);
             }
             if error.unreachable {
-                runner.node.loads.suspect(&server.id, SUSPECT_TIME);
+                runner.node.loads.suspect(&server.id, SUSPECT_DURATION);
             }
             (0, error.reason.clone())
         }
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -1,4 +1,5 @@
-//! Runs jobs on one thread: looks at rows, loads and its own jobs again and again.
+//! The main loop of the job runner, on one thread: each pass compares the job rows and server loads with the jobs
+//! that this node owns.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -15,21 +16,22 @@
 use crate::owned::{OwnedJob, commit_results};
 use crate::preempt::preempt;
 use crate::release::release;
-use crate::service_state::{ServiceView, look};
+use crate::service_state::{ServiceState, refresh_services};
 use crate::table::JobTable;
 use dappleyard_clock::Instant;
 
-/// Longest time between two looks at the jobs of a node that owns some, or doubts an owner.
-pub(crate) const TICK: Duration = Duration::from_millis(100);
-/// The same for any other node: that an owner has fallen silent shows after 0.7 to 2.5 s, and most nodes of a large fleet own
-/// no job.
+/// Longest interval between passes on a node that owns jobs or suspects an owner.
+pub(crate) const ACTIVE_TICK: Duration = Duration::from_millis(100);
+/// Longest interval between passes on any other node. Failure detection takes 0.7 to 2.5 s, and most nodes of a
+/// large fleet own no job.
 const IDLE_TICK: Duration = Duration::from_millis(300);
-/// Least time between two looks for requests that wait: loads of others are told no sooner, and each look goes over all items.
-const LEAST_GAP: Duration = Duration::from_millis(20);
-/// Time between two looks from which this node counts as paused.
-const LONGEST_GAP: Duration = Duration::from_millis(500);
+/// Shortest interval between passes caused by waiting requests: a pass visits all items, and other nodes' loads are
+/// not updated more often.
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between passes above which this node counts as stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Runs jobs on one thread.
+/// Job runner of a node.
 pub struct Runner {
     pub(crate) node: Arc<Node>,
     pub(crate) table: Arc<JobTable>,
@@ -38,20 +40,20 @@
     pub(crate) wake: Notify,
     pub(crate) estimate: Cell<RunEstimate>,
     pub(crate) owned: RefCell<HashMap<String, Rc<OwnedJob>>>,
-    pub(crate) busy: RefCell<HashSet<String>>,
+    pub(crate) in_transition: RefCell<HashSet<String>>,
     pub(crate) suspected: RefCell<HashMap<String, Instant>>,
-    /// When jobs were taken from this node by another one.
+    /// Times at which this node lost jobs to another one.
     pub(crate) taken: RefCell<HashMap<String, Instant>>,
-    pub(crate) steady_since: Cell<Instant>,
-    last_look: Cell<Instant>,
-    pub(crate) cleaned: Cell<Instant>,
+    pub(crate) stable_since: Cell<Instant>,
+    last_pass: Cell<Instant>,
+    pub(crate) last_gc: Cell<Instant>,
     pub(crate) allowances: RefCell<HashMap<String, Allowance>>,
-    pub(crate) services: RefCell<HashMap<String, ServiceView>>,
+    pub(crate) services: RefCell<HashMap<String, ServiceState>>,
     stopping: Cell<bool>,
 }
 
 impl Runner {
-    /// A runner that owns no job yet.
+    /// Creates a runner that owns no job.
     pub fn new(
         node: Arc<Node>,
         table: Arc<JobTable>,
@@ -66,73 +68,73 @@
             wake: Notify::new(),
             estimate: Cell::default(),
             owned: RefCell::default(),
-            busy: RefCell::default(),
+            in_transition: RefCell::default(),
             suspected: RefCell::default(),
             taken: RefCell::default(),
-            steady_since: Cell::new(Instant::now()),
-            last_look: Cell::new(Instant::now()),
-            cleaned: Cell::new(Instant::now()),
+            stable_since: Cell::new(Instant::now()),
+            last_pass: Cell::new(Instant::now()),
+            last_gc: Cell::new(Instant::now()),
             allowances: RefCell::default(),
             services: RefCell::default(),
             stopping: Cell::new(false),
         })
     }
 
-    /// Runs until the process ends.
+    /// Runs passes until [`Runner::stop`] is called.
     pub async fn run(self: Rc<Self>) {
         loop {
             tokio::select! {
                 () = self.table.changed(self.tick()) => {}
                 () = self.wake.notified() => {}
                 () = self.node.loads.pressed() => {}
-                () = self.demand_pressed(), if self.has_items() => {}
+                () = self.wait_for_demand(), if self.has_jobs() => {}
             }
             if self.stopping.get() {
                 return;
             }
-            self.note_steadiness();
+            self.detect_stall();
             self.reconcile();
             self.start_commits();
-            look(&self);
+            refresh_services(&self);
             preempt(&self);
             self.schedule();
-            self.clean();
+            self.collect_garbage();
         }
     }
 
-    /// Whether this node runs jobs, whose items may be in the way of online requests.
-    fn has_items(&self) -> bool {
+    /// Whether this node owns jobs, whose items may block online requests.
+    fn has_jobs(&self) -> bool {
         !self.owned.borrow().is_empty()
     }
 
-    /// Waits until requests begin to wait for a slot, and a moment has passed since the last look.
-    async fn demand_pressed(&self) {
+    /// Waits until online requests queue for a slot, at least [`MIN_DEMAND_INTERVAL`] after the last pass.
+    async fn wait_for_demand(&self) {
         self.node.loads.demand.pressed().await;
-        let rest = LEAST_GAP.saturating_sub(self.last_look.get().elapsed());
-        tokio::time::sleep(rest).await;
+        let remaining = MIN_DEMAND_INTERVAL.saturating_sub(self.last_pass.get().elapsed());
+        tokio::time::sleep(remaining).await;
     }
 
-    /// Longest time until the next look.
+    /// Longest time until the next pass.
     fn tick(&self) -> Duration {
         let idle = self.owned.borrow().is_empty() && self.suspected.borrow().is_empty();
-        match idle && self.busy.borrow().is_empty() {
+        match idle && self.in_transition.borrow().is_empty() {
             true => IDLE_TICK,
-            false => TICK,
+            false => ACTIVE_TICK,
         }
     }
 
-    /// Gives all jobs back to the other nodes; the process is about to end.
+    /// Releases all jobs to the other nodes before the process exits.
     pub async fn stop(self: &Rc<Self>) {
         self.stopping.set(true);
         let jobs: Vec<Rc<OwnedJob>> = self.owned.borrow().values().cloned().collect();
-        let released = jobs.iter().map(|job| self.give_back(job));
+        let released = jobs.iter().map(|job| self.release_job(job));
         futures::future::join_all(released).await;
     }
 
-    async fn give_back(self: &Rc<Self>, job: &Rc<OwnedJob>) {
+    async fn release_job(self: &Rc<Self>, job: &Rc<OwnedJob>) {
         for item in &mut job.state.borrow_mut().items {
-            if let Some(task) = item.task.take() {
-                task.abort();
+            if let Some(active_run) = item.active_run.take() {
+                active_run.abort();
             }
         }
         let until = Instant::now() + Duration::from_millis(self.node.settings.bounds.grace_ms / 2);
@@ -153,19 +155,19 @@
         }
     }
 
-    /// Notes a gap in this node's own running, or in the answers of the store.
-    fn note_steadiness(&self) {
+    /// Restarts the stable period after a stall of this node or a loss of the store.
+    fn detect_stall(&self) {
         let now = Instant::now();
-        let gap = now.duration_since(self.last_look.replace(now)) > LONGEST_GAP;
-        if gap || !self.table.is_fresh() {
-            self.steady_since.set(now);
+        let stalled = now.duration_since(self.last_pass.replace(now)) > STALL_THRESHOLD;
+        if stalled || !self.table.is_fresh() {
+            self.stable_since.set(now);
         }
     }
 
     fn start_commits(self: &Rc<Self>) {
         for job in self.owned.borrow().values() {
             let mut state = job.state.borrow_mut();
-            if !state.has_news() || state.committing || state.lost {
+            if !state.has_uncommitted() || state.committing || state.lost {
                 continue;
             }
             state.committing = true;
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Requests that a server works on at once; `None` when it is gone.
+    /// Concurrent requests that a server supports; `None` if the server is unknown.
     pub(crate) fn slots(&self, server: &str) -> Option<u32> {
         self.node.view.server(server).map(|server| server.slots)
     }
--- a/crates/jobs/src/scheduling.rs
+++ b/crates/jobs/src/scheduling.rs
@@ -1,4 +1,4 @@
-//! Starts items where servers have room, in the order of their ranks.
+//! Starts waiting items on servers with free capacity, in order of rank.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -11,32 +11,32 @@
 use dappleyard_model::{Configuration, Homes, Route, ServerRecord};
 
 use crate::admission::is_urgent;
-use crate::expiry::{give_up, is_over};
+use crate::expiry::{abandon_items, is_expired};
 use crate::order::{Rank, rank};
-use crate::owned::{OwnedJob, Progress, Run};
-use crate::placement::{ServerRoom, pick_server, room, within_reach};
-use crate::run::{BegunRun, begin_work, run_item};
+use crate::owned::{ActiveRun, OwnedJob, Progress};
+use crate::placement::{ServerCapacity, capacity, pick_server, prefer_local_region};
+use crate::run::{StartedRun, begin_in_flight, run_item};
 use crate::runner::Runner;
 
-/// An item that waits for its turn.
-struct Turn {
+/// An item that is ready to start.
+struct Candidate {
     job: Rc<OwnedJob>,
     index: usize,
     route: Route,
-    /// The service that is asked.
+    /// Service chosen from the targets of the route.
     service: String,
     rank: Rank,
-    avoid: Option<String>,
+    avoided_server: Option<String>,
     last: Option<String>,
     homes: Homes,
     fingerprint: Fingerprint,
     permit: Permit,
-    /// It must begin now to be in time.
+    /// It must start now to meet its deadline.
     urgent: bool,
 }
 
 impl Runner {
-    /// Starts items where servers have room, in the order of their ranks.
+    /// Starts waiting items on servers with free capacity, in order of rank.
     pub(crate) fn schedule(self: &Rc<Self>) {
         let Some(configuration) = self.node.view.configuration() else {
             return;
@@ -45,9 +45,9 @@
             return;
         };
         let jobs: Vec<Rc<OwnedJob>> = self.owned.borrow().values().cloned().collect();
-        let mut waiting: Vec<Turn> = jobs
+        let mut waiting: Vec<Candidate> = jobs
             .iter()
-            .flat_map(|job| self.turns(job, &configuration, now_ms))
+            .flat_map(|job| self.candidates(job, &configuration, now_ms))
             .collect();
         waiting.sort_by(|a, b| (a.rank, &a.job.job, a.index).cmp(&(b.rank, &b.job.job, b.index)));
         let loads = &self.node.loads;
@@ -55,14 +55,14 @@
             .waiting
             .set_own(u32::try_from(waiting.len()).unwrap_or(u32::MAX));
         let urgent = urgent_by_service(&waiting);
-        // Items that may begin now at each service.
-        let mut rooms: HashMap<String, u32> = HashMap::new();
-        // A service without room, such as one whose zones are evacuated, holds up no other one.
+        // Items that may still start at each service in this pass.
+        let mut capacities: HashMap<String, u32> = HashMap::new();
+        // A service without capacity, such as one whose zones are being evacuated, does not block the others.
         let mut full: HashSet<String> = HashSet::new();
         let mut held_back = 0;
-        for turn in waiting {
-            let service = turn.service.as_str();
-            if !turn.urgent && self.is_closed(service) {
+        for candidate in waiting {
+            let service = candidate.service.as_str();
+            if !candidate.urgent && self.is_closed(service) {
                 held_back += 1;
                 continue;
             }
@@ -71,63 +71,71 @@
             }
             let mut allowances = self.allowances.borrow_mut();
             let allowance = allowances.entry(service.to_owned()).or_default();
-            let room = rooms.entry(service.to_owned()).or_insert_with(|| {
+            let capacity = capacities.entry(service.to_owned()).or_insert_with(|| {
                 let urgent = urgent.get(service).copied().unwrap_or(0);
-                let room = self.paced_room(service, loads.waiting.over_all(urgent));
-                allowance.refresh(&loads.waiting, room, rand::random());
-                room
+                let capacity = self.admissible_items(service, loads.waiting.over_all(urgent));
+                allowance.refresh(&loads.waiting, capacity, rand::random());
+                capacity
             });
-            // An item that waits for its home says nothing of the others' room, and takes nothing of it.
-            if turn.homes.bind() && self.pick(service, &turn).is_none() {
+            // An item whose allowed regions have no free server neither uses up the allowance nor marks the service as full.
+            if candidate.homes.bind() && self.pick(service, &candidate).is_none() {
                 continue;
             }
-            // Starts that are left from before say nothing of what came since.
-            let may_start = *room > 0 && allowance.take();
-            *room -= u32::from(may_start);
+            // The allowance was granted for the capacity of an earlier pass.
+            let may_start = *capacity > 0 && allowance.take();
+            *capacity -= u32::from(may_start);
             drop(allowances);
-            let server = may_start.then(|| self.pick(service, &turn)).flatten();
+            let server = may_start.then(|| self.pick(service, &candidate)).flatten();
             let Some(server) = server else {
                 full.insert(service.to_owned());
                 continue;
             };
-            self.start(&turn.job, turn.index, server, turn.route);
+            self.start(&candidate.job, candidate.index, server, candidate.route);
         }
         let gauge = &self.node.metrics.items_held_back;
         gauge.store(held_back, Ordering::Relaxed);
     }
 
-    /// Whether no item may begin at a service but those that are urgent, since online requests need it.
+    /// Whether a service accepts only urgent items, because online requests need its slots.
     fn is_closed(&self, service: &str) -> bool {
         let services = self.services.borrow();
         let held = services.get(service);
-        held.is_some_and(|held| held.yielding.is_closed())
+        held.is_some_and(|held| held.admission.is_closed())
     }
 
-    /// Items that a service still takes, at the pace at which they come back behind online requests; `urgent` ones,
-    /// over all nodes, need not keep to it.
-    fn paced_room(&self, service: &str, urgent: u32) -> u32 {
-        let room = self.room_at(service);
+    /// Number of items that may start at a service at the current ramp-up rate; `urgent` ones, counted over all nodes,
+    /// are exempt from the ramp.
+    fn admissible_items(&self, service: &str, urgent: u32) -> u32 {
+        let capacity = self.service_capacity(service);
         let services = self.services.borrow();
         match services.get(service) {
-            Some(held) => room.min(held.yielding.room(&held.load, urgent, Instant::now())),
-            None => room,
+            Some(held) => capacity.min(held.admission.capacity(&held.load, urgent, Instant::now())),
+            None => capacity,
         }
     }
 
-    /// Items that the servers of a service still take, as this node sees them.
-    fn room_at(&self, service: &str) -> u32 {
+    /// Number of items that the servers of a service can still accept, as seen by this node.
+    fn service_capacity(&self, service: &str) -> u32 {
         let servers = self.node.view.servers(service);
-        let rooms = servers.used.iter().map(|server| self.room_of(server));
-        within_reach(rooms.collect(), self.node.view.ways())
+        let capacities = servers
+            .used
             .iter()
-            .map(|server| room(server.slots, &server.load))
+            .map(|server| self.server_capacity(server));
+        prefer_local_region(capacities.collect(), self.node.view.ways())
+            .iter()
+            .map(|server| capacity(server.slots, &server.load))
             .sum()
     }
 
-    /// The items of a job that wait; those whose time or route is over are given up.
-    fn turns(&self, job: &Rc<OwnedJob>, configuration: &Configuration, now_ms: u64) -> Vec<Turn> {
+    /// The items of a job that are ready to start; abandons those that are expired or have no route.
+    fn candidates(
+        &self,
+        job: &Rc<OwnedJob>,
+        configuration: &Configuration,
+        now_ms: u64,
+    ) -> Vec<Candidate> {
         let now = Instant::now();
-        let mut turns = Vec::new();
+        let mut candidates = Vec::new();
         let mut over = None;
         let state = job.state.borrow();
         for (index, item) in state.items.iter().enumerate() {
@@ -135,25 +143,25 @@
                 continue;
             }
             let Some(route) = state.route(configuration, item) else {
-                over = Some("the route is gone");
+                over = Some("the configuration has no batch route for the item");
                 break;
             };
-            if is_over(state.row.accepted_ms, route.max_wait_s, now_ms) {
-                over = Some("the time is over");
+            if is_expired(state.row.accepted_ms, route.max_wait_s, now_ms) {
+                over = Some("the maximum wait was exceeded");
                 break;
             }
             let resting = item.not_before.is_some_and(|at| at > now);
             if item.progress == Progress::Running || resting {
                 continue;
             }
-            // An item that crashes servers waits until it may be given up.
+            // An item that crashes servers is held until it may run again or be abandoned.
             let permit = self.node.crashes.permit(&item.fingerprint);
             if matches!(permit, Permit::Refused | Permit::Wait) {
                 continue;
             }
-            let needs_ms = self.estimate.get().remaining_ms(item.events);
+            let needed_ms = self.estimate.get().remaining_ms(item.events);
             let priority = configuration.priority(route, &state.row.tenant);
-            turns.push(Turn {
+            candidates.push(Candidate {
                 job: job.clone(),
                 index,
                 route: route.clone(),
@@ -161,10 +169,10 @@
                     .pick_service(rand::random())
                     .unwrap_or_default()
                     .to_owned(),
-                homes: self.homes(route, &state.row.tenant),
-                rank: rank(state.row.due_ms, needs_ms, now_ms, priority),
-                urgent: is_urgent(state.row.due_ms, needs_ms, now_ms),
-                avoid: item.avoid.clone(),
+                homes: self.item_homes(route, &state.row.tenant),
+                rank: rank(state.row.due_ms, needed_ms, now_ms, priority),
+                urgent: is_urgent(state.row.due_ms, needed_ms, now_ms),
+                avoided_server: item.avoided_server.clone(),
                 last: item.last_server.clone(),
                 fingerprint: item.fingerprint,
                 permit,
@@ -173,10 +181,10 @@
         drop(state);
         match over {
             Some(cause) => {
-                give_up(self, job, cause);
+                abandon_items(self, job, cause);
                 Vec::new()
             }
-            None => turns,
+            None => candidates,
         }
     }
 
@@ -189,8 +197,8 @@
     ) {
         let id = server.id.clone();
         let fingerprint = job.state.borrow().items[index].fingerprint;
-        let Ok(counted) = self.node.crashes.begin(fingerprint, &id) else {
-            // Another node has begun to run the same, or told of its end, since the turn was made.
+        let Ok(tracked_run) = self.node.crashes.begin(fingerprint, &id) else {
+            // Since the permit was issued, another node has started an item with this fingerprint or reported a crash.
             return;
         };
         let work = {
@@ -198,18 +206,22 @@
             let host = state.row.host.clone();
             let item = &mut state.items[index];
             item.progress = Progress::Running;
-            item.answered = false;
+            item.response_started = false;
             item.last_server = Some(server.id.clone());
-            begin_work(self, &item.stored, &host, &server)
+            begin_in_flight(self, &item.stored, &host, &server)
+        };
+        let started_run = StartedRun {
+            work,
+            run: tracked_run,
         };
-        let begun = BegunRun { work, run: counted };
-        let run = run_item(self.clone(), job.clone(), index, server, route, begun);
+        let run = run_item(self.clone(), job.clone(), index, server, route, started_run);
         let task = tokio::task::spawn_local(run);
-        job.state.borrow_mut().items[index].task = Some(Run::new(&id, task.abort_handle()));
+        job.state.borrow_mut().items[index].active_run =
+            Some(ActiveRun::new(&id, task.abort_handle()));
     }
 
-    fn room_of<'a>(&self, server: &'a ServerRecord) -> ServerRoom<'a> {
-        ServerRoom {
+    fn server_capacity<'a>(&self, server: &'a ServerRecord) -> ServerCapacity<'a> {
+        ServerCapacity {
             id: &server.id,
             zone: &server.zone,
             slots: server.slots,
@@ -217,39 +229,47 @@
         }
     }
 
-    fn pick(&self, service: &str, turn: &Turn) -> Option<Arc<ServerRecord>> {
+    fn pick(&self, service: &str, candidate: &Candidate) -> Option<Arc<ServerRecord>> {
         let servers = self.node.view.servers(service);
         let places = &self.node.settings.places;
-        let open: Vec<&Arc<ServerRecord>> = reached(&servers, &turn.homes, &self.node)
-            .filter(|server| turn.homes.allow(&server.zone, places))
+        let open: Vec<&Arc<ServerRecord>> = reached(&servers, &candidate.homes, &self.node)
+            .filter(|server| candidate.homes.allow(&server.zone, places))
             .collect();
-        let avoided = |server: &ServerRecord| turn.avoid.as_ref() == Some(&server.id);
-        let rooms: Vec<ServerRoom<'_>> = open
+        let avoided = |server: &ServerRecord| candidate.avoided_server.as_ref() == Some(&server.id);
+        let capacities: Vec<ServerCapacity<'_>> = open
             .iter()
             .filter(|server| open.len() == 1 || !avoided(server))
-            .map(|server| self.room_of(server))
+            .map(|server| self.server_capacity(server))
             .collect();
-        let rooms = within_reach(rooms, self.node.view.ways());
-        if turn.permit == Permit::LastRun {
-            let free = rooms.iter().filter(|held| room(held.slots, &held.load) > 0);
+        let capacities = prefer_local_region(capacities, self.node.view.ways());
+        if candidate.permit == Permit::LastRun {
+            let free = capacities
+                .iter()
+                .filter(|held| capacity(held.slots, &held.load) > 0);
             let free: HashSet<&str> = free.map(|held| held.id).collect();
             let open = open
                 .into_iter()
                 .filter(|server| free.contains(server.id.as_str()));
-            return apart(&self.node, &turn.fingerprint, open.cloned().collect());
+            return apart(&self.node, &candidate.fingerprint, open.cloned().collect());
         }
         let settings = &self.node.settings;
-        let chosen = pick_server(&rooms, &settings.name, &settings.zone, turn.last.as_deref())?.id;
+        let chosen = pick_server(
+            &capacities,
+            &settings.name,
+            &settings.zone,
+            candidate.last.as_deref(),
+        )?
+        .id;
         let mut open = open.into_iter();
         open.find(|server| server.id == chosen).cloned()
     }
 }
 
-/// Items of this node that must begin now, by the service that they ask.
-fn urgent_by_service(turns: &[Turn]) -> HashMap<String, u32> {
+/// Counts this node's urgent items by service.
+fn urgent_by_service(candidates: &[Candidate]) -> HashMap<String, u32> {
     let mut urgent: HashMap<String, u32> = HashMap::new();
-    for turn in turns.iter().filter(|turn| turn.urgent) {
-        *urgent.entry(turn.service.clone()).or_default() += 1;
+    for candidate in candidates.iter().filter(|candidate| candidate.urgent) {
+        *urgent.entry(candidate.service.clone()).or_default() += 1;
     }
     urgent
 }
--- a/crates/jobs/src/service_state.rs
+++ b/crates/jobs/src/service_state.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the services that its jobs ask for, and whether these are closed to items.
+//! Load of the services that this node's jobs target, and whether they admit items.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -7,22 +7,22 @@
 use dappleyard_ingress::Metrics;
 use dappleyard_model::Configuration;
 
-use crate::admission::{Change, ServiceLoad, Yielding, spread};
+use crate::admission::{AdmissionChange, BatchAdmission, ServiceLoad, apportion};
 use crate::owned::Progress;
-use crate::placement::takes_items;
+use crate::placement::accepts_items;
 use crate::runner::Runner;
 
-/// One service, as of the last look.
+/// State of one service as of the last pass.
 #[derive(Default)]
-pub(crate) struct ServiceView {
+pub(crate) struct ServiceState {
     pub(crate) load: ServiceLoad,
-    pub(crate) yielding: Yielding,
-    /// Items that are to leave a server, beside those above its slots.
-    pub(crate) to_leave: HashMap<String, u32>,
+    pub(crate) admission: BatchAdmission,
+    /// Items to preempt on each server, in addition to those beyond its slots.
+    pub(crate) items_to_preempt: HashMap<String, u32>,
 }
 
-/// Looks at the services of this node's jobs. Without load shedding none is ever closed.
-pub(crate) fn look(runner: &Runner) {
+/// Updates the services that this node's jobs target. Without load shedding, admission is never closed.
+pub(crate) fn refresh_services(runner: &Runner) {
     if !runner.node.settings.load_shedding {
         return;
     }
@@ -32,38 +32,42 @@
     let now = Instant::now();
     let item_time = Duration::from_millis(runner.estimate.get().remaining_ms(0));
     let mut services = runner.services.borrow_mut();
-    let asked = asked_services(runner, &configuration);
-    // A job may come a moment after the last one ended.
-    services.retain(|name, view| asked.contains(name) || view.yielding.is_recent(now));
-    for name in asked {
-        let view = services.entry(name.clone()).or_default();
-        (view.load, view.to_leave) = load_of(runner, &name);
-        let change = view.yielding.observe(&view.load, item_time, now);
+    let needed = target_services(runner, &configuration);
+    // Keeps recently observed services, since a new job may follow shortly after the last one.
+    services.retain(|name, service_state| {
+        needed.contains(name) || service_state.admission.is_recent(now)
+    });
+    for name in needed {
+        let service_state = services.entry(name.clone()).or_default();
+        (service_state.load, service_state.items_to_preempt) = service_load(runner, &name);
+        let change = service_state
+            .admission
+            .observe(&service_state.load, item_time, now);
         if let Some(change) = change {
-            log_change(runner, &name, &view.load, change);
+            log_change(runner, &name, &service_state.load, change);
         }
     }
 }
 
-/// Services that may serve items of this node's jobs.
-fn asked_services(runner: &Runner, configuration: &Configuration) -> Vec<String> {
-    let mut asked: BTreeSet<&str> = BTreeSet::new();
+/// Services that unfinished items of this node's jobs may target.
+fn target_services(runner: &Runner, configuration: &Configuration) -> Vec<String> {
+    let mut needed: BTreeSet<&str> = BTreeSet::new();
     for job in runner.owned.borrow().values() {
         let state = job.state.borrow();
         let items = state.items.iter();
         let unfinished = items.filter(|item| item.progress != Progress::Finished);
         let routes = unfinished.filter_map(|item| state.route(configuration, item));
         let targets = routes.flat_map(|route| &route.targets);
-        asked.extend(targets.map(|target| target.service.as_str()));
+        needed.extend(targets.map(|target| target.service.as_str()));
     }
-    asked.into_iter().map(str::to_owned).collect()
+    needed.into_iter().map(str::to_owned).collect()
 }
 
-/// Load of the servers of a service that this node uses, over all nodes, and how many items are to leave each server.
-fn load_of(runner: &Runner, service: &str) -> (ServiceLoad, HashMap<String, u32>) {
+/// Load of a service over all nodes, on the servers that this node uses, and the number of items to preempt on each.
+fn service_load(runner: &Runner, service: &str) -> (ServiceLoad, HashMap<String, u32>) {
     let demand = runner.node.loads.demand.pressure_on(service);
     let servers = runner.node.view.servers(service);
-    // Demand is told of the whole fleet; it falls on the servers that this node uses by their part of all.
+    // Demand is reported for the whole fleet; it is scaled to the share of the servers that this node uses.
     let part = servers.used.len() as f64 / servers.all.len().max(1) as f64;
     let here = |requests: u32| (f64::from(requests) * part).ceil() as u32;
     let mut total = ServiceLoad {
@@ -74,7 +78,7 @@
     let mut items: Vec<(&str, u32)> = Vec::new();
     for server in &servers.used {
         let load = runner.node.loads.summary(&server.id);
-        if !takes_items(&load) {
+        if !accepts_items(&load) {
             continue;
         }
         total.slots += server.slots;
@@ -85,19 +89,19 @@
     }
     items.sort_unstable();
     let counts: Vec<u32> = items.iter().map(|(_, count)| *count).collect();
-    let parts = spread(total.to_leave(), &counts);
-    let to_leave = items.into_iter().zip(parts).filter(|(_, part)| *part > 0);
-    let to_leave = to_leave.map(|((id, _), part)| (id.to_owned(), part));
-    (total, to_leave.collect())
+    let parts = apportion(total.items_to_preempt(), &counts);
+    let items_to_preempt = items.into_iter().zip(parts).filter(|(_, part)| *part > 0);
+    let items_to_preempt = items_to_preempt.map(|((id, _), part)| (id.to_owned(), part));
+    (total, items_to_preempt.collect())
 }
 
-fn log_change(runner: &Runner, service: &str, load: &ServiceLoad, change: Change) {
+fn log_change(runner: &Runner, service: &str, load: &ServiceLoad, change: AdmissionChange) {
     let (name, closed) = match change {
-        Change::Closed => {
+        AdmissionChange::Closed => {
             Metrics::count(&runner.node.metrics.batch_closings);
             ("batch_closed", Duration::ZERO)
         }
-        Change::Opened(after) => ("batch_opened", after),
+        AdmissionChange::Opened(after) => ("batch_opened", after),
     };
     runner.node.log.write(name, || {
         serde_json::json!({"service": service, "closed_ms": closed.as_millis() as u64,
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -1,4 +1,4 @@
-//! All jobs as the store's feed tells them, shared by all threads.
+//! In-memory copy of all job rows, fed by the store's change feed and shared by all threads.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,30 +14,29 @@
 use crate::messages::{JobRow, StoredItem};
 use dappleyard_clock::Instant;
 
-/// Age of the last answer of the store from which the table may be out of date.
-const FRESH: Duration = Duration::from_millis(2_800);
-/// Shortest time between two calls for changes: rows of jobs change with each commit of results.
-const PACE: Duration = Duration::from_millis(150);
+/// Age of the last contact with the store from which the table counts as out of date.
+const MAX_FRESH_AGE: Duration = Duration::from_millis(2_800);
+/// Shortest interval between polls for changes, since job rows change with each commit of results.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// One job as known.
+/// A cached job row.
 #[derive(Debug, Clone)]
-pub struct Known {
-    /// Its row.
+pub struct CachedJob {
     pub row: Arc<JobRow>,
-    /// Revision of the row.
+    /// Revision of the row in the store.
     pub revision: u64,
 }
 
 #[derive(Default)]
 struct State {
-    jobs: HashMap<String, Known>,
+    jobs: HashMap<String, CachedJob>,
     revision: u64,
     contact: Option<Instant>,
     clock: Option<(u64, Instant)>,
-    handed_over: HashMap<String, Vec<StoredItem>>,
+    stashed_items: HashMap<String, Vec<StoredItem>>,
 }
 
-/// All jobs.
+/// Cache of all job rows.
 #[derive(Default)]
 pub struct JobTable {
     state: Mutex<State>,
@@ -45,13 +44,12 @@
 }
 
 impl JobTable {
-    /// One job.
-    pub fn get(&self, job: &str) -> Option<Known> {
+    pub fn get(&self, job: &str) -> Option<CachedJob> {
         self.state.lock().jobs.get(job).cloned()
     }
 
-    /// Jobs for which `test` holds.
-    pub fn select(&self, test: impl Fn(&JobRow) -> bool) -> Vec<(String, Known)> {
+    /// Jobs whose row satisfies `test`.
+    pub fn select(&self, test: impl Fn(&JobRow) -> bool) -> Vec<(String, CachedJob)> {
         let state = self.state.lock();
         state
             .jobs
@@ -61,7 +59,7 @@
             .collect()
     }
 
-    /// Tokens of a tenant's items on a route that are not listed.
+    /// Tokens of a tenant's items on a route that have no committed result.
     pub fn open_tokens(&self, route: &str, tenant: &str) -> u64 {
         let state = self.state.lock();
         state
@@ -73,7 +71,7 @@
             .sum()
     }
 
-    /// Notes a row written or read by this node.
+    /// Adds a row that this node has written or read.
     pub fn put(&self, job: &str, row: JobRow, revision: u64) {
         let mut state = self.state.lock();
         Self::store(&mut state, job, row, revision);
@@ -81,8 +79,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Notes the row of a job among those that a failed condition showed; whether there is one.
-    pub fn put_found(&self, job: &str, rows: &[Row]) -> bool {
+    /// Adds the job's row from the rows of a failed condition; returns whether they include it.
+    pub fn put_from_conflict(&self, job: &str, rows: &[Row]) -> bool {
         let found = rows.iter().find(|row| row.key == job && row.revision > 0);
         let Some((value, revision)) =
             found.and_then(|row| Some((row.value.clone()?, row.revision)))
@@ -95,42 +93,44 @@
         true
     }
 
-    /// Keeps the items of a job that this node accepted, for its runner.
-    pub fn hand_over(&self, job: &str, items: Vec<StoredItem>) {
-        self.state.lock().handed_over.insert(job.to_owned(), items);
+    /// Keeps the items of a job that this node accepted, so that the runner need not read them from the store.
+    pub fn stash_items(&self, job: &str, items: Vec<StoredItem>) {
+        self.state
+            .lock()
+            .stashed_items
+            .insert(job.to_owned(), items);
     }
 
-    /// Takes the items kept for the runner.
-    pub fn take_handed_over(&self, job: &str) -> Option<Vec<StoredItem>> {
-        self.state.lock().handed_over.remove(job)
+    /// Takes the items that were kept for the runner.
+    pub fn take_stashed_items(&self, job: &str) -> Option<Vec<StoredItem>> {
+        self.state.lock().stashed_items.remove(job)
     }
 
-    /// Everything up to this revision is in the table.
+    /// Revision up to which the table is complete.
     pub fn revision(&self) -> u64 {
         self.state.lock().revision
     }
 
-    /// Whether the table is at most this old.
-    pub fn is_known_within(&self, age: Duration) -> bool {
+    /// Whether the table was in sync with the store within the given time.
+    pub fn is_synced_within(&self, age: Duration) -> bool {
         let contact = self.state.lock().contact;
         contact.is_some_and(|contact| contact.elapsed() <= age)
     }
 
-    /// Whether the store has answered lately.
+    /// Whether the table is recent enough to be used without reading the store.
     pub fn is_fresh(&self) -> bool {
-        self.is_known_within(FRESH)
+        self.is_synced_within(MAX_FRESH_AGE)
     }
 
-    /// The store's clock, carried on by this machine's steady one; `None` before the store has
-    /// told it.
+    /// The store's clock, extrapolated with this machine's monotonic clock; `None` before the first contact.
     pub fn now_ms(&self) -> Option<u64> {
         let (now_ms, at) = self.state.lock().clock?;
         Some(now_ms + at.elapsed().as_millis() as u64)
     }
 
-    /// Waits for the next change, for some time at most.
+    /// Waits for the next change, but at most `limit`.
     pub async fn changed(&self, limit: Duration) {
-        // Silence is an answer too.
+        // The caller checks the table again after a timeout too.
         let _ = tokio::time::timeout(limit, self.changed.notified()).await;
     }
 
@@ -141,7 +141,9 @@
             .is_none_or(|known| known.revision < revision);
         if newer {
             let row = Arc::new(row);
-            state.jobs.insert(job.to_owned(), Known { row, revision });
+            state
+                .jobs
+                .insert(job.to_owned(), CachedJob { row, revision });
         }
     }
 }
@@ -156,7 +158,7 @@
     }
 
     fn pace(&self) -> Duration {
-        PACE
+        MIN_POLL_INTERVAL
     }
 
     fn replace(&self, rows: Vec<Row>, revision: u64) {
@@ -183,7 +185,7 @@
                 }
             }
             None => {
-                let older = |known: &Known| known.revision < row.revision;
+                let older = |known: &CachedJob| known.revision < row.revision;
                 if state.jobs.get(&row.key).is_some_and(older) {
                     state.jobs.remove(&row.key);
                 }
--- a/crates/jobs/tests/partials.rs
+++ b/crates/jobs/tests/partials.rs
@@ -1,14 +1,14 @@
-//! Pieces of unfinished text are joined as far as they are one text.
+//! Restores saved output from segments; only a consistent prefix may be joined.
 
 use bytes::Bytes;
-use dappleyard_jobs::partials::{join, room_for_pieces, split_text};
+use dappleyard_jobs::partials::{join_segments, segment_capacity, split_text};
 use dappleyard_model::{Row, RowKey, Transaction};
 use googletest::prelude::*;
 use prost::Message;
 
-/// A row that holds a piece: number, event before it, last event, epoch.
+/// A row with a segment of the given number, preceding event, last event and epoch.
 fn row(number: usize, after_event: Option<u64>, last_event: u64, epoch: u64) -> Row {
-    let piece = dappleyard_jobs::StoredPartial {
+    let partial = dappleyard_jobs::StoredPartial {
         last_event,
         text: format!("[{last_event} of {epoch}]"),
         failures: number as u32,
@@ -17,63 +17,63 @@
         events: last_event - after_event.unwrap_or(0),
         continued: false,
     };
-    stored(number, &piece)
+    stored(number, &partial)
 }
 
-fn stored(number: usize, piece: &dappleyard_jobs::StoredPartial) -> Row {
+fn stored(number: usize, partial: &dappleyard_jobs::StoredPartial) -> Row {
     Row {
         part: "0".to_owned(),
         key: format!("j1/000003/{number:04}"),
-        value: Some(Bytes::from(piece.encode_to_vec())),
+        value: Some(Bytes::from(partial.encode_to_vec())),
         revision: 1,
     }
 }
 
 fn text(rows: &[Row]) -> String {
-    join(rows)
+    join_segments(rows)
         .remove(&3)
-        .map_or_else(String::new, |joined| joined.text)
+        .map_or_else(String::new, |restored| restored.text)
 }
 
 #[gtest]
-fn in_order() {
+fn joins_segments_in_order() {
     let rows = [
         row(1, Some(4), 9, 2),
         row(0, None, 4, 1),
         row(2, Some(9), 11, 2),
     ];
-    let joined = join(&rows).remove(&3).unwrap_or_default();
-    expect_that!(joined.text, eq("[4 of 1][9 of 2][11 of 2]"));
-    expect_that!(joined.failures, eq(2));
-    expect_that!(joined.saved.last_event, some(eq(11)));
-    expect_that!(joined.saved.events, eq(11));
-    expect_that!(joined.saved.pieces, eq(3));
+    let restored = join_segments(&rows).remove(&3).unwrap_or_default();
+    expect_that!(restored.text, eq("[4 of 1][9 of 2][11 of 2]"));
+    expect_that!(restored.failures, eq(2));
+    expect_that!(restored.saved.last_event, some(eq(11)));
+    expect_that!(restored.saved.events, eq(11));
+    expect_that!(restored.saved.segments, eq(3));
 }
 
 #[gtest]
-fn written_late() {
-    // The first piece was written again, late and shorter, over the one that the second goes on from.
+fn stale_write_over_newer_segment() {
+    // A delayed write of a shorter first segment has overwritten the one that the second segment continues.
     let rows = [row(0, None, 2, 1), row(1, Some(4), 9, 1)];
     expect_that!(text(&rows), eq("[2 of 1]"));
 }
 
 #[gtest]
-fn older_epoch() {
-    // The second piece is of the owner before, and by chance goes on where the new one ended.
+fn segment_of_older_epoch() {
+    // The second segment was written by the previous owner and happens to start where the new first one ends.
     let rows = [row(0, None, 4, 2), row(1, Some(4), 9, 1)];
     expect_that!(text(&rows), eq("[4 of 2]"));
 }
 
 #[gtest]
-fn piece_lost() {
+fn missing_segment() {
     let rows = [row(0, None, 4, 1), row(2, Some(4), 9, 1)];
     expect_that!(text(&rows), eq("[4 of 1]"));
     expect_that!(text(&[row(1, None, 4, 1)]), eq(""));
 }
 
-/// A row of a text that takes more rows than one.
-fn part(number: usize, text: &str, epoch: u64, continued: bool) -> Row {
-    let piece = dappleyard_jobs::StoredPartial {
+/// A row of a text that spans several rows.
+fn continued_row(number: usize, text: &str, epoch: u64, continued: bool) -> Row {
+    let partial = dappleyard_jobs::StoredPartial {
         last_event: 9,
         text: text.to_owned(),
         failures: 1,
@@ -82,44 +82,47 @@
         events: 9,
         continued,
     };
-    stored(number, &piece)
+    stored(number, &partial)
 }
 
 #[gtest]
-fn long_text() {
+fn text_across_rows() {
     let rows = [
-        part(0, "one ", 1, true),
-        part(1, "two ", 1, true),
-        part(2, "three", 1, false),
+        continued_row(0, "one ", 1, true),
+        continued_row(1, "two ", 1, true),
+        continued_row(2, "three", 1, false),
     ];
-    let joined = join(&rows).remove(&3).unwrap_or_default();
-    expect_that!(joined.text, eq("one two three"));
-    expect_that!((joined.saved.pieces, joined.saved.events), eq((3, 9)));
-    // Without its end the text stops inside an event and counts for nothing.
+    let restored = join_segments(&rows).remove(&3).unwrap_or_default();
+    expect_that!(restored.text, eq("one two three"));
+    expect_that!((restored.saved.segments, restored.saved.events), eq((3, 9)));
+    // Without the last row, the text ends inside an event and is ignored.
     expect_that!(text(&rows[..2]), eq(""));
-    // An older write of the same rows does not complete it.
-    let mixed = [part(0, "new ", 2, true), part(1, "old", 1, false)];
+    // A row from an older write does not complete it.
+    let mixed = [
+        continued_row(0, "new ", 2, true),
+        continued_row(1, "old", 1, false),
+    ];
     expect_that!(text(&mixed), eq(""));
 }
 
 #[gtest]
-fn text_cut_between_characters() {
+fn splits_at_character_boundaries() {
     expect_that!(split_text("", 4), eq(&[""]));
     expect_that!(split_text("abcdef", 4), eq(&["abcd", "ef"]));
     expect_that!(split_text("aéé", 2), eq(&["a", "é", "é"]));
 }
 
 #[gtest]
-fn room_beside_results() {
+fn transaction_stays_below_store_limit() {
     let empty = Transaction::default();
-    expect_that!(room_for_pieces(&empty), eq(400_000));
-    // The platform takes 1 MB in its encoding, four bytes of three.
+    expect_that!(segment_capacity(&empty), eq(400_000));
+    // The store accepts 1 MB after base64 encoding.
     for results in [100_000, 300_000, 500_000, 690_000, 900_000] {
         let key = RowKey::new("results", "0", "j1/0");
         let transaction = Transaction::default().put(key, vec![0; results]);
-        let room = room_for_pieces(&transaction);
+        let capacity = segment_capacity(&transaction);
         expect_that!(
-            (results.min(700_000) + room) / 3 * 4,
+            (results.min(700_000) + capacity) / 3 * 4,
             lt(1_000_000),
             "{results}"
         );
--- a/crates/jobs/tests/policies.rs
+++ b/crates/jobs/tests/policies.rs
@@ -1,10 +1,10 @@
-//! Room for batch work, the order of items, and the bits of listed items.
+//! Batch capacity, ranking, server choice, claim policy and the bitmap of listed items.
 
 use std::time::Duration;
 
 use dappleyard_cluster::{LoadSummary, Pace, PeerStatus, Temperature};
 use dappleyard_jobs::{
-    Ground, JobRow, RunEstimate, ServerRoom, may_claim, pick_server, rank, room,
+    ClaimContext, JobRow, RunEstimate, ServerCapacity, capacity, may_claim, pick_server, rank,
 };
 use googletest::prelude::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn batch_work_takes_what_online_work_leaves_but_one_slot() {
+fn batch_capacity_reserves_one_slot() {
     for (online, batch, expected) in [
         (0, 0, 11),
         (0, 11, 0),
@@ -27,7 +27,7 @@
         (20, 0, 0),
     ] {
         expect_that!(
-            room(12, &load(online, batch)),
+            capacity(12, &load(online, batch)),
             eq(expected),
             "{online} {batch}"
         );
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn a_server_that_is_suspect_or_has_much_to_read_takes_no_item() {
+fn suspect_or_busy_servers_accept_no_items() {
     let suspect = LoadSummary {
         suspect: true,
         ..Default::default()
@@ -44,19 +44,19 @@
         unread_tokens: 9_000,
         ..Default::default()
     };
-    expect_that!((room(12, &suspect), room(12, &reading)), eq((0, 0)));
+    expect_that!((capacity(12, &suspect), capacity(12, &reading)), eq((0, 0)));
 }
 
 #[gtest]
-fn no_item_goes_to_a_server_that_may_be_cold() {
+fn cold_servers_accept_no_items() {
     let at = |temperature| {
         let load = LoadSummary {
             temperature,
             ..load(0, 0)
         };
-        room(8, &load)
+        capacity(8, &load)
     };
-    // Nobody follows the temperature where there is no bound.
+    // Without a temperature limit, the temperature is not tracked.
     let warm = [None, Some(Temperature::Warm)].map(at);
     expect_that!(warm, each(eq(7)));
     let other = [
@@ -68,8 +68,8 @@
 }
 
 #[gtest]
-fn an_item_goes_back_to_its_server_unless_that_one_is_busier() {
-    let server = |id, online| ServerRoom {
+fn prefers_last_server_unless_busier() {
+    let server = |id, online| ServerCapacity {
         id,
         zone: "north",
         slots: 12,
@@ -77,11 +77,11 @@
     };
     let servers = [server("a", 0), server("b", 0)];
     for last in ["a", "b"] {
-        let chosen = pick_server(&servers, "node", "north", Some(last)).map(|room| room.id);
+        let chosen = pick_server(&servers, "node", "north", Some(last)).map(|capacity| capacity.id);
         expect_that!(chosen, some(eq(last)));
     }
     let servers = [server("a", 9), server("b", 0)];
-    let chosen = pick_server(&servers, "node", "north", Some("a")).map(|room| room.id);
+    let chosen = pick_server(&servers, "node", "north", Some("a")).map(|capacity| capacity.id);
     expect_that!(chosen, some(eq("b")));
     let servers = [server("a", 11), server("b", 12)];
     expect_that!(
@@ -91,7 +91,7 @@
 }
 
 #[gtest]
-fn items_that_can_be_in_time_go_before_those_that_cannot() {
+fn on_time_items_rank_before_late_ones() {
     let mut ranks = [
         rank(9_000, 2_000, 10_000, 0),
         rank(15_000, 2_000, 10_000, 0),
@@ -103,7 +103,7 @@
 }
 
 #[gtest]
-fn among_items_in_time_the_higher_priority_goes_first() {
+fn priority_orders_on_time_items() {
     let mut ranks = [
         rank(12_500, 2_000, 10_000, 2),
         rank(15_000, 2_000, 10_000, 0),
@@ -115,23 +115,23 @@
 }
 
 #[gtest]
-fn the_estimate_follows_what_runs_took() {
+fn estimate_follows_recorded_runs() {
     let mut estimate = RunEstimate::default();
     for _ in 0..200 {
-        estimate.note_events(100);
-        estimate.note_run(100, 1_000);
+        estimate.record_events(100);
+        estimate.record_run(100, 1_000);
     }
     let near = |ms: u64, expected: u64| ms.abs_diff(expected) <= 5;
     expect_that!(near(estimate.remaining_ms(0), 1_000), eq(true));
     expect_that!(near(estimate.remaining_ms(60), 400), eq(true));
-    // An item that goes on for longer than others still needs some time.
+    // An item that has exceeded the average still has some estimated time left.
     expect_that!(estimate.remaining_ms(150), ge(50));
-    estimate.note_run(0, 5_000);
+    estimate.record_run(0, 5_000);
     expect_that!(near(estimate.remaining_ms(0), 1_000), eq(true));
 }
 
 #[gtest]
-fn listed_items_are_told_apart() {
+fn listed_items_bitmap() {
     let mut row = JobRow::default();
     for item in [0, 9, 199] {
         row.listed_items = row.with_listed(item);
@@ -141,31 +141,31 @@
 }
 
 #[gtest]
-fn a_job_is_claimed_only_on_firm_ground() {
-    let claims = |owner, suspected, steady| {
-        may_claim(Ground {
+fn claim_requires_stable_observer() {
+    let claims = |owner, suspected, stable_for| {
+        may_claim(ClaimContext {
             owner,
-            suspected: Duration::from_millis(suspected),
-            steady: Duration::from_millis(steady),
-            answered: true,
-            taken: None,
+            suspected_for: Duration::from_millis(suspected),
+            stable_for: Duration::from_millis(stable_for),
+            store_reachable: true,
+            since_lost: None,
         })
     };
-    // Given back: at once.
+    // A released job is claimed at once.
     expect_that!(claims(None, 0, 0), eq(true));
-    // Another process has the name: as soon as rows that cross are ruled out.
+    // The owner's process was replaced: claimed once row updates in transit are ruled out.
     let replaced = Some(PeerStatus::Replaced);
     expect_that!(
         (claims(replaced, 100, 9_000), claims(replaced, 300, 0)),
         eq((false, true))
     );
-    // Silence counts only for a node that was not itself paused a moment ago.
+    // An owner that is down: only if this node has not stalled recently.
     let down = Some(PeerStatus::Down);
     expect_that!(
         (claims(down, 300, 500), claims(down, 300, 1_000)),
         eq((false, true))
     );
-    // After an outage of the store every node seems cut off to the others for a while.
+    // An isolated owner: after a store outage every node appears isolated to the others for a while.
     let isolated = Some(PeerStatus::Isolated);
     expect_that!(
         (claims(isolated, 900, 1_500), claims(isolated, 900, 2_500)),
@@ -177,62 +177,62 @@
 }
 
 #[gtest]
-fn no_claims_to_and_fro() {
-    let ground = Ground {
+fn lost_job_is_not_reclaimed_at_once() {
+    let context = ClaimContext {
         owner: Some(PeerStatus::Down),
-        suspected: Duration::from_secs(3),
-        steady: Duration::from_secs(3),
-        answered: true,
-        taken: None,
+        suspected_for: Duration::from_secs(3),
+        stable_for: Duration::from_secs(3),
+        store_reachable: true,
+        since_lost: None,
     };
-    expect_that!(may_claim(ground), eq(true));
-    // Cut off from the store, a node's calls are passed on, but what it hears says little.
+    expect_that!(may_claim(context), eq(true));
+    // Without the store, a node's view of the owner is unreliable.
     expect_that!(
-        may_claim(Ground {
-            answered: false,
-            ..ground
+        may_claim(ClaimContext {
+            store_reachable: false,
+            ..context
         }),
         eq(false)
     );
-    let taken = |ms| Ground {
-        taken: Some(Duration::from_millis(ms)),
-        ..ground
+    let since_lost = |ms| ClaimContext {
+        since_lost: Some(Duration::from_millis(ms)),
+        ..context
     };
-    expect_that!(may_claim(taken(1_000)), eq(false));
-    expect_that!(may_claim(taken(6_000)), eq(true));
-    // A new life under the owner's name has lost the job for certain.
-    let replaced = Ground {
+    expect_that!(may_claim(since_lost(1_000)), eq(false));
+    expect_that!(may_claim(since_lost(6_000)), eq(true));
+    // A new process under the owner's name no longer owns the job.
+    let replaced = ClaimContext {
         owner: Some(PeerStatus::Replaced),
-        ..taken(1_000)
+        ..since_lost(1_000)
     };
     expect_that!(may_claim(replaced), eq(true));
 }
 
 #[gtest]
-fn slow_servers_are_not_filled() {
+fn slow_servers_reserve_more_slots() {
     let at = |percent| LoadSummary {
         lasting_pace: Pace::of_percent(percent).unwrap_or_default(),
         ..load(2, 2)
     };
     expect_that!(
-        [70, 100, 300].map(|percent| room(8, &at(percent))),
+        [70, 100, 300].map(|percent| capacity(8, &at(percent))),
         eq([3, 3, 1])
     );
 }
 
 #[gtest]
-fn slow_but_idle() {
-    // Small servers of any pace take some items, or those of a service of slow servers would wait for ever.
+fn idle_slow_servers_accept_items() {
+    // Otherwise items of a service that has only slow servers would never run.
     let idle = LoadSummary {
         lasting_pace: Pace::of_percent(800).unwrap_or_default(),
         ..load(0, 0)
     };
-    expect_that!([2, 4, 8].map(|slots| room(slots, &idle)), eq([1, 2, 4]));
+    expect_that!([2, 4, 8].map(|slots| capacity(slots, &idle)), eq([1, 2, 4]));
 }
 
 #[gtest]
-fn items_go_where_work_is_fast() {
-    let at = |id, batch, percent| ServerRoom {
+fn prefers_faster_servers() {
+    let at = |id, batch, percent| ServerCapacity {
         id,
         zone: "north",
         slots: 8,
@@ -244,7 +244,7 @@
     let servers = [at("slow", 1, 300), at("fast", 4, 100)];
     let chosen = pick_server(&servers, "front-a", "north", None).map(|server| server.id);
     expect_that!(chosen, some(eq("fast")));
-    // A slow one with room is used once the others have none.
+    // A slow server is used once the fast ones are full.
     let servers = [at("slow", 1, 300), at("fast", 7, 100)];
     let chosen = pick_server(&servers, "front-a", "north", None).map(|server| server.id);
     expect_that!(chosen, some(eq("slow")));
--- a/crates/jobs/tests/regions.rs
+++ b/crates/jobs/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Jobs and items where nodes and servers stand in several regions.
+//! Claims and item placement in a deployment with several regions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,17 +8,17 @@
     Heartbeat, LoadSummary, NodeRow, PeerStatus, PeerTable, TableSink, Ways, Worker,
 };
 use dappleyard_jobs::{
-    Ground, JobRow, ServerRoom, may_claim, may_claim_away, preferred, within_reach,
+    ClaimContext, JobRow, ServerCapacity, may_claim, may_claim_remote, prefer_local_region,
+    preferred_worker,
 };
 use dappleyard_model::{EventLog, Places, RegionName, Row, ZoneName};
 use googletest::prelude::*;
 use prost::Message;
 
 const REGIONS: [&str; 3] = ["a", "b", "c"];
-/// Nodes of a fleet in which not every node hears every other.
+/// Large enough that not every node exchanges heartbeats with every other one.
 const NODES: usize = 30;
-/// Time between two heartbeats.
-const BEAT: Duration = Duration::from_millis(150);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 fn zone(number: usize) -> String {
     format!("{}1", REGIONS[number % 3])
@@ -39,9 +39,9 @@
     format!("node-{number}")
 }
 
-/// What one node believes of the others.
-fn table(own: usize) -> PeerTable {
-    let table = PeerTable::new(&name(own), &zone(own), Arc::new(EventLog::silent()));
+/// Peer table of one node that knows the rows of all nodes.
+fn peer_table(own: usize) -> PeerTable {
+    let peer_table = PeerTable::new(&name(own), &zone(own), Arc::new(EventLog::silent()));
     for number in 0..NODES {
         let row = NodeRow {
             life: 1,
@@ -49,28 +49,29 @@
             peer: format!("10.0.0.{number}:2"),
             ..NodeRow::default()
         };
-        table.change(Row {
+        peer_table.change(Row {
             part: String::new(),
             key: name(number),
             value: Some(Bytes::from(row.encode_to_vec())),
             revision: 1,
         });
     }
-    table
+    peer_table
 }
 
-/// Lets time pass in which nodes hear some others; the store has not answered some of these.
-async fn hear(
+/// Advances time while the tables receive heartbeats of the nodes for which `is_heard` holds; those for which
+/// `isolated` holds report that they have lost the store.
+async fn deliver_heartbeats(
     tables: &[&PeerTable],
     beats: std::ops::Range<u64>,
-    hears: impl Fn(usize) -> bool,
+    is_heard: impl Fn(usize) -> bool,
     isolated: impl Fn(usize) -> bool,
 ) {
     for beat in beats {
-        tokio::time::sleep(BEAT).await;
-        for number in (0..NODES).filter(|number| hears(*number)) {
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+        for number in (0..NODES).filter(|number| is_heard(*number)) {
             let store_age_ms = match isolated(number) {
-                true => (beat * BEAT.as_millis() as u64) as u32,
+                true => (beat * HEARTBEAT_INTERVAL.as_millis() as u64) as u32,
                 false => 50,
             };
             let heartbeat = Heartbeat {
@@ -81,18 +82,18 @@
                 sequence: beat,
                 ..Heartbeat::default()
             };
-            for table in tables {
-                table.heard(&heartbeat);
+            for peer_table in tables {
+                peer_table.heard(&heartbeat);
             }
         }
     }
 }
 
-/// The nodes that a node takes for those that should take some jobs of region "b" over.
-fn choices(table: &PeerTable, own: usize) -> Vec<Worker> {
-    let (workers, ways) = (table.workers(true), ways(&zone(own)));
+/// Preferred workers, as seen by one node, for jobs of region "b".
+fn preferred_workers(peer_table: &PeerTable, own: usize) -> Vec<Worker> {
+    let (workers, ways) = (peer_table.workers(true), ways(&zone(own)));
     let choice = |job: usize| {
-        let chosen = preferred(&format!("job-{job}"), &workers, |zone| {
+        let chosen = preferred_worker(&format!("job-{job}"), &workers, |zone| {
             ways.is_in(zone, "b")
         });
         chosen.expect("a worker").clone()
@@ -100,79 +101,80 @@
     (0..20).map(choice).collect()
 }
 
-/// Whether all of some nodes are of region "b", or none is.
-fn all_of_region(chosen: &[Worker], wanted: bool) -> bool {
-    chosen.iter().all(|worker| (worker.zone == "b1") == wanted)
+/// Whether all nodes are in region "b" (`in_region` is true) or none is.
+fn all_in_region_b(chosen: &[Worker], in_region: bool) -> bool {
+    chosen
+        .iter()
+        .all(|worker| (worker.zone == "b1") == in_region)
 }
 
-fn ground(owner: PeerStatus) -> Ground {
-    Ground {
+fn context(owner: PeerStatus) -> ClaimContext {
+    ClaimContext {
         owner: Some(owner),
-        suspected: Duration::from_secs(1),
-        steady: Duration::from_secs(10),
-        answered: true,
-        taken: None,
+        suspected_for: Duration::from_secs(1),
+        stable_for: Duration::from_secs(10),
+        store_reachable: true,
+        since_lost: None,
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_is_taken_over_in_its_region() {
-    let tables = [0, 1, 2].map(table);
-    // One node of the region is lost.
-    hear(&tables.each_ref(), 1..30, |number| number != 4, |_| false).await;
-    for (own, table) in tables.iter().enumerate() {
-        assert_that!(table.status(&name(4), 1), eq(PeerStatus::Down));
-        let chosen = choices(table, own);
-        assert_that!(all_of_region(&chosen, true), eq(true));
-        assert_that!(chosen, eq(&choices(&tables[0], 0)));
+async fn prefers_workers_of_home_region() {
+    let tables = [0, 1, 2].map(peer_table);
+    // One node of region "b" is down.
+    deliver_heartbeats(&tables.each_ref(), 1..30, |number| number != 4, |_| false).await;
+    for (own, peer_table) in tables.iter().enumerate() {
+        assert_that!(peer_table.status(&name(4), 1), eq(PeerStatus::Down));
+        let chosen = preferred_workers(peer_table, own);
+        assert_that!(all_in_region_b(&chosen, true), eq(true));
+        assert_that!(chosen, eq(&preferred_workers(&tables[0], 0)));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_region_that_is_cut_off_is_stood_in_for() {
+async fn other_regions_replace_unreachable_region() {
     let of_region = |number: usize| number % 3 == 1;
-    // From the other nodes, from the store, and from both.
+    // Region "b" is partitioned from the other nodes, from the store, or from both.
     let cuts: [(bool, bool, PeerStatus); 3] = [
         (true, false, PeerStatus::Down),
         (false, true, PeerStatus::Isolated),
         (true, true, PeerStatus::Down),
     ];
     for (nodes, store, expected) in cuts {
-        let (one, other) = (table(0), table(2));
-        let hears = |number| !(nodes && of_region(number));
-        hear(&[&one, &other], 1..30, hears, |number| {
+        let (one, other) = (peer_table(0), peer_table(2));
+        let is_heard = |number| !(nodes && of_region(number));
+        deliver_heartbeats(&[&one, &other], 1..30, is_heard, |number| {
             store && of_region(number)
         })
         .await;
         for held in [&one, &other] {
             assert_that!(held.status(&name(1), 1), eq(expected));
         }
-        assert_that!(may_claim(ground(expected)), eq(true));
-        let chosen = choices(&one, 0);
-        // Those that are left agree on some of them.
-        assert_that!(chosen, eq(&choices(&other, 2)));
-        assert_that!(all_of_region(&chosen, false), eq(true));
-        // Once the region is heard and served again, its jobs go to it again.
-        hear(&[&one], 30..34, |_| true, |_| false).await;
-        assert_that!(all_of_region(&choices(&one, 0), true), eq(true));
+        assert_that!(may_claim(context(expected)), eq(true));
+        let chosen = preferred_workers(&one, 0);
+        // The remaining nodes agree on the replacements.
+        assert_that!(chosen, eq(&preferred_workers(&other, 2)));
+        assert_that!(all_in_region_b(&chosen, false), eq(true));
+        // Once the region is reachable again, it is preferred again.
+        deliver_heartbeats(&[&one], 30..34, |_| true, |_| false).await;
+        assert_that!(all_in_region_b(&preferred_workers(&one, 0), true), eq(true));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn inside_a_region_cut_off_from_the_store_nothing_is_claimed() {
-    let table = table(1);
-    hear(&[&table], 1..30, |number| number % 3 == 1, |_| true).await;
-    // Nobody else is heard, but the store does not answer this node either.
-    let cut = Ground {
-        answered: false,
-        ..ground(PeerStatus::Down)
+async fn no_claims_without_store() {
+    let peer_table = peer_table(1);
+    deliver_heartbeats(&[&peer_table], 1..30, |number| number % 3 == 1, |_| true).await;
+    let cut = ClaimContext {
+        store_reachable: false,
+        ..context(PeerStatus::Down)
     };
-    assert_that!(table.status(&name(0), 1), eq(PeerStatus::Down));
+    assert_that!(peer_table.status(&name(0), 1), eq(PeerStatus::Down));
     assert_that!(may_claim(cut), eq(false));
 }
 
 #[gtest]
-fn rows_of_one_region_are_as_before() {
+fn rows_without_region_keep_encoding() {
     let row = JobRow {
         route: "r".to_owned(),
         ..JobRow::default()
@@ -183,8 +185,8 @@
     expect_that!(read.region, none());
 }
 
-fn server(id: &'static str, zone: &'static str, load: LoadSummary) -> ServerRoom<'static> {
-    ServerRoom {
+fn server(id: &'static str, zone: &'static str, load: LoadSummary) -> ServerCapacity<'static> {
+    ServerCapacity {
         id,
         zone,
         slots: 8,
@@ -199,35 +201,38 @@
     }
 }
 
-fn reach(near: LoadSummary) -> Vec<&'static str> {
+fn server_ids_in_reach(near: LoadSummary) -> Vec<&'static str> {
     let servers = vec![server("near", "a2", near), server("far", "b1", online(0))];
-    let reach = within_reach(servers, &ways("a1"));
-    reach.into_iter().map(|server| server.id).collect()
+    let server_ids_in_reach = prefer_local_region(servers, &ways("a1"));
+    server_ids_in_reach
+        .into_iter()
+        .map(|server| server.id)
+        .collect()
 }
 
 #[gtest]
-fn items_run_in_their_region_while_it_has_room() {
-    expect_that!(reach(online(6)), eq(&["near"]));
-    expect_that!(reach(online(7)), eq(&["near", "far"]));
-    let dark = LoadSummary {
+fn local_region_is_preferred_while_it_has_capacity() {
+    expect_that!(server_ids_in_reach(online(6)), eq(&["near"]));
+    expect_that!(server_ids_in_reach(online(7)), eq(&["near", "far"]));
+    let unresponsive = LoadSummary {
         suspect: true,
         ..LoadSummary::default()
     };
-    expect_that!(reach(dark), eq(&["near", "far"]));
+    expect_that!(server_ids_in_reach(unresponsive), eq(&["near", "far"]));
 }
 
 #[gtest]
-fn items_of_one_region_go_anywhere() {
+fn all_servers_in_reach_without_regions() {
     let servers = vec![
         server("near", "a2", online(6)),
         server("far", "b1", online(0)),
     ];
-    let reach = within_reach(servers, &Ways::within("a1"));
-    expect_that!(reach.len(), eq(2));
+    let server_ids_in_reach = prefer_local_region(servers, &Ways::within("a1"));
+    expect_that!(server_ids_in_reach.len(), eq(2));
 }
 
 #[gtest]
-fn a_node_that_has_just_begun_leaves_jobs_to_their_region() {
-    expect_that!(may_claim_away(Duration::from_millis(1_500)), eq(false));
-    expect_that!(may_claim_away(Duration::from_millis(2_500)), eq(true));
+fn new_node_claims_no_remote_jobs() {
+    expect_that!(may_claim_remote(Duration::from_millis(1_500)), eq(false));
+    expect_that!(may_claim_remote(Duration::from_millis(2_500)), eq(true));
 }
--- a/crates/jobs/tests/zones.rs
+++ b/crates/jobs/tests/zones.rs
@@ -1,18 +1,18 @@
-//! Who takes jobs over while a zone is lost, and while one is cut off.
+//! Job claims while a zone has failed or is partitioned.
 
 use std::time::Duration;
 
 use dappleyard_cluster::PeerStatus;
-use dappleyard_jobs::{Ground, may_claim};
+use dappleyard_jobs::{ClaimContext, may_claim};
 use googletest::prelude::*;
 
-/// A node that has run and been answered by the store for long.
-const STEADY: Ground = Ground {
+/// A node that has been stable for long; the owner of the job is alive.
+const STABLE: ClaimContext = ClaimContext {
     owner: Some(PeerStatus::Ready),
-    suspected: Duration::ZERO,
-    steady: Duration::from_secs(60),
-    answered: true,
-    taken: None,
+    suspected_for: Duration::ZERO,
+    stable_for: Duration::from_secs(60),
+    store_reachable: true,
+    since_lost: None,
 };
 
 const fn ms(ms: u64) -> Duration {
@@ -20,53 +20,53 @@
 }
 
 #[gtest]
-fn lost_zone() {
-    // As long as its owner is believed to live, a job stays.
-    expect_that!(may_claim(STEADY), eq(false));
-    let lost = |suspected| Ground {
+fn jobs_of_a_failed_zone_are_claimed() {
+    // A job whose owner is alive is not claimed.
+    expect_that!(may_claim(STABLE), eq(false));
+    let lost = |suspected| ClaimContext {
         owner: Some(PeerStatus::Down),
-        suspected: ms(suspected),
-        ..STEADY
+        suspected_for: ms(suspected),
+        ..STABLE
     };
-    // Then it is taken over at once by the node that is chosen among those alive.
+    // Once the owner has been down for the minimum time, the job is claimed.
     expect_that!(
         [0, 200, 250].map(|suspected| may_claim(lost(suspected))),
         eq([false, false, true])
     );
-    // The machines come back: the process that owned the job is gone for certain.
-    let replaced = Ground {
+    // After a restart, the process that owned the job is known to be gone.
+    let replaced = ClaimContext {
         owner: Some(PeerStatus::Replaced),
-        suspected: ms(250),
-        ..STEADY
+        suspected_for: ms(250),
+        ..STABLE
     };
     expect_that!(may_claim(replaced), eq(true));
 }
 
 #[gtest]
-fn cut_zone() {
-    // Whoever is cut off from the store as well takes nothing, however long it hears nobody.
-    let within = Ground {
+fn partitioned_zone_claims_nothing() {
+    // A node that has lost the store claims nothing, however long it hears from no peer.
+    let partitioned = ClaimContext {
         owner: Some(PeerStatus::Down),
-        suspected: ms(4_000),
-        steady: Duration::ZERO,
-        answered: false,
-        ..STEADY
+        suspected_for: ms(4_000),
+        stable_for: Duration::ZERO,
+        store_reachable: false,
+        ..STABLE
     };
-    expect_that!(may_claim(within), eq(false));
-    // The store answers again before the other zones are heard: that silence says nothing for a second.
-    let healed = |steady| Ground {
-        steady: ms(steady),
-        answered: true,
-        ..within
+    expect_that!(may_claim(partitioned), eq(false));
+    // If the store recovers before the peers are heard again, their silence is ignored for a second.
+    let healed = |stable_for| ClaimContext {
+        stable_for: ms(stable_for),
+        store_reachable: true,
+        ..partitioned
     };
     expect_that!(
-        [0, 900, 1_000].map(|steady| may_claim(healed(steady))),
+        [0, 900, 1_000].map(|stable_for| may_claim(healed(stable_for))),
         eq([false, false, true])
     );
-    // What was taken from it meanwhile is not taken back.
-    let taken = Ground {
-        taken: Some(ms(3_000)),
+    // A job that was claimed by another node in the meantime is not reclaimed.
+    let since_lost = ClaimContext {
+        since_lost: Some(ms(3_000)),
         ..healed(2_000)
     };
-    expect_that!(may_claim(taken), eq(false));
+    expect_that!(may_claim(since_lost), eq(false));
 }
