--- a/crates/crashes/src/ledger.rs
+++ b/crates/crashes/src/ledger.rs
@@ -6,11 +6,11 @@
 use dappleyard_clock::Instant;
 
 use crate::fingerprint::Fingerprint;
-use crate::losses::Losses;
+use crate::gossip::TELLINGS;
 use crate::messages::CrashRecord;
+use crate::recently_served::RecentlyServed;
 use crate::record::{MOST_ENDED, Record};
-use crate::served::Served;
-use crate::telling::TELLINGS;
+use crate::server_failures::ServerFailures;
 
 /// Requests that are held. Each one cost a server, or stood beside one that did: 7,900 servers with 26 requests
 /// each, of which every fiftieth ends in the same minutes. About 1 MB.
@@ -77,9 +77,9 @@
     /// Servers at which this node runs requests, known or not.
     pub(crate) running: HashMap<Fingerprint, Vec<String>>,
     /// Requests that were served lately.
-    served: Served,
+    served: RecentlyServed,
     /// Servers that ended lately.
-    losses: Losses,
+    server_failures: ServerFailures,
     /// How often changes are still to be told.
     pub(crate) untold: HashMap<Fingerprint, u8>,
     pub(crate) repeated: Option<Fingerprint>,
@@ -95,8 +95,8 @@
             sequence: 0,
             records: BTreeMap::new(),
             running: HashMap::new(),
-            served: Served::default(),
-            losses: Losses::default(),
+            served: RecentlyServed::default(),
+            server_failures: ServerFailures::default(),
             untold: HashMap::new(),
             repeated: None,
             unstored: BTreeSet::new(),
@@ -108,7 +108,7 @@
         let Some(record) = self.records.get(request) else {
             return Permit::Free;
         };
-        let counted = record.counted(&self.losses);
+        let counted = record.counted(&self.server_failures);
         if counted == 0 && !record.is_in_doubt(now) {
             return Permit::Free;
         }
@@ -163,7 +163,7 @@
     /// and its new entry has not come yet: this start has no identifier that is known, but it is another one.
     pub fn start_that_ran(&self, server: &str, began: Instant) -> String {
         let has_ended = |start: &str| {
-            let ended = self.losses.ended_at(start);
+            let ended = self.server_failures.ended_at(start);
             ended.is_some_and(|ended| began > ended + ENDS_APART)
         };
         let mut start = server.to_owned();
@@ -183,7 +183,7 @@
     ) -> Noted {
         self.make_room(request);
         let was_refused = self.is_refused(request);
-        self.losses.note(server, now);
+        self.server_failures.note(server, now);
         let record = self.records.entry(*request);
         let record = record.or_insert_with(|| Record::new(now));
         record.seen_here = true;
@@ -221,7 +221,7 @@
     /// Whether a request runs no more.
     fn is_refused(&self, request: &Fingerprint) -> bool {
         let record = self.records.get(request);
-        record.is_some_and(|record| record.counted(&self.losses) >= MOST_ENDED)
+        record.is_some_and(|record| record.counted(&self.server_failures) >= MOST_ENDED)
     }
 
     /// Notes whether this node served a request a moment before the first server ended under it.
@@ -264,7 +264,7 @@
     pub fn last_run_servers(&self, but: &Fingerprint, now: Instant) -> HashSet<String> {
         let others = self.records.iter();
         let others = others.filter(|(request, record)| {
-            *request != but && record.counted(&self.losses) + 1 == MOST_ENDED
+            *request != but && record.counted(&self.server_failures) + 1 == MOST_ENDED
         });
         let mut servers = HashSet::new();
         for (request, record) in others {
@@ -297,7 +297,7 @@
         let record = record.or_insert_with(|| Record::new(seen.unwrap_or(now)));
         let (is_new, seen_here) = (record.merge(told, own, now), record.seen_here);
         for end in &record.ended {
-            self.losses.note(&end.server, end.at);
+            self.server_failures.note(&end.server, end.at);
         }
         self.note_served_before(&request);
         let merged = Merged {
--- a/crates/crashes/src/lib.rs
+++ b/crates/crashes/src/lib.rs
@@ -5,13 +5,13 @@
 //! the ledger as the threads of a node share it. Nothing here performs I/O.
 
 mod fingerprint;
+mod gossip;
 mod ledger;
-mod losses;
 mod messages;
+mod recently_served;
 mod record;
-mod served;
+mod server_failures;
 mod table;
-mod telling;
 
 pub use fingerprint::{Fingerprint, RequestParts};
 pub use ledger::{Held, KEPT_REFUSED, Ledger, Merged, Noted, Permit};
--- a/crates/crashes/src/served.rs
+++ b/crates/crashes/src/recently_served.rs
@@ -15,12 +15,12 @@
 
 /// Requests that were served lately, the newest and those before them.
 #[derive(Default)]
-pub(crate) struct Served {
+pub(crate) struct RecentlyServed {
     newer: HashMap<Fingerprint, Instant>,
     older: HashMap<Fingerprint, Instant>,
 }
 
-impl Served {
+impl RecentlyServed {
     /// Notes that a request was served.
     pub(crate) fn note(&mut self, request: Fingerprint, now: Instant) {
         if self.newer.len() >= GENERATION {
--- a/crates/crashes/src/record.rs
+++ b/crates/crashes/src/record.rs
@@ -5,8 +5,8 @@
 
 use dappleyard_clock::Instant;
 
-use crate::losses::Losses;
 use crate::messages::{CrashRecord, RunsOf};
+use crate::server_failures::ServerFailures;
 
 /// Servers that may end under one request. The bound of the users' rules; a request that reaches it runs no more.
 pub const MOST_ENDED: usize = 3;
@@ -100,13 +100,13 @@
     /// Ends that count towards [`MOST_ENDED`]: each server but for some that were lost together with others after they had
     /// brought output, or each moment at which servers ended. A request that was served a moment before does not crash every server: several
     /// that end at once under copies of it were lost together too.
-    pub(crate) fn counted(&self, losses: &Losses) -> usize {
+    pub(crate) fn counted(&self, server_failures: &ServerFailures) -> usize {
         let own: Vec<&str> = self.ended.iter().map(|end| end.server.as_str()).collect();
         let mut excused = 0;
         let counts = |end: &&End| {
             let excuses = excused < MOST_EXCUSED
                 && end.brought_output
-                && losses.is_one_of_many(&end.server, &own);
+                && server_failures.is_one_of_many(&end.server, &own);
             excused += usize::from(excuses);
             !excuses
         };
--- a/crates/crashes/src/losses.rs
+++ b/crates/crashes/src/server_failures.rs
@@ -15,12 +15,12 @@
 
 /// Servers that ended lately, by time.
 #[derive(Default)]
-pub(crate) struct Losses {
+pub(crate) struct ServerFailures {
     by_server: HashMap<String, Instant>,
     by_time: BTreeSet<(Instant, String)>,
 }
 
-impl Losses {
+impl ServerFailures {
     /// Notes that a server was seen to end.
     pub(crate) fn note(&mut self, server: &str, at: Instant) {
         if self.by_server.contains_key(server) {
