--- a/crates/crashes/src/fingerprint.rs
+++ b/crates/crashes/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two tries the same request.
+//! Request fingerprints, which identify retries of the same request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,25 +6,23 @@
 use derive_more::{Display, Error};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint. Half of a SHA-256: nobody finds a second request for one, and that is all an attacker would
-/// gain by, since the caller's name is part of it.
+/// Length of a fingerprint in bytes. Half a SHA-256 digest is enough against second preimages; the caller's name is
+/// part of the input, so an attacker cannot target requests of others with a collision.
 const BYTES: usize = 16;
-/// Digits that are enough to tell fingerprints apart in a record.
+/// Hexadecimal digits of the short form for logs.
 const SHORT_DIGITS: usize = 16;
 
-/// What a fingerprint is made of. The identifier of the try and the other headers are left out: a caller that comes
-/// again sends a new identifier, and could send new headers.
+/// Input of a fingerprint. The request identifier and the other headers are left out, since a retry has a new
+/// identifier and a caller could change the headers.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestParts<'a> {
-    /// Name of the tenant; empty when there is none.
+    /// Name of the tenant; empty if there is none.
     pub caller: &'a str,
-    /// Method.
     pub method: &'a str,
-    /// Host that the request is for, in any case.
+    /// Host of the request; case is ignored.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Body.
     pub body: &'a [u8],
 }
 
@@ -32,19 +30,19 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; BYTES]);
 
-/// A text is no fingerprint.
+/// A string is not a valid fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("a fingerprint has {} hexadecimal digits", 2 * BYTES)]
-pub struct NoFingerprint;
+pub struct ParseFingerprintError;
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let host = parts.host.to_ascii_lowercase();
         let mut digest = Sha256::new();
         let texts = [parts.caller, parts.method, &host, parts.target];
         for part in texts.map(str::as_bytes).into_iter().chain([parts.body]) {
-            // The length stands before each part, so that no two divisions of the same bytes are alike.
+            // Length prefixes make the encoding unambiguous.
             digest.update((part.len() as u64).to_be_bytes());
             digest.update(part);
         }
@@ -53,12 +51,12 @@
         Self(bytes)
     }
 
-    /// The first digits, for records.
+    /// The first digits, for logs.
     pub fn short(&self) -> String {
         self.to_string()[..SHORT_DIGITS].to_owned()
     }
 
-    /// A number that spreads requests over servers.
+    /// The first 8 bytes as a number, to distribute requests over servers.
     pub fn number(&self) -> u64 {
         self.0
             .iter()
@@ -71,7 +69,7 @@
         &self.0
     }
 
-    /// The fingerprint with these bytes; `None` when their number is wrong.
+    /// Creates a fingerprint from its bytes; `None` if their number is wrong.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
@@ -91,16 +89,16 @@
 }
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         if text.len() != 2 * BYTES || !text.is_ascii() {
-            return Err(NoFingerprint);
+            return Err(ParseFingerprintError);
         }
         let mut bytes = [0; BYTES];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * at..2 * at + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| NoFingerprint)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseFingerprintError)?;
         }
         Ok(Self(bytes))
     }
--- a/crates/crashes/src/gossip.rs
+++ b/crates/crashes/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What one node tells the others of its ledger, and how often. Pure: time is an argument.
+//! Selects the records that a node sends to its peers. Pure functions; time is an argument.
 
 use std::ops::Bound;
 use std::time::Duration;
@@ -7,115 +7,118 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::ledger::Ledger;
-use crate::messages::{CrashNews, CrashRecord, RunsOf};
+use crate::messages::{CrashNews, CrashRecord, NodeRuns};
 use crate::record::MOST_ENDED;
 
-/// Times that a change is told: two messages in a row may be lost.
-pub(crate) const TELLINGS: u8 = 3;
-/// Changes of requests with one ended server that are not told within this time are not told any more: after a loss
-/// of many servers at once there are too many, and callers that come again have done so.
-const TELL_WITHIN: Duration = Duration::from_secs(10);
-/// Records told again in each round of repeats, for nodes that began or were cut off: 0.5 KB a second to each node.
-const RECORDS_REPEATED: usize = 2;
+/// Number of messages that carry a change, so that two messages in a row may be lost.
+pub(crate) const SENDS_PER_CHANGE: u8 = 3;
+/// Changes of requests with a single ended server are dropped if they are not sent within this time. After many
+/// servers end at once there are too many of them, and most retries have already happened.
+const MAX_UNSENT_AGE: Duration = Duration::from_secs(10);
+/// Refused and nearly refused records that each refresh resends, for nodes that have started or missed messages.
+const REFRESHED_RECORDS: usize = 2;
 
 impl Ledger {
-    /// What is to be told now, so many records at most; `repeats` too, those that were told before.
-    pub fn news(&mut self, repeats: bool, most: usize, now: Instant) -> CrashNews {
+    /// Returns the records to send now, at most `max_records`. With `refresh`, also resends records that were sent
+    /// before.
+    pub fn news(&mut self, refresh: bool, max_records: usize, now: Instant) -> CrashNews {
         let mut due: Vec<Fingerprint> = Vec::new();
         let records = &self.records;
-        self.untold.retain(|request, left| {
+        self.unsent.retain(|request, left| {
             let Some(record) = records.get(request) else {
                 return false;
             };
-            let late = now.saturating_duration_since(record.changed) >= TELL_WITHIN;
-            if late && record.ended.len() < 2 {
+            let expired = now.saturating_duration_since(record.changed) >= MAX_UNSENT_AGE;
+            if expired && record.ended.len() < 2 {
                 return false;
             }
-            if repeats || *left == TELLINGS {
+            if refresh || *left == SENDS_PER_CHANGE {
                 due.push(*request);
             }
             true
         });
-        // The request that has cost most is told first, then the newest.
+        // Requests with the most ended servers are sent first, then the most recent changes.
         due.sort_by_key(|request| {
             let record = &records[request];
             (std::cmp::Reverse(record.ended.len()), now - record.changed)
         });
-        due.truncate(most);
+        due.truncate(max_records);
         for request in &due {
-            self.count_telling(request);
+            self.count_send(request);
         }
-        if repeats {
-            due.extend(self.repeated_records());
-            due.extend(self.running_suspects(most));
+        if refresh {
+            due.extend(self.next_refreshed());
+            due.extend(self.running_suspects(max_records));
             due.sort_unstable();
             due.dedup();
         }
-        let told = due.iter().map(|request| self.message(request, now));
+        let records_sent = due.iter().map(|request| self.message(request, now));
         CrashNews {
-            records: told.collect(),
+            records: records_sent.collect(),
         }
     }
 
-    /// The record of a request as it is told.
+    /// The record of a request in the form in which it is sent.
     pub fn message(&self, request: &Fingerprint, now: Instant) -> CrashRecord {
         let Some(record) = self.records.get(request) else {
             return CrashRecord::default();
         };
         let mut message = record.message(request.as_bytes(), now);
-        // Nobody would tell of the end of runs that are no danger.
-        let matters = !record.ended.is_empty() || record.is_in_doubt(now);
-        let own = self.running.get(request).filter(|_| matters);
-        let own = own.cloned().unwrap_or_default();
-        message.runs.push(RunsOf {
-            node: self.own,
+        // The end of runs of an unsuspected request is not reported, so their start is not either.
+        let is_relevant = !record.ended.is_empty() || record.is_in_doubt(now);
+        let node_id = self.running.get(request).filter(|_| is_relevant);
+        let node_id = node_id.cloned().unwrap_or_default();
+        message.runs.push(NodeRuns {
+            node: self.node_id,
             sequence: self.sequence,
-            servers: own.into_iter().take(MOST_ENDED).collect(),
+            servers: node_id.into_iter().take(MOST_ENDED).collect(),
         });
         message
     }
 
-    /// The runs of a request under which a server ended have changed.
-    pub(crate) fn tell_runs(&mut self, request: &Fingerprint, now: Instant) {
+    /// Queues the changed runs of a request that is suspected or in doubt.
+    pub(crate) fn queue_runs(&mut self, request: &Fingerprint, now: Instant) {
         let known = self.records.get(request);
         if known.is_some_and(|record| !record.ended.is_empty() || record.is_in_doubt(now)) {
             self.sequence += 1;
-            self.untold.insert(*request, TELLINGS);
+            self.unsent.insert(*request, SENDS_PER_CHANGE);
         }
     }
 
-    fn count_telling(&mut self, request: &Fingerprint) {
-        let Some(left) = self.untold.get_mut(request) else {
+    fn count_send(&mut self, request: &Fingerprint) {
+        let Some(left) = self.unsent.get_mut(request) else {
             return;
         };
         *left -= 1;
         if *left == 0 {
-            self.untold.remove(request);
+            self.unsent.remove(request);
         }
     }
 
-    /// Requests under which servers ended that run here. Only this node makes its word of them newer: passed round by
-    /// others, the runs of a node that has gone would never end.
-    fn running_suspects(&mut self, most: usize) -> Vec<Fingerprint> {
+    /// Suspected requests that run on this node. Only this node increments the sequence number of its runs; if others
+    /// relayed them as new, the runs of a failed node would never expire.
+    fn running_suspects(&mut self, max_records: usize) -> Vec<Fingerprint> {
         let records = &self.records;
         let is_suspect = |request: &&Fingerprint| {
             let record = records.get(request);
             record.is_some_and(|record| !record.ended.is_empty())
         };
         let running = self.running.keys().filter(is_suspect);
-        let running: Vec<Fingerprint> = running.take(most).copied().collect();
+        let running: Vec<Fingerprint> = running.take(max_records).copied().collect();
         self.sequence += u64::from(!running.is_empty());
         running
     }
 
-    /// The next requests in turn that another server's end would make refused, or that are.
-    fn repeated_records(&mut self) -> Vec<Fingerprint> {
-        let from = self.repeated.map_or(Bound::Unbounded, Bound::Excluded);
+    /// The next refused requests, or requests that one more end would refuse, in round-robin order.
+    fn next_refreshed(&mut self) -> Vec<Fingerprint> {
+        let from = self
+            .last_refreshed
+            .map_or(Bound::Unbounded, Bound::Excluded);
         let later = self.records.range((from, Bound::Unbounded));
-        let matter = later.filter(|(_, record)| record.ended.len() + 1 >= MOST_ENDED);
-        let next = matter.map(|(request, _)| *request);
-        let next: Vec<Fingerprint> = next.take(RECORDS_REPEATED).collect();
-        self.repeated = next.last().copied();
+        let relevant = later.filter(|(_, record)| record.ended.len() + 1 >= MOST_ENDED);
+        let next = relevant.map(|(request, _)| *request);
+        let next: Vec<Fingerprint> = next.take(REFRESHED_RECORDS).collect();
+        self.last_refreshed = next.last().copied();
         next
     }
 }
--- a/crates/crashes/src/ledger.rs
+++ b/crates/crashes/src/ledger.rs
@@ -1,4 +1,4 @@
-//! All requests under which servers ended, as one node knows them. Pure: time is an argument.
+//! The crash records of all requests, as known to one node. Pure; time is an argument.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -6,131 +6,128 @@
 use dappleyard_clock::Instant;
 
 use crate::fingerprint::Fingerprint;
-use crate::gossip::TELLINGS;
+use crate::gossip::SENDS_PER_CHANGE;
 use crate::messages::CrashRecord;
 use crate::recently_served::RecentlyServed;
 use crate::record::{MOST_ENDED, Record};
 use crate::server_failures::ServerFailures;
 
-/// Requests that are held. Each one cost a server, or stood beside one that did: 7,900 servers with 26 requests
-/// each, of which every fiftieth ends in the same minutes. About 1 MB.
-const MOST_RECORDS: usize = 4_096;
-/// How long a request is held under which fewer servers ended than may: a caller that comes again does so within its
-/// own retries and those of people, minutes.
-const KEPT_SUSPECT: Duration = Duration::from_secs(600);
-/// How long a request is held that runs no more. After that it may cost three servers again.
+/// Limit on the records, about 1 MB. It covers the loss of one server in fifty in a fleet of 7,900 servers with 26
+/// requests each.
+const MAX_RECORDS: usize = 4_096;
+/// Retention of a suspect, a request with ended servers that is not refused. It covers automatic and manual retries.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
+/// Retention of a refused request, after which it may run again.
 pub const KEPT_REFUSED: Duration = Duration::from_secs(3_600);
 
-/// Stands behind the identifier of a start for the one after it, before that tells its own.
-const LATER_START: char = '+';
-/// A run that began so long after a server was seen to end ran on a later start of it. Nodes see one end up to 90 ms apart.
-const ENDS_APART: Duration = Duration::from_millis(200);
+/// Appended to the identifier of an ended incarnation to denote the next one, until that reports its own identifier.
+const RESTART_SUFFIX: char = '+';
+/// Nodes may observe the end of a server at times that differ by this much. A run that started later than this after
+/// an end ran on the next incarnation of the server.
+const OBSERVATION_SKEW: Duration = Duration::from_millis(200);
 
-/// What holds for the next run of a request.
+/// Decision on the next run of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permit {
-    /// It may run.
+    /// The request may run.
     Free,
-    /// It may run, and the next server that ends under it is the last one: it runs apart from others of which this
-    /// holds too, so that one of them does not answer for the other.
+    /// The request may run, but one more end will refuse it. It must not share a server with another request in this
+    /// state, so that the cause of an end is unambiguous.
     LastRun,
-    /// It may run once a run that is under way has ended.
+    /// The request may run once an active run has ended.
     Wait,
-    /// It runs no more.
+    /// The request is refused.
     Refused,
 }
 
-/// What the end of a server under a request came to.
+/// Result of recording the end of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Noted {
-    /// Servers that have ended under it.
+pub struct EndOutcome {
+    /// Number of servers that have ended while they ran the request.
     pub ended: usize,
-    /// It runs no more from now on.
+    /// Whether the request is refused from now on.
     pub now_refused: bool,
 }
 
-/// What a message brought.
+/// Result of merging a record.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Merged {
-    /// Something was not known.
+pub struct MergeOutcome {
+    /// Whether the record contained new information.
     pub is_new: bool,
-    /// The request runs no more from now on.
+    /// Whether the request is refused from now on.
     pub now_refused: bool,
 }
 
-/// A record as operators see it.
+/// A refused request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
-    /// The request.
+pub struct RefusedRequest {
     pub fingerprint: Fingerprint,
-    /// Servers that ended under it.
+    /// Servers that ended while they ran the request.
     pub ended: Vec<String>,
-    /// Time since the last of them was seen to end.
+    /// Time since the last end was observed.
     pub age: Duration,
 }
 
-/// All requests under which servers ended.
+/// The crash records of all requests.
 pub struct Ledger {
-    pub(crate) own: u64,
+    pub(crate) node_id: u64,
     pub(crate) sequence: u64,
     pub(crate) records: BTreeMap<Fingerprint, Record>,
-    /// Servers at which this node runs requests, known or not.
+    /// Servers on which this node runs requests, including unsuspected ones.
     pub(crate) running: HashMap<Fingerprint, Vec<String>>,
-    /// Requests that were served lately.
-    served: RecentlyServed,
-    /// Servers that ended lately.
+    recently_served: RecentlyServed,
     server_failures: ServerFailures,
-    /// How often changes are still to be told.
-    pub(crate) untold: HashMap<Fingerprint, u8>,
-    pub(crate) repeated: Option<Fingerprint>,
-    /// Requests that run no more, or do again, of which the store is still to learn from this node.
+    /// Changed records, with the number of sends that remain.
+    pub(crate) unsent: HashMap<Fingerprint, u8>,
+    pub(crate) last_refreshed: Option<Fingerprint>,
+    /// Requests that were refused or cleared, which this node must still write to the store.
     unstored: BTreeSet<Fingerprint>,
 }
 
 impl Ledger {
-    /// Nothing is known. `own` is the number of this node and life.
-    pub fn new(own: u64) -> Self {
+    /// Creates an empty ledger. `node_id` identifies this node and process incarnation.
+    pub fn new(node_id: u64) -> Self {
         Self {
-            own,
+            node_id,
             sequence: 0,
             records: BTreeMap::new(),
             running: HashMap::new(),
-            served: RecentlyServed::default(),
+            recently_served: RecentlyServed::default(),
             server_failures: ServerFailures::default(),
-            untold: HashMap::new(),
-            repeated: None,
+            unsent: HashMap::new(),
+            last_refreshed: None,
             unstored: BTreeSet::new(),
         }
     }
 
-    /// What holds for the next run of a request.
+    /// Decides on the next run of a request.
     pub fn permit(&self, request: &Fingerprint, now: Instant) -> Permit {
         let Some(record) = self.records.get(request) else {
             return Permit::Free;
         };
-        let counted = record.counted(&self.server_failures);
-        if counted == 0 && !record.is_in_doubt(now) {
+        let counted_ends = record.counted_ends(&self.server_failures);
+        if counted_ends == 0 && !record.is_in_doubt(now) {
             return Permit::Free;
         }
-        let own = self.running.get(request).map_or(0, Vec::len);
-        let under_way = own + record.told_servers(now).count();
-        if counted >= MOST_ENDED {
-            return match under_way == 0 && record.may_try_again(counted, now) {
+        let node_id = self.running.get(request).map_or(0, Vec::len);
+        let under_way = node_id + record.reported_servers(now).count();
+        if counted_ends >= MOST_ENDED {
+            return match under_way == 0 && record.may_retry(counted_ends, now) {
                 true => Permit::LastRun,
                 false => Permit::Refused,
             };
         }
-        // Each run under way may end its server.
-        if counted + under_way >= MOST_ENDED {
+        // Each active run may end its server.
+        if counted_ends + under_way >= MOST_ENDED {
             return Permit::Wait;
         }
-        match counted + 1 == MOST_ENDED {
+        match counted_ends + 1 == MOST_ENDED {
             true => Permit::LastRun,
             false => Permit::Free,
         }
     }
 
-    /// Begins a run at a server, unless it must wait or is refused.
+    /// Starts a run on a server, unless the request must wait or is refused.
     pub fn begin(&mut self, request: &Fingerprint, server: &str, now: Instant) -> Permit {
         let permit = self.permit(request, now);
         match permit {
@@ -142,11 +139,11 @@
         }
         let running = self.running.entry(*request).or_default();
         running.push(server.to_owned());
-        self.tell_runs(request, now);
+        self.queue_runs(request, now);
         permit
     }
 
-    /// A run at a server is over, however it ended.
+    /// Ends a run on a server, whatever its result.
     pub fn end(&mut self, request: &Fingerprint, server: &str, now: Instant) {
         if let Some(servers) = self.running.get_mut(request) {
             if let Some(at) = servers.iter().position(|running| running == server) {
@@ -156,32 +153,32 @@
                 self.running.remove(request);
             }
         }
-        self.tell_runs(request, now);
+        self.queue_runs(request, now);
     }
 
-    /// The start of a server that ran what began at a moment. A server that was seen to end before then has started again,
-    /// and its new entry has not come yet: this start has no identifier that is known, but it is another one.
-    pub fn start_that_ran(&self, server: &str, began: Instant) -> String {
+    /// Identifier of the server incarnation on which a run that began at the given time was running. If the known
+    /// incarnation ended before, the server has restarted but has not registered under its new identifier yet.
+    pub fn incarnation_that_ran(&self, server: &str, began: Instant) -> String {
         let has_ended = |start: &str| {
             let ended = self.server_failures.ended_at(start);
-            ended.is_some_and(|ended| began > ended + ENDS_APART)
+            ended.is_some_and(|ended| began > ended + OBSERVATION_SKEW)
         };
         let mut start = server.to_owned();
         while has_ended(&start) {
-            start.push(LATER_START);
+            start.push(RESTART_SUFFIX);
         }
         start
     }
 
-    /// A server ended while it ran a request; `brought_output` when the run had.
+    /// Records that a server ended while it ran a request; `brought_output` tells whether that run had produced output.
     pub fn note_ended(
         &mut self,
         request: &Fingerprint,
         server: &str,
         brought_output: bool,
         now: Instant,
-    ) -> Noted {
-        self.make_room(request);
+    ) -> EndOutcome {
+        self.evict_for(request);
         let was_refused = self.is_refused(request);
         self.server_failures.note(server, now);
         let record = self.records.entry(*request);
@@ -189,59 +186,62 @@
         record.seen_here = true;
         let ended = record.note_ended(server, now, brought_output);
         let servers = record.ended.len();
-        self.note_served_before(request);
-        let noted = Noted {
+        self.update_served_before(request);
+        let outcome = EndOutcome {
             ended: servers,
             now_refused: !was_refused && self.is_refused(request),
         };
         if ended {
-            self.untold.insert(*request, TELLINGS);
+            self.unsent.insert(*request, SENDS_PER_CHANGE);
         }
-        if noted.now_refused {
+        if outcome.now_refused {
             self.unstored.insert(*request);
         }
-        noted
+        outcome
     }
 
-    /// A run of a request had brought output for long when its server ended.
+    /// Records that a run had produced output for [`LONG_RUN`](crate::LONG_RUN) before its server ended.
     pub fn note_long_run(&mut self, request: &Fingerprint) {
         if let Some(record) = self.records.get_mut(request) {
             record.ran_long = true;
         }
     }
 
-    /// A run broke off, and whether its server ends is not known yet: runs under way count as ends that may come.
+    /// Records an interrupted run of which it is not yet known whether its server ended. Until that is known, active
+    /// runs count as potential ends.
     pub fn note_doubt(&mut self, request: &Fingerprint, now: Instant) {
-        self.make_room(request);
+        self.evict_for(request);
         let record = self.records.entry(*request);
-        record.or_insert_with(|| Record::new(now)).doubt(now);
-        self.tell_runs(request, now);
+        record
+            .or_insert_with(|| Record::new(now))
+            .mark_in_doubt(now);
+        self.queue_runs(request, now);
     }
 
-    /// Whether a request runs no more.
+    /// Whether a request has reached the limit of ended servers.
     fn is_refused(&self, request: &Fingerprint) -> bool {
         let record = self.records.get(request);
-        record.is_some_and(|record| record.counted(&self.server_failures) >= MOST_ENDED)
+        record.is_some_and(|record| record.counted_ends(&self.server_failures) >= MOST_ENDED)
     }
 
-    /// Notes whether this node served a request a moment before the first server ended under it.
-    fn note_served_before(&mut self, request: &Fingerprint) {
+    /// Updates whether this node completed the request shortly before the first end.
+    fn update_served_before(&mut self, request: &Fingerprint) {
         let Some(record) = self.records.get_mut(request) else {
             return;
         };
         let first = record.first_end();
         record.served_before |=
-            first.is_some_and(|first| self.served.lately_before(request, first));
+            first.is_some_and(|first| self.recently_served.was_served_before(request, first));
     }
 
-    /// A server ran a request to a good end: it does not crash every server. Whether that was in doubt.
+    /// Records a completed run, which clears the request; returns whether it was suspected.
     pub fn note_served(&mut self, request: &Fingerprint, now: Instant) -> bool {
         let was_refused = self.is_refused(request);
-        self.served.note(*request, now);
+        self.recently_served.note(*request, now);
         self.clear(request, was_refused, now)
     }
 
-    /// Forgets what is known against a request, as an operator asks; whether there was anything.
+    /// Clears a request on behalf of an operator; returns whether it was suspected.
     pub fn forgive(&mut self, request: &Fingerprint, now: Instant) -> bool {
         let was_refused = self.is_refused(request);
         self.clear(request, was_refused, now)
@@ -256,90 +256,91 @@
             self.unstored.insert(*request);
         }
         record.clear(now);
-        self.untold.insert(*request, TELLINGS);
+        self.unsent.insert(*request, SENDS_PER_CHANGE);
         true
     }
 
-    /// Servers at which other requests have their last run now.
+    /// Servers that run other requests in the state [`Permit::LastRun`].
     pub fn last_run_servers(&self, but: &Fingerprint, now: Instant) -> HashSet<String> {
         let others = self.records.iter();
         let others = others.filter(|(request, record)| {
-            *request != but && record.counted(&self.server_failures) + 1 == MOST_ENDED
+            *request != but && record.counted_ends(&self.server_failures) + 1 == MOST_ENDED
         });
         let mut servers = HashSet::new();
         for (request, record) in others {
-            let own = self.running.get(request).into_iter().flatten();
-            servers.extend(own.cloned());
-            servers.extend(record.told_servers(now).map(str::to_owned));
+            let node_id = self.running.get(request).into_iter().flatten();
+            servers.extend(node_id.cloned());
+            servers.extend(record.reported_servers(now).map(str::to_owned));
         }
         servers
     }
 
-    /// Servers that ended under a request.
+    /// Servers that ended while they ran a request.
     pub fn ended_under(&self, request: &Fingerprint) -> Vec<String> {
         let record = self.records.get(request);
         record.map(Record::servers).unwrap_or_default()
     }
 
-    /// Takes a record that another node, or the store, tells. `pass_on`: it is told to others in turn.
-    pub fn merge(&mut self, told: CrashRecord, pass_on: bool, now: Instant) -> Merged {
-        let Some(request) = Fingerprint::from_bytes(&told.fingerprint) else {
-            return Merged::default();
+    /// Merges a record received from another node or read from the store. With `relay`, new information is sent on to
+    /// other nodes.
+    pub fn merge(&mut self, report: CrashRecord, relay: bool, now: Instant) -> MergeOutcome {
+        let Some(request) = Fingerprint::from_bytes(&report.fingerprint) else {
+            return MergeOutcome::default();
         };
-        if Duration::from_millis(told.age_ms) >= kept(told.ended.len()) {
-            return Merged::default();
+        if Duration::from_millis(report.age_ms) >= retention(report.ended.len()) {
+            return MergeOutcome::default();
         }
-        self.make_room(&request);
-        let own = self.own;
+        self.evict_for(&request);
+        let node_id = self.node_id;
         let was_refused = self.is_refused(&request);
-        let seen = now.checked_sub(Duration::from_millis(told.age_ms));
+        let observed = now.checked_sub(Duration::from_millis(report.age_ms));
         let record = self.records.entry(request);
-        let record = record.or_insert_with(|| Record::new(seen.unwrap_or(now)));
-        let (is_new, seen_here) = (record.merge(told, own, now), record.seen_here);
+        let record = record.or_insert_with(|| Record::new(observed.unwrap_or(now)));
+        let (is_new, seen_here) = (record.merge(report, node_id, now), record.seen_here);
         for end in &record.ended {
             self.server_failures.note(&end.server, end.at);
         }
-        self.note_served_before(&request);
-        let merged = Merged {
+        self.update_served_before(&request);
+        let merged = MergeOutcome {
             is_new,
             now_refused: !was_refused && self.is_refused(&request),
         };
-        // One of those that saw a server end writes it: what was put together from their news is known to all.
+        // Only a node that observed an end itself writes the request to the store.
         if merged.now_refused && seen_here {
             self.unstored.insert(request);
         }
-        if merged.is_new && pass_on {
-            self.untold.insert(request, TELLINGS);
+        if merged.is_new && relay {
+            self.unsent.insert(request, SENDS_PER_CHANGE);
         }
         merged
     }
 
-    /// The next request of which the store is to learn: its record while it runs no more, `None` when it may run.
+    /// Takes the next change to write to the store: the record of a refused request, or `None` if it may run again.
     pub fn next_unstored(&mut self, now: Instant) -> Option<(Fingerprint, Option<CrashRecord>)> {
         let request = self.unstored.pop_first()?;
         let refused = self.is_refused(&request);
         Some((request, refused.then(|| self.message(&request, now))))
     }
 
-    /// The store could not be told of a request.
+    /// Queues a request again after a failed write to the store.
     pub fn store_later(&mut self, request: Fingerprint) {
         self.unstored.insert(request);
     }
 
-    /// Forgets what is too old.
+    /// Removes expired records.
     pub fn sweep(&mut self, now: Instant) {
         self.records.retain(|_, record| {
             let age = now.saturating_duration_since(record.changed);
-            age < kept(record.ended.len()) && !record.is_blank(now)
+            age < retention(record.ended.len()) && !record.is_blank(now)
         });
     }
 
-    /// Requests that run no more, and how many others are held.
-    pub fn refused(&self, now: Instant) -> (Vec<Held>, usize) {
+    /// Refused requests, and the number of other records.
+    pub fn refused(&self, now: Instant) -> (Vec<RefusedRequest>, usize) {
         let all = self.records.iter();
         let refused = all.filter(|(request, _)| self.is_refused(request));
-        let refused: Vec<Held> = refused
-            .map(|(request, record)| Held {
+        let refused: Vec<RefusedRequest> = refused
+            .map(|(request, record)| RefusedRequest {
                 fingerprint: *request,
                 ended: record.servers(),
                 age: now.saturating_duration_since(record.changed),
@@ -349,27 +350,27 @@
         (refused, others)
     }
 
-    /// Makes room for one more request: those that may still run go first, then the oldest.
-    fn make_room(&mut self, request: &Fingerprint) {
-        if self.records.len() < MOST_RECORDS || self.records.contains_key(request) {
+    /// Evicts a record if the ledger is full: requests that are not refused first, then the oldest.
+    fn evict_for(&mut self, request: &Fingerprint) {
+        if self.records.len() < MAX_RECORDS || self.records.contains_key(request) {
             return;
         }
-        let least = self.records.iter().min_by_key(|(_, record)| {
+        let evicted = self.records.iter().min_by_key(|(_, record)| {
             let ended = record.ended.len();
             (ended >= MOST_ENDED, ended, record.changed)
         });
-        if let Some(least) = least.map(|(request, _)| *request) {
-            self.records.remove(&least);
-            self.untold.remove(&least);
-            self.unstored.remove(&least);
+        if let Some(evicted) = evicted.map(|(request, _)| *request) {
+            self.records.remove(&evicted);
+            self.unsent.remove(&evicted);
+            self.unstored.remove(&evicted);
         }
     }
 }
 
-/// How long a request is held under which so many servers ended.
-fn kept(ended: usize) -> Duration {
+/// Retention of a record with so many ended servers.
+fn retention(ended: usize) -> Duration {
     match ended >= MOST_ENDED {
         true => KEPT_REFUSED,
-        false => KEPT_SUSPECT,
+        false => SUSPECT_RETENTION,
     }
 }
--- a/crates/crashes/src/lib.rs
+++ b/crates/crashes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Requests under which servers ended.
+//! Fleet-wide tracking of requests that crash servers.
 //!
-//! A [`Fingerprint`] tells that two tries are the same request, whichever node they come to. The [`Ledger`] holds how many
-//! servers ended under each, and decides whether it may run; records of two nodes join in any order. [`CrashTable`] is
-//! the ledger as the threads of a node share it. Nothing here performs I/O.
+//! A [`Fingerprint`] identifies retries of the same request on any node. The [`Ledger`] records the servers that ended
+//! while they ran a request, and decides whether it may run again; records of two nodes can be merged in any order.
+//! [`CrashTable`] shares the ledger between the threads of a node. This crate performs no I/O.
 
 mod fingerprint;
 mod gossip;
@@ -14,7 +14,7 @@
 mod table;
 
 pub use fingerprint::{Fingerprint, RequestParts};
-pub use ledger::{Held, KEPT_REFUSED, Ledger, Merged, Noted, Permit};
-pub use messages::{CrashNews, CrashRecord, RunsOf, StoredRefusal};
+pub use ledger::{EndOutcome, KEPT_REFUSED, Ledger, MergeOutcome, Permit, RefusedRequest};
+pub use messages::{CrashNews, CrashRecord, NodeRuns, StoredRefusal};
 pub use record::{LONG_RUN, MOST_ENDED};
 pub use table::{CrashTable, RunUnderWay};
--- a/crates/crashes/src/messages.rs
+++ b/crates/crashes/src/messages.rs
@@ -1,71 +1,69 @@
-//! What nodes tell each other, and keep in the store, of requests under which servers ended.
+//! Protobuf messages for crash records, exchanged between nodes and kept in the store.
 
 use prost::Message;
 
-/// Runs of a request that one node has under way.
+/// Active runs of a request on one node.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct RunsOf {
-    /// Number of the node.
+pub struct NodeRuns {
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// Counts what the node told; a lower one than known is passed over.
+    /// Incremented by the node with each change; reports with a lower number than the last one are ignored.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Identifiers of the servers that run it.
+    /// Identifiers of the servers that run the request.
     #[prost(string, repeated, tag = "3")]
     pub servers: Vec<String>,
 }
 
-/// What is known of one request.
+/// Crash record of one request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CrashRecord {
-    /// Its fingerprint.
+    /// Fingerprint of the request.
     #[prost(bytes = "vec", tag = "1")]
     pub fingerprint: Vec<u8>,
-    /// How often its name was cleared. What was seen before counts no more.
+    /// Number of times the record was cleared. Ends from earlier epochs no longer count.
     #[prost(uint32, tag = "2")]
     pub epoch: u32,
-    /// Identifiers of the servers that ended under it since.
+    /// Identifiers of the servers that ended in this epoch while they ran the request.
     #[prost(string, repeated, tag = "3")]
     pub ended: Vec<String>,
-    /// Time since each of them was seen to end, side by side with them.
+    /// Time since each of these ends was observed, in the order of `ended`.
     #[prost(uint64, repeated, tag = "6")]
     pub ages_ms: Vec<u64>,
-    /// Whether the request's run at each of them had brought output, side by side with them.
+    /// Whether the run on each of these servers had produced output, in the order of `ended`.
     #[prost(bool, repeated, tag = "8")]
     pub brought_output: Vec<bool>,
-    /// Time since the last of them was seen to end, or the name was cleared.
+    /// Time since the last end was observed or the record was cleared.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
-    /// Some node served it within the minute before the first of them ended.
+    /// Whether some node completed the request within the minute before the first end.
     #[prost(bool, tag = "7")]
     pub served_before: bool,
-    /// Runs have broken off of which it is not known yet whether their servers end.
+    /// Whether runs were interrupted and it is not yet known if their servers ended.
     #[prost(bool, tag = "9")]
     pub in_doubt: bool,
-    /// A run of it had brought output for long before its server ended.
+    /// Whether a run had produced output for a long time before its server ended.
     #[prost(bool, tag = "10")]
     pub ran_long: bool,
-    /// Runs under way.
+    /// Active runs.
     #[prost(message, repeated, tag = "5")]
-    pub runs: Vec<RunsOf>,
+    pub runs: Vec<NodeRuns>,
 }
 
-/// A request that runs no more, as the store keeps it.
+/// Stored form of a refused request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredRefusal {
-    /// The record as of the writing.
+    /// The record at the time of writing.
     #[prost(message, optional, tag = "1")]
     pub record: Option<CrashRecord>,
-    /// The store's steady clock at the writing.
+    /// The store's monotonic clock at the time of writing.
     #[prost(uint64, tag = "2")]
     pub written_ms: u64,
 }
 
-/// News of some requests.
+/// Crash records sent from one node to another.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CrashNews {
-    /// The records.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<CrashRecord>,
 }
--- a/crates/crashes/src/recently_served.rs
+++ b/crates/crashes/src/recently_served.rs
@@ -1,4 +1,4 @@
-//! Requests that were served a moment ago. Pure: time is an argument.
+//! Cache of recently completed requests. Pure; time is an argument.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,31 +7,33 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// How long ago a request may have been served to be held for one that servers bear. What many callers send comes
-/// again within seconds.
-const LATELY: Duration = Duration::from_secs(60);
-/// Requests in one generation, of which two are held: 0.4 MB in all at most.
-const GENERATION: usize = 4_096;
+/// A request that completed within this time does not crash every server. A request that many callers send is
+/// repeated within seconds.
+const RECENT_WINDOW: Duration = Duration::from_secs(60);
+/// Entries per generation; two generations are kept, at most 0.4 MB.
+const GENERATION_SIZE: usize = 4_096;
 
-/// Requests that were served lately, the newest and those before them.
+/// Recently completed requests, in two generations.
 #[derive(Default)]
 pub(crate) struct RecentlyServed {
-    newer: HashMap<Fingerprint, Instant>,
-    older: HashMap<Fingerprint, Instant>,
+    current: HashMap<Fingerprint, Instant>,
+    previous: HashMap<Fingerprint, Instant>,
 }
 
 impl RecentlyServed {
-    /// Notes that a request was served.
     pub(crate) fn note(&mut self, request: Fingerprint, now: Instant) {
-        if self.newer.len() >= GENERATION {
-            self.older = std::mem::take(&mut self.newer);
+        if self.current.len() >= GENERATION_SIZE {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.newer.insert(request, now);
+        self.current.insert(request, now);
     }
 
-    /// Whether a request was served within a minute before a moment.
-    pub(crate) fn lately_before(&self, request: &Fingerprint, moment: Instant) -> bool {
-        let served = self.newer.get(request).or_else(|| self.older.get(request));
-        served.is_some_and(|at| moment.saturating_duration_since(*at) < LATELY)
+    /// Whether a request completed within [`RECENT_WINDOW`] before a moment.
+    pub(crate) fn was_served_before(&self, request: &Fingerprint, moment: Instant) -> bool {
+        let served = self
+            .current
+            .get(request)
+            .or_else(|| self.previous.get(request));
+        served.is_some_and(|at| moment.saturating_duration_since(*at) < RECENT_WINDOW)
     }
 }
--- a/crates/crashes/src/record.rs
+++ b/crates/crashes/src/record.rs
@@ -1,71 +1,72 @@
-//! What is known of one request under which a server ended. Pure.
+//! Crash record of one request, with merging of the records of other nodes. Pure; time is an argument.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-use crate::messages::{CrashRecord, RunsOf};
+use crate::messages::{CrashRecord, NodeRuns};
 use crate::server_failures::ServerFailures;
 
-/// Servers that may end under one request. The bound of the users' rules; a request that reaches it runs no more.
+/// Number of ended servers from which a request is refused.
 pub const MOST_ENDED: usize = 3;
-/// How long a run that another node told of counts. A node tells again of its runs each 450 ms, and two messages in a row
-/// may be lost; one that ends says nothing more.
-const TOLD_RUN: Duration = Duration::from_millis(1_500);
-/// Ends at most so far apart are one moment: a zone, a rack or a switch that is lost takes its servers within a second.
-const MOMENT: Duration = Duration::from_secs(1);
-/// Servers that are held of one request. A request that was served a moment before counts by moments, not servers.
-const MOST_HELD: usize = 16;
-/// Ends that are not counted since the servers were lost together with others: several requests that crash servers in
-/// the same moments must not excuse each other for ever.
-const MOST_EXCUSED: usize = 3;
-/// Runs that a request has which was served before, after it was refused.
-const MOST_TRIALS: usize = 3;
-/// Time from the last end to such a run: other causes for which servers end are mostly over by then.
-const TRIAL_AFTER: Duration = Duration::from_secs(3);
-/// Time for which a run must have brought output before its server ended for the request not to be one that crashes servers as
-/// it begins: such a request ended them within 0.12 s of the begin of its run, in the three runs on record.
+/// Time for which a reported run of another node counts. A node repeats its report every 450 ms, of which two in a
+/// row may be lost; a node that fails cannot report the end of its runs.
+const REPORTED_RUN_TTL: Duration = Duration::from_millis(1_500);
+/// Ends within this time of each other count as one incident, such as the loss of a zone, a rack or a switch.
+const INCIDENT_WINDOW: Duration = Duration::from_secs(1);
+/// Limit on the ended servers recorded for one request; more than [`MOST_ENDED`], since some ends do not count.
+const MAX_ENDS_HELD: usize = 16;
+/// Limit on the correlated ends that do not count, so that several requests that crash servers at the same time
+/// cannot excuse each other indefinitely.
+const MAX_EXCUSED: usize = 3;
+/// Retries granted to a refused request that has completed or run for long before.
+const MAX_TRIALS: usize = 3;
+/// Time from the last end to such a retry, by which other causes of ends should be over.
+const TRIAL_DELAY: Duration = Duration::from_secs(3);
+/// Output time from which a run counts as long. A request that crashes servers usually does so as soon as it
+/// starts, so a long run is evidence against that.
 pub const LONG_RUN: Duration = Duration::from_secs(1);
-/// How long a run that broke off is in doubt: until the second look at its server's port, and the news of it.
-const DOUBT: Duration = Duration::from_millis(300);
-/// Longest identifier of a server that is taken from a message, bytes.
-const LONGEST_ID: usize = 128;
-/// Nodes whose runs of one request are held or told: no more runs than [`MOST_ENDED`] matter.
-const MOST_NODES: usize = 8;
+/// Time for which an interrupted run is in doubt. It covers the second probe of the server and the report of its
+/// result.
+const DOUBT_DURATION: Duration = Duration::from_millis(300);
+/// Longest server identifier, in bytes, that is accepted from a message.
+const MAX_SERVER_ID_BYTES: usize = 128;
+/// Limit on the nodes whose runs of one request are kept or sent; runs beyond [`MOST_ENDED`] make no difference.
+const MAX_REPORTING_NODES: usize = 8;
 
-/// Runs at one other node.
-struct Told {
+/// Runs reported by another node.
+struct ReportedRuns {
     sequence: u64,
     servers: Vec<String>,
     until: Instant,
 }
 
-/// A server that ended under a request.
-pub(crate) struct End {
+/// A server that ended while it ran the request.
+pub(crate) struct ServerEnd {
     pub(crate) server: String,
     pub(crate) at: Instant,
-    /// The run had brought output: the request does not crash a server that begins to run it.
+    /// Whether the run had produced output, so the request did not crash the server as it started.
     pub(crate) brought_output: bool,
 }
 
-/// One request.
+/// Crash record of one request.
 pub(crate) struct Record {
-    /// How often its name was cleared.
+    /// Number of times the record was cleared.
     pub(crate) epoch: u32,
-    /// Servers that ended under it since, in the order in which this node learned of them.
-    pub(crate) ended: Vec<End>,
-    /// When the last of them was seen to end, or the name was cleared.
+    /// Servers that ended in this epoch, in the order in which this node learned of them.
+    pub(crate) ended: Vec<ServerEnd>,
+    /// When the last end was observed or the record was cleared.
     pub(crate) changed: Instant,
-    /// This node saw one of them end.
+    /// Whether this node observed one of the ends itself.
     pub(crate) seen_here: bool,
-    /// Some node served it within the minute before the first of them ended.
+    /// Whether some node completed the request within the minute before the first end.
     pub(crate) served_before: bool,
-    /// A run of it had brought output for [`LONG_RUN`] before its server ended.
+    /// Whether a run had produced output for [`LONG_RUN`] before its server ended.
     pub(crate) ran_long: bool,
-    /// Until when runs that broke off may still show that their servers end.
+    /// Time until which interrupted runs may turn out to be ends.
     doubted_until: Option<Instant>,
-    others: HashMap<u64, Told>,
+    reported_runs: HashMap<u64, ReportedRuns>,
 }
 
 impl Record {
@@ -78,35 +79,35 @@
             served_before: false,
             ran_long: false,
             doubted_until: None,
-            others: HashMap::new(),
+            reported_runs: HashMap::new(),
         }
     }
 
-    /// A run broke off, and whether its server ends is not known yet.
-    pub(crate) fn doubt(&mut self, now: Instant) {
-        self.doubted_until = Some(now + DOUBT);
+    /// Records an interrupted run; it is not yet known whether its server ended.
+    pub(crate) fn mark_in_doubt(&mut self, now: Instant) {
+        self.doubted_until = Some(now + DOUBT_DURATION);
     }
 
-    /// Whether such a run is still in doubt.
+    /// Whether an interrupted run is still in doubt.
     pub(crate) fn is_in_doubt(&self, now: Instant) -> bool {
         self.doubted_until.is_some_and(|until| now < until)
     }
 
-    /// Whether nothing is known against the request, nor has been cleared.
+    /// Whether the record holds no information.
     pub(crate) fn is_blank(&self, now: Instant) -> bool {
         self.ended.is_empty() && self.epoch == 0 && !self.is_in_doubt(now)
     }
 
-    /// Ends that count towards [`MOST_ENDED`]: each server but for some that were lost together with others after they had
-    /// brought output, or each moment at which servers ended. A request that was served a moment before does not crash every server: several
-    /// that end at once under copies of it were lost together too.
-    pub(crate) fn counted(&self, server_failures: &ServerFailures) -> usize {
+    /// Number of ends that count towards [`MOST_ENDED`]. Correlated ends after output do not count, up to
+    /// [`MAX_EXCUSED`]. If the request completed shortly before, it does not crash every server, so ends within one
+    /// incident count once.
+    pub(crate) fn counted_ends(&self, server_failures: &ServerFailures) -> usize {
         let own: Vec<&str> = self.ended.iter().map(|end| end.server.as_str()).collect();
         let mut excused = 0;
-        let counts = |end: &&End| {
-            let excuses = excused < MOST_EXCUSED
+        let counts = |end: &&ServerEnd| {
+            let excuses = excused < MAX_EXCUSED
                 && end.brought_output
-                && server_failures.is_one_of_many(&end.server, &own);
+                && server_failures.is_correlated(&end.server, &own);
             excused += usize::from(excuses);
             !excuses
         };
@@ -116,26 +117,26 @@
         }
         times.sort_unstable();
         let gaps = times.windows(2);
-        let apart = gaps.filter(|pair| pair[1].saturating_duration_since(pair[0]) > MOMENT);
+        let apart =
+            gaps.filter(|pair| pair[1].saturating_duration_since(pair[0]) > INCIDENT_WINDOW);
         apart.count() + usize::from(!times.is_empty())
     }
 
-    /// Whether a request that is refused may have one more run, at one place: only one that was served before, or that ran
-    /// for long, may, some seconds after the last end, and a few times. What many callers send would otherwise be lost to all
-    /// of them, and an item of a job that was at three servers when these ended one after the other would be left lying: a
-    /// request that crashes servers does so as it begins.
-    pub(crate) fn may_try_again(&self, counted: usize, now: Instant) -> bool {
+    /// Whether a refused request may be retried once, on one server. This is limited to requests that have completed
+    /// or run for long before, some seconds after the last end. Otherwise a request that many callers send, or an item
+    /// whose servers happened to end one after the other, would be refused for something that it did not cause.
+    pub(crate) fn may_retry(&self, counted_ends: usize, now: Instant) -> bool {
         (self.served_before || self.ran_long)
-            && counted < MOST_ENDED + MOST_TRIALS
-            && now.saturating_duration_since(self.changed) >= TRIAL_AFTER
+            && counted_ends < MOST_ENDED + MAX_TRIALS
+            && now.saturating_duration_since(self.changed) >= TRIAL_DELAY
     }
 
-    /// When the first server was seen to end.
+    /// When the first end was observed.
     pub(crate) fn first_end(&self) -> Option<Instant> {
         self.ended.iter().map(|end| end.at).min()
     }
 
-    /// Servers that ended under it.
+    /// Servers that ended while they ran the request.
     pub(crate) fn servers(&self) -> Vec<String> {
         self.ended.iter().map(|end| end.server.clone()).collect()
     }
@@ -144,12 +145,12 @@
         self.ended.iter().any(|end| end.server == server)
     }
 
-    /// Notes that a server ended under it; whether that was not known.
+    /// Records the end of a server; returns whether it was new.
     pub(crate) fn note_ended(&mut self, server: &str, at: Instant, brought_output: bool) -> bool {
-        if self.has_ended(server) || self.ended.len() >= MOST_HELD {
+        if self.has_ended(server) || self.ended.len() >= MAX_ENDS_HELD {
             return false;
         }
-        self.ended.push(End {
+        self.ended.push(ServerEnd {
             server: server.to_owned(),
             at,
             brought_output,
@@ -158,34 +159,40 @@
         true
     }
 
-    /// Forgets what was seen: it does not crash every server that runs it.
+    /// Clears the record, since the request does not crash every server that runs it.
     pub(crate) fn clear(&mut self, now: Instant) {
         self.epoch += 1;
         self.ended.clear();
         self.served_before = false;
         self.ran_long = false;
-        // Nobody tells of the end of runs that are no danger.
-        self.others.clear();
+        // The end of runs of an unsuspected request is not reported.
+        self.reported_runs.clear();
         self.changed = now;
     }
 
-    /// Servers at which other nodes run it.
-    pub(crate) fn told_servers(&self, now: Instant) -> impl Iterator<Item = &str> {
-        let alive = self.others.values().filter(move |told| told.until > now);
-        // A server that has ended runs nothing.
-        let running = alive.flat_map(|told| &told.servers);
+    /// Servers on which other nodes run the request.
+    pub(crate) fn reported_servers(&self, now: Instant) -> impl Iterator<Item = &str> {
+        let alive = self
+            .reported_runs
+            .values()
+            .filter(move |report| report.until > now);
+        // An ended server runs nothing.
+        let running = alive.flat_map(|report| &report.servers);
         running
             .filter(|server| !self.has_ended(server))
             .map(String::as_str)
     }
 
-    /// As it is told, without the runs of the teller itself.
+    /// The record as a message, without the runs of this node.
     pub(crate) fn message(&self, fingerprint: &[u8], now: Instant) -> CrashRecord {
-        let alive = self.others.iter().filter(|(_, told)| told.until > now);
-        let runs = alive.map(|(node, told)| RunsOf {
+        let alive = self
+            .reported_runs
+            .iter()
+            .filter(|(_, report)| report.until > now);
+        let runs = alive.map(|(node, report)| NodeRuns {
             node: *node,
-            sequence: told.sequence,
-            servers: told.servers.clone(),
+            sequence: report.sequence,
+            servers: report.servers.clone(),
         });
         let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         CrashRecord {
@@ -198,74 +205,75 @@
             served_before: self.served_before,
             ran_long: self.ran_long,
             in_doubt: self.is_in_doubt(now),
-            runs: runs.take(MOST_NODES - 1).collect(),
+            runs: runs.take(MAX_REPORTING_NODES - 1).collect(),
         }
     }
 
-    /// Takes what another node tells; whether any of it is new. Records of two nodes joined in any order, and more
-    /// than once, come to the same.
-    pub(crate) fn merge(&mut self, told: CrashRecord, own: u64, now: Instant) -> bool {
-        if told.epoch < self.epoch {
+    /// Merges a record of another node; returns whether it was new. Merging is commutative and idempotent.
+    pub(crate) fn merge(&mut self, report: CrashRecord, own: u64, now: Instant) -> bool {
+        if report.epoch < self.epoch {
             return false;
         }
-        let seen = |age_ms: u64| {
+        let observed = |age_ms: u64| {
             let at = now.checked_sub(Duration::from_millis(age_ms));
             at.unwrap_or(now)
         };
         let mut is_new = false;
-        if told.epoch > self.epoch {
-            self.epoch = told.epoch;
+        if report.epoch > self.epoch {
+            self.epoch = report.epoch;
             self.ended.clear();
-            self.changed = seen(told.age_ms);
+            self.changed = observed(report.age_ms);
             self.served_before = false;
             self.ran_long = false;
-            self.others.clear();
+            self.reported_runs.clear();
             is_new = true;
         }
-        let runs_are_new = self.merge_runs(told.runs, own, now);
-        if told.in_doubt && runs_are_new {
-            self.doubt(now);
+        let runs_are_new = self.merge_runs(report.runs, own, now);
+        if report.in_doubt && runs_are_new {
+            self.mark_in_doubt(now);
         }
-        is_new |= told.served_before && !self.served_before;
-        self.served_before |= told.served_before;
-        is_new |= told.ran_long && !self.ran_long;
-        self.ran_long |= told.ran_long;
-        // Only what is new moves a time: an age that is passed round loses the time on its way.
-        let ages_ms = told
+        is_new |= report.served_before && !self.served_before;
+        self.served_before |= report.served_before;
+        is_new |= report.ran_long && !self.ran_long;
+        self.ran_long |= report.ran_long;
+        // Known ends keep their time, because relayed ages do not include the transit time.
+        let ages_ms = report
             .ages_ms
             .into_iter()
             .map(Some)
             .chain(std::iter::repeat(None));
-        let output = told
+        let output = report
             .brought_output
             .into_iter()
             .chain(std::iter::repeat(false));
-        for ((server, age_ms), brought_output) in told.ended.iter().zip(ages_ms).zip(output) {
-            if server.len() <= LONGEST_ID {
-                let at = seen(age_ms.unwrap_or(told.age_ms));
+        for ((server, age_ms), brought_output) in report.ended.iter().zip(ages_ms).zip(output) {
+            if server.len() <= MAX_SERVER_ID_BYTES {
+                let at = observed(age_ms.unwrap_or(report.age_ms));
                 is_new |= self.note_ended(server, at, brought_output);
             }
         }
         is_new || runs_are_new
     }
 
-    fn merge_runs(&mut self, runs: Vec<RunsOf>, own: u64, now: Instant) -> bool {
-        self.others.retain(|_, told| told.until > now);
+    fn merge_runs(&mut self, runs: Vec<NodeRuns>, own: u64, now: Instant) -> bool {
+        self.reported_runs.retain(|_, report| report.until > now);
         let mut is_new = false;
-        for mut told in runs.into_iter().filter(|told| told.node != own) {
-            let known = self.others.get(&told.node);
-            let newer = known.is_none_or(|known| known.sequence < told.sequence);
-            if !newer || (known.is_none() && self.others.len() >= MOST_NODES) {
+        for mut report in runs.into_iter().filter(|report| report.node != own) {
+            let known = self.reported_runs.get(&report.node);
+            let newer = known.is_none_or(|known| known.sequence < report.sequence);
+            if !newer || (known.is_none() && self.reported_runs.len() >= MAX_REPORTING_NODES) {
                 continue;
             }
-            told.servers.truncate(MOST_ENDED);
-            told.servers.retain(|server| server.len() <= LONGEST_ID);
-            let held = Told {
-                sequence: told.sequence,
-                servers: told.servers,
-                until: now + TOLD_RUN,
+            report.servers.truncate(MOST_ENDED);
+            report
+                .servers
+                .retain(|server| server.len() <= MAX_SERVER_ID_BYTES);
+            let held_runs = ReportedRuns {
+                sequence: report.sequence,
+                servers: report.servers,
+                until: now + REPORTED_RUN_TTL,
             };
-            self.others.insert(told.node, held);
+            self.reported_runs.insert(report.node, held_runs);
             is_new = true;
         }
         is_new
--- a/crates/crashes/src/server_failures.rs
+++ b/crates/crashes/src/server_failures.rs
@@ -1,19 +1,20 @@
-//! When servers ended, over the whole fleet: those that end together were lost for a reason of their own. Pure.
+//! End times of servers across the fleet. Servers that end together are assumed to share an external cause. Pure;
+//! time is an argument.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Servers that end at most so far apart end together. A rack or a zone is lost in one moment, which the nodes of a fleet
-/// of 67 saw up to 90 ms apart; a request that crashes servers took 150 ms from one to the next in the mean.
-const TOGETHER: Duration = Duration::from_millis(100);
-/// Other servers that must have ended with one, and did not run the request, for the request to be none of the cause.
-const OTHERS: usize = 2;
-/// Servers that are held. They are as many as end within minutes, of 7,900.
-const MOST_HELD: usize = 4_096;
+/// Servers that end within this time of each other count as correlated. It covers the difference with which nodes
+/// observe the loss of a rack or zone, and is shorter than the usual interval between two crashes by one request.
+const CORRELATION_WINDOW: Duration = Duration::from_millis(100);
+/// Number of correlated ends of servers that did not run the request from which the request is not blamed.
+const MIN_OTHER_FAILURES: usize = 2;
+/// Limit on the recorded ends.
+const MAX_FAILURES: usize = 4_096;
 
-/// Servers that ended lately, by time.
+/// Recently ended servers.
 #[derive(Default)]
 pub(crate) struct ServerFailures {
     by_server: HashMap<String, Instant>,
@@ -21,12 +22,12 @@
 }
 
 impl ServerFailures {
-    /// Notes that a server was seen to end.
+    /// Records the first observation of a server's end.
     pub(crate) fn note(&mut self, server: &str, at: Instant) {
         if self.by_server.contains_key(server) {
             return;
         }
-        if self.by_time.len() >= MOST_HELD
+        if self.by_time.len() >= MAX_FAILURES
             && let Some((_, oldest)) = self.by_time.pop_first()
         {
             self.by_server.remove(&oldest);
@@ -35,20 +36,20 @@
         self.by_time.insert((at, server.to_owned()));
     }
 
-    /// When a server was seen to end.
+    /// When a server was observed to end.
     pub(crate) fn ended_at(&self, server: &str) -> Option<Instant> {
         self.by_server.get(server).copied()
     }
 
-    /// Whether a server was lost together with others, none of which is among `own`.
-    pub(crate) fn is_one_of_many(&self, server: &str, own: &[&str]) -> bool {
+    /// Whether at least [`MIN_OTHER_FAILURES`] other servers, none of them in `own`, ended together with a server.
+    pub(crate) fn is_correlated(&self, server: &str, own: &[&str]) -> bool {
         let Some(at) = self.by_server.get(server) else {
             return false;
         };
-        let from = at.checked_sub(TOGETHER).unwrap_or(*at);
+        let from = at.checked_sub(CORRELATION_WINDOW).unwrap_or(*at);
         let near = self.by_time.range((from, String::new())..);
-        let near = near.take_while(|(other, _)| *other <= *at + TOGETHER);
+        let near = near.take_while(|(other, _)| *other <= *at + CORRELATION_WINDOW);
         let others = near.filter(|(_, other)| !own.contains(&other.as_str()));
-        others.take(OTHERS).count() >= OTHERS
+        others.take(MIN_OTHER_FAILURES).count() >= MIN_OTHER_FAILURES
     }
 }
--- a/crates/crashes/src/table.rs
+++ b/crates/crashes/src/table.rs
@@ -1,4 +1,4 @@
-//! The ledger as the threads of a node share it.
+//! The crash ledger, shared by the threads of a node.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -9,54 +9,54 @@
 use tokio::sync::Notify;
 
 use crate::fingerprint::Fingerprint;
-use crate::ledger::{Held, Ledger, Merged, Noted, Permit};
+use crate::ledger::{EndOutcome, Ledger, MergeOutcome, Permit, RefusedRequest};
 use crate::messages::{CrashNews, CrashRecord};
 use crate::record::LONG_RUN;
 
-/// Requests under which servers ended. The lock is taken alone and never held across an await.
+/// Shared crash ledger. The lock is never held across an await or together with another lock.
 pub struct CrashTable {
     ledger: Mutex<Ledger>,
     unstored: Notify,
-    untold: Notify,
+    unsent: Notify,
 }
 
 impl CrashTable {
-    /// Nothing is known. `own` is the number of this node and life.
-    pub fn new(own: u64) -> Self {
+    /// Creates an empty table. `node_id` identifies this node and process incarnation.
+    pub fn new(node_id: u64) -> Self {
         Self {
-            ledger: Mutex::new(Ledger::new(own)),
+            ledger: Mutex::new(Ledger::new(node_id)),
             unstored: Notify::new(),
-            untold: Notify::new(),
+            unsent: Notify::new(),
         }
     }
 
-    /// Whether something is to be told that was not told often enough yet.
+    /// Whether there are changes that still have to be sent.
     pub fn has_news(&self) -> bool {
-        !self.ledger.lock().untold.is_empty()
+        !self.ledger.lock().unsent.is_empty()
     }
 
-    /// Waits until something more is to be told.
+    /// Waits for further changes to send.
     pub async fn more_news(&self) {
-        self.untold.notified().await;
+        self.unsent.notified().await;
     }
 
-    /// Does something to the ledger, and wakes those who wait for news when it brought any.
+    /// Updates the ledger, and notifies the sender if there are new changes to send.
     fn change<T>(&self, change: impl FnOnce(&mut Ledger) -> T) -> T {
         let mut ledger = self.ledger.lock();
-        let before = ledger.untold.len();
+        let before = ledger.unsent.len();
         let done = change(&mut ledger);
-        if ledger.untold.len() > before {
-            self.untold.notify_one();
+        if ledger.unsent.len() > before {
+            self.unsent.notify_one();
         }
         done
     }
 
-    /// What holds for the next run of a request.
+    /// Decides on the next run of a request.
     pub fn permit(&self, request: &Fingerprint) -> Permit {
         self.ledger.lock().permit(request, Instant::now())
     }
 
-    /// Begins a run at a server; the permit when it must wait or is refused.
+    /// Starts a run on a server; returns the permit as an error if the request must wait or is refused.
     pub fn begin(
         self: &Arc<Self>,
         request: Fingerprint,
@@ -75,30 +75,33 @@
         }
     }
 
-    /// Servers at which other requests have their last run now.
+    /// Servers that run other requests in the state [`Permit::LastRun`].
     pub fn last_run_servers(&self, but: &Fingerprint) -> HashSet<String> {
         self.ledger.lock().last_run_servers(but, Instant::now())
     }
 
-    /// Servers that ended under a request.
+    /// Servers that ended while they ran a request.
     pub fn ended_under(&self, request: &Fingerprint) -> Vec<String> {
         self.ledger.lock().ended_under(request)
     }
 
-    /// What is to be told now, so many records at most; `repeats` too.
-    pub fn news(&self, repeats: bool, most: usize) -> CrashNews {
-        self.ledger.lock().news(repeats, most, Instant::now())
+    /// Returns the records to send now, at most `max_records`. With `refresh`, also resends records that were sent
+    /// before.
+    pub fn news(&self, refresh: bool, max_records: usize) -> CrashNews {
+        self.ledger
+            .lock()
+            .news(refresh, max_records, Instant::now())
     }
 
-    /// Takes what another node, or the store, tells; `pass_on` to others in turn. The requests that run no more from
-    /// now on.
-    pub fn merge(&self, news: CrashNews, pass_on: bool) -> Vec<Fingerprint> {
+    /// Merges records received from another node or read from the store; with `relay`, new information is sent on.
+    /// Returns the requests that are refused from now on.
+    pub fn merge(&self, news: CrashNews, relay: bool) -> Vec<Fingerprint> {
         let now = Instant::now();
         let refused = self.change(|ledger| {
             let mut refused = Vec::new();
-            for told in news.records {
-                let request = Fingerprint::from_bytes(&told.fingerprint);
-                let Merged { now_refused, .. } = ledger.merge(told, pass_on, now);
+            for report in news.records {
+                let request = Fingerprint::from_bytes(&report.fingerprint);
+                let MergeOutcome { now_refused, .. } = ledger.merge(report, relay, now);
                 refused.extend(request.filter(|_| now_refused));
             }
             refused
@@ -109,7 +112,7 @@
         refused
     }
 
-    /// Waits for a request of which the store is to learn: its record while it runs no more, `None` when it may run.
+    /// Waits for the next change to write to the store: the record of a refused request, or `None` if it may run again.
     pub async fn next_unstored(&self) -> (Fingerprint, Option<CrashRecord>) {
         loop {
             let next = self.ledger.lock().next_unstored(Instant::now());
@@ -120,28 +123,28 @@
         }
     }
 
-    /// The store could not be told of a request.
+    /// Queues a request again after a failed write to the store.
     pub fn store_later(&self, request: Fingerprint) {
         self.ledger.lock().store_later(request);
         self.unstored.notify_one();
     }
 
-    /// Forgets what is too old.
+    /// Removes expired records.
     pub fn sweep(&self) {
         self.ledger.lock().sweep(Instant::now());
     }
 
-    /// Requests that run no more, and how many others are held.
-    pub fn refused(&self) -> (Vec<Held>, usize) {
+    /// Refused requests, and the number of other records.
+    pub fn refused(&self) -> (Vec<RefusedRequest>, usize) {
         self.ledger.lock().refused(Instant::now())
     }
 
-    /// The record of a request as it is told.
+    /// The record of a request in the form in which it is sent.
     pub fn message(&self, request: &Fingerprint) -> CrashRecord {
         self.ledger.lock().message(request, Instant::now())
     }
 
-    /// Forgets what is known against a request, as an operator asks; whether there was anything.
+    /// Clears a request on behalf of an operator; returns whether it was suspected.
     pub fn forgive(&self, request: &Fingerprint) -> bool {
         let cleared = self.change(|ledger| ledger.forgive(request, Instant::now()));
         if cleared {
@@ -151,7 +154,7 @@
     }
 }
 
-/// One run of a request at a server, until it is dropped.
+/// An active run of a request on a server; dropping it ends the run.
 pub struct RunUnderWay {
     table: Arc<CrashTable>,
     request: Fingerprint,
@@ -161,7 +164,7 @@
 }
 
 impl RunUnderWay {
-    /// It is under way no more, although how it ended may still show.
+    /// Ends the run. Its outcome may still be recorded afterwards.
     pub fn over(&mut self) {
         if !std::mem::replace(&mut self.is_over, true) {
             let table = &self.table;
@@ -169,35 +172,35 @@
         }
     }
 
-    /// The request.
     pub fn request(&self) -> Fingerprint {
         self.request
     }
 
-    /// It broke off, and whether its server ends is not known yet.
+    /// Records that the run was interrupted and that it is not yet known whether the server ended.
     pub fn note_doubt(&self) {
         let table = &self.table;
         table.change(|ledger| ledger.note_doubt(&self.request, Instant::now()));
     }
 
-    /// The server ended while it ran the request, which had brought output for a time, if any.
-    pub fn note_ended(&self, output_for: Option<Duration>) -> Noted {
+    /// Records that the server ended during the run; `output_for` is the time for which the run had produced output, if
+    /// any.
+    pub fn note_ended(&self, output_for: Option<Duration>) -> EndOutcome {
         let now = Instant::now();
-        let noted = self.table.change(|ledger| {
-            let server = ledger.start_that_ran(&self.server, self.began);
-            let noted = ledger.note_ended(&self.request, &server, output_for.is_some(), now);
+        let outcome = self.table.change(|ledger| {
+            let server = ledger.incarnation_that_ran(&self.server, self.began);
+            let outcome = ledger.note_ended(&self.request, &server, output_for.is_some(), now);
             if output_for.is_some_and(|time| time >= LONG_RUN) {
                 ledger.note_long_run(&self.request);
             }
-            noted
+            outcome
         });
-        if noted.now_refused {
+        if outcome.now_refused {
             self.table.unstored.notify_one();
         }
-        noted
+        outcome
     }
 
-    /// The server ran the request to a good end; whether something was known against it.
+    /// Records that the run completed; returns whether the request was suspected.
     pub fn note_served(&self) -> bool {
         let table = &self.table;
         let cleared = table.change(|ledger| ledger.note_served(&self.request, Instant::now()));
--- a/crates/crashes/tests/fingerprint.rs
+++ b/crates/crashes/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which tries are the same request.
+//! Fingerprints distinguish requests by every part and identify retries.
 
 use dappleyard_crashes::{Fingerprint, RequestParts};
 use googletest::prelude::*;
@@ -39,25 +39,28 @@
     for other in others {
         expect_that!(Fingerprint::of(&other), not(eq(first)));
     }
-    let shouted = RequestParts {
+    let uppercase = RequestParts {
         host: "SHOP.example",
         ..REQUEST
     };
-    expect_that!(Fingerprint::of(&shouted), eq(first));
+    expect_that!(Fingerprint::of(&uppercase), eq(first));
 }
 
 #[gtest]
-fn borders_count() {
-    let moved = RequestParts {
+fn part_boundaries_count() {
+    let shifted = RequestParts {
         caller: "t-1P",
         method: "OST",
         ..REQUEST
     };
-    expect_that!(Fingerprint::of(&moved), not(eq(Fingerprint::of(&REQUEST))));
+    expect_that!(
+        Fingerprint::of(&shifted),
+        not(eq(Fingerprint::of(&REQUEST)))
+    );
 }
 
 #[gtest]
-fn text_both_ways() {
+fn text_round_trip() {
     let first = Fingerprint::of(&REQUEST);
     expect_that!(first.to_string().parse::<Fingerprint>(), ok(eq(&first)));
     expect_that!(first.to_string().starts_with(&first.short()), eq(true));
--- a/crates/crashes/tests/ledger.rs
+++ b/crates/crashes/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What a node lets run, as servers end and news come.
+//! Permits of requests as servers end and nodes exchange records.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     })
 }
 
-/// Runs a request at a server, which ends under it.
+/// Runs a request on a server that ends during the run.
 fn crash(ledger: &mut Ledger, request: &Fingerprint, server: &str, now: Instant) {
     let permit = ledger.begin(request, server, now);
     expect_that!(permit, any![eq(Permit::Free), eq(Permit::LastRun)]);
@@ -28,14 +28,14 @@
     ledger.end(request, server, now);
 }
 
-fn take(ledger: &mut Ledger, news: &CrashNews, now: Instant) {
+fn apply(ledger: &mut Ledger, news: &CrashNews, now: Instant) {
     for record in &news.records {
         ledger.merge(record.clone(), false, now);
     }
 }
 
 #[gtest]
-fn three_ends_refuse() {
+fn refused_after_max_ends() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     for number in 0..MOST_ENDED {
         expect_that!(ledger.permit(&request(1), now), not(eq(Permit::Refused)));
@@ -46,94 +46,94 @@
 }
 
 #[gtest]
-fn one_end_seen_twice() {
+fn same_end_counts_once() {
     let (mut first, mut second, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    // Two copies of a request ran at one server: it ended once.
+    // Two copies of a request ran on the same server, which ended once.
     crash(&mut first, &request(1), "i-1", now);
     crash(&mut second, &request(1), "i-1", now);
     let news = first.news(false, 24, now);
-    take(&mut second, &news, now);
-    take(&mut second, &news, now);
+    apply(&mut second, &news, now);
+    apply(&mut second, &news, now);
     expect_that!(second.ended_under(&request(1)).len(), eq(1));
 }
 
 #[gtest]
-fn started_again() {
+fn restarted_server_counts_again() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
-    // A server ends under the request, is back under its name before its new entry has come, and ends again, three times.
+    // A server repeatedly ends during the request and restarts before its new identifier is known.
     let mut began = now;
     for _ in 0..MOST_ENDED {
-        let server = ledger.start_that_ran("i-1", began);
+        let server = ledger.incarnation_that_ran("i-1", began);
         crash(&mut ledger, &request(1), &server, began);
         began += Duration::from_secs(2);
     }
     expect_that!(ledger.ended_under(&request(1)).len(), eq(MOST_ENDED));
     expect_that!(ledger.permit(&request(1), began), eq(Permit::Refused));
-    // Runs that began before the end was seen ran on the start that ended.
-    expect_that!(ledger.start_that_ran("i-1", now), eq("i-1"));
+    // Runs that began before the end was observed ran on the incarnation that ended.
+    expect_that!(ledger.incarnation_that_ran("i-1", now), eq("i-1"));
 }
 
 #[gtest]
-fn runs_under_way_count() {
+fn active_runs_count() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     crash(&mut ledger, &request(1), "i-1", now);
     expect_that!(ledger.begin(&request(1), "i-2", now), eq(Permit::Free));
     expect_that!(ledger.begin(&request(1), "i-3", now), eq(Permit::Free));
-    // One has ended its server and two may: a fourth run could cost a fourth server.
+    // One server has ended and two more may; a fourth run could end a fourth server.
     expect_that!(ledger.begin(&request(1), "i-4", now), eq(Permit::Wait));
     ledger.end(&request(1), "i-2", now);
     expect_that!(ledger.begin(&request(1), "i-4", now), eq(Permit::Free));
 }
 
 #[gtest]
-fn runs_at_other_nodes_count() {
+fn active_runs_of_other_nodes_count() {
     let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     crash(&mut here, &request(1), "i-1", now);
     here.begin(&request(1), "i-2", now);
     here.begin(&request(1), "i-3", now);
-    take(&mut there, &here.news(false, 24, now), now);
+    apply(&mut there, &here.news(false, 24, now), now);
     expect_that!(there.permit(&request(1), now), eq(Permit::Wait));
     here.end(&request(1), "i-3", now);
-    take(&mut there, &here.news(false, 24, now), now);
+    apply(&mut there, &here.news(false, 24, now), now);
     expect_that!(there.permit(&request(1), now), eq(Permit::Free));
-    // A node that has gone says nothing more of its run, and others do not keep it alive between them.
+    // The reported run of a failed node expires, even while other nodes exchange their records.
     here.begin(&request(1), "i-3", now);
-    take(&mut there, &here.news(false, 24, now), now);
+    apply(&mut there, &here.news(false, 24, now), now);
     expect_that!(there.permit(&request(1), now), eq(Permit::Wait));
     let (mut third, mut later) = (Ledger::new(3), now);
     for _ in 0..4 {
         later += Duration::from_millis(450);
         let news = there.news(true, 24, later);
-        take(&mut third, &news, later);
+        apply(&mut third, &news, later);
         let news = third.news(true, 24, later);
-        take(&mut there, &news, later);
+        apply(&mut there, &news, later);
     }
     expect_that!(there.permit(&request(1), later), eq(Permit::Free));
 }
 
 #[gtest]
-fn long_runs_stay_known() {
+fn refreshed_runs_do_not_expire() {
     let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     crash(&mut here, &request(1), "i-1", now);
     here.begin(&request(1), "i-2", now);
     here.begin(&request(1), "i-3", now);
     for _ in 0..20 {
-        take(&mut there, &here.news(true, 24, now), now);
+        apply(&mut there, &here.news(true, 24, now), now);
         now += Duration::from_millis(450);
         expect_that!(there.permit(&request(1), now), eq(Permit::Wait));
     }
 }
 
 #[gtest]
-fn runs_before_a_good_answer() {
+fn cleared_request_forgets_reported_runs() {
     let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     crash(&mut here, &request(1), "i-1", now);
     here.begin(&request(1), "i-2", now);
     here.begin(&request(1), "i-3", now);
-    take(&mut there, &here.news(false, 24, now), now);
-    // Served: nothing is known against it, and nobody tells any more that those runs are over.
+    apply(&mut there, &here.news(false, 24, now), now);
+    // A completed run clears the request, after which the end of its other runs is not reported.
     here.note_served(&request(1), now);
-    take(&mut there, &here.news(false, 24, now), now);
+    apply(&mut there, &here.news(false, 24, now), now);
     for server in ["i-2", "i-3"] {
         here.end(&request(1), server, now);
     }
@@ -147,19 +147,19 @@
     crash(&mut here, &request(1), "i-1", now);
     crash(&mut here, &request(1), "i-2", now);
     let old = here.news(false, 24, now);
-    take(&mut there, &old, now);
+    apply(&mut there, &old, now);
     expect_that!(there.note_served(&request(1), now), eq(true));
-    take(&mut here, &there.news(false, 24, now), now);
+    apply(&mut here, &there.news(false, 24, now), now);
     expect_that!(here.permit(&request(1), now), eq(Permit::Free));
-    // News from before do not bring it back.
-    take(&mut here, &old, now);
+    // Records from before the clearing do not restore the suspicion.
+    apply(&mut here, &old, now);
     expect_that!(here.ended_under(&request(1)).len(), eq(0));
 }
 
 #[gtest]
-fn last_runs_stay_apart() {
+fn last_runs_use_different_servers() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
-    // Both ran at the servers that ended: one of them is the cause.
+    // Both requests ran on the servers that ended, so either may be the cause.
     for server in ["i-1", "i-2"] {
         crash(&mut ledger, &request(1), server, now);
         crash(&mut ledger, &request(2), server, now);
@@ -169,12 +169,12 @@
     expect_that!(taken.contains("i-3"), eq(true));
     expect_that!(ledger.begin(&request(2), "i-3", now), eq(Permit::Wait));
     expect_that!(ledger.begin(&request(2), "i-4", now), eq(Permit::LastRun));
-    // One run of each is all that may be under way.
+    // Each of them may have only one active run.
     expect_that!(ledger.begin(&request(1), "i-5", now), eq(Permit::Wait));
 }
 
 #[gtest]
-fn lost_news_are_told_again() {
+fn lost_updates_are_resent() {
     let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     for number in 0..MOST_ENDED {
         crash(&mut here, &request(1), &format!("i-{number}"), now);
@@ -182,39 +182,39 @@
     let lost = here.news(false, 24, now);
     expect_that!(lost.records.len(), eq(1));
     expect_that!(here.news(false, 24, now).records.len(), eq(0));
-    take(&mut there, &here.news(true, 24, now), now);
+    apply(&mut there, &here.news(true, 24, now), now);
     expect_that!(there.permit(&request(1), now), eq(Permit::Refused));
-    // A node that begins much later learns of it too.
+    // A node that starts much later learns of it too.
     let (mut late, later) = (Ledger::new(3), now + Duration::from_secs(300));
     for _ in 0..4 {
         let news = here.news(true, 24, later);
-        take(&mut late, &news, later);
+        apply(&mut late, &news, later);
     }
     expect_that!(late.permit(&request(1), later), eq(Permit::Refused));
 }
 
 #[gtest]
-fn nothing_lives_for_ever() {
+fn records_expire_despite_gossip() {
     let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     for number in 0..MOST_ENDED {
         crash(&mut here, &request(1), &format!("i-{number}"), now);
     }
-    // Two nodes that go on telling each other do not keep it alive between them.
+    // Two nodes that exchange their records do not keep them alive.
     for _ in 0..500 {
         now += Duration::from_secs(10);
         for ledger in [&mut here, &mut there] {
             ledger.sweep(now);
         }
         let (told, answered) = (here.news(true, 24, now), there.news(true, 24, now));
-        take(&mut there, &told, now);
-        take(&mut here, &answered, now);
+        apply(&mut there, &told, now);
+        apply(&mut here, &answered, now);
     }
     expect_that!(here.permit(&request(1), now), eq(Permit::Free));
     expect_that!(there.permit(&request(1), now), eq(Permit::Free));
 }
 
 #[gtest]
-fn full_table_keeps_refused() {
+fn eviction_keeps_refused_requests() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     for number in 0..MOST_ENDED {
         crash(&mut ledger, &request(0), &format!("i-{number}"), now);
@@ -229,7 +229,7 @@
 }
 
 #[gtest]
-fn most_costly_first() {
+fn requests_with_most_ends_are_sent_first() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     for number in 1..1_000 {
         crash(&mut ledger, &request(number), "i-1", now);
@@ -240,13 +240,13 @@
     let news = ledger.news(false, 24, now);
     expect_that!(news.records.len(), eq(24));
     expect_that!(news.records[0].fingerprint, eq(request(0).as_bytes()));
-    // After a loss of many servers not all can be told; those with one end are left after a while.
+    // Records with one ended server that could not be sent in time are dropped.
     let later = now + Duration::from_secs(11);
     expect_that!(ledger.news(false, 24, later).records.len(), eq(0));
 }
 
 #[gtest]
-fn hostile_news_are_bounded() {
+fn received_records_are_bounded() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     let mut record = Ledger::new(2).message(&request(1), now);
     expect_that!(ledger.merge(record.clone(), false, now).is_new, eq(false));
@@ -257,8 +257,8 @@
     expect_that!(ledger.ended_under(&request(1)).len(), eq(16));
 }
 
-/// A request that many callers send runs at three servers, which end at once for a reason of their own.
-fn lose_three(ledger: &mut Ledger, now: Instant) {
+/// `request(1)` runs on three servers that end at the same time for an unrelated reason.
+fn end_three_servers(ledger: &mut Ledger, now: Instant) {
     for number in 0..MOST_ENDED {
         ledger.begin(&request(1), &format!("i-{number}"), now);
     }
@@ -269,7 +269,7 @@
 }
 
 #[gtest]
-fn served_before_a_loss() {
+fn simultaneous_ends_after_success_count_once() {
     let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     for _ in 0..20 {
         here.begin(&request(1), "i-1", now);
@@ -277,25 +277,25 @@
         here.end(&request(1), "i-1", now);
         now += Duration::from_millis(50);
     }
-    lose_three(&mut here, now);
-    // Three ends at one moment tell no more than one does of a request that was served a moment before.
+    end_three_servers(&mut here, now);
+    // After a recent success, three simultaneous ends count as one.
     expect_that!(here.permit(&request(1), now), eq(Permit::Free));
-    // A node that has just begun did not serve it; it is told.
-    take(&mut there, &here.news(false, 24, now), now);
+    // A node that has not served the request learns this from the record.
+    apply(&mut there, &here.news(false, 24, now), now);
     expect_that!(there.permit(&request(1), now), eq(Permit::Free));
     here.begin(&request(1), "i-4", now);
     expect_that!(here.note_served(&request(1), now), eq(true));
     here.end(&request(1), "i-4", now);
-    take(&mut there, &here.news(false, 24, now), now);
+    apply(&mut there, &here.news(false, 24, now), now);
     expect_that!(there.ended_under(&request(1)).len(), eq(0));
 }
 
 #[gtest]
-fn served_once_and_never_again() {
+fn refused_after_three_incidents_despite_success() {
     let (mut ledger, mut now) = (Ledger::new(1), Instant::now());
     ledger.note_served(&request(1), now);
-    // A new version of the model crashes under what the old one served: three moments are enough.
-    lose_three(&mut ledger, now);
+    // For example, a new model version that crashes on a request that the old one handled.
+    end_three_servers(&mut ledger, now);
     for number in 0..2 {
         now += Duration::from_secs(2);
         crash(&mut ledger, &request(1), &format!("i-9{number}"), now);
@@ -304,16 +304,16 @@
 }
 
 #[gtest]
-fn served_long_ago() {
+fn old_success_does_not_count() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     ledger.note_served(&request(1), now);
     let later = now + Duration::from_secs(61);
-    lose_three(&mut ledger, later);
+    end_three_servers(&mut ledger, later);
     expect_that!(ledger.permit(&request(1), later), eq(Permit::Refused));
 }
 
-/// Servers of a rack end at once, each under another request, and one of them under `request(1)`.
-fn lose_rack(ledger: &mut Ledger, rack: usize, brought_output: bool, now: Instant) {
+/// All servers of a rack end at once, each during another request, and one of them during `request(1)`.
+fn end_rack(ledger: &mut Ledger, rack: usize, brought_output: bool, now: Instant) {
     let server = format!("rack-{rack}-0");
     ledger.begin(&request(1), &server, now);
     ledger.note_ended(&request(1), &server, brought_output, now);
@@ -325,40 +325,40 @@
 }
 
 #[gtest]
-fn racks_lost_one_after_the_other() {
+fn correlated_ends_are_excused() {
     let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    // An item of a job is at a server of each rack that is lost: none of its doing.
+    // The request happens to run on a server of each rack that is lost.
     for rack in 0..3 {
-        lose_rack(&mut here, rack, true, now);
-        take(&mut there, &here.news(false, 24, now), now);
+        end_rack(&mut here, rack, true, now);
+        apply(&mut there, &here.news(false, 24, now), now);
         now += Duration::from_secs(2);
     }
     for ledger in [&here, &there] {
         expect_that!(ledger.permit(&request(1), now), eq(Permit::Free));
     }
-    // Requests that crash servers in the same moments do not excuse each other for ever.
+    // The number of excused ends is limited.
     for rack in 3..6 {
-        lose_rack(&mut here, rack, true, now);
+        end_rack(&mut here, rack, true, now);
         now += Duration::from_secs(2);
     }
     expect_that!(here.permit(&request(1), now), eq(Permit::Refused));
 }
 
 #[gtest]
-fn crashing_beside_lost_racks() {
+fn correlated_ends_without_output_count() {
     let (mut ledger, mut now) = (Ledger::new(1), Instant::now());
-    // It ends each server as it begins to run; racks that are lost in the same moments are no excuse.
+    // Ends before any output count even if a rack is lost at the same time.
     for rack in 0..3 {
-        lose_rack(&mut ledger, rack, false, now);
+        end_rack(&mut ledger, rack, false, now);
         now += Duration::from_secs(2);
     }
     expect_that!(ledger.permit(&request(1), now), eq(Permit::Refused));
 }
 
 #[gtest]
-fn served_before_may_try_again() {
+fn retry_after_success() {
     let (mut ledger, mut now) = (Ledger::new(1), Instant::now());
-    // Many callers send it, servers end all the time for other reasons, and three moments hit its copies in a row.
+    // Many callers send the request, and three unrelated incidents hit its copies in a row.
     ledger.note_served(&request(1), now);
     for number in 0..MOST_ENDED {
         crash(&mut ledger, &request(1), &format!("i-{number}"), now);
@@ -374,7 +374,7 @@
 }
 
 #[gtest]
-fn trials_end() {
+fn retries_are_limited() {
     let (mut ledger, mut now) = (Ledger::new(1), Instant::now());
     ledger.note_served(&request(1), now);
     let mut ended = 0;
@@ -389,34 +389,34 @@
 }
 
 #[gtest]
-fn runs_in_doubt_count() {
+fn runs_in_doubt_count_as_active() {
     let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    // Answers broke off, and the ports of their servers are still open: nobody knows yet whether they end.
+    // Responses were interrupted, but the ports of the servers are still open.
     for number in 0..MOST_ENDED {
         let server = format!("i-{number}");
         expect_that!(here.begin(&request(1), &server, now), eq(Permit::Free));
         here.note_doubt(&request(1), now);
     }
     expect_that!(here.begin(&request(1), "i-9", now), eq(Permit::Wait));
-    take(&mut there, &here.news(false, 24, now), now);
+    apply(&mut there, &here.news(false, 24, now), now);
     expect_that!(there.begin(&request(1), "i-9", now), eq(Permit::Wait));
-    // All of them live: only their connections broke.
+    // All servers are alive; only their connections were lost.
     for number in 0..MOST_ENDED {
         here.end(&request(1), &format!("i-{number}"), now);
     }
     expect_that!(here.permit(&request(1), now), eq(Permit::Free));
-    take(&mut there, &here.news(false, 24, now), now);
+    apply(&mut there, &here.news(false, 24, now), now);
     expect_that!(there.permit(&request(1), now), eq(Permit::Free));
-    // Doubt does not last, and leaves nothing behind.
+    // The doubt expires and leaves no record.
     let later = now + Duration::from_secs(1);
     here.sweep(later);
     expect_that!(here.refused(later).1, eq(0));
 }
 
-/// Three times a server ends under a request, 4 s apart; its runs had brought output for long, or not.
-fn cut_by_waves(ledger: &mut Ledger, for_long: bool, mut now: Instant) -> Instant {
-    for wave in 0..MOST_ENDED {
-        let server = format!("i-{wave}");
+/// Ends three servers during the request, 6 s apart; its runs produced output for long if `for_long`.
+fn end_during_runs(ledger: &mut Ledger, for_long: bool, mut now: Instant) -> Instant {
+    for round in 0..MOST_ENDED {
+        let server = format!("i-{round}");
         ledger.begin(&request(1), &server, now);
         now += Duration::from_secs(2);
         ledger.note_ended(&request(1), &server, true, now);
@@ -430,29 +430,29 @@
 }
 
 #[gtest]
-fn runs_cut_by_waves() {
-    // A request that ran for long does not crash the servers that begin to run it: it runs on, at one place at a time.
+fn retry_after_long_runs() {
+    // A request that ran for long may be retried, on one server at a time.
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
-    let now = cut_by_waves(&mut ledger, true, now);
+    let now = end_during_runs(&mut ledger, true, now);
     expect_that!(ledger.begin(&request(1), "i-8", now), eq(Permit::LastRun));
     expect_that!(ledger.permit(&request(1), now), eq(Permit::Refused));
-    // Other nodes learn that it did.
+    // Other nodes learn of the long run.
     let mut other = Ledger::new(2);
     ledger.end(&request(1), "i-8", now);
     let news = ledger.news(true, 24, now);
-    take(&mut other, &news, now);
+    apply(&mut other, &news, now);
     expect_that!(other.permit(&request(1), now), eq(Permit::LastRun));
-    // One that brought output for a moment runs no more.
+    // A request that produced output only briefly is refused.
     let mut brief = Ledger::new(3);
-    let now = cut_by_waves(&mut brief, false, Instant::now());
+    let now = end_during_runs(&mut brief, false, Instant::now());
     expect_that!(brief.permit(&request(1), now), eq(Permit::Refused));
 }
 
 #[gtest]
-fn long_runs_end_too() {
-    // Servers that end under it all the same are three more at most.
+fn retries_after_long_runs_are_limited() {
+    // At most three more servers may end.
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
-    let mut now = cut_by_waves(&mut ledger, true, now);
+    let mut now = end_during_runs(&mut ledger, true, now);
     for number in 0..MOST_ENDED {
         let server = format!("i-9{number}");
         expect_that!(ledger.begin(&request(1), &server, now), eq(Permit::LastRun));
@@ -464,14 +464,14 @@
 }
 
 #[test]
-fn runs_of_a_node() {
+fn crash_table_tracks_restarts_and_long_runs() {
     let table = Arc::new(CrashTable::new(1));
     let run_and_end = |output| {
         let run = table.begin(request(1), "i-1").expect("it may run");
         run.note_ended(output).ended
     };
     assert_that!(run_and_end(None), eq(1));
-    // The server is back under its name, and ends again.
+    // The server restarts under the same identifier and ends again.
     std::thread::sleep(Duration::from_millis(250));
     assert_that!(run_and_end(None), eq(2));
     std::thread::sleep(Duration::from_millis(250));
