--- a/crates/tenants/src/account.rs
+++ b/crates/tenants/src/account.rs
@@ -5,7 +5,7 @@
 use dappleyard_clock::Instant;
 use dappleyard_model::{QuotaBounds, RateLimit};
 
-use crate::growing::Held;
+use crate::growth::Held;
 
 /// Part of the operators' tolerance that the bucket is deeper than the burst. What other nodes let pass
 /// is known some hundred milliseconds late, so the order of requests over the fleet is not known
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -13,10 +13,10 @@
 
 use crate::account::{Account, Part, Refill, tolerance, whole};
 use crate::counts::{ZoneCounts, ZonePassed};
-use crate::growing::Growing;
-use crate::heard::Heard;
+use crate::growth::Growing;
 use crate::messages::{CreditLevel, PassedCount};
 use crate::numbers::{point, slice, tenant_number};
+use crate::reports::Heard;
 
 /// Part of a bucket under which nodes are told of its level in each message.
 const LOW: f64 = 0.6;
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -7,12 +7,12 @@
 
 mod account;
 mod counts;
-mod growing;
-mod heard;
+mod growth;
 mod identity;
 mod ledger;
 mod messages;
 mod numbers;
+mod reports;
 mod table;
 
 pub use account::{Refill, tolerance};
