--- a/crates/tenants/examples/quota_ways.rs
+++ b/crates/tenants/examples/quota_ways.rs
@@ -1,40 +1,40 @@
-//! Ways to hold quotas over many nodes, on the same arrivals: what each refuses below a quota, how far it
-//! passes one, and how long requests wait. Run with
+//! Compares strategies to enforce quotas across nodes on the same arrivals: refusals below the quota, requests beyond
+//! it, and waiting time. Run with
 //! `cargo run --release -p dappleyard-tenants --example quota_ways`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use support::{Fleet, Way, greedy, unequal};
+use support::{Fleet, Strategy, over_quota_tenants, skewed_tenants};
 
 const NODES: usize = 61;
 const ZONES: usize = 3;
 const SEEDS: u64 = 3;
 
-/// What happens to the fleet.
+/// Load and faults of a run.
 #[derive(Debug, Clone, Copy)]
-enum Course {
+enum Scenario {
     Calm,
     Greedy,
     Restart,
     Cut,
 }
 
-fn play(way: Way, course: Course, seed: u64) -> Fleet {
-    let demands = match course {
-        Course::Calm => unequal(73, 350.0, 1.6),
-        _ => greedy(&[1.0, 5.0, 20.0, 40.0]),
+fn run_scenario(strategy: Strategy, scenario: Scenario, seed: u64) -> Fleet {
+    let demands = match scenario {
+        Scenario::Calm => skewed_tenants(73, 350.0, 1.6),
+        _ => over_quota_tenants(&[1.0, 5.0, 20.0, 40.0]),
     };
-    let mut fleet = Fleet::new(way, NODES, ZONES, demands, seed);
+    let mut fleet = Fleet::new(strategy, NODES, ZONES, demands, seed);
     fleet.warm_up();
     fleet.run(7_000);
-    match course {
-        Course::Restart => (0..NODES).for_each(|node| fleet.restart(node)),
-        Course::Cut => fleet.cut(|node| match node % 3 {
+    match scenario {
+        Scenario::Restart => (0..NODES).for_each(|node| fleet.restart(node)),
+        Scenario::Cut => fleet.set_partition(|node| match node % 3 {
             0 => node + 1,
             _ => 0,
         }),
-        Course::Calm | Course::Greedy => {}
+        Scenario::Calm | Scenario::Greedy => {}
     }
     fleet.run(13_000);
     fleet
@@ -44,25 +44,34 @@
     println!(
         "way          course   refused below quota   most over limit   over tolerance   waited, mean ms"
     );
-    for way in [Way::CountsTold, Way::EqualShares, Way::HomeNode] {
-        for course in [Course::Calm, Course::Greedy, Course::Restart, Course::Cut] {
+    for strategy in [
+        Strategy::CountsTold,
+        Strategy::EqualShares,
+        Strategy::HomeNode,
+    ] {
+        for scenario in [
+            Scenario::Calm,
+            Scenario::Greedy,
+            Scenario::Restart,
+            Scenario::Cut,
+        ] {
             let (mut asked, mut refused, mut waited) = (0, 0, 0);
-            let (mut over_limit, mut over_bound) = (f64::MIN, f64::MIN);
+            let (mut over_limit, mut over_tolerance) = (f64::MIN, f64::MIN);
             for seed in 0..SEEDS {
-                for outcome in play(way, course, seed).outcomes() {
+                for outcome in run_scenario(strategy, scenario, seed).outcomes() {
                     asked += outcome.asked;
-                    refused += outcome.refused_below;
+                    refused += outcome.refused_under_quota;
                     waited += outcome.waited_ms;
                     over_limit = over_limit.max(outcome.over_limit);
-                    over_bound = over_bound.max(outcome.over_bound);
+                    over_tolerance = over_tolerance.max(outcome.over_tolerance);
                 }
             }
             let share = 100.0 * refused as f64 / asked as f64;
             let wait = waited as f64 / asked as f64;
             println!(
-                "{:12} {:8} {refused:8} ({share:5.2} %) {over_limit:17.0} {over_bound:16.0} {wait:17.1}",
-                format!("{way:?}"),
-                format!("{course:?}")
+                "{:12} {:8} {refused:8} ({share:5.2} %) {over_limit:17.0} {over_tolerance:16.0} {wait:17.1}",
+                format!("{strategy:?}"),
+                format!("{scenario:?}")
             );
         }
     }
--- a/crates/tenants/src/account.rs
+++ b/crates/tenants/src/account.rs
@@ -1,47 +1,46 @@
-//! Credit of one tenant: a token bucket whose level is shared by all nodes. Pure.
+//! Token bucket of one tenant, shared by all nodes. Pure; time is an argument.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 use dappleyard_model::{QuotaBounds, RateLimit};
 
-use crate::growth::Held;
-
-/// Part of the operators' tolerance that the bucket is deeper than the burst. What other nodes let pass
-/// is known some hundred milliseconds late, so the order of requests over the fleet is not known
-/// exactly: with this part no caller is refused below its quota because of old news. The other
-/// part is for what is not known yet.
-const TOLERANCE_IN_DEPTH: f64 = 0.5;
-/// Least depth of a bucket: with less than one request it would let nothing pass, however long it fills.
-const LEAST_DEPTH: f64 = 1.0;
-/// Part of the fleet from which on it may spend all credit while the rest is silent, and up to which it may
-/// spend none beyond its rate. They add up to one, see `Part::kept`.
-const KEEPS_ALL: f64 = 0.75;
-const KEEPS_NONE: f64 = 0.25;
-/// Longest time after which a caller is asked to come back.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+use crate::growth::HeldCredit;
+
+/// Fraction of the configured tolerance by which the bucket is deeper than the burst. Reports of other nodes arrive
+/// some hundred milliseconds late, so the fleet-wide order of requests is uncertain; this margin keeps callers below
+/// their quota from being refused. The rest of the tolerance covers requests that are not reported yet.
+const DEPTH_TOLERANCE_FRACTION: f64 = 0.5;
+/// Smallest depth of a bucket; with less than one request it would never admit any.
+const MIN_DEPTH: f64 = 1.0;
+/// During a partition, a side with at least `FULL_CREDIT_FRACTION` of the fleet may spend all credit, and one with at
+/// most `NO_CREDIT_FRACTION` none beyond its rate. They add up to one, see [`Partition::credit_share`].
+const FULL_CREDIT_FRACTION: f64 = 0.75;
+const NO_CREDIT_FRACTION: f64 = 0.25;
+/// Longest retry delay given to a caller.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 /// Requests count as recent for one to two spans of this length.
-const RECENT: Duration = Duration::from_millis(1_500);
+const RECENT_SPAN: Duration = Duration::from_millis(1_500);
 
-/// Requests by which all nodes together may pass a quota in one span.
+/// Number of requests by which the fleet may exceed a quota in one window.
 pub fn tolerance(limit: RateLimit, bounds: QuotaBounds) -> f64 {
     let window_s = bounds.window_ms as f64 / 1_000.0;
     bounds.over * (limit.per_s * window_s + limit.burst) + bounds.slack
 }
 
-/// How a bucket fills.
+/// Refill rate and depth of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refill {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Most requests at once.
+    /// Largest burst of requests.
     pub depth: f64,
 }
 
 impl Refill {
-    /// The bucket of a limit, for nodes that stand for a share of the fleet.
+    /// Creates the parameters for a limit, for nodes that represent the given share of the fleet.
     pub fn new(limit: RateLimit, bounds: QuotaBounds, share: f64) -> Self {
-        let depth = limit.burst + TOLERANCE_IN_DEPTH * tolerance(limit, bounds);
+        let depth = limit.burst + DEPTH_TOLERANCE_FRACTION * tolerance(limit, bounds);
         Self {
             per_s: share * limit.per_s,
             depth: share * depth,
@@ -49,57 +48,57 @@
     }
 }
 
-/// A number of requests as a whole one, so that the mean over many nodes is kept: of a share of less than
-/// one, some nodes let one request pass and the others none. `point` is between 0 and 1.
-pub(crate) fn whole(requests: f64, point: f64) -> f64 {
-    match requests < LEAST_DEPTH {
-        true => f64::from(u8::from(point < requests)),
+/// Rounds a fraction below one to 0 or 1, so that the mean over many nodes is preserved: some nodes admit one request
+/// and the others none. `random_point` is between 0 and 1.
+pub(crate) fn round_fraction(requests: f64, random_point: f64) -> f64 {
+    match requests < MIN_DEPTH {
+        true => f64::from(u8::from(random_point < requests)),
         false => requests,
     }
 }
 
-/// A part of the fleet while the rest is silent and is not known to be gone.
+/// One side of a suspected network partition, while the silent rest of the fleet may still be alive.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Part {
-    /// The part of the fleet that is heard, between 0 and 1.
+pub(crate) struct Partition {
+    /// Fraction of the fleet that is heard, between 0 and 1.
     heard: f64,
 }
 
-impl Part {
-    /// The part, where it is so small that the rest may spend as much as this one.
+impl Partition {
+    /// Creates a partition, unless the heard fraction is so large that it may spend all credit.
     pub(crate) fn new(heard: f64) -> Option<Self> {
-        (heard < KEEPS_ALL).then_some(Self { heard })
+        (heard < FULL_CREDIT_FRACTION).then_some(Self { heard })
     }
 
-    /// Share of the credit that the part may spend. The shares of all parts of a fleet add up to at most
-    /// one, however it is cut: a large part keeps more than its share, and those that are small nothing.
-    fn kept(self) -> f64 {
-        ((self.heard - KEEPS_NONE) / (KEEPS_ALL - KEEPS_NONE)).max(0.0)
+    /// Share of the credit that this side may spend. The shares of all sides add up to at most one: a large side keeps
+    /// more than its proportional share, and a small one nothing.
+    fn credit_share(self) -> f64 {
+        ((self.heard - NO_CREDIT_FRACTION) / (FULL_CREDIT_FRACTION - NO_CREDIT_FRACTION)).max(0.0)
     }
 }
 
-/// Requests of one tenant that this node let pass.
+/// Requests of one tenant that this node has admitted.
 #[derive(Debug, Clone, Copy)]
-struct Passed {
+struct PassedCounter {
     count: u64,
-    /// The count at the beginning of the present span, and of the one before.
+    /// Count at the start of the current span, and of the previous one.
     span_base: u64,
     recent_base: u64,
-    span_began: Instant,
+    span_started_at: Instant,
 }
 
-impl Passed {
-    fn turn(&mut self, now: Instant) {
-        let age = now.duration_since(self.span_began);
-        if age < RECENT {
+impl PassedCounter {
+    fn roll_over(&mut self, now: Instant) {
+        let age = now.duration_since(self.span_started_at);
+        if age < RECENT_SPAN {
             return;
         }
-        self.recent_base = match age < 2 * RECENT {
+        self.recent_base = match age < 2 * RECENT_SPAN {
             true => self.span_base,
             false => self.count,
         };
         self.span_base = self.count;
-        self.span_began = now;
+        self.span_started_at = now;
     }
 
     fn recent(&self) -> u64 {
@@ -107,7 +106,7 @@
     }
 }
 
-/// A bucket and what is in it.
+/// A token bucket.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     refill: Refill,
@@ -122,7 +121,7 @@
     }
 
     fn depth(&self) -> f64 {
-        self.refill.depth.max(LEAST_DEPTH)
+        self.refill.depth.max(MIN_DEPTH)
     }
 
     fn add(&mut self, requests: f64) {
@@ -137,30 +136,30 @@
     fn until_credit(&self) -> Duration {
         let missing = (1.0 - self.level).max(0.0);
         Duration::try_from_secs_f64(missing / self.refill.per_s)
-            .map_or(LONGEST_WAIT, |wait| wait.min(LONGEST_WAIT))
+            .map_or(MAX_WAIT, |wait| wait.min(MAX_WAIT))
     }
 }
 
-/// Credit of one tenant, as one node knows it. Whoever looks at it or changes it fills it first.
+/// Credit of one tenant, as known to one node. Callers must fill the account before they read or change it.
 #[derive(Debug, Clone)]
 pub(crate) struct Account {
-    /// Credit left over all nodes.
+    /// Fleet-wide credit.
     fleet: Bucket,
-    /// What this node may let pass while it hears too few others to know what the fleet has left.
-    alone: Option<Bucket>,
-    /// What this part of the fleet may let pass while the rest is silent.
-    part: Option<(Part, Bucket)>,
-    /// Requests of the credit that are not to be spent now.
-    held_back: f64,
-    at: Instant,
-    passed: Passed,
-    /// Requests that this node had let pass when a delegate last told of levels.
-    passed_when_told: u64,
-    /// Requests that this node lets pass until it is told again.
-    slice: u64,
-    /// Requests of all nodes of the own zone.
+    /// Limit on this node's own requests while it is isolated.
+    isolated: Option<Bucket>,
+    /// Limit on this side of the fleet during a partition.
+    part: Option<(Partition, Bucket)>,
+    /// Credit that may not be spent at present.
+    withheld: f64,
+    updated_at: Instant,
+    passed: PassedCounter,
+    /// This node's count when a delegate last reported levels.
+    passed_at_report: u64,
+    /// Requests that this node may admit until the next report.
+    allowance: u64,
+    /// Requests admitted by all nodes of the own zone.
     pub(crate) zone_passed: u64,
-    /// When the credit was last low.
+    /// Time at which the credit was last low.
     pub(crate) low_at: Option<Instant>,
 }
 
@@ -168,76 +167,81 @@
     pub(crate) fn new(refill: Refill, level: f64, now: Instant) -> Self {
         Self {
             fleet: Bucket::new(refill, level),
-            alone: None,
+            isolated: None,
             part: None,
-            held_back: 0.0,
-            at: now,
-            passed: Passed {
+            withheld: 0.0,
+            updated_at: now,
+            passed: PassedCounter {
                 count: 0,
                 span_base: 0,
                 recent_base: 0,
-                span_began: now,
+                span_started_at: now,
             },
-            passed_when_told: 0,
-            slice: u64::MAX,
+            passed_at_report: 0,
+            allowance: u64::MAX,
             zone_passed: 0,
             low_at: None,
         }
     }
 
-    /// Brings the account up to now; credit of the fleet grows at a part of its rate.
+    /// Refills the buckets up to now; the fleet's credit grows at the fraction `growth` of its rate.
     pub(crate) fn fill(&mut self, growth: f64, now: Instant) {
-        let seconds = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.passed.turn(now);
+        let seconds = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        self.passed.roll_over(now);
         self.fleet.fill(seconds * growth);
         if let Some((_, bucket)) = &mut self.part {
             bucket.fill(seconds);
         }
-        if let Some(alone) = &mut self.alone {
-            alone.fill(seconds);
+        if let Some(isolated) = &mut self.isolated {
+            isolated.fill(seconds);
         }
     }
 
-    /// Sets aside what zones that are late may have spent, and drops what silent ones may have spent.
-    pub(crate) fn hold(&mut self, held: Held) {
+    /// Withholds the credit that late zones may have spent, and drops what silent ones may have spent.
+    pub(crate) fn withhold(&mut self, held: HeldCredit) {
         let per_s = self.fleet.refill.per_s;
-        self.fleet.add(-held.given_up_s * per_s);
-        self.held_back = held.back_s * per_s;
+        self.fleet.add(-held.forfeited_s * per_s);
+        self.withheld = held.withheld_s * per_s;
     }
 
-    /// Goes on with another bucket; what is in it stays, as far as it is deep enough. What was set aside for
-    /// a rest of the fleet that is now known to be gone is not spent by this part.
-    pub(crate) fn set_refill(&mut self, refill: Refill, point: f64) {
-        let level = self.level().min(whole(refill.depth, point));
+    /// Changes the parameters of the bucket and keeps the level, up to the new depth. Credit that was withheld from this
+    /// side during a partition stays unspent if the rest of the fleet turns out to be gone.
+    pub(crate) fn set_refill(&mut self, refill: Refill, random_point: f64) {
+        let level = self.level().min(round_fraction(refill.depth, random_point));
         self.fleet = Bucket::new(refill, level);
     }
 
-    /// The node's own share holds beside the credit of the fleet from now on, or no longer.
-    pub(crate) fn set_alone(&mut self, share: Option<(Refill, f64)>) {
+    /// Sets or removes the limit for an isolated node.
+    pub(crate) fn set_isolated(&mut self, share: Option<(Refill, f64)>) {
         let recent = self.passed.recent() as f64;
-        self.alone = share.map(|(refill, level)| {
-            // What this node let pass a moment ago is part of its share.
+        self.isolated = share.map(|(refill, level)| {
+            // Recent requests of this node count against its share.
             Bucket::new(refill, level - recent)
         });
     }
 
-    /// The rest of the fleet is silent from now on, or is heard again. Credit that is set aside for the rest
-    /// is not lost: it is there again once the rest is heard.
-    pub(crate) fn set_part(&mut self, part: Option<Part>, point: f64) {
+    /// Sets or removes the limit for a partition. The credit reserved for the silent rest is available again once the
+    /// rest is heard.
+    pub(crate) fn set_partition(&mut self, part: Option<Partition>, random_point: f64) {
         let Some(part) = part else {
             self.part = None;
             return;
         };
-        let whole_refill = self.fleet.refill;
+        let full_refill = self.fleet.refill;
         let refill = Refill {
-            per_s: part.heard * whole_refill.per_s,
-            depth: part.kept() * whole_refill.depth,
+            per_s: part.heard * full_refill.per_s,
+            depth: part.credit_share() * full_refill.depth,
         };
         let level = match self.part {
-            None => whole(part.kept() * self.fleet.level, point),
-            Some((held, bucket)) if part.kept() < held.kept() && bucket.level > 0.0 => {
-                whole(bucket.level * part.kept() / held.kept(), point)
+            None => round_fraction(part.credit_share() * self.fleet.level, random_point),
+            Some((held, bucket))
+                if part.credit_share() < held.credit_share() && bucket.level > 0.0 =>
+            {
+                round_fraction(
+                    bucket.level * part.credit_share() / held.credit_share(),
+                    random_point,
+                )
             }
             Some((_, bucket)) => bucket.level,
         };
@@ -254,40 +258,39 @@
     }
 
     /// Credit that may be spent now.
-    pub(crate) fn free(&self) -> f64 {
-        self.level().min(self.fleet.level - self.held_back)
+    pub(crate) fn spendable(&self) -> f64 {
+        self.level().min(self.fleet.level - self.withheld)
     }
 
     pub(crate) fn set_level(&mut self, level: f64) {
         self.fleet = Bucket::new(self.fleet.refill, level);
     }
 
-    /// What is told of no longer was not low: at least this part is there.
-    pub(crate) fn set_at_least(&mut self, part: f64) {
+    /// Raises the level to a fraction of the depth, for a tenant that is no longer reported as low.
+    pub(crate) fn raise_to_fraction(&mut self, part: f64) {
         self.set_level(self.fleet.level.max(part * self.fleet.depth()));
     }
 
-    /// A delegate told what is left.
-    pub(crate) fn note_told(&mut self, slice: u64) {
-        self.passed_when_told = self.passed.count;
-        self.slice = slice;
+    /// Starts a new allowance after a delegate's report.
+    pub(crate) fn note_levels_reported(&mut self, allowance: u64) {
+        self.passed_at_report = self.passed.count;
+        self.allowance = allowance;
     }
 
-    /// Whether this node has let pass what it may, `at_most` or its slice, since a delegate last told what
-    /// is left.
-    pub(crate) fn is_spent(&self, at_most: u64) -> bool {
-        let passed = self.passed.count.saturating_sub(self.passed_when_told);
-        passed >= self.slice.min(at_most)
+    /// Whether this node has used its allowance, or `max_requests` if that is less, since the last report.
+    pub(crate) fn is_allowance_spent(&self, max_requests: u64) -> bool {
+        let passed = self.passed.count.saturating_sub(self.passed_at_report);
+        passed >= self.allowance.min(max_requests)
     }
 
-    /// Takes one request off; `Err` tells when there will be credit for it.
+    /// Deducts one request; on failure returns the time until there is credit for it.
     pub(crate) fn take(&mut self, now: Instant) -> Result<(), Duration> {
         let part = self.part.as_ref().map(|(_, bucket)| bucket);
         let fleet = Bucket {
-            level: self.fleet.level - self.held_back,
+            level: self.fleet.level - self.withheld,
             ..self.fleet
         };
-        let buckets = [Some(&fleet), self.alone.as_ref(), part];
+        let buckets = [Some(&fleet), self.isolated.as_ref(), part];
         let wait = buckets
             .into_iter()
             .flatten()
@@ -297,7 +300,7 @@
             return Err(wait);
         }
         self.add(-1.0);
-        self.passed.turn(now);
+        self.passed.roll_over(now);
         self.passed.count += 1;
         self.zone_passed += 1;
         Ok(())
@@ -305,22 +308,22 @@
 
     fn add(&mut self, requests: f64) {
         self.fleet.add(requests);
-        if let Some(alone) = &mut self.alone {
-            alone.add(requests);
+        if let Some(isolated) = &mut self.isolated {
+            isolated.add(requests);
         }
         if let Some((_, bucket)) = &mut self.part {
             bucket.add(requests);
         }
     }
 
-    /// A request that was let pass has run nowhere and will not.
+    /// Refunds an admitted request that has not run and will not.
     pub(crate) fn give_back(&mut self) {
         self.add(1.0);
         self.passed.count = self.passed.count.saturating_sub(1);
         self.zone_passed = self.zone_passed.saturating_sub(1);
     }
 
-    /// Takes off what another node let pass; below zero when it gave requests back.
+    /// Deducts requests that another node has admitted; negative for refunds.
     pub(crate) fn charge(&mut self, requests: i64) {
         self.fleet.add(-(requests as f64));
         if let Some((_, bucket)) = &mut self.part {
@@ -328,9 +331,9 @@
         }
     }
 
-    /// Requests that this node let pass since it began, and in the last seconds.
+    /// Requests admitted by this node, in total and recently.
     pub(crate) fn passed(&mut self, now: Instant) -> (u64, u64) {
-        self.passed.turn(now);
+        self.passed.roll_over(now);
         (self.passed.count, self.passed.recent())
     }
 }
--- a/crates/tenants/src/growth.rs
+++ b/crates/tenants/src/growth.rs
@@ -1,64 +1,64 @@
-//! How fast credit of the fleet grows, and what is held back for zones whose word is late. Pure.
+//! Growth of the fleet's credit, and the credit withheld for zones whose reports are late. Pure; time is an argument.
 
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
 
-/// Credit that is not to be spent, in seconds of the fleet's rate.
+/// Credit that may not be spent, in seconds of the fleet's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Held {
-    /// It is not there any more.
-    pub(crate) given_up_s: f64,
-    /// It is there, and may be spent once zones that are late are heard.
-    pub(crate) back_s: f64,
+pub(crate) struct HeldCredit {
+    /// Credit that is lost.
+    pub(crate) forfeited_s: f64,
+    /// Credit that may be spent once the late zones have reported.
+    pub(crate) withheld_s: f64,
 }
 
-/// Growth as of the last look, as parts of the fleet's rate.
+/// Growth since the last update, as fractions of the fleet's rate.
 #[derive(Debug)]
-pub(crate) struct Growing {
-    /// The part of the fleet that counts as heard.
+pub(crate) struct GrowthTracker {
+    /// Fraction of the fleet that counts as heard.
     heard: f64,
-    /// The part whose word came in time.
+    /// Fraction of the fleet whose last report is not late.
     prompt: f64,
     at: Instant,
-    /// Credit held back so far, as time of the fleet's rate.
-    held_back: Duration,
+    /// Credit withheld so far, as time at the fleet's rate.
+    withheld: Duration,
 }
 
-impl Growing {
-    /// Nothing is known of others yet.
+impl GrowthTracker {
+    /// Creates a tracker that has no reports yet.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             heard: 1.0,
             prompt: 0.0,
             at: now,
-            held_back: Duration::ZERO,
+            withheld: Duration::ZERO,
         }
     }
 
-    /// The part of its rate by which credit grows.
+    /// Fraction of the rate at which credit grows.
     pub(crate) fn heard(&self) -> f64 {
         self.heard
     }
 
-    /// Takes a look. What is held back may be spent once all that are heard are in time again; it is given up
-    /// when one of them falls silent.
-    pub(crate) fn note(&mut self, heard: f64, prompt: f64, now: Instant) -> Held {
+    /// Updates the fractions. Withheld credit is released once all reports are in time again, and is forfeited when a
+    /// reporting node or zone falls silent.
+    pub(crate) fn update(&mut self, heard: f64, prompt: f64, now: Instant) -> HeldCredit {
         let passed = now.saturating_duration_since(self.at);
-        self.held_back += passed.mul_f64((self.heard - self.prompt).max(0.0));
-        let given_up = match heard < self.heard {
-            true => std::mem::take(&mut self.held_back),
+        self.withheld += passed.mul_f64((self.heard - self.prompt).max(0.0));
+        let forfeited = match heard < self.heard {
+            true => std::mem::take(&mut self.withheld),
             false => Duration::ZERO,
         };
         if prompt >= heard {
-            self.held_back = Duration::ZERO;
+            self.withheld = Duration::ZERO;
         }
         self.heard = heard;
         self.prompt = prompt;
         self.at = self.at.max(now);
-        Held {
-            given_up_s: given_up.as_secs_f64(),
-            back_s: self.held_back.as_secs_f64(),
+        HeldCredit {
+            forfeited_s: forfeited.as_secs_f64(),
+            withheld_s: self.withheld.as_secs_f64(),
         }
     }
 }
--- a/crates/tenants/src/identity.rs
+++ b/crates/tenants/src/identity.rs
@@ -1,4 +1,4 @@
-//! Whose request it is. Pure.
+//! Identifies the caller of a request by its API key. Pure functions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,19 +6,18 @@
 use dappleyard_model::{Bounds, Configuration, KeyDigest, Tenant, TenantStamp};
 use derive_more::{Display, Error};
 
-/// Who calls.
+/// Caller of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Caller {
-    /// The configuration knows no tenants.
+    /// The configuration defines no tenants.
     Untold,
-    /// Somebody without a key, on a route that needs none.
+    /// An anonymous caller on a public route.
     Nobody,
-    /// The holder of a key.
+    /// The tenant that holds the key.
     Tenant(Arc<Tenant>),
 }
 
 impl Caller {
-    /// The tenant, if there is one.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Caller::Tenant(tenant) => Some(tenant),
@@ -26,12 +25,12 @@
         }
     }
 
-    /// Name of the tenant; empty when there is none.
+    /// Name of the tenant; empty if there is none.
     pub fn tenant_name(&self) -> &str {
         self.tenant().map_or("", |tenant| tenant.name.as_str())
     }
 
-    /// What servers are told of the tenant.
+    /// Tenant header that is sent to the server.
     pub fn stamp(&self) -> TenantStamp<'_> {
         match self {
             Caller::Untold => TenantStamp::Untouched,
@@ -41,45 +40,43 @@
     }
 }
 
-/// Why a key is not accepted.
+/// Reason for which a key is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum KeyRefusal {
-    /// No tenant holds it.
+    /// No tenant holds the key.
     #[display("no tenant holds the key")]
     Unknown,
-    /// No tenant held it in a configuration so old that a newer one may name it, or the key is known but
-    /// may have been taken away since.
+    /// The configuration is too old to decide: a newer one may have added or revoked the key.
     #[display("the configuration is too old to tell of the key")]
     Unsure,
 }
 
-/// How well a node knows the configuration in force.
+/// How up to date a node's configuration is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Standing {
-    /// Age of the configuration; `None` when none is known.
+    /// Age of the configuration; `None` if there is none.
     pub age: Option<Duration>,
-    /// The node hears at least half of the fleet.
+    /// Whether the node hears at least half of the fleet.
     pub among_most: bool,
 }
 
 impl Standing {
-    /// Whether every configuration that is in force by now is known.
+    /// Whether no newer configuration can be in force.
     fn is_current(&self, bounds: &Bounds) -> bool {
         let in_force = Duration::from_millis(bounds.config_apply_ms);
         self.age.is_some_and(|age| age < in_force)
     }
 
-    /// Whether a key that the configuration names may still be accepted. While the store is silent to all
-    /// nodes, no newer configuration can come into force; a node that is cut off from most others cannot
-    /// tell that from a cut of its own.
+    /// Whether keys of this configuration may still be accepted. While no node reaches the store, no newer
+    /// configuration can come into force; an isolated node cannot tell this from its own partition.
     fn may_accept(&self, bounds: &Bounds) -> bool {
         let limit = Duration::from_millis(bounds.revoke_ms);
-        let young = self.age.is_some_and(|age| age < limit);
-        young || (self.among_most && !bounds.revoke_strict)
+        let recent = self.age.is_some_and(|age| age < limit);
+        recent || (self.among_most && !bounds.revoke_strict)
     }
 }
 
-/// Tells whose request it is, by the key that came with it; `public` routes need none.
+/// Identifies the caller by the key of the request; `public` routes need no key.
 pub fn identify(
     configuration: &Configuration,
     public: bool,
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -1,9 +1,9 @@
-//! Credit of all tenants as one node knows it. Pure: time is an argument.
+//! Credit of all tenants, as known to one node. Pure; time is an argument.
 //!
-//! A node that sums (each one of a small fleet, the delegates of a large one) takes off what it hears
-//! of every other node. A node that is told takes over what its delegate says, less what it has let pass
-//! since. A node that hears nobody lets pass its share of the quota only: with every node's share
-//! added up, a fleet in pieces stays within the operators' tolerance.
+//! An aggregating node (each node of a small fleet, the delegates of a large one) deducts the requests that every other
+//! node reports. Any other node takes over the levels that its delegate reports, less the requests that it has admitted
+//! since. A node that hears nobody admits only its share of each quota, so that a partitioned fleet stays within the
+//! configured tolerance.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,67 +11,66 @@
 use dappleyard_clock::Instant;
 use dappleyard_model::{QuotaBounds, RateLimit, Tenants};
 
-use crate::account::{Account, Part, Refill, tolerance, whole};
+use crate::account::{Account, Partition, Refill, round_fraction, tolerance};
 use crate::counts::{ZoneCounts, ZonePassed};
-use crate::growth::Growing;
+use crate::growth::GrowthTracker;
 use crate::messages::{CreditLevel, PassedCount};
-use crate::numbers::{point, slice, tenant_number};
-use crate::reports::Heard;
+use crate::numbers::{allowance, random_point, tenant_number};
+use crate::reports::Reports;
 
-/// Part of a bucket under which nodes are told of its level in each message.
-const LOW: f64 = 0.6;
-/// Time for which a level is told after it was last low, so that one lost message does no harm.
-const TOLD_AFTER_LOW: Duration = Duration::from_millis(1_000);
-/// Part of the operators' tolerance that a process grants when it has just begun. The rest is for what
-/// other nodes let pass in the meantime (half: five times a quota of 40 a second passed the bound in virtual
-/// time with all of it).
-const IN_DOUBT: f64 = 0.5;
-/// Age of the delegates' last word from which a node that is told no longer spends the credit of the fleet:
-/// two delegates tell each 75 ms.
-const TOLD_FRESH: Duration = Duration::from_millis(250);
-/// Requests of a tenant that such a node lets pass since that word.
-const UNTOLD_AT_MOST: u64 = 1;
-/// Known part of the fleet below which a refusal tells of this node rather than of the tenant.
-const ALONE_BELOW: f64 = 0.5;
-/// Time for which all that a node has summed counts as recent: as long as a node's own requests do.
-const YOUNG: Duration = Duration::from_millis(1_500);
+/// Fraction of a bucket's depth below which its level is reported in each message.
+const LOW_FRACTION: f64 = 0.6;
+/// Time for which a level is still reported after it was low, so that a lost message does no harm.
+const LOW_REPORT_DURATION: Duration = Duration::from_millis(1_000);
+/// Fraction of the tolerance that a process grants initially, when it does not know what was admitted before. The
+/// rest covers what other nodes admit in the meantime.
+const INITIAL_TOLERANCE_FRACTION: f64 = 0.5;
+/// Age of the last reported levels from which a node stops spending the fleet's credit. Two delegates report every
+/// 75 ms.
+const MAX_LEVEL_AGE: Duration = Duration::from_millis(250);
+/// Requests per tenant that a node without recent levels still admits.
+const MAX_WITHOUT_LEVELS: u64 = 1;
+/// Fleet share below which a node counts as isolated, so that a refusal reflects its isolation rather than the
+/// tenant's use.
+const ISOLATED_BELOW: f64 = 0.5;
+/// Time after which counts of a new aggregator are no longer all recent; the same as for a node's own requests.
+const AGGREGATION_WARM_UP: Duration = Duration::from_millis(1_500);
 
-/// Credit of all tenants.
 #[derive(Debug)]
 pub struct Ledger {
     bounds: QuotaBounds,
-    /// Draws which nodes let a request pass where a share is less than one.
+    /// Seed that selects the nodes which admit a request where a share is less than one.
     seed: u64,
-    began: Instant,
-    /// Since when this node sums; `None` while it is told.
-    summing_since: Option<Instant>,
-    /// When a delegate last told of levels.
-    told_at: Option<Instant>,
+    started_at: Instant,
+    /// When this node started to aggregate; `None` while it receives levels.
+    aggregating_since: Option<Instant>,
+    /// When a delegate last reported levels.
+    levels_at: Option<Instant>,
     share: f64,
-    growing: Growing,
+    growth_tracker: GrowthTracker,
     limits: HashMap<u32, RateLimit>,
     accounts: HashMap<u32, Account>,
-    heard: Heard,
+    reports: Reports,
 }
 
 impl Ledger {
-    /// A ledger of a process that has just begun. What was let pass before is not known.
+    /// Creates the ledger of a process that has just started and does not know what was admitted before.
     pub fn new(bounds: QuotaBounds, seed: u64, now: Instant) -> Self {
         Self {
             bounds,
             seed,
-            began: now,
-            summing_since: None,
-            told_at: None,
-            growing: Growing::new(now),
+            started_at: now,
+            aggregating_since: None,
+            levels_at: None,
+            growth_tracker: GrowthTracker::new(now),
             share: 1.0,
             limits: HashMap::new(),
             accounts: HashMap::new(),
-            heard: Heard::default(),
+            reports: Reports::default(),
         }
     }
 
-    /// Takes over the limits of a configuration.
+    /// Applies the limits of a configuration.
     pub fn set_limits(&mut self, tenants: Option<&Tenants>, now: Instant) {
         let limited = tenants.into_iter().flat_map(Tenants::iter);
         self.limits = limited
@@ -81,90 +80,93 @@
         self.accounts
             .retain(|tenant, _| limits.contains_key(tenant));
         self.fill(now);
-        self.refill();
+        self.rebuild_buckets();
     }
 
-    /// How this node stands to the others: whether it sums up what they let pass, and of which part of the
-    /// fleet it knows, itself included.
-    pub fn set_standing(&mut self, sums: bool, share: f64, now: Instant) {
+    /// Sets whether this node aggregates the counts of others, and the share of the fleet that it hears, including
+    /// itself.
+    pub fn set_standing(&mut self, aggregates: bool, share: f64, now: Instant) {
         self.fill(now);
-        let summed = self.summing_since.is_some();
-        if summed == sums && share == self.share {
+        let aggregated = self.aggregating_since.is_some();
+        if aggregated == aggregates && share == self.share {
             return;
         }
-        if sums != summed {
-            self.summing_since = sums.then_some(now);
-            self.heard.clear();
+        if aggregates != aggregated {
+            self.aggregating_since = aggregates.then_some(now);
+            self.reports.clear();
         }
         self.share = share;
-        self.refill();
+        self.rebuild_buckets();
     }
 
-    /// Whether this node hears too few others to know what the fleet has left.
-    pub fn is_alone(&self) -> bool {
-        self.share < ALONE_BELOW
+    /// Whether this node hears too few others to know the fleet's credit.
+    pub fn is_isolated(&self) -> bool {
+        self.share < ISOLATED_BELOW
     }
 
-    /// Whether this node is told of levels, and its delegates have just fallen silent. What it knows of the
-    /// fleet's credit is no longer true, and it does not know yet that it is alone.
-    fn is_untold(&self, now: Instant) -> bool {
-        let told = self.told_at.filter(|_| self.summing_since.is_none());
-        !self.is_alone() && told.is_some_and(|at| now.duration_since(at) >= TOLD_FRESH)
+    /// Whether this node depends on reported levels and its delegates have just fallen silent: the levels are out of
+    /// date, but the node does not count as isolated yet.
+    fn lacks_levels(&self, now: Instant) -> bool {
+        let told = self.levels_at.filter(|_| self.aggregating_since.is_none());
+        !self.is_isolated() && told.is_some_and(|at| now.duration_since(at) >= MAX_LEVEL_AGE)
     }
 
-    /// Share of the fleet that the credit of the fleet stands for. A node that sums stands for those it
-    /// hears; one that is told takes over what its delegate stands for.
+    /// Share of the fleet that the fleet's bucket represents. An aggregating node represents the nodes that it hears;
+    /// any other node takes over the level of its delegate.
     fn fleet_share(&self) -> f64 {
-        match self.summing_since {
+        match self.aggregating_since {
             Some(_) => self.share,
             None => 1.0,
         }
     }
 
-    /// The share of this node by itself, where it is told of levels and nobody tells it: a bucket, and what
-    /// is in it at first. It is without delegates for some seconds only, and lets one request of each tenant
-    /// pass at least. A process that has just begun, and was never told, keeps to its share in the mean.
-    fn own_share(&self, tenant: u32, limit: RateLimit, level: f64) -> Option<(Refill, f64)> {
-        if self.summing_since.is_some() || !self.is_alone() {
+    /// Bucket and initial level of this node while it is isolated from its delegates. As this lasts only some seconds,
+    /// it admits at least one request per tenant. A process that has never received levels keeps to its share on
+    /// average.
+    fn isolated_bucket(&self, tenant: u32, limit: RateLimit, level: f64) -> Option<(Refill, f64)> {
+        if self.aggregating_since.is_some() || !self.is_isolated() {
             return None;
         }
-        let level = match self.told_at {
+        let level = match self.levels_at {
             Some(_) => level.max(1.0),
-            None => whole(level, point(self.seed, tenant)),
+            None => round_fraction(level, random_point(self.seed, tenant)),
         };
         Some((Refill::new(limit, self.bounds, self.share), level))
     }
 
-    /// Part of the nodes of this zone that told a moment ago what they let pass, this one included.
+    /// Fraction of the nodes of this zone, including this one, with a recent report.
     pub fn zone_heard(&self, now: Instant) -> f64 {
-        self.heard.own_zone_part(now)
+        self.reports.own_zone_fraction(now)
     }
 
-    /// How fast credit of the fleet grows here, as a part of its rate, and how fast by those alone that told without delay. A node
-    /// that is told waits for the next message: others take from the same credit. One that sums goes by the part of the fleet that
-    /// told it a moment ago what it let pass: where the fleet is cut, all parts together must not let pass more than
-    /// before, and the silence of the others shows in the share only after seconds.
-    fn growth(&self, now: Instant) -> (f64, f64) {
-        match self.summing_since {
-            Some(_) => (self.heard.fresh_part(now), self.heard.prompt_part(now)),
+    /// Fractions of the rate at which the fleet's credit grows: for all that are heard, and for those that are not late.
+    /// A node that receives levels waits for the next report, since others spend the same credit. An aggregating node
+    /// uses the fraction of the fleet that has reported recently: during a partition, all sides together must not admit
+    /// more than before, and the share reflects silence only after seconds.
+    fn growth_fractions(&self, now: Instant) -> (f64, f64) {
+        match self.aggregating_since {
+            Some(_) => (
+                self.reports.fresh_fraction(now),
+                self.reports.prompt_fraction(now),
+            ),
             None => (0.0, 0.0),
         }
     }
 
-    /// Brings all accounts up to now.
+    /// Refills all accounts up to now.
     fn fill(&mut self, now: Instant) {
-        let (heard, prompt) = self.growth(now);
-        let held = self.growing.note(heard, prompt, now);
-        let part = self.summing_since.and_then(|_| Part::new(heard));
+        let (heard, prompt) = self.growth_fractions(now);
+        let held = self.growth_tracker.update(heard, prompt, now);
+        let part = self.aggregating_since.and_then(|_| Partition::new(heard));
         for (tenant, account) in &mut self.accounts {
             account.fill(heard, now);
-            account.hold(held);
-            account.set_part(part, point(self.seed, *tenant));
+            account.withhold(held);
+            account.set_partition(part, random_point(self.seed, *tenant));
         }
     }
 
-    /// Gives all accounts the buckets that fit limits and standing.
-    fn refill(&mut self) {
+    /// Adjusts the buckets of all accounts to the current limits and share.
+    fn rebuild_buckets(&mut self) {
         let share = self.fleet_share();
         let mut accounts = std::mem::take(&mut self.accounts);
         for (tenant, account) in &mut accounts {
@@ -172,70 +174,74 @@
                 continue;
             };
             let refill = Refill::new(limit, self.bounds, share);
-            account.set_refill(refill, point(self.seed, *tenant));
+            account.set_refill(refill, random_point(self.seed, *tenant));
             let level = Refill::new(limit, self.bounds, self.share).depth;
-            account.set_alone(self.own_share(*tenant, limit, level));
+            account.set_isolated(self.isolated_bucket(*tenant, limit, level));
         }
         self.accounts = accounts;
     }
 
-    /// The account of a tenant; `None` for one without a limit.
+    /// The account of a tenant; `None` if it has no limit.
     fn account(&mut self, tenant: u32, now: Instant) -> Option<&mut Account> {
         let limit = *self.limits.get(&tenant)?;
         if !self.accounts.contains_key(&tenant) {
-            let account = self.open(tenant, limit, now);
+            let account = self.open_account(tenant, limit, now);
             self.accounts.insert(tenant, account);
         }
         let account = self.accounts.get_mut(&tenant)?;
-        account.fill(self.growing.heard(), now);
+        account.fill(self.growth_tracker.heard(), now);
         Some(account)
     }
 
-    fn open(&self, tenant: u32, limit: RateLimit, now: Instant) -> Account {
+    fn open_account(&self, tenant: u32, limit: RateLimit, now: Instant) -> Account {
         let refill = Refill::new(limit, self.bounds, self.fleet_share());
         let window = Duration::from_millis(self.bounds.window_ms);
-        let young = now.duration_since(self.began) < window;
-        // What was let pass before this process began may be all that was allowed.
-        let in_doubt = IN_DOUBT * tolerance(limit, self.bounds);
-        let level = match (young, self.summing_since) {
+        let recently_started = now.duration_since(self.started_at) < window;
+        // Requests admitted before this process started may have used up the quota.
+        let in_doubt = INITIAL_TOLERANCE_FRACTION * tolerance(limit, self.bounds);
+        let level = match (recently_started, self.aggregating_since) {
             (true, _) => in_doubt,
-            // Untold means that it is not low.
-            (false, None) => LOW * refill.depth,
+            // A tenant that is not reported is not low.
+            (false, None) => LOW_FRACTION * refill.depth,
             (false, Some(_)) => Refill::new(limit, self.bounds, 1.0).depth,
         };
-        let level = match self.summing_since {
-            Some(_) => whole(level * self.share, point(self.seed, tenant)),
+        let level = match self.aggregating_since {
+            Some(_) => round_fraction(level * self.share, random_point(self.seed, tenant)),
             None => level,
         };
         let mut account = Account::new(refill, level, now);
-        account.set_alone(self.own_share(tenant, limit, level * self.share));
+        account.set_isolated(self.isolated_bucket(tenant, limit, level * self.share));
         account
     }
 
-    /// Takes one request of a tenant off; `Err` tells when there will be credit for it.
+    /// Deducts one request of a tenant; on failure returns the time until there is credit for it.
     pub fn take(&mut self, tenant: u32, now: Instant) -> Result<(), Duration> {
-        let untold = self.is_untold(now);
-        let at_most = if untold { UNTOLD_AT_MOST } else { u64::MAX };
+        let unreported = self.lacks_levels(now);
+        let max_requests = if unreported {
+            MAX_WITHOUT_LEVELS
+        } else {
+            u64::MAX
+        };
         match self.account(tenant, now) {
-            Some(account) if account.is_spent(at_most) => Err(TOLD_FRESH),
+            Some(account) if account.is_allowance_spent(max_requests) => Err(MAX_LEVEL_AGE),
             Some(account) => account.take(now),
             None => Ok(()),
         }
     }
 
-    /// A request that was let pass has run nowhere and will not.
+    /// Refunds an admitted request that has not run and will not.
     pub fn give_back(&mut self, tenant: u32, now: Instant) {
         if let Some(account) = self.account(tenant, now) {
             account.give_back();
         }
     }
 
-    /// Credit left of a tenant, in requests; `None` for one without a limit.
+    /// Remaining credit of a tenant, in requests; `None` if it has no limit.
     pub fn level(&mut self, tenant: u32, now: Instant) -> Option<f64> {
         self.account(tenant, now).map(|account| account.level())
     }
 
-    /// What this node let pass lately, for others.
+    /// Counts of this node's recently active tenants, for other nodes.
     pub fn passed(&mut self, now: Instant) -> Vec<PassedCount> {
         let accounts = self.accounts.iter_mut();
         let counts = accounts.map(|(tenant, account)| {
@@ -249,13 +255,13 @@
         counts.filter(|count| count.recent > 0).collect()
     }
 
-    /// Takes off what another node let pass.
+    /// Deducts the requests that another node has reported.
     pub fn note_node(&mut self, node: u64, life: u64, counts: &[PassedCount], now: Instant) {
-        let Some(since) = self.summing_since else {
+        let Some(since) = self.aggregating_since else {
             return;
         };
-        let held = self.heard.nodes.entry(node).or_default();
-        let changes = held.note(life, counts, now.duration_since(since), now);
+        let held = self.reports.nodes.entry(node).or_default();
+        let changes = held.update(life, counts, now.duration_since(since), now);
         self.fill(now);
         for (tenant, change) in changes {
             if let Some(account) = self.account(tenant, now) {
@@ -265,20 +271,22 @@
         }
     }
 
-    /// What all nodes of this zone let pass, for the delegates of other zones: where credit is low, or
-    /// all of it.
+    /// Counts of all nodes of this zone, for the delegates of other zones: for tenants with low credit, or with `all` for
+    /// every tenant.
     pub fn zone_passed(&mut self, all: bool, now: Instant) -> Vec<PassedCount> {
-        let summing = self.summing_since.map(|since| now.duration_since(since));
-        let young = summing.is_some_and(|age| age < YOUNG);
+        let aggregating = self
+            .aggregating_since
+            .map(|since| now.duration_since(since));
+        let recently_started = aggregating.is_some_and(|age| age < AGGREGATION_WARM_UP);
         self.fill(now);
         let told = self.accounts.iter();
         let told = told.filter(|(_, account)| account.zone_passed > 0);
         told.filter_map(|(tenant, account)| {
-            let low = account.is_low(LOW);
+            let low = account.is_low(LOW_FRACTION);
             (all || low).then_some(PassedCount {
                 tenant: *tenant,
                 passed: account.zone_passed,
-                recent: match young {
+                recent: match recently_started {
                     true => account.zone_passed,
                     false => 0,
                 },
@@ -287,7 +295,7 @@
         .collect()
     }
 
-    /// Takes off what another zone let pass, as one of its delegates says.
+    /// Deducts the requests that a delegate of another zone has reported.
     pub fn note_zone(
         &mut self,
         zone: u64,
@@ -295,16 +303,16 @@
         told: &ZonePassed<'_>,
         now: Instant,
     ) {
-        if self.summing_since.is_none() {
+        if self.aggregating_since.is_none() {
             return;
         }
         let follow = || ZoneCounts::new(delegate, now);
-        let held = self.heard.zones.entry(zone).or_insert_with(follow);
+        let held = self.reports.zones.entry(zone).or_insert_with(follow);
         let mut changes = Vec::new();
-        if held.gives_way(delegate, now) {
-            changes = held.follow(delegate, now);
+        if held.should_switch(delegate, now) {
+            changes = held.switch_to(delegate, now);
         }
-        changes.extend(held.note(delegate, told, now));
+        changes.extend(held.update(delegate, told, now));
         self.fill(now);
         for (tenant, change) in changes {
             if let Some(account) = self.account(tenant, now) {
@@ -313,26 +321,26 @@
         }
     }
 
-    /// Notes by how much longer messages of a zone are under way than those of zones of the own region.
-    pub fn note_way(&mut self, zone: u64, later: Duration) {
-        if let Some(held) = self.heard.zones.get_mut(&zone) {
-            held.later = later;
+    /// Sets the additional message delay of a zone, compared with zones of the own region.
+    pub fn set_extra_delay(&mut self, zone: u64, extra_delay: Duration) {
+        if let Some(held) = self.reports.zones.get_mut(&zone) {
+            held.extra_delay = extra_delay;
         }
     }
 
-    /// Levels for a node of this zone: those that are low, or were a moment ago.
+    /// Levels to report to a node of this zone: those that are low, or were recently.
     pub fn levels_for(&mut self, node: u64, now: Instant) -> Vec<CreditLevel> {
         self.fill(now);
-        let counts = self.heard.nodes.get(&node);
+        let counts = self.reports.nodes.get(&node);
         let accounts = self.accounts.iter_mut();
         accounts
             .filter_map(|(tenant, account)| {
-                let level = account.free();
-                if account.is_low(LOW) {
+                let level = account.spendable();
+                if account.is_low(LOW_FRACTION) {
                     account.low_at = Some(now);
                 }
-                let told_from = account.low_at?;
-                (now.duration_since(told_from) < TOLD_AFTER_LOW).then(|| CreditLevel {
+                let reported_from = account.low_at?;
+                (now.duration_since(reported_from) < LOW_REPORT_DURATION).then(|| CreditLevel {
                     tenant: *tenant,
                     level_milli: (level * 1_000.0) as i64,
                     included: counts.and_then(|counts| counts.of(*tenant)),
@@ -341,9 +349,9 @@
             .collect()
     }
 
-    /// Takes over what a delegate says; a tenant of which it says nothing is not low.
+    /// Applies the levels that a delegate has reported; a tenant that is not included is not low.
     pub fn note_levels(&mut self, levels: &[CreditLevel], now: Instant) {
-        if self.summing_since.is_some() {
+        if self.aggregating_since.is_some() {
             return;
         }
         let told: HashMap<u32, &CreditLevel> =
@@ -353,19 +361,19 @@
                 continue;
             };
             let (passed, recent) = account.passed(now);
-            let untold = match told.included {
+            let unreported = match told.included {
                 Some(included) => passed.saturating_sub(included),
                 None => recent,
             };
-            account.set_level(told.level_milli as f64 / 1_000.0 - untold as f64);
+            account.set_level(told.level_milli as f64 / 1_000.0 - unreported as f64);
         }
         self.fill(now);
-        self.told_at = Some(now);
+        self.levels_at = Some(now);
         for (tenant, account) in &mut self.accounts {
-            let slice = told.get(tenant).map(|level| slice(level.level_milli));
-            account.note_told(slice.unwrap_or(u64::MAX));
-            if slice.is_none() {
-                account.set_at_least(LOW);
+            let allowance = told.get(tenant).map(|level| allowance(level.level_milli));
+            account.note_levels_reported(allowance.unwrap_or(u64::MAX));
+            if allowance.is_none() {
+                account.raise_to_fraction(LOW_FRACTION);
             }
         }
     }
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -1,9 +1,9 @@
-//! Who calls, and how much each tenant may ask of all nodes together.
+//! Caller identification and fleet-wide request quotas per tenant.
 //!
-//! [`identify`] tells whose request it is. [`QuotaTable`] holds the credit of each tenant: every node
-//! tells how many requests it let pass, the delegates of each zone keep the sum, and tell the nodes of
-//! their zone what is left. A node decides by what it was told and by what it has let pass since, so that no
-//! request waits for another node. Nothing here performs I/O.
+//! [`identify`] maps an API key to a tenant. [`QuotaTable`] holds the credit of each tenant: every node reports how
+//! many requests it has admitted, and the delegates of each zone add up these counts and report the remaining credit
+//! to the nodes of their zone. A node decides based on the last report and on what it has admitted since, so a
+//! request never waits for another node. This crate performs no I/O.
 
 mod account;
 mod counts;
--- a/crates/tenants/src/messages.rs
+++ b/crates/tenants/src/messages.rs
@@ -1,41 +1,39 @@
-//! What nodes tell each other of tenants' requests.
+//! Protobuf messages for quotas, exchanged between nodes.
 
 use prost::Message;
 
-/// Requests of one tenant that the sender, or all nodes of the sender's zone, let pass.
+/// Requests of one tenant that were admitted by the sender or by all nodes of its zone.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PassedCount {
     /// Hash of the tenant's name.
     #[prost(fixed32, tag = "1")]
     pub tenant: u32,
-    /// Requests since the sender's process began. A count, not a change: a message that is lost is
-    /// made good by the next one.
+    /// Total since the sender's process started. A total rather than a difference, so that the next message makes up
+    /// for a lost one.
     #[prost(uint64, tag = "2")]
     pub passed: u64,
-    /// How many of them are of the last seconds, for a receiver that hears of this tenant for the
-    /// first time.
+    /// Part of `passed` from the last seconds, for a receiver that has no earlier count of this tenant.
     #[prost(uint64, tag = "3")]
     pub recent: u64,
 }
 
 impl PassedCount {
-    /// Whether the sender began to count a moment ago, so that nobody can have heard of it before.
+    /// Whether the sender has just started to count, so that no other node can have charged these requests.
     pub(crate) fn is_all_recent(&self) -> bool {
         self.passed == self.recent
     }
 }
 
-/// Credit of one tenant over all nodes, as a delegate knows it.
+/// Fleet-wide credit of one tenant, as known to a delegate.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CreditLevel {
     /// Hash of the tenant's name.
     #[prost(fixed32, tag = "1")]
     pub tenant: u32,
-    /// Thousandths of a request; below zero when more were let pass than was allowed.
+    /// Level in thousandths of a request; negative if more requests were admitted than allowed.
     #[prost(sint64, tag = "2")]
     pub level_milli: i64,
-    /// Requests of the receiver that are taken off already, as it has counted them; absent when the
-    /// sender never heard of any.
+    /// The receiver's own count that is already deducted; absent if the sender has no count of the receiver.
     #[prost(uint64, optional, tag = "3")]
     pub included: Option<u64>,
 }
--- a/crates/tenants/src/reports.rs
+++ b/crates/tenants/src/reports.rs
@@ -1,4 +1,5 @@
-//! What a node that sums was told by the others, and which part of the fleet that is. Pure: time is an argument.
+//! The reports that an aggregating node has received, and the fraction of the fleet that they cover. Pure; time is an
+//! argument.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,60 +8,63 @@
 
 use crate::counts::{NodeCounts, ZoneCounts};
 
-/// Age of a node's last word up to which it counts as fresh: two heartbeats of 150 ms, and a late one.
-const NODE_FRESH: Duration = Duration::from_millis(400);
-/// The same of another zone, which is told of each 25 to 75 ms. Messages of another region come as often and
-/// are longer under way: that time is added, as this node measured it.
-const ZONE_FRESH: Duration = Duration::from_millis(250);
-/// Age of a zone's last word from which credit is held back for it: one message and its delay. It is given
-/// after all when the zone is heard while it still counts as fresh; when it is not, the parts of a fleet that
-/// was cut have not all spent the same credit meanwhile.
-const ZONE_PROMPT: Duration = Duration::from_millis(125);
-/// Time after which the silence of others shows in the known part of the fleet.
-const SILENCE_NOTED: Duration = Duration::from_millis(3_000);
+/// Age up to which the last report of a node is recent: two heartbeats of 150 ms and some delay.
+const MAX_NODE_REPORT_AGE: Duration = Duration::from_millis(400);
+/// The same for another zone, which reports every 25 to 75 ms. For a zone of another region, the measured extra
+/// delay is added.
+const MAX_ZONE_REPORT_AGE: Duration = Duration::from_millis(250);
+/// Age from which a zone's report is late and credit is withheld for it: one interval and the delay. The credit is
+/// released if the zone reports while its last report is still recent; otherwise the zone may be partitioned, and
+/// both sides must not spend the same credit.
+const MAX_PROMPT_REPORT_AGE: Duration = Duration::from_millis(125);
+/// Time after which a silent node or zone is no longer counted as part of the fleet here; by then the fleet share
+/// reflects its silence.
+const SILENCE_DETECTION_TIME: Duration = Duration::from_millis(3_000);
 
-/// Counts of the nodes of the own zone, and of the other zones.
+/// Counts of the nodes of the own zone and of the other zones.
 #[derive(Debug, Default)]
-pub(crate) struct Heard {
+pub(crate) struct Reports {
     pub(crate) nodes: HashMap<u64, NodeCounts>,
     pub(crate) zones: HashMap<u64, ZoneCounts>,
 }
 
-impl Heard {
-    /// Part of the fleet that told a moment ago what it let pass.
-    pub(crate) fn fresh_part(&self, now: Instant) -> f64 {
-        self.part_within(ZONE_FRESH, now)
+impl Reports {
+    /// Fraction of the fleet with a recent report.
+    pub(crate) fn fresh_fraction(&self, now: Instant) -> f64 {
+        self.fraction_within(MAX_ZONE_REPORT_AGE, now)
     }
 
-    /// Part of it that told so without delay.
-    pub(crate) fn prompt_part(&self, now: Instant) -> f64 {
-        self.part_within(ZONE_PROMPT, now)
+    /// Fraction of the fleet whose report is not late.
+    pub(crate) fn prompt_fraction(&self, now: Instant) -> f64 {
+        self.fraction_within(MAX_PROMPT_REPORT_AGE, now)
     }
 
-    fn part_within(&self, age: Duration, now: Instant) -> f64 {
-        let (mut fresh, mut known) = (self.own_zone_part(now), 1.0);
+    fn fraction_within(&self, age: Duration, now: Instant) -> f64 {
+        let (mut fresh, mut known) = (self.own_zone_fraction(now), 1.0);
         let zones = self.zones.values();
-        for zone in zones.filter(|zone| now.duration_since(zone.heard()) < SILENCE_NOTED) {
+        for zone in
+            zones.filter(|zone| now.duration_since(zone.last_heard()) < SILENCE_DETECTION_TIME)
+        {
             known += 1.0;
-            if now.duration_since(zone.heard()) < age + zone.later {
+            if now.duration_since(zone.last_heard()) < age + zone.extra_delay {
                 fresh += zone.heard_part();
             }
         }
         fresh / known
     }
 
-    /// Part of the nodes of this zone that told a moment ago what they let pass, this one included.
-    pub(crate) fn own_zone_part(&self, now: Instant) -> f64 {
+    /// Fraction of the nodes of this zone, including this one, with a recent report.
+    pub(crate) fn own_zone_fraction(&self, now: Instant) -> f64 {
         let (mut fresh, mut known) = (1.0, 1.0);
-        let ages = self.nodes.values().filter_map(NodeCounts::heard);
+        let ages = self.nodes.values().filter_map(NodeCounts::last_heard);
         for age in ages.map(|at| now.duration_since(at)) {
-            fresh += f64::from(u8::from(age < NODE_FRESH));
-            known += f64::from(u8::from(age < SILENCE_NOTED));
+            fresh += f64::from(u8::from(age < MAX_NODE_REPORT_AGE));
+            known += f64::from(u8::from(age < SILENCE_DETECTION_TIME));
         }
         fresh / known
     }
 
-    /// Forgets all: this node begins or ceases to sum.
+    /// Discards all reports, when this node starts or stops aggregating.
     pub(crate) fn clear(&mut self) {
         self.nodes.clear();
         self.zones.clear();
--- a/crates/tenants/src/table.rs
+++ b/crates/tenants/src/table.rs
@@ -1,4 +1,4 @@
-//! The quota ledger of a process, shared by all threads, and what was counted for each tenant.
+//! The quota ledger of a process, shared by all threads, with request counters per tenant.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,38 +12,38 @@
 use crate::messages::{CreditLevel, PassedCount};
 use crate::numbers::tenant_number;
 
-/// A request that is not let pass.
+/// A request that was refused for lack of credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shortage {
-    /// Time until there is credit for it.
+    /// Time until there is credit for the request.
     pub until_credit: Duration,
-    /// This node hears too few others to tell what the tenant has left.
+    /// Whether this node hears too few others to know the tenant's credit.
     pub alone: bool,
 }
 
-/// Requests of one tenant at this node.
+/// Request counters of one tenant on this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TenantCounts {
-    /// Requests that came with one of its keys.
+    /// Requests with one of the tenant's keys.
     pub asked: u64,
-    /// Requests that were refused because its quota was used up.
+    /// Requests refused because the quota was used up.
     pub over_quota: u64,
 }
 
 struct State {
     ledger: Ledger,
-    /// Configuration whose limits the ledger holds.
+    /// Version of the configuration whose limits the ledger holds.
     version: Option<u64>,
     counts: HashMap<TenantName, TenantCounts>,
 }
 
-/// Quotas as one node knows them. The lock is taken alone.
+/// Shared quota ledger. The lock is never held together with another lock.
 pub struct QuotaTable {
     state: Mutex<State>,
 }
 
 impl QuotaTable {
-    /// A table of one life of a node that knows no tenant yet.
+    /// Creates a table without tenants, for one process incarnation.
     pub fn new(bounds: QuotaBounds, life: u64) -> Self {
         Self {
             state: Mutex::new(State {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes over the limits of a configuration, when they are not those held.
+    /// Applies the limits of a configuration, unless that version has been applied already.
     pub fn adopt(&self, configuration: &Configuration) {
         let mut state = self.state.lock();
         if state.version == Some(configuration.version) {
@@ -70,7 +70,7 @@
         state.counts.retain(|name, _| known(name));
     }
 
-    /// Takes one request of a tenant off.
+    /// Deducts one request of a tenant.
     pub fn take(&self, tenant: &TenantName) -> Result<(), Shortage> {
         let mut state = self.state.lock();
         let outcome = state
@@ -79,27 +79,27 @@
         let counts = state.counts.entry(tenant.clone()).or_default();
         counts.asked += 1;
         counts.over_quota += u64::from(outcome.is_err());
-        let alone = state.ledger.is_alone();
+        let alone = state.ledger.is_isolated();
         outcome.map_err(|until_credit| Shortage {
             until_credit,
             alone,
         })
     }
 
-    /// A request that was let pass has run nowhere and will not.
+    /// Refunds an admitted request that has not run and will not.
     pub fn give_back(&self, tenant: &TenantName) {
         let number = tenant_number(tenant.as_str());
         self.state.lock().ledger.give_back(number, Instant::now());
     }
 
-    /// Credit left of a tenant, in requests; `None` for one without a limit.
+    /// Remaining credit of a tenant, in requests; `None` if it has no limit.
     pub fn level(&self, tenant: &TenantName) -> Option<f64> {
         let number = tenant_number(tenant.as_str());
         self.state.lock().ledger.level(number, Instant::now())
     }
 
-    /// The tenants with the most requests, and all others as one.
-    pub fn busiest(&self, most: usize) -> (Vec<(TenantName, TenantCounts)>, TenantCounts) {
+    /// The tenants with the most requests, and the sum of all others.
+    pub fn busiest(&self, max_tenants: usize) -> (Vec<(TenantName, TenantCounts)>, TenantCounts) {
         let state = self.state.lock();
         let mut all: Vec<(TenantName, TenantCounts)> = state
             .counts
@@ -107,7 +107,7 @@
             .map(|(name, counts)| (name.clone(), *counts))
             .collect();
         all.sort_by(|a, b| (b.1.asked, &a.0).cmp(&(a.1.asked, &b.0)));
-        let rest = all.split_off(most.min(all.len()));
+        let rest = all.split_off(max_tenants.min(all.len()));
         let others = rest
             .iter()
             .fold(TenantCounts::default(), |sum, (_, one)| TenantCounts {
@@ -117,55 +117,55 @@
         (all, others)
     }
 
-    /// How this node stands to the others: whether it sums, and of which share of the fleet it knows.
-    pub fn set_standing(&self, sums: bool, share: f64) {
+    /// Sets whether this node aggregates the counts of others, and the share of the fleet that it hears.
+    pub fn set_standing(&self, aggregates: bool, share: f64) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        state.ledger.set_standing(sums, share, now);
+        state.ledger.set_standing(aggregates, share, now);
     }
 
-    /// What this node let pass lately.
+    /// Counts of this node's recently active tenants.
     pub fn passed(&self) -> Vec<PassedCount> {
         self.state.lock().ledger.passed(Instant::now())
     }
 
-    /// What all nodes of this zone let pass.
+    /// Counts of all nodes of this zone; with `all` for every tenant, else for those with low credit.
     pub fn zone_passed(&self, all: bool) -> Vec<PassedCount> {
         self.state.lock().ledger.zone_passed(all, Instant::now())
     }
 
-    /// Part of the nodes of this zone that told a moment ago what they let pass.
+    /// Fraction of the nodes of this zone with a recent report.
     pub fn zone_heard(&self) -> f64 {
         self.state.lock().ledger.zone_heard(Instant::now())
     }
 
-    /// Levels for a node of this zone.
+    /// Levels to report to a node of this zone.
     pub fn levels_for(&self, node: u64) -> Vec<CreditLevel> {
         self.state.lock().ledger.levels_for(node, Instant::now())
     }
 
-    /// Takes off what another node let pass.
+    /// Deducts the requests that another node has reported.
     pub fn note_node(&self, node: u64, life: u64, counts: &[PassedCount]) {
         let now = Instant::now();
         self.state.lock().ledger.note_node(node, life, counts, now);
     }
 
-    /// Takes off what another zone let pass; its messages are `later` by so much than those of zones of the
-    /// own region.
+    /// Deducts the requests that a delegate of another zone has reported. `extra_delay` is the additional delay of its
+    /// messages, compared with zones of the own region.
     pub fn note_zone(
         &self,
         zone: u64,
         delegate: (u64, u64),
         told: &ZonePassed<'_>,
-        later: Duration,
+        extra_delay: Duration,
     ) {
         let now = Instant::now();
         let mut state = self.state.lock();
         state.ledger.note_zone(zone, delegate, told, now);
-        state.ledger.note_way(zone, later);
+        state.ledger.set_extra_delay(zone, extra_delay);
     }
 
-    /// Takes over what a delegate says.
+    /// Applies the levels that a delegate has reported.
     pub fn note_levels(&self, levels: &[CreditLevel]) {
         self.state.lock().ledger.note_levels(levels, Instant::now());
     }
--- a/crates/tenants/tests/distance.rs
+++ b/crates/tenants/tests/distance.rs
@@ -1,4 +1,4 @@
-//! News of zones that are far away.
+//! Reports of zones in other regions, whose messages take longer.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 };
 const TENANT: &str = "a";
 const QUOTA_PER_S: f64 = 100.0;
-/// One way between regions.
-const LATER: Duration = Duration::from_millis(20);
+/// Message delay between two regions.
+const REGION_DELAY: Duration = Duration::from_millis(20);
 /// Another zone and its delegate.
 const ZONE: u64 = 7;
 const DELEGATE: (u64, u64) = (8, 1);
@@ -35,8 +35,8 @@
     tenants
 }
 
-/// Credit that grows in a span of 10 ms, so long after another zone was last heard.
-fn growth(after: Duration, later: Duration) -> f64 {
+/// Credit that is added within 10 ms, at the given time after the last report of another zone.
+fn growth(after: Duration, extra_delay: Duration) -> f64 {
     let number = tenant_number(TENANT);
     let mut now = Instant::now();
     let mut ledger = Ledger::new(BOUNDS, 1, now);
@@ -44,14 +44,14 @@
     ledger.set_standing(true, 1.0, now);
     now += Duration::from_secs(10);
     while ledger.take(number, now).is_ok() {}
-    let told = ZonePassed {
+    let report = ZonePassed {
         counts: &[],
         heard_part: 1.0,
     };
-    ledger.note_zone(ZONE, DELEGATE, &told, now);
-    ledger.note_way(ZONE, later);
+    ledger.note_zone(ZONE, DELEGATE, &report, now);
+    ledger.set_extra_delay(ZONE, extra_delay);
     now += after;
-    // Each round looks anew at who was heard.
+    // Updates the fraction of the fleet that counts as heard.
     ledger.zone_passed(false, now);
     let before = ledger.level(number, now).expect("a level");
     now += Duration::from_millis(10);
@@ -59,22 +59,22 @@
 }
 
 #[gtest]
-fn news_of_a_far_zone_counts_by_so_much_longer() {
+fn reports_of_remote_zones_expire_later() {
     let ms = Duration::from_millis;
     let whole = QUOTA_PER_S / 100.0;
     let near = |value: f64, expected: f64| (value - expected).abs() < 1e-6;
-    for (after, later, expected) in [
+    for (after, extra_delay, expected) in [
         (ms(230), Duration::ZERO, whole),
         (ms(255), Duration::ZERO, whole / 2.0),
-        (ms(255), LATER, whole),
-        // Beyond the way the bound is the same: a cut shows as soon.
-        (ms(275), LATER, whole / 2.0),
+        (ms(255), REGION_DELAY, whole),
+        // The age limit is extended by exactly the extra delay.
+        (ms(275), REGION_DELAY, whole / 2.0),
     ] {
-        let grown = growth(after, later);
+        let grown = growth(after, extra_delay);
         expect_that!(
             near(grown, expected),
             eq(true),
-            "{after:?}, {later:?}: {grown}"
+            "{after:?}, {extra_delay:?}: {grown}"
         );
     }
 }
--- a/crates/tenants/tests/identity.rs
+++ b/crates/tenants/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Whose request it is.
+//! Caller identification by key, and its dependence on the age of the configuration.
 
 use std::time::Duration;
 
@@ -64,37 +64,44 @@
     }
 }
 
-fn tell(key: Option<&str>, public: bool, standing: Standing) -> Result<String, KeyRefusal> {
+fn identify_name(
+    key: Option<&str>,
+    public: bool,
+    standing: Standing,
+) -> Result<String, KeyRefusal> {
     let key = key.map(KeyDigest::of);
     let caller = identify(&two_tenants(), public, key.as_ref(), standing, &BOUNDS);
     caller.map(|caller| caller.tenant_name().to_owned())
 }
 
 #[gtest]
-fn each_key_names_its_tenant() {
-    let young = aged(1, true);
-    expect_that!(tell(Some("one"), false, young), ok(eq("a")));
-    expect_that!(tell(Some("other"), false, young), ok(eq("a")));
-    expect_that!(tell(Some("third"), false, young), ok(eq("b")));
+fn key_identifies_tenant() {
+    let recent = aged(1, true);
+    expect_that!(identify_name(Some("one"), false, recent), ok(eq("a")));
+    expect_that!(identify_name(Some("other"), false, recent), ok(eq("a")));
+    expect_that!(identify_name(Some("third"), false, recent), ok(eq("b")));
     expect_that!(
-        tell(Some("nothing"), false, young),
+        identify_name(Some("nothing"), false, recent),
+        err(eq(&KeyRefusal::Unknown))
+    );
+    expect_that!(
+        identify_name(None, false, recent),
         err(eq(&KeyRefusal::Unknown))
     );
-    expect_that!(tell(None, false, young), err(eq(&KeyRefusal::Unknown)));
 }
 
 #[gtest]
-fn public_routes() {
-    let young = aged(1, true);
-    expect_that!(tell(None, true, young), ok(eq("")));
-    expect_that!(tell(Some("nothing"), true, young), ok(eq("")));
-    expect_that!(tell(Some("one"), true, young), ok(eq("a")));
-    let caller = identify(&two_tenants(), true, None, young, &BOUNDS).expect("a caller");
+fn public_routes_need_no_key() {
+    let recent = aged(1, true);
+    expect_that!(identify_name(None, true, recent), ok(eq("")));
+    expect_that!(identify_name(Some("nothing"), true, recent), ok(eq("")));
+    expect_that!(identify_name(Some("one"), true, recent), ok(eq("a")));
+    let caller = identify(&two_tenants(), true, None, recent, &BOUNDS).expect("a caller");
     expect_that!(caller.stamp(), eq(TenantStamp::Nobody));
 }
 
 #[gtest]
-fn without_tenants() {
+fn configuration_without_tenants() {
     let plain = configuration(None);
     let caller = identify(&plain, false, None, aged(60, false), &BOUNDS).expect("a caller");
     expect_that!(&caller, eq(&Caller::Untold));
@@ -102,23 +109,32 @@
 }
 
 #[gtest]
-fn old_configurations_refuse_no_key() {
+fn old_configuration_rejects_no_key() {
     let old = aged(4, true);
     expect_that!(
-        tell(Some("nothing"), false, old),
+        identify_name(Some("nothing"), false, old),
+        err(eq(&KeyRefusal::Unsure))
+    );
+    expect_that!(
+        identify_name(None, false, old),
         err(eq(&KeyRefusal::Unsure))
     );
-    expect_that!(tell(None, false, old), err(eq(&KeyRefusal::Unsure)));
-    expect_that!(tell(Some("one"), false, old), ok(eq("a")));
+    expect_that!(identify_name(Some("one"), false, old), ok(eq("a")));
 }
 
 #[gtest]
-fn cut_off_nodes_accept_no_key() {
+fn isolated_node_accepts_no_key() {
     let unsure = err(eq(&KeyRefusal::Unsure));
-    expect_that!(tell(Some("one"), false, aged(4, false)), ok(eq("a")));
-    expect_that!(tell(Some("one"), false, aged(6, false)), unsure);
-    // The store is silent to all: no newer configuration comes into force.
-    expect_that!(tell(Some("one"), false, aged(60, true)), ok(eq("a")));
+    expect_that!(
+        identify_name(Some("one"), false, aged(4, false)),
+        ok(eq("a"))
+    );
+    expect_that!(identify_name(Some("one"), false, aged(6, false)), unsure);
+    // A node in the majority accepts keys of an old configuration: while the store is down, no newer one takes effect.
+    expect_that!(
+        identify_name(Some("one"), false, aged(60, true)),
+        ok(eq("a"))
+    );
     let strict = Bounds {
         revoke_strict: true,
         ..BOUNDS
@@ -138,7 +154,7 @@
 }
 
 #[gtest]
-fn two_holders_of_one_key() {
+fn duplicate_key_is_rejected() {
     let mut tenants = Tenants::default();
     let keys = ["one", "other"].map(KeyDigest::of);
     tenants.add(tenant("a"), &keys).expect("keys of its own");
--- a/crates/tenants/tests/support/mod.rs
+++ b/crates/tenants/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time whose nodes share the quotas of tenants, in several ways.
+//! Simulated fleet in virtual time whose nodes share the quotas of tenants by different strategies.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -15,57 +15,57 @@
     over: 0.1,
     slack: 20.0,
 };
-/// Length of a step of virtual time.
+/// Length of a simulation step.
 const STEP_MS: u64 = 5;
-/// Time from a message's sending to its taking effect, a slow machine's turn included.
-const DELAY_MS: std::ops::Range<u64> = 1..25;
+/// Delay of a message until it takes effect, including scheduling delays on a slow machine.
+const DELIVERY_DELAY_MS: std::ops::Range<u64> = 1..25;
 const DELEGATES: usize = 2;
-const TELL_EVERY_MS: u64 = 75;
-const HEARTBEAT_EVERY_MS: u64 = 150;
-const DELEGATE_SILENCE_MS: u64 = 600;
-const PEER_SILENCE_MS: u64 = 2_500;
+const REPORT_INTERVAL_MS: u64 = 75;
+const HEARTBEAT_INTERVAL_MS: u64 = 150;
+const DELEGATE_TIMEOUT_MS: u64 = 600;
+const PEER_TIMEOUT_MS: u64 = 2_500;
 
-/// How nodes share a quota.
+/// Strategy to enforce a quota across nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// Counts are told, delegates sum them up; the way of the product.
+pub enum Strategy {
+    /// Nodes report counts and delegates aggregate them; the strategy of the crate.
     CountsTold,
-    /// Each node has the same part of each quota.
+    /// Each node has an equal part of each quota.
     EqualShares,
-    /// One node holds the bucket of a tenant, and every request asks it.
+    /// One node holds the bucket of a tenant, and every request asks that node.
     HomeNode,
 }
 
-/// A tenant's limit and how much it sends.
+/// A tenant's limit and the load that it generates.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
     pub limit: RateLimit,
     pub sends_per_s: f64,
 }
 
-/// What came of one tenant.
+/// Results for one tenant.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     pub asked: u64,
     pub passed: u64,
-    /// Refused though one bucket over all nodes would have let it pass.
-    pub refused_below: u64,
-    /// Most requests in one span over what limit and tolerance allow; negative where there was room.
-    pub over_bound: f64,
-    /// The same over the limit alone.
+    /// Requests that were refused although a single central bucket would have admitted them.
+    pub refused_under_quota: u64,
+    /// Largest excess over limit and tolerance in one window; negative if there was none.
+    pub over_tolerance: f64,
+    /// Largest excess over the limit alone.
     pub over_limit: f64,
-    /// Time that requests waited for another node, milliseconds.
+    /// Total time in milliseconds that requests waited for another node.
     pub waited_ms: u64,
 }
 
-/// A bucket that knows everything at once.
-struct Oracle {
+/// Central token bucket without delay, as a reference.
+struct ReferenceBucket {
     level: f64,
     limit: RateLimit,
     at_ms: u64,
 }
 
-impl Oracle {
+impl ReferenceBucket {
     fn new(limit: RateLimit) -> Self {
         Self {
             level: limit.burst.max(1.0),
@@ -95,28 +95,27 @@
     ledger: Ledger,
     life: u64,
     up: bool,
-    frozen_until_ms: u64,
-    told_at_ms: Option<u64>,
+    paused_until_ms: u64,
+    levels_at_ms: Option<u64>,
     changed: bool,
 }
 
-/// The fleet.
 pub struct Fleet {
-    way: Way,
+    strategy: Strategy,
     zones: usize,
     nodes: Vec<Node>,
-    /// Group of each node; messages pass inside a group only.
+    /// Partition group of each node; messages are delivered within a group only.
     group: Vec<usize>,
-    /// When each group could last hear each node.
+    /// When each node last heard each other node.
     heard_ms: Vec<Vec<u64>>,
     demands: Vec<Demand>,
     tenants: Tenants,
-    oracles: Vec<Oracle>,
-    shares: Vec<Vec<Oracle>>,
-    homes: Vec<Oracle>,
+    reference_buckets: Vec<ReferenceBucket>,
+    shares: Vec<Vec<ReferenceBucket>>,
+    homes: Vec<ReferenceBucket>,
     outcomes: Vec<Outcome>,
     window: Vec<VecDeque<u64>>,
-    mail: Vec<(u64, usize, usize, u64, Message)>,
+    in_flight: Vec<(u64, usize, usize, u64, Message)>,
     random: ChaCha8Rng,
     began: Instant,
     pub now_ms: u64,
@@ -143,7 +142,13 @@
 }
 
 impl Fleet {
-    pub fn new(way: Way, nodes: usize, zones: usize, demands: Vec<Demand>, seed: u64) -> Self {
+    pub fn new(
+        strategy: Strategy,
+        nodes: usize,
+        zones: usize,
+        demands: Vec<Demand>,
+        seed: u64,
+    ) -> Self {
         let began = Instant::now();
         let tenants = tenants(&demands);
         let node = |number: usize| {
@@ -153,30 +158,30 @@
                 ledger,
                 life: number as u64,
                 up: true,
-                frozen_until_ms: 0,
-                told_at_ms: None,
+                paused_until_ms: 0,
+                levels_at_ms: None,
                 changed: false,
             }
         };
         let share = |demand: &Demand| {
-            Oracle::new(RateLimit {
+            ReferenceBucket::new(RateLimit {
                 per_s: demand.limit.per_s / nodes as f64,
                 burst: demand.limit.burst / nodes as f64,
             })
         };
         Self {
-            way,
+            strategy,
             zones,
             nodes: (0..nodes).map(node).collect(),
             group: vec![0; nodes],
             heard_ms: vec![vec![0; nodes]; nodes],
-            oracles: demands
+            reference_buckets: demands
                 .iter()
-                .map(|demand| Oracle::new(demand.limit))
+                .map(|demand| ReferenceBucket::new(demand.limit))
                 .collect(),
             homes: demands
                 .iter()
-                .map(|demand| Oracle::new(demand.limit))
+                .map(|demand| ReferenceBucket::new(demand.limit))
                 .collect(),
             shares: (0..nodes)
                 .map(|_| demands.iter().map(share).collect())
@@ -185,7 +190,7 @@
             window: vec![VecDeque::new(); demands.len()],
             tenants,
             demands,
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             began,
             now_ms: 0,
@@ -197,12 +202,12 @@
         self.began + Duration::from_millis(self.now_ms)
     }
 
-    /// Cuts the fleet: messages pass between nodes of the same group only.
-    pub fn cut(&mut self, group: impl Fn(usize) -> usize) {
+    /// Partitions the network: messages are delivered only between nodes of the same group.
+    pub fn set_partition(&mut self, group: impl Fn(usize) -> usize) {
         self.group = (0..self.nodes.len()).map(group).collect();
     }
 
-    /// Kills a node; it comes back at once without memory.
+    /// Restarts a node without its state.
     pub fn restart(&mut self, node: usize) {
         let now = self.now();
         let mut ledger = Ledger::new(BOUNDS, self.nodes[node].life + 10_000, now);
@@ -210,28 +215,28 @@
         let held = &mut self.nodes[node];
         held.ledger = ledger;
         held.life += 10_000;
-        held.told_at_ms = None;
+        held.levels_at_ms = None;
         let (nodes, now_ms) = (self.nodes.len(), self.now_ms);
         for tenant in (0..self.demands.len()).filter(|tenant| tenant % nodes == node) {
             let limit = self.demands[tenant].limit;
-            self.homes[tenant] = Oracle {
+            self.homes[tenant] = ReferenceBucket {
                 at_ms: now_ms,
-                ..Oracle::new(limit)
+                ..ReferenceBucket::new(limit)
             };
             self.shares[node][tenant].level = limit.burst / nodes as f64;
         }
     }
 
-    /// The node does and hears nothing for a time.
-    pub fn freeze(&mut self, node: usize, for_ms: u64) {
-        self.nodes[node].frozen_until_ms = self.now_ms + for_ms;
+    /// Pauses a node, which neither sends nor receives in the meantime.
+    pub fn pause(&mut self, node: usize, for_ms: u64) {
+        self.nodes[node].paused_until_ms = self.now_ms + for_ms;
     }
 
-    /// A new configuration with another limit of a tenant, known everywhere at once.
-    pub fn limit(&mut self, tenant: usize, limit: RateLimit) {
+    /// Changes the limit of a tenant on all nodes at once.
+    pub fn set_limit(&mut self, tenant: usize, limit: RateLimit) {
         self.demands[tenant].limit = limit;
         self.tenants = tenants(&self.demands);
-        self.oracles[tenant].limit = limit;
+        self.reference_buckets[tenant].limit = limit;
         self.homes[tenant].limit = limit;
         let now = self.now();
         for node in &mut self.nodes {
@@ -239,11 +244,11 @@
         }
     }
 
-    /// Begins to count anew, as at the end of the span in which an old limit may still count.
-    pub fn forget_counts(&mut self) {
+    /// Resets the measured excess, as at the end of the window in which an old limit may still count.
+    pub fn reset_outcomes(&mut self) {
         self.window.iter_mut().for_each(VecDeque::clear);
         self.outcomes.iter_mut().for_each(|outcome| {
-            outcome.over_bound = f64::MIN;
+            outcome.over_tolerance = f64::MIN;
             outcome.over_limit = f64::MIN;
         });
     }
@@ -252,19 +257,19 @@
         node % self.zones
     }
 
-    /// Whether a node counts as alive at another one: a cut is not noticed before silence has lasted.
+    /// Whether a node counts as alive on another one; a partition is noticed only after the timeout.
     fn is_heard(&self, by: usize, node: usize) -> bool {
-        self.now_ms < self.heard_ms[by][node] + PEER_SILENCE_MS
+        self.now_ms < self.heard_ms[by][node] + PEER_TIMEOUT_MS
     }
 
-    /// The delegates of a zone as a node sees them.
+    /// The delegates of a zone, as seen by one node.
     fn delegates(&self, zone: usize, by: usize) -> Vec<usize> {
         let of_zone = (0..self.nodes.len()).filter(|node| self.zone(*node) == zone);
         let alive = of_zone.filter(|node| self.is_heard(by, *node) && self.nodes[*node].up);
         alive.take(DELEGATES).collect()
     }
 
-    fn note_heard(&mut self) {
+    fn update_heard(&mut self) {
         for by in 0..self.nodes.len() {
             for node in 0..self.nodes.len() {
                 if self.group[by] == self.group[node] {
@@ -274,20 +279,20 @@
         }
     }
 
-    fn is_awake(&self, node: usize) -> bool {
-        self.nodes[node].up && self.nodes[node].frozen_until_ms <= self.now_ms
+    fn is_running(&self, node: usize) -> bool {
+        self.nodes[node].up && self.nodes[node].paused_until_ms <= self.now_ms
     }
 
-    fn post(&mut self, from: usize, to: usize, message: Message) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
         if self.random.random_bool(self.loss) {
             return;
         }
-        let at = self.now_ms + self.random.random_range(DELAY_MS);
+        let at = self.now_ms + self.random.random_range(DELIVERY_DELAY_MS);
         let life = self.nodes[from].life;
-        self.mail.push((at, from, to, life, message));
+        self.in_flight.push((at, from, to, life, message));
     }
 
-    /// Plays some time without a request.
+    /// Runs for some time without requests.
     pub fn warm_up(&mut self) {
         let demands = self.demands.clone();
         self.demands
@@ -297,34 +302,33 @@
         self.demands = demands;
     }
 
-    /// Plays some time.
     pub fn run(&mut self, for_ms: u64) {
         let until = self.now_ms + for_ms;
         while self.now_ms < until {
             self.now_ms += STEP_MS;
-            if self.way == Way::CountsTold {
-                if self.now_ms.is_multiple_of(TELL_EVERY_MS) {
-                    self.note_heard();
+            if self.strategy == Strategy::CountsTold {
+                if self.now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
+                    self.update_heard();
                 }
                 self.deliver();
-                self.tell();
+                self.send_reports();
             }
-            self.arrivals();
+            self.generate_requests();
         }
     }
 
     fn deliver(&mut self) {
         let now_ms = self.now_ms;
         let due: Vec<_> = {
-            let (due, later) = std::mem::take(&mut self.mail)
+            let (due, later) = std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|(at, ..)| *at <= now_ms);
-            self.mail = later;
+            self.in_flight = later;
             due
         };
         let now = self.now();
         for (_, from, to, life, message) in due {
-            if self.group[from] != self.group[to] || !self.is_awake(to) {
+            if self.group[from] != self.group[to] || !self.is_running(to) {
                 continue;
             }
             let zone = self.zone(from) as u64;
@@ -342,84 +346,84 @@
                     node.ledger.note_zone(zone, delegate, &told, now);
                 }
                 Message::Levels(levels) => {
-                    node.told_at_ms = Some(now_ms);
+                    node.levels_at_ms = Some(now_ms);
                     node.ledger.note_levels(&levels, now);
                 }
             }
         }
     }
 
-    fn tell(&mut self) {
+    fn send_reports(&mut self) {
         let now = self.now();
         for node in 0..self.nodes.len() {
-            if !self.is_awake(node) {
+            if !self.is_running(node) {
                 continue;
             }
             let delegates = self.delegates(self.zone(node), node);
-            let sums = delegates.contains(&node);
-            self.note_standing(node, sums);
-            let beat = self.now_ms.is_multiple_of(HEARTBEAT_EVERY_MS);
+            let aggregates = delegates.contains(&node);
+            self.update_role(node, aggregates);
+            let beat = self.now_ms.is_multiple_of(HEARTBEAT_INTERVAL_MS);
             if beat || self.nodes[node].changed {
                 self.nodes[node].changed = false;
                 let counts = self.nodes[node].ledger.passed(now);
                 for delegate in delegates.iter().filter(|delegate| **delegate != node) {
-                    self.post(node, *delegate, Message::Counts(counts.clone()));
+                    self.send(node, *delegate, Message::Counts(counts.clone()));
                 }
             }
-            if sums && self.now_ms.is_multiple_of(TELL_EVERY_MS) {
-                self.tell_zone(node);
+            if aggregates && self.now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
+                self.send_zone_reports(node);
             }
         }
     }
 
-    fn note_standing(&mut self, node: usize, sums: bool) {
+    fn update_role(&mut self, node: usize, aggregates: bool) {
         let all = self.nodes.len();
         let (now, now_ms) = (self.now(), self.now_ms);
-        // Life signs are relayed by delegates.
+        // Delegates relay liveness information.
         let heard = (0..all).filter(|other| self.is_heard(node, *other));
         let heard = heard.count();
         let held = &mut self.nodes[node];
         let told = held
-            .told_at_ms
-            .is_some_and(|at| now_ms - at < DELEGATE_SILENCE_MS);
-        let known = match (sums, told) {
+            .levels_at_ms
+            .is_some_and(|at| now_ms - at < DELEGATE_TIMEOUT_MS);
+        let known = match (aggregates, told) {
             (true, _) => heard,
             (false, true) => all,
             (false, false) => 1,
         };
         let share = known as f64 / all as f64;
-        held.ledger.set_standing(sums, share, now);
+        held.ledger.set_standing(aggregates, share, now);
     }
 
-    fn tell_zone(&mut self, node: usize) {
+    fn send_zone_reports(&mut self, node: usize) {
         let now = self.now();
         let own_zone = self.zone(node);
-        let all = self.now_ms.is_multiple_of(6 * TELL_EVERY_MS);
+        let all = self.now_ms.is_multiple_of(6 * REPORT_INTERVAL_MS);
         let sum = self.nodes[node].ledger.zone_passed(all, now);
         let heard = self.nodes[node].ledger.zone_heard(now);
         for zone in (0..self.zones).filter(|zone| *zone != own_zone) {
             for delegate in self.delegates(zone, node) {
-                self.post(node, delegate, Message::Zone(sum.clone(), heard));
+                self.send(node, delegate, Message::Zone(sum.clone(), heard));
             }
         }
         let delegates = self.delegates(own_zone, node);
         for other in 0..self.nodes.len() {
             if self.zone(other) == own_zone && !delegates.contains(&other) {
                 let levels = self.nodes[node].ledger.levels_for(other as u64, now);
-                self.post(node, other, Message::Levels(levels));
+                self.send(node, other, Message::Levels(levels));
             }
         }
     }
 
-    fn arrivals(&mut self) {
+    fn generate_requests(&mut self) {
         for tenant in 0..self.demands.len() {
             let mean = self.demands[tenant].sends_per_s * STEP_MS as f64 / 1_000.0;
             let mut left = mean;
             while left > 0.0 {
                 if self.random.random_bool(left.min(1.0)) {
                     let node = self.random.random_range(0..self.nodes.len());
-                    if self.is_awake(node) {
-                        self.arrive(node, tenant);
+                    if self.is_running(node) {
+                        self.handle_request(node, tenant);
                     }
                 }
                 left -= 1.0;
@@ -427,24 +431,24 @@
         }
     }
 
-    fn arrive(&mut self, node: usize, tenant: usize) {
+    fn handle_request(&mut self, node: usize, tenant: usize) {
         let (now, now_ms) = (self.now(), self.now_ms);
-        let allowed = self.oracles[tenant].take(now_ms);
+        let allowed = self.reference_buckets[tenant].take(now_ms);
         let number = tenant_number(&name(tenant));
-        let passed = match self.way {
-            Way::CountsTold => self.nodes[node].ledger.take(number, now).is_ok(),
-            Way::EqualShares => self.shares[node][tenant].take(now_ms),
-            Way::HomeNode => {
+        let passed = match self.strategy {
+            Strategy::CountsTold => self.nodes[node].ledger.take(number, now).is_ok(),
+            Strategy::EqualShares => self.shares[node][tenant].take(now_ms),
+            Strategy::HomeNode => {
                 let home = tenant % self.nodes.len();
                 self.outcomes[tenant].waited_ms += self.random.random_range(2..20);
-                let reached = self.group[home] == self.group[node] && self.is_awake(home);
+                let reached = self.group[home] == self.group[node] && self.is_running(home);
                 reached && self.homes[tenant].take(now_ms)
             }
         };
         self.nodes[node].changed |= passed;
         let outcome = &mut self.outcomes[tenant];
         outcome.asked += 1;
-        outcome.refused_below += u64::from(allowed && !passed);
+        outcome.refused_under_quota += u64::from(allowed && !passed);
         if passed {
             outcome.passed += 1;
             self.note_passed(tenant);
@@ -465,10 +469,10 @@
         let outcome = &mut self.outcomes[tenant];
         if outcome.passed == 1 {
             outcome.over_limit = over;
-            outcome.over_bound = over - tolerance;
+            outcome.over_tolerance = over - tolerance;
         }
         outcome.over_limit = outcome.over_limit.max(over);
-        outcome.over_bound = outcome.over_bound.max(over - tolerance);
+        outcome.over_tolerance = outcome.over_tolerance.max(over - tolerance);
     }
 
     pub fn outcome(&self, tenant: usize) -> Outcome {
@@ -480,8 +484,8 @@
     }
 }
 
-/// Tenants of unequal size: the first sends most, and each is allowed `allowance` times its mean.
-pub fn unequal(count: usize, total_per_s: f64, allowance: f64) -> Vec<Demand> {
+/// Tenants with load in inverse proportion to their rank, each with a quota of `allowance` times its mean load.
+pub fn skewed_tenants(count: usize, total_per_s: f64, allowance: f64) -> Vec<Demand> {
     let weights: Vec<f64> = (1..=count).map(|rank| 1.0 / rank as f64).collect();
     let sum: f64 = weights.iter().sum();
     let demand = |weight: &f64| {
@@ -498,8 +502,8 @@
     weights.iter().map(demand).collect()
 }
 
-/// Tenants that send five times their quotas, of so many requests a second each.
-pub fn greedy(quotas_per_s: &[f64]) -> Vec<Demand> {
+/// Tenants that send five times the given quotas, in requests per second.
+pub fn over_quota_tenants(quotas_per_s: &[f64]) -> Vec<Demand> {
     let demand = |per_s: &f64| Demand {
         limit: RateLimit {
             per_s: *per_s,
