--- a/crates/crashes/tests/ledger.rs
+++ b/crates/crashes/tests/ledger.rs
@@ -87,73 +87,73 @@
 
 #[gtest]
 fn active_runs_of_other_nodes_count() {
-    let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    crash(&mut here, &request(1), "i-1", now);
-    here.begin(&request(1), "i-2", now);
-    here.begin(&request(1), "i-3", now);
-    apply(&mut there, &here.news(false, 24, now), now);
-    expect_that!(there.permit(&request(1), now), eq(Permit::Wait));
-    here.end(&request(1), "i-3", now);
-    apply(&mut there, &here.news(false, 24, now), now);
-    expect_that!(there.permit(&request(1), now), eq(Permit::Free));
+    let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    crash(&mut node_a, &request(1), "i-1", now);
+    node_a.begin(&request(1), "i-2", now);
+    node_a.begin(&request(1), "i-3", now);
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Wait));
+    node_a.end(&request(1), "i-3", now);
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
     // The reported run of a failed node expires, even while other nodes exchange their records.
-    here.begin(&request(1), "i-3", now);
-    apply(&mut there, &here.news(false, 24, now), now);
-    expect_that!(there.permit(&request(1), now), eq(Permit::Wait));
+    node_a.begin(&request(1), "i-3", now);
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Wait));
     let (mut third, mut later) = (Ledger::new(3), now);
     for _ in 0..4 {
         later += Duration::from_millis(450);
-        let news = there.news(true, 24, later);
+        let news = node_b.news(true, 24, later);
         apply(&mut third, &news, later);
         let news = third.news(true, 24, later);
-        apply(&mut there, &news, later);
+        apply(&mut node_b, &news, later);
     }
-    expect_that!(there.permit(&request(1), later), eq(Permit::Free));
+    expect_that!(node_b.permit(&request(1), later), eq(Permit::Free));
 }
 
 #[gtest]
 fn refreshed_runs_do_not_expire() {
-    let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    crash(&mut here, &request(1), "i-1", now);
-    here.begin(&request(1), "i-2", now);
-    here.begin(&request(1), "i-3", now);
+    let (mut node_a, mut node_b, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    crash(&mut node_a, &request(1), "i-1", now);
+    node_a.begin(&request(1), "i-2", now);
+    node_a.begin(&request(1), "i-3", now);
     for _ in 0..20 {
-        apply(&mut there, &here.news(true, 24, now), now);
+        apply(&mut node_b, &node_a.news(true, 24, now), now);
         now += Duration::from_millis(450);
-        expect_that!(there.permit(&request(1), now), eq(Permit::Wait));
+        expect_that!(node_b.permit(&request(1), now), eq(Permit::Wait));
     }
 }
 
 #[gtest]
 fn cleared_request_forgets_reported_runs() {
-    let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    crash(&mut here, &request(1), "i-1", now);
-    here.begin(&request(1), "i-2", now);
-    here.begin(&request(1), "i-3", now);
-    apply(&mut there, &here.news(false, 24, now), now);
+    let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    crash(&mut node_a, &request(1), "i-1", now);
+    node_a.begin(&request(1), "i-2", now);
+    node_a.begin(&request(1), "i-3", now);
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
     // A completed run clears the request, after which the end of its other runs is not reported.
-    here.note_served(&request(1), now);
-    apply(&mut there, &here.news(false, 24, now), now);
+    node_a.note_served(&request(1), now);
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
     for server in ["i-2", "i-3"] {
-        here.end(&request(1), server, now);
+        node_a.end(&request(1), server, now);
     }
-    there.note_ended(&request(1), "i-4", false, now);
-    expect_that!(there.permit(&request(1), now), eq(Permit::Free));
+    node_b.note_ended(&request(1), "i-4", false, now);
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
 }
 
 #[gtest]
 fn served_requests_are_cleared() {
-    let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    crash(&mut here, &request(1), "i-1", now);
-    crash(&mut here, &request(1), "i-2", now);
-    let old = here.news(false, 24, now);
-    apply(&mut there, &old, now);
-    expect_that!(there.note_served(&request(1), now), eq(true));
-    apply(&mut here, &there.news(false, 24, now), now);
-    expect_that!(here.permit(&request(1), now), eq(Permit::Free));
+    let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    crash(&mut node_a, &request(1), "i-1", now);
+    crash(&mut node_a, &request(1), "i-2", now);
+    let old = node_a.news(false, 24, now);
+    apply(&mut node_b, &old, now);
+    expect_that!(node_b.note_served(&request(1), now), eq(true));
+    apply(&mut node_a, &node_b.news(false, 24, now), now);
+    expect_that!(node_a.permit(&request(1), now), eq(Permit::Free));
     // Records from before the clearing do not restore the suspicion.
-    apply(&mut here, &old, now);
-    expect_that!(here.ended_under(&request(1)).len(), eq(0));
+    apply(&mut node_a, &old, now);
+    expect_that!(node_a.ended_under(&request(1)).len(), eq(0));
 }
 
 #[gtest]
@@ -175,42 +175,42 @@
 
 #[gtest]
 fn lost_updates_are_resent() {
-    let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     for number in 0..MOST_ENDED {
-        crash(&mut here, &request(1), &format!("i-{number}"), now);
+        crash(&mut node_a, &request(1), &format!("i-{number}"), now);
     }
-    let lost = here.news(false, 24, now);
+    let lost = node_a.news(false, 24, now);
     expect_that!(lost.records.len(), eq(1));
-    expect_that!(here.news(false, 24, now).records.len(), eq(0));
-    apply(&mut there, &here.news(true, 24, now), now);
-    expect_that!(there.permit(&request(1), now), eq(Permit::Refused));
+    expect_that!(node_a.news(false, 24, now).records.len(), eq(0));
+    apply(&mut node_b, &node_a.news(true, 24, now), now);
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Refused));
     // A node that starts much later learns of it too.
-    let (mut late, later) = (Ledger::new(3), now + Duration::from_secs(300));
+    let (mut late_node, later) = (Ledger::new(3), now + Duration::from_secs(300));
     for _ in 0..4 {
-        let news = here.news(true, 24, later);
-        apply(&mut late, &news, later);
+        let news = node_a.news(true, 24, later);
+        apply(&mut late_node, &news, later);
     }
-    expect_that!(late.permit(&request(1), later), eq(Permit::Refused));
+    expect_that!(late_node.permit(&request(1), later), eq(Permit::Refused));
 }
 
 #[gtest]
 fn records_expire_despite_gossip() {
-    let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    let (mut node_a, mut node_b, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     for number in 0..MOST_ENDED {
-        crash(&mut here, &request(1), &format!("i-{number}"), now);
+        crash(&mut node_a, &request(1), &format!("i-{number}"), now);
     }
     // Two nodes that exchange their records do not keep them alive.
     for _ in 0..500 {
         now += Duration::from_secs(10);
-        for ledger in [&mut here, &mut there] {
+        for ledger in [&mut node_a, &mut node_b] {
             ledger.sweep(now);
         }
-        let (told, answered) = (here.news(true, 24, now), there.news(true, 24, now));
-        apply(&mut there, &told, now);
-        apply(&mut here, &answered, now);
+        let (news_of_a, news_of_b) = (node_a.news(true, 24, now), node_b.news(true, 24, now));
+        apply(&mut node_b, &news_of_a, now);
+        apply(&mut node_a, &news_of_b, now);
     }
-    expect_that!(here.permit(&request(1), now), eq(Permit::Free));
-    expect_that!(there.permit(&request(1), now), eq(Permit::Free));
+    expect_that!(node_a.permit(&request(1), now), eq(Permit::Free));
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
 }
 
 #[gtest]
@@ -270,24 +270,24 @@
 
 #[gtest]
 fn simultaneous_ends_after_success_count_once() {
-    let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    let (mut node_a, mut node_b, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     for _ in 0..20 {
-        here.begin(&request(1), "i-1", now);
-        here.note_served(&request(1), now);
-        here.end(&request(1), "i-1", now);
+        node_a.begin(&request(1), "i-1", now);
+        node_a.note_served(&request(1), now);
+        node_a.end(&request(1), "i-1", now);
         now += Duration::from_millis(50);
     }
-    end_three_servers(&mut here, now);
+    end_three_servers(&mut node_a, now);
     // After a recent success, three simultaneous ends count as one.
-    expect_that!(here.permit(&request(1), now), eq(Permit::Free));
+    expect_that!(node_a.permit(&request(1), now), eq(Permit::Free));
     // A node that has not served the request learns this from the record.
-    apply(&mut there, &here.news(false, 24, now), now);
-    expect_that!(there.permit(&request(1), now), eq(Permit::Free));
-    here.begin(&request(1), "i-4", now);
-    expect_that!(here.note_served(&request(1), now), eq(true));
-    here.end(&request(1), "i-4", now);
-    apply(&mut there, &here.news(false, 24, now), now);
-    expect_that!(there.ended_under(&request(1)).len(), eq(0));
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
+    node_a.begin(&request(1), "i-4", now);
+    expect_that!(node_a.note_served(&request(1), now), eq(true));
+    node_a.end(&request(1), "i-4", now);
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    expect_that!(node_b.ended_under(&request(1)).len(), eq(0));
 }
 
 #[gtest]
@@ -326,22 +326,22 @@
 
 #[gtest]
 fn correlated_ends_are_excused() {
-    let (mut here, mut there, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    let (mut node_a, mut node_b, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     // The request happens to run on a server of each rack that is lost.
     for rack in 0..3 {
-        end_rack(&mut here, rack, true, now);
-        apply(&mut there, &here.news(false, 24, now), now);
+        end_rack(&mut node_a, rack, true, now);
+        apply(&mut node_b, &node_a.news(false, 24, now), now);
         now += Duration::from_secs(2);
     }
-    for ledger in [&here, &there] {
+    for ledger in [&node_a, &node_b] {
         expect_that!(ledger.permit(&request(1), now), eq(Permit::Free));
     }
     // The number of excused ends is limited.
     for rack in 3..6 {
-        end_rack(&mut here, rack, true, now);
+        end_rack(&mut node_a, rack, true, now);
         now += Duration::from_secs(2);
     }
-    expect_that!(here.permit(&request(1), now), eq(Permit::Refused));
+    expect_that!(node_a.permit(&request(1), now), eq(Permit::Refused));
 }
 
 #[gtest]
@@ -390,27 +390,27 @@
 
 #[gtest]
 fn runs_in_doubt_count_as_active() {
-    let (mut here, mut there, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
+    let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     // Responses were interrupted, but the ports of the servers are still open.
     for number in 0..MOST_ENDED {
         let server = format!("i-{number}");
-        expect_that!(here.begin(&request(1), &server, now), eq(Permit::Free));
-        here.note_doubt(&request(1), now);
+        expect_that!(node_a.begin(&request(1), &server, now), eq(Permit::Free));
+        node_a.note_doubt(&request(1), now);
     }
-    expect_that!(here.begin(&request(1), "i-9", now), eq(Permit::Wait));
-    apply(&mut there, &here.news(false, 24, now), now);
-    expect_that!(there.begin(&request(1), "i-9", now), eq(Permit::Wait));
+    expect_that!(node_a.begin(&request(1), "i-9", now), eq(Permit::Wait));
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    expect_that!(node_b.begin(&request(1), "i-9", now), eq(Permit::Wait));
     // All servers are alive; only their connections were lost.
     for number in 0..MOST_ENDED {
-        here.end(&request(1), &format!("i-{number}"), now);
+        node_a.end(&request(1), &format!("i-{number}"), now);
     }
-    expect_that!(here.permit(&request(1), now), eq(Permit::Free));
-    apply(&mut there, &here.news(false, 24, now), now);
-    expect_that!(there.permit(&request(1), now), eq(Permit::Free));
+    expect_that!(node_a.permit(&request(1), now), eq(Permit::Free));
+    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
     // The doubt expires and leaves no record.
     let later = now + Duration::from_secs(1);
-    here.sweep(later);
-    expect_that!(here.refused(later).1, eq(0));
+    node_a.sweep(later);
+    expect_that!(node_a.refused(later).1, eq(0));
 }
 
 /// Ends three servers during the request, 6 s apart; its runs produced output for long if `for_long`.
--- a/crates/jobs/src/admission.rs
+++ b/crates/jobs/src/admission.rs
@@ -183,8 +183,8 @@
     let preempted = u64::from(preempted).min(total);
     let mut before = 0;
     let mut given = 0;
-    let part = |held: &u32| {
-        before += u64::from(*held);
+    let part = |count: &u32| {
+        before += u64::from(*count);
         let until = (preempted * before).checked_div(total).unwrap_or(0);
         let part = until - given;
         given = until;
--- a/crates/jobs/src/residency.rs
+++ b/crates/jobs/src/residency.rs
@@ -11,7 +11,7 @@
         let configuration = self.node.view.configuration();
         let tenants = configuration
             .as_ref()
-            .and_then(|held| held.tenants.as_ref());
+            .and_then(|current| current.tenants.as_ref());
         let tenant = tenants.and_then(|tenants| tenants.named(tenant));
         Homes::of(route, tenant.map(AsRef::as_ref))
     }
@@ -20,8 +20,8 @@
     pub(crate) fn job_homes(&self, row: &JobRow) -> Homes {
         let configuration = self.node.view.configuration();
         let configuration = configuration.as_deref();
-        configuration.map_or(Homes::Anywhere, |held| {
-            Homes::of_job(held, &row.route, &row.tenant)
+        configuration.map_or(Homes::Anywhere, |current| {
+            Homes::of_job(current, &row.route, &row.tenant)
         })
     }
 }
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -106,7 +106,7 @@
         id: &request.id,
         remaining_ms: None,
         last_event_id: last_event,
-        tenant: tenant_stamp(runner, &tenant),
+        tenant: tenant_header(runner, &tenant),
         homes: &homes,
         patience: Patience::leave_after(SERVER_IDLE_TIMEOUT),
     };
@@ -238,9 +238,9 @@
 }
 
 /// Tenant header that is sent to the server with a job's items.
-fn tenant_stamp<'a>(runner: &Runner, tenant: &'a str) -> TenantStamp<'a> {
+fn tenant_header<'a>(runner: &Runner, tenant: &'a str) -> TenantStamp<'a> {
     let configuration = runner.node.view.configuration();
-    let has_tenants = configuration.is_some_and(|held| held.tenants.is_some());
+    let has_tenants = configuration.is_some_and(|current| current.tenants.is_some());
     match (tenant.is_empty(), has_tenants) {
         (false, _) => TenantStamp::Tenant(tenant),
         (true, true) => TenantStamp::Nobody,
--- a/crates/jobs/src/scheduling.rs
+++ b/crates/jobs/src/scheduling.rs
@@ -99,8 +99,8 @@
     /// Whether a service accepts only urgent items, because online requests need its slots.
     fn is_closed(&self, service: &str) -> bool {
         let services = self.services.borrow();
-        let held = services.get(service);
-        held.is_some_and(|held| held.admission.is_closed())
+        let service_state = services.get(service);
+        service_state.is_some_and(|service_state| service_state.admission.is_closed())
     }
 
     /// Number of items that may start at a service at the current ramp-up rate; `urgent` ones, counted over all nodes,
@@ -109,7 +109,11 @@
         let capacity = self.service_capacity(service);
         let services = self.services.borrow();
         match services.get(service) {
-            Some(held) => capacity.min(held.admission.capacity(&held.load, urgent, Instant::now())),
+            Some(service_state) => capacity.min(service_state.admission.capacity(
+                &service_state.load,
+                urgent,
+                Instant::now(),
+            )),
             None => capacity,
         }
     }
--- a/crates/tenants/src/account.rs
+++ b/crates/tenants/src/account.rs
@@ -235,11 +235,11 @@
         };
         let level = match self.part {
             None => round_fraction(part.credit_share() * self.fleet.level, random_point),
-            Some((held, bucket))
-                if part.credit_share() < held.credit_share() && bucket.level > 0.0 =>
+            Some((previous, bucket))
+                if part.credit_share() < previous.credit_share() && bucket.level > 0.0 =>
             {
                 round_fraction(
-                    bucket.level * part.credit_share() / held.credit_share(),
+                    bucket.level * part.credit_share() / previous.credit_share(),
                     random_point,
                 )
             }
--- a/crates/tenants/src/identity.rs
+++ b/crates/tenants/src/identity.rs
@@ -12,7 +12,7 @@
     /// The configuration defines no tenants.
     Untold,
     /// An anonymous caller on a public route.
-    Nobody,
+    Anonymous,
     /// The tenant that holds the key.
     Tenant(Arc<Tenant>),
 }
@@ -21,7 +21,7 @@
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Caller::Tenant(tenant) => Some(tenant),
-            Caller::Untold | Caller::Nobody => None,
+            Caller::Untold | Caller::Anonymous => None,
         }
     }
 
@@ -34,7 +34,7 @@
     pub fn stamp(&self) -> TenantStamp<'_> {
         match self {
             Caller::Untold => TenantStamp::Untouched,
-            Caller::Nobody => TenantStamp::Nobody,
+            Caller::Anonymous => TenantStamp::Nobody,
             Caller::Tenant(tenant) => TenantStamp::Tenant(tenant.name.as_str()),
         }
     }
@@ -93,6 +93,6 @@
         Some(_) if !public => Err(KeyRefusal::Unsure),
         None if !public && standing.is_current(bounds) => Err(KeyRefusal::Unknown),
         None if !public => Err(KeyRefusal::Unsure),
-        _ => Ok(Caller::Nobody),
+        _ => Ok(Caller::Anonymous),
     }
 }
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -107,8 +107,8 @@
     /// Whether this node depends on reported levels and its delegates have just fallen silent: the levels are out of
     /// date, but the node does not count as isolated yet.
     fn lacks_levels(&self, now: Instant) -> bool {
-        let told = self.levels_at.filter(|_| self.aggregating_since.is_none());
-        !self.is_isolated() && told.is_some_and(|at| now.duration_since(at) >= MAX_LEVEL_AGE)
+        let reported = self.levels_at.filter(|_| self.aggregating_since.is_none());
+        !self.is_isolated() && reported.is_some_and(|at| now.duration_since(at) >= MAX_LEVEL_AGE)
     }
 
     /// Share of the fleet that the fleet's bucket represents. An aggregating node represents the nodes that it hears;
@@ -260,8 +260,8 @@
         let Some(since) = self.aggregating_since else {
             return;
         };
-        let held = self.reports.nodes.entry(node).or_default();
-        let changes = held.update(life, counts, now.duration_since(since), now);
+        let peer_counts = self.reports.nodes.entry(node).or_default();
+        let changes = peer_counts.update(life, counts, now.duration_since(since), now);
         self.fill(now);
         for (tenant, change) in changes {
             if let Some(account) = self.account(tenant, now) {
@@ -279,20 +279,21 @@
             .map(|since| now.duration_since(since));
         let recently_started = aggregating.is_some_and(|age| age < AGGREGATION_WARM_UP);
         self.fill(now);
-        let told = self.accounts.iter();
-        let told = told.filter(|(_, account)| account.zone_passed > 0);
-        told.filter_map(|(tenant, account)| {
-            let low = account.is_low(LOW_FRACTION);
-            (all || low).then_some(PassedCount {
-                tenant: *tenant,
-                passed: account.zone_passed,
-                recent: match recently_started {
-                    true => account.zone_passed,
-                    false => 0,
-                },
+        let reported = self.accounts.iter();
+        let reported = reported.filter(|(_, account)| account.zone_passed > 0);
+        reported
+            .filter_map(|(tenant, account)| {
+                let low = account.is_low(LOW_FRACTION);
+                (all || low).then_some(PassedCount {
+                    tenant: *tenant,
+                    passed: account.zone_passed,
+                    recent: match recently_started {
+                        true => account.zone_passed,
+                        false => 0,
+                    },
+                })
             })
-        })
-        .collect()
+            .collect()
     }
 
     /// Deducts the requests that a delegate of another zone has reported.
@@ -300,19 +301,19 @@
         &mut self,
         zone: u64,
         delegate: (u64, u64),
-        told: &ZonePassed<'_>,
+        reported: &ZonePassed<'_>,
         now: Instant,
     ) {
         if self.aggregating_since.is_none() {
             return;
         }
         let follow = || ZoneCounts::new(delegate, now);
-        let held = self.reports.zones.entry(zone).or_insert_with(follow);
+        let peer_counts = self.reports.zones.entry(zone).or_insert_with(follow);
         let mut changes = Vec::new();
-        if held.should_switch(delegate, now) {
-            changes = held.switch_to(delegate, now);
+        if peer_counts.should_switch(delegate, now) {
+            changes = peer_counts.switch_to(delegate, now);
         }
-        changes.extend(held.update(delegate, told, now));
+        changes.extend(peer_counts.update(delegate, reported, now));
         self.fill(now);
         for (tenant, change) in changes {
             if let Some(account) = self.account(tenant, now) {
@@ -323,8 +324,8 @@
 
     /// Sets the additional message delay of a zone, compared with zones of the own region.
     pub fn set_extra_delay(&mut self, zone: u64, extra_delay: Duration) {
-        if let Some(held) = self.reports.zones.get_mut(&zone) {
-            held.extra_delay = extra_delay;
+        if let Some(peer_counts) = self.reports.zones.get_mut(&zone) {
+            peer_counts.extra_delay = extra_delay;
         }
     }
 
@@ -354,23 +355,25 @@
         if self.aggregating_since.is_some() {
             return;
         }
-        let told: HashMap<u32, &CreditLevel> =
+        let reported: HashMap<u32, &CreditLevel> =
             levels.iter().map(|level| (level.tenant, level)).collect();
-        for told in told.values() {
-            let Some(account) = self.account(told.tenant, now) else {
+        for reported in reported.values() {
+            let Some(account) = self.account(reported.tenant, now) else {
                 continue;
             };
             let (passed, recent) = account.passed(now);
-            let unreported = match told.included {
+            let unreported = match reported.included {
                 Some(included) => passed.saturating_sub(included),
                 None => recent,
             };
-            account.set_level(told.level_milli as f64 / 1_000.0 - unreported as f64);
+            account.set_level(reported.level_milli as f64 / 1_000.0 - unreported as f64);
         }
         self.fill(now);
         self.levels_at = Some(now);
         for (tenant, account) in &mut self.accounts {
-            let allowance = told.get(tenant).map(|level| allowance(level.level_milli));
+            let allowance = reported
+                .get(tenant)
+                .map(|level| allowance(level.level_milli));
             account.note_levels_reported(allowance.unwrap_or(u64::MAX));
             if allowance.is_none() {
                 account.raise_to_fraction(LOW_FRACTION);
--- a/crates/tenants/src/table.rs
+++ b/crates/tenants/src/table.rs
@@ -156,12 +156,12 @@
         &self,
         zone: u64,
         delegate: (u64, u64),
-        told: &ZonePassed<'_>,
+        reported: &ZonePassed<'_>,
         extra_delay: Duration,
     ) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        state.ledger.note_zone(zone, delegate, told, now);
+        state.ledger.note_zone(zone, delegate, reported, now);
         state.ledger.set_extra_delay(zone, extra_delay);
     }
 
--- a/crates/tenants/tests/distance.rs
+++ b/crates/tenants/tests/distance.rs
@@ -61,14 +61,14 @@
 #[gtest]
 fn reports_of_remote_zones_expire_later() {
     let ms = Duration::from_millis;
-    let whole = QUOTA_PER_S / 100.0;
+    let full_growth = QUOTA_PER_S / 100.0;
     let near = |value: f64, expected: f64| (value - expected).abs() < 1e-6;
     for (after, extra_delay, expected) in [
-        (ms(230), Duration::ZERO, whole),
-        (ms(255), Duration::ZERO, whole / 2.0),
-        (ms(255), REGION_DELAY, whole),
+        (ms(230), Duration::ZERO, full_growth),
+        (ms(255), Duration::ZERO, full_growth / 2.0),
+        (ms(255), REGION_DELAY, full_growth),
         // The age limit is extended by exactly the extra delay.
-        (ms(275), REGION_DELAY, whole / 2.0),
+        (ms(275), REGION_DELAY, full_growth / 2.0),
     ] {
         let grown = growth(after, extra_delay);
         expect_that!(
--- a/crates/tenants/tests/identity.rs
+++ b/crates/tenants/tests/identity.rs
@@ -141,8 +141,8 @@
     };
     let key = KeyDigest::of("one");
     let standing = aged(6, true);
-    let told = identify(&two_tenants(), false, Some(&key), standing, &strict);
-    expect_that!(told, err(eq(&KeyRefusal::Unsure)));
+    let result = identify(&two_tenants(), false, Some(&key), standing, &strict);
+    expect_that!(result, err(eq(&KeyRefusal::Unsure)));
 }
 
 #[gtest]
--- a/crates/tenants/tests/support/mod.rs
+++ b/crates/tenants/tests/support/mod.rs
@@ -212,10 +212,10 @@
         let now = self.now();
         let mut ledger = Ledger::new(BOUNDS, self.nodes[node].life + 10_000, now);
         ledger.set_limits(Some(&self.tenants), now);
-        let held = &mut self.nodes[node];
-        held.ledger = ledger;
-        held.life += 10_000;
-        held.levels_at_ms = None;
+        let node_state = &mut self.nodes[node];
+        node_state.ledger = ledger;
+        node_state.life += 10_000;
+        node_state.levels_at_ms = None;
         let (nodes, now_ms) = (self.nodes.len(), self.now_ms);
         for tenant in (0..self.demands.len()).filter(|tenant| tenant % nodes == node) {
             let limit = self.demands[tenant].limit;
@@ -339,11 +339,11 @@
                 }
                 Message::Zone(counts, heard_part) => {
                     let delegate = (from as u64, life);
-                    let told = ZonePassed {
+                    let reported = ZonePassed {
                         counts: &counts,
                         heard_part,
                     };
-                    node.ledger.note_zone(zone, delegate, &told, now);
+                    node.ledger.note_zone(zone, delegate, &reported, now);
                 }
                 Message::Levels(levels) => {
                     node.levels_at_ms = Some(now_ms);
@@ -382,17 +382,17 @@
         // Delegates relay liveness information.
         let heard = (0..all).filter(|other| self.is_heard(node, *other));
         let heard = heard.count();
-        let held = &mut self.nodes[node];
-        let told = held
+        let node_state = &mut self.nodes[node];
+        let reported = node_state
             .levels_at_ms
             .is_some_and(|at| now_ms - at < DELEGATE_TIMEOUT_MS);
-        let known = match (aggregates, told) {
+        let known = match (aggregates, reported) {
             (true, _) => heard,
             (false, true) => all,
             (false, false) => 1,
         };
         let share = known as f64 / all as f64;
-        held.ledger.set_standing(aggregates, share, now);
+        node_state.ledger.set_standing(aggregates, share, now);
     }
 
     fn send_zone_reports(&mut self, node: usize) {
