--- a/crates/crashes/src/gossip.rs
+++ b/crates/crashes/src/gossip.rs
@@ -66,12 +66,12 @@
         let mut message = record.message(request.as_bytes(), now);
         // The end of runs of an unsuspected request is not reported, so their start is not either.
         let is_relevant = !record.ended.is_empty() || record.is_in_doubt(now);
-        let node_id = self.running.get(request).filter(|_| is_relevant);
-        let node_id = node_id.cloned().unwrap_or_default();
+        let own = self.running.get(request).filter(|_| is_relevant);
+        let own = own.cloned().unwrap_or_default();
         message.runs.push(NodeRuns {
             node: self.node_id,
             sequence: self.sequence,
-            servers: node_id.into_iter().take(MOST_ENDED).collect(),
+            servers: own.into_iter().take(MOST_ENDED).collect(),
         });
         message
     }
--- a/crates/crashes/src/ledger.rs
+++ b/crates/crashes/src/ledger.rs
@@ -109,8 +109,8 @@
         if counted_ends == 0 && !record.is_in_doubt(now) {
             return Permit::Free;
         }
-        let node_id = self.running.get(request).map_or(0, Vec::len);
-        let under_way = node_id + record.reported_servers(now).count();
+        let own = self.running.get(request).map_or(0, Vec::len);
+        let under_way = own + record.reported_servers(now).count();
         if counted_ends >= MOST_ENDED {
             return match under_way == 0 && record.may_retry(counted_ends, now) {
                 true => Permit::LastRun,
@@ -268,8 +268,8 @@
         });
         let mut servers = HashSet::new();
         for (request, record) in others {
-            let node_id = self.running.get(request).into_iter().flatten();
-            servers.extend(node_id.cloned());
+            let own = self.running.get(request).into_iter().flatten();
+            servers.extend(own.cloned());
             servers.extend(record.reported_servers(now).map(str::to_owned));
         }
         servers
--- a/crates/crashes/src/record.rs
+++ b/crates/crashes/src/record.rs
@@ -209,7 +209,8 @@
         }
     }
 
-    /// Merges a record of another node; returns whether it was new. Merging is commutative and idempotent.
+    /// Merges a record of another node; returns whether it was new. The set of ended servers depends neither on the
+    /// order of merges nor on repeats, up to [`MAX_ENDS_HELD`].
     pub(crate) fn merge(&mut self, report: CrashRecord, own: u64, now: Instant) -> bool {
         if report.epoch < self.epoch {
             return false;
--- a/crates/jobs/src/claiming.rs
+++ b/crates/jobs/src/claiming.rs
@@ -14,8 +14,8 @@
 /// Time for which this node must have been stable before it claims from an owner that is down. A node that was
 /// paused itself has missed heartbeats.
 const MIN_STABLE_DOWN_OWNER: Duration = Duration::from_millis(1_000);
-/// The same for an owner that is isolated from the store: after an outage, the nodes regain the store at slightly
-/// different times.
+/// The same for an owner that is isolated from the store: after a store outage, other nodes appear isolated until
+/// their heartbeats report the recovery.
 const MIN_STABLE_ISOLATED_OWNER: Duration = Duration::from_millis(2_500);
 /// The same for a job of another region: by then a node has heard every live node of that region.
 const MIN_STABLE_REMOTE: Duration = Duration::from_millis(2_500);
--- a/crates/jobs/src/partials.rs
+++ b/crates/jobs/src/partials.rs
@@ -136,9 +136,9 @@
     let mut rest = text;
     while rest.len() > max_bytes {
         let at = rest.floor_char_boundary(max_bytes);
-        let (part, tail) = rest.split_at(at);
+        let (part, after) = rest.split_at(at);
         parts.push(part);
-        rest = tail;
+        rest = after;
     }
     parts.push(rest);
     parts
@@ -216,7 +216,7 @@
         let last = page.rows.last().map(|row| format!("{}\u{1}", row.key));
         rows.extend(page.rows);
         match last.filter(|_| page.more) {
-            Some(tail) => start = tail,
+            Some(after) => start = after,
             None => break,
         }
     }
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -40,7 +40,9 @@
     pub(crate) wake: Notify,
     pub(crate) estimate: Cell<RunEstimate>,
     pub(crate) owned: RefCell<HashMap<String, Rc<OwnedJob>>>,
+    /// Jobs that are being claimed or loaded.
     pub(crate) in_transition: RefCell<HashSet<String>>,
+    /// When the owner of each job was first suspected.
     pub(crate) suspected: RefCell<HashMap<String, Instant>>,
     /// Times at which this node lost jobs to another one.
     pub(crate) taken: RefCell<HashMap<String, Instant>>,
--- a/crates/tenants/src/counts.rs
+++ b/crates/tenants/src/counts.rs
@@ -97,7 +97,7 @@
 struct Standby {
     delegate: (u64, u64),
     passed: HashMap<u32, u64>,
-    unreported: HashMap<u32, i64>,
+    uncharged: HashMap<u32, i64>,
 }
 
 impl Standby {
@@ -105,7 +105,7 @@
         for count in report.counts {
             let before = self.passed.insert(count.tenant, count.passed);
             if let Some(before) = before {
-                *self.unreported.entry(count.tenant).or_default() +=
+                *self.uncharged.entry(count.tenant).or_default() +=
                     count.passed as i64 - before as i64;
             }
         }
@@ -137,7 +137,7 @@
             return Vec::new();
         };
         self.passed = standby.passed;
-        standby.unreported.into_iter().collect()
+        standby.uncharged.into_iter().collect()
     }
 
     fn update_standby(&mut self, delegate: (u64, u64), report: &ZonePassed<'_>) {
@@ -147,7 +147,7 @@
                 let mut standby = Standby {
                     delegate,
                     passed: HashMap::new(),
-                    unreported: HashMap::new(),
+                    uncharged: HashMap::new(),
                 };
                 standby.update(report);
                 self.standby = Some(standby);
@@ -183,7 +183,7 @@
             return Vec::new();
         }
         if let Some(standby) = &mut self.standby {
-            standby.unreported.clear();
+            standby.uncharged.clear();
         }
         self.last_heard = now;
         self.heard_part = report.heard_part.clamp(0.0, 1.0);
