--- a/crates/jobs/tests/regions.rs
+++ b/crates/jobs/tests/regions.rs
@@ -40,8 +40,8 @@
 }
 
 /// Peer table of one node that knows the rows of all nodes.
-fn peer_table(own: usize) -> PeerTable {
-    let peer_table = PeerTable::new(&name(own), &zone(own), Arc::new(EventLog::silent()));
+fn table(own: usize) -> PeerTable {
+    let table = PeerTable::new(&name(own), &zone(own), Arc::new(EventLog::silent()));
     for number in 0..NODES {
         let row = NodeRow {
             life: 1,
@@ -49,14 +49,14 @@
             peer: format!("10.0.0.{number}:2"),
             ..NodeRow::default()
         };
-        peer_table.change(Row {
+        table.change(Row {
             part: String::new(),
             key: name(number),
             value: Some(Bytes::from(row.encode_to_vec())),
             revision: 1,
         });
     }
-    peer_table
+    table
 }
 
 /// Advances time while the tables receive heartbeats of the nodes for which `is_heard` holds; those for which
@@ -82,16 +82,16 @@
                 sequence: beat,
                 ..Heartbeat::default()
             };
-            for peer_table in tables {
-                peer_table.heard(&heartbeat);
+            for table in tables {
+                table.heard(&heartbeat);
             }
         }
     }
 }
 
 /// Preferred workers, as seen by one node, for jobs of region "b".
-fn preferred_workers(peer_table: &PeerTable, own: usize) -> Vec<Worker> {
-    let (workers, ways) = (peer_table.workers(true), ways(&zone(own)));
+fn preferred_workers(table: &PeerTable, own: usize) -> Vec<Worker> {
+    let (workers, ways) = (table.workers(true), ways(&zone(own)));
     let choice = |job: usize| {
         let chosen = preferred_worker(&format!("job-{job}"), &workers, |zone| {
             ways.is_in(zone, "b")
@@ -120,12 +120,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn prefers_workers_of_home_region() {
-    let tables = [0, 1, 2].map(peer_table);
+    let tables = [0, 1, 2].map(table);
     // One node of region "b" is down.
     deliver_heartbeats(&tables.each_ref(), 1..30, |number| number != 4, |_| false).await;
-    for (own, peer_table) in tables.iter().enumerate() {
-        assert_that!(peer_table.status(&name(4), 1), eq(PeerStatus::Down));
-        let chosen = preferred_workers(peer_table, own);
+    for (own, table) in tables.iter().enumerate() {
+        assert_that!(table.status(&name(4), 1), eq(PeerStatus::Down));
+        let chosen = preferred_workers(table, own);
         assert_that!(all_in_region_b(&chosen, true), eq(true));
         assert_that!(chosen, eq(&preferred_workers(&tables[0], 0)));
     }
@@ -141,7 +141,7 @@
         (true, true, PeerStatus::Down),
     ];
     for (nodes, store, expected) in cuts {
-        let (one, other) = (peer_table(0), peer_table(2));
+        let (one, other) = (table(0), table(2));
         let is_heard = |number| !(nodes && of_region(number));
         deliver_heartbeats(&[&one, &other], 1..30, is_heard, |number| {
             store && of_region(number)
@@ -163,13 +163,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn no_claims_without_store() {
-    let peer_table = peer_table(1);
-    deliver_heartbeats(&[&peer_table], 1..30, |number| number % 3 == 1, |_| true).await;
+    let table = table(1);
+    deliver_heartbeats(&[&table], 1..30, |number| number % 3 == 1, |_| true).await;
     let cut = ClaimContext {
         store_reachable: false,
         ..context(PeerStatus::Down)
     };
-    assert_that!(peer_table.status(&name(0), 1), eq(PeerStatus::Down));
+    assert_that!(table.status(&name(0), 1), eq(PeerStatus::Down));
     assert_that!(may_claim(cut), eq(false));
 }
 
