--- a/crates/crashes/src/recently_served.rs
+++ b/crates/crashes/src/recently_served.rs
@@ -28,7 +28,7 @@
         self.current.insert(request, now);
     }
 
-    /// Whether a request completed within [`RECENT_WINDOW`] before a moment.
+    /// Whether a request last completed within [`RECENT_WINDOW`] before a moment, or after it.
     pub(crate) fn was_served_before(&self, request: &Fingerprint, moment: Instant) -> bool {
         let served = self
             .current
--- a/crates/jobs/src/garbage_collection.rs
+++ b/crates/jobs/src/garbage_collection.rs
@@ -1,4 +1,4 @@
-//! Deletes the rows of closed jobs after their retention period.
+//! Deletes the rows of closed jobs after their retention period, which starts with the acceptance of the job.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -21,7 +21,7 @@
 
 /// Time without data from the server after which a run is abandoned and the item is retried elsewhere.
 const SERVER_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for which a failed or unresponsive server is avoided.
+/// Time for which an unreachable server is marked as suspect.
 const SUSPECT_DURATION: Duration = Duration::from_millis(1_200);
 /// Delay before a retry if the server did not run the item.
 const RETRY_DELAY_NOT_RUN: Duration = Duration::from_millis(120);
--- a/crates/jobs/tests/admission.rs
+++ b/crates/jobs/tests/admission.rs
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn closed_during_bursts() {
+fn urgent_items_start_only_between_bursts() {
     let mut admission = BatchAdmission::default();
     let begin = Instant::now();
     let mut open_between_bursts = 0;
@@ -63,7 +63,7 @@
             false => open_between_bursts += u32::from(capacity > 0),
         }
     }
-    // All but the first of the 180 passes between bursts.
+    // With 50 urgent items, items may start in nearly all of the 180 passes between bursts.
     expect_that!(open_between_bursts, gt(160));
 }
 
