--- /dev/null
+++ b/crates/crashes/src/server_failures.rs
@@ -0,0 +1,55 @@
+//! End times of servers across the fleet. Servers that end together are assumed to share an external cause. Pure;
+//! time is an argument.
+
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
+
+use dappleyard_clock::Instant;
+
+/// Servers that end within this time of each other count as correlated. It covers the difference with which nodes
+/// observe the loss of a rack or zone, and is shorter than the usual interval between two crashes by one request.
+const CORRELATION_WINDOW: Duration = Duration::from_millis(100);
+/// Number of correlated ends of servers that did not run the request from which the request is not blamed.
+const MIN_OTHER_FAILURES: usize = 2;
+/// Limit on the recorded ends.
+const MAX_FAILURES: usize = 4_096;
+
+/// Recently ended servers.
+#[derive(Default)]
+pub(crate) struct ServerFailures {
+    by_server: HashMap<String, Instant>,
+    by_time: BTreeSet<(Instant, String)>,
+}
+
+impl ServerFailures {
+    /// Records the first observation of a server's end.
+    pub(crate) fn note(&mut self, server: &str, at: Instant) {
+        if self.by_server.contains_key(server) {
+            return;
+        }
+        if self.by_time.len() >= MAX_FAILURES
+            && let Some((_, oldest)) = self.by_time.pop_first()
+        {
+            self.by_server.remove(&oldest);
+        }
+        self.by_server.insert(server.to_owned(), at);
+        self.by_time.insert((at, server.to_owned()));
+    }
+
+    /// When a server was observed to end.
+    pub(crate) fn ended_at(&self, server: &str) -> Option<Instant> {
+        self.by_server.get(server).copied()
+    }
+
+    /// Whether at least [`MIN_OTHER_FAILURES`] other servers, none of them in `own`, ended together with a server.
+    pub(crate) fn is_correlated(&self, server: &str, own: &[&str]) -> bool {
+        let Some(at) = self.by_server.get(server) else {
+            return false;
+        };
+        let from = at.checked_sub(CORRELATION_WINDOW).unwrap_or(*at);
+        let near = self.by_time.range((from, String::new())..);
+        let near = near.take_while(|(other, _)| *other <= *at + CORRELATION_WINDOW);
+        let others = near.filter(|(_, other)| !own.contains(&other.as_str()));
+        others.take(MIN_OTHER_FAILURES).count() >= MIN_OTHER_FAILURES
+    }
+}
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,39 +1,39 @@
-//! Batch jobs on the row store.
+//! Batch jobs, persisted in the row store.
 //!
-//! Every write about a job is conditional on the revision of the job's row, so that a node that
-//! lost a job without knowing it can commit nothing more. Which node runs a job is decided by that
-//! row alone; heartbeats only tell when another node should try to claim it.
+//! Every write about a job is conditional on the revision of its row, so a node that lost the job without
+//! noticing cannot commit stale results. The row alone decides which node owns a job; heartbeats only tell
+//! the other nodes when to try to claim it.
 
 mod accept;
-mod calls;
+mod admission;
+mod api;
 mod claiming;
-mod cleaning;
 mod end;
-mod give_up;
-mod homes;
+mod expiry;
+mod garbage_collection;
 mod keys;
 mod messages;
 mod order;
 mod owned;
+mod ownership;
 pub mod partials;
+mod placement;
 mod preempt;
 mod read;
 mod release;
+mod residency;
 mod run;
 mod runner;
 mod scheduling;
-mod service_loads;
+mod service_state;
 mod table;
-mod taking;
-mod width;
-mod yielding;
 
-pub use calls::NodeJobs;
-pub use claiming::{Ground, may_claim, may_claim_away, preferred};
+pub use admission::{AdmissionChange, BatchAdmission, ServiceLoad, apportion, is_urgent};
+pub use api::NodeJobs;
+pub use claiming::{ClaimContext, may_claim, may_claim_remote, preferred_worker};
 pub use keys::{BODY_TABLES, JOB_TABLES, partition};
 pub use messages::{ItemsBlob, JobRow, JobState, StoredItem, StoredPartial};
 pub use order::{Rank, RunEstimate, rank};
+pub use placement::{ServerCapacity, capacity, pick_server, prefer_local_region};
 pub use runner::Runner;
 pub use table::JobTable;
-pub use width::{ServerRoom, pick_server, room, within_reach};
-pub use yielding::{Change, ServiceLoad, Yielding, is_urgent, spread};
