--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -13,6 +13,6 @@
 
 pub use instant::Instant;
 #[cfg(feature = "pretend")]
-pub use suspension::pretend_suspension;
+pub use suspension::simulate_suspension;
 pub use suspension::suspended;
 pub use wait::{Elapsed, sleep_until, timeout, timeout_at};
--- a/crates/clock/src/suspension.rs
+++ b/crates/clock/src/suspension.rs
@@ -61,6 +61,6 @@
 
 /// Simulates a suspension for all threads of the process, for tests.
 #[cfg(feature = "pretend")]
-pub fn pretend_suspension(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     SIMULATED_US.fetch_add(time.as_micros() as u64, Ordering::Relaxed);
 }
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dappleyard_clock::{Elapsed, Instant, pretend_suspension, sleep_until, suspended, timeout};
+use dappleyard_clock::{Elapsed, Instant, simulate_suspension, sleep_until, suspended, timeout};
 use googletest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -19,7 +19,7 @@
         let before = Instant::now();
         tokio::time::advance(SECOND).await;
         expect_that!(before.elapsed(), eq(SECOND));
-        pretend_suspension(8 * SECOND);
+        simulate_suspension(8 * SECOND);
         expect_that!(before.elapsed(), eq(9 * SECOND));
         expect_that!(suspended(), eq(8 * SECOND));
         // Virtual time still advances normally.
@@ -29,7 +29,7 @@
         // A timeout of 5 s with a suspension of 4 s after the first second ends at most half a second later.
         let waiting = tokio::spawn(timeout(5 * SECOND, std::future::pending::<()>()));
         tokio::time::sleep(SECOND).await;
-        pretend_suspension(4 * SECOND);
+        simulate_suspension(4 * SECOND);
         let timer = tokio::time::Instant::now();
         expect_that!(waiting.await.expect("a result"), err(eq(Elapsed)));
         expect_that!(timer.elapsed(), le(SECOND / 2));
--- a/crates/cluster/src/cadence.rs
+++ b/crates/cluster/src/cadence.rs
@@ -39,7 +39,7 @@
 
 /// Messages that are due in one round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Duties {
+pub struct DueMessages {
     /// Heartbeat to the nodes of the own zone or to its delegates.
     pub heartbeat: bool,
     /// Heartbeat to nodes of other zones, or to a random node.
@@ -58,15 +58,15 @@
 /// large fleet.
 pub fn rounds_until_due(round: u32, zone_nodes: usize, sends_sums: bool) -> u32 {
     let is_due = |rounds: &u32| {
-        let duties = duties(round.wrapping_add(*rounds), zone_nodes);
-        duties.heartbeat || (sends_sums && duties.sums)
+        let due_messages = due_messages(round.wrapping_add(*rounds), zone_nodes);
+        due_messages.heartbeat || (sends_sums && due_messages.sums)
     };
     let max_rounds = LARGE_ZONE_HEARTBEAT_ROUNDS;
     (1..max_rounds).find(is_due).unwrap_or(max_rounds)
 }
 
 /// Messages due in a round, in a zone with this many other nodes.
-pub fn duties(round: u32, zone_nodes: usize) -> Duties {
+pub fn due_messages(round: u32, zone_nodes: usize) -> DueMessages {
     let (heartbeat, far, rounds) = match zone_nodes >= LARGE_ZONE_NODES {
         true => (
             LARGE_ZONE_HEARTBEAT_ROUNDS,
@@ -82,7 +82,7 @@
             )
         }
     };
-    Duties {
+    DueMessages {
         heartbeat: round.is_multiple_of(heartbeat),
         far: round.is_multiple_of(far),
         sums: round.is_multiple_of(rounds),
--- a/crates/cluster/src/pace.rs
+++ b/crates/cluster/src/change_throttle.rs
@@ -11,12 +11,12 @@
 /// Rate-limits messages about changed loads. The first change after an idle period is sent at once;
 /// a change stays pending until it is sent.
 #[derive(Debug, Clone, Copy)]
-pub struct ChangePace {
+pub struct ChangeThrottle {
     sent_at: Instant,
     pending: bool,
 }
 
-impl ChangePace {
+impl ChangeThrottle {
     /// No change is pending; `now` counts as the time of the last message.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -31,7 +31,7 @@
     }
 
     /// Records that the change was sent.
-    pub fn note_told(&mut self, now: Instant) {
+    pub fn note_sent(&mut self, now: Instant) {
         self.sent_at = now;
         self.pending = false;
     }
--- a/crates/cluster/src/cold_quota.rs
+++ b/crates/cluster/src/cold_quota.rs
@@ -22,14 +22,14 @@
 
 /// How the request rate of a cold server is divided among nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ColdShare {
+pub struct ColdQuota {
     /// Nodes assigned to each server.
     pub nodes: u32,
     /// Requests per second that each assigned node may send.
     pub requests: u32,
 }
 
-impl ColdShare {
+impl ColdQuota {
     /// Divides a rate. The sum over all assigned nodes does not exceed the rate or half of the
     /// operators' limit, so that two disjoint membership views stay within the limit. At least one
     /// request per second is allowed, even if half of the limit is less.
@@ -51,7 +51,7 @@
 
 /// The rank of a node among the nodes assigned to a server, from 0; `None` if it is not among the
 /// first `nodes`.
-pub fn standing<'a>(
+pub fn assignment_rank<'a>(
     server: &str,
     own: &str,
     others: impl Iterator<Item = &'a str>,
--- a/crates/cluster/src/crash_news.rs
+++ b/crates/cluster/src/crash_news.rs
@@ -6,10 +6,10 @@
 
 use std::net::SocketAddr;
 
-use dappleyard_crashes::CrashNews;
+use dappleyard_crashes::CrashUpdates;
 use rand::seq::IndexedRandom;
 
-use crate::cadence::Duties;
+use crate::cadence::DueMessages;
 use crate::gossip::Gossip;
 use crate::large_fleet::FANOUT;
 use crate::messages::PacketKind;
@@ -22,13 +22,13 @@
 impl Gossip {
     /// Sends new records. Called in every round: a longer interval would let a retry reach a node
     /// that does not know the record yet.
-    pub(crate) fn send_crash_news(&self, duties: Duties) {
+    pub(crate) fn send_crash_news(&self, due_messages: DueMessages) {
         let large = self.peers.is_large();
         let max_records = match large {
             true => MAX_RECORDS_LARGE_FLEET,
             false => MAX_RECORDS_SMALL_FLEET,
         };
-        let news = self.crashes.news(duties.far, max_records);
+        let news = self.crashes.updates(due_messages.far, max_records);
         if news.records.is_empty() {
             return;
         }
@@ -48,7 +48,7 @@
     /// delegates of other zones; without a live delegate, random nodes.
     fn crash_news_targets(&self) -> Vec<SocketAddr> {
         let roster = self.peers.roster();
-        if roster.own_place().is_none() {
+        if roster.own_delegate_index().is_none() {
             return match self.has_recent_summary() {
                 true => self.near_delegates.borrow().clone(),
                 false => {
@@ -59,13 +59,13 @@
             };
         }
         let (near, far) = self.other_delegates(&roster);
-        let recipients = roster.near().chain(near).chain(far);
+        let recipients = roster.own_zone_peers().chain(near).chain(far);
         recipients.map(|peer| peer.address).collect()
     }
 
     /// Merges records of another node. Delegates forward what they did not know, and so do all
     /// nodes while no delegate is heard.
-    pub(crate) fn receive_crash_news(&self, news: CrashNews) {
+    pub(crate) fn receive_crash_news(&self, news: CrashUpdates) {
         let forwards =
             self.peers.is_large() && (self.peers.is_delegate() || !self.has_recent_summary());
         for refused in self.crashes.merge(news, forwards) {
--- a/crates/cluster/src/crash_rows.rs
+++ b/crates/cluster/src/crash_rows.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dappleyard_crashes::{
-    CrashNews, CrashRecord, CrashTable, Fingerprint, KEPT_REFUSED, StoredRefusal,
+    CrashRecord, CrashTable, CrashUpdates, Fingerprint, REFUSED_RETENTION, StoredRefusal,
 };
 use dappleyard_model::{EventLog, Row, RowKey, RowStore, StoreError, Transaction};
 use prost::Message;
@@ -17,7 +17,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Reads the table, then writes changes to the store until the process ends.
-pub async fn keep_refused(crashes: &CrashTable, store: &dyn RowStore, log: &EventLog) {
+pub async fn sync_refused_requests(crashes: &CrashTable, store: &dyn RowStore, log: &EventLog) {
     while let Err(error) = read_table(crashes, store, log).await {
         log.write(
             "refused_requests_unread",
@@ -37,7 +37,7 @@
                 log.write("refused_request_unstored", || {
                     serde_json::json!({"fingerprint": request.short(), "cause": error.to_string()})
                 });
-                crashes.store_later(request);
+                crashes.requeue_unstored(request);
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
@@ -66,7 +66,7 @@
                 || serde_json::json!({"requests": records.len()}),
             );
         }
-        crashes.merge(CrashNews { records }, false);
+        crashes.merge(CrashUpdates { records }, false);
         remove_expired(store, &expired, log).await;
         let last = read.rows.last().filter(|_| read.more);
         match last {
@@ -78,7 +78,7 @@
 }
 
 fn is_expired(record: &CrashRecord) -> bool {
-    Duration::from_millis(record.age_ms) >= KEPT_REFUSED
+    Duration::from_millis(record.age_ms) >= REFUSED_RETENTION
 }
 
 /// Decodes a row; the age of its record includes the time since it was written, by the store's
--- a/crates/cluster/src/delegates.rs
+++ b/crates/cluster/src/delegates.rs
@@ -38,7 +38,7 @@
 /// Delegates of a zone in another region to which one of `senders` delegates sends. Each of them
 /// receives from one sender where the counts allow, which limits traffic between regions. After the
 /// loss of a sender its receivers get no updates until the loss is detected.
-pub fn told_by(own_index: usize, senders: usize, receivers: Vec<&str>) -> Vec<&str> {
+pub fn cross_region_receivers(own_index: usize, senders: usize, receivers: Vec<&str>) -> Vec<&str> {
     let (senders, receiver_count) = (senders.max(1), receivers.len().max(1));
     let pairs = receivers.into_iter().enumerate();
     let is_receiver =
--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_room::{Demand, ReturnSchedule, SPAN, TenantWork, service_number};
+use dappleyard_room::{Demand, RETRY_INTERVAL, RetrySchedule, TenantWork, service_hash};
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
@@ -18,7 +18,7 @@
 
 struct OwnDemand {
     waiting: u32,
-    returns: ReturnSchedule,
+    returns: RetrySchedule,
     tenants: HashMap<u32, u32>,
 }
 
@@ -52,7 +52,7 @@
     fn own(&mut self, service: u32, now: Instant) -> &mut OwnDemand {
         self.own.entry(service).or_insert_with(|| OwnDemand {
             waiting: 0,
-            returns: ReturnSchedule::new(now),
+            returns: RetrySchedule::new(now),
             tenants: HashMap::new(),
         })
     }
@@ -73,7 +73,7 @@
     fn report_of(&self, source: &Source, now: Instant) -> Option<(usize, &[Demand])> {
         let (at, demands) = self.others.get(source)?;
         let age = now.saturating_duration_since(*at);
-        let spans = (age.as_millis() / SPAN.as_millis()) as usize;
+        let spans = (age.as_millis() / RETRY_INTERVAL.as_millis()) as usize;
         (age < REPORT_LIFE).then_some((spans, demands.as_slice()))
     }
 
@@ -114,7 +114,7 @@
 impl DemandTable {
     /// Counts a request as waiting for a slot of a service until the guard is dropped.
     pub fn wait(self: &Arc<Self>, service: &str) -> WaitGuard {
-        let service = service_number(service);
+        let service = service_hash(service);
         let waiting = {
             let mut state = self.state.lock();
             let own = state.own(service, Instant::now());
@@ -139,13 +139,13 @@
     }
 
     /// Waits until requests begin to wait for a slot of any service.
-    pub async fn pressed(&self) {
+    pub async fn wait_for_pressure(&self) {
         self.pressure.notified().await;
     }
 
     /// Counts a request of a tenant as in flight at a service until the guard is dropped.
     pub fn work(self: &Arc<Self>, service: &str, tenant: u32) -> Work {
-        let service = service_number(service);
+        let service = service_hash(service);
         let mut state = self.state.lock();
         let own = state.own(service, Instant::now());
         *own.tenants.entry(tenant).or_default() += 1;
@@ -157,11 +157,11 @@
     }
 
     /// Records that a rejected request must retry after `after`.
-    pub fn note_return(&self, service: &str, after: Duration) {
+    pub fn note_retry(&self, service: &str, after: Duration) {
         let now = Instant::now();
         let mut state = self.state.lock();
         state
-            .own(service_number(service), now)
+            .own(service_hash(service), now)
             .returns
             .note(after, now);
     }
@@ -174,11 +174,11 @@
     /// Waiting requests and expected retries for a service at all nodes, without the split by
     /// tenant.
     pub fn pressure_on(&self, service: &str) -> Demand {
-        self.sum_with(service, Demand::add_pressure)
+        self.sum_with(service, Demand::add_without_tenants)
     }
 
     fn sum_with(&self, service: &str, add: impl Fn(&mut Demand, &Demand, usize)) -> Demand {
-        let number = service_number(service);
+        let number = service_hash(service);
         let now = Instant::now();
         let mut state = self.state.lock();
         let mut sum = Demand::of(number);
@@ -216,7 +216,7 @@
             let (spans, own) = report.unwrap_or_default();
             for demand in own {
                 if let Some(sum) = sums.get_mut(&demand.service) {
-                    sum.take_off(demand, spans);
+                    sum.subtract(demand, spans);
                 }
             }
             limited(sums)
--- a/crates/cluster/src/directory.rs
+++ b/crates/cluster/src/directory.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use dappleyard_model::{Distance, Places, RegionName, Tolerated};
+use dappleyard_model::{Distance, FailureTolerance, RegionName, Topology};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Maximum number of addresses in one answer.
@@ -47,18 +47,18 @@
 
 /// Deployment facts that an answer depends on, besides the nodes.
 #[derive(Debug, Clone, Copy)]
-pub struct Ground<'a> {
+pub struct DirectoryContext<'a> {
     /// Zone of the node that answers.
     pub own_zone: &'a str,
     /// The region of each zone.
-    pub places: &'a Places,
+    pub places: &'a Topology,
     /// Failures that the deployment must tolerate.
-    pub tolerated: Tolerated,
+    pub tolerated: FailureTolerance,
 }
 
 /// The caller of a query.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Asked<'a> {
+pub struct DirectoryQuery<'a> {
     /// Zone of the caller, if it is known.
     pub zone: Option<&'a str>,
     /// Regions whose nodes may be listed; `None` allows all.
@@ -66,7 +66,11 @@
 }
 
 /// Addresses for a caller, sorted.
-pub fn addresses_for(query: Asked<'_>, context: Ground<'_>, nodes: &[FrontNode]) -> Vec<String> {
+pub fn addresses_for(
+    query: DirectoryQuery<'_>,
+    context: DirectoryContext<'_>,
+    nodes: &[FrontNode],
+) -> Vec<String> {
     let allowed = |node: &&FrontNode| {
         query.regions.is_none_or(|regions| {
             let region = context.places.region(&node.zone);
@@ -120,7 +124,7 @@
 
 /// Whether the zone of the answering node seems partitioned: all other zones are silent, and they
 /// are more than may fail at once. This cannot be decided with two zones.
-fn seems_partitioned(zones: &BTreeMap<&str, ZoneCounts>, context: Ground<'_>) -> bool {
+fn seems_partitioned(zones: &BTreeMap<&str, ZoneCounts>, context: DirectoryContext<'_>) -> bool {
     let others = zones.iter().filter(|(zone, _)| **zone != context.own_zone);
     let others: Vec<ZoneCounts> = others.map(|(_, counts)| *counts).collect();
     let max_lost_zones = context.tolerated.zones.max(1) as usize;
@@ -155,7 +159,7 @@
 /// The nodes for callers of a zone, nearest first.
 fn nearest<'a>(
     zone: &str,
-    context: Ground<'_>,
+    context: DirectoryContext<'_>,
     partitioned: bool,
     nodes: &[&'a FrontNode],
 ) -> Vec<&'a FrontNode> {
@@ -192,7 +196,7 @@
 fn spare_count(
     own: &[&FrontNode],
     region: &[&FrontNode],
-    tolerated: Tolerated,
+    tolerated: FailureTolerance,
     partitioned: bool,
 ) -> usize {
     let zones: BTreeSet<&str> = region.iter().map(|node| node.zone.as_str()).collect();
--- a/crates/cluster/src/evacuated_work.rs
+++ b/crates/cluster/src/evacuated_work.rs
@@ -67,7 +67,7 @@
         if changes.is_empty() {
             return;
         }
-        Self::all_stale(&mut known);
+        Self::mark_all_stale(&mut known);
         drop(known);
         for change in &changes {
             let kind = match change.evacuated {
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -70,7 +70,7 @@
     }
 
     /// Hash of the relevant part of a digest: rows with equal hashes count as unchanged.
-    fn essence(&self, row: &Row) -> u64 {
+    fn content_hash(&self, row: &Row) -> u64 {
         row.value.as_ref().map_or(0, |value| xxh3_64(value))
     }
 }
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -19,11 +19,11 @@
 use prost::Message;
 use tokio::net::UdpSocket;
 
-use crate::cadence::{ROUND_INTERVAL, duties, rounds_until_due};
+use crate::cadence::{ROUND_INTERVAL, due_messages, rounds_until_due};
+use crate::change_throttle::ChangeThrottle;
 use crate::health::StoreHealth;
 use crate::loads::{LoadTable, node_number};
 use crate::messages::{Heartbeat, LivenessRecords, LoadChange, Packet, PacketKind, Summary};
-use crate::pace::ChangePace;
 use crate::peers::PeerTable;
 use crate::view::View;
 use crate::zone_digest::ZoneDigest;
@@ -127,7 +127,7 @@
         let mut round = 0_u32;
         let mut rounds = 1;
         let mut next = Instant::now();
-        let mut pace = ChangePace::new(Instant::now());
+        let mut pace = ChangeThrottle::new(Instant::now());
         loop {
             tokio::select! {
                 () = dappleyard_clock::sleep_until(next) => {
@@ -137,14 +137,14 @@
                     next = Instant::now() + ROUND_INTERVAL * rounds;
                 }
                 // Records of crashing requests are sent in the very next round.
-                () = self.crashes.more_news(), if rounds > 1 => {
+                () = self.crashes.wait_for_updates(), if rounds > 1 => {
                     rounds = 1;
                     next = next.min(Instant::now() + ROUND_INTERVAL);
                 }
                 () = self.loads.changed(), if !pace.is_pending() => pace.note_change(),
                 () = dappleyard_clock::sleep_until(pace.next()), if pace.is_pending() => {
                     // Sent early to keep other nodes from filling the same slots.
-                    pace.note_told(Instant::now());
+                    pace.note_sent(Instant::now());
                     self.send_change();
                 }
                 received = self.socket.recv_from(&mut buffer) => {
@@ -159,7 +159,7 @@
     /// Rounds until the next one in which a message is due. Skipping idle rounds cuts the wakeups
     /// of a node that is not a delegate from 40 to 7 a second.
     fn rounds_to_next(&self, round: u32) -> u32 {
-        if self.crashes.has_news() {
+        if self.crashes.has_updates() {
             return 1;
         }
         let sends_sums = self.peers.is_large() && self.peers.is_delegate();
@@ -167,17 +167,17 @@
     }
 
     fn send_round(&self, round: u32) {
-        let duties = duties(round, self.zone_nodes.get());
-        if duties.heartbeat {
+        let due_messages = due_messages(round, self.zone_nodes.get());
+        if due_messages.heartbeat {
             self.update_quota_share();
         }
         if self.peers.is_large() {
-            self.send_large_round(duties);
-        } else if duties.heartbeat {
-            self.send_to_all(duties.far);
+            self.send_large_round(due_messages);
+        } else if due_messages.heartbeat {
+            self.send_to_all(due_messages.far);
         }
-        self.send_crash_news(duties);
-        if duties.far {
+        self.send_crash_news(due_messages);
+        if due_messages.far {
             self.peers.log_silent();
         }
     }
@@ -185,9 +185,9 @@
     /// Reports to the quotas which share of the fleet's requests this node knows.
     fn update_quota_share(&self) {
         if let Some(configuration) = self.view.configuration() {
-            self.quotas.adopt(&configuration);
+            self.quotas.apply_configuration(&configuration);
         }
-        let expected = match self.peers.listed() {
+        let expected = match self.peers.row_count() {
             0 => ASSUMED_FLEET_SIZE,
             _ => self.peers.expected(),
         };
@@ -198,7 +198,7 @@
             (false, false) => 1,
         };
         let share = (known as f64 / expected as f64).min(1.0);
-        self.quotas.set_standing(aggregates, share);
+        self.quotas.set_role(aggregates, share);
     }
 
     /// Whether a delegate of the own zone sent a summary within `DELEGATE_TIMEOUT`.
--- a/crates/cluster/src/health.rs
+++ b/crates/cluster/src/health.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether all calls have failed for longer than the limit.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         let state = self.state.lock();
         state
             .failing_since
--- a/crates/cluster/src/large_fleet.rs
+++ b/crates/cluster/src/large_fleet.rs
@@ -6,8 +6,8 @@
 
 use rand::seq::IndexedRandom;
 
-use crate::cadence::Duties;
-use crate::delegates::told_by;
+use crate::cadence::DueMessages;
+use crate::delegates::cross_region_receivers;
 use crate::gossip::Gossip;
 use crate::loads::node_number;
 use crate::messages::{ExtraLiveness, LivenessRecords, PacketKind, Summary};
@@ -19,27 +19,27 @@
 pub(crate) const FANOUT: usize = 6;
 
 impl Gossip {
-    pub(crate) fn send_large_round(&self, duties: Duties) {
-        if !duties.sums && !duties.heartbeat {
+    pub(crate) fn send_large_round(&self, due_messages: DueMessages) {
+        if !due_messages.sums && !due_messages.heartbeat {
             return;
         }
         let roster = self.peers.roster();
-        self.zone_nodes.set(roster.near().count());
+        self.zone_nodes.set(roster.own_zone_peers().count());
         let others = roster.delegate_peers(&self.settings.zone);
         *self.near_delegates.borrow_mut() = others.map(|peer| peer.address).collect();
-        if roster.own_place().is_some() {
-            if duties.sums {
-                self.send_zone_summaries(&roster, duties);
-                self.send_to_other_zones(&roster, duties);
+        if roster.own_delegate_index().is_some() {
+            if due_messages.sums {
+                self.send_zone_summaries(&roster, due_messages);
+                self.send_to_other_zones(&roster, due_messages);
             }
-            if duties.heartbeat {
+            if due_messages.heartbeat {
                 self.send_to_silent_zones();
             }
-            if duties.far {
+            if due_messages.far {
                 self.send_at_random(1);
             }
-        } else if duties.heartbeat {
-            self.send_to_delegates(duties.far);
+        } else if due_messages.heartbeat {
+            self.send_to_delegates(due_messages.far);
         }
     }
 
@@ -56,15 +56,15 @@
     }
 
     /// As a delegate, sends each node of the zone the load of all others.
-    fn send_zone_summaries(&self, roster: &Roster, duties: Duties) {
-        let (signs, remaining) = self.due_liveness(None, duties);
-        let evacuated = match duties.signs {
+    fn send_zone_summaries(&self, roster: &Roster, due_messages: DueMessages) {
+        let (signs, remaining) = self.due_liveness(None, due_messages);
+        let evacuated = match due_messages.signs {
             true => self.view.evacuated_work(&self.loads),
             false => Vec::new(),
         };
         let used = self.used_servers_by_node.borrow();
         let delegates = roster.delegates(&self.settings.zone);
-        let near: Vec<&RelayPeer> = roster.near().collect();
+        let near: Vec<&RelayPeer> = roster.own_zone_peers().collect();
         let numbers: Vec<(u64, &[u32])> = near
             .iter()
             .map(|peer| node_number(&peer.name))
@@ -98,9 +98,9 @@
     fn due_liveness(
         &self,
         zone: Option<&str>,
-        duties: Duties,
+        due_messages: DueMessages,
     ) -> (Option<LivenessRecords>, Vec<LivenessRecords>) {
-        if !duties.signs {
+        if !due_messages.signs {
             return (None, Vec::new());
         }
         let mut signs = self.peers.liveness_records(zone).into_iter();
@@ -121,11 +121,11 @@
 
     /// As a delegate, sends the load sums of this zone to the delegates of other zones, whose nodes
     /// use some servers of this zone too.
-    fn send_to_other_zones(&self, roster: &Roster, duties: Duties) {
+    fn send_to_other_zones(&self, roster: &Roster, due_messages: DueMessages) {
         let (near, far) = self.other_delegates(roster);
-        self.send_zone_sums(near, &self.zone_digest, duties);
-        if duties.regions && !far.is_empty() {
-            self.send_zone_sums(far, &self.region_digest, duties);
+        self.send_zone_sums(near, &self.zone_digest, due_messages);
+        if due_messages.regions && !far.is_empty() {
+            self.send_zone_sums(far, &self.region_digest, due_messages);
         }
     }
 
@@ -136,17 +136,18 @@
         roster: &'a Roster,
     ) -> (Vec<&'a RelayPeer>, Vec<&'a RelayPeer>) {
         let zone = self.settings.zone.as_str();
-        let ways = self.view.ways();
+        let zone_distances = self.view.zone_distances();
         let others = roster.zones().filter(|other| *other != zone);
-        let (near, far): (Vec<&str>, Vec<&str>) = others.partition(|other| ways.is_near(other));
+        let (near, far): (Vec<&str>, Vec<&str>) =
+            others.partition(|other| zone_distances.is_near(other));
         let near = near
             .into_iter()
             .flat_map(|other| roster.delegate_peers(other));
-        let own = roster.own_place().unwrap_or_default();
+        let own = roster.own_delegate_index().unwrap_or_default();
         let senders = roster.delegates(zone).len();
         let far = far.into_iter().flat_map(|other| {
             let receivers = roster.delegates(other).iter().map(String::as_str);
-            told_by(own, senders, receivers.collect())
+            cross_region_receivers(own, senders, receivers.collect())
         });
         let far = far.filter_map(|name| roster.peer(name));
         (near.collect(), far.collect())
@@ -157,18 +158,20 @@
         &self,
         delegates: Vec<&RelayPeer>,
         digest: &RefCell<ZoneDigest>,
-        duties: Duties,
+        due_messages: DueMessages,
     ) {
         let zone = &self.settings.zone;
-        let told = digest.borrow_mut().next(self.loads.zone_sums(), duties.all);
-        let (signs, remaining) = self.due_liveness(Some(zone), duties);
+        let told = digest
+            .borrow_mut()
+            .next(self.loads.zone_sums(), due_messages.all);
+        let (signs, remaining) = self.due_liveness(Some(zone), due_messages);
         let message = PacketKind::Summary(Summary {
             of_zone: true,
             loads: told.loads,
             changes_only: told.changes_only,
             waiting: self.loads.waiting.zone_sum(),
             demands: self.loads.demand.zone_sum(),
-            passed: self.quotas.zone_passed(duties.signs),
+            passed: self.quotas.zone_passed(due_messages.signs),
             heard_permille: (self.quotas.zone_heard() * 1_000.0) as u32,
             signs,
             ..self.summary()
--- a/crates/cluster/src/loads.rs
+++ b/crates/cluster/src/loads.rs
@@ -92,7 +92,7 @@
     }
 
     /// Waits until online work exceeds the slots of a server where this node runs batch items.
-    pub async fn pressed(&self) {
+    pub async fn wait_for_pressure(&self) {
         self.pressure.notified().await;
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Waits until this node or another finds a server silent.
-    pub async fn found_silent(&self) {
+    pub async fn wait_for_silence(&self) {
         self.silent.notified().await;
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Replaces the set of restricted servers: those of suspected zones, which get few requests.
-    pub fn hold_back(&self, servers: Vec<&str>) {
+    pub fn restrict(&self, servers: Vec<&str>) {
         let numbers: HashSet<u32> = servers.into_iter().map(server_number).collect();
         let (released, added): (Vec<u32>, Vec<u32>) = {
             let mut held = self.restricted.lock();
@@ -219,28 +219,28 @@
     pub fn is_any_suspect(&self) -> bool {
         let now = Instant::now();
         let servers = self.servers.lock();
-        servers.values().any(|loads| loads.is_found_silent(now))
+        servers.values().any(|loads| loads.is_silent(now))
     }
 
     /// Whether this node or another currently considers the server silent.
-    pub fn is_found_silent(&self, server: &str) -> bool {
+    pub fn is_silent(&self, server: &str) -> bool {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
-        loads.is_some_and(|loads| loads.is_found_silent(Instant::now()))
+        loads.is_some_and(|loads| loads.is_silent(Instant::now()))
     }
 
     /// Whether idle connections to the server must not be trusted: it was found silent, alone or
     /// with its zone, and this node has received nothing from it since.
-    pub fn is_doubted(&self, server: &str) -> bool {
+    pub fn is_unconfirmed(&self, server: &str) -> bool {
         let number = server_number(server);
         let restricted = self.restricted.lock().contains(&number);
         let servers = self.servers.lock();
         let loads = servers.get(&number);
-        restricted || loads.is_some_and(|loads| loads.is_doubted(Instant::now()))
+        restricted || loads.is_some_and(|loads| loads.is_unconfirmed(Instant::now()))
     }
 
     /// Marks the server as silent for `time`.
-    pub fn suspect(&self, server: &str, time: Duration) {
+    pub fn mark_suspect(&self, server: &str, time: Duration) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
         let now = Instant::now();
@@ -253,7 +253,7 @@
 
     /// Marks the server as overdue: it has sent nothing for longer than its responses take. It is
     /// avoided for `time` or until it sends something.
-    pub fn doubt(&self, server: &str, time: Duration) {
+    pub fn mark_overdue(&self, server: &str, time: Duration) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
         loads.overdue_until = Some(Instant::now() + time);
@@ -276,7 +276,7 @@
     }
 
     /// Records that bytes were received from the server.
-    pub fn heard(&self, server: &str) {
+    pub fn note_received(&self, server: &str) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
         let now = Instant::now();
@@ -287,7 +287,7 @@
     }
 
     /// Time since any node received bytes from the server.
-    pub fn silence(&self, server: &str) -> Option<Duration> {
+    pub fn time_since_received(&self, server: &str) -> Option<Duration> {
         let now = Instant::now();
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server))?;
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between nodes, and the row with which a node registers.
 
-use dappleyard_crashes::CrashNews;
+use dappleyard_crashes::CrashUpdates;
 use dappleyard_room::Demand;
 use dappleyard_tenants::{CreditLevel, PassedCount};
 use prost::{Message, Oneof};
@@ -283,7 +283,7 @@
     #[prost(message, tag = "3")]
     LoadChange(LoadChange),
     #[prost(message, tag = "4")]
-    CrashNews(CrashNews),
+    CrashNews(CrashUpdates),
     #[prost(message, tag = "5")]
     ExtraLiveness(ExtraLiveness),
 }
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -82,7 +82,7 @@
 
     /// Includes the revision of evacuation orders: rewriting one with the same value means that it
     /// was withdrawn in between.
-    fn essence(&self, row: &Row) -> u64 {
+    fn content_hash(&self, row: &Row) -> u64 {
         let mut hasher = Xxh3Default::new();
         row.value.hash(&mut hasher);
         if matches!(
--- a/crates/cluster/src/peers.rs
+++ b/crates/cluster/src/peers.rs
@@ -22,13 +22,13 @@
 /// Silence after which a node of another zone counts as down in a small fleet.
 pub(crate) const OTHER_ZONE_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Maximum number of nodes of a small fleet, in which every node hears every other.
-pub const ALL_HEARD: usize = 24;
+pub const MAX_FULL_MESH_NODES: usize = 24;
 /// Silence after which a node counts as down in a large fleet, where heartbeats are relayed.
 pub(crate) const RELAYED_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time allowed from the discovery of a node's row to its first heartbeat.
 const FIRST_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Silence after which a node counts as gone permanently.
-pub(crate) const FORGOTTEN: Duration = Duration::from_secs(60);
+pub(crate) const FORGET_AFTER: Duration = Duration::from_secs(60);
 /// Silence of the store after which a node counts as isolated from it.
 const STORE_TIMEOUT: Duration = Duration::from_millis(3200);
 
@@ -80,13 +80,13 @@
 }
 
 impl Peer {
-    /// Whether the node was heard, or its row discovered, within `FORGOTTEN`.
+    /// Whether the node was heard, or its row discovered, within `FORGET_AFTER`.
     pub(crate) fn is_recent(&self, now: Instant) -> bool {
-        now.duration_since(self.last()) < FORGOTTEN
+        now.duration_since(self.last_seen()) < FORGET_AFTER
     }
 
     /// When it was last heard or its row was discovered.
-    pub(crate) fn last(&self) -> Instant {
+    pub(crate) fn last_seen(&self) -> Instant {
         self.heard.unwrap_or(self.row_seen_at).max(self.row_seen_at)
     }
 
@@ -166,7 +166,9 @@
     pub fn status(&self, name: &str, life: u64) -> PeerStatus {
         let peers = self.peers.lock();
         match peers.get(name) {
-            Some(peer) if peer.row.life == life => self.judge(peer, Instant::now(), peers.len()),
+            Some(peer) if peer.row.life == life => {
+                self.evaluate_status(peer, Instant::now(), peers.len())
+            }
             Some(_) => PeerStatus::Replaced,
             None => PeerStatus::Down,
         }
@@ -179,7 +181,7 @@
         let others = peers
             .iter()
             .filter(|(name, _)| **name != self.own_name)
-            .filter(|(_, peer)| self.judge(peer, now, peers.len()) == PeerStatus::Ready)
+            .filter(|(_, peer)| self.evaluate_status(peer, now, peers.len()) == PeerStatus::Ready)
             .map(|(name, peer)| Worker {
                 name: name.clone(),
                 zone: peer.row.zone.clone(),
@@ -198,7 +200,7 @@
         let peers = self.peers.lock();
         let others = peers.iter().filter(|(name, _)| **name != self.own_name);
         let taking = others.filter_map(|(_, peer)| {
-            let ready = match self.judge(peer, now, peers.len()) {
+            let ready = match self.evaluate_status(peer, now, peers.len()) {
                 PeerStatus::Ready => true,
                 PeerStatus::Down if peer.was_ready() => false,
                 _ => return None,
@@ -230,7 +232,7 @@
     /// Whether a node is alive and not shutting down.
     fn is_active(&self, peer: &Peer, now: Instant, fleet: usize) -> bool {
         let is_leaving = peer.row.leaving || peer.leaving;
-        !is_leaving && self.judge(peer, now, fleet) != PeerStatus::Down
+        !is_leaving && self.evaluate_status(peer, now, fleet) != PeerStatus::Down
     }
 
     /// Sum of the row hashes of the nodes that are alive and not shutting down; changes with this
@@ -269,11 +271,11 @@
     }
 
     /// Number of nodes with a row, including this one.
-    pub fn listed(&self) -> usize {
+    pub fn row_count(&self) -> usize {
         self.peers.lock().len()
     }
 
-    /// Number of nodes that were heard or whose row was discovered within `FORGOTTEN`, including
+    /// Number of nodes that were heard or whose row was discovered within `FORGET_AFTER`, including
     /// this one. Rows of machines that are gone permanently do not count.
     pub fn expected(&self) -> usize {
         let now = Instant::now();
@@ -292,12 +294,12 @@
         let others = peers
             .iter()
             .filter(|(name, _)| **name != self.own_name)
-            .filter(|(_, peer)| self.judge(peer, now, peers.len()) != PeerStatus::Down);
+            .filter(|(_, peer)| self.evaluate_status(peer, now, peers.len()) != PeerStatus::Down);
         others.count() + 1
     }
 
     /// Applies a heartbeat; returns whether its sender is a known run of a node.
-    pub fn heard(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(&heartbeat.name) else {
             return false;
@@ -329,9 +331,9 @@
         true
     }
 
-    /// Whether nodes exceed `ALL_HEARD`, so that not every node hears every other.
+    /// Whether nodes exceed `MAX_FULL_MESH_NODES`, so that not every node hears every other.
     pub fn is_large(&self) -> bool {
-        self.peers.lock().len() > ALL_HEARD
+        self.peers.lock().len() > MAX_FULL_MESH_NODES
     }
 
     pub(crate) fn zone_of(&self, name: &str) -> Option<String> {
@@ -355,7 +357,8 @@
         let mut peers = self.peers.lock();
         let fleet = peers.len();
         for (name, peer) in peers.iter_mut() {
-            let down = *name != self.own_name && self.judge(peer, now, fleet) == PeerStatus::Down;
+            let down = *name != self.own_name
+                && self.evaluate_status(peer, now, fleet) == PeerStatus::Down;
             if down && !peer.logged_down {
                 peer.logged_down = true;
                 let silent_ms = peer
@@ -369,8 +372,8 @@
         }
     }
 
-    pub(crate) fn judge(&self, peer: &Peer, now: Instant, fleet: usize) -> PeerStatus {
-        let limit = match (fleet > ALL_HEARD, peer.row.zone == self.own_zone) {
+    pub(crate) fn evaluate_status(&self, peer: &Peer, now: Instant, fleet: usize) -> PeerStatus {
+        let limit = match (fleet > MAX_FULL_MESH_NODES, peer.row.zone == self.own_zone) {
             (true, _) => RELAYED_TIMEOUT,
             (false, true) => SAME_ZONE_TIMEOUT,
             (false, false) => OTHER_ZONE_TIMEOUT,
--- a/crates/cluster/src/receiving.rs
+++ b/crates/cluster/src/receiving.rs
@@ -25,7 +25,7 @@
         };
         match packet.kind {
             Some(PacketKind::Heartbeat(heartbeat)) => {
-                self.peers.meet(&heartbeat, sender);
+                self.peers.note_unlisted_sender(&heartbeat, sender);
                 self.receive_heartbeat(heartbeat);
             }
             Some(PacketKind::Summary(summary)) => self.receive_summary(summary),
@@ -38,7 +38,7 @@
     }
 
     fn receive_heartbeat(&self, heartbeat: Heartbeat) {
-        if heartbeat.name == self.settings.name || !self.peers.heard(&heartbeat) {
+        if heartbeat.name == self.settings.name || !self.peers.apply_heartbeat(&heartbeat) {
             return;
         }
         if let Some(signs) = &heartbeat.signs {
@@ -86,12 +86,12 @@
     /// Whether a node's waiting items compete with this node's own. Items in other regions wait for
     /// other servers.
     fn is_in_own_region(&self, name: &str) -> bool {
-        let ways = self.view.ways();
-        if !ways.has_regions() {
+        let zone_distances = self.view.zone_distances();
+        if !zone_distances.has_regions() {
             return true;
         }
         let zone = self.peers.zone_of(name).unwrap_or_default();
-        ways.is_near(&zone)
+        zone_distances.is_near(&zone)
     }
 
     /// Whether a load message is newer than all earlier ones of its node; records it if so.
@@ -137,9 +137,9 @@
                 let delegate = (node_number(&summary.name), summary.life);
                 let told = ZonePassed {
                     counts: &summary.passed,
-                    heard_part: f64::from(summary.heard_permille) / 1_000.0,
+                    heard_fraction: f64::from(summary.heard_permille) / 1_000.0,
                 };
-                let delay = self.view.ways().extra(&zone) / 2;
+                let delay = self.view.zone_distances().extra_rtt(&zone) / 2;
                 let number = node_number(&zone);
                 self.quotas.note_zone(number, delegate, &told, delay);
                 let source = Source::Zone(node_number(&zone));
--- a/crates/cluster/src/roster.rs
+++ b/crates/cluster/src/roster.rs
@@ -58,7 +58,7 @@
     }
 
     /// Index of this node among the delegates of its zone; `None` if it is not a delegate.
-    pub fn own_place(&self) -> Option<usize> {
+    pub fn own_delegate_index(&self) -> Option<usize> {
         let own = self.delegates(&self.own_zone);
         own.iter().position(|name| *name == self.own_name)
     }
@@ -83,7 +83,7 @@
     }
 
     /// The other nodes of this node's zone.
-    pub fn near(&self) -> impl Iterator<Item = &RelayPeer> {
+    pub fn own_zone_peers(&self) -> impl Iterator<Item = &RelayPeer> {
         self.peers.iter().filter(|peer| peer.zone == self.own_zone)
     }
 }
@@ -143,7 +143,7 @@
 
     /// Whether this node is a delegate of its zone.
     pub fn is_delegate(&self) -> bool {
-        self.roster().own_place().is_some()
+        self.roster().own_delegate_index().is_some()
     }
 
     /// Names of the delegates of a zone, including this node.
--- a/crates/cluster/src/server_digest.rs
+++ b/crates/cluster/src/server_digest.rs
@@ -53,7 +53,7 @@
     }
     let digest = match read(&row) {
         Ok(server) => ServerDigest {
-            born_ms: server.born_ms(),
+            born_ms: server.start_time_ms(),
             service: server.service,
             address: server.address.to_string(),
             zone: server.zone,
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -8,8 +8,8 @@
 use crate::messages::LoadEntry;
 use crate::outcomes::{Ejection, OutcomeCounts, Outcomes};
 use crate::shared_slowdown::Slowdowns;
-use crate::slowdown::Pace;
-use crate::warmup::{Checked, Temperature, Thermal};
+use crate::slowdown::Slowdown;
+use crate::warmup::{WarmupReport, WarmupState, WarmupTracker};
 
 /// Time since the last bytes from a server during which reports of its silence are ignored: the
 /// reporting nodes may be partitioned from it, or slow themselves.
@@ -30,11 +30,11 @@
     /// Moving average of the delay of the first event beyond the expected time.
     pub excess_ms: f64,
     /// Warm-up state; `None` if it is not tracked.
-    pub temperature: Option<Temperature>,
+    pub warmup_state: Option<WarmupState>,
     /// Current slowdown estimate.
-    pub pace: Pace,
+    pub slowdown: Slowdown,
     /// Slowdown over the last seconds.
-    pub lasting_pace: Pace,
+    pub long_term_slowdown: Slowdown,
 }
 
 /// Origin of a load report.
@@ -68,9 +68,9 @@
     /// Outcomes of this node's requests.
     pub(crate) outcomes: Outcomes,
     pub(crate) ejection: Ejection,
-    pub(crate) warmup: Thermal,
+    pub(crate) warmup: WarmupTracker,
     /// The newest health answer that this node received itself.
-    pub(crate) own_report: Option<Checked>,
+    pub(crate) own_report: Option<WarmupReport>,
     /// Slowdown estimates.
     pub(crate) slowdowns: Slowdowns,
 }
@@ -81,10 +81,10 @@
             online: self.online,
             batch: self.batch,
             unread_tokens: self.unread_tokens,
-            suspect: self.is_found_silent(now) || self.ejection.is_ejected(now),
-            temperature: self.tracked_state(now),
-            pace: self.slowdowns.now(now),
-            lasting_pace: self.slowdowns.long_term(now),
+            suspect: self.is_silent(now) || self.ejection.is_ejected(now),
+            warmup_state: self.tracked_state(now),
+            slowdown: self.slowdowns.now(now),
+            long_term_slowdown: self.slowdowns.long_term(now),
             ..LoadSummary::default()
         };
         for (at, entry) in self.peers.values() {
@@ -102,7 +102,7 @@
     }
 
     /// Whether the server is currently considered silent or unreachable by this node or another.
-    pub(crate) fn is_found_silent(&self, now: Instant) -> bool {
+    pub(crate) fn is_silent(&self, now: Instant) -> bool {
         let heard = self.heard.map(|heard| now.duration_since(heard));
         let reported = self.peers.values();
         let mut others = reported.filter(|(_, entry)| entry.suspect || entry.doubted);
@@ -113,8 +113,8 @@
     }
 
     /// Whether the server was found silent and this node has received nothing from it since.
-    pub(crate) fn is_doubted(&self, now: Instant) -> bool {
-        self.suspect_until.is_some() || self.overdue_until.is_some() || self.is_found_silent(now)
+    pub(crate) fn is_unconfirmed(&self, now: Instant) -> bool {
+        self.suspect_until.is_some() || self.overdue_until.is_some() || self.is_silent(now)
     }
 
     fn is_overdue(&self, now: Instant) -> bool {
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -9,7 +9,7 @@
 use dappleyard_model::{Distance, ServerRecord};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::ways::Ways;
+use crate::zone_distances::ZoneDistances;
 
 /// Up to this many servers in one region, a node uses all of them.
 const MAX_ALL_USED: usize = 64;
@@ -25,9 +25,9 @@
 
 /// Location and identity of a node, which determine the servers it uses.
 #[derive(Debug)]
-pub struct Standpoint {
+pub struct ServerSelector {
     number: u64,
-    ways: Arc<Ways>,
+    zone_distances: Arc<ZoneDistances>,
 }
 
 /// The servers of one service that accept new work.
@@ -50,23 +50,23 @@
     }
 }
 
-impl Standpoint {
+impl ServerSelector {
     /// A node in a deployment of one region.
     pub fn new(node: &str, zone: &str) -> Self {
-        Self::with_ways(node, Arc::new(Ways::within(zone)))
+        Self::with_zone_distances(node, Arc::new(ZoneDistances::single_region(zone)))
     }
 
     /// A node with the given network costs.
-    pub fn with_ways(node: &str, ways: Arc<Ways>) -> Self {
+    pub fn with_zone_distances(node: &str, zone_distances: Arc<ZoneDistances>) -> Self {
         Self {
             number: xxh3_64(node.as_bytes()),
-            ways,
+            zone_distances,
         }
     }
 
     /// Network costs from this node.
-    pub fn ways(&self) -> &Arc<Ways> {
-        &self.ways
+    pub fn zone_distances(&self) -> &Arc<ZoneDistances> {
+        &self.zone_distances
     }
 
     /// Builds the set of a service. Runs after each change of a server, so a large service costs
@@ -75,7 +75,9 @@
         if !all.is_sorted_by(|a, b| a.id <= b.id) {
             all.sort_by(|a, b| a.id.cmp(&b.id));
         }
-        let multi_region = all.iter().any(|server| !self.ways.is_near(&server.zone));
+        let multi_region = all
+            .iter()
+            .any(|server| !self.zone_distances.is_near(&server.zone));
         if multi_region {
             return self.multi_region_set(all);
         }
@@ -86,7 +88,7 @@
                 all,
             };
         }
-        let is_near = |server: &&Arc<ServerRecord>| server.zone == self.ways.zone();
+        let is_near = |server: &&Arc<ServerRecord>| server.zone == self.zone_distances.zone();
         let homes: Vec<_> = all.iter().filter(is_near).cloned().collect();
         if homes.is_empty() {
             return ServerSet {
@@ -124,7 +126,8 @@
     fn multi_region_set(&self, all: Vec<Arc<ServerRecord>>) -> ServerSet {
         let at_distance = |distance: Distance, most: usize| {
             let servers = all.iter();
-            let matching = servers.filter(|server| self.ways.distance(&server.zone) == distance);
+            let matching =
+                servers.filter(|server| self.zone_distances.distance(&server.zone) == distance);
             self.select(matching, most)
         };
         let mut used = at_distance(Distance::SameZone, OWN_ZONE_USED);
@@ -147,7 +150,8 @@
     fn multi_region_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
         let within = |farthest: Distance| -> Vec<_> {
             let servers = all.iter();
-            let matching = servers.filter(|server| self.ways.distance(&server.zone) <= farthest);
+            let matching =
+                servers.filter(|server| self.zone_distances.distance(&server.zone) <= farthest);
             matching.cloned().collect()
         };
         let zone = within(Distance::SameZone);
--- a/crates/cluster/src/servers_sink.rs
+++ b/crates/cluster/src/servers_sink.rs
@@ -8,7 +8,7 @@
 
 use crate::follow::{Contact, TableSink};
 use crate::server_digest::{ParsedEntry, digest, parse_digest};
-use crate::view::{Known, View};
+use crate::view::{View, ViewState};
 
 /// Shortest interval between two reads of changes. Each heartbeat of a server rewrites its row, and
 /// few of these changes matter.
@@ -36,7 +36,7 @@
     }
 
     /// Records whether an entry is valid, and logs the cause when it changes.
-    fn set_refused(&self, known: &mut Known, key: &str, cause: Option<&String>) {
+    fn set_refused(&self, known: &mut ViewState, key: &str, cause: Option<&String>) {
         if known.refused.get(key) == cause {
             return;
         }
@@ -93,13 +93,13 @@
         known
             .servers
             .retain(|name, (at, _)| *at > revision || listed.contains(name.as_str()));
-        let Known {
+        let ViewState {
             servers: held,
-            earlier_starts,
+            previous_runs,
             refused: refused_before,
             ..
         } = &mut *known;
-        earlier_starts.retain(|name, _| held.contains_key(name));
+        previous_runs.retain(|name, _| held.contains_key(name));
         refused_before.retain(|key, _| refused.contains_key(key.as_str()));
         for (key, cause) in &refused {
             self.set_refused(&mut known, key, Some(cause));
@@ -108,7 +108,7 @@
             View::put_server(&mut known, server, at);
         }
         known.servers_read = true;
-        View::all_stale(&mut known);
+        View::mark_all_stale(&mut known);
         drop(known);
         self.view.changed.notify_waiters();
     }
@@ -132,7 +132,7 @@
         }
         let after = server.as_ref().map(|server| server.service.clone());
         for service in before.into_iter().chain(after) {
-            View::stale(&mut known, &service);
+            View::mark_stale(&mut known, &service);
         }
         drop(known);
         self.view.log_server(&row, server.as_ref());
--- a/crates/cluster/src/slowdown.rs
+++ b/crates/cluster/src/slowdown.rs
@@ -28,23 +28,23 @@
 
 /// Service time relative to normal: 1.0 is normal, 2.0 takes twice as long.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-pub struct Pace(f64);
+pub struct Slowdown(f64);
 
-impl Default for Pace {
+impl Default for Slowdown {
     fn default() -> Self {
-        Self::USUAL
+        Self::NORMAL
     }
 }
 
-impl Pace {
+impl Slowdown {
     /// Normal service time; also the default without samples.
-    pub const USUAL: Self = Self(1.0);
+    pub const NORMAL: Self = Self(1.0);
 
     /// Clamps a ratio to the accepted range. A value that is not finite counts as normal.
     pub fn new(times: f64) -> Self {
         match times.is_finite() {
             true => Self(times.clamp(BOUNDS.0, BOUNDS.1)),
-            false => Self::USUAL,
+            false => Self::NORMAL,
         }
     }
 
@@ -77,17 +77,17 @@
 
 /// Slowdown estimates of one server.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ServerPace {
-    newest: Option<(Instant, Pace)>,
-    long_term: Pace,
+pub struct SlowdownEstimate {
+    newest: Option<(Instant, Slowdown)>,
+    long_term: Slowdown,
 }
 
-impl ServerPace {
+impl SlowdownEstimate {
     /// Adds a sample taken at `at`; `false` if a newer one is known.
-    pub fn note(&mut self, pace: Pace, at: Instant) -> bool {
+    pub fn note(&mut self, slowdown: Slowdown, at: Instant) -> bool {
         let Some((held_at, _)) = self.newest else {
-            self.newest = Some((at, pace));
-            self.long_term = pace;
+            self.newest = Some((at, slowdown));
+            self.long_term = slowdown;
             return true;
         };
         if at <= held_at {
@@ -97,8 +97,8 @@
         // A sample represents at most its lifetime.
         let represented = at.duration_since(held_at).min(SAMPLE_LIFE);
         let share = 1.0 - (-represented.as_secs_f64() / AVERAGE_TIME_CONSTANT.as_secs_f64()).exp();
-        self.long_term = Pace(long_term.0 + share * (pace.0 - long_term.0));
-        self.newest = Some((at, pace));
+        self.long_term = Slowdown(long_term.0 + share * (slowdown.0 - long_term.0));
+        self.newest = Some((at, slowdown));
         true
     }
 
@@ -113,41 +113,41 @@
     }
 
     /// The newest sample and its age, until it expires.
-    pub fn newest(&self, now: Instant) -> Option<(Duration, Pace)> {
-        let (at, pace) = self.newest?;
+    pub fn newest(&self, now: Instant) -> Option<(Duration, Slowdown)> {
+        let (at, slowdown) = self.newest?;
         let age = now.saturating_duration_since(at);
-        (age < SAMPLE_LIFE).then_some((age, pace))
+        (age < SAMPLE_LIFE).then_some((age, slowdown))
     }
 
     /// The long-term average, which returns to normal while no samples arrive.
-    pub fn long_term(&self, now: Instant) -> Pace {
+    pub fn long_term(&self, now: Instant) -> Slowdown {
         let Some((at, _)) = self.newest else {
-            return Pace::USUAL;
+            return Slowdown::NORMAL;
         };
         let age = now.saturating_duration_since(at);
-        if age <= SAMPLE_LIFE || self.long_term == Pace::USUAL {
+        if age <= SAMPLE_LIFE || self.long_term == Slowdown::NORMAL {
             return self.long_term;
         }
         let silent_for = age.saturating_sub(SAMPLE_LIFE).as_secs_f64();
         let kept = (-silent_for / RECOVERY_TIME_CONSTANT.as_secs_f64()).exp();
-        Pace(1.0 + (self.long_term.0 - 1.0) * kept)
+        Slowdown(1.0 + (self.long_term.0 - 1.0) * kept)
     }
 
     /// Whether both the newest sample and the long-term average are close to normal.
     pub fn is_normal(&self, now: Instant) -> bool {
-        let newest = self.newest(now).map(|(_, pace)| pace);
+        let newest = self.newest(now).map(|(_, slowdown)| slowdown);
         let mut paces = newest.into_iter().chain([self.long_term(now)]);
-        !paces.any(|pace| pace.differs_significantly(Pace::USUAL))
+        !paces.any(|slowdown| slowdown.differs_significantly(Slowdown::NORMAL))
     }
 
     /// The current estimate: the newest sample, blended into the long-term average as it ages.
-    pub fn now(&self, now: Instant) -> Pace {
+    pub fn now(&self, now: Instant) -> Slowdown {
         let long_term = self.long_term(now);
         let Some((age, newest)) = self.newest(now) else {
             return long_term;
         };
         let aged = age.saturating_sub(FULL_WEIGHT_AGE).as_secs_f64();
         let weight = 1.0 - aged / (SAMPLE_LIFE - FULL_WEIGHT_AGE).as_secs_f64();
-        Pace(long_term.0 + weight * (newest.0 - long_term.0))
+        Slowdown(long_term.0 + weight * (newest.0 - long_term.0))
     }
 }
--- a/crates/cluster/src/store_clock.rs
+++ b/crates/cluster/src/store_clock.rs
@@ -41,7 +41,7 @@
 impl StoreClock {
     /// Transit time of an answer that arrived now, relative to the fastest known one. `now_ms` is
     /// the store's clock in the answer.
-    pub fn time_on_way(&self, now_ms: u64) -> Duration {
+    pub fn transit_time(&self, now_ms: u64) -> Duration {
         let now = Instant::now();
         let offset_ms = now.duration_since(self.origin).as_secs_f64() * 1_000.0 - now_ms as f64;
         let mut fastest = self.fastest.lock();
--- a/crates/cluster/src/unlisted.rs
+++ b/crates/cluster/src/unlisted.rs
@@ -16,7 +16,7 @@
 
 impl PeerTable {
     /// Records the sender of a heartbeat while no node row is known.
-    pub fn meet(&self, heartbeat: &Heartbeat, address: SocketAddr) {
+    pub fn note_unlisted_sender(&self, heartbeat: &Heartbeat, address: SocketAddr) {
         let peers = self.peers.lock();
         if !peers.is_empty() || heartbeat.name == self.own_name {
             return;
--- a/crates/cluster/src/view.rs
+++ b/crates/cluster/src/view.rs
@@ -12,8 +12,8 @@
 use crate::evacuations::Evacuations;
 use crate::follow::Contact;
 use crate::loads::server_number;
-use crate::servers::{ServerSet, Standpoint};
-use crate::ways::Ways;
+use crate::servers::{ServerSelector, ServerSet};
+use crate::zone_distances::ZoneDistances;
 use dappleyard_clock::Instant;
 
 /// The server set of one service, as last built.
@@ -24,13 +24,13 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Known {
+pub(crate) struct ViewState {
     configuration: Option<Arc<Configuration>>,
     pub(crate) evacuations: Evacuations,
     /// Listed servers with their revisions, by name; server sets are built in this order.
     pub(crate) servers: BTreeMap<String, (u64, Arc<ServerRecord>)>,
     /// The previous run of a listed server, by name.
-    pub(crate) earlier_starts: HashMap<String, Arc<ServerRecord>>,
+    pub(crate) previous_runs: HashMap<String, Arc<ServerRecord>>,
     /// Invalid entries by name, with the cause.
     pub(crate) refused: HashMap<String, String>,
     sets_by_service: HashMap<String, CachedSet>,
@@ -42,7 +42,7 @@
     pub(crate) servers_contact: Option<Instant>,
 }
 
-impl Known {
+impl ViewState {
     /// Finds a listed run of a server by its identifier.
     fn server(&self, id: &str) -> Option<&Arc<ServerRecord>> {
         let names = [id, ServerRecord::instance_of(id)];
@@ -54,22 +54,26 @@
 
 /// The active configuration and the servers, shared by all threads.
 pub struct View {
-    pub(crate) known: Mutex<Known>,
+    pub(crate) known: Mutex<ViewState>,
     pub(crate) changed: Notify,
-    standpoint: Standpoint,
+    standpoint: ServerSelector,
     log: Arc<EventLog>,
 }
 
 impl View {
     /// Creates an empty view for a node in a deployment of one region.
     pub fn new(node: &str, zone: &str, log: Arc<EventLog>) -> Self {
-        Self::with_ways(node, Arc::new(Ways::within(zone)), log)
+        Self::with_zone_distances(node, Arc::new(ZoneDistances::single_region(zone)), log)
     }
 
     /// Creates an empty view for a node with the given distances to other zones.
-    pub fn with_ways(node: &str, ways: Arc<Ways>, log: Arc<EventLog>) -> Self {
+    pub fn with_zone_distances(
+        node: &str,
+        zone_distances: Arc<ZoneDistances>,
+        log: Arc<EventLog>,
+    ) -> Self {
         Self {
-            standpoint: Standpoint::with_ways(node, ways),
+            standpoint: ServerSelector::with_zone_distances(node, zone_distances),
             known: Mutex::default(),
             changed: Notify::new(),
             log,
@@ -77,8 +81,8 @@
     }
 
     /// Distances from this node to the servers of each zone.
-    pub fn ways(&self) -> &Arc<Ways> {
-        self.standpoint.ways()
+    pub fn zone_distances(&self) -> &Arc<ZoneDistances> {
+        self.standpoint.zone_distances()
     }
 
     pub(crate) fn log(&self) -> &EventLog {
@@ -106,7 +110,7 @@
         self.known.lock().sets_built
     }
 
-    fn build_set(&self, known: &mut Known, service: &str) -> Arc<ServerSet> {
+    fn build_set(&self, known: &mut ViewState, service: &str) -> Arc<ServerSet> {
         let servers = known.servers.values().map(|(_, server)| server);
         let open = servers.filter(|server| {
             server.service == service && Self::exclusion_of(known, server).is_none()
@@ -139,7 +143,7 @@
     /// address.
     pub fn is_replaced(&self, server: &ServerRecord) -> bool {
         let known = self.known.lock();
-        if let Some(earlier) = known.earlier_starts.get(&server.instance)
+        if let Some(earlier) = known.previous_runs.get(&server.instance)
             && earlier.id == server.id
         {
             return !earlier.draining;
@@ -153,7 +157,7 @@
     }
 
     /// Why a listed server gets no new work.
-    pub(crate) fn exclusion_of(known: &Known, server: &ServerRecord) -> Option<Exclusion> {
+    pub(crate) fn exclusion_of(known: &ViewState, server: &ServerRecord) -> Option<Exclusion> {
         if server.draining {
             return Some(Exclusion::Draining);
         }
@@ -209,7 +213,7 @@
         }
         let version = configuration.version;
         let routes = configuration.routes.len();
-        let unknown = configuration.unknown_homes(self.ways().places());
+        let unknown = configuration.unknown_home_regions(self.zone_distances().places());
         known.configuration = Some(Arc::new(configuration));
         drop(known);
         for (place, region) in unknown {
@@ -225,7 +229,7 @@
     }
 
     /// Applies a server entry; returns whether anything besides its revision changed.
-    pub(crate) fn put_server(known: &mut Known, server: ServerRecord, revision: u64) -> bool {
+    pub(crate) fn put_server(known: &mut ViewState, server: ServerRecord, revision: u64) -> bool {
         let mut server = server;
         if let Some((at, held)) = known.servers.get_mut(&server.instance) {
             if *at >= revision {
@@ -237,9 +241,7 @@
                 server.draining |= held.draining;
             } else {
                 let earlier = held.clone();
-                known
-                    .earlier_starts
-                    .insert(server.instance.clone(), earlier);
+                known.previous_runs.insert(server.instance.clone(), earlier);
             }
             if **held == server {
                 return false;
@@ -251,13 +253,13 @@
     }
 
     /// Removes a server; returns whether it was listed.
-    pub(crate) fn remove_server(known: &mut Known, instance: &str) -> bool {
-        known.earlier_starts.remove(instance);
+    pub(crate) fn remove_server(known: &mut ViewState, instance: &str) -> bool {
+        known.previous_runs.remove(instance);
         known.servers.remove(instance).is_some()
     }
 
     /// Marks the server sets of all services for rebuilding, including those of new services.
-    pub(crate) fn all_stale(known: &mut Known) {
+    pub(crate) fn mark_all_stale(known: &mut ViewState) {
         known
             .sets_by_service
             .values_mut()
@@ -270,12 +272,12 @@
             .cloned()
             .collect();
         for service in services {
-            Self::stale(known, &service);
+            Self::mark_stale(known, &service);
         }
     }
 
     /// Marks the server set of a service for rebuilding; adds the service if it is new.
-    pub(crate) fn stale(known: &mut Known, service: &str) {
+    pub(crate) fn mark_stale(known: &mut ViewState, service: &str) {
         match known.sets_by_service.get_mut(service) {
             Some(held) => held.stale = true,
             None => {
--- a/crates/cluster/src/waiting.rs
+++ b/crates/cluster/src/waiting.rs
@@ -40,7 +40,7 @@
     }
 
     /// Scales a part of this node's items to all nodes, assuming the others' items are alike.
-    pub fn over_all(&self, own_part: u32) -> u32 {
+    pub fn scale_to_fleet(&self, own_part: u32) -> u32 {
         let own = u64::from(self.own()).max(1);
         let total = own + u64::from(self.sum(|_| true));
         u32::try_from(u64::from(own_part) * total / own).unwrap_or(u32::MAX)
--- a/crates/cluster/src/warmup.rs
+++ b/crates/cluster/src/warmup.rs
@@ -26,7 +26,7 @@
 
 /// Warm-up state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Temperature {
+pub enum WarmupState {
     /// It accepts as many requests as it has slots.
     #[display("warm")]
     Warm,
@@ -43,7 +43,7 @@
 
 /// Source of a warm-up state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Teller {
+pub enum WarmupSource {
     /// The server's registration row.
     #[display("row")]
     Row,
@@ -69,14 +69,14 @@
 
 /// A health answer, as shared between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Checked {
+pub struct WarmupReport {
     /// When the health check was sent.
     pub at: Instant,
     /// Remaining warm-up time at that moment.
     pub cold: Duration,
 }
 
-impl Checked {
+impl WarmupReport {
     /// Whether the answer is still shared with other nodes.
     pub fn is_shared(&self, now: Instant) -> bool {
         now < self.at + self.cold.max(ROW_DELAY)
@@ -85,28 +85,28 @@
 
 /// Tracks the warm-up state of one server.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Thermal {
+pub struct WarmupTracker {
     /// Remaining warm-up time in the last row.
     row_cold_ms: Option<u64>,
     cold_until: Option<Instant>,
-    unobserved: Option<(Instant, Teller)>,
+    unobserved: Option<(Instant, WarmupSource)>,
     /// The server has answered since, but without its warm-up state.
     reached: bool,
-    checked: Option<Checked>,
+    checked: Option<WarmupReport>,
     /// Latest known time at which any node received bytes from the server.
     heard: Option<Instant>,
     /// When this node learned that operators restored the server.
     restored_at: Option<Instant>,
     /// When another node last reported the server as silent.
     silence_reported: Option<Instant>,
-    source: Option<Teller>,
+    source: Option<WarmupSource>,
     /// When the server was first seen or last returned.
-    back: Option<Instant>,
+    returned_at: Option<Instant>,
 }
 
-impl Thermal {
+impl WarmupTracker {
     /// The current state and its source.
-    pub fn temperature(&self, now: Instant) -> (Temperature, Teller) {
+    pub fn warmup_state(&self, now: Instant) -> (WarmupState, WarmupSource) {
         let is_cold = self.cold_until.is_some_and(|until| until > now);
         let unobserved = match is_cold {
             // A cold server is limited whether it is used or not.
@@ -115,25 +115,25 @@
         };
         if let Some((_, source)) = unobserved {
             return match self.reached {
-                true => (Temperature::InDoubt, source),
-                false => (Temperature::Unknown, source),
+                true => (WarmupState::InDoubt, source),
+                false => (WarmupState::Unknown, source),
             };
         }
         match self.cold_until {
-            Some(_) if is_cold => (Temperature::Cold, self.source.unwrap_or(Teller::Row)),
-            Some(_) => (Temperature::Warm, Teller::Time),
-            None => (Temperature::Warm, self.source.unwrap_or(Teller::Row)),
+            Some(_) if is_cold => (WarmupState::Cold, self.source.unwrap_or(WarmupSource::Row)),
+            Some(_) => (WarmupState::Warm, WarmupSource::Time),
+            None => (WarmupState::Warm, self.source.unwrap_or(WarmupSource::Row)),
         }
     }
 
     /// Since when the server is unobserved, and why.
-    fn unobserved(&self, now: Instant) -> Option<(Instant, Teller)> {
+    fn unobserved(&self, now: Instant) -> Option<(Instant, WarmupSource)> {
         if self.unobserved.is_some() {
             return self.unobserved;
         }
         let checked = self.checked.map(|checked| checked.at);
         let seen = self.heard?.max(checked.unwrap_or(self.heard?));
-        (now.duration_since(seen) >= UNOBSERVED_AFTER).then_some((seen, Teller::Unused))
+        (now.duration_since(seen) >= UNOBSERVED_AFTER).then_some((seen, WarmupSource::Unused))
     }
 
     /// Whether the server's state is tracked, and must be kept while it has no work.
@@ -155,8 +155,8 @@
 
     /// When the server was first seen or last returned; older connections to its address may be
     /// dead.
-    pub fn back(&self) -> Option<Instant> {
-        self.back
+    pub fn returned_at(&self) -> Option<Instant> {
+        self.returned_at
     }
 
     /// Applies a registration row. A row that arrives within the row delay after a health check may
@@ -167,7 +167,7 @@
         }
         if self.row_cold_ms.replace(cold_ms).is_none() {
             // Its address may have belonged to another server.
-            self.back = Some(now);
+            self.returned_at = Some(now);
         }
         let checked_recently = self
             .checked
@@ -178,7 +178,7 @@
         }
         let until = now + Duration::from_millis(cold_ms);
         self.cold_until = self.cold_until.max(Some(until));
-        self.source = Some(Teller::Row);
+        self.source = Some(WarmupSource::Row);
     }
 
     /// Marks the server as unobserved if no node has received bytes from it for long. It stays so
@@ -197,7 +197,7 @@
 
     /// Records that this node found the server silent or unreachable.
     pub fn note_silent(&mut self, now: Instant) {
-        self.unobserved = Some((now, Teller::Silence));
+        self.unobserved = Some((now, WarmupSource::Silence));
         self.reached = false;
     }
 
@@ -216,14 +216,14 @@
         let since = now.checked_sub(PEER_REPORT_DELAY).unwrap_or(now);
         let answered = self.checked.is_some_and(|checked| checked.at >= since);
         if !answered && self.unobserved.is_none_or(|(held, _)| held < since) {
-            self.unobserved = Some((since, Teller::Silence));
+            self.unobserved = Some((since, WarmupSource::Silence));
             self.reached = false;
         }
     }
 
     /// Records that operators restored the server. It may have turned cold without work. Repeated
     /// calls with the same time have no effect.
-    pub fn note_taken_back(&mut self, at: Instant, now: Instant) {
+    pub fn note_restored(&mut self, at: Instant, now: Instant) {
         if self.restored_at.replace(at) == Some(at) {
             return;
         }
@@ -233,13 +233,13 @@
         }
         let since = at.checked_sub(RESTORE_DELAY).unwrap_or(at);
         if self.checked.is_none_or(|checked| checked.at < since) {
-            self.unobserved = Some((since, Teller::TakenBack));
+            self.unobserved = Some((since, WarmupSource::TakenBack));
             self.reached = false;
         }
     }
 
     /// Applies a health answer of this node or another; the one with the latest check wins.
-    pub fn note_checked(&mut self, answer: Checked, source: Teller, now: Instant) {
+    pub fn note_warmup_report(&mut self, answer: WarmupReport, source: WarmupSource, now: Instant) {
         if self.checked.is_some_and(|held| held.at >= answer.at) {
             return;
         }
@@ -249,7 +249,7 @@
             }
             self.unobserved = None;
             self.reached = false;
-            self.back = Some(answer.at);
+            self.returned_at = Some(answer.at);
         }
         self.checked = Some(answer);
         self.cold_until = (!answer.cold.is_zero()).then(|| answer.at + answer.cold);
--- a/crates/cluster/src/warmup_loads.rs
+++ b/crates/cluster/src/warmup_loads.rs
@@ -6,11 +6,11 @@
 use dappleyard_clock::Instant;
 use dappleyard_model::ServerRecord;
 
-use crate::cold_quota::ColdShare;
+use crate::cold_quota::ColdQuota;
 use crate::loads::{LoadTable, server_number};
 use crate::messages::LoadEntry;
 use crate::server_loads::{HEARTBEAT_LIFE, ServerLoads};
-use crate::warmup::{Checked, Teller, Temperature};
+use crate::warmup::{WarmupReport, WarmupSource, WarmupState};
 
 /// How long the warm-up state of a silent server is kept. It must outlast the evacuation of a zone.
 const STATE_RETENTION: Duration = Duration::from_secs(600);
@@ -33,9 +33,9 @@
         }
     }
 
-    fn report(&self, at: Instant) -> Option<Checked> {
+    fn report(&self, at: Instant) -> Option<WarmupReport> {
         let age_ms = u64::from(self.asked_ms.checked_sub(1)?);
-        Some(Checked {
+        Some(WarmupReport {
             at: at.checked_sub(Duration::from_millis(age_ms))?,
             cold: Duration::from_millis(u64::from(self.cold_ms)),
         })
@@ -63,7 +63,8 @@
                 continue;
             }
             if let Some(report) = entry.report(*at) {
-                self.warmup.note_checked(report, Teller::Node, now);
+                self.warmup
+                    .note_warmup_report(report, WarmupSource::Node, now);
             }
             let heard_ms = entry.heard_ms.checked_sub(1);
             let heard = heard_ms.and_then(|ms| at.checked_sub(Duration::from_millis(ms.into())));
@@ -77,9 +78,9 @@
     }
 
     /// The warm-up state; `None` if it is not tracked for this server.
-    pub(crate) fn tracked_state(&self, now: Instant) -> Option<Temperature> {
+    pub(crate) fn tracked_state(&self, now: Instant) -> Option<WarmupState> {
         let tracked = self.warmup.is_tracked();
-        tracked.then(|| self.warmup.temperature(now).0)
+        tracked.then(|| self.warmup.warmup_state(now).0)
     }
 
     /// Whether the warm-up state must be kept while the server has no work.
@@ -94,19 +95,19 @@
 impl LoadTable {
     /// The warm-up state of a server and where it was learned. `server` is its current
     /// registration.
-    pub fn temperature(&self, server: &ServerRecord) -> (Temperature, Teller) {
+    pub fn warmup_state(&self, server: &ServerRecord) -> (WarmupState, WarmupSource) {
         let now = Instant::now();
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(&server.id)).or_default();
         loads.warmup.note_row(server.cold_left_ms, now);
         loads.warmup.note_unused(now);
-        loads.warmup.temperature(now)
+        loads.warmup.warmup_state(now)
     }
 
     /// When the server was first seen or last returned; older connections may be dead.
-    pub fn back(&self, server: &str) -> Option<Instant> {
+    pub fn returned_at(&self, server: &str) -> Option<Instant> {
         let servers = self.servers.lock();
-        servers.get(&server_number(server))?.warmup.back()
+        servers.get(&server_number(server))?.warmup.returned_at()
     }
 
     /// Whether any node received bytes from the server after it became unobserved.
@@ -117,12 +118,14 @@
     }
 
     /// Records a health answer that this node received, and shares it with the other nodes.
-    pub fn note_checked(&self, server: &str, asked: Instant, cold: Duration) {
-        let report = Checked { at: asked, cold };
+    pub fn note_warmup_report(&self, server: &str, asked: Instant, cold: Duration) {
+        let report = WarmupReport { at: asked, cold };
         let now = Instant::now();
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        loads.warmup.note_checked(report, Teller::Health, now);
+        loads
+            .warmup
+            .note_warmup_report(report, WarmupSource::Health, now);
         loads.own_report = Some(report);
         loads.unsent = true;
         self.change.notify_one();
@@ -137,20 +140,20 @@
 
     /// Records that the operators restored the server's zone; its warm-up state is unknown from
     /// `at` on.
-    pub fn note_taken_back(&self, server: &str, at: Instant) {
+    pub fn note_restored(&self, server: &str, at: Instant) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
-        loads.warmup.note_taken_back(at, Instant::now());
+        loads.warmup.note_restored(at, Instant::now());
     }
 
     /// Whether this node has quota left for a cold server.
-    pub fn has_cold_part(&self, server: &str, share: ColdShare) -> bool {
+    pub fn has_cold_quota(&self, server: &str, share: ColdQuota) -> bool {
         self.cold
             .has_left(server_number(server), share.requests, Instant::now())
     }
 
     /// Takes one request from this node's quota; `false` if it is exhausted.
-    pub fn take_cold_part(&self, server: &str, share: ColdShare) -> bool {
+    pub fn take_cold_quota(&self, server: &str, share: ColdQuota) -> bool {
         self.cold
             .take(server_number(server), share.requests, Instant::now())
     }
--- a/crates/cluster/src/zone_digest.rs
+++ b/crates/cluster/src/zone_digest.rs
@@ -88,7 +88,7 @@
             let (excess_pace_age_ms, excess_pace_percent) =
                 (sum.excess_pace_age_ms, sum.excess_pace_percent);
             asked_again
-                || sum.is_pace_news(last)
+                || sum.differs_in_slowdown(last)
                 || LoadEntry {
                     pace_age_ms,
                     pace_percent,
--- a/crates/cluster/src/ways.rs
+++ b/crates/cluster/src/zone_distances.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-use dappleyard_model::{Distance, Places, RegionName, ZoneName};
+use dappleyard_model::{Distance, RegionName, Topology, ZoneName};
 
 /// Weights of network distance in server selection.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WayWeights {
+pub struct DistanceWeights {
     /// Cost of any zone but the own one.
     pub other_zone: f64,
     /// Milliseconds of additional round-trip time per unit of cost.
@@ -18,9 +18,9 @@
 
 /// Network costs from one node. With a single configured region, all zones are in it.
 #[derive(Debug, Default)]
-pub struct Ways {
+pub struct ZoneDistances {
     zone: String,
-    places: Places,
+    places: Topology,
     /// Whether there is more than one region.
     multi_region: bool,
     /// Shortest connection setup time per zone in microseconds; 0 before the first. The minimum
@@ -28,9 +28,9 @@
     shortest_us: BTreeMap<ZoneName, AtomicU32>,
 }
 
-impl Ways {
+impl ZoneDistances {
     /// Costs from a zone without measurements.
-    pub fn new(zone: &str, places: &Places) -> Self {
+    pub fn new(zone: &str, places: &Topology) -> Self {
         Self {
             zone: zone.to_owned(),
             multi_region: places.has_regions(),
@@ -43,12 +43,12 @@
     }
 
     /// Costs from a zone of a deployment with unknown places: all zones count as one region.
-    pub fn within(zone: &str) -> Self {
-        Self::new(zone, &Places::default())
+    pub fn single_region(zone: &str) -> Self {
+        Self::new(zone, &Topology::default())
     }
 
     /// The configured places.
-    pub fn places(&self) -> &Places {
+    pub fn places(&self) -> &Topology {
         &self.places
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Records the setup time of a connection to a zone: one round trip.
-    pub fn note(&self, zone: &str, took: Duration) {
+    pub fn note_connect_time(&self, zone: &str, took: Duration) {
         let took_us = u32::try_from(took.as_micros()).unwrap_or(u32::MAX).max(1);
         let Some(shortest) = self.shortest_us.get(zone) else {
             return;
@@ -97,7 +97,7 @@
 
     /// Additional round-trip time to a zone of another region, compared with the own region; zero
     /// within the own region and until both were measured.
-    pub fn extra(&self, zone: &str) -> Duration {
+    pub fn extra_rtt(&self, zone: &str) -> Duration {
         if self.is_near(zone) {
             return Duration::ZERO;
         }
@@ -116,16 +116,16 @@
     }
 
     /// Cost of a zone.
-    pub fn weigh(&self, zone: &str, weights: WayWeights) -> f64 {
+    pub fn cost(&self, zone: &str, weights: DistanceWeights) -> f64 {
         if zone == self.zone {
             return 0.0;
         }
-        weights.other_zone + self.weigh_time(zone, weights)
+        weights.other_zone + self.rtt_cost(zone, weights)
     }
 
     /// Cost of the additional round-trip time alone.
-    pub fn weigh_time(&self, zone: &str, weights: WayWeights) -> f64 {
-        let extra_ms = self.extra(zone).as_secs_f64() * 1_000.0;
+    pub fn rtt_cost(&self, zone: &str, weights: DistanceWeights) -> f64 {
+        let extra_ms = self.extra_rtt(zone).as_secs_f64() * 1_000.0;
         extra_ms / weights.ms_per_unit
     }
 }
--- a/crates/cluster/src/zone_suspicion.rs
+++ b/crates/cluster/src/zone_suspicion.rs
@@ -26,7 +26,7 @@
 
 /// Observed state of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServerSign<'a> {
+pub struct ServerObservation<'a> {
     pub zone: &'a str,
     /// Whether any node currently considers the server silent or unreachable.
     pub suspect: bool,
@@ -104,7 +104,11 @@
 
 impl ZoneSuspicion {
     /// Evaluates the observed servers and returns the changes.
-    pub fn judge(&mut self, observations: &[ServerSign<'_>], now: Instant) -> Vec<SuspicionChange> {
+    pub fn evaluate(
+        &mut self,
+        observations: &[ServerObservation<'_>],
+        now: Instant,
+    ) -> Vec<SuspicionChange> {
         let counts = self.count(observations, now);
         let mut changes = self.remove_missing(|zone| !counts.contains_key(zone), now);
         let evaluated = counts
@@ -140,7 +144,7 @@
 
     fn count<'a>(
         &self,
-        observations: &[ServerSign<'a>],
+        observations: &[ServerObservation<'a>],
         now: Instant,
     ) -> BTreeMap<&'a str, Counts> {
         let mut zones: BTreeMap<&str, Counts> = BTreeMap::new();
@@ -192,7 +196,7 @@
 
     /// Whether requests to the zone are restricted: it is suspected and some other zone is not. If
     /// all zones are suspected, this node itself is likely cut off.
-    pub fn holds_back(&self, zone: &str) -> bool {
+    pub fn is_restricted(&self, zone: &str) -> bool {
         let all = self.states.values().all(|state| state.since.is_some());
         !all && self
             .states
@@ -201,7 +205,7 @@
     }
 
     /// Whether any zone is suspected.
-    pub fn is_any(&self) -> bool {
+    pub fn any_suspected(&self) -> bool {
         self.suspected().next().is_some()
     }
 }
--- a/crates/cluster/tests/cold_assignment.rs
+++ b/crates/cluster/tests/cold_assignment.rs
@@ -52,7 +52,7 @@
 }
 
 fn assigned(tables: &[(String, PeerTable)], server: &str) -> Vec<String> {
-    let is_assigned = |table: &PeerTable| table.standing(server, "north", NODES).is_some();
+    let is_assigned = |table: &PeerTable| table.assignment_rank(server, "north", NODES).is_some();
     let those = tables.iter().filter(|(_, table)| is_assigned(table));
     those.map(|(name, _)| name.clone()).collect()
 }
@@ -137,7 +137,8 @@
         let assignments = |number: usize| {
             let servers = (0..100).map(|server| format!("i-{server}"));
             let (_, table) = &tables[number];
-            let is_assigned = |server: &String| table.standing(server, "north", NODES).is_some();
+            let is_assigned =
+                |server: &String| table.assignment_rank(server, "north", NODES).is_some();
             servers.filter(is_assigned).count()
         };
         let before = assignments(0);
@@ -149,5 +150,5 @@
 #[gtest]
 fn no_assignment_without_rows() {
     let table = PeerTable::new("a", "north", Arc::new(EventLog::silent()));
-    expect_that!(table.standing("i-1", "north", NODES), none());
+    expect_that!(table.assignment_rank("i-1", "north", NODES), none());
 }
--- a/crates/cluster/tests/cold_quota.rs
+++ b/crates/cluster/tests/cold_quota.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_cluster::{ColdQuotaUsage, ColdShare, standing};
+use dappleyard_cluster::{ColdQuota, ColdQuotaUsage, assignment_rank};
 use dappleyard_model::ColdBounds;
 use googletest::prelude::*;
 use rand::rngs::StdRng;
@@ -27,10 +27,10 @@
 
 /// The nodes assigned to the server if `known` are the members.
 fn chosen(known: &[String]) -> Vec<String> {
-    let nodes = ColdShare::new(PER_S, BOUNDS).nodes;
+    let nodes = ColdQuota::new(PER_S, BOUNDS).nodes;
     let place = |own: &&String| {
         let others = known.iter().map(String::as_str);
-        standing(SERVER, own, others, nodes).is_some()
+        assignment_rank(SERVER, own, others, nodes).is_some()
     };
     known.iter().filter(place).cloned().collect()
 }
@@ -53,7 +53,7 @@
 /// Arrivals over ten seconds if these nodes are assigned to the server. With `restarts`, single
 /// nodes restart in between.
 fn arrivals(assigned: &BTreeSet<String>, restarts: bool, seed: u64) -> Vec<u64> {
-    let share = ColdShare::new(PER_S, BOUNDS);
+    let share = ColdQuota::new(PER_S, BOUNDS);
     let mut random = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let long_ago = start.checked_sub(Duration::from_secs(9)).unwrap_or(start);
@@ -104,10 +104,10 @@
 
 #[gtest]
 fn quotas_add_up_to_half_of_operator_limit() {
-    let share = ColdShare::new(PER_S, BOUNDS);
+    let share = ColdQuota::new(PER_S, BOUNDS);
     expect_that!(
         share,
-        eq(ColdShare {
+        eq(ColdQuota {
             nodes: 5,
             requests: 2
         })
@@ -119,7 +119,7 @@
         (500.0, 2.0, 9.0),
     ] {
         let bounds = ColdBounds { over, slack };
-        let share = ColdShare::new(per_s, bounds);
+        let share = ColdQuota::new(per_s, bounds);
         let total = f64::from(share.nodes * share.requests);
         expect_that!(total, le(per_s));
         expect_that!(2.0 * total, le(per_s * over + slack));
--- a/crates/cluster/tests/crash_news.rs
+++ b/crates/cluster/tests/crash_news.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
-use dappleyard_crashes::{Fingerprint, MOST_ENDED, Permit, RequestParts};
-use dappleyard_model::Places;
+use dappleyard_crashes::{Fingerprint, MAX_ENDED_SERVERS, Permit, RequestParts};
+use dappleyard_model::Topology;
 use googletest::prelude::*;
-use support::{TestNode, fleet_in, on_local, regions, until};
+use support::{TestNode, fleet_in, regions, run_local, wait_until};
 
 fn request() -> Fingerprint {
     Fingerprint::of(&RequestParts {
@@ -19,35 +19,35 @@
 
 /// Records one crash at each of three nodes, and checks that all nodes refuse the request, and
 /// allow it again after a success.
-async fn refusal_reaches_all_nodes(places: Places, count: usize) {
+async fn refusal_reaches_all_nodes(places: Topology, count: usize) {
     let nodes = fleet_in(&places, count).await;
-    until("the nodes hear each other", || {
+    wait_until("the nodes hear each other", || {
         nodes.iter().all(|node| node.peers.count() == count)
     })
     .await;
-    for (number, node) in nodes.iter().take(MOST_ENDED).enumerate() {
+    for (number, node) in nodes.iter().take(MAX_ENDED_SERVERS).enumerate() {
         let run = node.crashes.begin(request(), &format!("i-{number}"));
         expect_that!(run.map(|run| run.note_ended(None).ended).is_ok(), eq(true));
     }
     let refuses = |node: &TestNode| node.crashes.permit(&request()) == Permit::Refused;
-    until("all nodes refuse it", || nodes.iter().all(refuses)).await;
+    wait_until("all nodes refuse it", || nodes.iter().all(refuses)).await;
     // One node completes a run of it that was already in progress.
     expect_that!(nodes[count - 1].crashes.forgive(&request()), eq(true));
     let allows = |node: &TestNode| node.crashes.permit(&request()) == Permit::Free;
-    until("all nodes allow it again", || nodes.iter().all(allows)).await;
+    wait_until("all nodes allow it again", || nodes.iter().all(allows)).await;
 }
 
 #[gtest]
 fn small_fleet() {
-    on_local(refusal_reaches_all_nodes(Places::default(), 9));
+    run_local(refusal_reaches_all_nodes(Topology::default(), 9));
 }
 
 #[gtest]
 fn large_fleet() {
-    on_local(refusal_reaches_all_nodes(Places::default(), 30));
+    run_local(refusal_reaches_all_nodes(Topology::default(), 30));
 }
 
 #[gtest]
 fn several_regions() {
-    on_local(refusal_reaches_all_nodes(regions(), 30));
+    run_local(refusal_reaches_all_nodes(regions(), 30));
 }
--- a/crates/cluster/tests/directory.rs
+++ b/crates/cluster/tests/directory.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use dappleyard_cluster::directory::{Asked, FrontNode, Ground, addresses_for};
-use dappleyard_model::{Places, Tolerated};
+use dappleyard_cluster::directory::{DirectoryContext, DirectoryQuery, FrontNode, addresses_for};
+use dappleyard_model::{FailureTolerance, Topology};
 use googletest::prelude::*;
 
 const RECENT: Duration = Duration::from_millis(400);
@@ -28,14 +28,14 @@
     nodes.collect()
 }
 
-fn places(zones: &[(&str, &str)]) -> Places {
+fn places(zones: &[(&str, &str)]) -> Topology {
     let zones = zones
         .iter()
         .map(|(zone, region)| ((*zone).into(), (*region).into()));
     zones.collect()
 }
 
-fn six_zones() -> Places {
+fn six_zones() -> Topology {
     places(&[
         ("n1", "north"),
         ("n2", "north"),
@@ -47,7 +47,7 @@
 }
 
 struct Deployment {
-    places: Places,
+    places: Topology,
     zones: u32,
     own: &'static str,
 }
@@ -65,15 +65,15 @@
     ) -> Vec<String> {
         let regions: Option<BTreeSet<_>> =
             regions.map(|regions| regions.iter().map(|region| (*region).into()).collect());
-        let context = Ground {
+        let context = DirectoryContext {
             own_zone: self.own,
             places: &self.places,
-            tolerated: Tolerated {
+            tolerated: FailureTolerance {
                 zones: self.zones,
                 regions: 0,
             },
         };
-        let query = Asked {
+        let query = DirectoryQuery {
             zone: Some(zone),
             regions: regions.as_ref(),
         };
@@ -90,7 +90,7 @@
 #[gtest]
 fn own_zone_first() {
     let single_region = Deployment {
-        places: Places::default(),
+        places: Topology::default(),
         zones: 0,
         own: "north",
     };
@@ -98,12 +98,12 @@
     expect_that!(single_region.answer("north", &ready), eq(&["a", "b"]));
     expect_that!(single_region.answer("south", &ready), eq(&["c"]));
     expect_that!(single_region.answer("west", &ready), eq(&["a", "b", "c"]));
-    let context = Ground {
+    let context = DirectoryContext {
         own_zone: "north",
         places: &single_region.places,
-        tolerated: Tolerated::default(),
+        tolerated: FailureTolerance::default(),
     };
-    let without_zone = addresses_for(Asked::default(), context, &ready);
+    let without_zone = addresses_for(DirectoryQuery::default(), context, &ready);
     expect_that!(without_zone, eq(&["a", "b", "c"]));
     let many: Vec<FrontNode> = nodes("north", 100, 400);
     expect_that!(single_region.answer("north", &many).len(), eq(64));
--- a/crates/cluster/tests/gossip.rs
+++ b/crates/cluster/tests/gossip.rs
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use dappleyard_cluster::{
-    ConfigurationSink, PeerStatus, ServersSink, TableSink, Temperature, WorkKind,
+    ConfigurationSink, PeerStatus, ServersSink, TableSink, WarmupState, WorkKind,
 };
-use dappleyard_model::{Places, Row};
+use dappleyard_model::{Row, Topology};
 use dappleyard_platform::PlatformDialect;
 use googletest::prelude::*;
 
@@ -17,31 +17,31 @@
 
 #[gtest]
 fn small_fleet() {
-    on_local(async {
+    run_local(async {
         let nodes = fleet(9).await;
         let in_flight = start_work(&nodes);
-        until("all loads are known", || all_report(&nodes, 9, 9)).await;
+        wait_until("all loads are known", || all_report(&nodes, 9, 9)).await;
         drop(in_flight);
-        until("the end is known", || all_report(&nodes, 0, 0)).await;
+        wait_until("the end is known", || all_report(&nodes, 0, 0)).await;
     });
 }
 
 #[gtest]
 fn online_changes_are_sent_immediately() {
-    on_local(async {
+    run_local(async {
         let nodes = fleet(9).await;
         let first = nodes[0].loads.begin(&server(), WorkKind::Batch, 10);
-        until("the item is known", || all_report(&nodes, 0, 1)).await;
+        wait_until("the item is known", || all_report(&nodes, 0, 1)).await;
         drop(first);
-        until("its end is known", || all_report(&nodes, 0, 0)).await;
+        wait_until("its end is known", || all_report(&nodes, 0, 0)).await;
         // The start and the end of an online request are sent immediately, like those of a batch
         // item.
         let before = nodes[0].gossip.changes_sent();
         let request = nodes[0].loads.begin(&server(), WorkKind::Online, 10);
-        until("the request is known", || all_report(&nodes, 1, 0)).await;
+        wait_until("the request is known", || all_report(&nodes, 1, 0)).await;
         drop(request);
-        until("its end is known", || all_report(&nodes, 0, 0)).await;
-        until("both were sent as changes", || {
+        wait_until("its end is known", || all_report(&nodes, 0, 0)).await;
+        wait_until("both were sent as changes", || {
             nodes[0].gossip.changes_sent() >= before + 2
         })
         .await;
@@ -50,45 +50,45 @@
 
 #[gtest]
 fn large_fleet() {
-    on_local(async {
+    run_local(async {
         let nodes = fleet(36).await;
         let in_flight = start_work(&nodes);
-        until("all loads are known", || all_report(&nodes, 36, 36)).await;
+        wait_until("all loads are known", || all_report(&nodes, 36, 36)).await;
         drop(in_flight);
-        until("the end is known", || all_report(&nodes, 0, 0)).await;
+        wait_until("the end is known", || all_report(&nodes, 0, 0)).await;
     });
 }
 
 #[gtest]
 fn cold_start_is_relayed_to_all_nodes() {
-    on_local(async {
+    run_local(async {
         let nodes = fleet(36).await;
         let cold = Duration::from_secs(60);
         let all_cold = || {
             nodes.iter().all(|node| {
-                let (temperature, _) = node.loads.temperature(&server());
-                temperature == Temperature::Cold
+                let (warmup_state, _) = node.loads.warmup_state(&server());
+                warmup_state == WarmupState::Cold
             })
         };
         expect_that!(all_cold(), eq(false));
         // Delegates must relay the record also to nodes without work at the server.
-        until("the node knows its peers", || nodes[7].peers.count() > 24).await;
+        wait_until("the node knows its peers", || nodes[7].peers.count() > 24).await;
         let asked = dappleyard_clock::Instant::now();
-        nodes[7].loads.note_checked("i-1", asked, cold);
-        until("all nodes know", all_cold).await;
+        nodes[7].loads.note_warmup_report("i-1", asked, cold);
+        wait_until("all nodes know", all_cold).await;
     });
 }
 
 #[gtest]
 fn loads_across_regions() {
-    on_local(async {
+    run_local(async {
         let nodes = fleet_in(&regions(), 36).await;
         let in_flight = start_work(&nodes);
-        until("all loads are known", || all_report(&nodes, 36, 36)).await;
+        wait_until("all loads are known", || all_report(&nodes, 36, 36)).await;
         drop(in_flight);
-        until("the end is known", || all_report(&nodes, 0, 0)).await;
+        wait_until("the end is known", || all_report(&nodes, 0, 0)).await;
         let all_alive = || nodes.iter().all(|node| node.peers.count() == 36);
-        until("all nodes are heard", all_alive).await;
+        wait_until("all nodes are heard", all_alive).await;
     });
 }
 
@@ -109,7 +109,7 @@
 
 #[gtest]
 fn loads_of_servers_in_other_zones() {
-    on_local(async {
+    run_local(async {
         let nodes = fleet(36).await;
         // Enough servers that each node uses only some of those in other zones.
         let rows: Vec<Row> = (0..90).map(server_row).collect();
@@ -128,7 +128,7 @@
         let far = far.expect("a server of another zone").clone();
         let in_flight = nodes[0].loads.begin(&far, WorkKind::Online, 10);
         let in_its_zone = || nodes.iter().filter(|node| node.zone == far.zone);
-        until("the nodes in the server's zone know its load", || {
+        wait_until("the nodes in the server's zone know its load", || {
             in_its_zone().all(|node| node.loads.summary(&far.id).online == 1)
         })
         .await;
@@ -139,7 +139,7 @@
 /// Nodes that receive loads of only a few servers still learn what runs in an evacuated zone.
 #[gtest]
 fn work_in_an_evacuated_zone() {
-    on_local(async {
+    run_local(async {
         let nodes = fleet(36).await;
         let rows: Vec<Row> = (0..90).map(server_row).collect();
         for node in &nodes {
@@ -174,20 +174,20 @@
             work.map(|work| (work.online, work.batch))
         };
         let all_see = |seen| nodes.iter().all(|node| work(node) == Some(seen));
-        until("all know of both", || all_see((1, 1))).await;
+        wait_until("all know of both", || all_see((1, 1))).await;
         drop(in_flight);
-        until("all know of the end", || all_see((0, 1))).await;
+        wait_until("all know of the end", || all_see((0, 1))).await;
         drop(item);
-        until("all know that nothing runs", || all_see((0, 0))).await;
+        wait_until("all know that nothing runs", || all_see((0, 0))).await;
     });
 }
 
 #[gtest]
 fn delegates_lost() {
-    on_local(async {
+    run_local(async {
         let mut nodes = fleet(36).await;
         let in_flight = start_work(&nodes);
-        until("all loads are known", || all_report(&nodes, 36, 36)).await;
+        wait_until("all loads are known", || all_report(&nodes, 36, 36)).await;
         let lost: Vec<String> = ZONES
             .iter()
             .flat_map(|zone| {
@@ -201,7 +201,7 @@
         }
         nodes.retain(|node| !lost.contains(&node.name));
         // New delegates are selected; the loads of the lost ones are dropped.
-        until("new delegates aggregate the loads", || {
+        wait_until("new delegates aggregate the loads", || {
             all_report(&nodes, 30, 30)
         })
         .await;
@@ -209,7 +209,7 @@
             let mut names = lost.iter();
             names.all(|name| node.peers.status(name, 1) == PeerStatus::Down)
         };
-        until("the lost nodes are down", || nodes.iter().all(down)).await;
+        wait_until("the lost nodes are down", || nodes.iter().all(down)).await;
         let others_alive = |node: &TestNode| node.peers.count() == 30;
         expect_that!(nodes.iter().all(others_alive), eq(true));
         drop(in_flight);
@@ -227,22 +227,22 @@
 
 #[gtest]
 fn zone_lost() {
-    on_local(async {
+    run_local(async {
         let mut nodes = fleet(36).await;
         let in_flight = start_work(&nodes);
-        until("all loads are known", || all_report(&nodes, 36, 36)).await;
+        wait_until("all loads are known", || all_report(&nodes, 36, 36)).await;
         for node in nodes.iter_mut().filter(|node| node.zone == "north") {
             node.task.take().expect("a task").abort();
         }
         let (lost, rest): (Vec<&TestNode>, Vec<&TestNode>) =
             nodes.iter().partition(|node| node.zone == "north");
         // The loads of the zone are dropped, and its nodes count as down.
-        until("the loads of the rest are known", || {
+        wait_until("the loads of the rest are known", || {
             rest.iter()
                 .all(|node| node.loads.summary("i-1").online == 24)
         })
         .await;
-        until("the zone is down", || {
+        wait_until("the zone is down", || {
             all_assign_status(&rest, &lost, PeerStatus::Down)
         })
         .await;
@@ -266,11 +266,11 @@
 }
 
 /// Checks that nodes which admit requests of one tenant share its credit.
-async fn nodes_share_credit(places: Places, count: usize) {
+async fn nodes_share_credit(places: Topology, count: usize) {
     let nodes = fleet_in(&places, count).await;
     nodes.iter().for_each(apply_configuration);
     let all_heard = || nodes.iter().all(|node| node.peers.count() == count);
-    until("all nodes are heard", all_heard).await;
+    wait_until("all nodes are heard", all_heard).await;
     // Counts in the first message of a node are taken as already known to others, so wait until all
     // have sent one.
     tokio::time::sleep(Duration::from_millis(1_700)).await;
@@ -288,20 +288,20 @@
         let level = |node: &TestNode| node.quotas.level(&tenant).unwrap_or(f64::MAX);
         nodes.iter().all(|node| level(node) < 30.0)
     };
-    until("all know the admitted requests", credit_is_used_up).await;
+    wait_until("all know the admitted requests", credit_is_used_up).await;
 }
 
 #[gtest]
 fn small_fleets_share_credit() {
-    on_local(nodes_share_credit(Places::default(), 12));
+    run_local(nodes_share_credit(Topology::default(), 12));
 }
 
 #[gtest]
 fn large_fleets_share_credit() {
-    on_local(nodes_share_credit(Places::default(), 33));
+    run_local(nodes_share_credit(Topology::default(), 33));
 }
 
 #[gtest]
 fn regions_share_credit() {
-    on_local(nodes_share_credit(regions(), 33));
+    run_local(nodes_share_credit(regions(), 33));
 }
--- a/crates/cluster/tests/liveness.rs
+++ b/crates/cluster/tests/liveness.rs
@@ -37,7 +37,7 @@
 }
 
 fn send_heartbeat(table: &PeerTable, name: &str, sequence: u64) {
-    table.heard(&Heartbeat {
+    table.apply_heartbeat(&Heartbeat {
         name: name.to_owned(),
         life: 1,
         ready: true,
--- a/crates/cluster/tests/loads.rs
+++ b/crates/cluster/tests/loads.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dappleyard_cluster::{LoadTable, Standpoint, WorkKind, node_number};
+use dappleyard_cluster::{LoadTable, ServerSelector, WorkKind, node_number};
 use dappleyard_model::ServerRecord;
 use googletest::prelude::*;
 
@@ -70,7 +70,7 @@
 
 #[gtest]
 fn small_fleet_uses_all_servers() {
-    let servers = Standpoint::new("a", "north").servers(fleet(60));
+    let servers = ServerSelector::new("a", "north").servers(fleet(60));
     expect_that!((servers.used.len(), servers.homes.len()), eq((60, 60)));
     expect_that!(servers.is_large(), eq(false));
 }
@@ -79,7 +79,7 @@
 fn large_fleet_spreads_servers_over_nodes() {
     let mut uses = std::collections::HashMap::<String, u32>::new();
     for number in 0..100 {
-        let node = Standpoint::new(&format!("node-{number}"), "north");
+        let node = ServerSelector::new(&format!("node-{number}"), "north");
         let servers = node.servers(fleet(3_000));
         expect_that!(servers.used.len(), eq(48));
         expect_that!(
--- a/crates/cluster/tests/outcomes.rs
+++ b/crates/cluster/tests/outcomes.rs
@@ -58,7 +58,7 @@
     loads.note_outcome("i-1", false);
     expect_that!(loads.summary("i-1").suspect, eq(true));
     // Received bytes do not end an ejection: error responses have bytes too.
-    loads.heard("i-1");
+    loads.note_received("i-1");
     expect_that!(loads.summary("i-1").suspect, eq(true));
     expect_that!(loads.summary("i-2").suspect, eq(false));
 }
--- a/crates/cluster/tests/regions.rs
+++ b/crates/cluster/tests/regions.rs
@@ -3,8 +3,11 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use dappleyard_cluster::{LoadEntry, ServerSet, Standpoint, Ways, ZoneDigest, duties, told_by};
-use dappleyard_model::{Distance, Places, RegionName, ServerRecord, ZoneName};
+use dappleyard_cluster::{
+    LoadEntry, ServerSelector, ServerSet, ZoneDigest, ZoneDistances, cross_region_receivers,
+    due_messages,
+};
+use dappleyard_model::{Distance, RegionName, ServerRecord, Topology, ZoneName};
 use googletest::prelude::*;
 
 const ZONES: [(&str, &str); 6] = [
@@ -16,12 +19,12 @@
     ("c2", "c"),
 ];
 
-fn ways(zone: &str) -> Arc<Ways> {
+fn zone_distances(zone: &str) -> Arc<ZoneDistances> {
     let zones = ZONES.iter();
-    let places: Places = zones
+    let places: Topology = zones
         .map(|(zone, region)| (ZoneName::from(*zone), RegionName::from(*region)))
         .collect();
-    Arc::new(Ways::new(zone, &places))
+    Arc::new(ZoneDistances::new(zone, &places))
 }
 
 fn fleet(count: usize, zones: &[&str]) -> Vec<Arc<ServerRecord>> {
@@ -43,10 +46,10 @@
 }
 
 /// Used servers of a set by distance: zone, region, other regions.
-fn by_distance(set: &ServerSet, ways: &Ways) -> [usize; 3] {
+fn by_distance(set: &ServerSet, zone_distances: &ZoneDistances) -> [usize; 3] {
     let at = |distance| {
         let used = set.used.iter();
-        used.filter(|server| ways.distance(&server.zone) == distance)
+        used.filter(|server| zone_distances.distance(&server.zone) == distance)
             .count()
     };
     [
@@ -59,8 +62,8 @@
 
 #[gtest]
 fn few_servers_of_other_regions_are_used() {
-    let ways = ways("a1");
-    let node = Standpoint::with_ways("node-1", ways.clone());
+    let zone_distances = zone_distances("a1");
+    let node = ServerSelector::with_zone_distances("node-1", zone_distances.clone());
     for (servers, expected) in [
         (6, [1, 1, 4]),
         (60, [10, 10, 8]),
@@ -68,8 +71,12 @@
         (3_000, [40, 16, 8]),
     ] {
         let set = node.servers(fleet(servers, &all_zones()));
-        expect_that!(by_distance(&set, &ways), eq(expected), "{servers} servers");
-        let near = |home: &Arc<ServerRecord>| ways.is_near(&home.zone);
+        expect_that!(
+            by_distance(&set, &zone_distances),
+            eq(expected),
+            "{servers} servers"
+        );
+        let near = |home: &Arc<ServerRecord>| zone_distances.is_near(&home.zone);
         expect_that!(set.homes.iter().all(near), eq(true));
         expect_that!(set.homes.is_empty(), eq(false));
     }
@@ -79,7 +86,8 @@
 fn all_servers_are_used_by_some_node() {
     let mut used = HashSet::new();
     for number in 0..30 {
-        let node = Standpoint::with_ways(&format!("node-{number}"), ways("a1"));
+        let node =
+            ServerSelector::with_zone_distances(&format!("node-{number}"), zone_distances("a1"));
         let set = node.servers(fleet(60, &all_zones()));
         expect_that!(set.is_large(), eq(true));
         used.extend(set.used.iter().map(|server| server.id.clone()));
@@ -89,7 +97,7 @@
 
 #[gtest]
 fn region_without_servers_uses_others() {
-    let node = Standpoint::with_ways("node-1", ways("a1"));
+    let node = ServerSelector::with_zone_distances("node-1", zone_distances("a1"));
     let set = node.servers(fleet(60, &["b1", "c2"]));
     expect_that!(set.used.len(), eq(40));
     expect_that!(set.homes.len(), eq(60));
@@ -97,8 +105,8 @@
 
 #[gtest]
 fn service_within_region_ignores_other_regions() {
-    let node = Standpoint::with_ways("node-1", ways("a1"));
-    let plain = Standpoint::new("node-1", "a1");
+    let node = ServerSelector::with_zone_distances("node-1", zone_distances("a1"));
+    let plain = ServerSelector::new("node-1", "a1");
     for servers in [60, 400] {
         let near = fleet(servers, &["a1", "a2"]);
         expect_that!(node.servers(near.clone()), eq(&plain.servers(near)));
@@ -110,7 +118,7 @@
     for (senders, receivers) in [(2, 2), (1, 2), (2, 1), (1, 1)] {
         let names = &["x", "y"][..receivers];
         let senders_to = |name: &str| {
-            let told = (0..senders).map(|own| told_by(own, senders, names.to_vec()));
+            let told = (0..senders).map(|own| cross_region_receivers(own, senders, names.to_vec()));
             told.filter(|told| told.contains(&name)).count()
         };
         for name in names {
@@ -126,16 +134,22 @@
 
 #[gtest]
 fn life_signs_and_full_sums_go_to_regions() {
-    let all = (0..72).map(|round| duties(round, 5));
-    let due = |of: fn(&dappleyard_cluster::Duties) -> bool| all.clone().filter(of).count();
-    expect_that!(due(|duties| duties.regions), eq(24));
-    expect_that!(due(|duties| duties.signs && duties.regions), eq(4));
-    expect_that!(due(|duties| duties.all && duties.regions), eq(3));
+    let all = (0..72).map(|round| due_messages(round, 5));
+    let due = |of: fn(&dappleyard_cluster::DueMessages) -> bool| all.clone().filter(of).count();
+    expect_that!(due(|due_messages| due_messages.regions), eq(24));
+    expect_that!(
+        due(|due_messages| due_messages.signs && due_messages.regions),
+        eq(4)
+    );
+    expect_that!(
+        due(|due_messages| due_messages.all && due_messages.regions),
+        eq(3)
+    );
     // Every round with sums for a large zone covers the regions too.
-    let large = (0..72).map(|round| duties(round, 60));
+    let large = (0..72).map(|round| due_messages(round, 60));
     expect_that!(
         large
-            .filter(|duties| duties.sums && !duties.regions)
+            .filter(|due_messages| due_messages.sums && !due_messages.regions)
             .count(),
         eq(0)
     );
--- a/crates/cluster/tests/scale.rs
+++ b/crates/cluster/tests/scale.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dappleyard_cluster::{
-    Heartbeat, NodeRow, PeerTable, ServersSink, Standpoint, TableSink, View, node_key,
+    Heartbeat, NodeRow, PeerTable, ServerSelector, ServersSink, TableSink, View, node_key,
 };
 use dappleyard_model::{Dialect, EventLog, Row, ServerRecord};
 use dappleyard_platform::PlatformDialect;
@@ -47,7 +47,7 @@
 }
 
 fn send_heartbeat(peers: &PeerTable, number: usize, sequence: u64) {
-    peers.heard(&Heartbeat {
+    peers.apply_heartbeat(&Heartbeat {
         name: node_row(number, 1).key,
         life: 1,
         ready: true,
@@ -110,7 +110,7 @@
     let all: Vec<Arc<ServerRecord>> = (0..SERVERS)
         .map(|number| Arc::new(server(number)))
         .collect();
-    let set = Standpoint::new("front-north-0", "north").servers(all.clone());
+    let set = ServerSelector::new("front-north-0", "north").servers(all.clone());
     expect_that!(
         (set.used.len(), set.homes.len(), set.all.len()),
         eq((48, SERVERS / 5, SERVERS))
@@ -121,7 +121,7 @@
     let unused = set.all.iter().find(|server| !set.used.contains(server));
     let unused = unused.expect("most are not used");
     let left = all.into_iter().filter(|server| server.id != unused.id);
-    let after = Standpoint::new("front-north-0", "north").servers(left.collect());
+    let after = ServerSelector::new("front-north-0", "north").servers(left.collect());
     expect_that!(after.used, eq(&set.used));
 }
 
--- a/crates/cluster/tests/silent_servers.rs
+++ b/crates/cluster/tests/silent_servers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dappleyard_cluster::{LoadTable, Temperature, WorkKind};
+use dappleyard_cluster::{LoadTable, WarmupState, WorkKind};
 use dappleyard_model::ServerRecord;
 use googletest::prelude::*;
 
@@ -26,65 +26,65 @@
 async fn unconfirmed_until_bytes_received() {
     let table = Arc::new(LoadTable::default());
     let _work = table.begin(&server("i-1"), WorkKind::Online, 0);
-    table.heard("i-1");
-    assert_that!(table.is_doubted("i-1"), eq(false));
-    table.doubt("i-1", TIME);
+    table.note_received("i-1");
+    assert_that!(table.is_unconfirmed("i-1"), eq(false));
+    table.mark_overdue("i-1", TIME);
     assert_that!(table.summary("i-1").suspect, eq(true));
     assert_that!(table.is_any_suspect(), eq(true));
     // It gets requests again afterwards, but not on existing connections.
     tokio::time::sleep(TIME).await;
     assert_that!(table.summary("i-1").suspect, eq(false));
     assert_that!(table.is_any_suspect(), eq(false));
-    assert_that!(table.is_doubted("i-1"), eq(true));
-    table.heard("i-1");
-    assert_that!(table.is_doubted("i-1"), eq(false));
+    assert_that!(table.is_unconfirmed("i-1"), eq(true));
+    table.note_received("i-1");
+    assert_that!(table.is_unconfirmed("i-1"), eq(false));
 }
 
 #[tokio::test(start_paused = true)]
 async fn restricted_with_zone() {
     let table = LoadTable::default();
-    table.hold_back(vec!["i-1", "i-2"]);
+    table.restrict(vec!["i-1", "i-2"]);
     // Includes servers that this node never used.
     assert_that!(table.summary("i-2").suspect, eq(true));
     assert_that!(table.summary("i-3").suspect, eq(false));
     // A restriction is not a detection of its own and is not reported to other nodes.
-    assert_that!(table.is_found_silent("i-1"), eq(false));
-    table.hold_back(vec!["i-2"]);
+    assert_that!(table.is_silent("i-1"), eq(false));
+    table.restrict(vec!["i-2"]);
     assert_that!(table.summary("i-1").suspect, eq(false));
-    assert_that!(table.is_doubted("i-1"), eq(true));
-    table.heard("i-1");
-    assert_that!(table.is_doubted("i-1"), eq(false));
-    assert_that!(table.is_doubted("i-2"), eq(true));
+    assert_that!(table.is_unconfirmed("i-1"), eq(true));
+    table.note_received("i-1");
+    assert_that!(table.is_unconfirmed("i-1"), eq(false));
+    assert_that!(table.is_unconfirmed("i-2"), eq(true));
 }
 
 #[tokio::test(start_paused = true)]
 async fn unknown_after_zone_restriction() {
     let table = LoadTable::default();
-    let temperature = || table.temperature(&server("i-1")).0;
-    table.heard("i-1");
-    assert_that!(temperature(), eq(Temperature::Warm));
-    table.hold_back(vec!["i-1"]);
-    assert_that!(temperature(), eq(Temperature::Unknown));
+    let warmup_state = || table.warmup_state(&server("i-1")).0;
+    table.note_received("i-1");
+    assert_that!(warmup_state(), eq(WarmupState::Warm));
+    table.restrict(vec!["i-1"]);
+    assert_that!(warmup_state(), eq(WarmupState::Unknown));
     // The zone responds again, but perhaps through other servers; only a health answer gives the
     // warm-up state.
-    table.hold_back(Vec::new());
-    table.heard("i-1");
-    assert_that!(temperature(), eq(Temperature::Unknown));
-    table.note_checked("i-1", dappleyard_clock::Instant::now(), Duration::ZERO);
-    assert_that!(temperature(), eq(Temperature::Warm));
+    table.restrict(Vec::new());
+    table.note_received("i-1");
+    assert_that!(warmup_state(), eq(WarmupState::Unknown));
+    table.note_warmup_report("i-1", dappleyard_clock::Instant::now(), Duration::ZERO);
+    assert_that!(warmup_state(), eq(WarmupState::Warm));
 }
 
 #[tokio::test(start_paused = true)]
 async fn unknown_after_disuse() {
     let table = LoadTable::default();
-    let temperature = || table.temperature(&server("i-1")).0;
-    table.heard("i-1");
-    assert_that!(temperature(), eq(Temperature::Warm));
+    let warmup_state = || table.warmup_state(&server("i-1")).0;
+    table.note_received("i-1");
+    assert_that!(warmup_state(), eq(WarmupState::Warm));
     tokio::time::sleep(Duration::from_millis(2_100)).await;
-    assert_that!(temperature(), eq(Temperature::Unknown));
+    assert_that!(warmup_state(), eq(WarmupState::Unknown));
     // Another node that assumes it to be warm has used it.
-    table.heard("i-1");
-    assert_that!(temperature(), eq(Temperature::Unknown));
-    table.note_checked("i-1", dappleyard_clock::Instant::now(), Duration::ZERO);
-    assert_that!(temperature(), eq(Temperature::Warm));
+    table.note_received("i-1");
+    assert_that!(warmup_state(), eq(WarmupState::Unknown));
+    table.note_warmup_report("i-1", dappleyard_clock::Instant::now(), Duration::ZERO);
+    assert_that!(warmup_state(), eq(WarmupState::Warm));
 }
--- a/crates/cluster/tests/support/mod.rs
+++ b/crates/cluster/tests/support/mod.rs
@@ -9,10 +9,10 @@
 use bytes::Bytes;
 use dappleyard_cluster::{
     Gossip, GossipSettings, GossipTables, InFlight, LoadTable, NodeRow, PeerTable, StoreHealth,
-    TableSink, View, Ways, WorkKind,
+    TableSink, View, WorkKind, ZoneDistances,
 };
 use dappleyard_crashes::CrashTable;
-use dappleyard_model::{EventLog, Places, QuotaBounds, RegionName, Row, ServerRecord, ZoneName};
+use dappleyard_model::{EventLog, QuotaBounds, RegionName, Row, ServerRecord, Topology, ZoneName};
 use dappleyard_tenants::QuotaTable;
 use prost::Message;
 
@@ -36,7 +36,7 @@
 }
 
 /// Puts each zone into its own region.
-pub fn regions() -> Places {
+pub fn regions() -> Topology {
     let zones = ZONES.into_iter();
     zones
         .map(|zone| (ZoneName::from(zone), RegionName::from(zone)))
@@ -44,7 +44,7 @@
 }
 
 impl TestNode {
-    pub async fn open(number: usize, places: &Places) -> Self {
+    pub async fn open(number: usize, places: &Topology) -> Self {
         let (name, zone) = (format!("node-{number}"), ZONES[number % 3]);
         let log = Arc::new(EventLog::silent());
         let peers = Arc::new(PeerTable::new(&name, zone, log.clone()));
@@ -55,8 +55,8 @@
             life: 1,
             address: ([127, 0, 0, 1], 0).into(),
         };
-        let ways = Arc::new(Ways::new(zone, places));
-        let view = Arc::new(View::with_ways(&name, ways, log));
+        let zone_distances = Arc::new(ZoneDistances::new(zone, places));
+        let view = Arc::new(View::with_zone_distances(&name, zone_distances, log));
         let quotas = Arc::new(QuotaTable::new(QUOTA, number as u64));
         let crashes = Arc::new(CrashTable::new(number as u64));
         let tables = GossipTables {
@@ -100,10 +100,10 @@
 }
 
 pub async fn fleet(count: usize) -> Vec<TestNode> {
-    fleet_in(&Places::default(), count).await
+    fleet_in(&Topology::default(), count).await
 }
 
-pub async fn fleet_in(places: &Places, count: usize) -> Vec<TestNode> {
+pub async fn fleet_in(places: &Topology, count: usize) -> Vec<TestNode> {
     let mut nodes = Vec::new();
     for number in 0..count {
         nodes.push(TestNode::open(number, places).await);
@@ -138,7 +138,7 @@
     nodes.iter().flat_map(begin).collect()
 }
 
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     for _ in 0..2_000 {
         if holds() {
             return;
@@ -155,7 +155,7 @@
     })
 }
 
-pub fn on_local<F: Future<Output = ()>>(test: F) {
+pub fn run_local<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/cluster/tests/waiting.rs
+++ b/crates/cluster/tests/waiting.rs
@@ -54,12 +54,12 @@
 #[gtest]
 fn part_is_scaled_to_fleet() {
     let table = LoadTable::default();
-    expect_that!(table.waiting.over_all(0), eq(0));
+    expect_that!(table.waiting.scale_to_fleet(0), eq(0));
     table.waiting.set_own(30);
-    expect_that!(table.waiting.over_all(7), eq(7));
+    expect_that!(table.waiting.scale_to_fleet(7), eq(7));
     table.waiting.set_node(node_number("b"), 60);
     expect_that!(
-        [0, 1, 7].map(|part| table.waiting.over_all(part)),
+        [0, 1, 7].map(|part| table.waiting.scale_to_fleet(part)),
         eq([0, 3, 21])
     );
 }
--- a/crates/cluster/tests/warmup.rs
+++ b/crates/cluster/tests/warmup.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_cluster::{Checked, Teller, Temperature, Thermal};
+use dappleyard_cluster::{WarmupReport, WarmupSource, WarmupState, WarmupTracker};
 use googletest::prelude::*;
 
 const fn ms(time: u64) -> Duration {
@@ -11,20 +11,20 @@
 }
 
 /// A warm server in use, and the time of its last bytes.
-fn in_use() -> (Thermal, Instant) {
+fn in_use() -> (WarmupTracker, Instant) {
     let now = Instant::now() + Duration::from_secs(60);
-    let mut server = Thermal::default();
+    let mut server = WarmupTracker::default();
     server.note_row(0, now);
     server.note_heard(now);
     (server, now)
 }
 
-fn temperature(server: &Thermal, now: Instant) -> Temperature {
-    server.temperature(now).0
+fn warmup_state(server: &WarmupTracker, now: Instant) -> WarmupState {
+    server.warmup_state(now).0
 }
 
-fn answer(at: Instant, cold_ms: u64) -> Checked {
-    Checked {
+fn answer(at: Instant, cold_ms: u64) -> WarmupReport {
+    WarmupReport {
         at,
         cold: ms(cold_ms),
     }
@@ -35,29 +35,32 @@
     let (mut server, now) = in_use();
     server.note_silent(now + ms(900));
     expect_that!(
-        temperature(&server, now + ms(900)),
-        eq(Temperature::Unknown)
+        warmup_state(&server, now + ms(900)),
+        eq(WarmupState::Unknown)
     );
     // Received bytes do not show that it is warm.
     server.note_heard(now + ms(4_000));
     expect_that!(
-        temperature(&server, now + ms(4_000)),
-        eq(Temperature::Unknown)
+        warmup_state(&server, now + ms(4_000)),
+        eq(WarmupState::Unknown)
     );
-    server.note_checked(
+    server.note_warmup_report(
         answer(now + ms(4_010), 3_000),
-        Teller::Health,
+        WarmupSource::Health,
         now + ms(4_020),
     );
     expect_that!(
-        server.temperature(now + ms(4_020)),
-        eq((Temperature::Cold, Teller::Health))
+        server.warmup_state(now + ms(4_020)),
+        eq((WarmupState::Cold, WarmupSource::Health))
+    );
+    expect_that!(
+        warmup_state(&server, now + ms(7_009)),
+        eq(WarmupState::Cold)
     );
-    expect_that!(temperature(&server, now + ms(7_009)), eq(Temperature::Cold));
     server.note_heard(now + ms(7_000));
     expect_that!(
-        server.temperature(now + ms(7_010)),
-        eq((Temperature::Warm, Teller::Time))
+        server.warmup_state(now + ms(7_010)),
+        eq((WarmupState::Warm, WarmupSource::Time))
     );
 }
 
@@ -65,67 +68,98 @@
 fn check_before_silence_is_ignored() {
     let (mut server, now) = in_use();
     server.note_silent(now + ms(900));
-    server.note_checked(answer(now + ms(100), 0), Teller::Node, now + ms(950));
+    server.note_warmup_report(answer(now + ms(100), 0), WarmupSource::Node, now + ms(950));
     expect_that!(
-        temperature(&server, now + ms(950)),
-        eq(Temperature::Unknown)
+        warmup_state(&server, now + ms(950)),
+        eq(WarmupState::Unknown)
     );
 }
 
 #[gtest]
 fn unused_server_becomes_unknown() {
     let (mut server, now) = in_use();
-    expect_that!(temperature(&server, now + ms(1_999)), eq(Temperature::Warm));
     expect_that!(
-        server.temperature(now + ms(2_000)),
-        eq((Temperature::Unknown, Teller::Unused))
+        warmup_state(&server, now + ms(1_999)),
+        eq(WarmupState::Warm)
+    );
+    expect_that!(
+        server.warmup_state(now + ms(2_000)),
+        eq((WarmupState::Unknown, WarmupSource::Unused))
     );
     // Another node uses it.
     server.note_heard(now + ms(1_500));
-    expect_that!(temperature(&server, now + ms(2_000)), eq(Temperature::Warm));
+    expect_that!(
+        warmup_state(&server, now + ms(2_000)),
+        eq(WarmupState::Warm)
+    );
 }
 
 #[gtest]
 fn new_server_has_state_of_its_row() {
     let now = Instant::now();
-    let mut warm = Thermal::default();
+    let mut warm = WarmupTracker::default();
     warm.note_row(0, now);
-    expect_that!(temperature(&warm, now + ms(60_000)), eq(Temperature::Warm));
-    let mut cold = Thermal::default();
+    expect_that!(warmup_state(&warm, now + ms(60_000)), eq(WarmupState::Warm));
+    let mut cold = WarmupTracker::default();
     cold.note_row(3_000, now);
-    expect_that!(temperature(&cold, now), eq(Temperature::Cold));
+    expect_that!(warmup_state(&cold, now), eq(WarmupState::Cold));
     // A repeated row does not extend the cold state.
     cold.note_row(3_000, now + ms(2_000));
-    expect_that!(temperature(&cold, now + ms(3_000)), eq(Temperature::Warm));
+    expect_that!(warmup_state(&cold, now + ms(3_000)), eq(WarmupState::Warm));
 }
 
 #[gtest]
 fn stale_warm_row_is_ignored() {
     let (mut server, now) = in_use();
     server.note_row(500, now);
-    server.note_checked(answer(now + ms(100), 3_000), Teller::Health, now + ms(110));
+    server.note_warmup_report(
+        answer(now + ms(100), 3_000),
+        WarmupSource::Health,
+        now + ms(110),
+    );
     server.note_row(0, now + ms(1_000));
-    expect_that!(temperature(&server, now + ms(1_000)), eq(Temperature::Cold));
+    expect_that!(
+        warmup_state(&server, now + ms(1_000)),
+        eq(WarmupState::Cold)
+    );
 }
 
 #[gtest]
 fn stale_cold_row_is_ignored() {
     let (mut server, now) = in_use();
-    server.note_checked(answer(now + ms(100), 0), Teller::Health, now + ms(110));
+    server.note_warmup_report(
+        answer(now + ms(100), 0),
+        WarmupSource::Health,
+        now + ms(110),
+    );
     server.note_row(3_000, now + ms(2_000));
-    expect_that!(temperature(&server, now + ms(2_000)), eq(Temperature::Warm));
+    expect_that!(
+        warmup_state(&server, now + ms(2_000)),
+        eq(WarmupState::Warm)
+    );
     // This row was written after the health check.
     server.note_heard(now + ms(2_600));
     server.note_row(2_900, now + ms(2_700));
-    expect_that!(temperature(&server, now + ms(2_700)), eq(Temperature::Cold));
+    expect_that!(
+        warmup_state(&server, now + ms(2_700)),
+        eq(WarmupState::Cold)
+    );
 }
 
 #[gtest]
 fn latest_check_wins() {
     let (mut server, now) = in_use();
-    server.note_checked(answer(now + ms(300), 3_000), Teller::Node, now + ms(350));
-    server.note_checked(answer(now + ms(200), 0), Teller::Health, now + ms(400));
-    expect_that!(temperature(&server, now + ms(400)), eq(Temperature::Cold));
+    server.note_warmup_report(
+        answer(now + ms(300), 3_000),
+        WarmupSource::Node,
+        now + ms(350),
+    );
+    server.note_warmup_report(
+        answer(now + ms(200), 0),
+        WarmupSource::Health,
+        now + ms(400),
+    );
+    expect_that!(warmup_state(&server, now + ms(400)), eq(WarmupState::Cold));
 }
 
 #[gtest]
@@ -133,18 +167,21 @@
     let (mut server, now) = in_use();
     server.note_reported_silent(now + ms(1_000));
     expect_that!(
-        temperature(&server, now + ms(1_000)),
-        eq(Temperature::Unknown)
+        warmup_state(&server, now + ms(1_000)),
+        eq(WarmupState::Unknown)
     );
-    server.note_checked(
+    server.note_warmup_report(
         answer(now + ms(1_100), 3_000),
-        Teller::Health,
+        WarmupSource::Health,
         now + ms(1_110),
     );
     // Other nodes repeat their report for a while.
     for after in (1_200..2_200).step_by(150) {
         server.note_reported_silent(now + ms(after));
-        expect_that!(temperature(&server, now + ms(after)), eq(Temperature::Cold));
+        expect_that!(
+            warmup_state(&server, now + ms(after)),
+            eq(WarmupState::Cold)
+        );
     }
 }
 
@@ -153,12 +190,15 @@
     let (mut server, now) = in_use();
     server.note_heard(now + ms(900));
     server.note_reported_silent(now + ms(1_000));
-    expect_that!(temperature(&server, now + ms(1_000)), eq(Temperature::Warm));
+    expect_that!(
+        warmup_state(&server, now + ms(1_000)),
+        eq(WarmupState::Warm)
+    );
     // No node has received bytes since.
     server.note_reported_silent(now + ms(1_450));
     expect_that!(
-        temperature(&server, now + ms(1_450)),
-        eq(Temperature::Unknown)
+        warmup_state(&server, now + ms(1_450)),
+        eq(WarmupState::Unknown)
     );
 }
 
@@ -166,12 +206,16 @@
 fn later_silence_is_reported_again() {
     let (mut server, now) = in_use();
     server.note_reported_silent(now + ms(1_000));
-    server.note_checked(answer(now + ms(1_100), 0), Teller::Health, now + ms(1_110));
+    server.note_warmup_report(
+        answer(now + ms(1_100), 0),
+        WarmupSource::Health,
+        now + ms(1_110),
+    );
     server.note_heard(now + ms(2_900));
     server.note_reported_silent(now + ms(4_000));
     expect_that!(
-        temperature(&server, now + ms(4_000)),
-        eq(Temperature::Unknown)
+        warmup_state(&server, now + ms(4_000)),
+        eq(WarmupState::Unknown)
     );
 }
 
@@ -179,47 +223,53 @@
 fn restored_server_is_unknown_until_checked() {
     let (mut server, now) = in_use();
     let back = now + ms(10_000);
-    server.note_taken_back(back, back);
+    server.note_restored(back, back);
     expect_that!(
-        server.temperature(back),
-        eq((Temperature::Unknown, Teller::TakenBack))
+        server.warmup_state(back),
+        eq((WarmupState::Unknown, WarmupSource::TakenBack))
     );
     let asked = answer(back + ms(20), 3_000);
-    server.note_checked(asked, Teller::Health, back + ms(30));
-    server.note_taken_back(back, back);
-    expect_that!(temperature(&server, back + ms(30)), eq(Temperature::Cold));
+    server.note_warmup_report(asked, WarmupSource::Health, back + ms(30));
+    server.note_restored(back, back);
+    expect_that!(warmup_state(&server, back + ms(30)), eq(WarmupState::Cold));
     // Evacuated and restored again.
-    server.note_taken_back(back + ms(9_000), back + ms(9_000));
+    server.note_restored(back + ms(9_000), back + ms(9_000));
     expect_that!(
-        temperature(&server, back + ms(9_000)),
-        eq(Temperature::Unknown)
+        warmup_state(&server, back + ms(9_000)),
+        eq(WarmupState::Unknown)
     );
 }
 
 #[gtest]
 fn server_registered_after_restore_has_state_of_its_row() {
     let now = Instant::now() + Duration::from_secs(60);
-    let mut server = Thermal::default();
-    server.note_taken_back(now, now + ms(10_001));
+    let mut server = WarmupTracker::default();
+    server.note_restored(now, now + ms(10_001));
     server.note_row(0, now + ms(10_001));
     expect_that!(
-        temperature(&server, now + ms(10_001)),
-        eq(Temperature::Warm)
+        warmup_state(&server, now + ms(10_001)),
+        eq(WarmupState::Warm)
     );
     // A server that existed before, but that this node did not track, is unknown.
-    let mut server = Thermal::default();
-    server.note_taken_back(now, now + ms(50));
+    let mut server = WarmupTracker::default();
+    server.note_restored(now, now + ms(50));
     server.note_row(0, now + ms(50));
-    expect_that!(temperature(&server, now + ms(50)), eq(Temperature::Unknown));
+    expect_that!(
+        warmup_state(&server, now + ms(50)),
+        eq(WarmupState::Unknown)
+    );
 }
 
 #[gtest]
 fn check_shortly_before_late_restore_counts() {
     let (mut server, now) = in_use();
     let asked = now + ms(10_000);
-    server.note_checked(answer(asked, 3_000), Teller::Node, asked + ms(100));
-    server.note_taken_back(asked + ms(900), asked + ms(900));
-    expect_that!(temperature(&server, asked + ms(900)), eq(Temperature::Cold));
+    server.note_warmup_report(answer(asked, 3_000), WarmupSource::Node, asked + ms(100));
+    server.note_restored(asked + ms(900), asked + ms(900));
+    expect_that!(
+        warmup_state(&server, asked + ms(900)),
+        eq(WarmupState::Cold)
+    );
 }
 
 #[gtest]
@@ -228,9 +278,13 @@
     server.note_silent(now);
     server.note_reached(now + ms(200));
     expect_that!(
-        temperature(&server, now + ms(200)),
-        eq(Temperature::InDoubt)
+        warmup_state(&server, now + ms(200)),
+        eq(WarmupState::InDoubt)
+    );
+    server.note_warmup_report(
+        answer(now + ms(500), 0),
+        WarmupSource::Health,
+        now + ms(510),
     );
-    server.note_checked(answer(now + ms(500), 0), Teller::Health, now + ms(510));
-    expect_that!(temperature(&server, now + ms(510)), eq(Temperature::Warm));
+    expect_that!(warmup_state(&server, now + ms(510)), eq(WarmupState::Warm));
 }
--- a/crates/cluster/tests/zone_digest.rs
+++ b/crates/cluster/tests/zone_digest.rs
@@ -1,6 +1,6 @@
 //! Load sums sent to other zones.
 
-use dappleyard_cluster::{LoadEntry, MAX_SERVERS_PER_MESSAGE, ZoneDigest, duties};
+use dappleyard_cluster::{LoadEntry, MAX_SERVERS_PER_MESSAGE, ZoneDigest, due_messages};
 use googletest::prelude::*;
 
 fn sum(server: u32, online: u32, heard_ms: u32) -> LoadEntry {
@@ -33,7 +33,7 @@
     let mut digest = ZoneDigest::default();
     // Uses the real schedule of a small zone, which is updated in every round.
     let full = (0..72)
-        .map(|round| digest.next(vec![sum(1, 1, 5)], duties(round, 5).all))
+        .map(|round| digest.next(vec![sum(1, 1, 5)], due_messages(round, 5).all))
         .filter(|message| !message.changes_only && message.loads.len() == 1);
     expect_that!(full.count(), eq(3));
 }
--- a/crates/cluster/tests/zone_loss.rs
+++ b/crates/cluster/tests/zone_loss.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dappleyard_cluster::directory::{Asked, Ground, addresses_for};
+use dappleyard_cluster::directory::{DirectoryContext, DirectoryQuery, addresses_for};
 use dappleyard_cluster::{Heartbeat, NodeRow, PeerStatus, PeerTable, TableSink};
-use dappleyard_model::{EventLog, Places, Row, Tolerated};
+use dappleyard_model::{EventLog, FailureTolerance, Row, Topology};
 use googletest::prelude::*;
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
@@ -81,7 +81,7 @@
     }
 
     fn heartbeat(&self, table: &PeerTable, zone: &'static str, number: usize) {
-        table.heard(&Heartbeat {
+        table.apply_heartbeat(&Heartbeat {
             name: name(zone, number),
             life: self.lives[zone],
             ready: true,
@@ -93,21 +93,21 @@
     /// Addresses per zone in the directory response of a node to a caller in `zone`, without the
     /// node itself.
     fn directory_response(&self, by: &str, zone: &str) -> [usize; 3] {
-        let places: Places = ZONES
+        let places: Topology = ZONES
             .map(|zone| (zone.into(), "one".into()))
             .into_iter()
             .collect();
-        let ground = Ground {
+        let ground = DirectoryContext {
             own_zone: by,
             places: &places,
-            tolerated: Tolerated {
+            tolerated: FailureTolerance {
                 zones: 1,
                 regions: 0,
             },
         };
-        let asked = Asked {
+        let asked = DirectoryQuery {
             zone: Some(zone),
-            ..Asked::default()
+            ..DirectoryQuery::default()
         };
         let addresses = addresses_for(asked, ground, &self.tables[by].front_nodes());
         ZONES.map(|zone| {
--- a/crates/crashes/src/gossip.rs
+++ b/crates/crashes/src/gossip.rs
@@ -7,8 +7,8 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::ledger::Ledger;
-use crate::messages::{CrashNews, CrashRecord, NodeRuns};
-use crate::record::MOST_ENDED;
+use crate::messages::{CrashRecord, CrashUpdates, NodeRuns};
+use crate::record::MAX_ENDED_SERVERS;
 
 /// Number of messages that carry a change, so that two messages in a row may be lost.
 pub(crate) const SENDS_PER_CHANGE: u8 = 3;
@@ -21,7 +21,7 @@
 impl Ledger {
     /// Returns the records to send now, at most `max_records`. With `refresh`, also resends records that were sent
     /// before.
-    pub fn news(&mut self, refresh: bool, max_records: usize, now: Instant) -> CrashNews {
+    pub fn updates(&mut self, refresh: bool, max_records: usize, now: Instant) -> CrashUpdates {
         let mut due: Vec<Fingerprint> = Vec::new();
         let records = &self.records;
         self.unsent.retain(|request, left| {
@@ -53,7 +53,7 @@
             due.dedup();
         }
         let records_sent = due.iter().map(|request| self.message(request, now));
-        CrashNews {
+        CrashUpdates {
             records: records_sent.collect(),
         }
     }
@@ -71,7 +71,7 @@
         message.runs.push(NodeRuns {
             node: self.node_id,
             sequence: self.sequence,
-            servers: own.into_iter().take(MOST_ENDED).collect(),
+            servers: own.into_iter().take(MAX_ENDED_SERVERS).collect(),
         });
         message
     }
@@ -115,7 +115,7 @@
             .last_refreshed
             .map_or(Bound::Unbounded, Bound::Excluded);
         let later = self.records.range((from, Bound::Unbounded));
-        let relevant = later.filter(|(_, record)| record.ended.len() + 1 >= MOST_ENDED);
+        let relevant = later.filter(|(_, record)| record.ended.len() + 1 >= MAX_ENDED_SERVERS);
         let next = relevant.map(|(request, _)| *request);
         let next: Vec<Fingerprint> = next.take(REFRESHED_RECORDS).collect();
         self.last_refreshed = next.last().copied();
--- a/crates/crashes/src/ledger.rs
+++ b/crates/crashes/src/ledger.rs
@@ -9,7 +9,7 @@
 use crate::gossip::SENDS_PER_CHANGE;
 use crate::messages::CrashRecord;
 use crate::recently_served::RecentlyServed;
-use crate::record::{MOST_ENDED, Record};
+use crate::record::{MAX_ENDED_SERVERS, Record};
 use crate::server_failures::ServerFailures;
 
 /// Limit on the records, about 1 MB. It covers the loss of one server in fifty in a fleet of 7,900 servers with 26
@@ -18,7 +18,7 @@
 /// Retention of a suspect, a request with ended servers that is not refused. It covers automatic and manual retries.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 /// Retention of a refused request, after which it may run again.
-pub const KEPT_REFUSED: Duration = Duration::from_secs(3_600);
+pub const REFUSED_RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Appended to the identifier of an ended incarnation to denote the next one, until that reports its own identifier.
 const RESTART_SUFFIX: char = '+';
@@ -111,17 +111,17 @@
         }
         let own = self.running.get(request).map_or(0, Vec::len);
         let under_way = own + record.reported_servers(now).count();
-        if counted_ends >= MOST_ENDED {
+        if counted_ends >= MAX_ENDED_SERVERS {
             return match under_way == 0 && record.may_retry(counted_ends, now) {
                 true => Permit::LastRun,
                 false => Permit::Refused,
             };
         }
         // Each active run may end its server.
-        if counted_ends + under_way >= MOST_ENDED {
+        if counted_ends + under_way >= MAX_ENDED_SERVERS {
             return Permit::Wait;
         }
-        match counted_ends + 1 == MOST_ENDED {
+        match counted_ends + 1 == MAX_ENDED_SERVERS {
             true => Permit::LastRun,
             false => Permit::Free,
         }
@@ -221,7 +221,7 @@
     /// Whether a request has reached the limit of ended servers.
     fn is_refused(&self, request: &Fingerprint) -> bool {
         let record = self.records.get(request);
-        record.is_some_and(|record| record.counted_ends(&self.server_failures) >= MOST_ENDED)
+        record.is_some_and(|record| record.counted_ends(&self.server_failures) >= MAX_ENDED_SERVERS)
     }
 
     /// Updates whether this node completed the request shortly before the first end.
@@ -264,7 +264,7 @@
     pub fn last_run_servers(&self, but: &Fingerprint, now: Instant) -> HashSet<String> {
         let others = self.records.iter();
         let others = others.filter(|(request, record)| {
-            *request != but && record.counted_ends(&self.server_failures) + 1 == MOST_ENDED
+            *request != but && record.counted_ends(&self.server_failures) + 1 == MAX_ENDED_SERVERS
         });
         let mut servers = HashSet::new();
         for (request, record) in others {
@@ -323,7 +323,7 @@
     }
 
     /// Queues a request again after a failed write to the store.
-    pub fn store_later(&mut self, request: Fingerprint) {
+    pub fn requeue_unstored(&mut self, request: Fingerprint) {
         self.unstored.insert(request);
     }
 
@@ -357,7 +357,7 @@
         }
         let evicted = self.records.iter().min_by_key(|(_, record)| {
             let ended = record.ended.len();
-            (ended >= MOST_ENDED, ended, record.changed)
+            (ended >= MAX_ENDED_SERVERS, ended, record.changed)
         });
         if let Some(evicted) = evicted.map(|(request, _)| *request) {
             self.records.remove(&evicted);
@@ -369,8 +369,8 @@
 
 /// Retention of a record with so many ended servers.
 fn retention(ended: usize) -> Duration {
-    match ended >= MOST_ENDED {
-        true => KEPT_REFUSED,
+    match ended >= MAX_ENDED_SERVERS {
+        true => REFUSED_RETENTION,
         false => SUSPECT_RETENTION,
     }
 }
--- a/crates/crashes/src/lib.rs
+++ b/crates/crashes/src/lib.rs
@@ -14,7 +14,7 @@
 mod table;
 
 pub use fingerprint::{Fingerprint, RequestParts};
-pub use ledger::{EndOutcome, KEPT_REFUSED, Ledger, MergeOutcome, Permit, RefusedRequest};
-pub use messages::{CrashNews, CrashRecord, NodeRuns, StoredRefusal};
-pub use record::{LONG_RUN, MOST_ENDED};
-pub use table::{CrashTable, RunUnderWay};
+pub use ledger::{EndOutcome, Ledger, MergeOutcome, Permit, REFUSED_RETENTION, RefusedRequest};
+pub use messages::{CrashRecord, CrashUpdates, NodeRuns, StoredRefusal};
+pub use record::{LONG_RUN, MAX_ENDED_SERVERS};
+pub use table::{CrashTable, RunGuard};
--- a/crates/crashes/src/messages.rs
+++ b/crates/crashes/src/messages.rs
@@ -63,7 +63,7 @@
 
 /// Crash records sent from one node to another.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct CrashNews {
+pub struct CrashUpdates {
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<CrashRecord>,
 }
--- a/crates/crashes/src/record.rs
+++ b/crates/crashes/src/record.rs
@@ -9,13 +9,13 @@
 use crate::server_failures::ServerFailures;
 
 /// Number of ended servers from which a request is refused.
-pub const MOST_ENDED: usize = 3;
+pub const MAX_ENDED_SERVERS: usize = 3;
 /// Time for which a reported run of another node counts. A node repeats its report every 450 ms, of which two in a
 /// row may be lost; a node that fails cannot report the end of its runs.
 const REPORTED_RUN_TTL: Duration = Duration::from_millis(1_500);
 /// Ends within this time of each other count as one incident, such as the loss of a zone, a rack or a switch.
 const INCIDENT_WINDOW: Duration = Duration::from_secs(1);
-/// Limit on the ended servers recorded for one request; more than [`MOST_ENDED`], since some ends do not count.
+/// Limit on the ended servers recorded for one request; more than [`MAX_ENDED_SERVERS`], since some ends do not count.
 const MAX_ENDS_HELD: usize = 16;
 /// Limit on the correlated ends that do not count, so that several requests that crash servers at the same time
 /// cannot excuse each other indefinitely.
@@ -32,7 +32,7 @@
 const DOUBT_DURATION: Duration = Duration::from_millis(300);
 /// Longest server identifier, in bytes, that is accepted from a message.
 const MAX_SERVER_ID_BYTES: usize = 128;
-/// Limit on the nodes whose runs of one request are kept or sent; runs beyond [`MOST_ENDED`] make no difference.
+/// Limit on the nodes whose runs of one request are kept or sent; runs beyond [`MAX_ENDED_SERVERS`] make no difference.
 const MAX_REPORTING_NODES: usize = 8;
 
 /// Runs reported by another node.
@@ -98,7 +98,7 @@
         self.ended.is_empty() && self.epoch == 0 && !self.is_in_doubt(now)
     }
 
-    /// Number of ends that count towards [`MOST_ENDED`]. Correlated ends after output do not count, up to
+    /// Number of ends that count towards [`MAX_ENDED_SERVERS`]. Correlated ends after output do not count, up to
     /// [`MAX_EXCUSED`]. If the request completed shortly before, it does not crash every server, so ends within one
     /// incident count once.
     pub(crate) fn counted_ends(&self, server_failures: &ServerFailures) -> usize {
@@ -127,7 +127,7 @@
     /// whose servers happened to end one after the other, would be refused for something that it did not cause.
     pub(crate) fn may_retry(&self, counted_ends: usize, now: Instant) -> bool {
         (self.served_before || self.ran_long)
-            && counted_ends < MOST_ENDED + MAX_TRIALS
+            && counted_ends < MAX_ENDED_SERVERS + MAX_TRIALS
             && now.saturating_duration_since(self.changed) >= TRIAL_DELAY
     }
 
@@ -265,7 +265,7 @@
             if !newer || (known.is_none() && self.reported_runs.len() >= MAX_REPORTING_NODES) {
                 continue;
             }
-            report.servers.truncate(MOST_ENDED);
+            report.servers.truncate(MAX_ENDED_SERVERS);
             report
                 .servers
                 .retain(|server| server.len() <= MAX_SERVER_ID_BYTES);
--- a/crates/crashes/src/table.rs
+++ b/crates/crashes/src/table.rs
@@ -10,7 +10,7 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::ledger::{EndOutcome, Ledger, MergeOutcome, Permit, RefusedRequest};
-use crate::messages::{CrashNews, CrashRecord};
+use crate::messages::{CrashRecord, CrashUpdates};
 use crate::record::LONG_RUN;
 
 /// Shared crash ledger. The lock is never held across an await or together with another lock.
@@ -31,12 +31,12 @@
     }
 
     /// Whether there are changes that still have to be sent.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         !self.ledger.lock().unsent.is_empty()
     }
 
     /// Waits for further changes to send.
-    pub async fn more_news(&self) {
+    pub async fn wait_for_updates(&self) {
         self.unsent.notified().await;
     }
 
@@ -57,14 +57,10 @@
     }
 
     /// Starts a run on a server; returns the permit as an error if the request must wait or is refused.
-    pub fn begin(
-        self: &Arc<Self>,
-        request: Fingerprint,
-        server: &str,
-    ) -> Result<RunUnderWay, Permit> {
+    pub fn begin(self: &Arc<Self>, request: Fingerprint, server: &str) -> Result<RunGuard, Permit> {
         let begun = self.change(|ledger| ledger.begin(&request, server, Instant::now()));
         match begun {
-            Permit::Free | Permit::LastRun => Ok(RunUnderWay {
+            Permit::Free | Permit::LastRun => Ok(RunGuard {
                 table: self.clone(),
                 request,
                 server: server.to_owned(),
@@ -87,19 +83,19 @@
 
     /// Returns the records to send now, at most `max_records`. With `refresh`, also resends records that were sent
     /// before.
-    pub fn news(&self, refresh: bool, max_records: usize) -> CrashNews {
+    pub fn updates(&self, refresh: bool, max_records: usize) -> CrashUpdates {
         self.ledger
             .lock()
-            .news(refresh, max_records, Instant::now())
+            .updates(refresh, max_records, Instant::now())
     }
 
     /// Merges records received from another node or read from the store; with `relay`, new information is sent on.
     /// Returns the requests that are refused from now on.
-    pub fn merge(&self, news: CrashNews, relay: bool) -> Vec<Fingerprint> {
+    pub fn merge(&self, updates: CrashUpdates, relay: bool) -> Vec<Fingerprint> {
         let now = Instant::now();
         let refused = self.change(|ledger| {
             let mut refused = Vec::new();
-            for report in news.records {
+            for report in updates.records {
                 let request = Fingerprint::from_bytes(&report.fingerprint);
                 let MergeOutcome { now_refused, .. } = ledger.merge(report, relay, now);
                 refused.extend(request.filter(|_| now_refused));
@@ -124,8 +120,8 @@
     }
 
     /// Queues a request again after a failed write to the store.
-    pub fn store_later(&self, request: Fingerprint) {
-        self.ledger.lock().store_later(request);
+    pub fn requeue_unstored(&self, request: Fingerprint) {
+        self.ledger.lock().requeue_unstored(request);
         self.unstored.notify_one();
     }
 
@@ -155,7 +151,7 @@
 }
 
 /// An active run of a request on a server; dropping it ends the run.
-pub struct RunUnderWay {
+pub struct RunGuard {
     table: Arc<CrashTable>,
     request: Fingerprint,
     server: String,
@@ -163,9 +159,9 @@
     is_over: bool,
 }
 
-impl RunUnderWay {
+impl RunGuard {
     /// Ends the run. Its outcome may still be recorded afterwards.
-    pub fn over(&mut self) {
+    pub fn finish(&mut self) {
         if !std::mem::replace(&mut self.is_over, true) {
             let table = &self.table;
             table.change(|ledger| ledger.end(&self.request, &self.server, Instant::now()));
@@ -211,8 +207,8 @@
     }
 }
 
-impl Drop for RunUnderWay {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.over();
+        self.finish();
     }
 }
--- a/crates/crashes/tests/ledger.rs
+++ b/crates/crashes/tests/ledger.rs
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 
 use dappleyard_crashes::{
-    CrashNews, CrashTable, Fingerprint, LONG_RUN, Ledger, MOST_ENDED, Permit, RequestParts,
+    CrashTable, CrashUpdates, Fingerprint, LONG_RUN, Ledger, MAX_ENDED_SERVERS, Permit,
+    RequestParts,
 };
 use googletest::prelude::*;
 
@@ -28,8 +29,8 @@
     ledger.end(request, server, now);
 }
 
-fn apply(ledger: &mut Ledger, news: &CrashNews, now: Instant) {
-    for record in &news.records {
+fn apply(ledger: &mut Ledger, updates: &CrashUpdates, now: Instant) {
+    for record in &updates.records {
         ledger.merge(record.clone(), false, now);
     }
 }
@@ -37,7 +38,7 @@
 #[gtest]
 fn refused_after_max_ends() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         expect_that!(ledger.permit(&request(1), now), not(eq(Permit::Refused)));
         crash(&mut ledger, &request(1), &format!("i-{number}"), now);
     }
@@ -51,9 +52,9 @@
     // Two copies of a request ran on the same server, which ended once.
     crash(&mut first, &request(1), "i-1", now);
     crash(&mut second, &request(1), "i-1", now);
-    let news = first.news(false, 24, now);
-    apply(&mut second, &news, now);
-    apply(&mut second, &news, now);
+    let updates = first.updates(false, 24, now);
+    apply(&mut second, &updates, now);
+    apply(&mut second, &updates, now);
     expect_that!(second.ended_under(&request(1)).len(), eq(1));
 }
 
@@ -62,12 +63,12 @@
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     // A server repeatedly ends during the request and restarts before its new identifier is known.
     let mut began = now;
-    for _ in 0..MOST_ENDED {
+    for _ in 0..MAX_ENDED_SERVERS {
         let server = ledger.incarnation_that_ran("i-1", began);
         crash(&mut ledger, &request(1), &server, began);
         began += Duration::from_secs(2);
     }
-    expect_that!(ledger.ended_under(&request(1)).len(), eq(MOST_ENDED));
+    expect_that!(ledger.ended_under(&request(1)).len(), eq(MAX_ENDED_SERVERS));
     expect_that!(ledger.permit(&request(1), began), eq(Permit::Refused));
     // Runs that began before the end was observed ran on the incarnation that ended.
     expect_that!(ledger.incarnation_that_ran("i-1", now), eq("i-1"));
@@ -91,22 +92,22 @@
     crash(&mut node_a, &request(1), "i-1", now);
     node_a.begin(&request(1), "i-2", now);
     node_a.begin(&request(1), "i-3", now);
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     expect_that!(node_b.permit(&request(1), now), eq(Permit::Wait));
     node_a.end(&request(1), "i-3", now);
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
     // The reported run of a failed node expires, even while other nodes exchange their records.
     node_a.begin(&request(1), "i-3", now);
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     expect_that!(node_b.permit(&request(1), now), eq(Permit::Wait));
     let (mut third, mut later) = (Ledger::new(3), now);
     for _ in 0..4 {
         later += Duration::from_millis(450);
-        let news = node_b.news(true, 24, later);
-        apply(&mut third, &news, later);
-        let news = third.news(true, 24, later);
-        apply(&mut node_b, &news, later);
+        let updates = node_b.updates(true, 24, later);
+        apply(&mut third, &updates, later);
+        let updates = third.updates(true, 24, later);
+        apply(&mut node_b, &updates, later);
     }
     expect_that!(node_b.permit(&request(1), later), eq(Permit::Free));
 }
@@ -118,7 +119,7 @@
     node_a.begin(&request(1), "i-2", now);
     node_a.begin(&request(1), "i-3", now);
     for _ in 0..20 {
-        apply(&mut node_b, &node_a.news(true, 24, now), now);
+        apply(&mut node_b, &node_a.updates(true, 24, now), now);
         now += Duration::from_millis(450);
         expect_that!(node_b.permit(&request(1), now), eq(Permit::Wait));
     }
@@ -130,10 +131,10 @@
     crash(&mut node_a, &request(1), "i-1", now);
     node_a.begin(&request(1), "i-2", now);
     node_a.begin(&request(1), "i-3", now);
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     // A completed run clears the request, after which the end of its other runs is not reported.
     node_a.note_served(&request(1), now);
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     for server in ["i-2", "i-3"] {
         node_a.end(&request(1), server, now);
     }
@@ -146,10 +147,10 @@
     let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     crash(&mut node_a, &request(1), "i-1", now);
     crash(&mut node_a, &request(1), "i-2", now);
-    let old = node_a.news(false, 24, now);
+    let old = node_a.updates(false, 24, now);
     apply(&mut node_b, &old, now);
     expect_that!(node_b.note_served(&request(1), now), eq(true));
-    apply(&mut node_a, &node_b.news(false, 24, now), now);
+    apply(&mut node_a, &node_b.updates(false, 24, now), now);
     expect_that!(node_a.permit(&request(1), now), eq(Permit::Free));
     // Records from before the clearing do not restore the suspicion.
     apply(&mut node_a, &old, now);
@@ -176,19 +177,19 @@
 #[gtest]
 fn lost_updates_are_resent() {
     let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         crash(&mut node_a, &request(1), &format!("i-{number}"), now);
     }
-    let lost = node_a.news(false, 24, now);
+    let lost = node_a.updates(false, 24, now);
     expect_that!(lost.records.len(), eq(1));
-    expect_that!(node_a.news(false, 24, now).records.len(), eq(0));
-    apply(&mut node_b, &node_a.news(true, 24, now), now);
+    expect_that!(node_a.updates(false, 24, now).records.len(), eq(0));
+    apply(&mut node_b, &node_a.updates(true, 24, now), now);
     expect_that!(node_b.permit(&request(1), now), eq(Permit::Refused));
     // A node that starts much later learns of it too.
     let (mut late_node, later) = (Ledger::new(3), now + Duration::from_secs(300));
     for _ in 0..4 {
-        let news = node_a.news(true, 24, later);
-        apply(&mut late_node, &news, later);
+        let updates = node_a.updates(true, 24, later);
+        apply(&mut late_node, &updates, later);
     }
     expect_that!(late_node.permit(&request(1), later), eq(Permit::Refused));
 }
@@ -196,7 +197,7 @@
 #[gtest]
 fn records_expire_despite_gossip() {
     let (mut node_a, mut node_b, mut now) = (Ledger::new(1), Ledger::new(2), Instant::now());
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         crash(&mut node_a, &request(1), &format!("i-{number}"), now);
     }
     // Two nodes that exchange their records do not keep them alive.
@@ -205,7 +206,7 @@
         for ledger in [&mut node_a, &mut node_b] {
             ledger.sweep(now);
         }
-        let (news_of_a, news_of_b) = (node_a.news(true, 24, now), node_b.news(true, 24, now));
+        let (news_of_a, news_of_b) = (node_a.updates(true, 24, now), node_b.updates(true, 24, now));
         apply(&mut node_b, &news_of_a, now);
         apply(&mut node_a, &news_of_b, now);
     }
@@ -216,7 +217,7 @@
 #[gtest]
 fn eviction_keeps_refused_requests() {
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         crash(&mut ledger, &request(0), &format!("i-{number}"), now);
     }
     for number in 1..5_000 {
@@ -234,15 +235,15 @@
     for number in 1..1_000 {
         crash(&mut ledger, &request(number), "i-1", now);
     }
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         crash(&mut ledger, &request(0), &format!("i-{number}"), now);
     }
-    let news = ledger.news(false, 24, now);
-    expect_that!(news.records.len(), eq(24));
-    expect_that!(news.records[0].fingerprint, eq(request(0).as_bytes()));
+    let updates = ledger.updates(false, 24, now);
+    expect_that!(updates.records.len(), eq(24));
+    expect_that!(updates.records[0].fingerprint, eq(request(0).as_bytes()));
     // Records with one ended server that could not be sent in time are dropped.
     let later = now + Duration::from_secs(11);
-    expect_that!(ledger.news(false, 24, later).records.len(), eq(0));
+    expect_that!(ledger.updates(false, 24, later).records.len(), eq(0));
 }
 
 #[gtest]
@@ -259,10 +260,10 @@
 
 /// `request(1)` runs on three servers that end at the same time for an unrelated reason.
 fn end_three_servers(ledger: &mut Ledger, now: Instant) {
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         ledger.begin(&request(1), &format!("i-{number}"), now);
     }
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         ledger.note_ended(&request(1), &format!("i-{number}"), false, now);
         ledger.end(&request(1), &format!("i-{number}"), now);
     }
@@ -281,12 +282,12 @@
     // After a recent success, three simultaneous ends count as one.
     expect_that!(node_a.permit(&request(1), now), eq(Permit::Free));
     // A node that has not served the request learns this from the record.
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
     node_a.begin(&request(1), "i-4", now);
     expect_that!(node_a.note_served(&request(1), now), eq(true));
     node_a.end(&request(1), "i-4", now);
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     expect_that!(node_b.ended_under(&request(1)).len(), eq(0));
 }
 
@@ -330,7 +331,7 @@
     // The request happens to run on a server of each rack that is lost.
     for rack in 0..3 {
         end_rack(&mut node_a, rack, true, now);
-        apply(&mut node_b, &node_a.news(false, 24, now), now);
+        apply(&mut node_b, &node_a.updates(false, 24, now), now);
         now += Duration::from_secs(2);
     }
     for ledger in [&node_a, &node_b] {
@@ -360,7 +361,7 @@
     let (mut ledger, mut now) = (Ledger::new(1), Instant::now());
     // Many callers send the request, and three unrelated incidents hit its copies in a row.
     ledger.note_served(&request(1), now);
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         crash(&mut ledger, &request(1), &format!("i-{number}"), now);
         now += Duration::from_secs(2);
     }
@@ -385,27 +386,27 @@
             ended += 1;
         }
     }
-    expect_that!(ended, eq(2 * MOST_ENDED));
+    expect_that!(ended, eq(2 * MAX_ENDED_SERVERS));
 }
 
 #[gtest]
 fn runs_in_doubt_count_as_active() {
     let (mut node_a, mut node_b, now) = (Ledger::new(1), Ledger::new(2), Instant::now());
     // Responses were interrupted, but the ports of the servers are still open.
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         let server = format!("i-{number}");
         expect_that!(node_a.begin(&request(1), &server, now), eq(Permit::Free));
         node_a.note_doubt(&request(1), now);
     }
     expect_that!(node_a.begin(&request(1), "i-9", now), eq(Permit::Wait));
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     expect_that!(node_b.begin(&request(1), "i-9", now), eq(Permit::Wait));
     // All servers are alive; only their connections were lost.
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         node_a.end(&request(1), &format!("i-{number}"), now);
     }
     expect_that!(node_a.permit(&request(1), now), eq(Permit::Free));
-    apply(&mut node_b, &node_a.news(false, 24, now), now);
+    apply(&mut node_b, &node_a.updates(false, 24, now), now);
     expect_that!(node_b.permit(&request(1), now), eq(Permit::Free));
     // The doubt expires and leaves no record.
     let later = now + Duration::from_secs(1);
@@ -415,7 +416,7 @@
 
 /// Ends three servers during the request, 6 s apart; its runs produced output for long if `for_long`.
 fn end_during_runs(ledger: &mut Ledger, for_long: bool, mut now: Instant) -> Instant {
-    for round in 0..MOST_ENDED {
+    for round in 0..MAX_ENDED_SERVERS {
         let server = format!("i-{round}");
         ledger.begin(&request(1), &server, now);
         now += Duration::from_secs(2);
@@ -439,8 +440,8 @@
     // Other nodes learn of the long run.
     let mut other = Ledger::new(2);
     ledger.end(&request(1), "i-8", now);
-    let news = ledger.news(true, 24, now);
-    apply(&mut other, &news, now);
+    let updates = ledger.updates(true, 24, now);
+    apply(&mut other, &updates, now);
     expect_that!(other.permit(&request(1), now), eq(Permit::LastRun));
     // A request that produced output only briefly is refused.
     let mut brief = Ledger::new(3);
@@ -453,7 +454,7 @@
     // At most three more servers may end.
     let (mut ledger, now) = (Ledger::new(1), Instant::now());
     let mut now = end_during_runs(&mut ledger, true, now);
-    for number in 0..MOST_ENDED {
+    for number in 0..MAX_ENDED_SERVERS {
         let server = format!("i-9{number}");
         expect_that!(ledger.begin(&request(1), &server, now), eq(Permit::LastRun));
         ledger.note_ended(&request(1), &server, true, now);
--- a/crates/dappleyard/src/explain.rs
+++ b/crates/dappleyard/src/explain.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::ArgMatches;
-use dappleyard_model::AT;
+use dappleyard_model::TIME_FIELD;
 use serde_json::{Map, Value};
 
 use crate::failure::Failure;
@@ -13,7 +13,7 @@
 /// Fields that name what a record is about.
 const NAMES: [&str; 4] = ["request", "job", "item", "zone"];
 /// Fields that do not belong to the facts of a record.
-const FRAME: [&str; 3] = [AT, "uptime_ms", "event"];
+const FRAME: [&str; 3] = [TIME_FIELD, "uptime_ms", "event"];
 
 /// One record that names the identifier.
 struct Entry {
@@ -123,7 +123,7 @@
         .map(|(name, value)| format!("{} {}", name.replace('_', " "), plain(value)))
         .collect();
     Some(Entry {
-        at_ms: record.get(AT).and_then(Value::as_u64).unwrap_or(0),
+        at_ms: record.get(TIME_FIELD).and_then(Value::as_u64).unwrap_or(0),
         before: before.to_owned(),
         words: format!("{}: {}", words(&event), facts.join(", ")),
     })
--- a/crates/dappleyard/src/serve/assembly.rs
+++ b/crates/dappleyard/src/serve/assembly.rs
@@ -9,15 +9,15 @@
 use actix_web::{App, HttpServer};
 use dappleyard_cluster::{
     CRASHES_TABLE, ConfigurationSink, Contact, Gossip, GossipSettings, GossipTables, LoadTable,
-    NODES_TABLE, PeerTable, ServersSink, StoreHealth, TableSink, View, Ways, keep_refused,
-    node_number,
+    NODES_TABLE, PeerTable, ServersSink, StoreHealth, TableSink, View, ZoneDistances, node_number,
+    sync_refused_requests,
 };
 use dappleyard_crashes::CrashTable;
 use dappleyard_ingress::{
-    AnswerTimes, Metrics, Node, PeerAnswers, RoomTable, ShareTable, Upstreams, ZoneWatch,
-    configure, front_app_data, watch_temperatures, watch_zones,
+    CapacityTable, EvacuationLogger, Metrics, Node, PeerHandler, ResponseTimes, ShareTable,
+    Upstreams, configure, front_app_data, monitor_warmup, monitor_zones,
 };
-use dappleyard_jobs::{BODY_TABLES, JOB_TABLES, JobTable, NodeJobs, Runner};
+use dappleyard_jobs::{BODY_TABLES, JOB_TABLES, JobService, JobTable, Runner};
 use dappleyard_model::{Dialect, EventLog, NodeSettings, Row, RowStore};
 use dappleyard_platform::{HttpRows, PlatformDialect, describe};
 use dappleyard_relay::{
@@ -63,8 +63,12 @@
         serde_json::json!({"settings": describe(&settings), "life": life,
             "version": env!("CARGO_PKG_VERSION")})
     });
-    let ways = Arc::new(Ways::new(&settings.zone, &settings.places));
-    let view = Arc::new(View::with_ways(&settings.name, ways.clone(), log.clone()));
+    let zone_distances = Arc::new(ZoneDistances::new(&settings.zone, &settings.places));
+    let view = Arc::new(View::with_zone_distances(
+        &settings.name,
+        zone_distances.clone(),
+        log.clone(),
+    ));
     let peers = Arc::new(PeerTable::new(&settings.name, &settings.zone, log.clone()));
     let health = Arc::new(StoreHealth::default());
     let access = Access::new(
@@ -76,16 +80,16 @@
     );
     let access = Arc::new(
         access
-            .with_ways(ways)
-            .with_bodies(view.clone(), &BODY_TABLES)
+            .with_zone_distances(zone_distances)
+            .with_body_tables(view.clone(), &BODY_TABLES)
             .undecided(),
     );
     let node = Arc::new(Node {
         life,
         view: view.clone(),
         loads: Arc::new(LoadTable::default()),
-        times: AnswerTimes::default(),
-        rooms: RoomTable::default(),
+        response_times: ResponseTimes::default(),
+        capacities: CapacityTable::default(),
         quotas: Arc::new(QuotaTable::new(settings.bounds.quota, life)),
         crashes: Arc::new(CrashTable::new(node_number(&settings.name) ^ life)),
         peers,
@@ -94,8 +98,8 @@
         log: log.clone(),
         metrics: Arc::new(Metrics::default()),
         leaving: Arc::new(AtomicBool::new(false)),
-        under_way: AtomicU64::new(0),
-        kept_bytes: AtomicU64::new(0),
+        in_flight: AtomicU64::new(0),
+        buffered_bytes: AtomicU64::new(0),
         shares: ShareTable::default(),
         last_request: Mutex::new(Instant::now()),
         settings,
@@ -123,9 +127,9 @@
     spawn_begin(node.clone(), store.clone(), access.clone());
     let upstreams = Upstreams::new(node.clone());
     spawn_sweep(node.clone(), upstreams.clone());
-    tokio::task::spawn_local(watch_temperatures(upstreams.clone()));
+    tokio::task::spawn_local(monitor_warmup(upstreams.clone()));
     spawn_zone_watch(node.clone());
-    tokio::task::spawn_local(watch_zones(upstreams.clone()));
+    tokio::task::spawn_local(monitor_zones(upstreams.clone()));
     let runner = Runner::new(node.clone(), table.clone(), store.clone(), upstreams);
     tokio::task::spawn_local(runner.clone().run());
     let server = spawn_server(node.clone(), table, access, histories)?;
@@ -208,7 +212,9 @@
         let registered = registration::register(node.clone(), store.clone());
         // Nodes that begin together are registered by then; a store that is slow or away holds nothing up.
         let registered = dappleyard_clock::timeout(REGISTERED, registered).await;
-        access.survey(store.as_ref(), node.peers.as_ref()).await;
+        access
+            .discover_nodes(store.as_ref(), node.peers.as_ref())
+            .await;
         if registered.is_err() {
             registration::register(node, store).await;
         }
@@ -238,7 +244,7 @@
 
 fn spawn_keep_refused(node: Arc<Node>, store: Rc<dyn RowStore>) {
     tokio::task::spawn_local(async move {
-        keep_refused(&node.crashes, store.as_ref(), &node.log).await;
+        sync_refused_requests(&node.crashes, store.as_ref(), &node.log).await;
     });
 }
 
@@ -255,10 +261,10 @@
 
 fn spawn_zone_watch(node: Arc<Node>) {
     tokio::task::spawn_local(async move {
-        let mut watch = ZoneWatch::default();
+        let mut watch = EvacuationLogger::default();
         loop {
             tokio::time::sleep(ZONE_LOOK).await;
-            watch.look(&node);
+            watch.log_empty_zones(&node);
         }
     });
 }
@@ -274,10 +280,10 @@
     let factory = move || {
         let direct: Rc<dyn RowStore> = Rc::new(HttpRows::new(node.settings.store.clone()));
         let store = Rc::new(RelayedRows::new(direct.clone(), access.clone()));
-        let jobs = NodeJobs::new(node.clone(), table.clone(), store);
+        let jobs = JobService::new(node.clone(), table.clone(), store);
         let relay = RelayService::new(direct, access.clone(), histories.clone(), node_tables());
         let relay = Rc::new(relay);
-        let peers: PeerAnswers = Rc::new(move |call| {
+        let peers: PeerHandler = Rc::new(move |call| {
             let relay = relay.clone();
             async move { relay.answer(call).await }.boxed_local()
         });
--- a/crates/dappleyard/src/serve/stopping.rs
+++ b/crates/dappleyard/src/serve/stopping.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use dappleyard_ingress::close;
+use dappleyard_ingress::finish_requests;
 use dappleyard_platform::read_settings;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -67,7 +67,7 @@
     node.leaving.store(true, Ordering::Relaxed);
     node.log.write(
         "stop_asked",
-        || serde_json::json!({"under_way": node.under_way.load(Ordering::Relaxed)}),
+        || serde_json::json!({"under_way": node.in_flight.load(Ordering::Relaxed)}),
     );
     tokio::task::spawn_local(registration::register(node.clone(), running.store.clone()));
     let runner = running.runner.clone();
@@ -76,7 +76,7 @@
     let last = grace.saturating_sub(BEFORE_GRACE);
     while started.elapsed() < last {
         tokio::time::sleep(LOOK).await;
-        let idle = node.under_way.load(Ordering::Relaxed) == 0 && handing_back.is_finished();
+        let idle = node.in_flight.load(Ordering::Relaxed) == 0 && handing_back.is_finished();
         let quiet = node.last_request.lock().elapsed() > QUIET;
         if idle && quiet && started.elapsed() > SHORTEST_STAY {
             break;
@@ -85,9 +85,9 @@
     let call = registration::unregister(node, running.store.as_ref());
     // The row of a node that is gone does no harm: its heartbeats end.
     let _ = dappleyard_clock::timeout(LAST_CALL, call).await;
-    close(&running.server, &node.under_way, started + last).await;
+    finish_requests(&running.server, &node.in_flight, started + last).await;
     node.log.write("stop", || {
-        serde_json::json!({"under_way": node.under_way.load(Ordering::Relaxed),
+        serde_json::json!({"under_way": node.in_flight.load(Ordering::Relaxed),
             "jobs_handed_back": handing_back.is_finished(),
             "took_ms": started.elapsed().as_millis() as u64})
     });
--- a/crates/fleet/src/actor.rs
+++ b/crates/fleet/src/actor.rs
@@ -187,7 +187,7 @@
         self.update_lifecycle(now);
         // Worker threads that wake from a pause before this actor does see that its time is up.
         let grace = self.settings.suspicion_ms / 2;
-        self.tables.set_vouched_until(now.plus(grace));
+        self.tables.set_lifecycle_valid_until(now.plus(grace));
         self.cancelled.collect(&self.tables, now);
         self.crashes.collect(&self.tables, now);
         self.publish(now);
--- a/crates/fleet/src/loads.rs
+++ b/crates/fleet/src/loads.rs
@@ -5,7 +5,7 @@
 use dappleyard_decide::ownership::{Cell, Cells, preferred};
 use dappleyard_decide::time::Millis;
 use dappleyard_tables::NodeTables;
-use dappleyard_tables::loads::Stamped;
+use dappleyard_tables::loads::Timestamped;
 use dappleyard_wire::messages::{
     CellAggregate, LoadReport, Member, MemberState, NodeLoad, ServiceLoad,
 };
@@ -101,7 +101,7 @@
 /// The aggregate of a cell as this node, one of its members, sees it.
 pub fn aggregate(tables: &NodeTables, cell: &Cell, now: Millis) -> CellAggregate {
     let in_cell = |node: &str| cell.nodes.iter().any(|member| member.node == node);
-    let loads: Vec<Stamped<NodeLoad>> = tables
+    let loads: Vec<Timestamped<NodeLoad>> = tables
         .loads
         .nodes()
         .into_iter()
@@ -143,7 +143,7 @@
 }
 
 /// Sums of the services over the nodes; the wait is the shortest that any node offers.
-fn sum_services(loads: &[Stamped<NodeLoad>]) -> Vec<ServiceLoad> {
+fn sum_services(loads: &[Timestamped<NodeLoad>]) -> Vec<ServiceLoad> {
     let mut sums: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
     let services = loads
         .iter()
@@ -170,7 +170,7 @@
 }
 
 /// The nodes with the most room, which may be entered for spilled work.
-fn entry_nodes(loads: &[Stamped<NodeLoad>]) -> Vec<String> {
+fn entry_nodes(loads: &[Timestamped<NodeLoad>]) -> Vec<String> {
     let mut nodes: Vec<(u32, &str)> = loads
         .iter()
         .filter(|load| !load.value.draining)
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -1,6 +1,6 @@
 //! Requests under which engines ended, from node to node.
 
-use dappleyard_crashes::{Fingerprint, MOST_ENDED, Permit, RequestParts};
+use dappleyard_crashes::{Fingerprint, MAX_ENDED_SERVERS, Permit, RequestParts};
 use dappleyard_decide::time::Millis;
 use dappleyard_fleet::crashes::CrashSpread;
 use dappleyard_tables::{Identity, NodeTables};
@@ -34,7 +34,7 @@
         let ended = begun.map(|run| run.note_ended(Millis(10_000 + 2_000 * at), at));
         expect_that!(ended.ok(), some(eq(at as usize + 1)));
     };
-    (0..MOST_ENDED as u64).for_each(run);
+    (0..MAX_ENDED_SERVERS as u64).for_each(run);
     let mut spreads = [CrashSpread::default(), CrashSpread::default()];
     spreads[0].collect(&first, Millis(20_000));
     expect_that!(spreads[0].take_fresh(), eq(true));
--- a/crates/ingress/benches/online.rs
+++ b/crates/ingress/benches/online.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use dappleyard_cluster::{LoadSummary, Standpoint, Ways};
+use dappleyard_cluster::{LoadSummary, ServerSelector, ZoneDistances};
 use dappleyard_ingress::{Candidate, EventSplitter, affinity_server, choose};
 use dappleyard_model::ServerRecord;
 
@@ -40,10 +40,11 @@
 fn placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement");
     for count in FLEETS {
-        let servers = Standpoint::new("node-1", "north").servers(fleet(count));
+        let servers = ServerSelector::new("node-1", "north").servers(fleet(count));
         let used = candidates(&servers.used);
-        let ways = Ways::within("north");
-        let decide = || choose(black_box(&used), &ways, None).map(|chosen| chosen.server.slots);
+        let zone_distances = ZoneDistances::single_region("north");
+        let decide =
+            || choose(black_box(&used), &zone_distances, None).map(|chosen| chosen.server.slots);
         let allocations = allocation_counter::measure(|| {
             black_box(decide());
         });
--- a/crates/ingress/src/admission.rs
+++ b/crates/ingress/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dappleyard_model::{Configuration, RequestFacts, Route, RouteKind};
+use dappleyard_model::{Configuration, RequestMetadata, Route, RouteKind};
 use dappleyard_tenants::{Caller, KeyRefusal};
 
 use crate::capacity::{CapacityForecast, MIN_RETRY_DELAY};
@@ -45,7 +45,7 @@
     node: &Node,
     configuration: &Configuration,
     route: &Route,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<Caller, Refusal> {
     caller(node, configuration, route.public, facts)
 }
@@ -56,7 +56,7 @@
     node: &Node,
     configuration: &Configuration,
     host: &str,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<Caller, Refusal> {
     let public = configuration
         .routes_of(host)
@@ -68,13 +68,13 @@
     node: &Node,
     configuration: &Configuration,
     public: bool,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<Caller, Refusal> {
     let identified = node.identify(configuration, public, facts.key.as_ref());
     identified.map_err(|refusal| {
         let kind = match refusal {
             KeyRefusal::Unknown => ErrorKind::UnknownKey,
-            KeyRefusal::Unsure => ErrorKind::KeyInDoubt,
+            KeyRefusal::Unverifiable => ErrorKind::KeyInDoubt,
         };
         Refusal::new(
             kind,
@@ -97,12 +97,12 @@
     node: &Node,
     configuration: &Configuration,
     caller: &Caller,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<(), Refusal> {
     let Some(tenant) = caller.tenant() else {
         return Ok(());
     };
-    node.quotas.adopt(configuration);
+    node.quotas.apply_configuration(configuration);
     node.quotas.take(&tenant.name).map_err(|shortage| {
         let level = node.quotas.level(&tenant.name).unwrap_or_default();
         let detail = format!("tenant {}: {level:.2} requests of quota left", tenant.name);
@@ -117,7 +117,8 @@
                     per_s: limit.per_s,
                     nodes: node.peers.count(),
                 };
-                node.rooms.tenant_retry_delay(&tenant.name, forecast, facts)
+                node.capacities
+                    .tenant_retry_delay(&tenant.name, forecast, facts)
             }
             None => {
                 let spread = 1.0 + RETRY_JITTER * rand::random::<f64>();
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dappleyard_model::{AnswerFacts, Homes, ServerRecord, ServerStamp, TenantStamp};
+use dappleyard_model::{AnswerMetadata, HomeRegions, ServerHeaders, ServerRecord, TenantHeader};
 use dappleyard_upstream::{
     AnswerHead, BodyFraming, Connection, ExchangeError, IdleLimit, Pool, Stage, request_bytes,
 };
@@ -22,7 +22,7 @@
 use crate::home_regions;
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::silence_limits::Patience;
+use crate::silence_limits::SilenceLimits;
 use crate::urgency::OvercommitLimit;
 use dappleyard_clock::Instant;
 
@@ -70,7 +70,7 @@
 
 impl AttemptError {
     /// The connection failed while the response body was read.
-    pub fn inside_answer(error: &ExchangeError) -> Self {
+    pub fn truncated_response(error: &ExchangeError) -> Self {
         Self {
             ran: Ran::Yes,
             reason: error.to_string(),
@@ -80,7 +80,7 @@
     }
 
     /// A failure detected by this node, such as a timeout or an invalid response.
-    pub fn own(ran: Ran, reason: impl Into<String>) -> Self {
+    pub fn local(ran: Ran, reason: impl Into<String>) -> Self {
         Self {
             ran,
             reason: reason.into(),
@@ -104,11 +104,11 @@
     pub remaining_ms: Option<u64>,
     /// Last event the client received; the server resumes after it.
     pub last_event_id: Option<u64>,
-    pub tenant: TenantStamp<'a>,
+    pub tenant: TenantHeader<'a>,
     /// Regions that may serve the request.
-    pub homes: &'a Homes,
+    pub homes: &'a HomeRegions,
     /// Limits on how long the server may send nothing.
-    pub patience: Patience,
+    pub limits: SilenceLimits,
 }
 
 /// A response whose body has not been read yet.
@@ -116,7 +116,7 @@
     pub connection: Connection,
     pub head: AnswerHead,
     /// Facts taken from the response headers.
-    pub facts: AnswerFacts,
+    pub facts: AnswerMetadata,
     pub server: Arc<ServerRecord>,
 }
 
@@ -179,11 +179,15 @@
         if let Some(exclusion) = listed.or_else(|| cold_limit::check_exclusion(&self.node, server))
         {
             self.pool.put(server.address, connection);
-            return Err(AttemptError::own(Ran::No, format!("not sent: {exclusion}")));
+            return Err(AttemptError::local(
+                Ran::No,
+                format!("not sent: {exclusion}"),
+            ));
         }
         let head = {
             let waiting = self.receive_head(&mut connection, &request, attempt.id);
-            self.with_patience(server, attempt.patience, waiting).await
+            self.with_silence_limits(server, attempt.limits, waiting)
+                .await
         };
         let (head, facts) = match head {
             Ok(answer) => answer,
@@ -193,7 +197,7 @@
                 return Err(error);
             }
         };
-        self.node.loads.heard(&server.id);
+        self.node.loads.note_received(&server.id);
         if let Some(load) = facts.load {
             self.note_told_pace(server, load);
             let mut overcommit = self.overcommit.get();
@@ -223,34 +227,38 @@
 
     /// Waits for data from a server. A server that has sent nothing to any node for the first limit
     /// is marked as suspect; at the second limit the attempt fails.
-    pub async fn with_patience<T>(
+    pub async fn with_silence_limits<T>(
         &self,
         server: &ServerRecord,
-        patience: Patience,
+        limits: SilenceLimits,
         waiting: impl Future<Output = Result<T, AttemptError>>,
     ) -> Result<T, AttemptError> {
         tokio::pin!(waiting);
         let started = Instant::now();
-        let mut check_interval = patience.first_check();
-        let mut next_suspect = patience.suspect_after;
+        let mut check_interval = limits.first_check();
+        let mut next_suspect = limits.suspect_after;
         loop {
             match tokio::time::timeout(check_interval, &mut waiting).await {
                 Ok(done) => return done,
                 Err(_) => {
                     let own = started.elapsed();
-                    let unheard = self.node.loads.silence(&server.id).unwrap_or(own);
+                    let unheard = self
+                        .node
+                        .loads
+                        .time_since_received(&server.id)
+                        .unwrap_or(own);
                     let silence = unheard.min(own);
                     let slow = || {
-                        patience.suspect_time(self.node.loads.pace(&server.id), UNREACHABLE_AFTER)
+                        limits.suspect_time(self.node.loads.slowdown(&server.id), UNREACHABLE_AFTER)
                     };
                     if silence >= next_suspect && unheard >= slow() {
                         next_suspect += SUSPECT_DURATION / 2;
                         match silence >= UNREACHABLE_AFTER {
-                            true => self.node.loads.suspect(&server.id, SUSPECT_DURATION),
-                            false => self.node.loads.doubt(&server.id, SUSPECT_DURATION),
+                            true => self.node.loads.mark_suspect(&server.id, SUSPECT_DURATION),
+                            false => self.node.loads.mark_overdue(&server.id, SUSPECT_DURATION),
                         }
                     }
-                    if patience
+                    if limits
                         .abandon_after
                         .is_some_and(|abandon_after| silence >= abandon_after)
                     {
@@ -281,10 +289,13 @@
         connection: &mut Connection,
         request: &[u8],
         id: &str,
-    ) -> Result<(AnswerHead, AnswerFacts), AttemptError> {
+    ) -> Result<(AnswerHead, AnswerMetadata), AttemptError> {
         let mut head = connection.send(request).await.map_err(exchange_failed)?;
         for _ in 0..MAX_STALE_RESPONSES {
-            let facts = self.node.dialect.answer_facts(head.status, &head.headers);
+            let facts = self
+                .node
+                .dialect
+                .answer_metadata(head.status, &head.headers);
             match &facts.request_id {
                 Some(answered) if answered != id => {
                     self.node.log.write("answer_of_another_request", || {
@@ -318,19 +329,19 @@
 
     fn request(&self, server: &ServerRecord, attempt: &Attempt<'_>) -> Vec<u8> {
         let dialect = &self.node.dialect;
-        let stamp = ServerStamp {
+        let stamp = ServerHeaders {
             remaining_ms: attempt.remaining_ms,
             expect_instance: &server.instance,
             last_event_id: attempt.last_event_id,
             tenant: attempt.tenant,
         };
-        let stamped = dialect.stamp(&stamp);
+        let stamped = dialect.server_headers(&stamp);
         let own = stamped.iter().map(|(name, value)| (name, value));
         let passed = attempt
             .headers
             .iter()
             .filter(|(name, _)| is_end_to_end(name, attempt.headers))
-            .filter(|(name, _)| !dialect.is_stamped(name, &stamp));
+            .filter(|(name, _)| !dialect.is_system_header(name, &stamp));
         request_bytes(
             attempt.method,
             attempt.target,
@@ -354,7 +365,7 @@
 }
 
 fn invalid_response(reason: &str) -> AttemptError {
-    AttemptError::own(Ran::Maybe, reason)
+    AttemptError::local(Ran::Maybe, reason)
 }
 
 /// Whether a header is end-to-end, as opposed to hop-by-hop (RFC 9110, section 7.6.1).
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_model::{Configuration, Homes, RequestFacts, Route, TenantName, Tenants};
+use dappleyard_model::{Configuration, HomeRegions, RequestMetadata, Route, TenantName, Tenants};
 use dappleyard_room::{
     Admission, AdmissionRequest, Capacity, Demand, LoadTrend, MeanHoldTime, RETRY_FRACTION,
     RetryDetector, RetryQueue, admit,
@@ -32,17 +32,17 @@
 
 /// Estimates from this node's own requests. Locks are taken one at a time.
 #[derive(Default)]
-pub struct RoomTable {
+pub struct CapacityTable {
     /// Version of the configuration last adopted.
     version: AtomicU64,
     hold_times: Mutex<HashMap<String, MeanHoldTime>>,
     retry_detectors: Mutex<HashMap<String, RetryDetector>>,
     retry_queues: Mutex<HashMap<TenantName, RetryQueue>>,
     trends: Mutex<HashMap<String, LoadTrend>>,
-    rooms: Mutex<HashMap<String, (Instant, Arc<Capacity>)>>,
+    capacities: Mutex<HashMap<String, (Instant, Arc<Capacity>)>>,
 }
 
-impl RoomTable {
+impl CapacityTable {
     /// Drops the state of routes, services and tenants that are no longer configured.
     pub(crate) fn adopt(&self, configuration: &Configuration) {
         let before = self.version.swap(configuration.version, Ordering::Relaxed);
@@ -70,7 +70,7 @@
         self.trends
             .lock()
             .retain(|name, _| services.contains(name.as_str()));
-        self.rooms
+        self.capacities
             .lock()
             .retain(|name, _| services.contains(name.as_str()));
         self.retry_queues
@@ -93,7 +93,7 @@
         &self,
         tenant: &TenantName,
         forecast: CapacityForecast,
-        facts: &RequestFacts,
+        facts: &RequestMetadata,
     ) -> Duration {
         let step =
             Duration::from_secs_f64(forecast.nodes.max(1) as f64 / forecast.per_s.max(0.001));
@@ -134,7 +134,7 @@
 }
 
 /// Maximum retry delay, a fraction of the client's remaining time.
-fn max_retry_delay(facts: &RequestFacts) -> Duration {
+fn max_retry_delay(facts: &RequestMetadata) -> Duration {
     let left = facts
         .deadline_ms
         .map_or(MAX_RETRY_DELAY, Duration::from_millis);
@@ -142,12 +142,12 @@
 }
 
 /// Whether a request resumes a stream of which its client has received a part.
-pub(crate) fn is_resumption(route: &Route, facts: &RequestFacts) -> bool {
+pub(crate) fn is_resumption(route: &Route, facts: &RequestMetadata) -> bool {
     route.resumable && facts.last_event_id.is_some()
 }
 
 /// Whether a request is a retry after a refusal, judged by its deadline.
-pub(crate) fn detect_retry(node: &Node, route: &Route, facts: &RequestFacts) -> bool {
+pub(crate) fn detect_retry(node: &Node, route: &Route, facts: &RequestMetadata) -> bool {
     if is_resumption(route, facts) {
         return false;
     }
@@ -161,7 +161,7 @@
         timeout_ms => timeout_ms,
     };
     let deadline = Duration::from_millis(deadline_ms.min(longest_ms));
-    let mut retry_detectors = node.rooms.retry_detectors.lock();
+    let mut retry_detectors = node.capacities.retry_detectors.lock();
     let detector = retry_detectors.entry(route.name.clone()).or_default();
     let is_retry = detector.record(deadline, Instant::now());
     if is_retry {
@@ -173,9 +173,9 @@
 /// Capacity of a request's service; `None` if too few other nodes are known or no server is
 /// healthy.
 fn service_capacity(node: &Node, request: &Request) -> Option<Arc<Capacity>> {
-    let bound = request.homes.bind();
+    let bound = request.homes.is_restricted();
     if !bound
-        && let Some((at, capacity)) = node.rooms.rooms.lock().get(&request.service)
+        && let Some((at, capacity)) = node.capacities.capacities.lock().get(&request.service)
         && at.elapsed() < CAPACITY_TTL
     {
         return Some(capacity.clone());
@@ -186,25 +186,25 @@
     let capacity = Arc::new(compute_capacity(node, &request.service, &request.homes)?);
     if !bound {
         let held = (Instant::now(), capacity.clone());
-        node.rooms
-            .rooms
+        node.capacities
+            .capacities
             .lock()
             .insert(request.service.clone(), held);
     }
     Some(capacity)
 }
 
-fn compute_capacity(node: &Node, service: &str, homes: &Homes) -> Option<Capacity> {
+fn compute_capacity(node: &Node, service: &str, homes: &HomeRegions) -> Option<Capacity> {
     let SlotUsage { slots, online } = slot_usage(node, &node.view.servers(service), homes);
     // Queue lengths are only exchanged within a region.
-    let told_here = homes.allow(&node.settings.zone, &node.settings.places);
+    let told_here = homes.allows_zone(&node.settings.zone, &node.settings.places);
     let demand = match told_here {
         true => node.loads.demand.pressure_on(service),
         false => Demand::default(),
     };
-    let trend_per_s = match homes.bind() {
+    let trend_per_s = match homes.is_restricted() {
         true => 0.0,
-        false => node.rooms.trend_per_s(service, online),
+        false => node.capacities.trend_per_s(service, online),
     };
     (slots > 0).then(|| Capacity {
         slots,
@@ -212,7 +212,7 @@
         trend_per_s,
         waiting: demand.waiting,
         returns: demand.returns,
-        hold_time: node.rooms.hold_time(service),
+        hold_time: node.capacities.hold_time(service),
     })
 }
 
@@ -266,7 +266,7 @@
     match request.is_retry {
         // The client may not retry again.
         true => Metrics::count(&node.metrics.returns_refused),
-        false => node.loads.demand.note_return(&request.service, retry_after),
+        false => node.loads.demand.note_retry(&request.service, retry_after),
     }
     node.log.write("no_room", || {
         serde_json::json!({"request": request.facts.id, "route": request.route.name,
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dappleyard_model::{AnswerFacts, ServerRecord};
+use dappleyard_model::{AnswerMetadata, ServerRecord};
 use dappleyard_upstream::{Connection, request_bytes};
 use http::header::HOST;
 use http::{HeaderValue, Method};
@@ -20,14 +20,14 @@
     /// Returns an idle connection to a server, or opens a new one.
     pub(crate) async fn connect(&self, server: &ServerRecord) -> Result<Connection, AttemptError> {
         let address = server.address;
-        if self.node.loads.is_doubted(&server.id) {
+        if self.node.loads.is_unconfirmed(&server.id) {
             // A request sent on a stale connection counts as possibly run. A failed connect does
             // not, so a new connection is safer.
             self.pool.forget(address);
         }
         // A server that was unreachable may have lost its connections, and a request sent on one of
         // them would count as possibly run.
-        let back = self.node.loads.back(&server.id);
+        let back = self.node.loads.returned_at(&server.id);
         if let Some(connection) = self.pool.take_used_since(address, back) {
             return Ok(connection);
         }
@@ -39,8 +39,8 @@
         let started = Instant::now();
         let opened = Connection::open(server.address, CONNECT_TIMEOUT).await;
         if opened.is_ok() {
-            let ways = self.node.view.ways();
-            ways.note(&server.zone, started.elapsed());
+            let zone_distances = self.node.view.zone_distances();
+            zone_distances.note_connect_time(&server.zone, started.elapsed());
         }
         opened.map_err(|error| AttemptError {
             ran: Ran::No,
@@ -62,8 +62,8 @@
             None => self.can_connect(server).await,
         };
         match is_up {
-            true => self.node.loads.heard(&server.id),
-            false => self.node.loads.suspect(&server.id, SUSPECT_DURATION),
+            true => self.node.loads.note_received(&server.id),
+            false => self.node.loads.mark_suspect(&server.id, SUSPECT_DURATION),
         }
         is_up
     }
@@ -90,7 +90,7 @@
         server: &ServerRecord,
         path: &str,
         limit: Duration,
-    ) -> Option<(u16, AnswerFacts)> {
+    ) -> Option<(u16, AnswerMetadata)> {
         let host = HeaderValue::from_str(&server.address.to_string()).ok()?;
         let headers = [(&HOST, &host)].into_iter();
         let request = request_bytes(&Method::GET, path, headers, &Bytes::new());
@@ -98,7 +98,10 @@
             // Idle connections may be stale.
             let mut connection = self.open(server).await.ok()?;
             let head = connection.send(&request).await.ok()?;
-            let facts = self.node.dialect.answer_facts(head.status, &head.headers);
+            let facts = self
+                .node
+                .dialect
+                .answer_metadata(head.status, &head.headers);
             if let Some(load) = facts.load {
                 self.note_told_pace(server, load);
             }
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -11,7 +11,7 @@
 use actix_web::HttpResponse;
 use actix_web::http::Method;
 use dappleyard_cluster::Exclusion;
-use dappleyard_crashes::{Fingerprint, RunUnderWay};
+use dappleyard_crashes::{Fingerprint, RunGuard};
 use dappleyard_model::ServerRecord;
 use derive_more::Display;
 use tokio::net::TcpStream;
@@ -53,16 +53,16 @@
 }
 
 /// A run that was interrupted.
-pub struct Broken<'a> {
+pub struct InterruptedRun<'a> {
     pub error: &'a AttemptError,
     /// Time since the first output of the run; `None` if there was none.
-    pub output_for: Option<Duration>,
+    pub output_duration: Option<Duration>,
 }
 
 /// Selects the server for the last run of a request, avoiding servers with the last run of another.
 /// Rendezvous hashing separates different requests, since nodes decide at the same moment after a
 /// crash without knowing of each other's choice.
-pub fn apart(
+pub fn last_run_server(
     node: &Node,
     request: &Fingerprint,
     mut servers: Vec<Arc<ServerRecord>>,
@@ -112,11 +112,16 @@
     /// Determines whether the server of an interrupted run crashed. The first check delays the
     /// client's next run by one round trip; if it finds no crash, further checks run in the
     /// background.
-    pub async fn judge(&self, run: RunUnderWay, server: &Arc<ServerRecord>, broken: &Broken<'_>) {
+    pub async fn check_for_crash(
+        &self,
+        run: RunGuard,
+        server: &Arc<ServerRecord>,
+        broken: &InterruptedRun<'_>,
+    ) {
         if !broken.error.broken_off {
             return;
         }
-        let output = broken.output_for;
+        let output = broken.output_duration;
         match self.check_address(server).await {
             Evidence::Ended => self.note_ended(&run, server, &broken.error.reason, output),
             Evidence::Leaving => {}
@@ -126,12 +131,7 @@
 
     /// A crashing process may close its connections before its port, or restart within
     /// milliseconds.
-    fn check_again(
-        &self,
-        mut run: RunUnderWay,
-        server: Arc<ServerRecord>,
-        output: Option<Duration>,
-    ) {
+    fn check_again(&self, mut run: RunGuard, server: Arc<ServerRecord>, output: Option<Duration>) {
         run.note_doubt();
         let upstreams = self.clone();
         tokio::task::spawn_local(async move {
@@ -142,7 +142,7 @@
                 return;
             }
             // The run no longer counts as in flight; a crash found later still counts.
-            run.over();
+            run.finish();
             for _ in 0..LIST_CHECKS {
                 tokio::time::sleep(LIST_CHECK_INTERVAL).await;
                 if upstreams.node.view.is_replaced(&server) {
@@ -156,7 +156,7 @@
 
     fn note_ended(
         &self,
-        run: &RunUnderWay,
+        run: &RunGuard,
         server: &ServerRecord,
         cause: &str,
         output: Option<Duration>,
@@ -179,7 +179,7 @@
     }
 
     /// Records that a run completed.
-    pub fn note_served(&self, run: &RunUnderWay) {
+    pub fn note_served(&self, run: &RunGuard) {
         if run.note_served() {
             let fingerprint = run.request().short();
             self.node.log.write(
