--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -6,19 +6,19 @@
 
 use bytes::Bytes;
 use dappleyard_cluster::{InFlight, WorkKind};
-use dappleyard_crashes::{Fingerprint, Permit, RequestParts, RunUnderWay};
-use dappleyard_model::{Homes, RequestFacts, Route, RouteKind, ServerRecord};
+use dappleyard_crashes::{Fingerprint, Permit, RequestParts, RunGuard};
+use dappleyard_model::{HomeRegions, RequestMetadata, Route, RouteKind, ServerRecord};
 use dappleyard_tenants::Caller;
 use http::{HeaderMap, Method};
 
 use crate::attempt::{Attempt, AttemptError, Exchange, Ran, SUSPECT_DURATION, Upstreams};
-use crate::cold_limit::ColdGate;
-use crate::crashes::Broken;
+use crate::cold_limit::ColdLimit;
+use crate::crashes::InterruptedRun;
 use crate::error_kind::{ErrorKind, promises_not_run};
 use crate::metrics::Metrics;
 use crate::placement::PromptShape;
 use crate::server_selection::{Placement, Unplaced, select_server};
-use crate::silence_limits::Patience;
+use crate::silence_limits::SilenceLimits;
 use dappleyard_clock::Instant;
 
 /// Interval for checking whether a run on another node has ended; updates arrive every 25 ms.
@@ -34,12 +34,12 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     /// Facts taken from the headers.
-    pub facts: RequestFacts,
+    pub facts: RequestMetadata,
     pub caller: Caller,
     /// Route at the time of arrival.
     pub route: Route,
     /// Regions that may serve it, at the time of arrival.
-    pub homes: Homes,
+    pub homes: HomeRegions,
     pub service: String,
     /// Identifies repeated sends of the same request.
     pub fingerprint: Fingerprint,
@@ -62,7 +62,7 @@
     /// Counts the request in the server's load.
     pub work: InFlight,
     /// The run as reported to all nodes.
-    pub run: RunUnderWay,
+    pub run: RunGuard,
     pub sent: Instant,
 }
 
@@ -177,13 +177,13 @@
         let exchange = match outcome {
             Ok(exchange) => exchange,
             Err(error) => {
-                let broken = Broken {
+                let broken = InterruptedRun {
                     error: &error,
-                    output_for: None,
+                    output_duration: None,
                 };
-                upstreams.judge(run, &server, &broken).await;
+                upstreams.check_for_crash(run, &server, &broken).await;
                 record_failure(upstreams, request, &server, &error);
-                let limit = ColdGate::of(&node, &request.service);
+                let limit = ColdLimit::of(&node, &request.service);
                 if error.ran == Ran::No && limit.is_some_and(|limit| !limit.allows(&server)) {
                     // The rate limit refused the request before it was sent, so the server stays
                     // eligible.
@@ -230,21 +230,21 @@
         id: &request.facts.id,
         remaining_ms: Some(remaining.as_millis() as u64),
         last_event_id,
-        tenant: request.caller.stamp(),
+        tenant: request.caller.tenant_header(),
         homes: &request.homes,
-        patience: first_event_timeout(upstreams, request),
+        limits: first_event_timeout(upstreams, request),
     };
     match dappleyard_clock::timeout(remaining, upstreams.attempt(server, &attempt)).await {
         Ok(outcome) => outcome,
-        Err(_) => Err(AttemptError::own(Ran::Maybe, "deadline exceeded")),
+        Err(_) => Err(AttemptError::local(Ran::Maybe, "deadline exceeded")),
     }
 }
 
 /// Timeout for the first event, learned from the service's responses.
-fn first_event_timeout(upstreams: &Upstreams, request: &Request) -> Patience {
-    let times = &upstreams.node().times;
+fn first_event_timeout(upstreams: &Upstreams, request: &Request) -> SilenceLimits {
+    let times = &upstreams.node().response_times;
     let silence = times.first_event_timeout(&request.service, request.shape.tokens);
-    Patience::leave_after(silence).leaving_if(request.may_repeat())
+    SilenceLimits::abandoning_after(silence).abandoning_if(request.may_repeat())
 }
 
 fn record_failure(
@@ -260,7 +260,7 @@
         request.runs += 1;
     }
     if error.unreachable {
-        node.loads.suspect(&server.id, SUSPECT_DURATION);
+        node.loads.mark_suspect(&server.id, SUSPECT_DURATION);
     }
     node.log.write("attempt_failed", || {
         serde_json::json!({"request": request.facts.id, "server": server.id,
--- a/crates/ingress/src/evacuated_zones.rs
+++ b/crates/ingress/src/evacuated_zones.rs
@@ -46,13 +46,13 @@
 
 /// Logs once per evacuation that its zone is empty.
 #[derive(Debug, Default)]
-pub struct ZoneWatch {
+pub struct EvacuationLogger {
     logged: HashSet<(ZoneName, u64)>,
 }
 
-impl ZoneWatch {
+impl EvacuationLogger {
     /// Logs each evacuated zone that has become empty.
-    pub fn look(&mut self, node: &Node) {
+    pub fn log_empty_zones(&mut self, node: &Node) {
         let zones = evacuated_zones(node);
         let key = |zone: &EvacuatedZone| (zone.zone.clone(), zone.revision);
         let active: HashSet<(ZoneName, u64)> = zones.iter().map(key).collect();
--- a/crates/ingress/src/event_gaps.rs
+++ b/crates/ingress/src/event_gaps.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use dappleyard_cluster::Pace;
+use dappleyard_cluster::Slowdown;
 
 /// Gaps per measurement. The median is used, since a single long gap may be caused by this node or
 /// the network.
@@ -35,12 +35,12 @@
     }
 }
 
-/// Ratio of the measured gap to the one expected at the reported pace, or `Pace::USUAL` if the
+/// Ratio of the measured gap to the one expected at the reported pace, or `Slowdown::NORMAL` if the
 /// ratio is small.
-pub fn excess_pace(gap: Duration, expected: Duration, reported: Pace) -> Pace {
+pub fn excess_pace(gap: Duration, expected: Duration, reported: Slowdown) -> Slowdown {
     let ratio = gap.as_secs_f64() / (expected.as_secs_f64() * reported.times());
     match ratio >= MIN_RATIO {
-        true => Pace::new(ratio),
-        false => Pace::USUAL,
+        true => Slowdown::new(ratio),
+        false => Slowdown::NORMAL,
     }
 }
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -7,7 +7,7 @@
 use actix_web::http::header::CONTENT_TYPE;
 use actix_web::{HttpRequest, HttpResponse, web};
 use bytes::{Bytes, BytesMut};
-use dappleyard_model::{Endpoint, Homes, RouteKind};
+use dappleyard_model::{Endpoint, HomeRegions, RouteKind};
 use futures::StreamExt;
 use futures::future::LocalBoxFuture;
 use http::HeaderMap;
@@ -35,19 +35,19 @@
 const DEFAULT_BODY_LIMIT: usize = 4 * 1024 * 1024;
 
 /// Handles a call of another node; request and response are in the peer protocol.
-pub type PeerAnswers = Rc<dyn Fn(Bytes) -> LocalBoxFuture<'static, Bytes>>;
+pub type PeerHandler = Rc<dyn Fn(Bytes) -> LocalBoxFuture<'static, Bytes>>;
 
 pub struct HandlerData {
     upstreams: Upstreams,
     jobs: Rc<dyn JobCalls>,
-    peers: PeerAnswers,
+    peers: PeerHandler,
 }
 
 /// Shared state of the handlers of one worker thread.
 pub fn front_app_data(
     upstreams: Upstreams,
     jobs: Rc<dyn JobCalls>,
-    peers: PeerAnswers,
+    peers: PeerHandler,
 ) -> web::Data<HandlerData> {
     web::Data::new(HandlerData {
         upstreams,
@@ -116,7 +116,7 @@
     endpoint: Endpoint,
 ) -> HttpResponse {
     let headers = header_map(request);
-    let facts = node.dialect.request_facts(&headers);
+    let facts = node.dialect.request_metadata(&headers);
     let Some(configuration) = node.view.configuration() else {
         let refused = Refusal::new(ErrorKind::NotReady, "no configuration yet");
         return refuse(node, &facts.id, &refused);
@@ -206,7 +206,7 @@
     let node = data.upstreams.node().clone();
     Metrics::count(&node.metrics.requests);
     let headers = header_map(&http);
-    let facts = node.dialect.request_facts(&headers);
+    let facts = node.dialect.request_metadata(&headers);
     let limit = node
         .view
         .configuration()
@@ -243,7 +243,7 @@
         let refused = Refusal::new(ErrorKind::NoServer, "the route has no service");
         return refuse(&node, &facts.id, &refused);
     };
-    node.rooms.adopt(&configuration);
+    node.capacities.adopt(&configuration);
     let is_retry = detect_retry(&node, &route, &facts);
     if let Err(refused) = charge_quota(&node, &configuration, &caller, &facts) {
         return refuse(&node, &facts.id, &refused);
@@ -264,7 +264,7 @@
         .uri()
         .path_and_query()
         .map_or_else(|| http.path().to_owned(), ToString::to_string);
-    let homes = Homes::of(&route, caller.tenant().map(AsRef::as_ref));
+    let homes = HomeRegions::of(&route, caller.tenant().map(AsRef::as_ref));
     let host = host_of(&headers);
     let fingerprint = Request::fingerprint_of(&caller, http.method(), host, &target, &body);
     let request = Request {
@@ -323,7 +323,7 @@
                 return refuse(&node, &request.facts.id, &Refusal::new(kind, detail));
             }
             let none = kind == ErrorKind::NoServer;
-            let out_of_homes = none && request.homes.bind() && request.tried.is_empty();
+            let out_of_homes = none && request.homes.is_restricted() && request.tried.is_empty();
             let detail = || format!("{} servers tried", request.tried.len());
             let refused = match none && node.view.is_evacuated(&request.service) {
                 // Only the evacuation orders leave the request without a server.
--- a/crates/ingress/src/home_regions.rs
+++ b/crates/ingress/src/home_regions.rs
@@ -4,21 +4,22 @@
 use std::sync::Arc;
 
 use dappleyard_cluster::{Exclusion, ServerSet};
-use dappleyard_model::{Configuration, Homes, Places, RegionName, ServerRecord};
+use dappleyard_model::{Configuration, HomeRegions, RegionName, ServerRecord, Topology};
 
 use crate::node::Node;
 
 /// Servers that a request may be placed on, before the check of its home regions. Usually those
 /// this node uses; all servers if the node is outside the home regions or uses no server in them.
-pub fn reached<'a>(
+pub fn candidate_servers<'a>(
     servers: &'a ServerSet,
-    homes: &Homes,
+    homes: &HomeRegions,
     node: &Node,
 ) -> std::slice::Iter<'a, Arc<ServerRecord>> {
     let places = &node.settings.places;
-    let in_home = |zone: &str| homes.allow(zone, places);
+    let in_home = |zone: &str| homes.allows_zone(zone, places);
     let used = || servers.used.iter();
-    match !homes.bind() || (in_home(&node.settings.zone) && used().any(|held| in_home(&held.zone)))
+    match !homes.is_restricted()
+        || (in_home(&node.settings.zone) && used().any(|held| in_home(&held.zone)))
     {
         true => used(),
         false => servers.all.iter(),
@@ -29,9 +30,9 @@
 pub(crate) fn check_exclusion(
     node: &Node,
     server: &ServerRecord,
-    homes: &Homes,
+    homes: &HomeRegions,
 ) -> Option<Exclusion> {
-    let allowed = homes.allow(&server.zone, &node.settings.places);
+    let allowed = homes.allows_zone(&server.zone, &node.settings.places);
     (!allowed).then_some(Exclusion::OutsideHomes)
 }
 
@@ -39,9 +40,9 @@
 /// it asks for. `None` stands for all. Requests are restricted wherever they arrive, so a client in
 /// another region is still served at home.
 pub fn directory_regions(
-    homes: &[Homes],
+    homes: &[HomeRegions],
     zone: Option<&str>,
-    places: &Places,
+    places: &Topology,
 ) -> Option<BTreeSet<RegionName>> {
     if homes.is_empty() {
         return None;
@@ -49,15 +50,18 @@
     let own = zone.and_then(|zone| places.region(zone));
     let regions = places.zones().map(|(_, region)| region);
     let near = |region: &&RegionName| {
-        Some(*region) == own || homes.iter().all(|homes| homes.allow_region(region))
+        Some(*region) == own || homes.iter().all(|homes| homes.allows_region(region))
     };
     Some(regions.filter(near).cloned().collect())
 }
 
 /// Home regions of a host's routes; empty if any route is unrestricted.
-pub(crate) fn host_homes(configuration: Option<&Configuration>, host: Option<&str>) -> Vec<Homes> {
+pub(crate) fn host_homes(
+    configuration: Option<&Configuration>,
+    host: Option<&str>,
+) -> Vec<HomeRegions> {
     match (configuration, host) {
-        (Some(configuration), Some(host)) => configuration.homes_of_host(host),
+        (Some(configuration), Some(host)) => configuration.home_regions_of_host(host),
         _ => Vec::new(),
     }
 }
--- a/crates/ingress/src/job_calls.rs
+++ b/crates/ingress/src/job_calls.rs
@@ -1,7 +1,7 @@
 //! Interface between the HTTP handlers and the job service.
 
 use bytes::Bytes;
-use dappleyard_model::{RequestFacts, Route};
+use dappleyard_model::{RequestMetadata, Route};
 use dappleyard_tenants::Caller;
 use futures::future::LocalBoxFuture;
 
@@ -24,7 +24,7 @@
         &'a self,
         caller: &'a Caller,
         route: &'a Route,
-        facts: &'a RequestFacts,
+        facts: &'a RequestMetadata,
         body: Bytes,
     ) -> LocalBoxFuture<'a, JobReply>;
 
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -37,15 +37,15 @@
 mod zone_monitor;
 
 pub use attempt::{Attempt, AttemptError, Exchange, Ran, Upstreams};
-pub use capacity::RoomTable;
-pub use cold_limit::ColdGate;
-pub use crashes::{Broken, Evidence, apart};
+pub use capacity::CapacityTable;
+pub use cold_limit::ColdLimit;
+pub use crashes::{Evidence, InterruptedRun, last_run_server};
 pub use error_kind::ErrorKind;
-pub use evacuated_zones::{EvacuatedZone, ZoneWatch, evacuated_zones};
+pub use evacuated_zones::{EvacuatedZone, EvacuationLogger, evacuated_zones};
 pub use event_gaps::{EventGaps, excess_pace};
 pub use event_stream::{Event, EventSplitter};
-pub use front::{PeerAnswers, configure, front_app_data};
-pub use home_regions::{directory_regions, reached};
+pub use front::{PeerHandler, configure, front_app_data};
+pub use home_regions::{candidate_servers, directory_regions};
 pub use job_calls::{JobCalls, JobReply};
 pub use metrics::Metrics;
 pub use node::Node;
@@ -53,12 +53,12 @@
     Candidate, PromptShape, affinity_server, choose, has_free_slot, is_healthy, limit_by_region,
     mean_excess, sample,
 };
-pub use relay::Cut;
-pub use response_buffer::{BufferLimit, ChunkQueue, KeptBounds, LONGEST_STOP, ReadAhead};
-pub use response_times::{AnswerTimes, LatencyHistogram};
+pub use relay::TruncatedResponse;
+pub use response_buffer::{BufferLimit, BufferLimits, BufferedResponse, ChunkQueue, MAX_STALL};
+pub use response_times::{LatencyHistogram, ResponseTimes};
 pub use shares::ShareTable;
-pub use shutdown::close;
-pub use silence_limits::Patience;
-pub use temperature_monitor::watch_temperatures;
+pub use shutdown::finish_requests;
+pub use silence_limits::SilenceLimits;
+pub use temperature_monitor::monitor_warmup;
 pub use urgency::{OvercommitLimit, Urgency, urgency};
-pub use zone_monitor::watch_zones;
+pub use zone_monitor::monitor_zones;
--- a/crates/ingress/src/node.rs
+++ b/crates/ingress/src/node.rs
@@ -4,17 +4,17 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-use dappleyard_cluster::directory::{self, Asked, FrontNode, Ground};
+use dappleyard_cluster::directory::{self, DirectoryContext, DirectoryQuery, FrontNode};
 use dappleyard_cluster::{LoadTable, PeerTable, StoreHealth, View, is_strong};
 use dappleyard_crashes::CrashTable;
 use dappleyard_model::{Configuration, Dialect, EventLog, KeyDigest, NodeSettings};
-use dappleyard_tenants::{Caller, KeyRefusal, QuotaTable, Standing, identify};
+use dappleyard_tenants::{Caller, ConfigurationStatus, KeyRefusal, QuotaTable, identify};
 use parking_lot::Mutex;
 
-use crate::capacity::RoomTable;
+use crate::capacity::CapacityTable;
 use crate::home_regions;
 use crate::metrics::Metrics;
-use crate::response_times::AnswerTimes;
+use crate::response_times::ResponseTimes;
 use crate::shares::{ShareGuard, ShareTable};
 use dappleyard_clock::Instant;
 
@@ -29,9 +29,9 @@
     pub view: Arc<View>,
     /// Load of the servers.
     pub loads: Arc<LoadTable>,
-    pub times: AnswerTimes,
+    pub response_times: ResponseTimes,
     /// Estimates of the services' capacity.
-    pub rooms: RoomTable,
+    pub capacities: CapacityTable,
     pub quotas: Arc<QuotaTable>,
     /// Tenants' shares of overloaded services.
     pub shares: ShareTable,
@@ -48,9 +48,9 @@
     /// The node is shutting down.
     pub leaving: Arc<AtomicBool>,
     /// Client requests in flight.
-    pub under_way: AtomicU64,
+    pub in_flight: AtomicU64,
     /// Response bytes buffered for clients.
-    pub kept_bytes: AtomicU64,
+    pub buffered_bytes: AtomicU64,
     /// Arrival of the last client request.
     pub last_request: Mutex<Instant>,
 }
@@ -58,7 +58,8 @@
 impl Node {
     /// Metrics in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
-        self.metrics.text(self.kept_bytes.load(Ordering::Relaxed))
+        self.metrics
+            .text(self.buffered_bytes.load(Ordering::Relaxed))
     }
 
     /// Whether the node reports itself ready for requests.
@@ -77,9 +78,9 @@
         public: bool,
         key: Option<&KeyDigest>,
     ) -> Result<Caller, KeyRefusal> {
-        let standing = Standing {
+        let standing = ConfigurationStatus {
             age: self.view.configuration_age(),
-            among_most: self.peers.count() * 2 >= self.peers.expected(),
+            in_majority: self.peers.count() * 2 >= self.peers.expected(),
         };
         let bounds = &self.settings.bounds;
         identify(configuration, public, key, standing, bounds)
@@ -100,7 +101,7 @@
         if !nodes.iter().any(|node| node.ready) {
             return None;
         }
-        let ground = Ground {
+        let ground = DirectoryContext {
             own_zone: &self.settings.zone,
             places: &self.settings.places,
             tolerated: self.settings.tolerated,
@@ -108,7 +109,8 @@
         let configuration = self.view.configuration();
         let homes = home_regions::host_homes(configuration.as_deref(), host);
         let regions = home_regions::directory_regions(&homes, zone, ground.places);
-        let response = |regions| directory::addresses_for(Asked { zone, regions }, ground, &nodes);
+        let response =
+            |regions| directory::addresses_for(DirectoryQuery { zone, regions }, ground, &nodes);
         let mut addresses = response(regions.as_ref());
         if addresses.is_empty() && regions.is_some() {
             // Any node can tell the client when to retry.
@@ -139,7 +141,7 @@
 
 impl InFlightGuard {
     pub(crate) fn begin(node: &Arc<Node>) -> Self {
-        node.under_way.fetch_add(1, Ordering::Relaxed);
+        node.in_flight.fetch_add(1, Ordering::Relaxed);
         *node.last_request.lock() = Instant::now();
         Self {
             node: node.clone(),
@@ -161,7 +163,7 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.node.under_way.fetch_sub(1, Ordering::Relaxed);
+        self.node.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/ingress/src/pace.rs
+++ b/crates/ingress/src/pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dappleyard_cluster::Pace;
+use dappleyard_cluster::Slowdown;
 use dappleyard_model::{ServerLoad, ServerRecord};
 
 use crate::attempt::Upstreams;
@@ -12,10 +12,10 @@
 impl Upstreams {
     /// Records the pace that a server reports.
     pub(crate) fn note_told_pace(&self, server: &ServerRecord, load: ServerLoad) {
-        let Some(pace) = load.work_percent.and_then(Pace::of_percent) else {
+        let Some(pace) = load.work_percent.and_then(Slowdown::of_percent) else {
             return;
         };
-        if self.node.loads.note_told_pace(&server.id, pace) {
+        if self.node.loads.note_reported_slowdown(&server.id, pace) {
             self.log_pace(server, pace, "told");
         }
     }
@@ -23,22 +23,26 @@
     /// Records a measured event gap. For servers that report no pace it is ignored, since longer
     /// gaps may result from load, which already counts.
     pub(crate) fn record_gap_pace(&self, server: &ServerRecord, gap: Duration) {
-        if !self.node.loads.tells_pace(&server.id) {
+        if !self.node.loads.reports_slowdown(&server.id) {
             return;
         }
-        let reported = self.node.loads.told_pace(&server.id);
+        let reported = self.node.loads.reported_slowdown(&server.id);
         let usual = gap.div_f64(reported.times());
-        let times = &self.node.times;
+        let times = &self.node.response_times;
         let Some(usual) = times.record_normalized_gap(&server.service, usual) else {
             return;
         };
         let excess_pace = excess_pace(gap, usual, reported);
-        if self.node.loads.note_excess_pace(&server.id, excess_pace) {
+        if self
+            .node
+            .loads
+            .note_excess_slowdown(&server.id, excess_pace)
+        {
             self.log_pace(server, excess_pace, "excess");
         }
     }
 
-    fn log_pace(&self, server: &ServerRecord, pace: Pace, by: &str) {
+    fn log_pace(&self, server: &ServerRecord, pace: Slowdown, by: &str) {
         Metrics::count(&self.node.metrics.pace_changes);
         self.node.log.write(
             "server_pace",
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dappleyard_cluster::{LoadSummary, Temperature, WayWeights, Ways};
+use dappleyard_cluster::{DistanceWeights, LoadSummary, WarmupState, ZoneDistances};
 use dappleyard_model::{Distance, PromptPart, ServerRecord};
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -20,7 +20,7 @@
 const EXCESS_MS_PER_REQUEST: f64 = 12.0;
 /// Weights of the network path. Its latency delays the first event and weighs as much as any other
 /// delay.
-const PATH_WEIGHTS: WayWeights = WayWeights {
+const PATH_WEIGHTS: DistanceWeights = DistanceWeights {
     other_zone: 6.0,
     ms_per_unit: EXCESS_MS_PER_REQUEST,
 };
@@ -85,7 +85,7 @@
 /// one.
 pub fn sample<'a>(
     servers: &[&'a Arc<ServerRecord>],
-    ways: &Ways,
+    zone_distances: &ZoneDistances,
     affinity_server: Option<&str>,
     random: &mut impl Rng,
 ) -> Vec<&'a Arc<ServerRecord>> {
@@ -99,7 +99,7 @@
     for (distance, most) in sampled {
         let at_distance = servers.iter().copied();
         let at_distance: Vec<_> = at_distance
-            .filter(|server| ways.distance(&server.zone) == distance)
+            .filter(|server| zone_distances.distance(&server.zone) == distance)
             .collect();
         // If the own zone has no servers, for example while evacuated, its share of the sample goes
         // to the next distance.
@@ -143,7 +143,7 @@
 fn load_weight(candidate: &Candidate) -> f64 {
     let load = &candidate.load;
     let slots = f64::from(candidate.server.slots);
-    let pace = load.pace.times();
+    let pace = load.slowdown.times();
     let requests = f64::from(load.online + load.batch);
     let over = (requests + 1.0 - slots).max(0.0);
     let counted = match requests < slots {
@@ -158,17 +158,17 @@
 }
 
 /// Total weight of a candidate; the lowest is chosen.
-fn weight(candidate: &Candidate, ways: &Ways, is_affinity_server: bool) -> f64 {
+fn weight(candidate: &Candidate, zone_distances: &ZoneDistances, is_affinity_server: bool) -> f64 {
     let load = &candidate.load;
     let mut weight = load_weight(candidate);
     weight += load.excess_ms / EXCESS_MS_PER_REQUEST;
-    weight += match load.temperature {
+    weight += match load.warmup_state {
         // The rate limit keeps further requests away.
-        Some(Temperature::Warm) => 0.0,
+        Some(WarmupState::Warm) => 0.0,
         Some(_) => COLD_WEIGHT,
         None => candidate.server.cold_left_ms as f64 / COLD_MS_PER_REQUEST,
     };
-    weight += ways.weigh(&candidate.server.zone, PATH_WEIGHTS);
+    weight += zone_distances.cost(&candidate.server.zone, PATH_WEIGHTS);
     if load.suspect {
         weight += SUSPECT_WEIGHT;
     }
@@ -186,25 +186,28 @@
 /// Weight of the queue at a candidate. Batch items do not count, since they are preempted.
 fn queue_weight(candidate: &Candidate) -> f64 {
     let ahead = f64::from(candidate.load.online) + 1.0 - f64::from(candidate.server.slots);
-    ahead.max(0.0) * (1.0 + QUEUED_WEIGHT) * candidate.load.pace.times().max(1.0)
+    ahead.max(0.0) * (1.0 + QUEUED_WEIGHT) * candidate.load.slowdown.times().max(1.0)
 }
 
 /// Limits the candidates by region: those with a free slot in the own region, plus those with a
 /// free slot elsewhere whose network path costs less than the shortest queue here. Returns all
 /// candidates if there is none. Traffic between regions is expensive, so a request does not leave
 /// for a server that is merely less busy.
-pub fn limit_by_region(candidates: Vec<Candidate>, ways: &Ways) -> Vec<Candidate> {
-    if !ways.has_regions() {
+pub fn limit_by_region(
+    candidates: Vec<Candidate>,
+    zone_distances: &ZoneDistances,
+) -> Vec<Candidate> {
+    if !zone_distances.has_regions() {
         return candidates;
     }
-    let is_near = |entry: &Candidate| ways.is_near(&entry.server.zone);
+    let is_near = |entry: &Candidate| zone_distances.is_near(&entry.server.zone);
     let healthy = candidates
         .iter()
         .filter(|entry| is_near(entry) && is_healthy(entry));
     let shortest_wait = healthy.map(queue_weight).fold(f64::INFINITY, f64::min);
     // Paths within the region are ignored, since every queue here involves one.
     let serves = |entry: &Candidate| {
-        let way = ways.weigh_time(&entry.server.zone, PATH_WEIGHTS);
+        let way = zone_distances.rtt_cost(&entry.server.zone, PATH_WEIGHTS);
         has_free_slot(entry) && (is_near(entry) || way < shortest_wait)
     };
     match candidates.iter().any(serves) {
@@ -217,12 +220,12 @@
 /// the server that caches the prompt, if any.
 pub fn choose<'a>(
     candidates: &'a [Candidate],
-    ways: &Ways,
+    zone_distances: &ZoneDistances,
     affinity_server: Option<&str>,
 ) -> Option<&'a Candidate> {
     let weigh = |candidate: &Candidate| {
         let is_affinity_server = affinity_server == Some(candidate.server.id.as_str());
-        weight(candidate, ways, is_affinity_server)
+        weight(candidate, zone_distances, is_affinity_server)
     };
     candidates
         .iter()
--- a/crates/ingress/src/refusals.rs
+++ b/crates/ingress/src/refusals.rs
@@ -28,7 +28,7 @@
 /// Returns the quota of a request that did not run.
 pub(crate) fn refund_quota(node: &Node, request: &Request) {
     if let Some(tenant) = request.caller.tenant().filter(|_| request.ran == Ran::No) {
-        node.quotas.give_back(&tenant.name);
+        node.quotas.refund(&tenant.name);
     }
 }
 
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -7,15 +7,15 @@
 use futures::Stream;
 
 use crate::attempt::{AttemptError, Exchange, Ran, SUSPECT_DURATION, Upstreams};
-use crate::crashes::Broken;
+use crate::crashes::InterruptedRun;
 use crate::dispatch::{Dispatched, Request, Started, dispatch, is_event_route};
 use crate::error_kind::ErrorKind;
 use crate::event_gaps::EventGaps;
 use crate::event_stream::EventSplitter;
 use crate::metrics::Metrics;
 use crate::node::{DisconnectLogger, InFlightGuard};
-use crate::response_buffer::{ReadAhead, StallFlag};
-use crate::silence_limits::Patience;
+use crate::response_buffer::{BufferedResponse, StallFlag};
+use crate::silence_limits::SilenceLimits;
 use dappleyard_clock::Instant;
 
 const STREAM_TIMEOUT: Duration = Duration::from_millis(900);
@@ -23,7 +23,7 @@
 /// The response cannot be completed. The client's connection is closed without the end of the body.
 #[derive(Debug, Display, Error)]
 #[display("the response was truncated")]
-pub struct Cut;
+pub struct TruncatedResponse;
 
 /// Streams the response body.
 pub(crate) fn body(
@@ -32,11 +32,11 @@
     started: Started,
     in_flight: InFlightGuard,
     disconnect_logger: DisconnectLogger,
-) -> impl Stream<Item = Result<Bytes, Cut>> {
+) -> impl Stream<Item = Result<Bytes, TruncatedResponse>> {
     let (node, id) = (upstreams.node().clone(), request.facts.id.clone());
     let stalled = StallFlag::default();
     let relay = Relay::new(upstreams, request, started, stalled.clone());
-    let ahead = ReadAhead::start(node, id, stalled, relay.into_pieces());
+    let ahead = BufferedResponse::start(node, id, stalled, relay.into_pieces());
     async_stream::stream! {
         let _in_flight = in_flight;
         loop {
@@ -93,7 +93,7 @@
         }
     }
 
-    fn into_pieces(mut self) -> impl Stream<Item = Result<Bytes, Cut>> {
+    fn into_pieces(mut self) -> impl Stream<Item = Result<Bytes, TruncatedResponse>> {
         async_stream::try_stream! {
             while let Some(piece) = self.next().await? {
                 yield piece;
@@ -102,7 +102,7 @@
     }
 
     /// The next bytes for the client; `None` at the end of the response.
-    async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn next(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         loop {
             if let Some(event) = self.splitter.next_event() {
                 self.record_event();
@@ -127,7 +127,7 @@
 
     async fn read(&mut self) -> Result<Option<Bytes>, AttemptError> {
         let remaining = self.request.remaining();
-        let patience = self.patience();
+        let limits = self.limits();
         let upstreams = self.upstreams.clone();
         let Some(started) = &mut self.started else {
             return Ok(None);
@@ -137,23 +137,23 @@
         } = &mut started.exchange;
         let reading = async {
             let piece = connection.next_piece().await;
-            piece.map_err(|error| AttemptError::inside_answer(&error))
+            piece.map_err(|error| AttemptError::truncated_response(&error))
         };
         let since = Instant::now();
-        let waiting = upstreams.with_patience(server, patience, reading);
+        let waiting = upstreams.with_silence_limits(server, limits, reading);
         let piece = match dappleyard_clock::timeout(remaining, waiting).await {
             Ok(piece) => piece?,
             Err(_) => {
-                return Err(AttemptError::own(Ran::Yes, "deadline exceeded"));
+                return Err(AttemptError::local(Ran::Yes, "deadline exceeded"));
             }
         };
         let node = upstreams.node();
-        node.loads.heard(&server.id);
+        node.loads.note_received(&server.id);
         // A gap that contains a stop of the reader says nothing about the server.
         let was_stalled = self.stalled.take();
         if self.events > 0 && piece.is_some() && !was_stalled {
             let (service, pause) = (&self.request.service, since.elapsed());
-            node.times.record_gap(service, pause);
+            node.response_times.record_gap(service, pause);
             if let Some(pause) = self.gaps.record(pause) {
                 upstreams.record_gap_pace(server, pause);
             }
@@ -161,16 +161,16 @@
         Ok(piece)
     }
 
-    fn patience(&self) -> Patience {
+    fn limits(&self) -> SilenceLimits {
         let request = &self.request;
-        let times = &self.upstreams.node().times;
+        let times = &self.upstreams.node().response_times;
         let suspect_after = match self.events {
             0 => times.first_event_timeout(&request.service, request.shape.tokens),
-            _ => times.pause_notice(&request.service),
+            _ => times.gap_timeout(&request.service),
         };
-        Patience::leave_after(STREAM_TIMEOUT)
-            .notice_after(suspect_after)
-            .leaving_if(request.route.may_repeat())
+        SilenceLimits::abandoning_after(STREAM_TIMEOUT)
+            .suspecting_after(suspect_after)
+            .abandoning_if(request.route.may_repeat())
     }
 
     fn record_event(&mut self) {
@@ -184,7 +184,7 @@
             started.work.prompt_read();
             let sent = started.sent.elapsed();
             let request = &self.request;
-            node.times
+            node.response_times
                 .record_first_event(&request.service, request.shape.tokens, sent);
             let elapsed_ms = sent.as_millis() as f64;
             let expected = 30.0 + f64::from(self.request.shape.tokens) / 30.0;
@@ -196,19 +196,19 @@
         node.metrics.note_first_event(since_arrival);
     }
 
-    fn finish(&mut self) -> Result<Option<Bytes>, Cut> {
+    fn finish(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         self.ended = true;
         let node = self.upstreams.node().clone();
         let rest = self.splitter.rest();
         if let Some(started) = self.started.take() {
             if !started.exchange.is_framed() && !rest.is_empty() {
                 self.log_truncated("the server closed the connection within an event");
-                return Err(Cut);
+                return Err(TruncatedResponse);
             }
             self.upstreams.note_served(&started.run);
             if self.request.runs == 1 {
                 let hold_time = started.sent.elapsed();
-                node.rooms
+                node.capacities
                     .record_hold_time(&self.request.service, hold_time);
             }
             let server = started.exchange.server.id.clone();
@@ -224,22 +224,24 @@
         Ok((!rest.is_empty()).then_some(rest))
     }
 
-    async fn resume(&mut self, error: AttemptError) -> Result<(), Cut> {
+    async fn resume(&mut self, error: AttemptError) -> Result<(), TruncatedResponse> {
         let node = self.upstreams.node().clone();
         let failed = self.started.take();
         self.splitter.rest();
         let mut server = None;
         if let Some(started) = failed {
             let broken = started.exchange.server;
-            let run = Broken {
+            let run = InterruptedRun {
                 error: &error,
-                output_for: self.output_since.map(|since| since.elapsed()),
+                output_duration: self.output_since.map(|since| since.elapsed()),
             };
-            self.upstreams.judge(started.run, &broken, &run).await;
+            self.upstreams
+                .check_for_crash(started.run, &broken, &run)
+                .await;
             server = Some(broken.id.clone());
         }
         if let Some(server) = server.as_ref().filter(|_| error.unreachable) {
-            node.loads.suspect(server, SUSPECT_DURATION);
+            node.loads.mark_suspect(server, SUSPECT_DURATION);
         }
         node.log.write("stream_broke", || {
             serde_json::json!({"request": self.request.facts.id, "server": server,
@@ -250,7 +252,7 @@
         let resumable = is_event_route(&self.request.route) && self.request.route.resumable;
         if !resumable {
             self.log_truncated(&error.reason);
-            return Err(Cut);
+            return Err(TruncatedResponse);
         }
         match dispatch(&self.upstreams, &mut self.request, self.last_event).await {
             Dispatched::Started(started) => {
@@ -265,15 +267,15 @@
                     "resuming the stream failed with status {}",
                     failed.status
                 ));
-                Err(Cut)
+                Err(TruncatedResponse)
             }
             Dispatched::Late(_) => {
                 self.log_truncated(&ErrorKind::NoRoomInTime.to_string());
-                Err(Cut)
+                Err(TruncatedResponse)
             }
             Dispatched::GaveUp(kind) => {
                 self.log_truncated(&kind.to_string());
-                Err(Cut)
+                Err(TruncatedResponse)
             }
         }
     }
--- a/crates/ingress/src/response_buffer.rs
+++ b/crates/ingress/src/response_buffer.rs
@@ -22,7 +22,7 @@
 
 use crate::metrics::Metrics;
 use crate::node::Node;
-use crate::relay::Cut;
+use crate::relay::TruncatedResponse;
 
 /// Fraction of the machine's memory for buffered responses, as a divisor.
 const MEMORY_DIVISOR: usize = 8;
@@ -30,7 +30,7 @@
 const FULL_BUFFERS: usize = 64;
 /// How long a response may stay at a limit while the client reads nothing. Servers abort unread
 /// responses after some seconds.
-pub const LONGEST_STOP: Duration = Duration::from_millis(1_000);
+pub const MAX_STALL: Duration = Duration::from_millis(1_000);
 /// Interval for rechecking the total, which other responses may reduce.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum chunk size. The client's connection holds another copy of a chunk.
@@ -51,14 +51,14 @@
 
 /// Limits on buffered response data, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptBounds {
+pub struct BufferLimits {
     /// Per response.
     pub answer_bytes: usize,
     /// For all responses together.
     pub node_bytes: usize,
 }
 
-impl KeptBounds {
+impl BufferLimits {
     /// Derives the limits from a machine's memory.
     pub fn of(resources: Resources) -> Self {
         let memory_bytes = resources.memory_mb as usize * 1024 * 1024;
@@ -130,10 +130,10 @@
 /// Buffer of one response, shared by its reader and the client's stream.
 struct ResponseBuffer {
     node: Arc<Node>,
-    limits: KeptBounds,
+    limits: BufferLimits,
     chunks: RefCell<ChunkQueue>,
     /// Result of the response, set after its last piece is buffered.
-    end: RefCell<Option<Result<(), Cut>>>,
+    end: RefCell<Option<Result<(), TruncatedResponse>>>,
     filled: Notify,
     taken: Notify,
     stalled: StallFlag,
@@ -145,7 +145,7 @@
         let before = chunks.allocated_bytes();
         chunks.push(piece);
         let more = (chunks.allocated_bytes() - before) as u64;
-        self.node.kept_bytes.fetch_add(more, Ordering::Relaxed);
+        self.node.buffered_bytes.fetch_add(more, Ordering::Relaxed);
         self.filled.notify_one();
     }
 
@@ -159,12 +159,12 @@
     }
 
     fn release(&self, size: usize) {
-        let kept_bytes = &self.node.kept_bytes;
-        kept_bytes.fetch_sub(size as u64, Ordering::Relaxed);
+        let buffered_bytes = &self.node.buffered_bytes;
+        buffered_bytes.fetch_sub(size as u64, Ordering::Relaxed);
     }
 
     fn limit_reached(&self) -> Option<BufferLimit> {
-        let all = self.node.kept_bytes.load(Ordering::Relaxed);
+        let all = self.node.buffered_bytes.load(Ordering::Relaxed);
         self.limits
             .limit_reached(self.chunks.borrow().allocated_bytes(), all as usize)
     }
@@ -174,7 +174,7 @@
     async fn wait_for_space(&self) -> Result<(), BufferLimit> {
         let mut waiting_since = Instant::now();
         while let Some(limit) = self.limit_reached() {
-            if waiting_since.elapsed() >= LONGEST_STOP {
+            if waiting_since.elapsed() >= MAX_STALL {
                 return Err(limit);
             }
             self.stalled.set(true);
@@ -197,13 +197,13 @@
 /// Reports the end of reading to the client's stream, even if the reader is dropped.
 struct EndGuard {
     buffer: Rc<ResponseBuffer>,
-    end: Option<Result<(), Cut>>,
+    end: Option<Result<(), TruncatedResponse>>,
 }
 
 impl Drop for EndGuard {
     fn drop(&mut self) {
         // A reader dropped before the end leaves a truncated response.
-        let end = self.end.take().unwrap_or(Err(Cut));
+        let end = self.end.take().unwrap_or(Err(TruncatedResponse));
         *self.buffer.end.borrow_mut() = Some(end);
         self.buffer.filled.notify_one();
     }
@@ -214,21 +214,21 @@
 pub type StallFlag = Rc<Cell<bool>>;
 
 /// A response that is read in a background task, which ends when this is dropped.
-pub struct ReadAhead {
+pub struct BufferedResponse {
     buffer: Rc<ResponseBuffer>,
     reader: tokio::task::JoinHandle<()>,
 }
 
-impl ReadAhead {
+impl BufferedResponse {
     /// Starts to read the pieces of a request's response. Sets `stalled` at each stop.
     pub fn start(
         node: Arc<Node>,
         request: String,
         stalled: StallFlag,
-        pieces: impl Stream<Item = Result<Bytes, Cut>> + 'static,
+        pieces: impl Stream<Item = Result<Bytes, TruncatedResponse>> + 'static,
     ) -> Self {
         let buffer = Rc::new(ResponseBuffer {
-            limits: KeptBounds::of(node.settings.resources),
+            limits: BufferLimits::of(node.settings.resources),
             node,
             chunks: RefCell::default(),
             end: RefCell::default(),
@@ -241,7 +241,7 @@
     }
 
     /// The next bytes for the client; `None` at the end. Fails if the response was truncated.
-    pub async fn next(&self) -> Result<Option<Bytes>, Cut> {
+    pub async fn next(&self) -> Result<Option<Bytes>, TruncatedResponse> {
         loop {
             if let Some(piece) = self.buffer.take() {
                 return Ok(Some(piece));
@@ -254,7 +254,7 @@
     }
 }
 
-impl Drop for ReadAhead {
+impl Drop for BufferedResponse {
     fn drop(&mut self) {
         self.reader.abort();
     }
@@ -263,7 +263,7 @@
 async fn read(
     buffer: Rc<ResponseBuffer>,
     request: String,
-    pieces: impl Stream<Item = Result<Bytes, Cut>>,
+    pieces: impl Stream<Item = Result<Bytes, TruncatedResponse>>,
 ) {
     tokio::pin!(pieces);
     let mut end_guard = EndGuard {
@@ -296,6 +296,6 @@
     buffer.node.log.write("answer_unread", || {
         serde_json::json!({"request": request, "bound": limit.to_string(),
             "kept_bytes": buffer.chunks.borrow().allocated_bytes(),
-            "all_kept_bytes": buffer.node.kept_bytes.load(Ordering::Relaxed)})
+            "all_kept_bytes": buffer.node.buffered_bytes.load(Ordering::Relaxed)})
     });
 }
--- a/crates/ingress/src/response_times.rs
+++ b/crates/ingress/src/response_times.rs
@@ -113,14 +113,14 @@
 
 /// Response times of all services, as seen by one node.
 #[derive(Debug, Default)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     first: Mutex<HashMap<(String, u32), LatencyHistogram>>,
     gaps: Mutex<HashMap<String, LatencyHistogram>>,
     /// Gaps between events, divided by the pace that the server reports.
     normalized_gaps: Mutex<HashMap<String, LatencyHistogram>>,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// Records the time from sending a request to its first event.
     pub fn record_first_event(&self, service: &str, tokens: u32, elapsed: Duration) {
         let key = (service.to_owned(), size_class(tokens));
@@ -161,7 +161,7 @@
     }
 
     /// Gap between events after which the server becomes suspect.
-    pub fn pause_notice(&self, service: &str) -> Duration {
+    pub fn gap_timeout(&self, service: &str) -> Duration {
         let times = self.gaps.lock();
         times
             .get(service)
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -11,10 +11,10 @@
 
 use crate::attempt::Upstreams;
 use crate::capacity::{self, WaitState};
-use crate::cold_limit::ColdGate;
-use crate::crashes::apart;
+use crate::cold_limit::ColdLimit;
+use crate::crashes::last_run_server;
 use crate::dispatch::Request;
-use crate::home_regions::reached;
+use crate::home_regions::candidate_servers;
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::placement::{
@@ -161,7 +161,7 @@
     let distance = upstreams
         .node()
         .view
-        .ways()
+        .zone_distances()
         .distance(&placement.server.zone);
     if distance == Distance::OtherRegion {
         Metrics::count(&upstreams.node().metrics.left_region);
@@ -173,7 +173,7 @@
             "again": request.is_retry, "candidates": placement.candidates, "kept": placement.cached,
             "online": load.online, "batch": load.batch,
             "unread_tokens": load.unread_tokens, "suspect": load.suspect,
-            "pace_percent": load.pace.percent(),
+            "pace_percent": load.slowdown.percent(),
             "age_ms": request.arrived.elapsed().as_millis() as u64,
             "remaining_ms": request.remaining().as_millis() as u64})
     });
@@ -185,7 +185,7 @@
     if request.tried.len() >= MAX_SERVERS_TRIED {
         return None;
     }
-    let limit = ColdGate::of(node, &request.service);
+    let limit = ColdLimit::of(node, &request.service);
     let servers = node.view.servers(&request.service);
     let affinity_server = request
         .shape
@@ -198,27 +198,30 @@
     let extra = affinity_server.filter(|_| servers.is_large());
     let may_take = |server: &&Arc<ServerRecord>| {
         !request.tried.contains(&server.id)
-            && request.homes.allow(&server.zone, &node.settings.places)
+            && request
+                .homes
+                .allows_zone(&server.zone, &node.settings.places)
             && limit.as_ref().is_none_or(|limit| limit.allows(server))
     };
-    let reached = reached(&servers, &request.homes, node).chain(extra);
-    let open: Vec<&Arc<ServerRecord>> = reached.filter(may_take).collect();
+    let candidate_servers = candidate_servers(&servers, &request.homes, node).chain(extra);
+    let open: Vec<&Arc<ServerRecord>> = candidate_servers.filter(may_take).collect();
     if node.crashes.permit(&request.fingerprint) == Permit::LastRun {
         return select_for_last_run(node, request, &open);
     }
-    let ways = node.view.ways();
+    let zone_distances = node.view.zone_distances();
     let affinity_id = affinity_server.map(|affinity_server| affinity_server.id.as_str());
     let some_of = |servers: &[&Arc<ServerRecord>]| -> Vec<Candidate> {
-        let sampled = sample(servers, ways, affinity_id, &mut rand::rng());
-        limit_by_region(sampled.into_iter().map(candidate).collect(), ways)
+        let sampled = sample(servers, zone_distances, affinity_id, &mut rand::rng());
+        limit_by_region(sampled.into_iter().map(candidate).collect(), zone_distances)
     };
     let large = node.peers.is_large();
     let mut candidates = match large {
         true => some_of(&open),
         false => Vec::new(),
     };
-    let free_near = |held: &Candidate| ways.is_near(&held.server.zone) && has_free_slot(held);
-    if large && ways.has_regions() && !candidates.iter().any(free_near) {
+    let free_near =
+        |held: &Candidate| zone_distances.is_near(&held.server.zone) && has_free_slot(held);
+    if large && zone_distances.has_regions() && !candidates.iter().any(free_near) {
         // Checks all servers of the region before the request leaves it.
         let free = open.iter().copied();
         let free: Vec<_> = free
@@ -229,13 +232,13 @@
         }
     }
     let healthy = |chosen: &&Candidate| is_healthy(chosen);
-    if choose(&candidates, ways, affinity_id)
+    if choose(&candidates, zone_distances, affinity_id)
         .filter(healthy)
         .is_none()
     {
-        candidates = limit_by_region(open.into_iter().map(candidate).collect(), ways);
+        candidates = limit_by_region(open.into_iter().map(candidate).collect(), zone_distances);
     }
-    let chosen = choose(&candidates, ways, affinity_id)?;
+    let chosen = choose(&candidates, zone_distances, affinity_id)?;
     Some(Placement {
         server: chosen.server.clone(),
         cached: affinity_id == Some(chosen.server.id.as_str()),
@@ -265,7 +268,7 @@
     let chosen = choices.into_iter().find_map(|is_open| {
         let open = candidates.iter().filter(|candidate| is_open(candidate));
         let open = open.map(|candidate| candidate.server.clone()).collect();
-        apart(node, &request.fingerprint, open)
+        last_run_server(node, &request.fingerprint, open)
     })?;
     Some(Placement {
         load: node.loads.summary(&chosen.id),
@@ -279,14 +282,14 @@
 /// Whether only the limits on cold servers keep a request from some server.
 fn is_cold_limited(upstreams: &Upstreams, request: &Request) -> bool {
     let node = upstreams.node();
-    let Some(limit) = ColdGate::of(node, &request.service) else {
+    let Some(limit) = ColdLimit::of(node, &request.service) else {
         return false;
     };
     let left = request.tried.len() < MAX_SERVERS_TRIED;
     let servers = node.view.servers(&request.service);
     let places = &node.settings.places;
-    let mut open = reached(&servers, &request.homes, node)
-        .filter(|server| request.homes.allow(&server.zone, places))
+    let mut open = candidate_servers(&servers, &request.homes, node)
+        .filter(|server| request.homes.allows_zone(&server.zone, places))
         .filter(|server| !request.tried.contains(&server.id));
     left && open.any(|server| !limit.allows(server))
 }
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -11,7 +11,7 @@
 use dappleyard_clock::Instant;
 use dappleyard_cluster::Work;
 use dappleyard_model::{
-    Configuration, Homes, RateLimit, RequestFacts, Route, Tenant, TenantName, Tenants,
+    Configuration, HomeRegions, RateLimit, RequestMetadata, Route, Tenant, TenantName, Tenants,
 };
 use dappleyard_room::{Claim, Demand, OverShare, Shares, TenantWork};
 use dappleyard_tenants::{Caller, tenant_number};
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Default)]
 struct TenantShare {
     /// Online requests in flight, over all nodes and services.
-    under_way: u32,
+    in_flight: u32,
     /// Slots granted in overloaded services; `None` if no service is overloaded.
     share: Option<f64>,
     /// Requests refused by this node as over the share.
@@ -141,10 +141,10 @@
     caller: &Caller,
     route: &Route,
     service: &str,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<Option<ShareGuard>, Refusal> {
     let shared = node.settings.load_shedding && !is_resumption(route, facts);
-    if !shared || *caller == Caller::Untold {
+    if !shared || *caller == Caller::TenantsDisabled {
         return Ok(None);
     }
     // All clients without a key count as one tenant.
@@ -169,19 +169,21 @@
     node: &Node,
     caller: &Caller,
     over: &OverShare,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Refusal {
     Metrics::count(&node.metrics.over_share);
     let (who, retry_after) = match caller.tenant() {
         Some(tenant) => {
-            node.quotas.give_back(&tenant.name);
+            node.quotas.refund(&tenant.name);
             node.shares.record_refusal(&tenant.name);
             let forecast = CapacityForecast {
                 earliest: over.retry_after,
                 per_s: over.completions_per_s,
                 nodes: node.peers.count(),
             };
-            let after = node.rooms.tenant_retry_delay(&tenant.name, forecast, facts);
+            let after = node
+                .capacities
+                .tenant_retry_delay(&tenant.name, forecast, facts);
             (format!("tenant {}", tenant.name), after)
         }
         None => {
@@ -203,7 +205,7 @@
         return;
     }
     let SlotUsage { slots, online } =
-        slot_usage(node, &node.view.servers(service), &Homes::default());
+        slot_usage(node, &node.view.servers(service), &HomeRegions::default());
     let demand = node.loads.demand.total(service);
     let usage = ServiceUsage {
         slots,
@@ -298,7 +300,7 @@
             ..TenantShare::default()
         };
         for snapshot in state.snapshots.values() {
-            figures.under_way += snapshot.requests.get(&number).copied().unwrap_or_default();
+            figures.in_flight += snapshot.requests.get(&number).copied().unwrap_or_default();
             if let Some(share) = snapshot.shares.of(weight) {
                 figures.share = Some(figures.share.unwrap_or_default() + share);
             }
@@ -325,7 +327,7 @@
         .collect();
     let mut text = String::from("# TYPE dappleyard_tenant_under_way gauge\n");
     for (name, figures) in &all {
-        let (name, value) = (name.as_str(), figures.under_way);
+        let (name, value) = (name.as_str(), figures.in_flight);
         text += &format!("dappleyard_tenant_under_way{{tenant={name:?}}} {value}\n");
     }
     text += "# TYPE dappleyard_tenant_share_slots gauge\n";
--- a/crates/ingress/src/shutdown.rs
+++ b/crates/ingress/src/shutdown.rs
@@ -12,7 +12,7 @@
 const IDLE_POLLS: u32 = 4;
 
 /// Stops accepting connections and waits until no request is in flight, or until `last`.
-pub async fn close(server: &ServerHandle, in_flight: &AtomicU64, last: Instant) {
+pub async fn finish_requests(server: &ServerHandle, in_flight: &AtomicU64, last: Instant) {
     server.pause().await;
     let mut idle_polls = 0;
     while idle_polls < IDLE_POLLS && Instant::now() < last {
--- a/crates/ingress/src/silence_limits.rs
+++ b/crates/ingress/src/silence_limits.rs
@@ -2,27 +2,27 @@
 
 use std::time::Duration;
 
-use dappleyard_cluster::Pace;
+use dappleyard_cluster::Slowdown;
 
 /// Silence limits of one wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct SilenceLimits {
     /// The server becomes suspect, but the wait continues.
     pub suspect_after: Duration,
     /// The attempt is abandoned; `None` for never.
     pub abandon_after: Option<Duration>,
 }
 
-impl Patience {
+impl SilenceLimits {
     /// Abandons the attempt and marks the server as suspect at the same time.
-    pub fn leave_after(silence: Duration) -> Self {
+    pub fn abandoning_after(silence: Duration) -> Self {
         Self {
             suspect_after: silence,
             abandon_after: Some(silence),
         }
     }
 
-    pub fn notice_after(self, silence: Duration) -> Self {
+    pub fn suspecting_after(self, silence: Duration) -> Self {
         Self {
             suspect_after: silence,
             ..self
@@ -30,7 +30,7 @@
     }
 
     /// Keeps the attempt unless the request may run again.
-    pub fn leaving_if(self, may_run_again: bool) -> Self {
+    pub fn abandoning_if(self, may_run_again: bool) -> Self {
         Self {
             abandon_after: self.abandon_after.filter(|_| may_run_again),
             ..self
@@ -40,7 +40,7 @@
     /// Time until a server of this pace becomes suspect: longer for a slow server, up to `most`.
     /// The time until the attempt is abandoned is unaffected, so repeatable requests leave slow
     /// servers as early as others.
-    pub fn suspect_time(self, pace: Pace, most: Duration) -> Duration {
+    pub fn suspect_time(self, pace: Slowdown, most: Duration) -> Duration {
         let stretched = self.suspect_after.mul_f64(pace.times().max(1.0));
         stretched.min(most).max(self.suspect_after)
     }
--- a/crates/ingress/src/slot_usage.rs
+++ b/crates/ingress/src/slot_usage.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use dappleyard_cluster::ServerSet;
-use dappleyard_model::{Homes, ServerRecord};
+use dappleyard_model::{HomeRegions, ServerRecord};
 use rand::seq::IteratorRandom;
 
-use crate::home_regions::reached;
+use crate::home_regions::candidate_servers;
 use crate::node::Node;
 
 /// Servers that are examined at most; larger fleets are sampled to bound the cost.
@@ -22,13 +22,13 @@
 
 /// Sums up the servers that requests with these home regions may use. Queue lengths are reported
 /// per region, so the sampled servers are scaled up to the whole region.
-pub(crate) fn slot_usage(node: &Node, servers: &ServerSet, homes: &Homes) -> SlotUsage {
-    let (places, ways) = (&node.settings.places, node.view.ways());
-    let allowed = |server: &&Arc<ServerRecord>| match homes.bind() {
-        true => homes.allow(&server.zone, places),
-        false => !ways.has_regions() || ways.is_near(&server.zone),
+pub(crate) fn slot_usage(node: &Node, servers: &ServerSet, homes: &HomeRegions) -> SlotUsage {
+    let (places, zone_distances) = (&node.settings.places, node.view.zone_distances());
+    let allowed = |server: &&Arc<ServerRecord>| match homes.is_restricted() {
+        true => homes.allows_zone(&server.zone, places),
+        false => !zone_distances.has_regions() || zone_distances.is_near(&server.zone),
     };
-    let sampled = reached(servers, homes, node)
+    let sampled = candidate_servers(servers, homes, node)
         .filter(allowed)
         .choose_multiple(&mut rand::rng(), MAX_SAMPLED_SERVERS);
     let all = servers.all.iter().filter(allowed).count();
--- a/crates/ingress/src/temperature_monitor.rs
+++ b/crates/ingress/src/temperature_monitor.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_cluster::{Teller, Temperature};
+use dappleyard_cluster::{WarmupSource, WarmupState};
 use dappleyard_model::{ServerRecord, Service};
 use rand::Rng;
 
 use crate::attempt::Upstreams;
-use crate::cold_limit::{ColdGate, cold_share, temperature};
+use crate::cold_limit::{ColdLimit, cold_share, temperature};
 use crate::connections::HEALTH_TIMEOUT;
 use crate::metrics::Metrics;
 
@@ -29,7 +29,7 @@
 
 /// Last observed state of a server.
 struct ObservedServer {
-    temperature: Temperature,
+    temperature: WarmupState,
     next_check: Option<Instant>,
     seen: Instant,
 }
@@ -38,7 +38,7 @@
 
 /// Monitors the temperatures of the servers this node uses. Returns at once if no limit for cold
 /// servers is configured.
-pub async fn watch_temperatures(upstreams: Upstreams) {
+pub async fn monitor_warmup(upstreams: Upstreams) {
     let observed_servers = ObservedServers::default();
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -55,12 +55,12 @@
             let Some(share) = cold_share(service, node.settings.bounds.cold) else {
                 continue;
             };
-            let limit = ColdGate::new(node, share);
+            let limit = ColdLimit::new(node, share);
             for server in &node.view.servers(&service.name).used {
                 match observe(&upstreams, &limit, &observed_servers, service, server, now) {
-                    Temperature::Warm => {}
-                    Temperature::Cold => cold += 1,
-                    Temperature::InDoubt | Temperature::Unknown => unknown += 1,
+                    WarmupState::Warm => {}
+                    WarmupState::Cold => cold += 1,
+                    WarmupState::InDoubt | WarmupState::Unknown => unknown += 1,
                 }
             }
         }
@@ -76,16 +76,16 @@
 
 fn observe(
     upstreams: &Upstreams,
-    limit: &ColdGate<'_>,
+    limit: &ColdLimit<'_>,
     observed_servers: &ObservedServers,
     service: &Service,
     server: &Arc<ServerRecord>,
     now: Instant,
-) -> Temperature {
+) -> WarmupState {
     let (temperature, teller) = temperature(upstreams.node(), server);
     let mut servers = observed_servers.borrow_mut();
     let observed = servers.entry(server.id.clone()).or_insert(ObservedServer {
-        temperature: Temperature::Warm,
+        temperature: WarmupState::Warm,
         next_check: None,
         seen: now,
     });
@@ -93,7 +93,7 @@
     if std::mem::replace(&mut observed.temperature, temperature) != temperature {
         log_change(upstreams, server, temperature, teller);
     }
-    if matches!(temperature, Temperature::Warm | Temperature::Cold) {
+    if matches!(temperature, WarmupState::Warm | WarmupState::Cold) {
         observed.next_check = None;
         return temperature;
     }
@@ -117,13 +117,13 @@
 /// others.
 fn check_delay(
     upstreams: &Upstreams,
-    limit: &ColdGate<'_>,
+    limit: &ColdLimit<'_>,
     server: &ServerRecord,
-    teller: Teller,
+    teller: WarmupSource,
 ) -> Option<Duration> {
     let node = upstreams.node();
     let idle = node.last_request.lock().elapsed() > IDLE_AFTER;
-    if teller == Teller::Unused && idle {
+    if teller == WarmupSource::Unused && idle {
         return None;
     }
     match limit.rank(server) {
@@ -143,7 +143,9 @@
         let sent_at = Instant::now();
         if path.is_empty() {
             // The service has no health endpoint: assume a full warm-up time.
-            return node.loads.note_checked(&server.id, sent_at, cold_start);
+            return node
+                .loads
+                .note_warmup_report(&server.id, sent_at, cold_start);
         }
         Metrics::count(&node.metrics.health_questions);
         let response = upstreams
@@ -174,20 +176,20 @@
             // The remaining time counts from the response, not from the request.
             false => cold + sent_at.elapsed(),
         };
-        node.loads.note_checked(&server.id, sent_at, cold);
+        node.loads.note_warmup_report(&server.id, sent_at, cold);
     });
 }
 
 fn log_change(
     upstreams: &Upstreams,
     server: &ServerRecord,
-    temperature: Temperature,
-    teller: Teller,
+    temperature: WarmupState,
+    teller: WarmupSource,
 ) {
     let event = match temperature {
-        Temperature::Warm => "server_warm",
-        Temperature::Cold => "server_cold",
-        Temperature::InDoubt | Temperature::Unknown => "server_temperature_unknown",
+        WarmupState::Warm => "server_warm",
+        WarmupState::Cold => "server_cold",
+        WarmupState::InDoubt | WarmupState::Unknown => "server_temperature_unknown",
     };
     upstreams.node().log.write(event, || {
         serde_json::json!({"server": server.id, "zone": server.zone, "told_by": teller.to_string(),
--- a/crates/ingress/src/zone_monitor.rs
+++ b/crates/ingress/src/zone_monitor.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_cluster::{ServerSet, ServerSign, SuspicionChange, ZoneSuspicion};
+use dappleyard_cluster::{ServerObservation, ServerSet, SuspicionChange, ZoneSuspicion};
 use dappleyard_model::ServerRecord;
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -22,25 +22,25 @@
 const MAX_PROBES: usize = 8;
 
 /// Monitors the servers this node uses until the process ends.
-pub async fn watch_zones(upstreams: Upstreams) {
+pub async fn monitor_zones(upstreams: Upstreams) {
     let node = upstreams.node().clone();
     let mut zones = ZoneSuspicion::default();
     loop {
-        if !zones.is_any() && !node.loads.is_any_suspect() {
+        if !zones.any_suspected() && !node.loads.is_any_suspect() {
             // Sleeps until a server becomes suspect instead of polling.
-            node.loads.found_silent().await;
+            node.loads.wait_for_silence().await;
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
         let sets = server_sets(&node);
         let used = sets.iter().flat_map(|set| &set.used);
-        let signs: Vec<ServerSign<'_>> = used.map(|server| sign(&node, server)).collect();
-        for change in zones.judge(&signs, Instant::now()) {
+        let signs: Vec<ServerObservation<'_>> = used.map(|server| sign(&node, server)).collect();
+        for change in zones.evaluate(&signs, Instant::now()) {
             log_change(&node, &change);
         }
         let held = sets.iter().flat_map(|set| &set.all);
-        let held = held.filter(|server| zones.holds_back(&server.zone));
+        let held = held.filter(|server| zones.is_restricted(&server.zone));
         node.loads
-            .hold_back(held.map(|server| server.id.as_str()).collect());
+            .restrict(held.map(|server| server.id.as_str()).collect());
         for zone in zones.suspected() {
             probe_zone(&upstreams, zone, &sets);
         }
@@ -57,11 +57,11 @@
         .collect()
 }
 
-fn sign<'a>(node: &Node, server: &'a ServerRecord) -> ServerSign<'a> {
-    ServerSign {
+fn sign<'a>(node: &Node, server: &'a ServerRecord) -> ServerObservation<'a> {
+    ServerObservation {
         zone: &server.zone,
-        suspect: node.loads.is_found_silent(&server.id),
-        silence: node.loads.silence(&server.id),
+        suspect: node.loads.is_silent(&server.id),
+        silence: node.loads.time_since_received(&server.id),
     }
 }
 
--- a/crates/ingress/tests/event_gaps.rs
+++ b/crates/ingress/tests/event_gaps.rs
@@ -1,8 +1,8 @@
-//! Server pace derived from event gaps.
+//! Server slowdown derived from event gaps.
 
 use std::time::Duration;
 
-use dappleyard_cluster::Pace;
+use dappleyard_cluster::Slowdown;
 use dappleyard_ingress::{EventGaps, excess_pace};
 use googletest::prelude::*;
 
@@ -20,27 +20,39 @@
 
 #[gtest]
 fn no_reported_pace() {
-    expect_that!(excess_pace(ms(90), ms(30), Pace::USUAL), eq(Pace::new(3.0)));
+    expect_that!(
+        excess_pace(ms(90), ms(30), Slowdown::NORMAL),
+        eq(Slowdown::new(3.0))
+    );
 }
 
 #[gtest]
 fn accurate_report() {
-    expect_that!(excess_pace(ms(90), ms(30), Pace::new(3.0)), eq(Pace::USUAL));
+    expect_that!(
+        excess_pace(ms(90), ms(30), Slowdown::new(3.0)),
+        eq(Slowdown::NORMAL)
+    );
 }
 
 #[gtest]
 fn report_too_low() {
-    let times = excess_pace(ms(126), ms(30), Pace::new(0.7)).times();
+    let times = excess_pace(ms(126), ms(30), Slowdown::new(0.7)).times();
     expect_that!(times, near(6.0, 0.01));
 }
 
 #[gtest]
 fn small_deviation() {
-    expect_that!(excess_pace(ms(40), ms(30), Pace::USUAL), eq(Pace::USUAL));
+    expect_that!(
+        excess_pace(ms(40), ms(30), Slowdown::NORMAL),
+        eq(Slowdown::NORMAL)
+    );
 }
 
 /// A server that reports itself too slow is not rated as fast.
 #[gtest]
 fn report_too_high() {
-    expect_that!(excess_pace(ms(30), ms(30), Pace::new(8.0)), eq(Pace::USUAL));
+    expect_that!(
+        excess_pace(ms(30), ms(30), Slowdown::new(8.0)),
+        eq(Slowdown::NORMAL)
+    );
 }
--- a/crates/ingress/tests/events_and_placement.rs
+++ b/crates/ingress/tests/events_and_placement.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dappleyard_cluster::{LoadSummary, Ways};
+use dappleyard_cluster::{LoadSummary, ZoneDistances};
 use dappleyard_ingress::{
     Candidate, ErrorKind, EventSplitter, PromptShape, affinity_server, choose, is_healthy, sample,
 };
@@ -66,8 +66,8 @@
         candidate("busy", "north", busy),
         candidate("free", "north", LoadSummary::default()),
     ];
-    let chosen =
-        choose(&candidates, &Ways::within("north"), None).map(|chosen| chosen.server.id.clone());
+    let chosen = choose(&candidates, &ZoneDistances::single_region("north"), None)
+        .map(|chosen| chosen.server.id.clone());
     expect_that!(chosen, some(eq("free")));
 }
 
@@ -81,8 +81,8 @@
         candidate("near", "north", full),
         candidate("far", "south", LoadSummary::default()),
     ];
-    let chosen =
-        choose(&candidates, &Ways::within("north"), None).map(|chosen| chosen.server.id.clone());
+    let chosen = choose(&candidates, &ZoneDistances::single_region("north"), None)
+        .map(|chosen| chosen.server.id.clone());
     expect_that!(chosen, some(eq("far")));
 }
 
@@ -100,10 +100,11 @@
         candidate("suspect", "north", suspect),
         candidate("full", "south", full),
     ];
-    let chosen = choose(&both, &Ways::within("north"), None).map(|chosen| chosen.server.id.clone());
+    let chosen = choose(&both, &ZoneDistances::single_region("north"), None)
+        .map(|chosen| chosen.server.id.clone());
     expect_that!(chosen, some(eq("full")));
-    let chosen =
-        choose(&both[..1], &Ways::within("north"), None).map(|chosen| chosen.server.id.clone());
+    let chosen = choose(&both[..1], &ZoneDistances::single_region("north"), None)
+        .map(|chosen| chosen.server.id.clone());
     expect_that!(chosen, some(eq("suspect")));
 }
 
@@ -171,7 +172,12 @@
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     let mut seen = std::collections::HashSet::new();
     for _ in 0..200 {
-        let sampled = sample(&servers, &Ways::within("north"), Some("i-7"), &mut random);
+        let sampled = sample(
+            &servers,
+            &ZoneDistances::single_region("north"),
+            Some("i-7"),
+            &mut random,
+        );
         let near = sampled.iter().filter(|server| server.zone == "north");
         expect_that!(near.count(), eq(4));
         expect_that!(sampled.iter().any(|server| server.id == "i-7"), eq(true));
@@ -179,7 +185,12 @@
     }
     expect_that!(seen.len(), eq(40));
     // A small zone is sampled completely.
-    let few = sample(&servers[..3], &Ways::within("north"), None, &mut random);
+    let few = sample(
+        &servers[..3],
+        &ZoneDistances::single_region("north"),
+        None,
+        &mut random,
+    );
     expect_that!(few.len(), eq(3));
 }
 
@@ -218,15 +229,21 @@
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     let mut chosen = std::collections::HashMap::new();
     for _node in 0..20 {
-        let sampled: Vec<Candidate> = sample(&servers, &Ways::within("north"), None, &mut random)
-            .into_iter()
-            .filter_map(|server| all.iter().find(|held| held.server.id == server.id).cloned())
-            .collect();
-        let choice = choose(&sampled, &Ways::within("north"), None).expect("a server");
+        let sampled: Vec<Candidate> = sample(
+            &servers,
+            &ZoneDistances::single_region("north"),
+            None,
+            &mut random,
+        )
+        .into_iter()
+        .filter_map(|server| all.iter().find(|held| held.server.id == server.id).cloned())
+        .collect();
+        let choice =
+            choose(&sampled, &ZoneDistances::single_region("north"), None).expect("a server");
         *chosen.entry(choice.server.id.clone()).or_insert(0) += 1;
     }
     expect_that!(chosen.values().max(), some(le(&5)));
     // Without sampling, all nodes make the same choice.
-    let first = choose(&all, &Ways::within("north"), None).expect("a server");
+    let first = choose(&all, &ZoneDistances::single_region("north"), None).expect("a server");
     expect_that!(first.server.id, eq("i-0"));
 }
--- a/crates/ingress/tests/home_regions.rs
+++ b/crates/ingress/tests/home_regions.rs
@@ -1,21 +1,21 @@
 //! Directory regions for hosts with home regions.
 
 use dappleyard_ingress::directory_regions;
-use dappleyard_model::{Homes, Places, RegionName, ZoneName};
+use dappleyard_model::{HomeRegions, RegionName, Topology, ZoneName};
 use googletest::prelude::*;
 
-fn places() -> Places {
+fn places() -> Topology {
     let zones = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("c1", "c")].into_iter();
     zones
         .map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region)))
         .collect()
 }
 
-fn homes(regions: &[&str]) -> Homes {
-    Homes::Within(regions.iter().map(|name| RegionName::from(*name)).collect())
+fn homes(regions: &[&str]) -> HomeRegions {
+    HomeRegions::Within(regions.iter().map(|name| RegionName::from(*name)).collect())
 }
 
-fn sent_to(zone: Option<&str>, homes: &[Homes]) -> Vec<String> {
+fn sent_to(zone: Option<&str>, homes: &[HomeRegions]) -> Vec<String> {
     let regions = directory_regions(homes, zone, &places())
         .into_iter()
         .flatten();
--- a/crates/ingress/tests/pace_placement.rs
+++ b/crates/ingress/tests/pace_placement.rs
@@ -1,8 +1,8 @@
-//! Server selection among servers of different pace.
+//! Server selection among servers of different slowdown.
 
 use std::sync::Arc;
 
-use dappleyard_cluster::{LoadSummary, Pace, Ways};
+use dappleyard_cluster::{LoadSummary, Slowdown, ZoneDistances};
 use dappleyard_ingress::{Candidate, choose, sample};
 use dappleyard_model::ServerRecord;
 use googletest::prelude::*;
@@ -24,10 +24,10 @@
     })
 }
 
-fn candidate(id: &str, zone: &str, online: u32, pace: f64) -> Candidate {
+fn candidate(id: &str, zone: &str, online: u32, slowdown: f64) -> Candidate {
     let load = LoadSummary {
         online,
-        pace: Pace::new(pace),
+        slowdown: Slowdown::new(slowdown),
         ..LoadSummary::default()
     };
     Candidate {
@@ -37,11 +37,11 @@
 }
 
 fn chosen(candidates: &[Candidate]) -> String {
-    let chosen = choose(candidates, &Ways::within("north"), None);
+    let chosen = choose(candidates, &ZoneDistances::single_region("north"), None);
     chosen.expect("one of them").server.id.clone()
 }
 
-/// At the usual pace the weights are: one per request, six per request beyond the slots, one per
+/// At the usual slowdown the weights are: one per request, six per request beyond the slots, one per
 /// thousand tokens, six for another zone.
 #[gtest]
 fn usual_pace() {
@@ -133,9 +133,9 @@
 /// Weighting of the load in the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Weighting {
-    /// Counts requests and ignores the pace.
+    /// Counts requests and ignores the slowdown.
     Counts,
-    /// Multiplies requests and queue by the pace.
+    /// Multiplies requests and queue by the slowdown.
     Products,
     /// The weighting of `choose`.
     Paces,
@@ -147,7 +147,7 @@
     ends_ms: Vec<f64>,
 }
 
-/// Whether the pace of servers stays the same or changes every 600 ms.
+/// Whether the slowdown of servers stays the same or changes every 600 ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PaceChange {
     Lasting,
@@ -155,7 +155,7 @@
 }
 
 impl PaceChange {
-    fn pace(self, server: usize, at_ms: f64) -> f64 {
+    fn slowdown(self, server: usize, at_ms: f64) -> f64 {
         let turn = match self {
             PaceChange::Lasting => 0,
             PaceChange::Flipping => (at_ms / 600.0) as usize,
@@ -174,7 +174,7 @@
     }
 
     /// Queues a request and returns the time to its first event.
-    fn take(&mut self, at_ms: f64, pace: f64) -> f64 {
+    fn take(&mut self, at_ms: f64, slowdown: f64) -> f64 {
         let mut ends: Vec<f64> = self
             .ends_ms
             .iter()
@@ -184,8 +184,8 @@
         ends.sort_by(f64::total_cmp);
         let ahead = ends.len().saturating_sub(SLOTS as usize - 1);
         let begins = if ahead == 0 { at_ms } else { ends[ahead - 1] };
-        self.ends_ms.push(begins + 600.0 * pace);
-        begins - at_ms + 60.0 * pace
+        self.ends_ms.push(begins + 600.0 * slowdown);
+        begins - at_ms + 60.0 * slowdown
     }
 }
 
@@ -193,7 +193,7 @@
     let weight = |held: &Candidate| {
         let requests = f64::from(held.load.online);
         let over = (requests + 1.0 - f64::from(SLOTS)).max(0.0);
-        (requests + 6.0 * over) * held.load.pace.times()
+        (requests + 6.0 * over) * held.load.slowdown.times()
     };
     let least = candidates
         .iter()
@@ -205,7 +205,7 @@
 /// with load information of some age.
 fn late(weighting: Weighting, information_age_ms: f64, pace_change: PaceChange, load: f64) -> f64 {
     let mut random = StdRng::seed_from_u64(11);
-    let ways = Ways::within("north");
+    let zone_distances = ZoneDistances::single_region("north");
     let mut simulated: Vec<SimulatedServer> = (0..24)
         .map(|number| SimulatedServer {
             server: server(&format!("{number:02}"), "north"),
@@ -220,17 +220,19 @@
     for _ in 0..3_000 {
         at_ms += -gap_ms * (1.0 - random.random::<f64>()).ln();
         let known_at_ms = at_ms - information_age_ms;
-        let sampled = sample(&all, &ways, None, &mut random);
+        let sampled = sample(&all, &zone_distances, None, &mut random);
         let candidates: Vec<Candidate> = sampled
             .into_iter()
             .map(|server| {
                 let number: usize = server.id.parse().expect("a number");
-                let pace = match weighting {
+                let slowdown = match weighting {
                     Weighting::Counts => 1.0,
-                    Weighting::Products | Weighting::Paces => pace_change.pace(number, known_at_ms),
+                    Weighting::Products | Weighting::Paces => {
+                        pace_change.slowdown(number, known_at_ms)
+                    }
                 };
                 let online = simulated[number].online(known_at_ms);
-                candidate(&server.id, "north", online, pace)
+                candidate(&server.id, "north", online, slowdown)
             })
             .collect();
         let id = match weighting {
@@ -238,7 +240,7 @@
             Weighting::Counts | Weighting::Paces => chosen(&candidates),
         };
         let number: usize = id.parse().expect("a number");
-        let first_ms = simulated[number].take(at_ms, pace_change.pace(number, at_ms));
+        let first_ms = simulated[number].take(at_ms, pace_change.slowdown(number, at_ms));
         late += u32::from(first_ms > 300.0);
     }
     f64::from(late) / 3_000.0
@@ -267,7 +269,7 @@
     }
 }
 
-/// Outdated pace reports must not concentrate requests on servers that were fast a moment ago.
+/// Outdated slowdown reports must not concentrate requests on servers that were fast a moment ago.
 #[gtest]
 fn flipping_paces() {
     for information_age_ms in [25.0, 100.0] {
@@ -297,7 +299,7 @@
     }
 }
 
-/// Pace reports that are half a second old must not make placement much worse than no reports.
+/// Slowdown reports that are half a second old must not make placement much worse than no reports.
 #[gtest]
 fn outdated_paces() {
     let counts = late(Weighting::Counts, 500.0, PaceChange::Flipping, 0.75);
--- a/crates/ingress/tests/response_buffer.rs
+++ b/crates/ingress/tests/response_buffer.rs
@@ -1,11 +1,11 @@
 //! Buffer limits and chunk accounting.
 
-use dappleyard_ingress::{BufferLimit, ChunkQueue, KeptBounds};
+use dappleyard_ingress::{BufferLimit, BufferLimits, ChunkQueue};
 use dappleyard_model::Resources;
 use googletest::prelude::*;
 
-fn limits(memory_mb: u32) -> KeptBounds {
-    KeptBounds::of(Resources {
+fn limits(memory_mb: u32) -> BufferLimits {
+    BufferLimits::of(Resources {
         core_millis: 90,
         link_mbps: 30,
         memory_mb,
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -6,7 +6,7 @@
 
 use actix_web::{App, HttpResponse, HttpServer, web};
 use dappleyard_clock::Instant;
-use dappleyard_ingress::close;
+use dappleyard_ingress::finish_requests;
 use googletest::prelude::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -51,7 +51,7 @@
         caller.write_all(request).await.expect("sent");
         received.notified().await;
         let closing = actix_web::rt::spawn(async move {
-            close(
+            finish_requests(
                 &server_handle,
                 &in_flight,
                 Instant::now() + Duration::from_secs(20),
--- a/crates/ingress/tests/silence_limits.rs
+++ b/crates/ingress/tests/silence_limits.rs
@@ -1,9 +1,9 @@
-//! Silence timeouts for servers of different pace.
+//! Silence timeouts for servers of different slowdown.
 
 use std::time::Duration;
 
-use dappleyard_cluster::Pace;
-use dappleyard_ingress::Patience;
+use dappleyard_cluster::Slowdown;
+use dappleyard_ingress::SilenceLimits;
 use googletest::prelude::*;
 
 const MOST: Duration = ms(900);
@@ -14,27 +14,27 @@
 
 #[gtest]
 fn slow_server() {
-    let patience = Patience::leave_after(ms(200));
-    expect_that!(patience.suspect_time(Pace::new(3.0), MOST), eq(ms(600)));
-    // The time until the attempt is abandoned does not depend on the pace.
-    expect_that!(patience.abandon_after, some(eq(ms(200))));
+    let limits = SilenceLimits::abandoning_after(ms(200));
+    expect_that!(limits.suspect_time(Slowdown::new(3.0), MOST), eq(ms(600)));
+    // The time until the attempt is abandoned does not depend on the slowdown.
+    expect_that!(limits.abandon_after, some(eq(ms(200))));
 }
 
 #[gtest]
 fn very_slow_server() {
-    let patience = Patience::leave_after(ms(200));
-    expect_that!(patience.suspect_time(Pace::new(8.0), MOST), eq(MOST));
+    let limits = SilenceLimits::abandoning_after(ms(200));
+    expect_that!(limits.suspect_time(Slowdown::new(8.0), MOST), eq(MOST));
 }
 
 #[gtest]
 fn fast_server() {
-    let patience = Patience::leave_after(ms(200));
-    expect_that!(patience.suspect_time(Pace::new(0.5), MOST), eq(ms(200)));
+    let limits = SilenceLimits::abandoning_after(ms(200));
+    expect_that!(limits.suspect_time(Slowdown::new(0.5), MOST), eq(ms(200)));
 }
 
 #[gtest]
 fn long_notice() {
     // The cap does not shorten a longer timeout.
-    let patience = Patience::leave_after(ms(1_200));
-    expect_that!(patience.suspect_time(Pace::new(3.0), MOST), eq(ms(1_200)));
+    let limits = SilenceLimits::abandoning_after(ms(1_200));
+    expect_that!(limits.suspect_time(Slowdown::new(3.0), MOST), eq(ms(1_200)));
 }
--- a/crates/jobs/src/accept.rs
+++ b/crates/jobs/src/accept.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use dappleyard_ingress::{ErrorKind, JobReply, Metrics};
-use dappleyard_model::{RequestFacts, Route, StoreError, Transaction};
+use dappleyard_model::{RequestMetadata, Route, StoreError, Transaction};
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::api::NodeJobs;
+use crate::api::JobService;
 use crate::keys::{CHUNK_BYTES, items_key, job_key, quota_key};
 use crate::messages::{ItemsBlob, JobRow, StoredItem};
 use dappleyard_clock::Instant;
@@ -25,7 +25,7 @@
 const SERIALIZE_BELOW_TOKENS: u64 = 300_000;
 
 struct Submission<'a> {
-    service: &'a NodeJobs,
+    service: &'a JobService,
     caller: &'a Caller,
     route: &'a Route,
     job: &'a str,
@@ -43,10 +43,10 @@
 }
 
 pub(crate) async fn submit(
-    service: &NodeJobs,
+    service: &JobService,
     caller: &Caller,
     route: &Route,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     body: Bytes,
 ) -> JobReply {
     let items = match service.node.dialect.job(&body) {
@@ -214,7 +214,7 @@
             due_ms: now_ms + self.route.result_target_ms,
             has_partials: false,
             tenant: self.caller.tenant_name().to_owned(),
-            region: node.view.ways().region().map(ToString::to_string),
+            region: node.view.zone_distances().region().map(ToString::to_string),
         }
     }
 
--- a/crates/jobs/src/api.rs
+++ b/crates/jobs/src/api.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dappleyard_ingress::{ErrorKind, JobCalls, JobReply, Node};
-use dappleyard_model::{RequestFacts, Route, RowStore, StoreError};
+use dappleyard_model::{RequestMetadata, Route, RowStore, StoreError};
 use dappleyard_tenants::Caller;
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
@@ -17,13 +17,13 @@
 use crate::{accept, end, read};
 
 /// Handler of job requests.
-pub struct NodeJobs {
+pub struct JobService {
     pub(crate) node: Arc<Node>,
     pub(crate) table: Arc<JobTable>,
     pub(crate) store: Rc<dyn RowStore>,
 }
 
-impl NodeJobs {
+impl JobService {
     /// Creates a handler that uses a store client of this thread.
     pub fn new(node: Arc<Node>, table: Arc<JobTable>, store: Rc<dyn RowStore>) -> Self {
         Self { node, table, store }
@@ -67,12 +67,12 @@
     JobReply::Refused(ErrorKind::StoreUnavailable, error.to_string())
 }
 
-impl JobCalls for NodeJobs {
+impl JobCalls for JobService {
     fn submit<'a>(
         &'a self,
         caller: &'a Caller,
         route: &'a Route,
-        facts: &'a RequestFacts,
+        facts: &'a RequestMetadata,
         body: Bytes,
     ) -> LocalBoxFuture<'a, JobReply> {
         accept::submit(self, caller, route, facts, body).boxed_local()
--- a/crates/jobs/src/end.rs
+++ b/crates/jobs/src/end.rs
@@ -7,7 +7,7 @@
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::api::{NodeJobs, store_error_reply};
+use crate::api::{JobService, store_error_reply};
 use crate::keys::job_key;
 use crate::messages::{JobRow, JobState};
 use dappleyard_clock::Instant;
@@ -17,7 +17,7 @@
 /// Delay before a retry after a store error.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-pub(crate) async fn end(service: &NodeJobs, caller: &Caller, job: &str) -> JobReply {
+pub(crate) async fn end(service: &JobService, caller: &Caller, job: &str) -> JobReply {
     let started = Instant::now();
     loop {
         let error = match try_end(service, caller, job).await {
@@ -38,7 +38,7 @@
     }
 }
 
-async fn try_end(service: &NodeJobs, caller: &Caller, job: &str) -> Result<JobReply, StoreError> {
+async fn try_end(service: &JobService, caller: &Caller, job: &str) -> Result<JobReply, StoreError> {
     let known = match service.table.get(job) {
         Some(known) => known,
         None => match service.fetch(job).await? {
--- a/crates/jobs/src/garbage_collection.rs
+++ b/crates/jobs/src/garbage_collection.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_model::{Homes, RowKey, StoreError, Transaction};
+use dappleyard_model::{HomeRegions, RowKey, StoreError, Transaction};
 
 use crate::keys::{
     ITEMS_TABLE, PARTIALS_TABLE, RESULTS_TABLE, job_key, partition, range_end, range_start,
@@ -33,7 +33,8 @@
             .table
             .select(|row| !row.is_open() && row.accepted_ms + kept_ms < now_ms);
         for (name, known) in old {
-            if self.table.is_fresh() && self.is_preferred(&name, &known.row, &Homes::Anywhere) {
+            if self.table.is_fresh() && self.is_preferred(&name, &known.row, &HomeRegions::Anywhere)
+            {
                 let runner = self.clone();
                 tokio::task::spawn_local(async move {
                     // Rows that could not be deleted are retried by the next collection.
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -29,7 +29,7 @@
 mod table;
 
 pub use admission::{AdmissionChange, BatchAdmission, ServiceLoad, apportion, is_urgent};
-pub use api::NodeJobs;
+pub use api::JobService;
 pub use claiming::{ClaimContext, may_claim, may_claim_remote, preferred_worker};
 pub use keys::{BODY_TABLES, JOB_TABLES, partition};
 pub use messages::{ItemsBlob, JobRow, JobState, StoredItem, StoredPartial};
--- a/crates/jobs/src/ownership.rs
+++ b/crates/jobs/src/ownership.rs
@@ -5,7 +5,7 @@
 use dappleyard_clock::Instant;
 use dappleyard_cluster::PeerStatus;
 use dappleyard_ingress::Metrics;
-use dappleyard_model::{Homes, StoreError, Transaction};
+use dappleyard_model::{HomeRegions, StoreError, Transaction};
 use prost::Message;
 
 use crate::claiming::{ClaimContext, may_claim, may_claim_remote, preferred_worker};
@@ -77,7 +77,7 @@
             owner,
             suspected_for: now.duration_since(since),
             stable_for: now.duration_since(self.stable_since.get()),
-            store_reachable: !self.node.health.is_lost(),
+            store_reachable: !self.node.health.is_unavailable(),
             since_lost: self.taken.borrow().get(job).map(Instant::elapsed),
         };
         let too_early_for_remote = self.is_remote(row) && !may_claim_remote(context.stable_for);
@@ -90,16 +90,24 @@
     fn is_remote(&self, row: &JobRow) -> bool {
         let settings = &self.node.settings;
         let region = row.region.as_deref();
-        region.is_some_and(|region| !self.node.view.ways().is_in(&settings.zone, region))
+        region.is_some_and(|region| {
+            !self
+                .node
+                .view
+                .zone_distances()
+                .is_in(&settings.zone, region)
+        })
     }
 
     /// Whether this node is the preferred worker for a job.
-    pub(crate) fn is_preferred(&self, job: &str, row: &JobRow, homes: &Homes) -> bool {
+    pub(crate) fn is_preferred(&self, job: &str, row: &JobRow, homes: &HomeRegions) -> bool {
         let mut workers = self.node.peers.workers(true);
-        let ways = self.node.view.ways();
+        let zone_distances = self.node.view.zone_distances();
         let region = row.region.as_deref();
-        let is_home = |zone: &str| region.is_some_and(|region| ways.is_in(zone, region));
-        workers.retain(|worker| homes.allow(&worker.zone, ways.places()) || is_home(&worker.zone));
+        let is_home = |zone: &str| region.is_some_and(|region| zone_distances.is_in(zone, region));
+        workers.retain(|worker| {
+            homes.allows_zone(&worker.zone, zone_distances.places()) || is_home(&worker.zone)
+        });
         let preferred_worker = preferred_worker(job, &workers, is_home);
         preferred_worker.is_some_and(|worker| worker.name == self.node.settings.name)
     }
--- a/crates/jobs/src/placement.rs
+++ b/crates/jobs/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placement of items: how many items a server can run beside its online requests, and which server is chosen. Pure
 //! functions.
 
-use dappleyard_cluster::{LoadSummary, Temperature, Ways};
+use dappleyard_cluster::{LoadSummary, WarmupState, ZoneDistances};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Slots kept free for the next online request. One is enough, since items that block a burst are preempted.
@@ -31,7 +31,7 @@
 /// Whether items may be sent to a server at all.
 pub(crate) fn accepts_items(load: &LoadSummary) -> bool {
     // The limited load that a cold server can handle is left to online requests.
-    let warm = matches!(load.temperature, None | Some(Temperature::Warm));
+    let warm = matches!(load.warmup_state, None | Some(WarmupState::Warm));
     !load.suspect && warm
 }
 
@@ -41,7 +41,7 @@
         return 0;
     }
     // On a slow server a slot is freed later, so more slots are reserved for online requests.
-    let slowdown = f64::from(RESERVED_SLOTS) * load.lasting_pace.times().max(1.0);
+    let slowdown = f64::from(RESERVED_SLOTS) * load.long_term_slowdown.times().max(1.0);
     // At most half the slots are reserved, since a service may have only slow servers.
     let reserved = (slowdown.round() as u32).min(slots / 2).max(RESERVED_SLOTS);
     slots.saturating_sub(load.online + load.batch + reserved)
@@ -51,13 +51,13 @@
 /// between regions is negligible, but traffic between regions is expensive, so it is not used to balance load.
 pub fn prefer_local_region<'a>(
     servers: Vec<ServerCapacity<'a>>,
-    ways: &Ways,
+    zone_distances: &ZoneDistances,
 ) -> Vec<ServerCapacity<'a>> {
-    let is_near = |server: &ServerCapacity<'a>| ways.is_near(server.zone);
+    let is_near = |server: &ServerCapacity<'a>| zone_distances.is_near(server.zone);
     let has_capacity = |server: &ServerCapacity<'a>| capacity(server.slots, &server.load) > 0;
     let is_near_with_capacity =
         |server: &ServerCapacity<'a>| is_near(server) && has_capacity(server);
-    match ways.has_regions() && servers.iter().any(is_near_with_capacity) {
+    match zone_distances.has_regions() && servers.iter().any(is_near_with_capacity) {
         true => servers.into_iter().filter(is_near).collect(),
         false => servers,
     }
@@ -90,6 +90,6 @@
         true => SAME_SERVER_COST,
         false => 0.0,
     };
-    let slowdown = (server.load.lasting_pace.times() - 1.0) * (work + ITEM_WEIGHT);
+    let slowdown = (server.load.long_term_slowdown.times() - 1.0) * (work + ITEM_WEIGHT);
     work + slowdown + zone_cost + affinity + tie_break + server.load.excess_ms / 20.0
 }
--- a/crates/jobs/src/read.rs
+++ b/crates/jobs/src/read.rs
@@ -9,7 +9,7 @@
 use dappleyard_tenants::Caller;
 use prost::Message;
 
-use crate::api::{NodeJobs, store_error_reply};
+use crate::api::{JobService, store_error_reply};
 use crate::keys::{ITEMS_TABLE, RESULTS_TABLE, partition, range_end, range_from, range_start};
 use crate::messages::{ItemsBlob, JobState, StoredItem, StoredResult};
 use dappleyard_clock::Instant;
@@ -26,7 +26,7 @@
 const MAX_WAIT_MS: u64 = 1_000;
 
 pub(crate) async fn results(
-    service: &NodeJobs,
+    service: &JobService,
     caller: &Caller,
     job: &str,
     from: u64,
@@ -76,7 +76,7 @@
 
 /// Age limit of a cached row from which callers are told that there are no further results: half of the time after
 /// which a result reported by one node must be visible on every node.
-fn max_listing_age(service: &NodeJobs) -> Duration {
+fn max_listing_age(service: &JobService) -> Duration {
     Duration::from_millis(service.node.settings.bounds.settle_ms / 2)
 }
 
@@ -166,7 +166,7 @@
         })
 }
 
-pub(crate) async fn item(service: &NodeJobs, caller: &Caller, job: &str, item: &str) -> JobReply {
+pub(crate) async fn item(service: &JobService, caller: &Caller, job: &str, item: &str) -> JobReply {
     let known = match retry(|| service.find(caller, job)).await {
         Ok(Some(known)) => known,
         Ok(None) => return JobReply::Refused(ErrorKind::NoJob, job.to_owned()),
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use dappleyard_cluster::{InFlight, WorkKind};
-use dappleyard_crashes::RunUnderWay;
+use dappleyard_crashes::RunGuard;
 use dappleyard_ingress::{
-    Attempt, AttemptError, Broken, EventSplitter, Exchange, Metrics, Patience, Ran,
+    Attempt, AttemptError, EventSplitter, Exchange, InterruptedRun, Metrics, Ran, SilenceLimits,
 };
-use dappleyard_model::{Distance, Route, ServerRecord, TenantStamp};
+use dappleyard_model::{Distance, Route, ServerRecord, TenantHeader};
 use http::header::{CONTENT_TYPE, HOST};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
@@ -41,7 +41,7 @@
     /// Counts the item towards the server's load.
     pub(crate) work: InFlight,
     /// Registers the run with crash tracking.
-    pub(crate) run: RunUnderWay,
+    pub(crate) run: RunGuard,
 }
 
 enum RunOutcome {
@@ -108,16 +108,19 @@
         last_event_id: last_event,
         tenant: tenant_header(runner, &tenant),
         homes: &homes,
-        patience: Patience::leave_after(SERVER_IDLE_TIMEOUT),
+        limits: SilenceLimits::abandoning_after(SERVER_IDLE_TIMEOUT),
     };
     let mut exchange = match runner.upstreams.attempt(server, &attempt).await {
         Ok(exchange) => exchange,
         Err(error) => {
-            let broken = Broken {
+            let broken = InterruptedRun {
                 error: &error,
-                output_for: None,
+                output_duration: None,
             };
-            runner.upstreams.judge(tracked_run, server, &broken).await;
+            runner
+                .upstreams
+                .check_for_crash(tracked_run, server, &broken)
+                .await;
             return RunOutcome::Interrupted(error);
         }
     };
@@ -142,11 +145,14 @@
             RunOutcome::Completed
         }
         Err(error) => {
-            let broken = Broken {
+            let broken = InterruptedRun {
                 error: &error,
-                output_for: output_since.get().map(|since: Instant| since.elapsed()),
+                output_duration: output_since.get().map(|since: Instant| since.elapsed()),
             };
-            runner.upstreams.judge(tracked_run, server, &broken).await;
+            runner
+                .upstreams
+                .check_for_crash(tracked_run, server, &broken)
+                .await;
             RunOutcome::Interrupted(error)
         }
     }
@@ -174,18 +180,21 @@
         let connection = &mut exchange.connection;
         let reading = async {
             let piece = connection.next_piece().await;
-            piece.map_err(|error| AttemptError::inside_answer(&error))
+            piece.map_err(|error| AttemptError::truncated_response(&error))
         };
-        let notice = runner.node.times.pause_notice(&exchange.server.service);
-        let patience = Patience::leave_after(SERVER_IDLE_TIMEOUT).notice_after(notice);
+        let notice = runner
+            .node
+            .response_times
+            .gap_timeout(&exchange.server.service);
+        let limits = SilenceLimits::abandoning_after(SERVER_IDLE_TIMEOUT).suspecting_after(notice);
         let waiting = runner
             .upstreams
-            .with_patience(&exchange.server, patience, reading);
+            .with_silence_limits(&exchange.server, limits, reading);
         let Some(piece) = waiting.await? else {
             break;
         };
         work.prompt_read();
-        runner.node.loads.heard(&exchange.server.id);
+        runner.node.loads.note_received(&exchange.server.id);
         splitter.push(&piece);
         let mut state = job.state.borrow_mut();
         let item = &mut state.items[index];
@@ -207,7 +216,7 @@
 }
 
 fn interrupted(reason: &str) -> AttemptError {
-    AttemptError::own(Ran::Yes, reason)
+    AttemptError::local(Ran::Yes, reason)
 }
 
 fn add_event(item: &mut Item, event: &dappleyard_ingress::Event) -> Result<(), AttemptError> {
@@ -233,18 +242,18 @@
     server: &ServerRecord,
 ) -> InFlight {
     let headers = item_headers(runner, item, host);
-    let tokens = runner.node.dialect.request_facts(&headers).tokens_in;
+    let tokens = runner.node.dialect.request_metadata(&headers).tokens_in;
     runner.node.loads.begin(server, WorkKind::Batch, tokens)
 }
 
 /// Tenant header that is sent to the server with a job's items.
-fn tenant_header<'a>(runner: &Runner, tenant: &'a str) -> TenantStamp<'a> {
+fn tenant_header<'a>(runner: &Runner, tenant: &'a str) -> TenantHeader<'a> {
     let configuration = runner.node.view.configuration();
     let has_tenants = configuration.is_some_and(|current| current.tenants.is_some());
     match (tenant.is_empty(), has_tenants) {
-        (false, _) => TenantStamp::Tenant(tenant),
-        (true, true) => TenantStamp::Nobody,
-        (true, false) => TenantStamp::Untouched,
+        (false, _) => TenantHeader::Tenant(tenant),
+        (true, true) => TenantHeader::NoTenant,
+        (true, false) => TenantHeader::Unchanged,
     }
 }
 
@@ -338,14 +347,14 @@
                 Metrics::count(&runner.node.metrics.items_again);
             }
             if error.unreachable {
-                runner.node.loads.suspect(&server.id, SUSPECT_DURATION);
+                runner.node.loads.mark_suspect(&server.id, SUSPECT_DURATION);
             }
             (0, error.reason.clone())
         }
     };
     let state = job.state.borrow();
     let item = &state.items[index];
-    let distance = runner.node.view.ways().distance(&server.zone);
+    let distance = runner.node.view.zone_distances().distance(&server.zone);
     if distance == Distance::OtherRegion {
         Metrics::count(&runner.node.metrics.items_left_region);
     }
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -88,7 +88,7 @@
             tokio::select! {
                 () = self.table.changed(self.tick()) => {}
                 () = self.wake.notified() => {}
-                () = self.node.loads.pressed() => {}
+                () = self.node.loads.wait_for_pressure() => {}
                 () = self.wait_for_demand(), if self.has_jobs() => {}
             }
             if self.stopping.get() {
@@ -111,7 +111,7 @@
 
     /// Waits until online requests queue for a slot, at least [`MIN_DEMAND_INTERVAL`] after the last pass.
     async fn wait_for_demand(&self) {
-        self.node.loads.demand.pressed().await;
+        self.node.loads.demand.wait_for_pressure().await;
         let remaining = MIN_DEMAND_INTERVAL.saturating_sub(self.last_pass.get().elapsed());
         tokio::time::sleep(remaining).await;
     }
--- a/crates/jobs/src/scheduling.rs
+++ b/crates/jobs/src/scheduling.rs
@@ -7,8 +7,8 @@
 
 use dappleyard_clock::Instant;
 use dappleyard_crashes::{Fingerprint, Permit};
-use dappleyard_ingress::{apart, reached};
-use dappleyard_model::{Configuration, Homes, Route, ServerRecord};
+use dappleyard_ingress::{candidate_servers, last_run_server};
+use dappleyard_model::{Configuration, HomeRegions, Route, ServerRecord};
 
 use crate::admission::is_urgent;
 use crate::expiry::{abandon_items, is_expired};
@@ -28,7 +28,7 @@
     rank: Rank,
     avoided_server: Option<String>,
     last: Option<String>,
-    homes: Homes,
+    homes: HomeRegions,
     fingerprint: Fingerprint,
     permit: Permit,
     /// It must start now to meet its deadline.
@@ -73,12 +73,12 @@
             let allowance = allowances.entry(service.to_owned()).or_default();
             let capacity = capacities.entry(service.to_owned()).or_insert_with(|| {
                 let urgent = urgent.get(service).copied().unwrap_or(0);
-                let capacity = self.admissible_items(service, loads.waiting.over_all(urgent));
+                let capacity = self.admissible_items(service, loads.waiting.scale_to_fleet(urgent));
                 allowance.refresh(&loads.waiting, capacity, rand::random());
                 capacity
             });
             // An item whose allowed regions have no free server neither uses up the allowance nor marks the service as full.
-            if candidate.homes.bind() && self.pick(service, &candidate).is_none() {
+            if candidate.homes.is_restricted() && self.pick(service, &candidate).is_none() {
                 continue;
             }
             // The allowance was granted for the capacity of an earlier pass.
@@ -125,7 +125,7 @@
             .used
             .iter()
             .map(|server| self.server_capacity(server));
-        prefer_local_region(capacities.collect(), self.node.view.ways())
+        prefer_local_region(capacities.collect(), self.node.view.zone_distances())
             .iter()
             .map(|server| capacity(server.slots, &server.load))
             .sum()
@@ -236,16 +236,17 @@
     fn pick(&self, service: &str, candidate: &Candidate) -> Option<Arc<ServerRecord>> {
         let servers = self.node.view.servers(service);
         let places = &self.node.settings.places;
-        let open: Vec<&Arc<ServerRecord>> = reached(&servers, &candidate.homes, &self.node)
-            .filter(|server| candidate.homes.allow(&server.zone, places))
-            .collect();
+        let open: Vec<&Arc<ServerRecord>> =
+            candidate_servers(&servers, &candidate.homes, &self.node)
+                .filter(|server| candidate.homes.allows_zone(&server.zone, places))
+                .collect();
         let avoided = |server: &ServerRecord| candidate.avoided_server.as_ref() == Some(&server.id);
         let capacities: Vec<ServerCapacity<'_>> = open
             .iter()
             .filter(|server| open.len() == 1 || !avoided(server))
             .map(|server| self.server_capacity(server))
             .collect();
-        let capacities = prefer_local_region(capacities, self.node.view.ways());
+        let capacities = prefer_local_region(capacities, self.node.view.zone_distances());
         if candidate.permit == Permit::LastRun {
             let free = capacities
                 .iter()
@@ -254,7 +255,7 @@
             let open = open
                 .into_iter()
                 .filter(|server| free.contains(server.id.as_str()));
-            return apart(&self.node, &candidate.fingerprint, open.cloned().collect());
+            return last_run_server(&self.node, &candidate.fingerprint, open.cloned().collect());
         }
         let settings = &self.node.settings;
         let chosen = pick_server(
--- a/crates/jobs/tests/policies.rs
+++ b/crates/jobs/tests/policies.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dappleyard_cluster::{LoadSummary, Pace, PeerStatus, Temperature};
+use dappleyard_cluster::{LoadSummary, PeerStatus, Slowdown, WarmupState};
 use dappleyard_jobs::{
     ClaimContext, JobRow, RunEstimate, ServerCapacity, capacity, may_claim, pick_server, rank,
 };
@@ -49,22 +49,25 @@
 
 #[gtest]
 fn cold_servers_accept_no_items() {
-    let at = |temperature| {
+    let at = |warmup_state| {
         let load = LoadSummary {
-            temperature,
+            warmup_state,
             ..load(0, 0)
         };
         capacity(8, &load)
     };
     // Without a temperature limit, the temperature is not tracked.
-    let warm = [None, Some(Temperature::Warm)].map(at);
+    let warm = [None, Some(WarmupState::Warm)].map(at);
     expect_that!(warm, each(eq(7)));
     let other = [
-        Temperature::Cold,
-        Temperature::InDoubt,
-        Temperature::Unknown,
+        WarmupState::Cold,
+        WarmupState::InDoubt,
+        WarmupState::Unknown,
     ];
-    expect_that!(other.map(|temperature| at(Some(temperature))), each(eq(0)));
+    expect_that!(
+        other.map(|warmup_state| at(Some(warmup_state))),
+        each(eq(0))
+    );
 }
 
 #[gtest]
@@ -211,7 +214,7 @@
 #[gtest]
 fn slow_servers_reserve_more_slots() {
     let at = |percent| LoadSummary {
-        lasting_pace: Pace::of_percent(percent).unwrap_or_default(),
+        long_term_slowdown: Slowdown::of_percent(percent).unwrap_or_default(),
         ..load(2, 2)
     };
     expect_that!(
@@ -224,7 +227,7 @@
 fn idle_slow_servers_accept_items() {
     // Otherwise items of a service that has only slow servers would never run.
     let idle = LoadSummary {
-        lasting_pace: Pace::of_percent(800).unwrap_or_default(),
+        long_term_slowdown: Slowdown::of_percent(800).unwrap_or_default(),
         ..load(0, 0)
     };
     expect_that!([2, 4, 8].map(|slots| capacity(slots, &idle)), eq([1, 2, 4]));
@@ -237,7 +240,7 @@
         zone: "north",
         slots: 8,
         load: LoadSummary {
-            lasting_pace: Pace::of_percent(percent).unwrap_or_default(),
+            long_term_slowdown: Slowdown::of_percent(percent).unwrap_or_default(),
             ..load(0, batch)
         },
     };
--- a/crates/jobs/tests/regions.rs
+++ b/crates/jobs/tests/regions.rs
@@ -5,13 +5,13 @@
 
 use bytes::Bytes;
 use dappleyard_cluster::{
-    Heartbeat, LoadSummary, NodeRow, PeerStatus, PeerTable, TableSink, Ways, Worker,
+    Heartbeat, LoadSummary, NodeRow, PeerStatus, PeerTable, TableSink, Worker, ZoneDistances,
 };
 use dappleyard_jobs::{
     ClaimContext, JobRow, ServerCapacity, may_claim, may_claim_remote, prefer_local_region,
     preferred_worker,
 };
-use dappleyard_model::{EventLog, Places, RegionName, Row, ZoneName};
+use dappleyard_model::{EventLog, RegionName, Row, Topology, ZoneName};
 use googletest::prelude::*;
 use prost::Message;
 
@@ -24,15 +24,15 @@
     format!("{}1", REGIONS[number % 3])
 }
 
-fn ways(zone: &str) -> Ways {
+fn zone_distances(zone: &str) -> ZoneDistances {
     let zones = REGIONS.iter();
-    let places: Places = zones
+    let places: Topology = zones
         .flat_map(|region| {
             let zones = [format!("{region}1"), format!("{region}2")];
             zones.map(|zone| (ZoneName::from(zone.as_str()), RegionName::from(*region)))
         })
         .collect();
-    Ways::new(zone, &places)
+    ZoneDistances::new(zone, &places)
 }
 
 fn name(number: usize) -> String {
@@ -83,7 +83,7 @@
                 ..Heartbeat::default()
             };
             for table in tables {
-                table.heard(&heartbeat);
+                table.apply_heartbeat(&heartbeat);
             }
         }
     }
@@ -91,10 +91,10 @@
 
 /// Preferred workers, as seen by one node, for jobs of region "b".
 fn preferred_workers(table: &PeerTable, own: usize) -> Vec<Worker> {
-    let (workers, ways) = (table.workers(true), ways(&zone(own)));
+    let (workers, zone_distances) = (table.workers(true), zone_distances(&zone(own)));
     let choice = |job: usize| {
         let chosen = preferred_worker(&format!("job-{job}"), &workers, |zone| {
-            ways.is_in(zone, "b")
+            zone_distances.is_in(zone, "b")
         });
         chosen.expect("a worker").clone()
     };
@@ -203,7 +203,7 @@
 
 fn server_ids_in_reach(near: LoadSummary) -> Vec<&'static str> {
     let servers = vec![server("near", "a2", near), server("far", "b1", online(0))];
-    let server_ids_in_reach = prefer_local_region(servers, &ways("a1"));
+    let server_ids_in_reach = prefer_local_region(servers, &zone_distances("a1"));
     server_ids_in_reach
         .into_iter()
         .map(|server| server.id)
@@ -227,7 +227,7 @@
         server("near", "a2", online(6)),
         server("far", "b1", online(0)),
     ];
-    let server_ids_in_reach = prefer_local_region(servers, &Ways::within("a1"));
+    let server_ids_in_reach = prefer_local_region(servers, &ZoneDistances::single_region("a1"));
     expect_that!(server_ids_in_reach.len(), eq(2));
 }
 
--- a/crates/model/src/dialect.rs
+++ b/crates/model/src/dialect.rs
@@ -4,7 +4,9 @@
 use derive_more::{Display, Error};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
-use crate::{AnswerFacts, Configuration, ItemSubmission, RequestFacts, ServerRecord, ZoneName};
+use crate::{
+    AnswerMetadata, Configuration, ItemSubmission, RequestMetadata, ServerRecord, ZoneName,
+};
 
 /// Endpoint addressed by a request to the node.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,18 +55,18 @@
 
 /// Tenant information in the headers sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TenantStamp<'a> {
+pub enum TenantHeader<'a> {
     /// No tenants are configured: the caller's headers are forwarded unchanged.
-    Untouched,
+    Unchanged,
     /// The request has no tenant; key and tenant headers of the caller are removed.
-    Nobody,
+    NoTenant,
     /// Name of the tenant, which replaces the one sent by the caller; the key is removed.
     Tenant(&'a str),
 }
 
 /// Values of the headers that the system adds to a request for a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServerStamp<'a> {
+pub struct ServerHeaders<'a> {
     /// Time left until the deadline.
     pub remaining_ms: Option<u64>,
     /// Server instance that the request is meant for.
@@ -72,7 +74,7 @@
     /// Event after which the server should resume the stream.
     pub last_event_id: Option<u64>,
     /// Tenant of the request.
-    pub tenant: TenantStamp<'a>,
+    pub tenant: TenantHeader<'a>,
 }
 
 /// A message could not be parsed.
@@ -102,19 +104,19 @@
     fn endpoint(&self, method: &Method, path: &str, query: &str) -> Endpoint;
 
     /// Parses the headers of a request.
-    fn request_facts(&self, headers: &HeaderMap) -> RequestFacts;
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Headers that the system adds to a request for a server.
-    fn stamp(&self, stamp: &ServerStamp<'_>) -> Vec<(HeaderName, HeaderValue)>;
+    fn server_headers(&self, stamp: &ServerHeaders<'_>) -> Vec<(HeaderName, HeaderValue)>;
 
     /// Whether the system sets or removes this header, so that the caller's value is not forwarded.
-    fn is_stamped(&self, name: &HeaderName, stamp: &ServerStamp<'_>) -> bool;
+    fn is_system_header(&self, name: &HeaderName, stamp: &ServerHeaders<'_>) -> bool;
 
     /// Header that carries the request identifier.
     fn request_id_header(&self) -> HeaderName;
 
     /// Parses the status and headers of a server's answer.
-    fn answer_facts(&self, status: u16, headers: &HeaderMap) -> AnswerFacts;
+    fn answer_metadata(&self, status: u16, headers: &HeaderMap) -> AnswerMetadata;
 
     /// Body of the answer to [`Endpoint::Resolve`].
     fn resolve_answer(&self, addresses: &[String], ttl_ms: u64) -> Bytes;
--- a/crates/model/src/events.rs
+++ b/crates/model/src/events.rs
@@ -20,7 +20,7 @@
 const BURST_LINES: f64 = 80.0;
 
 /// Field for the time of an event in Unix milliseconds, comparable across nodes and restarts.
-pub const AT: &str = "at_ms";
+pub const TIME_FIELD: &str = "at_ms";
 
 struct Budget {
     lines: f64,
@@ -69,7 +69,7 @@
         };
         // Inserted last, so that fields of the event cannot replace them.
         let uptime = self.started.elapsed().as_millis() as u64;
-        line.insert(AT.into(), unix_ms().into());
+        line.insert(TIME_FIELD.into(), unix_ms().into());
         line.insert("uptime_ms".into(), uptime.into());
         line.insert("event".into(), kind.into());
         if dropped > 0 {
--- a/crates/model/src/homes.rs
+++ b/crates/model/src/homes.rs
@@ -1,12 +1,12 @@
 //! Home regions: where a request may be served and stored.
 
 use crate::configuration::{Configuration, Route};
-use crate::place::{Places, RegionName};
+use crate::place::{RegionName, Topology};
 use crate::tenant::Tenant;
 
 /// Regions to which the route and the tenant restrict a request; if both do, the intersection applies.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum Homes {
+pub enum HomeRegions {
     /// No restriction.
     #[default]
     Anywhere,
@@ -14,7 +14,7 @@
     Within(Vec<RegionName>),
 }
 
-impl Homes {
+impl HomeRegions {
     /// Home regions of a tenant's requests on a route.
     pub fn of(route: &Route, tenant: Option<&Tenant>) -> Self {
         let tenant = tenant.map_or(&[][..], |tenant| &tenant.home_regions);
@@ -39,22 +39,22 @@
     }
 
     /// Whether the request is restricted to certain regions.
-    pub fn bind(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         *self != Self::Anywhere
     }
 
     /// Whether a zone is allowed. A zone of unknown region is allowed only without restriction.
-    pub fn allow(&self, zone: &str, places: &Places) -> bool {
+    pub fn allows_zone(&self, zone: &str, places: &Topology) -> bool {
         match self {
             Self::Anywhere => true,
             Self::Within(_) => places
                 .region(zone)
-                .is_some_and(|region| self.allow_region(region)),
+                .is_some_and(|region| self.allows_region(region)),
         }
     }
 
     /// Whether a region is allowed.
-    pub fn allow_region(&self, region: &RegionName) -> bool {
+    pub fn allows_region(&self, region: &RegionName) -> bool {
         match self {
             Self::Anywhere => true,
             Self::Within(regions) => regions.contains(region),
@@ -64,7 +64,7 @@
 
 impl Configuration {
     /// Whether any route or tenant has home regions.
-    pub fn has_homes(&self) -> bool {
+    pub fn has_home_regions(&self) -> bool {
         let mut tenants = self.tenants.iter().flat_map(|tenants| tenants.iter());
         self.routes
             .iter()
@@ -74,19 +74,19 @@
 
     /// Home regions of each route of a host; empty if any of its routes is unrestricted. Tenants are not considered, since
     /// they are only known per request.
-    pub fn homes_of_host(&self, host: &str) -> Vec<Homes> {
-        let homes: Vec<Homes> = self
+    pub fn home_regions_of_host(&self, host: &str) -> Vec<HomeRegions> {
+        let homes: Vec<HomeRegions> = self
             .routes_of(host)
-            .map(|route| Homes::of(route, None))
+            .map(|route| HomeRegions::of(route, None))
             .collect();
-        match homes.iter().all(Homes::bind) {
+        match homes.iter().all(HomeRegions::is_restricted) {
             true => homes,
             false => Vec::new(),
         }
     }
 
     /// Home regions that have no zone in the deployment, each with its path in the configuration.
-    pub fn unknown_homes(&self, places: &Places) -> Vec<(String, RegionName)> {
+    pub fn unknown_home_regions(&self, places: &Topology) -> Vec<(String, RegionName)> {
         let routes = self.routes.iter();
         let routes = routes.map(|route| (format!("routes.{}", route.name), &route.home_regions));
         let tenants = self.tenants.iter().flat_map(|tenants| tenants.iter());
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -15,17 +15,18 @@
 
 pub use configuration::{Configuration, Route, RouteKind, Service, Target, TrafficLimits};
 pub use dialect::{
-    Dialect, Endpoint, FormatError, OperatorOrder, ResultEntry, ServerStamp, ServersSource,
-    TenantStamp,
+    Dialect, Endpoint, FormatError, OperatorOrder, ResultEntry, ServerHeaders, ServersSource,
+    TenantHeader,
 };
-pub use events::{AT, EventLog};
-pub use homes::Homes;
-pub use place::{Distance, Places, RegionName, ZoneName};
+pub use events::{EventLog, TIME_FIELD};
+pub use homes::HomeRegions;
+pub use place::{Distance, RegionName, Topology, ZoneName};
 pub use request::{
-    AnswerFacts, ItemSubmission, PromptPart, RequestFacts, ServerLoad, ServerRecord,
+    AnswerMetadata, ItemSubmission, PromptPart, RequestMetadata, ServerLoad, ServerRecord,
 };
 pub use rows::{Committed, Condition, Feed, Row, RowKey, RowStore, Rows, StoreError, Transaction};
 pub use settings::{
-    Bounds, ColdBounds, Listen, NodeSettings, QuotaBounds, Resources, StoreSettings, Tolerated,
+    Bounds, ColdBounds, FailureTolerance, Listen, NodeSettings, QuotaBounds, Resources,
+    StoreSettings,
 };
 pub use tenant::{DuplicateKey, KeyDigest, RateLimit, Tenant, TenantName, Tenants};
--- a/crates/model/src/place.rs
+++ b/crates/model/src/place.rs
@@ -76,11 +76,11 @@
 
 /// The zones of a deployment and the region of each.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct Topology {
     region_of: BTreeMap<ZoneName, RegionName>,
 }
 
-impl Places {
+impl Topology {
     /// Region of a zone; `None` if the settings do not list the zone.
     pub fn region(&self, zone: &str) -> Option<&RegionName> {
         self.region_of.get(zone)
@@ -113,7 +113,7 @@
     }
 }
 
-impl FromIterator<(ZoneName, RegionName)> for Places {
+impl FromIterator<(ZoneName, RegionName)> for Topology {
     fn from_iter<I: IntoIterator<Item = (ZoneName, RegionName)>>(zones: I) -> Self {
         Self {
             region_of: zones.into_iter().collect(),
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -17,7 +17,7 @@
 
 /// Data from the headers of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identifier of this attempt; empty if the caller sent none.
     pub id: String,
     /// Deadline of the caller, from now.
@@ -51,7 +51,7 @@
 
 /// Data from the status and headers of a server's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// Identifier of the answered request.
     pub request_id: Option<String>,
     /// The server reports that it did not run the request.
@@ -101,7 +101,7 @@
     }
 
     /// Start time in Unix milliseconds, if reported.
-    pub fn born_ms(&self) -> Option<u64> {
+    pub fn start_time_ms(&self) -> Option<u64> {
         let started = self.id.strip_prefix(&self.instance)?;
         started.strip_prefix(START_SEPARATOR)?.parse().ok()
     }
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use crate::place::Places;
+use crate::place::Topology;
 
 /// Listen addresses of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -63,7 +63,7 @@
 
 /// Simultaneous failures that the deployment must tolerate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Tolerated {
+pub struct FailureTolerance {
     /// Number of zones.
     pub zones: u32,
     /// Number of regions.
@@ -102,9 +102,9 @@
     /// Zone of the machine.
     pub zone: String,
     /// Zones of the deployment and their regions.
-    pub places: Places,
+    pub places: Topology,
     /// Failures that the deployment must tolerate.
-    pub tolerated: Tolerated,
+    pub tolerated: FailureTolerance,
     /// Port for traffic between nodes, the same on all machines.
     pub peer_port: u16,
     pub listen: Listen,
--- a/crates/model/tests/homes.rs
+++ b/crates/model/tests/homes.rs
@@ -1,8 +1,8 @@
 //! Home regions of routes and tenants.
 
 use dappleyard_model::{
-    Configuration, Homes, Places, RegionName, Route, RouteKind, Tenant, Tenants, TrafficLimits,
-    ZoneName,
+    Configuration, HomeRegions, RegionName, Route, RouteKind, Tenant, Tenants, Topology,
+    TrafficLimits, ZoneName,
 };
 use googletest::prelude::*;
 
@@ -10,7 +10,7 @@
     names.iter().map(|name| RegionName::from(*name)).collect()
 }
 
-fn places() -> Places {
+fn places() -> Topology {
     let zones = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("c1", "c")].into_iter();
     zones
         .map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region)))
@@ -62,15 +62,17 @@
     }
 }
 
-fn zones(homes: &Homes) -> Vec<&'static str> {
+fn zones(homes: &HomeRegions) -> Vec<&'static str> {
     let zones = ["a1", "a2", "b1", "c1", "elsewhere"].into_iter();
-    zones.filter(|zone| homes.allow(zone, &places())).collect()
+    zones
+        .filter(|zone| homes.allows_zone(zone, &places()))
+        .collect()
 }
 
 #[gtest]
 fn route_and_tenant_regions_intersect() {
     let of = |on_route: &[&str], of_tenant: &[&str]| {
-        Homes::of(&route("r", on_route), Some(&tenant(of_tenant)))
+        HomeRegions::of(&route("r", on_route), Some(&tenant(of_tenant)))
     };
     expect_that!(zones(&of(&[], &[])).len(), eq(5));
     expect_that!(zones(&of(&["a"], &[])), elements_are![eq(&"a1"), eq(&"a2")]);
@@ -81,7 +83,7 @@
     );
     expect_that!(zones(&of(&["a"], &["b"])), elements_are![]);
     expect_that!(
-        zones(&Homes::of(&route("r", &["c"]), None)),
+        zones(&HomeRegions::of(&route("r", &["c"]), None)),
         elements_are![eq(&"c1")]
     );
 }
@@ -89,10 +91,10 @@
 #[gtest]
 fn unknown_regions() {
     // Without regions in the settings, a restricted request is allowed in no zone.
-    let bound = Homes::of(&route("r", &["a"]), None);
-    expect_that!(bound.allow("a1", &Places::default()), eq(false));
+    let bound = HomeRegions::of(&route("r", &["a"]), None);
+    expect_that!(bound.allows_zone("a1", &Topology::default()), eq(false));
     let configuration = configuration(vec![route("one", &["a", "x"]), route("two", &[])], &["y"]);
-    let unknown = configuration.unknown_homes(&places());
+    let unknown = configuration.unknown_home_regions(&places());
     let unknown: Vec<String> = unknown
         .iter()
         .map(|(place, region)| format!("{place} {region}"))
@@ -108,7 +110,8 @@
 
 #[gtest]
 fn regions_of_hosts() {
-    let homes = |routes: Vec<Route>| configuration(routes, &[]).homes_of_host("shop.example");
+    let homes =
+        |routes: Vec<Route>| configuration(routes, &[]).home_regions_of_host("shop.example");
     let bound = homes(vec![route("one", &["a"]), route("two", &["b"])]);
     expect_that!(bound.len(), eq(2));
     // One unrestricted route makes the host unrestricted.
@@ -123,17 +126,20 @@
 fn regions_of_jobs() {
     let config = configuration(vec![route("one", &["a", "b"])], &["b"]);
     expect_that!(
-        zones(&Homes::of_job(&config, "one", "t1")),
+        zones(&HomeRegions::of_job(&config, "one", "t1")),
         elements_are![eq(&"b1")]
     );
     expect_that!(
-        zones(&Homes::of_job(&config, "one", "")),
+        zones(&HomeRegions::of_job(&config, "one", "")),
         elements_are![eq(&"a1"), eq(&"a2"), eq(&"b1")]
     );
-    expect_that!(Homes::of_job(&config, "gone", "t1").bind(), eq(false));
-    expect_that!(config.has_homes(), eq(true));
     expect_that!(
-        configuration(vec![route("one", &[])], &[]).has_homes(),
+        HomeRegions::of_job(&config, "gone", "t1").is_restricted(),
+        eq(false)
+    );
+    expect_that!(config.has_home_regions(), eq(true));
+    expect_that!(
+        configuration(vec![route("one", &[])], &[]).has_home_regions(),
         eq(false)
     );
 }
--- a/crates/model/tests/places.rs
+++ b/crates/model/tests/places.rs
@@ -1,9 +1,9 @@
 //! Distances between zones.
 
-use dappleyard_model::{Distance, Places, RegionName, ZoneName};
+use dappleyard_model::{Distance, RegionName, Topology, ZoneName};
 use googletest::prelude::*;
 
-fn places(zones: &[(&str, &str)]) -> Places {
+fn places(zones: &[(&str, &str)]) -> Topology {
     let zones = zones.iter();
     zones
         .map(|(zone, region)| (ZoneName::from(*zone), RegionName::from(*region)))
@@ -30,7 +30,7 @@
     let named = places(&[("a", "north")]);
     expect_that!(named.distance("a", "x"), eq(Distance::OtherRegion));
     expect_that!(
-        Places::default().distance("a", "x"),
+        Topology::default().distance("a", "x"),
         eq(Distance::SameRegion)
     );
 }
--- a/crates/online/src/owner/mod.rs
+++ b/crates/online/src/owner/mod.rs
@@ -11,7 +11,7 @@
 use dappleyard_crashes::Permit;
 use dappleyard_decide::retry::may_follow;
 use dappleyard_engine::{EngineError, EventStream};
-use dappleyard_tables::crashes::RunAtEngine;
+use dappleyard_tables::crashes::EngineRunGuard;
 use dappleyard_wire::error::join_ran;
 use dappleyard_wire::ids::ServerId;
 use dappleyard_wire::messages::{Chunk, Finish, frame};
@@ -52,7 +52,7 @@
     /// The connection of the last call was lost.
     lost: bool,
     /// The run at an engine that is under way.
-    run: Option<RunAtEngine>,
+    run: Option<EngineRunGuard>,
     /// When a stream whose caller was lost is given up.
     detached_until: Option<Instant>,
 }
--- a/crates/online/src/shared.rs
+++ b/crates/online/src/shared.rs
@@ -9,7 +9,7 @@
 use dappleyard_decide::time::Millis;
 use dappleyard_settings::OnlineSettings;
 use dappleyard_tables::NodeTables;
-use dappleyard_tables::rank::{Rank, Ranked};
+use dappleyard_tables::rank::{Rank, RankedMutex};
 use dappleyard_wire::{ErrorKind, Failure};
 
 use crate::metrics::OnlineMetrics;
@@ -23,7 +23,7 @@
 
 /// Admission state, retry budget and stream counts of a node.
 pub struct OnlineShared {
-    state: Ranked<SharedState>,
+    state: RankedMutex<SharedState>,
     streams: AtomicUsize,
     maximum_streams: usize,
     pub(crate) metrics: OnlineMetrics,
@@ -54,7 +54,7 @@
             next_reader: 1,
         };
         Arc::new(OnlineShared {
-            state: Ranked::new(Rank::Tenants, state),
+            state: RankedMutex::new(Rank::Tenants, state),
             streams: AtomicUsize::new(0),
             maximum_streams: settings.maximum_streams,
             metrics: OnlineMetrics::new(&tables.metrics),
--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -6,7 +6,8 @@
 
 use dappleyard_clock::Instant;
 use dappleyard_cluster::{
-    NODES_TABLE, PeerTable, RelayPeer, Roster, StoreClock, StoreHealth, TableSink, View, Ways,
+    NODES_TABLE, PeerTable, RelayPeer, Roster, StoreClock, StoreHealth, TableSink, View,
+    ZoneDistances,
 };
 use dappleyard_model::{EventLog, Row, RowStore};
 use derive_more::Display;
@@ -87,7 +88,7 @@
 pub struct Access {
     name: String,
     zone: String,
-    ways: Arc<Ways>,
+    zone_distances: Arc<ZoneDistances>,
     body_tables: Option<(Arc<View>, &'static [&'static str])>,
     health: Arc<StoreHealth>,
     clock: StoreClock,
@@ -110,7 +111,7 @@
         Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
-            ways: Arc::new(Ways::within(zone)),
+            zone_distances: Arc::new(ZoneDistances::single_region(zone)),
             body_tables: None,
             health,
             clock: StoreClock::default(),
@@ -123,11 +124,14 @@
     }
 
     /// Sets the distances from this node to the zones of the deployment.
-    pub fn with_ways(self, ways: Arc<Ways>) -> Self {
-        Self { ways, ..self }
+    pub fn with_zone_distances(self, zone_distances: Arc<ZoneDistances>) -> Self {
+        Self {
+            zone_distances,
+            ..self
+        }
     }
 
-    /// Starts on [`Path::Undecided`], for a node that calls [`Access::survey`] first.
+    /// Starts on [`Path::Undecided`], for a node that calls [`Access::discover_nodes`] first.
     pub fn undecided(self) -> Self {
         self.path.send_replace(Path::Undecided);
         self
@@ -135,7 +139,7 @@
 
     /// Marks tables that hold request bodies. While the configuration restricts any request to home regions, calls for these
     /// tables are forwarded only within the region, so that no body leaves it.
-    pub fn with_bodies(self, view: Arc<View>, tables: &'static [&'static str]) -> Self {
+    pub fn with_body_tables(self, view: Arc<View>, tables: &'static [&'static str]) -> Self {
         let body_tables = Some((view, tables));
         Self {
             body_tables,
@@ -150,9 +154,12 @@
             return relays;
         };
         let mut tables = tables.into_iter();
-        let bound = || view.configuration().is_some_and(|held| held.has_homes());
+        let bound = || {
+            view.configuration()
+                .is_some_and(|held| held.has_home_regions())
+        };
         if tables.any(|table| body_tables.contains(&table)) && bound() {
-            relays.retain(|peer| self.ways.is_near(&peer.zone));
+            relays.retain(|peer| self.zone_distances.is_near(&peer.zone));
         }
         relays
     }
@@ -175,7 +182,9 @@
     /// Names of the nodes that read the tables from the store for the region, chosen among the delegates of its zones. The
     /// other delegates copy from them, since server heartbeats are too much traffic for every delegate to read at the store.
     fn store_readers(&self, roster: &Roster) -> Vec<String> {
-        let zones = roster.zones().filter(|zone| self.ways.is_near(zone));
+        let zones = roster
+            .zones()
+            .filter(|zone| self.zone_distances.is_near(zone));
         let delegates = zones.flat_map(|zone| roster.delegates(zone));
         let mut ranked: Vec<(u64, &String)> = delegates
             .map(|name| (xxh3_64(name.as_bytes()), name))
@@ -187,7 +196,7 @@
 
     /// Whether this node reads the tables from the store for others.
     fn is_store_reader(&self, roster: &Roster) -> bool {
-        roster.own_place().is_some() && self.store_readers(roster).contains(&self.name)
+        roster.own_delegate_index().is_some() && self.store_readers(roster).contains(&self.name)
     }
 
     /// Long-poll wait to request. Delegates poll more often, since the ages of copies add up along the chain.
@@ -201,8 +210,8 @@
     /// Shortest interval between polls; it grows with the zone, so the load on its delegates does not.
     pub(crate) fn poll_interval(&self) -> Duration {
         let roster = self.peers.roster();
-        match self.peers.is_large() && roster.own_place().is_none() {
-            true => POLL_INTERVAL_PER_NODE * roster.near().count() as u32,
+        match self.peers.is_large() && roster.own_delegate_index().is_none() {
+            true => POLL_INTERVAL_PER_NODE * roster.own_zone_peers().count() as u32,
             false => Duration::ZERO,
         }
     }
@@ -212,7 +221,7 @@
         if !self.peers.is_large() || self.peers.is_delegate() {
             return Duration::ZERO;
         }
-        let nodes = self.peers.roster().near().count() as u32;
+        let nodes = self.peers.roster().own_zone_peers().count() as u32;
         (FALLBACK_SPREAD_PER_NODE * nodes).mul_f64(rand::random_range(0.0..1.0))
     }
 
@@ -242,7 +251,7 @@
     /// data is better than none.
     pub fn sources(&self) -> Vec<RelayPeer> {
         let roster = self.peers.roster();
-        if self.is_starting() && self.health.is_lost() {
+        if self.is_starting() && self.health.is_unavailable() {
             let mut peers = roster.peers.clone();
             self.sort(&mut peers);
             return peers;
@@ -250,7 +259,7 @@
         if !self.peers.is_large() {
             return self.usable_relays();
         }
-        let mut sources: Vec<RelayPeer> = match roster.own_place() {
+        let mut sources: Vec<RelayPeer> = match roster.own_delegate_index() {
             Some(_) => {
                 let readers = self.store_readers(&roster);
                 let readers = readers.iter().filter_map(|name| roster.peer(name));
@@ -258,7 +267,9 @@
             }
             None => {
                 // Includes delegates of the region's other zones, preferred over the store; `sort` puts the own zone first.
-                let zones = roster.zones().filter(|zone| self.ways.is_near(zone));
+                let zones = roster
+                    .zones()
+                    .filter(|zone| self.zone_distances.is_near(zone));
                 let delegates = zones.flat_map(|zone| roster.delegate_peers(zone));
                 delegates.cloned().collect()
             }
@@ -278,12 +289,12 @@
 
     /// Reads the nodes of the own zone from the store and chooses the first path. In a large fleet a starting node then
     /// copies the tables from a peer, so that a restart of the fleet does not overload the store.
-    pub async fn survey(&self, store: &dyn RowStore, nodes: &dyn TableSink) {
+    pub async fn discover_nodes(&self, store: &dyn RowStore, nodes: &dyn TableSink) {
         let mut pause = DISCOVERY_BACKOFF;
         let mut from = String::new();
         let mut failures = 0;
         while failures < MAX_DISCOVERY_FAILURES
-            && !(self.health.is_lost() && failures >= MAX_DISCOVERY_FAILURES_WHEN_LOST)
+            && !(self.health.is_unavailable() && failures >= MAX_DISCOVERY_FAILURES_WHEN_LOST)
         {
             let read = store
                 .read(NODES_TABLE, &self.zone, &from, "", DISCOVERY_PAGE_ROWS)
@@ -317,7 +328,7 @@
     pub async fn run(&self, store: &dyn RowStore) {
         loop {
             let follows = self.peers.is_large() && self.path() == Path::ByPeer;
-            let refresh = match follows && !self.health.is_lost() {
+            let refresh = match follows && !self.health.is_unavailable() {
                 true => FOLLOWER_REFRESH_INTERVAL,
                 false => REFRESH_INTERVAL,
             };
@@ -339,7 +350,7 @@
         let inputs = PathInputs {
             large: self.peers.is_large(),
             reader: self.is_store_reader(&self.peers.roster()),
-            lost: self.health.is_lost(),
+            lost: self.health.is_unavailable(),
             peers: self.sources().len(),
             peers_failed: failed.is_some_and(|at| at.elapsed() < PEER_FAILURE_BACKOFF),
         };
@@ -363,7 +374,7 @@
     async fn probe(&self, store: &dyn RowStore) {
         let is_idle = self.health.age().is_none_or(|age| age > PROBE_AFTER);
         let follows = self.path() == Path::Direct;
-        if !(is_idle && (follows || self.health.is_lost())) {
+        if !(is_idle && (follows || self.health.is_unavailable())) {
             return;
         }
         let next_key = format!("{}\u{1}", self.name);
@@ -395,7 +406,7 @@
         peers.sort_by_key(|peer| {
             let mut bytes = self.name.as_bytes().to_vec();
             bytes.extend_from_slice(peer.name.as_bytes());
-            (self.ways.distance(&peer.zone), xxh3_64(&bytes))
+            (self.zone_distances.distance(&peer.zone), xxh3_64(&bytes))
         });
     }
 }
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -26,7 +26,7 @@
 
 struct CachedRow {
     row: Row,
-    essence: u64,
+    content_hash: u64,
 }
 
 #[derive(Default)]
@@ -92,8 +92,8 @@
 }
 
 impl TableHistory {
-    /// Applies a changed row; returns whether its essence changed.
-    fn change(&self, row: &Row, essence: u64) -> bool {
+    /// Applies a changed row; returns whether its content_hash changed.
+    fn change(&self, row: &Row, content_hash: u64) -> bool {
         let mut state = self.state.lock();
         let row_id = (row.part.clone(), row.key.clone());
         if row.value.is_none() {
@@ -109,8 +109,8 @@
             if cached.row.revision >= row.revision {
                 return false;
             }
-            if cached.essence == essence {
-                // The cached snapshot stays valid: its older revision of the row has the same essence.
+            if cached.content_hash == content_hash {
+                // The cached snapshot stays valid: its older revision of the row has the same content_hash.
                 cached.row = row.clone();
                 return false;
             }
@@ -119,7 +119,7 @@
         let revision = row.revision;
         state
             .rows
-            .insert(row_id.clone(), CachedRow { row, essence });
+            .insert(row_id.clone(), CachedRow { row, content_hash });
         state.log_change(revision, row_id);
         true
     }
@@ -128,15 +128,15 @@
     fn replace(&self, rows: Vec<(Row, u64)>, revision: u64) {
         let mut state = self.state.lock();
         let mut next = BTreeMap::new();
-        for (row, essence) in rows {
+        for (row, content_hash) in rows {
             next.insert(
                 (row.part.clone(), row.key.clone()),
-                CachedRow { row, essence },
+                CachedRow { row, content_hash },
             );
         }
         let differs = |state: &State, row_id: &RowId, cached: &CachedRow| {
             let known = state.rows.get(row_id);
-            known.is_none_or(|known| known.essence != cached.essence)
+            known.is_none_or(|known| known.content_hash != cached.content_hash)
         };
         let mut changed: Vec<(u64, RowId)> = next
             .iter()
@@ -351,7 +351,7 @@
             return;
         }
         let rows: Vec<Row> = rows.into_iter().map(|row| self.sink.digest(row)).collect();
-        let with_essence = rows.iter().map(|row| (row.clone(), self.essence(row)));
+        let with_essence = rows.iter().map(|row| (row.clone(), self.content_hash(row)));
         self.history.replace(with_essence.collect(), revision);
         self.sink.replace(rows, revision);
         self.unnotified.set(true);
@@ -359,8 +359,8 @@
 
     fn change(&self, row: Row) {
         let row = self.sink.digest(row);
-        let essence = self.essence(&row);
-        if self.history.change(&row, essence) {
+        let content_hash = self.content_hash(&row);
+        if self.history.change(&row, content_hash) {
             self.sink.change(row);
             self.unnotified.set(true);
         }
@@ -368,7 +368,7 @@
 
     /// Records a contact after adding the transit time to its age. No other code ages a contact on receipt.
     fn contact(&self, contact: &Contact) {
-        let transit_time = self.access.clock().time_on_way(contact.now_ms);
+        let transit_time = self.access.clock().transit_time(contact.now_ms);
         let contact = &Contact {
             revision: contact.revision,
             now_ms: contact.now_ms + transit_time.as_millis() as u64,
@@ -393,7 +393,7 @@
         self.sink.digest(row)
     }
 
-    fn essence(&self, row: &Row) -> u64 {
-        self.sink.essence(row)
+    fn content_hash(&self, row: &Row) -> u64 {
+        self.sink.content_hash(row)
     }
 }
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -109,7 +109,7 @@
                 return;
             };
             let poll_start = Instant::now();
-            let max_age = match access.health().is_lost() {
+            let max_age = match access.health().is_unavailable() {
                 true => MAX_COPY_AGE_WHEN_LOST,
                 false => MAX_COPY_AGE,
             };
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -44,7 +44,7 @@
         kind: &CallKind,
         tables: impl IntoIterator<Item = &'a str>,
     ) -> Option<Result<AnswerKind, StoreError>> {
-        if !self.access.health().is_lost() {
+        if !self.access.health().is_unavailable() {
             return None;
         }
         for peer in self
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -136,7 +136,7 @@
 
     /// Refuses a forwarded call when this node cannot reach the store, so that no call is forwarded twice.
     fn ensure_store_reachable(&self) -> Result<(), StoreError> {
-        match self.access.health().is_lost() {
+        match self.access.health().is_unavailable() {
             true => Err(unavailable("the store does not answer this node either")),
             false => Ok(()),
         }
--- a/crates/relay/tests/evacuations.rs
+++ b/crates/relay/tests/evacuations.rs
@@ -97,7 +97,10 @@
     let (rows, a, b) = pair().await;
     cut_off(&a).await;
     b.cut.set(true);
-    wait_until("both nodes lose the store", || b.access.health().is_lost()).await;
+    wait_until("both nodes lose the store", || {
+        b.access.health().is_unavailable()
+    })
+    .await;
     withdraw_order(&rows, "first");
     issue_order(&rows, "second");
     rows.forget_history();
@@ -116,7 +119,7 @@
     issue_order(&rows, "second");
     wait_until("it knows", || a.knows(&["second"])).await;
     rows.set_down(true);
-    wait_until("the store is lost", || a.access.health().is_lost()).await;
+    wait_until("the store is lost", || a.access.health().is_unavailable()).await;
     let late = start("late", &rows);
     let heartbeat = Heartbeat {
         name: "a".to_owned(),
@@ -124,7 +127,7 @@
         ..Heartbeat::default()
     };
     wait_until("it copies the table", || {
-        late.peers.meet(&heartbeat, a.address);
+        late.peers.note_unlisted_sender(&heartbeat, a.address);
         late.knows(&["second"])
     })
     .await;
--- a/crates/relay/tests/history.rs
+++ b/crates/relay/tests/history.rs
@@ -39,7 +39,7 @@
 
     fn contact(&self, _contact: &Contact) {}
 
-    fn essence(&self, row: &Row) -> u64 {
+    fn content_hash(&self, row: &Row) -> u64 {
         row.value.as_ref().map_or(0, |value| u64::from(value[0]))
     }
 }
--- a/crates/relay/tests/homes.rs
+++ b/crates/relay/tests/homes.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use dappleyard_cluster::{
-    ConfigurationSink, Heartbeat, NodeRow, PeerTable, StoreHealth, TableSink, View, Ways,
+    ConfigurationSink, Heartbeat, NodeRow, PeerTable, StoreHealth, TableSink, View, ZoneDistances,
 };
-use dappleyard_model::{EventLog, Places, RegionName, Row, ZoneName};
+use dappleyard_model::{EventLog, RegionName, Row, Topology, ZoneName};
 use dappleyard_platform::PlatformDialect;
 use dappleyard_relay::Access;
 use googletest::prelude::*;
@@ -34,7 +34,7 @@
             ..NodeRow::default()
         };
         peers.change(row(name, node.encode_to_vec(), 1));
-        peers.heard(&Heartbeat {
+        peers.apply_heartbeat(&Heartbeat {
             name: name.to_owned(),
             life: 1,
             sequence: 1,
@@ -56,20 +56,24 @@
 #[tokio::test(start_paused = true)]
 async fn bodies_stay_in_the_region() {
     let zones = [("north", "a"), ("east", "a"), ("south", "b")].into_iter();
-    let places: Places = zones
+    let places: Topology = zones
         .map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region)))
         .collect();
     let log = Arc::new(EventLog::silent());
-    let ways = Arc::new(Ways::new("north", &places));
-    let view = Arc::new(View::with_ways("own", ways.clone(), log.clone()));
+    let zone_distances = Arc::new(ZoneDistances::new("north", &places));
+    let view = Arc::new(View::with_zone_distances(
+        "own",
+        zone_distances.clone(),
+        log.clone(),
+    ));
     let sink = ConfigurationSink {
         view: view.clone(),
         dialect: Arc::new(PlatformDialect),
     };
     let health = Arc::new(StoreHealth::default());
     let access = Access::new("own", "north", health, peers(&log), log)
-        .with_ways(ways)
-        .with_bodies(view, &BODIES);
+        .with_zone_distances(zone_distances)
+        .with_body_tables(view, &BODIES);
     let relays = |table: &'static str| -> Vec<String> {
         let relays = access.relays_for([table]).into_iter();
         relays.map(|peer| peer.name).collect()
--- a/crates/relay/tests/peers.rs
+++ b/crates/relay/tests/peers.rs
@@ -144,7 +144,7 @@
     a.cut.set(true);
     b.cut.set(true);
     wait_until("both nodes lose the store", || {
-        a.access.health().is_lost() && b.access.health().is_lost()
+        a.access.health().is_unavailable() && b.access.health().is_unavailable()
     })
     .await;
     let outcome = a.write("second").await;
@@ -153,7 +153,10 @@
         err(matches_pattern!(StoreError::Unavailable { .. }))
     );
     b.cut.set(false);
-    wait_until("the store answers b", || !b.access.health().is_lost()).await;
+    wait_until("the store answers b", || {
+        !b.access.health().is_unavailable()
+    })
+    .await;
     wait_until("the other's calls pass", || !b.cut.get()).await;
     expect_that!(a.write("second").await, ok(anything()));
 }
@@ -174,7 +177,7 @@
 async fn startup_during_outage() {
     let (rows, a, _b) = pair().await;
     rows.set_down(true);
-    wait_until("the store is lost", || a.access.health().is_lost()).await;
+    wait_until("the store is lost", || a.access.health().is_unavailable()).await;
     // Peers cannot forward calls but can serve their copies.
     let late = start("late", &rows);
     let heartbeat = Heartbeat {
@@ -183,7 +186,7 @@
         ..Heartbeat::default()
     };
     wait_until("the table is known", || {
-        late.peers.meet(&heartbeat, a.address);
+        late.peers.note_unlisted_sender(&heartbeat, a.address);
         late.holds("first")
     })
     .await;
--- a/crates/relay/tests/startup.rs
+++ b/crates/relay/tests/startup.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use dappleyard_cluster::{ALL_HEARD, Contact, NODES_TABLE, NodeRow, TableSink};
+use dappleyard_cluster::{Contact, MAX_FULL_MESH_NODES, NODES_TABLE, NodeRow, TableSink};
 use dappleyard_emulator::EmulatedRows;
 use dappleyard_model::Row;
 use dappleyard_relay::Path;
@@ -63,7 +63,7 @@
     };
     let own = row(reader.address.to_string(), true);
     rows.write(NODES_TABLE, "north", reader.name, own.encode_to_vec());
-    for number in 0..ALL_HEARD {
+    for number in 0..MAX_FULL_MESH_NODES {
         let other = row(format!("127.0.0.1:{}", 1 + number), false);
         rows.write(
             NODES_TABLE,
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -102,7 +102,7 @@
     /// Starts a node that discovers its peers before it follows any table.
     pub fn start_undecided(name: &'static str, rows: &EmulatedRows, sink: S) -> Self {
         let node = Self::start_as(name, rows, sink, Access::undecided);
-        node.survey();
+        node.discover_nodes();
         node
     }
 
@@ -110,14 +110,14 @@
     pub fn start_cut_off(name: &'static str, rows: &EmulatedRows, sink: S) -> Self {
         let node = Self::start_as(name, rows, sink, Access::undecided);
         node.cut.set(true);
-        node.survey();
+        node.discover_nodes();
         node
     }
 
-    fn survey(&self) {
+    fn discover_nodes(&self) {
         let (access, peers, store) = (self.access.clone(), self.peers.clone(), self.store.clone());
         tokio::task::spawn_local(async move {
-            access.survey(store.as_ref(), peers.as_ref()).await;
+            access.discover_nodes(store.as_ref(), peers.as_ref()).await;
         });
     }
 
@@ -190,7 +190,7 @@
         tokio::task::spawn_local(async move {
             for sequence in 1.. {
                 let age = access.health().age();
-                peers.heard(&Heartbeat {
+                peers.apply_heartbeat(&Heartbeat {
                     name: name.clone(),
                     life: 1,
                     sequence,
@@ -251,7 +251,7 @@
 pub async fn cut_off<S>(node: &TestNode<S>) {
     node.cut.set(true);
     wait_until("the store counts as lost", || {
-        node.access.health().is_lost()
+        node.access.health().is_unavailable()
     })
     .await;
     wait_until("tables are followed through a peer", || {
--- a/crates/relay/tests/zones.rs
+++ b/crates/relay/tests/zones.rs
@@ -64,7 +64,7 @@
     }
 
     fn send_heartbeat(&self, zone: &str, number: usize, answered: bool) {
-        self.peers.heard(&Heartbeat {
+        self.peers.apply_heartbeat(&Heartbeat {
             name: name(zone, number),
             life: 1,
             ready: true,
--- a/crates/room/src/capacity.rs
+++ b/crates/room/src/capacity.rs
@@ -9,7 +9,7 @@
 use dappleyard_clock::Instant;
 use rand::Rng;
 
-use crate::retry_schedule::{SPAN, SPANS};
+use crate::retry_schedule::{RETRY_INTERVAL, RETRY_INTERVALS};
 
 /// Fraction of the slots becoming free that is reserved for retries. These clients have waited once
 /// already, but each reserved slot causes another request to be refused.
@@ -67,7 +67,7 @@
             let due = f64::from(*due);
             (
                 away + due,
-                away_s + due * (span as f64 + 0.5) * SPAN.as_secs_f64(),
+                away_s + due * (span as f64 + 0.5) * RETRY_INTERVAL.as_secs_f64(),
             )
         });
         match away > 0.0 {
@@ -79,22 +79,22 @@
     /// Rate of retries expected now.
     pub fn retries_per_s(&self) -> f64 {
         let due = self.returns.first().copied().unwrap_or_default();
-        f64::from(due) / SPAN.as_secs_f64()
+        f64::from(due) / RETRY_INTERVAL.as_secs_f64()
     }
 
     /// Retry delay, at most `most`: the earliest interval with reserved slots left, or a late
     /// random time if there is none. Intervals fill up by chance, so that nodes with outdated
     /// information do not all choose the same one.
     pub fn retry_delay(&self, most: Duration, random: &mut impl Rng) -> Duration {
-        let most = most.min(SPAN * SPANS as u32);
-        let reserved = self.completions_per_s() * RETRY_RESERVE * SPAN.as_secs_f64();
-        let spans = (most.as_secs_f64() / SPAN.as_secs_f64()) as usize;
-        let open = (1..spans.min(SPANS)).find(|span| {
+        let most = most.min(RETRY_INTERVAL * RETRY_INTERVALS as u32);
+        let reserved = self.completions_per_s() * RETRY_RESERVE * RETRY_INTERVAL.as_secs_f64();
+        let spans = (most.as_secs_f64() / RETRY_INTERVAL.as_secs_f64()) as usize;
+        let open = (1..spans.min(RETRY_INTERVALS)).find(|span| {
             let promised = self.returns.get(*span).copied().unwrap_or_default();
             f64::from(promised) < reserved * random.random::<f64>()
         });
         match open {
-            Some(span) => SPAN.mul_f64(span as f64 + random.random::<f64>()),
+            Some(span) => RETRY_INTERVAL.mul_f64(span as f64 + random.random::<f64>()),
             None => most.mul_f64(random.random_range(0.5..=1.0)),
         }
     }
--- a/crates/room/src/demand.rs
+++ b/crates/room/src/demand.rs
@@ -3,10 +3,10 @@
 use prost::Message;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::retry_schedule::SPANS;
+use crate::retry_schedule::RETRY_INTERVALS;
 
 /// Hash of a service name, used in messages.
-pub fn service_number(name: &str) -> u32 {
+pub fn service_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
@@ -53,7 +53,7 @@
 
     /// Adds another demand that was sent `intervals_ago` whole intervals ago.
     pub fn add(&mut self, other: &Demand, intervals_ago: usize) {
-        self.add_pressure(other, intervals_ago);
+        self.add_without_tenants(other, intervals_ago);
         for work in &other.tenants {
             let place = self
                 .tenants
@@ -69,9 +69,13 @@
     }
 
     /// Same as `add`, without the tenants.
-    pub fn add_pressure(&mut self, other: &Demand, intervals_ago: usize) {
+    pub fn add_without_tenants(&mut self, other: &Demand, intervals_ago: usize) {
         self.waiting = self.waiting.saturating_add(other.waiting);
-        let due = other.returns.iter().take(SPANS).skip(intervals_ago);
+        let due = other
+            .returns
+            .iter()
+            .take(RETRY_INTERVALS)
+            .skip(intervals_ago);
         for (span, requests) in due.enumerate() {
             if self.returns.len() <= span {
                 self.returns.push(0);
@@ -81,9 +85,13 @@
     }
 
     /// Subtracts a demand that was added before.
-    pub fn take_off(&mut self, other: &Demand, intervals_ago: usize) {
+    pub fn subtract(&mut self, other: &Demand, intervals_ago: usize) {
         self.waiting = self.waiting.saturating_sub(other.waiting);
-        let due = other.returns.iter().take(SPANS).skip(intervals_ago);
+        let due = other
+            .returns
+            .iter()
+            .take(RETRY_INTERVALS)
+            .skip(intervals_ago);
         for (held, requests) in self.returns.iter_mut().zip(due) {
             *held = held.saturating_sub(*requests);
         }
--- a/crates/room/src/lib.rs
+++ b/crates/room/src/lib.rs
@@ -15,8 +15,8 @@
 
 pub use admission::{Admission, AdmissionRequest, CHECK_INTERVAL, RETRY_FRACTION, admit};
 pub use capacity::{Capacity, LoadTrend, MeanHoldTime, RETRY_RESERVE};
-pub use demand::{Demand, TenantWork, service_number};
+pub use demand::{Demand, TenantWork, service_hash};
 pub use retry_detector::RetryDetector;
 pub use retry_queue::RetryQueue;
-pub use retry_schedule::{ReturnSchedule, SPAN, SPANS};
+pub use retry_schedule::{RETRY_INTERVAL, RETRY_INTERVALS, RetrySchedule};
 pub use shares::{Claim, OverShare, Shares};
--- a/crates/room/src/retry_schedule.rs
+++ b/crates/room/src/retry_schedule.rs
@@ -6,19 +6,19 @@
 use dappleyard_clock::Instant;
 
 /// Length of one interval of the schedule.
-pub const SPAN: Duration = Duration::from_millis(100);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of intervals. Clients retry within some seconds or not at all.
-pub const SPANS: usize = 32;
+pub const RETRY_INTERVALS: usize = 32;
 
 /// Refused requests of one node by the interval in which their retry is due.
 #[derive(Debug, Clone)]
-pub struct ReturnSchedule {
+pub struct RetrySchedule {
     /// Start of the first interval.
     start: Instant,
     spans: VecDeque<u32>,
 }
 
-impl ReturnSchedule {
+impl RetrySchedule {
     /// Creates an empty schedule.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -31,8 +31,8 @@
     pub fn note(&mut self, after: Duration, now: Instant) {
         self.advance(now);
         let due = now.saturating_duration_since(self.start) + after;
-        let span = (due.as_millis() / SPAN.as_millis()) as usize;
-        let span = span.min(SPANS - 1);
+        let span = (due.as_millis() / RETRY_INTERVAL.as_millis()) as usize;
+        let span = span.min(RETRY_INTERVALS - 1);
         if self.spans.len() <= span {
             self.spans.resize(span + 1, 0);
         }
@@ -48,9 +48,9 @@
     /// Drops past intervals.
     fn advance(&mut self, now: Instant) {
         let age = now.saturating_duration_since(self.start);
-        let over = (age.as_millis() / SPAN.as_millis()) as u32;
+        let over = (age.as_millis() / RETRY_INTERVAL.as_millis()) as u32;
         let dropped = (over as usize).min(self.spans.len());
         self.spans.drain(..dropped);
-        self.start += SPAN * over;
+        self.start += RETRY_INTERVAL * over;
     }
 }
--- a/crates/room/tests/admission.rs
+++ b/crates/room/tests/admission.rs
@@ -4,8 +4,8 @@
 
 use dappleyard_clock::Instant;
 use dappleyard_room::{
-    Admission, AdmissionRequest, Capacity, LoadTrend, MeanHoldTime, RetryDetector, RetryQueue,
-    SPAN, SPANS, admit,
+    Admission, AdmissionRequest, Capacity, LoadTrend, MeanHoldTime, RETRY_INTERVAL,
+    RETRY_INTERVALS, RetryDetector, RetryQueue, admit,
 };
 use googletest::prelude::*;
 use rand::SeedableRng;
@@ -235,8 +235,8 @@
 #[gtest]
 fn returns_within_the_schedule() {
     let mut full = capacity(90, 40);
-    full.returns = vec![1_000; SPANS];
+    full.returns = vec![1_000; RETRY_INTERVALS];
     let mut random = random();
     let after = full.retry_delay(ms(20_000), &mut random);
-    expect_that!(after, le(SPAN * SPANS as u32));
+    expect_that!(after, le(RETRY_INTERVAL * RETRY_INTERVALS as u32));
 }
--- a/crates/room/tests/demand.rs
+++ b/crates/room/tests/demand.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_room::{Demand, ReturnSchedule, SPAN, SPANS, TenantWork};
+use dappleyard_room::{Demand, RETRY_INTERVAL, RETRY_INTERVALS, RetrySchedule, TenantWork};
 use googletest::prelude::*;
 
 fn work(tenant: u32, requests: u32) -> TenantWork {
@@ -41,15 +41,18 @@
 #[gtest]
 fn returns_fall_due() {
     let began = Instant::now();
-    let mut schedule = ReturnSchedule::new(began);
-    schedule.note(SPAN * 2, began);
-    schedule.note(SPAN * 2, began + SPAN / 2);
+    let mut schedule = RetrySchedule::new(began);
+    schedule.note(RETRY_INTERVAL * 2, began);
+    schedule.note(RETRY_INTERVAL * 2, began + RETRY_INTERVAL / 2);
     expect_that!(schedule.due(began), elements_are![eq(&0), eq(&0), eq(&2)]);
-    expect_that!(schedule.due(began + SPAN * 2), elements_are![eq(&2)]);
-    expect_that!(schedule.due(began + SPAN * 3), is_empty());
+    expect_that!(
+        schedule.due(began + RETRY_INTERVAL * 2),
+        elements_are![eq(&2)]
+    );
+    expect_that!(schedule.due(began + RETRY_INTERVAL * 3), is_empty());
     let late = began + Duration::from_secs(3600);
     schedule.note(Duration::from_secs(60), late);
-    expect_that!(schedule.due(late), len(eq(SPANS)));
+    expect_that!(schedule.due(late), len(eq(RETRY_INTERVALS)));
 }
 
 #[gtest]
@@ -69,6 +72,6 @@
     let mut sum = Demand::of(7);
     sum.add(&one, 0);
     sum.add(&other, 0);
-    sum.take_off(&one, 0);
+    sum.subtract(&one, 0);
     expect_that!(sum, eq(&other));
 }
--- a/crates/room/tests/goodput.rs
+++ b/crates/room/tests/goodput.rs
@@ -5,7 +5,9 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use dappleyard_room::{Admission, AdmissionRequest, Capacity, SPAN, SPANS, admit};
+use dappleyard_room::{
+    Admission, AdmissionRequest, Capacity, RETRY_INTERVAL, RETRY_INTERVALS, admit,
+};
 use googletest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -127,7 +129,7 @@
             };
             checks.push(Reverse((ms, call)));
         }
-        if ms % SPAN.as_millis() as u64 == 0 {
+        if ms % RETRY_INTERVAL.as_millis() as u64 == 0 {
             now.returns.pop_front();
         }
         while checks.peek().is_some_and(|interval| interval.0.0 <= ms) {
@@ -180,8 +182,8 @@
                     outcome.refused_again += u32::from(call.is_retry);
                     if !call.is_retry {
                         let after = retry_after.as_millis() as u64;
-                        let span = (after / SPAN.as_millis() as u64) as usize;
-                        now.returns.resize(SPANS.max(span + 1), 0);
+                        let span = (after / RETRY_INTERVAL.as_millis() as u64) as usize;
+                        now.returns.resize(RETRY_INTERVALS.max(span + 1), 0);
                         now.returns[span] += 1;
                         let at = ms + after.min(CLIENT_DEADLINE_MS / 3);
                         let call = SimulatedRequest {
--- a/crates/tables/src/configuration.rs
+++ b/crates/tables/src/configuration.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::directory::ServerEntry;
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 /// Decoded configuration at one revision.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -81,14 +81,14 @@
 }
 
 pub struct ConfigurationTable {
-    state: Ranked<ConfigurationState>,
+    state: RankedMutex<ConfigurationState>,
     current: watch::Sender<Arc<Configuration>>,
 }
 
 impl Default for ConfigurationTable {
     fn default() -> Self {
         Self {
-            state: Ranked::new(Rank::Configuration, ConfigurationState::default()),
+            state: RankedMutex::new(Rank::Configuration, ConfigurationState::default()),
             current: watch::Sender::new(Arc::default()),
         }
     }
--- a/crates/tables/src/crashes.rs
+++ b/crates/tables/src/crashes.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use dappleyard_clock::Instant;
-use dappleyard_crashes::{CrashNews, CrashRecord, Fingerprint, Ledger, Permit};
+use dappleyard_crashes::{CrashRecord, CrashUpdates, Fingerprint, Ledger, Permit};
 use dappleyard_decide::time::Millis;
 use dappleyard_wire::ids::ServerId;
 
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 /// Records offered to gossip at a time; a datagram carries as many as fit.
 const NEWS_RECORDS: usize = 24;
@@ -24,7 +24,7 @@
 
 /// Table of requests that crashed engines.
 pub struct CrashesTable {
-    crashes: Ranked<CrashState>,
+    crashes: RankedMutex<CrashState>,
 }
 
 impl CrashesTable {
@@ -35,7 +35,7 @@
             last_crashes: BTreeMap::new(),
         };
         Arc::new(CrashesTable {
-            crashes: Ranked::new(Rank::Crashes, crashes),
+            crashes: RankedMutex::new(Rank::Crashes, crashes),
         })
     }
 
@@ -49,13 +49,13 @@
         self: &Arc<Self>,
         request: Fingerprint,
         server: &ServerId,
-    ) -> Result<RunAtEngine, Permit> {
+    ) -> Result<EngineRunGuard, Permit> {
         let mut crashes = self.crashes.lock();
         let begun = crashes
             .ledger
             .begin(&request, server.as_str(), Instant::now());
         match begun {
-            Permit::Free | Permit::LastRun => Ok(RunAtEngine {
+            Permit::Free | Permit::LastRun => Ok(EngineRunGuard {
                 table: self.clone(),
                 request,
                 server: server.clone(),
@@ -65,9 +65,9 @@
     }
 
     /// News to send to other nodes, including news that was sent before.
-    pub fn news(&self) -> CrashNews {
+    pub fn news(&self) -> CrashUpdates {
         let mut crashes = self.crashes.lock();
-        crashes.ledger.news(true, NEWS_RECORDS, Instant::now())
+        crashes.ledger.updates(true, NEWS_RECORDS, Instant::now())
     }
 
     /// Merges a record from another node; returns whether it was new.
@@ -83,13 +83,13 @@
 }
 
 /// Run of a request at an engine; ends when dropped.
-pub struct RunAtEngine {
+pub struct EngineRunGuard {
     table: Arc<CrashesTable>,
     request: Fingerprint,
     server: ServerId,
 }
 
-impl RunAtEngine {
+impl EngineRunGuard {
     /// Records that the engine crashed during the run; returns the number of crashes under the request.
     pub fn note_ended(&self, now: Millis, unix_ms: u64) -> usize {
         let mut crashes = self.table.crashes.lock();
@@ -115,7 +115,7 @@
     }
 }
 
-impl Drop for RunAtEngine {
+impl Drop for EngineRunGuard {
     fn drop(&mut self) {
         let mut crashes = self.table.crashes.lock();
         crashes
--- a/crates/tables/src/decisions.rs
+++ b/crates/tables/src/decisions.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 pub const MAXIMUM_RECORDS: usize = 4096;
 
@@ -79,13 +79,13 @@
 }
 
 pub struct DecisionsTable {
-    records: Ranked<Records>,
+    records: RankedMutex<Records>,
 }
 
 impl Default for DecisionsTable {
     fn default() -> Self {
         Self {
-            records: Ranked::new(Rank::Decisions, Records::default()),
+            records: RankedMutex::new(Rank::Decisions, Records::default()),
         }
     }
 }
--- a/crates/tables/src/directory.rs
+++ b/crates/tables/src/directory.rs
@@ -5,7 +5,7 @@
 use dappleyard_wire::ids::{NodeId, RegionId, ServerId, ServiceId, ZoneId};
 use tokio::sync::watch;
 
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 /// Server of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -26,14 +26,14 @@
 
 /// Table of servers, written by the fleet component only.
 pub struct DirectoryTable {
-    servers: Ranked<BTreeMap<ServerId, ServerEntry>>,
+    servers: RankedMutex<BTreeMap<ServerId, ServerEntry>>,
     changed: watch::Sender<u64>,
 }
 
 impl Default for DirectoryTable {
     fn default() -> Self {
         Self {
-            servers: Ranked::new(Rank::Directory, BTreeMap::new()),
+            servers: RankedMutex::new(Rank::Directory, BTreeMap::new()),
             changed: watch::Sender::new(0),
         }
     }
--- a/crates/tables/src/lib.rs
+++ b/crates/tables/src/lib.rs
@@ -23,7 +23,7 @@
 use dappleyard_wire::ids::{NodeId, RegionId, ZoneId};
 use tokio::sync::watch;
 
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 /// Identity of this node.
 #[derive(Debug, Clone)]
@@ -67,7 +67,7 @@
     /// Load summaries of other nodes and cells.
     pub loads: loads::LoadsTable,
     /// Cancelled jobs, spread by gossip.
-    pub cancelled_jobs: Ranked<BTreeSet<String>>,
+    pub cancelled_jobs: RankedMutex<BTreeSet<String>>,
     /// Requests that crashed engines, spread by gossip.
     pub crashes: Arc<crashes::CrashesTable>,
     /// Bounded decision records.
@@ -91,7 +91,7 @@
             configuration: configuration::ConfigurationTable::default(),
             servers: servers::ServersTable::default(),
             loads: loads::LoadsTable::default(),
-            cancelled_jobs: Ranked::new(Rank::CancelledJobs, BTreeSet::new()),
+            cancelled_jobs: RankedMutex::new(Rank::CancelledJobs, BTreeSet::new()),
             decisions: decisions::DecisionsTable::default(),
             metrics: prometheus::Registry::new(),
             lifecycle_valid_until: AtomicU64::new(u64::MAX),
@@ -106,7 +106,7 @@
     }
 
     /// Sets the time until which the lifecycle state is valid without another call. Before the first call it never expires.
-    pub fn set_vouched_until(&self, until: Millis) {
+    pub fn set_lifecycle_valid_until(&self, until: Millis) {
         self.lifecycle_valid_until.store(until.0, Ordering::Relaxed);
     }
 }
--- a/crates/tables/src/loads.rs
+++ b/crates/tables/src/loads.rs
@@ -5,11 +5,11 @@
 use dappleyard_decide::time::Millis;
 use dappleyard_wire::messages::{CellAggregate, NodeLoad};
 
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 /// Summary with the time of its arrival.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stamped<T> {
+pub struct Timestamped<T> {
     pub value: T,
     /// Time of arrival.
     pub at: Millis,
@@ -17,18 +17,18 @@
 
 #[derive(Debug, Default)]
 struct Loads {
-    nodes: BTreeMap<String, Stamped<NodeLoad>>,
-    cells: BTreeMap<String, Stamped<CellAggregate>>,
+    nodes: BTreeMap<String, Timestamped<NodeLoad>>,
+    cells: BTreeMap<String, Timestamped<CellAggregate>>,
 }
 
 pub struct LoadsTable {
-    loads: Ranked<Loads>,
+    loads: RankedMutex<Loads>,
 }
 
 impl Default for LoadsTable {
     fn default() -> Self {
         Self {
-            loads: Ranked::new(Rank::Loads, Loads::default()),
+            loads: RankedMutex::new(Rank::Loads, Loads::default()),
         }
     }
 }
@@ -44,7 +44,7 @@
         if !older {
             loads
                 .nodes
-                .insert(load.node.clone(), Stamped { value: load, at });
+                .insert(load.node.clone(), Timestamped { value: load, at });
         }
     }
 
@@ -55,7 +55,7 @@
         if known.is_none_or(|known| known.value.sequence <= aggregate.sequence) {
             loads.cells.insert(
                 aggregate.cell.clone(),
-                Stamped {
+                Timestamped {
                     value: aggregate,
                     at,
                 },
@@ -68,12 +68,12 @@
     }
 
     /// Summaries of the nodes of this cell.
-    pub fn nodes(&self) -> Vec<Stamped<NodeLoad>> {
+    pub fn nodes(&self) -> Vec<Timestamped<NodeLoad>> {
         self.loads.lock().nodes.values().cloned().collect()
     }
 
     /// Summaries of other cells.
-    pub fn cells(&self) -> Vec<Stamped<CellAggregate>> {
+    pub fn cells(&self) -> Vec<Timestamped<CellAggregate>> {
         self.loads.lock().cells.values().cloned().collect()
     }
 }
--- a/crates/tables/src/members.rs
+++ b/crates/tables/src/members.rs
@@ -7,21 +7,21 @@
 use dappleyard_wire::messages::{Member, MemberState};
 use tokio::sync::watch;
 
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 /// Table of members, written by the membership protocol only.
 pub struct MembersTable {
-    members: Ranked<BTreeMap<NodeId, Member>>,
+    members: RankedMutex<BTreeMap<NodeId, Member>>,
     /// Cell of each member; never locked together with `members`.
-    cells: Ranked<BTreeMap<NodeId, String>>,
+    cells: RankedMutex<BTreeMap<NodeId, String>>,
     changed: watch::Sender<u64>,
 }
 
 impl Default for MembersTable {
     fn default() -> Self {
         Self {
-            members: Ranked::new(Rank::Members, BTreeMap::new()),
-            cells: Ranked::new(Rank::Members, BTreeMap::new()),
+            members: RankedMutex::new(Rank::Members, BTreeMap::new()),
+            cells: RankedMutex::new(Rank::Members, BTreeMap::new()),
             changed: watch::Sender::new(0),
         }
     }
--- a/crates/tables/src/rank.rs
+++ b/crates/tables/src/rank.rs
@@ -32,12 +32,12 @@
 
 /// Mutex with a rank.
 #[derive(Debug)]
-pub struct Ranked<T> {
+pub struct RankedMutex<T> {
     rank: Rank,
     inner: Mutex<T>,
 }
 
-impl<T> Ranked<T> {
+impl<T> RankedMutex<T> {
     pub fn new(rank: Rank, value: T) -> Self {
         Self {
             rank,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Guard of a [`Ranked`] lock.
+/// Guard of a [`RankedMutex`] lock.
 #[derive(Debug)]
 pub struct RankedGuard<'a, T> {
     rank: Rank,
--- a/crates/tables/src/servers.rs
+++ b/crates/tables/src/servers.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use crate::directory::ServerEntry;
-use crate::rank::{Rank, Ranked};
+use crate::rank::{Rank, RankedMutex};
 
 /// Sequence in flight from this node on a server.
 #[derive(Debug, Clone, PartialEq)]
@@ -76,14 +76,14 @@
 }
 
 pub struct ServersTable {
-    servers: Ranked<BTreeMap<ServerId, OwnedServer>>,
+    servers: RankedMutex<BTreeMap<ServerId, OwnedServer>>,
     online_changed: watch::Sender<u64>,
 }
 
 impl Default for ServersTable {
     fn default() -> Self {
         Self {
-            servers: Ranked::new(Rank::Servers, BTreeMap::new()),
+            servers: RankedMutex::new(Rank::Servers, BTreeMap::new()),
             online_changed: watch::Sender::new(0),
         }
     }
--- a/crates/tables/tests/schedules.rs
+++ b/crates/tables/tests/schedules.rs
@@ -9,7 +9,7 @@
 use dappleyard_tables::decisions::{Decision, DecisionKind, DecisionsTable};
 use dappleyard_tables::directory::ServerEntry;
 use dappleyard_tables::loads::LoadsTable;
-use dappleyard_tables::rank::{Rank, Ranked};
+use dappleyard_tables::rank::{Rank, RankedMutex};
 use dappleyard_tables::servers::{InFlight, ServersTable};
 use dappleyard_wire::ids::{RequestId, ServerId};
 use dappleyard_wire::messages::{ConfigurationEntry, NodeLoad};
@@ -180,9 +180,9 @@
 fn ordered_locks_do_not_deadlock() {
     explore(|| {
         let locks = Arc::new((
-            Ranked::new(Rank::Members, 0),
-            Ranked::new(Rank::Servers, 0),
-            Ranked::new(Rank::Decisions, 0),
+            RankedMutex::new(Rank::Members, 0),
+            RankedMutex::new(Rank::Servers, 0),
+            RankedMutex::new(Rank::Decisions, 0),
         ));
         let pairs = [0, 1, 2].map(|pair| {
             let locks = locks.clone();
@@ -210,8 +210,8 @@
 #[should_panic(expected = "taken while holding")]
 fn out_of_order_locks_panic() {
     explore(|| {
-        let low = Ranked::new(Rank::Members, ());
-        let high = Ranked::new(Rank::Servers, ());
+        let low = RankedMutex::new(Rank::Members, ());
+        let high = RankedMutex::new(Rank::Servers, ());
         let _high = high.lock();
         let _low = low.lock();
     });
--- a/crates/tenants/src/account.rs
+++ b/crates/tenants/src/account.rs
@@ -317,7 +317,7 @@
     }
 
     /// Refunds an admitted request that has not run and will not.
-    pub(crate) fn give_back(&mut self) {
+    pub(crate) fn refund(&mut self) {
         self.add(1.0);
         self.passed.count = self.passed.count.saturating_sub(1);
         self.zone_passed = self.zone_passed.saturating_sub(1);
--- a/crates/tenants/src/counts.rs
+++ b/crates/tenants/src/counts.rs
@@ -73,7 +73,7 @@
     /// Requests admitted by the nodes of the zone.
     pub counts: &'a [PassedCount],
     /// Fraction of the zone's nodes that the delegate has heard recently, between 0 and 1.
-    pub heard_part: f64,
+    pub heard_fraction: f64,
 }
 
 /// Counts of another zone, as reported by one of its delegates. The counts of two delegates differ by the messages
@@ -84,7 +84,7 @@
     delegate: (u64, u64),
     followed_since: Instant,
     last_heard: Instant,
-    heard_part: f64,
+    heard_fraction: f64,
     /// Additional message delay compared with a zone of the own region.
     pub(crate) extra_delay: Duration,
     passed: HashMap<u32, u64>,
@@ -119,7 +119,7 @@
             delegate,
             followed_since: now,
             last_heard: now,
-            heard_part: 1.0,
+            heard_fraction: 1.0,
             extra_delay: Duration::ZERO,
             passed: HashMap::new(),
             standby: None,
@@ -161,8 +161,8 @@
     }
 
     /// Fraction of the zone's nodes that the delegate had heard at its last report.
-    pub(crate) fn heard_part(&self) -> f64 {
-        self.heard_part
+    pub(crate) fn heard_fraction(&self) -> f64 {
+        self.heard_fraction
     }
 
     /// Whether to switch to the delegate `to`, because the followed one is silent. If the followed one reports first,
@@ -186,7 +186,7 @@
             standby.uncharged.clear();
         }
         self.last_heard = now;
-        self.heard_part = report.heard_part.clamp(0.0, 1.0);
+        self.heard_fraction = report.heard_fraction.clamp(0.0, 1.0);
         // Once settled, all earlier counts have been reported, so a new one started at zero.
         let settled = now.duration_since(self.followed_since) > SETTLE_TIME;
         let changes = report.counts.iter().map(|count| {
--- a/crates/tenants/src/identity.rs
+++ b/crates/tenants/src/identity.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dappleyard_model::{Bounds, Configuration, KeyDigest, Tenant, TenantStamp};
+use dappleyard_model::{Bounds, Configuration, KeyDigest, Tenant, TenantHeader};
 use derive_more::{Display, Error};
 
 /// Caller of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Caller {
     /// The configuration defines no tenants.
-    Untold,
+    TenantsDisabled,
     /// An anonymous caller on a public route.
     Anonymous,
     /// The tenant that holds the key.
@@ -21,7 +21,7 @@
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Caller::Tenant(tenant) => Some(tenant),
-            Caller::Untold | Caller::Anonymous => None,
+            Caller::TenantsDisabled | Caller::Anonymous => None,
         }
     }
 
@@ -31,11 +31,11 @@
     }
 
     /// Tenant header that is sent to the server.
-    pub fn stamp(&self) -> TenantStamp<'_> {
+    pub fn tenant_header(&self) -> TenantHeader<'_> {
         match self {
-            Caller::Untold => TenantStamp::Untouched,
-            Caller::Anonymous => TenantStamp::Nobody,
-            Caller::Tenant(tenant) => TenantStamp::Tenant(tenant.name.as_str()),
+            Caller::TenantsDisabled => TenantHeader::Unchanged,
+            Caller::Anonymous => TenantHeader::NoTenant,
+            Caller::Tenant(tenant) => TenantHeader::Tenant(tenant.name.as_str()),
         }
     }
 }
@@ -48,19 +48,19 @@
     Unknown,
     /// The configuration is too old to decide: a newer one may have added or revoked the key.
     #[display("the configuration is too old to tell of the key")]
-    Unsure,
+    Unverifiable,
 }
 
 /// How up to date a node's configuration is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct ConfigurationStatus {
     /// Age of the configuration; `None` if there is none.
     pub age: Option<Duration>,
     /// Whether the node hears at least half of the fleet.
-    pub among_most: bool,
+    pub in_majority: bool,
 }
 
-impl Standing {
+impl ConfigurationStatus {
     /// Whether no newer configuration can be in force.
     fn is_current(&self, bounds: &Bounds) -> bool {
         let in_force = Duration::from_millis(bounds.config_apply_ms);
@@ -72,7 +72,7 @@
     fn may_accept(&self, bounds: &Bounds) -> bool {
         let limit = Duration::from_millis(bounds.revoke_ms);
         let recent = self.age.is_some_and(|age| age < limit);
-        recent || (self.among_most && !bounds.revoke_strict)
+        recent || (self.in_majority && !bounds.revoke_strict)
     }
 }
 
@@ -81,18 +81,18 @@
     configuration: &Configuration,
     public: bool,
     key: Option<&KeyDigest>,
-    standing: Standing,
+    standing: ConfigurationStatus,
     bounds: &Bounds,
 ) -> Result<Caller, KeyRefusal> {
     let Some(tenants) = &configuration.tenants else {
-        return Ok(Caller::Untold);
+        return Ok(Caller::TenantsDisabled);
     };
     let holder = key.and_then(|key| tenants.holder(key));
     match holder {
         Some(tenant) if standing.may_accept(bounds) => Ok(Caller::Tenant(tenant.clone())),
-        Some(_) if !public => Err(KeyRefusal::Unsure),
+        Some(_) if !public => Err(KeyRefusal::Unverifiable),
         None if !public && standing.is_current(bounds) => Err(KeyRefusal::Unknown),
-        None if !public => Err(KeyRefusal::Unsure),
+        None if !public => Err(KeyRefusal::Unverifiable),
         _ => Ok(Caller::Anonymous),
     }
 }
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -85,7 +85,7 @@
 
     /// Sets whether this node aggregates the counts of others, and the share of the fleet that it hears, including
     /// itself.
-    pub fn set_standing(&mut self, aggregates: bool, share: f64, now: Instant) {
+    pub fn set_role(&mut self, aggregates: bool, share: f64, now: Instant) {
         self.fill(now);
         let aggregated = self.aggregating_since.is_some();
         if aggregated == aggregates && share == self.share {
@@ -230,9 +230,9 @@
     }
 
     /// Refunds an admitted request that has not run and will not.
-    pub fn give_back(&mut self, tenant: u32, now: Instant) {
+    pub fn refund(&mut self, tenant: u32, now: Instant) {
         if let Some(account) = self.account(tenant, now) {
-            account.give_back();
+            account.refund();
         }
     }
 
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use account::{Refill, tolerance};
 pub use counts::ZonePassed;
-pub use identity::{Caller, KeyRefusal, Standing, identify};
+pub use identity::{Caller, ConfigurationStatus, KeyRefusal, identify};
 pub use ledger::Ledger;
 pub use messages::{CreditLevel, PassedCount};
 pub use numbers::tenant_number;
--- a/crates/tenants/src/reports.rs
+++ b/crates/tenants/src/reports.rs
@@ -47,7 +47,7 @@
         {
             known += 1.0;
             if now.duration_since(zone.last_heard()) < age + zone.extra_delay {
-                fresh += zone.heard_part();
+                fresh += zone.heard_fraction();
             }
         }
         fresh / known
--- a/crates/tenants/src/table.rs
+++ b/crates/tenants/src/table.rs
@@ -55,7 +55,7 @@
     }
 
     /// Applies the limits of a configuration, unless that version has been applied already.
-    pub fn adopt(&self, configuration: &Configuration) {
+    pub fn apply_configuration(&self, configuration: &Configuration) {
         let mut state = self.state.lock();
         if state.version == Some(configuration.version) {
             return;
@@ -87,9 +87,9 @@
     }
 
     /// Refunds an admitted request that has not run and will not.
-    pub fn give_back(&self, tenant: &TenantName) {
+    pub fn refund(&self, tenant: &TenantName) {
         let number = tenant_number(tenant.as_str());
-        self.state.lock().ledger.give_back(number, Instant::now());
+        self.state.lock().ledger.refund(number, Instant::now());
     }
 
     /// Remaining credit of a tenant, in requests; `None` if it has no limit.
@@ -118,10 +118,10 @@
     }
 
     /// Sets whether this node aggregates the counts of others, and the share of the fleet that it hears.
-    pub fn set_standing(&self, aggregates: bool, share: f64) {
+    pub fn set_role(&self, aggregates: bool, share: f64) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        state.ledger.set_standing(aggregates, share, now);
+        state.ledger.set_role(aggregates, share, now);
     }
 
     /// Counts of this node's recently active tenants.
--- a/crates/tenants/tests/distance.rs
+++ b/crates/tenants/tests/distance.rs
@@ -41,12 +41,12 @@
     let mut now = Instant::now();
     let mut ledger = Ledger::new(BOUNDS, 1, now);
     ledger.set_limits(Some(&tenants()), now);
-    ledger.set_standing(true, 1.0, now);
+    ledger.set_role(true, 1.0, now);
     now += Duration::from_secs(10);
     while ledger.take(number, now).is_ok() {}
     let report = ZonePassed {
         counts: &[],
-        heard_part: 1.0,
+        heard_fraction: 1.0,
     };
     ledger.note_zone(ZONE, DELEGATE, &report, now);
     ledger.set_extra_delay(ZONE, extra_delay);
--- a/crates/tenants/tests/identity.rs
+++ b/crates/tenants/tests/identity.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use dappleyard_model::{
-    Bounds, Configuration, KeyDigest, QuotaBounds, Tenant, TenantName, TenantStamp, Tenants,
+    Bounds, Configuration, KeyDigest, QuotaBounds, Tenant, TenantHeader, TenantName, Tenants,
     TrafficLimits,
 };
-use dappleyard_tenants::{Caller, KeyRefusal, Standing, identify};
+use dappleyard_tenants::{Caller, ConfigurationStatus, KeyRefusal, identify};
 use googletest::prelude::*;
 
 const BOUNDS: Bounds = Bounds {
@@ -57,17 +57,17 @@
     configuration(Some(tenants))
 }
 
-fn aged(seconds: u64, among_most: bool) -> Standing {
-    Standing {
+fn aged(seconds: u64, in_majority: bool) -> ConfigurationStatus {
+    ConfigurationStatus {
         age: Some(Duration::from_secs(seconds)),
-        among_most,
+        in_majority,
     }
 }
 
 fn identify_name(
     key: Option<&str>,
     public: bool,
-    standing: Standing,
+    standing: ConfigurationStatus,
 ) -> Result<String, KeyRefusal> {
     let key = key.map(KeyDigest::of);
     let caller = identify(&two_tenants(), public, key.as_ref(), standing, &BOUNDS);
@@ -97,15 +97,15 @@
     expect_that!(identify_name(Some("nothing"), true, recent), ok(eq("")));
     expect_that!(identify_name(Some("one"), true, recent), ok(eq("a")));
     let caller = identify(&two_tenants(), true, None, recent, &BOUNDS).expect("a caller");
-    expect_that!(caller.stamp(), eq(TenantStamp::Nobody));
+    expect_that!(caller.tenant_header(), eq(TenantHeader::NoTenant));
 }
 
 #[gtest]
 fn configuration_without_tenants() {
     let plain = configuration(None);
     let caller = identify(&plain, false, None, aged(60, false), &BOUNDS).expect("a caller");
-    expect_that!(&caller, eq(&Caller::Untold));
-    expect_that!(caller.stamp(), eq(TenantStamp::Untouched));
+    expect_that!(&caller, eq(&Caller::TenantsDisabled));
+    expect_that!(caller.tenant_header(), eq(TenantHeader::Unchanged));
 }
 
 #[gtest]
@@ -113,18 +113,18 @@
     let old = aged(4, true);
     expect_that!(
         identify_name(Some("nothing"), false, old),
-        err(eq(&KeyRefusal::Unsure))
+        err(eq(&KeyRefusal::Unverifiable))
     );
     expect_that!(
         identify_name(None, false, old),
-        err(eq(&KeyRefusal::Unsure))
+        err(eq(&KeyRefusal::Unverifiable))
     );
     expect_that!(identify_name(Some("one"), false, old), ok(eq("a")));
 }
 
 #[gtest]
 fn isolated_node_accepts_no_key() {
-    let unsure = err(eq(&KeyRefusal::Unsure));
+    let unsure = err(eq(&KeyRefusal::Unverifiable));
     expect_that!(
         identify_name(Some("one"), false, aged(4, false)),
         ok(eq("a"))
@@ -142,7 +142,7 @@
     let key = KeyDigest::of("one");
     let standing = aged(6, true);
     let result = identify(&two_tenants(), false, Some(&key), standing, &strict);
-    expect_that!(result, err(eq(&KeyRefusal::Unsure)));
+    expect_that!(result, err(eq(&KeyRefusal::Unverifiable)));
 }
 
 #[gtest]
--- a/crates/tenants/tests/support/mod.rs
+++ b/crates/tenants/tests/support/mod.rs
@@ -337,11 +337,11 @@
                 Message::Counts(counts) => {
                     node.ledger.note_node(from as u64, life, &counts, now);
                 }
-                Message::Zone(counts, heard_part) => {
+                Message::Zone(counts, heard_fraction) => {
                     let delegate = (from as u64, life);
                     let reported = ZonePassed {
                         counts: &counts,
-                        heard_part,
+                        heard_fraction,
                     };
                     node.ledger.note_zone(zone, delegate, &reported, now);
                 }
@@ -392,7 +392,7 @@
             (false, false) => 1,
         };
         let share = known as f64 / all as f64;
-        node_state.ledger.set_standing(aggregates, share, now);
+        node_state.ledger.set_role(aggregates, share, now);
     }
 
     fn send_zone_reports(&mut self, node: usize) {
--- a/crates/upstream/tests/suspension.rs
+++ b/crates/upstream/tests/suspension.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dappleyard_clock::pretend_suspension;
+use dappleyard_clock::simulate_suspension;
 use dappleyard_emulator::{EmulatedServer, Reply};
 use dappleyard_upstream::{Connection, IdleLimit, Pool};
 use googletest::prelude::*;
@@ -27,7 +27,7 @@
             expect_that!(answer.is_ok(), eq(true));
             expect_that!(connection.whole_body(16).await.is_ok(), eq(true));
             pool.put(server.address(), connection);
-            pretend_suspension(suspended);
+            simulate_suspension(suspended);
             let taken = pool.take(server.address());
             expect_that!(taken.is_some(), eq(suspended.is_zero()));
         }
