--- a/crates/decide/benches/placement.rs
+++ b/crates/decide/benches/placement.rs
@@ -1,7 +1,7 @@
-//! Time and allocations of one placement decision in fleets of 20, 320 and 7,900 servers.
+//! Time and allocations per placement decision in fleets of different sizes.
 //!
-//! `two levels` is what the product does: 20 servers a node, at most 16 nodes a cell, and for a spill
-//! one look at every other cell. `flat` ranks all servers at once, for comparison.
+//! `two levels` ranks the owner nodes of a cell and then the servers of one node, as in production.
+//! `flat` ranks all servers at once, for comparison.
 
 use std::hint::black_box;
 
@@ -10,13 +10,13 @@
 use dappleyard_wire::hash::rendezvous_weight;
 
 const FLEETS: [usize; 3] = [20, 320, 7_900];
-const SERVERS_A_NODE: usize = 20;
-const NODES_A_CELL: usize = 16;
+const SERVERS_PER_NODE: usize = 20;
+const NODES_PER_CELL: usize = 16;
 const AFFINITY: Affinity = Affinity {
     bound_percent: Some(125),
 };
 
-/// Names and loads of one level.
+/// Candidates of one level.
 struct Level {
     names: Vec<String>,
     servers: u32,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// One decision, with a buffer that the caller keeps.
+    /// Ranks all candidates of the level, reusing `buffer`.
     fn decide(&self, key: u64, buffer: &mut Vec<Candidate>) -> usize {
         buffer.clear();
         let numbered = self.names.iter().zip(0_u32..);
@@ -56,11 +56,11 @@
 
 impl Fleet {
     fn new(servers: usize) -> Fleet {
-        let nodes = servers.div_ceil(SERVERS_A_NODE);
+        let nodes = servers.div_ceil(SERVERS_PER_NODE);
         Fleet {
             flat: Level::new("server", servers, 1),
-            owners: Level::new("node", nodes.min(NODES_A_CELL), SERVERS_A_NODE),
-            servers: Level::new("server", servers.min(SERVERS_A_NODE), 1),
+            owners: Level::new("node", nodes.min(NODES_PER_CELL), SERVERS_PER_NODE),
+            servers: Level::new("server", servers.min(SERVERS_PER_NODE), 1),
         }
     }
 
@@ -97,7 +97,7 @@
             black_box(fleet.flat.decide(black_box(7), &mut buffer));
         });
         println!(
-            "allocations a decision at {servers} servers: two levels {}, flat {}",
+            "allocations per decision at {servers} servers: two levels {}, flat {}",
             two.count_total, flat.count_total
         );
     }
--- a/crates/decide/examples/disruption_budgets.rs
+++ b/crates/decide/examples/disruption_budgets.rs
@@ -1,9 +1,9 @@
-//! What each idea of the disruption budgets is worth: a small simulation in virtual time.
+//! Simulates disruption budget policies in virtual time.
 //!
-//! A rollout puts each of 24 servers in 3 zones out once, for 10 s; two controllers choose servers
-//! every second from a view that lags. Servers also fail by themselves. The budget is one server of a
-//! zone. Run with `cargo run --release -p dappleyard-decide --example disruption_budgets`; the table
-//! stands in `docs/design/disruption-budgets.md`.
+//! A rollout takes each of 24 servers in 3 zones out of service once, for 10 s. Two controllers
+//! choose servers every second from a lagging view, and servers also fail at random. The budget is
+//! one server per zone. Run with `cargo run --release -p dappleyard-decide --example
+//! disruption_budgets`; results are in `docs/design/disruption-budgets.md`.
 
 use std::collections::VecDeque;
 
@@ -22,14 +22,13 @@
 const IN_FLIGHT_TIMEOUT_S: u64 = 60;
 const SEEDS: u64 = 40;
 
-/// When a server that does not serve may be put out.
+/// When an unhealthy server may be disrupted.
 #[derive(Clone, Copy, PartialEq)]
 enum UnhealthyRule {
-    /// Only when the budget has room, as for a healthy one.
+    /// Only within the budget, as for a healthy server.
     Never,
-    /// While enough healthy ones remain, as in KEP-85.
+    /// While enough healthy servers remain, as in KEP-85.
     WhenEnoughRemain,
-    /// Always.
     Always,
 }
 
@@ -118,17 +117,17 @@
 
     fn decide(&mut self, policy: Policy, view: &[Server], controller: usize, now: u64) {
         let replicas: Vec<Replica> = (0..SERVERS).map(|server| replica(server, view)).collect();
-        let earlier = self.in_flight.len();
+        let round_start = self.in_flight.len();
         for server in (controller..SERVERS).step_by(2) {
             let busy = matches!(self.servers[server], Server::OutUntil(_));
             if self.updated[server] || busy {
                 continue;
             }
-            // Without the idea a controller knows only its own choices of this round.
+            // Otherwise a controller knows only its own decisions of this round.
             let in_flight = if policy.count_in_flight {
                 self.in_flight.clone()
             } else {
-                self.in_flight[earlier..].to_vec()
+                self.in_flight[round_start..].to_vec()
             };
             let situation = Situation {
                 replicas: &replicas,
@@ -136,7 +135,7 @@
                 timeout_ms: IN_FLIGHT_TIMEOUT_S * 1_000,
                 now_ms: now * 1_000,
             };
-            if may_go(policy, &replicas[server], situation) {
+            if may_disrupt_by_policy(policy, &replicas[server], situation) {
                 self.servers[server] = Server::OutUntil(now + OUT_S);
                 self.in_flight.push(InFlight {
                     server: server.to_string(),
@@ -147,17 +146,17 @@
         }
     }
 
-    /// Counts servers that are out by our own doing although others of the zone do not serve.
+    /// Records voluntary disruptions per zone, and time above the budget of one server.
     fn measure(&mut self, now: u64) {
         for number in 0..ZONES {
             let of_zone = (0..SERVERS).filter(|server| server % ZONES == number);
             let states: Vec<Server> = of_zone.map(|server| self.servers[server]).collect();
-            let put_out = states
+            let out = states
                 .iter()
                 .filter(|one| matches!(one, Server::OutUntil(_)));
-            let put_out = u32::try_from(put_out.count()).unwrap_or(u32::MAX);
-            self.outcome.worst_out = self.outcome.worst_out.max(put_out);
-            self.outcome.over_budget_s += u64::from(put_out > 1);
+            let out = u32::try_from(out.count()).unwrap_or(u32::MAX);
+            self.outcome.worst_out = self.outcome.worst_out.max(out);
+            self.outcome.over_budget_s += u64::from(out > 1);
         }
         if self.updated.iter().all(|done| *done) {
             self.outcome.finished_s = Some(now);
@@ -176,7 +175,7 @@
     }
 }
 
-fn may_go(policy: Policy, candidate: &Replica, situation: Situation<'_>) -> bool {
+fn may_disrupt_by_policy(policy: Policy, candidate: &Replica, situation: Situation<'_>) -> bool {
     let mut candidate = candidate.clone();
     match policy.unhealthy {
         UnhealthyRule::Always if candidate.state == ReplicaState::Unhealthy => return true,
--- a/crates/decide/examples/placement_compare.rs
+++ b/crates/decide/examples/placement_compare.rs
@@ -1,9 +1,9 @@
-//! Compares placement policies on the same arrivals: random, least reported load, and the product's
-//! rendezvous hash with bounded load over the owner's own counts.
+//! Compares placement policies on the same arrivals: random, least reported load, least own count,
+//! and rendezvous hashing with bounded load.
 //!
-//! A small deterministic model of the owner's level: servers with the step time, prefill cost and
-//! prefix cache of the hollow engine, reports that lag, sessions that return. Run with
-//! `cargo run --release -p dappleyard-decide --example placement_compare [seed]`.
+//! Simulates one owner node with delayed load reports, recurring sessions, and servers with the
+//! step time, prefill cost and prefix cache of the stand-in engine. Run with `cargo run --release
+//! -p dappleyard-decide --example placement_compare [seed]`.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
 const SERVERS: usize = 20;
 const REQUESTS: usize = 40_000;
 const SESSIONS: u64 = 1_200;
-/// Prefixes that one server's cache holds.
+/// Cached prefixes per server.
 const CACHE_PREFIXES: usize = 70;
 const REPORT_EVERY_MS: f64 = 500.0;
 const REPORT_LAG_MS: f64 = 750.0;
@@ -54,10 +54,10 @@
         u32::try_from(self.ends_ms.len()).expect("a small number")
     }
 
-    /// Takes a request in; returns its time to the first token and whether its prefix was cached.
+    /// Adds a request; returns its time to first token and whether its prefix was cached.
     fn serve(&mut self, arrival: &Arrival) -> (f64, bool) {
         let running = f64::from(self.running(arrival.at_ms));
-        let cached = self.touch(arrival.session);
+        let cached = self.access_cache(arrival.session);
         let prompt = if cached {
             arrival.prompt * 0.1
         } else {
@@ -71,7 +71,7 @@
         (start + prefill - arrival.at_ms, cached)
     }
 
-    fn touch(&mut self, session: u64) -> bool {
+    fn access_cache(&mut self, session: u64) -> bool {
         let known = self.cache.iter().position(|one| *one == session);
         if let Some(position) = known {
             self.cache.remove(position);
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -1,29 +1,29 @@
-//! Tenant limits and early refusals.
+//! Tenant rate limits and early rejection of requests.
 
 use crate::time::Millis;
 
-/// Smallest share of a fleet-wide request rate that a node grants a tenant, requests per second.
+/// Minimum share of a fleet-wide rate limit on one node, in requests per second.
 pub const FLOOR_REQUESTS_PER_S: f64 = 1.0;
 
-/// Shortest advice when to come back, milliseconds.
+/// Minimum retry-after hint, in milliseconds.
 pub const SHORTEST_RETRY_AFTER_MS: u32 = 50;
 
-/// Longest advice when to come back, milliseconds.
+/// Maximum retry-after hint, in milliseconds.
 pub const LONGEST_RETRY_AFTER_MS: u32 = 10_000;
 
-/// A tenant's limits as they apply to one node.
+/// Limits of a tenant on one node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NodeLimits {
-    /// Requests per second; `None` for no limit.
+    /// Requests per second; `None` if unlimited.
     pub requests_per_s: Option<f64>,
-    /// Requests that may come at once.
+    /// Burst size, in requests.
     pub burst: f64,
-    /// Tokens of requests in progress; `None` for no limit.
+    /// Total tokens of requests in progress; `None` if unlimited.
     pub concurrent_tokens: Option<u64>,
 }
 
-/// The share of fleet-wide limits that falls to one of `nodes` nodes. The shares of all nodes add up
-/// to the limit, except that none is below a floor: one request per second, one request at once.
+/// Equal share of fleet-wide limits for one of `nodes` nodes, but at least one request per second
+/// (or the fleet-wide rate, if that is lower) and a burst of one request.
 pub fn node_share(
     requests_per_s: f64,
     requests_burst: f64,
@@ -54,7 +54,6 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
     pub fn full(burst: f64, now: Millis) -> TokenBucket {
         TokenBucket {
             tokens: burst,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Takes one token, or says in how many milliseconds there will be one.
+    /// Takes one token, or returns a retry-after hint in milliseconds.
     pub fn take(&mut self, rate: f64, burst: f64, now: Millis) -> Result<(), u32> {
         let refilled = now.since(self.updated) as f64 / 1_000.0 * rate;
         self.tokens = (self.tokens + refilled).min(burst);
@@ -76,16 +75,17 @@
     }
 }
 
-/// Why a request is refused early.
+/// Reason why a request is rejected early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Infeasible {
-    /// The expected wait is longer than the time left.
+    /// The expected wait reaches the deadline.
     Deadline,
-    /// The expected wait is longer than the longest queue allowed.
+    /// The expected wait exceeds the maximum queueing time.
     Queue,
 }
 
-/// Whether a request that would wait `wait_ms` can be served; else why not and when to come back.
+/// Checks whether a request that would wait `wait_ms` can be served. The error contains the reason
+/// and a retry-after hint in milliseconds.
 pub fn feasible(
     wait_ms: u32,
     budget_ms: u32,
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-/// Advice when to come back, inside its bounds, milliseconds.
+/// Rounds up a retry-after hint and clamps it to its limits.
 pub fn retry_after(milliseconds: f64) -> u32 {
     milliseconds.ceil().clamp(
         f64::from(SHORTEST_RETRY_AFTER_MS),
--- a/crates/decide/src/chunks.rs
+++ b/crates/decide/src/chunks.rs
@@ -1,42 +1,40 @@
-//! Authority over batch chunks: claim, takeover and commit under epochs.
+//! Ownership of batch chunks: claim, takeover and commit, fenced by epochs.
 //!
-//! A chunk row carries an epoch. A claim or takeover raises it by compare-and-swap on the row's
-//! revision; a result is committed only while the row still has the epoch it was made under, in the
-//! same transaction that compares the job row. A holder that was paused and wakes can so do no harm,
-//! and no lease is renewed in the store.
+//! A claim or takeover increments the epoch of the chunk row by compare-and-swap on the row's
+//! revision. A result is committed only while the row still has the epoch it was computed under, in
+//! a transaction that also checks the job row. A stale holder is fenced without renewing leases in
+//! the store.
 
 use dappleyard_wire::messages::{ChunkPhase, ChunkRow, JobRow, Repeat};
 
-/// Who asks for a chunk.
+/// Node process that requests a chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claimant {
-    /// Node id.
     pub node: String,
-    /// Its incarnation.
     pub incarnation: u64,
 }
 
-/// Answer to a claim.
+/// Result of [`claim`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimDecision {
-    /// Write this row, comparing the revision that was read.
+    /// Write this row, conditional on the revision that was read.
     Write(ChunkRow),
-    /// Another live holder has it.
+    /// Another live node holds the chunk.
     Held,
-    /// The claimant has it already under `row.epoch`: an earlier claim took effect after its answer
-    /// was given up. A claimant that does not run the chunk holds it from now on, with no item
-    /// started; one that runs it changes nothing. Without this a late claim would leave the chunk
-    /// with a live holder that does not know of it.
+    /// The claimant already holds the chunk under `row.epoch`, for example because an earlier claim
+    /// took effect after its response was lost. A claimant that is not running the chunk starts it
+    /// with no item started; otherwise nothing changes. Without this case the chunk would stay
+    /// assigned to a live node that does not know it.
     Own,
-    /// Its result is committed already.
+    /// The result is already committed.
     Done,
 }
 
-/// Decides whether `claimant` may take the chunk. `holder_gone` says that membership believes the
-/// present holder dead, left, or restarted under another incarnation.
+/// Decides whether `claimant` may take the chunk. `holder_gone` means that, according to
+/// membership, the current holder is dead, has left, or has restarted under another incarnation.
 ///
-/// The caller reads the job row too, and claims nothing of a cancelled job: a claimant that gave a
-/// chunk up on a cancel would else be told that the chunk is its own, and start its items again.
+/// The caller must not claim chunks of a cancelled job: a claimant that abandoned a chunk on
+/// cancellation would get [`ClaimDecision::Own`] and start its items again.
 pub fn claim(row: &ChunkRow, claimant: &Claimant, holder_gone: bool) -> ClaimDecision {
     match row.phase() {
         ChunkPhase::ChunkDone => return ClaimDecision::Done,
@@ -58,31 +56,29 @@
     row.holder == claimant.node && row.holder_incarnation == claimant.incarnation
 }
 
-/// Result of the items of a chunk, ready to be committed.
+/// Result of a finished chunk, to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkResult {
-    /// Object that holds the result lines.
+    /// Name of the object that stores the result lines.
     pub object: String,
-    /// Items that completed.
     pub completed: u32,
-    /// Items that failed.
     pub failed: u32,
 }
 
-/// Answer to a commit.
+/// Result of [`commit`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitDecision {
-    /// Write this chunk row, comparing the revisions of chunk row and job row that were read.
+    /// Write this chunk row, conditional on the revisions of the chunk and job rows that were read.
     Write(ChunkRow),
-    /// This result is committed already: an earlier answer was lost.
+    /// This result is already committed; the response to an earlier commit was lost.
     AlreadyCommitted,
-    /// The chunk has moved to another epoch: the result is garbage.
+    /// The chunk has moved to another epoch; discard the result.
     Fenced,
-    /// The job was cancelled: nothing lands any more.
+    /// The job was cancelled; discard the result.
     Cancelled,
 }
 
-/// Decides whether a result made under `epoch` may be committed.
+/// Decides whether a result computed under `epoch` may be committed.
 pub fn commit(row: &ChunkRow, job: &JobRow, epoch: u64, result: &ChunkResult) -> CommitDecision {
     if row.phase() == ChunkPhase::ChunkDone && row.result_object == result.object {
         return CommitDecision::AlreadyCommitted;
@@ -101,19 +97,19 @@
     CommitDecision::Write(next)
 }
 
-/// Whether an item of a claimed chunk may be started at all. Items that must not repeat and may have
-/// been started under an earlier epoch settle as `outcome_unknown` instead.
+/// Whether all items of a claimed chunk may be started. Non-repeatable items that may have been
+/// started under an earlier epoch settle as `outcome_unknown` instead.
 ///
-/// `row` is the claim as the store confirmed it, by an answer or by reading it back, never a claim
-/// that is still on its way. A holder starts such an item at most once; after an engine's answer was
-/// lost it settles the item as `outcome_unknown`.
+/// `row` must be confirmed by the store, not a claim whose response is still outstanding. A holder
+/// starts a non-repeatable item at most once; if the engine's response is lost, it settles the item
+/// as `outcome_unknown`.
 pub fn may_start_items(row: &ChunkRow) -> bool {
     !(row.maybe_started && row.repeat() == Repeat::Never)
 }
 
-/// The row of a chunk that is opened again: handed back by its holder, or taken from one that is
-/// gone. The epoch grows, so that whatever the former holder still does is fenced. `None` when the
-/// chunk is not claimed, or when its holder is neither the claimant nor gone.
+/// Returns the row of a chunk released by its holder or taken from a holder that is gone. The epoch
+/// is incremented to fence the former holder. Returns `None` if the chunk is not claimed, or if its
+/// holder is neither the claimant nor gone.
 pub fn reopen(row: &ChunkRow, claimant: &Claimant, holder_gone: bool) -> Option<ChunkRow> {
     let own = row.holder == claimant.node && row.holder_incarnation == claimant.incarnation;
     if row.phase() != ChunkPhase::ChunkClaimed || !(own || holder_gone) {
@@ -129,13 +125,13 @@
     Some(next)
 }
 
-/// Whether one item of a claimed chunk may be started by a holder that has not started it itself.
-/// An item that must not repeat and was marked as started under an earlier epoch may not.
+/// Whether the holder may start an item that it has not started itself. A non-repeatable item that
+/// was marked as started under an earlier epoch may not be started again.
 pub fn may_start_item(row: &ChunkRow, index_in_chunk: u32) -> bool {
     may_start_items(row) || row.started_items & item_bit(index_in_chunk) == 0
 }
 
-/// The row with an item marked as started; written and durable before the item is started.
+/// Returns the row with an item marked as started. It must be durable before the item is started.
 #[must_use]
 pub fn mark_started(row: &ChunkRow, index_in_chunk: u32) -> ChunkRow {
     let mut next = row.clone();
@@ -143,41 +139,41 @@
     next
 }
 
-/// Most items of a chunk whose items must not repeat: the bits of the mark.
+/// Maximum items of a chunk of non-repeatable items: one bit each in `started_items`.
 pub const MAXIMUM_ONCE_ITEMS: u32 = 64;
 
 fn item_bit(index_in_chunk: u32) -> u64 {
     1_u64.checked_shl(index_in_chunk).unwrap_or(u64::MAX)
 }
 
-/// What the size of a job's chunks rests on.
+/// Inputs to [`chunk_items`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChunkSizing {
-    /// Items that are not cut yet.
+    /// Items not yet assigned to a chunk.
     pub items: u32,
-    /// Nodes that can work on it.
+    /// Nodes that can process the job.
     pub nodes: u32,
-    /// Time that one node needs for one item at full width, microseconds; 0 when not known yet.
+    /// Processing time of an item on one node at full width, in microseconds; 0 if unknown.
     pub item_us: u64,
-    /// Work that one chunk should hold, milliseconds.
+    /// Target processing time of a chunk, in milliseconds.
     pub target_ms: u64,
-    /// Fewest items.
+    /// Minimum items of a chunk.
     pub minimum: u32,
-    /// Most items.
+    /// Maximum items of a chunk.
     pub maximum: u32,
 }
 
-/// Items of the next chunk of a job of which `sizing.items` items are not cut yet: no more than the
-/// target's work, and no more than a node's share of the rest. Chunks so get smaller towards the end
-/// of a job, and the nodes end at about the same time.
+/// Number of items in the next chunk: limited by the target processing time and by an equal share
+/// of the remaining items per node. Chunks shrink towards the end of a job, so the nodes finish at
+/// about the same time.
 pub fn chunk_items(sizing: &ChunkSizing) -> u32 {
-    let by_work = match sizing.item_us {
+    let by_target = match sizing.item_us {
         0 => sizing.maximum,
         item_us => u32::try_from(sizing.target_ms * 1_000 / item_us).unwrap_or(u32::MAX),
     };
-    let by_spread = sizing.items.div_ceil(sizing.nodes.max(1));
+    let by_share = sizing.items.div_ceil(sizing.nodes.max(1));
     let maximum = sizing.maximum.max(1);
-    by_work
-        .min(by_spread)
+    by_target
+        .min(by_share)
         .clamp(sizing.minimum.clamp(1, maximum), maximum)
 }
--- a/crates/decide/src/configuration.rs
+++ b/crates/decide/src/configuration.rs
@@ -1,33 +1,33 @@
-//! Application of configuration changes: one chain of revisions, applied in order, never back.
+//! Application of configuration changes, in revision order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dappleyard_wire::messages::ConfigurationEntry;
 
-/// What became of a change that was offered.
+/// Result of applying a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Applied {
-    /// Applied: the state is at its revision now.
+    /// Applied; the state is now at the revision of the change.
     Yes,
-    /// Already known, or older than the state.
+    /// Already applied, or older than the state.
     Old,
-    /// Changes in between are missing: ask a peer for those after the state's revision.
+    /// Changes are missing; request those after the state's revision from a peer.
     Gap,
 }
 
 /// Configuration rows at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ConfigurationState {
-    /// Revision of the last change applied.
+    /// Revision of the last applied change.
     pub revision: u64,
-    /// Last change of each key, deletions included.
+    /// Latest change of each key, including deletions.
     pub entries: BTreeMap<String, ConfigurationEntry>,
-    /// Deletions up to this revision are no longer among the entries.
+    /// Deletions up to this revision have been removed from the entries.
     pub deletions_forgotten_to: u64,
 }
 
 impl ConfigurationState {
-    /// Applies all rows of one transaction, which share one revision. Nothing is applied in part.
+    /// Applies all rows of a transaction, which must have the same revision, or none of them.
     pub fn apply(&mut self, change: &[ConfigurationEntry]) -> Applied {
         let Some(first) = change.first() else {
             return Applied::Old;
@@ -35,10 +35,10 @@
         if first.revision <= self.revision {
             return Applied::Old;
         }
-        let same = change.iter().all(|entry| entry.revision == first.revision);
+        let same_revision = change.iter().all(|entry| entry.revision == first.revision);
         let keys: BTreeSet<&str> = change.iter().map(|entry| entry.key.as_str()).collect();
-        let whole = same && keys.len() == first.parts.max(1) as usize;
-        if first.previous != self.revision || !whole {
+        let is_complete = same_revision && keys.len() == first.parts.max(1) as usize;
+        if first.previous != self.revision || !is_complete {
             return Applied::Gap;
         }
         for entry in change {
@@ -49,7 +49,7 @@
         Applied::Yes
     }
 
-    /// Takes a whole snapshot when it is newer.
+    /// Replaces the state by a snapshot if it is newer.
     pub fn replace(&mut self, snapshot: ConfigurationState) -> Applied {
         if snapshot.revision <= self.revision {
             return Applied::Old;
@@ -58,8 +58,8 @@
         Applied::Yes
     }
 
-    /// Entries last changed after a revision, in order of revision, deletions included; `None` when
-    /// the state no longer remembers all deletions since then, so that only a snapshot will do.
+    /// Entries changed after a revision, sorted by revision, including deletions. `None` if
+    /// deletions since then have been removed, so that a snapshot is required.
     pub fn entries_after(&self, revision: u64) -> Option<Vec<ConfigurationEntry>> {
         if revision < self.deletions_forgotten_to {
             return None;
@@ -74,8 +74,8 @@
         Some(entries)
     }
 
-    /// Takes all entries last changed after revision `after`, up to `up_to`, at once. The chain
-    /// between the two is skipped: each key goes straight to its value at `up_to`.
+    /// Merges all entries changed after revision `after` up to `up_to`, without the intermediate
+    /// revisions.
     pub fn merge(&mut self, after: u64, entries: &[ConfigurationEntry], up_to: u64) -> Applied {
         if up_to <= self.revision {
             return Applied::Old;
@@ -94,7 +94,7 @@
         Applied::Yes
     }
 
-    /// Forgets the oldest deletions beyond [`MAXIMUM_DELETIONS`].
+    /// Removes the oldest deletions if there are more than [`MAXIMUM_DELETIONS`].
     fn forget_deletions(&mut self) {
         let mut deletions: Vec<u64> = self
             .entries
@@ -113,22 +113,21 @@
     }
 }
 
-/// Most deletions remembered for peers that lag.
+/// Maximum deletions kept for peers that lag.
 pub const MAXIMUM_DELETIONS: usize = 1024;
 
 /// One row of the change feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FeedRow {
-    /// Key of the row.
     pub key: String,
-    /// Revision of the store at which it changed.
+    /// Store revision of the change.
     pub revision: u64,
-    /// New value; `None` when the row was deleted.
+    /// New value; `None` if the row was deleted.
     pub value: Option<Vec<u8>>,
 }
 
-/// Turns rows of the change feed, in order of their revisions, into changes of the chain. `previous`
-/// is the revision of the configuration change before the first row.
+/// Groups rows of the change feed, sorted by revision, into changes. `previous` is the revision of
+/// the change before the first row.
 pub fn changes_of_feed(rows: &[FeedRow], previous: u64) -> Vec<Vec<ConfigurationEntry>> {
     let mut previous = previous;
     let mut changes = Vec::new();
@@ -155,18 +154,18 @@
         .collect()
 }
 
-/// Most changes held back while one before them is missing.
+/// Maximum changes buffered while an earlier one is missing.
 const MAXIMUM_PENDING: usize = 128;
 
-/// Changes that arrived in parts or out of order.
+/// Buffer for changes received partially or out of order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct PendingChanges {
     changes: BTreeMap<u64, BTreeMap<u32, ConfigurationEntry>>,
 }
 
 impl PendingChanges {
-    /// Takes one entry. When too many changes are held back the latest one is dropped: digests will
-    /// bring it again.
+    /// Adds an entry. If the buffer is full, the change with the highest revision is dropped;
+    /// anti-entropy delivers it again.
     pub fn offer(&mut self, entry: ConfigurationEntry) {
         self.changes
             .entry(entry.revision)
@@ -177,7 +176,8 @@
         }
     }
 
-    /// Takes out the whole change that follows `revision`, if it is here, and forgets older ones.
+    /// Removes and returns the change that follows `revision` if it is complete, and drops older
+    /// ones.
     pub fn take_next(&mut self, revision: u64) -> Option<Vec<ConfigurationEntry>> {
         self.changes = self.changes.split_off(&(revision + 1));
         let (&next, parts) = self.changes.first_key_value()?;
@@ -189,7 +189,7 @@
         Some(parts.into_values().collect())
     }
 
-    /// Highest revision held back.
+    /// Highest buffered revision.
     pub fn highest(&self) -> Option<u64> {
         self.changes.keys().next_back().copied()
     }
--- a/crates/decide/src/disruption.rs
+++ b/crates/decide/src/disruption.rs
@@ -1,27 +1,25 @@
-//! Disruption budgets: how many servers of a service may be unavailable at once, by our own doing.
+//! Disruption budgets: limits on voluntary disruptions of a service, per zone and in total.
 //!
-//! A budget bounds voluntary disruptions in each zone and in total. Two ideas come from KEP-85
-//! (PodDisruptionBudget): disruptions in flight are counted before a lagging view shows them, with a
-//! timeout, and unhealthy replicas may go while enough healthy ones remain. See
-//! `docs/design/disruption-budgets.md` for what each of them is worth here.
+//! As in KEP-85 (PodDisruptionBudget), in-flight disruptions count before a lagging view shows
+//! them, up to a timeout, and unhealthy replicas may be disrupted while enough healthy ones remain.
+//! See `docs/design/disruption-budgets.md` for a comparison.
 
 use std::collections::BTreeSet;
 
-/// Most servers of a zone that may be unavailable at once when the service row names no number.
+/// Limit per zone if the service row does not set one.
 pub const DEFAULT_ZONE_LIMIT: u32 = 1;
 
-/// Bounds on unavailable servers of one service.
+/// Limits on unavailable servers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budget {
-    /// Most unavailable servers of each zone.
+    /// Maximum unavailable servers per zone.
     pub zone: u32,
-    /// Most unavailable servers in all zones together.
+    /// Maximum unavailable servers in all zones.
     pub total: u32,
 }
 
 impl Budget {
-    /// The budget of a service row, where 0 stands for the default: one server in each zone, no
-    /// bound in total.
+    /// The budget of a service row. 0 selects the default: one server per zone, no limit in total.
     pub fn of_row(zone: u32, total: u32) -> Budget {
         Budget {
             zone: if zone == 0 { DEFAULT_ZONE_LIMIT } else { zone },
@@ -30,92 +28,85 @@
     }
 }
 
-/// State of a replica as the view shows it; the view may lag.
+/// State of a replica as observed, possibly with a lag.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// Serves.
+    /// In service.
     Healthy,
-    /// Should serve and does not.
+    /// Expected to serve but not serving.
     Unhealthy,
-    /// Taken out on purpose and empty: no longer expected to serve.
+    /// Drained on purpose, no longer expected to serve.
     Removed,
 }
 
-/// One replica of the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replica {
-    /// Server id.
     pub server: String,
-    /// Zone.
     pub zone: String,
-    /// State.
     pub state: ReplicaState,
 }
 
-/// A disruption that was decided and that the view may not show yet.
+/// Disruption that has been decided and may not be observed yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InFlight {
-    /// Server id.
     pub server: String,
-    /// Zone.
     pub zone: String,
-    /// When it was decided, milliseconds on the caller's clock.
+    /// Time of the decision, in milliseconds on the caller's clock.
     pub since_ms: u64,
 }
 
-/// Answer to a wish to disrupt a server.
+/// Result of [`may_disrupt`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may go: the budget has room.
+    /// Within the budget.
     Allowed,
-    /// It may go: it does not serve, and enough others do.
+    /// The server is unhealthy, and enough others are healthy.
     AllowedUnhealthy,
-    /// It is already on its way out.
+    /// The server is already being disrupted or was removed.
     AlreadyInFlight,
-    /// It must stay for now.
+    /// Not allowed now: the budget is exhausted.
     Held(Shortage),
 }
 
-/// Which bound holds a disruption back.
+/// Budget limit that prevents a disruption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shortage {
-    /// Zone of the bound; `None` for the bound in total.
+    /// Zone of the limit; `None` for the total limit.
     pub zone: Option<String>,
-    /// Servers unavailable now.
     pub unavailable: u32,
-    /// Most that may be.
+    /// Maximum unavailable servers.
     pub limit: u32,
 }
 
 impl Shortage {
-    /// The shortage in plain words.
+    /// Message for operators.
     pub fn words(&self) -> String {
         let place = self.zone.as_deref().map_or_else(
             || "in all zones".to_owned(),
             |zone| format!("in zone {zone}"),
         );
         format!(
-            "{} of at most {} servers are unavailable {place} already",
+            "{} of at most {} servers are already unavailable {place}",
             self.unavailable, self.limit
         )
     }
 }
 
-/// Replicas and the disruptions in flight, as counted by the budget.
+/// Replicas and in-flight disruptions that a budget is checked against.
 #[derive(Debug, Clone, Copy)]
 pub struct Situation<'a> {
-    /// Replicas as the view shows them.
+    /// Observed replicas.
     pub replicas: &'a [Replica],
-    /// Disruptions decided, shown or not.
+    /// Decided disruptions, whether observed or not.
     pub in_flight: &'a [InFlight],
-    /// Time after which a disruption that the view does not show is forgotten, milliseconds.
+    /// Time after which an in-flight disruption no longer counts, in milliseconds.
     pub timeout_ms: u64,
-    /// Now, on the clock of the disruptions.
+    /// Current time, on the same clock as `InFlight::since_ms`.
     pub now_ms: u64,
 }
 
 impl Situation<'_> {
-    /// Disruptions that still count.
+    /// In-flight disruptions that have not timed out.
     fn counted_in_flight(&self) -> impl Iterator<Item = &InFlight> {
         let now = self.now_ms;
         let timeout = self.timeout_ms;
@@ -124,7 +115,7 @@
             .filter(move |flight| now.saturating_sub(flight.since_ms) < timeout)
     }
 
-    /// Replicas that the service expects in a zone, or in all.
+    /// Replicas that are expected to serve, in one zone or in all.
     fn expected(&self, zone: Option<&str>) -> impl Iterator<Item = &Replica> {
         self.replicas
             .iter()
@@ -132,20 +123,20 @@
             .filter(move |replica| zone.is_none_or(|zone| replica.zone == zone))
     }
 
-    /// Expected replicas that do not serve or are on their way out.
+    /// Number of expected replicas that are unhealthy or being disrupted.
     fn unavailable(&self, zone: Option<&str>) -> u32 {
-        let leaving: BTreeSet<&str> = self
+        let disrupted: BTreeSet<&str> = self
             .counted_in_flight()
             .map(|flight| flight.server.as_str())
             .collect();
-        let gone = self.expected(zone).filter(|replica| {
-            replica.state == ReplicaState::Unhealthy || leaving.contains(replica.server.as_str())
+        let unavailable_replicas = self.expected(zone).filter(|replica| {
+            replica.state == ReplicaState::Unhealthy || disrupted.contains(replica.server.as_str())
         });
-        u32::try_from(gone.count()).unwrap_or(u32::MAX)
+        u32::try_from(unavailable_replicas.count()).unwrap_or(u32::MAX)
     }
 
-    /// Whether the replicas that remain healthy satisfy the bound by themselves.
-    fn enough_remain(&self, zone: Option<&str>, limit: u32) -> bool {
+    /// Whether the number of unavailable replicas is within the limit.
+    fn enough_available(&self, zone: Option<&str>, limit: u32) -> bool {
         self.unavailable(zone) <= limit
     }
 
@@ -161,17 +152,17 @@
 
 /// Decides whether `candidate` may be disrupted now.
 pub fn may_disrupt(candidate: &Replica, situation: Situation<'_>, budget: Budget) -> Verdict {
-    let on_its_way = situation
+    let already_in_flight = situation
         .counted_in_flight()
         .any(|flight| flight.server == candidate.server);
-    if on_its_way || candidate.state == ReplicaState::Removed {
+    if already_in_flight || candidate.state == ReplicaState::Removed {
         return Verdict::AlreadyInFlight;
     }
     let zone = Some(candidate.zone.as_str());
     let unhealthy = candidate.state == ReplicaState::Unhealthy;
     if unhealthy
-        && situation.enough_remain(zone, budget.zone)
-        && situation.enough_remain(None, budget.total)
+        && situation.enough_available(zone, budget.zone)
+        && situation.enough_available(None, budget.total)
     {
         return Verdict::AllowedUnhealthy;
     }
@@ -182,7 +173,7 @@
     }
 }
 
-/// Disruptions that still have to be remembered: neither observed as done nor timed out.
+/// Disruptions that are neither in `observed` nor timed out.
 pub fn remembered<'a>(
     in_flight: &'a [InFlight],
     observed: &BTreeSet<String>,
--- a/crates/decide/src/fairness.rs
+++ b/crates/decide/src/fairness.rs
@@ -1,33 +1,31 @@
-//! Which job's chunk is worked on next: earliest deadline where slack is short, otherwise weighted
-//! fair across tenants.
+//! Job scheduling order: earliest deadline first for urgent jobs, otherwise weighted fair sharing
+//! across tenants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job with work that waits.
+/// Job with pending work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Job id.
     pub job: String,
-    /// Its tenant.
     pub tenant: String,
-    /// Deadline, seconds since 1970.
+    /// Deadline, in seconds since the Unix epoch.
     pub deadline_unix_s: u64,
-    /// Estimate of the work that is left, seconds of the fleet's batch capacity.
+    /// Estimated remaining work, in seconds of the fleet's batch capacity.
     pub remaining_s: u64,
 }
 
-/// Work given to tenants so far, scaled by their weights.
+/// Weighted virtual time of each tenant.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TenantShares {
     virtual_time: BTreeMap<String, f64>,
 }
 
-/// Slack, as a multiple of the work left, below which a job goes first whatever its tenant's share.
+/// A job whose time to deadline is below this multiple of its remaining work is urgent.
 pub const URGENT_SLACK_FACTOR: u64 = 2;
 
 impl TenantShares {
-    /// Makes `tenants` those that have work. One that had none starts level with the one that is
-    /// furthest behind; one that has none any more is forgotten.
+    /// Sets the tenants with pending work. A new tenant starts at the lowest virtual time; tenants
+    /// not listed are removed.
     pub fn set_waiting(&mut self, tenants: &BTreeSet<&str>) {
         self.virtual_time
             .retain(|tenant, _| tenants.contains(tenant.as_str()));
@@ -39,14 +37,14 @@
         }
     }
 
-    /// Counts work (items or tokens) given to a tenant of some weight.
+    /// Charges a tenant for work, in items or tokens, divided by its weight.
     pub fn charge(&mut self, tenant: &str, work: f64, weight: u32) {
         let floor = self.lowest();
         let time = self.virtual_time.entry(tenant.to_owned()).or_insert(floor);
         *time += work / f64::from(weight.max(1));
     }
 
-    fn of(&self, tenant: &str) -> f64 {
+    fn virtual_time_of(&self, tenant: &str) -> f64 {
         let time = self.virtual_time.get(tenant).copied();
         time.unwrap_or_else(|| self.lowest())
     }
@@ -57,13 +55,13 @@
     }
 }
 
-/// Whether the job risks its deadline if others go first.
+/// Whether the job is at risk of missing its deadline.
 pub fn is_urgent(candidate: &Candidate, now_unix_s: u64) -> bool {
     let slack = candidate.deadline_unix_s.saturating_sub(now_unix_s);
     slack < candidate.remaining_s.saturating_mul(URGENT_SLACK_FACTOR)
 }
 
-/// Orders the candidates: the first one is served first.
+/// Sorts the candidates in the order in which they are scheduled.
 pub fn order(candidates: &mut [Candidate], shares: &TenantShares, now_unix_s: u64) {
     candidates.sort_by(|left, right| {
         let urgent = is_urgent(right, now_unix_s).cmp(&is_urgent(left, now_unix_s));
@@ -74,7 +72,7 @@
     });
 }
 
-/// Urgent jobs compare by deadline alone; the others by the shares of their tenants.
+/// Compares urgent jobs by deadline, others by the virtual time of their tenants.
 fn by_urgency_or_share(
     left: &Candidate,
     right: &Candidate,
@@ -84,5 +82,7 @@
     if is_urgent(left, now_unix_s) && is_urgent(right, now_unix_s) {
         return left.deadline_unix_s.cmp(&right.deadline_unix_s);
     }
-    shares.of(&left.tenant).total_cmp(&shares.of(&right.tenant))
+    shares
+        .virtual_time_of(&left.tenant)
+        .total_cmp(&shares.virtual_time_of(&right.tenant))
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,11 +1,12 @@
-//! Pure decision logic of the system: no input or output, no clock, no thread.
+//! Pure decision logic: no I/O, no clock, no threads.
 //!
-//! Time and randomness are arguments, so that the product, the model checker and the replay of
-//! recorded traces call the same functions and get the same answers. Each module decides one thing:
+//! Time and randomness are passed as arguments, so the servers, the model checker and trace replay
+//! share the same deterministic functions.
 //!
 //! - request path: [`admission`], [`placement`], [`retry`], [`reassembly`], [`once`]
 //! - batch: [`chunks`], [`width`], [`fairness`]
-//! - fleet: [`broadcast`], [`membership`], [`ownership`], [`configuration`], [`fence`], [`freshness`]
+//! - fleet: [`broadcast`], [`membership`], [`ownership`], [`configuration`], [`fence`],
+//!   [`freshness`]
 //! - operators: [`plans`], [`rollout`], [`disruption`], [`windows`]
 
 pub mod admission;
--- a/crates/decide/src/membership.rs
+++ b/crates/decide/src/membership.rs
@@ -1,21 +1,20 @@
-//! Probing, suspicion and incarnations of nodes (SWIM) as a pure state machine.
+//! SWIM membership (probing, suspicion, incarnations) as a pure state machine.
 //!
-//! Each node probes one member each interval; one that does not answer is probed through others,
-//! then suspected, then declared dead unless it refutes the suspicion with a greater incarnation.
-//! Updates ride on probes and acknowledgements, each a bounded number of times, so that the cost of
-//! a node does not depend on the size of the fleet. [`Membership::tick`] and
-//! [`Membership::receive`] return what to send and what has changed; time and randomness are
-//! arguments.
+//! Each node probes one member per interval. A member that does not respond is probed indirectly,
+//! then suspected, then declared dead unless it refutes the suspicion with a higher incarnation.
+//! Updates are piggybacked on probes and acknowledgements a bounded number of times, so the cost
+//! per node does not grow with the fleet. [`Membership::tick`] and [`Membership::receive`] return
+//! the datagrams to send and the membership changes.
 //!
-//! Besides SWIM:
-//! - a node that finds a gap in its own ticks was paused: it forgets its probes, gives all
-//!   suspicions the length of the gap, and is not [`Standing::Vouched`] until a member has
-//!   acknowledged a probe sent after the gap;
-//! - a node that hears of its own death refutes it and must be acknowledged anew as well;
-//! - only a node that sees at least half of the fleet or of its zone, or the store, declares deaths:
-//!   the small side of a cut does not declare the world dead;
-//! - many suspicions at once are one event, judged when it has stopped growing;
-//! - nobody is declared dead by a node whose own probes since the suspicion did not fail too.
+//! Extensions to SWIM:
+//! - A node that detects a gap between its ticks was paused. It drops its pending probes, extends
+//!   all suspicions by the gap, and is not [`Standing::Vouched`] until a later probe is
+//!   acknowledged.
+//! - A node that learns it was declared dead refutes this and also needs a new acknowledgement.
+//! - Only a node that sees at least half of the fleet or of its zone, or that reaches the store,
+//!   declares members dead, so the minority side of a partition does not.
+//! - Many concurrent suspicions are treated as one event and evaluated once no more are added.
+//! - A node declares a member dead only after its own probes of the member failed.
 
 mod entry;
 mod gossip;
@@ -35,68 +34,55 @@
 use crate::broadcast::Broadcasts;
 use crate::time::Millis;
 
-/// Timers and bounds of membership. Times are milliseconds.
+/// Membership timers and limits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Time between two probes.
     pub probe_interval_ms: u64,
-    /// Wait for a direct acknowledgement.
+    /// Time to wait for a direct acknowledgement.
     pub probe_timeout_ms: u64,
-    /// Members asked to probe one that did not answer.
+    /// Members asked to probe a member that did not respond.
     pub indirect_probes: usize,
-    /// Time from suspicion to death.
+    /// Time from suspicion until a member is declared dead.
     pub suspicion_ms: u64,
-    /// Longest time without an acknowledgement or an answer of the store while vouched for.
+    /// Maximum time without an acknowledgement or a store response before the node is isolated.
     pub vouch_ms: u64,
-    /// Time after which dead and left members are forgotten.
+    /// Time after which dead and left members are removed.
     pub forget_ms: u64,
 }
 
-/// Something to do, as decided by the state machine.
+/// Output of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a datagram.
-    Send {
-        /// Receiver.
-        to: SocketAddr,
-        /// What to send.
-        datagram: Datagram,
-    },
-    /// A member has changed.
+    Send { to: SocketAddr, datagram: Datagram },
     Changed {
-        /// The member as it is now.
         member: Member,
-        /// Its state before; `None` for a new one.
+        /// Previous state; `None` for a new member.
         before: Option<MemberState>,
-        /// This node found it out by its own probes.
+        /// Detected by this node's own probes.
         own_finding: bool,
-        /// Time from the last sign that all was well, milliseconds; for a death that this node
-        /// declared itself.
+        /// Time from suspicion to death, in milliseconds; set only if this node declared the death.
         detected_after_ms: Option<u64>,
     },
-    /// A dead or left member is forgotten.
-    Forgotten {
-        /// Its id.
-        node: String,
-    },
-    /// This node refuted a statement that it was suspect or dead.
+    /// A dead or left member was removed.
+    Forgotten { node: String },
+    /// This node refuted an update that it was suspect or dead.
     Refuted {
-        /// What was said of it.
+        /// State claimed by the update.
         accused: MemberState,
     },
 }
 
-/// A probe that waits for its acknowledgement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PendingProbe {
     target: String,
     sent: Millis,
     indirect_sent: bool,
-    /// Set when another member asked for the probe: where its acknowledgement goes, and its nonce.
+    /// For an indirect probe: the requester's address and nonce, to forward the acknowledgement.
     on_behalf: Option<(SocketAddr, u64)>,
 }
 
-/// Membership as one node sees it.
+/// Membership state of one node.
 #[derive(Debug, Clone)]
 pub struct Membership {
     settings: MembershipSettings,
@@ -105,20 +91,20 @@
     contacts: Vec<SocketAddr>,
     updates: Broadcasts<Member>,
     probes: BTreeMap<u64, PendingProbe>,
-    order: Vec<String>,
+    probe_order: Vec<String>,
     nonce: u64,
     sequence: u64,
     last_tick: Option<Millis>,
     next_probe: Millis,
-    next_survey: Millis,
+    next_sample: Millis,
     rounds: u64,
     differing_digests: u32,
-    differs_from: Option<String>,
+    full_sync_peer: Option<String>,
     standing: standing::Evidence,
 }
 
 impl Membership {
-    /// Membership of a node that knows nobody. `own` is its statement about itself.
+    /// Creates the state of a node that knows no other members.
     pub fn new(own: Member, settings: MembershipSettings, now: Millis) -> Membership {
         let mut membership = Membership {
             settings,
@@ -127,32 +113,31 @@
             contacts: Vec::new(),
             updates: Broadcasts::default(),
             probes: BTreeMap::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             nonce: 0,
             sequence: 0,
             last_tick: None,
             next_probe: now,
-            next_survey: now,
+            next_sample: now,
             rounds: 0,
             differing_digests: 0,
-            differs_from: None,
+            full_sync_peer: None,
             standing: standing::Evidence::new(now),
         };
         membership.announce_self();
         membership
     }
 
-    /// This node's statement about itself.
+    /// This node's own member record.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// What is known of the others.
+    /// The other known members.
     pub fn members(&self) -> impl Iterator<Item = &Entry> {
         self.members.values()
     }
 
-    /// What is known of one other member.
     pub fn member(&self, node: &str) -> Option<&Entry> {
         self.members.get(node)
     }
@@ -165,12 +150,12 @@
             .count()
     }
 
-    /// Sets the addresses at which unknown members may be found: seeds and the machine list.
+    /// Sets addresses to probe for unknown members: seeds and the machine list.
     pub fn set_contacts(&mut self, contacts: Vec<SocketAddr>) {
         self.contacts = contacts;
     }
 
-    /// Tells the others whether this node takes new work.
+    /// Announces whether this node is draining.
     pub fn set_draining(&mut self, draining: bool) {
         if self.own.draining != draining {
             self.own.draining = draining;
@@ -179,31 +164,31 @@
         }
     }
 
-    /// Sets the configuration revision that acknowledgements state.
+    /// Sets the configuration revision sent in acknowledgements.
     pub fn set_revision(&mut self, revision: u64) {
         self.own.configuration_revision = revision;
     }
 
-    /// Lets time pass. Call it several times in each probe timeout.
+    /// Processes timers. Call it several times per probe timeout.
     pub fn tick<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.notice_gap(now);
+        self.detect_pause(now);
         self.last_tick = Some(now);
         if self.own.state() == MemberState::MemberLeft {
             return actions;
         }
         self.expire_probes(now, rng, &mut actions);
-        self.judge_suspects(now, rng, &mut actions);
+        self.check_suspects(now, rng, &mut actions);
         if now >= self.next_probe {
             self.next_probe = now.plus(self.settings.probe_interval_ms);
             self.rounds += 1;
             self.probe_next(now, rng, &mut actions);
-            self.forget_old(now, &mut actions);
+            self.remove_expired(now, &mut actions);
         }
         actions
     }
 
-    /// Announces that this node leaves. Send the actions; repeat for loss.
+    /// Announces that this node is leaving. Call it repeatedly to compensate for packet loss.
     pub fn leave<R: Rng>(&mut self, rng: &mut R) -> Vec<Action> {
         self.own.set_state(MemberState::MemberLeft);
         let targets = self.random_present(LEAVE_FANOUT, "", rng);
@@ -225,7 +210,7 @@
         self.broadcast(own);
     }
 
-    fn forget_old(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    fn remove_expired(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let forget_ms = self.settings.forget_ms;
         self.members.retain(|node, entry| {
             let old = !entry.is_present() && now.since(entry.changed) >= forget_ms;
@@ -237,5 +222,5 @@
     }
 }
 
-/// Members told directly that this node leaves.
+/// Members notified directly when this node leaves.
 const LEAVE_FANOUT: usize = 6;
--- a/crates/decide/src/membership/entry.rs
+++ b/crates/decide/src/membership/entry.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one other member, and which of two statements about it is the later one.
+//! State of another member, and precedence of updates.
 
 use std::net::SocketAddr;
 
@@ -6,42 +6,37 @@
 
 use crate::time::Millis;
 
-/// Bits of an incarnation that count refutations of one start; the bits above number the start.
+/// Low bits of an incarnation that count refutations; the high bits hold the start number.
 pub const REFUTATION_BITS: u32 = 16;
 
-/// Number of the start that an incarnation belongs to.
+/// Start number of an incarnation; it increases with each restart of the node.
 pub const fn start_of(incarnation: u64) -> u64 {
     incarnation >> REFUTATION_BITS
 }
 
-/// Why and until when a member is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Since when.
     pub since: Millis,
-    /// When it is declared dead, provided that own probes failed too.
+    /// Time at which the member is declared dead, provided that own probes failed too.
     pub deadline: Millis,
-    /// Own probes that failed since.
+    /// Failed own probes since the suspicion began.
     pub failed_probes: u32,
-    /// When this node last probed it because of the suspicion.
+    /// Time of the last probe due to the suspicion.
     pub probed: Millis,
 }
 
-/// What a node knows of one other member.
+/// State of another member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// The member's last statement about itself, or what was said about it.
+    /// Latest update about the member, from itself or from others.
     pub member: Member,
-    /// Its gossip address; `None` when it does not parse.
+    /// Gossip address; `None` if it is invalid.
     pub address: Option<SocketAddr>,
-    /// When the state last changed.
     pub changed: Millis,
-    /// Set while it is suspected.
     pub suspicion: Option<Suspicion>,
 }
 
 impl Entry {
-    /// An entry for a member just heard of.
     pub fn new(member: Member, now: Millis) -> Entry {
         Entry {
             address: member.gossip_address.parse().ok(),
@@ -51,13 +46,13 @@
         }
     }
 
-    /// Whether the member is alive or only suspected.
+    /// Whether the member is alive or suspected.
     pub fn is_present(&self) -> bool {
         is_present(&self.member)
     }
 }
 
-/// Whether the member is alive or only suspected.
+/// Whether the member is alive or suspected.
 pub fn is_present(member: &Member) -> bool {
     matches!(
         member.state(),
@@ -65,8 +60,8 @@
     )
 }
 
-/// Whether `news` is a later statement than `known`: a greater incarnation, or the graver state at
-/// the same one.
-pub fn supersedes(news: &Member, known: &Member) -> bool {
-    (news.incarnation, news.state() as i32) > (known.incarnation, known.state() as i32)
+/// Whether `incoming` overrides `known`: it has a higher incarnation, or a higher state (alive,
+/// suspect, dead, left) at the same incarnation.
+pub fn supersedes(incoming: &Member, known: &Member) -> bool {
+    (incoming.incarnation, incoming.state() as i32) > (known.incarnation, known.state() as i32)
 }
--- a/crates/decide/src/membership/gossip.rs
+++ b/crates/decide/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Statements about members: taking them in, refuting those about oneself, passing them on.
+//! Membership updates: merging, refutation, dissemination and anti-entropy.
 
 use std::net::SocketAddr;
 
@@ -13,17 +13,17 @@
 use crate::broadcast::retransmits;
 use crate::time::Millis;
 
-/// Bytes of a datagram kept free for configuration and cancelled jobs.
+/// Bytes of a datagram reserved for configuration and cancelled jobs.
 const RESERVED_BYTES: usize = 500;
-/// Bytes that the tag and length of one piggybacked update take.
+/// Encoding overhead (tag and length) of a piggybacked update.
 const UPDATE_OVERHEAD_BYTES: usize = 3;
-/// Members sent to one whose member list differs.
-const REPAIR_MEMBERS: usize = 10;
-/// Digests in a row that differ before the whole list is asked for.
+/// Members sent to a peer whose member list differs.
+const SYNC_MEMBERS: usize = 10;
+/// Consecutive differing digests before a full sync is requested.
 const DIFFERING_DIGESTS: u32 = 3;
 
 impl Membership {
-    /// Takes a datagram. Bodies other than probes and acknowledgements are the caller's.
+    /// Processes a datagram. Bodies not related to membership are left to the caller.
     pub fn receive<R: Rng>(
         &mut self,
         now: Millis,
@@ -42,13 +42,13 @@
             return actions;
         }
         for member in &datagram.members {
-            self.learn(member, now, &mut actions);
+            self.merge_update(member, now, &mut actions);
         }
         match &datagram.body {
             Some(Body::Probe(probe)) => {
                 self.answer_probe(from, &datagram.from, probe, &mut actions);
             }
-            Some(Body::Ack(ack)) => self.take_ack(ack, now, &mut actions),
+            Some(Body::Ack(ack)) => self.handle_ack(ack, now, &mut actions),
             Some(Body::IndirectProbe(request)) => {
                 self.probe_for_other(from, request, now, &mut actions);
             }
@@ -60,7 +60,7 @@
         actions
     }
 
-    /// Sends a digest of what this node knows to a random member, which answers with what differs.
+    /// Sends a digest of the known members to a random member, which responds if its own differs.
     pub fn send_digest<R: Rng>(&mut self, rng: &mut R) -> Vec<Action> {
         let digest = self.digest(false);
         let targets = self.random_present(1, "", rng);
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    /// A digest of what this node knows. `answering` says that it answers one already.
+    /// Digest of the known members. `answering` marks a response to another digest.
     pub fn digest(&self, answering: bool) -> Body {
         Body::Digest(SyncDigest {
             configuration_revision: self.own.configuration_revision,
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Sends some statements about members when the sender's list differs, and asks for its own.
+    /// If the sender's member list differs, sends it some members and requests some in return.
     fn compare_digest<R: Rng>(
         &mut self,
         from: SocketAddr,
@@ -98,32 +98,32 @@
             return;
         }
         self.differing_digests += 1;
-        let knows_many_more = digest.members as usize > self.present() + 1 + REPAIR_MEMBERS;
+        let knows_many_more = digest.members as usize > self.present() + 1 + SYNC_MEMBERS;
         if knows_many_more || self.differing_digests >= DIFFERING_DIGESTS {
-            self.differs_from = Some(sender.to_owned());
+            self.full_sync_peer = Some(sender.to_owned());
         }
         let mut datagram = self.header();
-        datagram.members = self.repair_members(rng);
+        datagram.members = self.sync_members(rng);
         if !digest.want_entries {
             datagram.body = Some(self.digest(true));
         }
         actions.push(Action::Send { to: from, datagram });
     }
 
-    /// A member whose list differs, after several digests in a row that did: many members have come
-    /// or gone at once, and its whole list should be asked for.
+    /// Takes the peer to request a full member list from, if digests differed repeatedly or a peer
+    /// knows many more members.
     pub fn take_differing(&mut self) -> Option<String> {
         self.differing_digests = 0;
-        self.differs_from.take()
+        self.full_sync_peer.take()
     }
 
-    /// Takes the whole list of another member. It is not passed on: others ask for theirs.
+    /// Merges a full member list. The updates are not gossiped further.
     pub fn learn_all(&mut self, members: &[Member], now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         let waiting = self.updates.clone();
         let incarnation = self.own.incarnation;
         for member in members {
-            self.learn(member, now, &mut actions);
+            self.merge_update(member, now, &mut actions);
         }
         self.updates = waiting;
         if self.own.incarnation != incarnation {
@@ -132,45 +132,47 @@
         actions
     }
 
-    fn learn(&mut self, news: &Member, now: Millis, actions: &mut Vec<Action>) {
-        if news.node.is_empty() {
+    fn merge_update(&mut self, incoming: &Member, now: Millis, actions: &mut Vec<Action>) {
+        if incoming.node.is_empty() {
             return;
         }
-        if news.node == self.own.node {
-            self.hear_of_self(news, now, actions);
+        if incoming.node == self.own.node {
+            self.handle_own_update(incoming, now, actions);
             return;
         }
-        match self.members.get(&news.node) {
-            None if super::is_present(news) => {
-                self.set_state(news.clone(), now, false, None, actions)
+        match self.members.get(&incoming.node) {
+            None if super::is_present(incoming) => {
+                self.set_state(incoming.clone(), now, false, None, actions)
             }
             None => {}
-            Some(known) if supersedes(news, &known.member) => {
-                self.set_state(news.clone(), now, false, None, actions);
+            Some(known) if supersedes(incoming, &known.member) => {
+                self.set_state(incoming.clone(), now, false, None, actions);
             }
             Some(_) => {}
         }
     }
 
-    fn hear_of_self(&mut self, news: &Member, now: Millis, actions: &mut Vec<Action>) {
-        if start_of(news.incarnation) > start_of(self.own.incarnation) {
+    fn handle_own_update(&mut self, incoming: &Member, now: Millis, actions: &mut Vec<Action>) {
+        if start_of(incoming.incarnation) > start_of(self.own.incarnation) {
             self.supersede();
             return;
         }
-        if news.state() == MemberState::MemberAlive || news.incarnation < self.own.incarnation {
+        if incoming.state() == MemberState::MemberAlive
+            || incoming.incarnation < self.own.incarnation
+        {
             return;
         }
-        self.own.incarnation = news.incarnation + 1;
+        self.own.incarnation = incoming.incarnation + 1;
         self.announce_self();
-        if news.state() != MemberState::MemberSuspect {
-            self.doubt(now);
+        if incoming.state() != MemberState::MemberSuspect {
+            self.invalidate_contacts(now);
         }
         actions.push(Action::Refuted {
-            accused: news.state(),
+            accused: incoming.state(),
         });
     }
 
-    /// Sets a member's state, passes it on, and says so.
+    /// Stores a member's new state, queues it for gossip and emits [`Action::Changed`].
     pub(super) fn set_state(
         &mut self,
         member: Member,
@@ -210,7 +212,7 @@
         self.updates.push(&node, member, bytes);
     }
 
-    /// A datagram with its body, `first` statements that it must carry, and as many updates as fit.
+    /// Builds a datagram with a body, the required updates in `first`, and as many others as fit.
     pub fn compose(&mut self, body: Body, first: Vec<Member>) -> Datagram {
         let mut datagram = self.header();
         datagram.body = Some(body);
@@ -231,7 +233,7 @@
         datagram
     }
 
-    /// A hash over all present members, equal on nodes that agree.
+    /// Order-independent hash of all present members and their incarnations.
     fn members_hash(&self) -> u64 {
         let others = self.members.values().map(|entry| &entry.member);
         let present = others
@@ -243,13 +245,13 @@
         })
     }
 
-    /// Statements for a member whose list differs: the latest changes and a random few.
-    fn repair_members<R: Rng>(&self, rng: &mut R) -> Vec<Member> {
+    /// Members to send to a peer whose list differs: the most recent changes and a random sample.
+    fn sync_members<R: Rng>(&self, rng: &mut R) -> Vec<Member> {
         let mut entries: Vec<&Entry> = self.members.values().collect();
         entries.sort_by_key(|entry| std::cmp::Reverse(entry.changed));
-        let latest = entries.len().min(REPAIR_MEMBERS / 2);
+        let latest = entries.len().min(SYNC_MEMBERS / 2);
         let mut chosen: Vec<Member> = entries[..latest].iter().map(|e| e.member.clone()).collect();
-        for _ in latest..entries.len().min(REPAIR_MEMBERS) {
+        for _ in latest..entries.len().min(SYNC_MEMBERS) {
             let index = rng.random_range(latest..entries.len());
             chosen.push(entries[index].member.clone());
         }
--- a/crates/decide/src/membership/probing.rs
+++ b/crates/decide/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: direct, indirect, and of addresses where unknown members may be.
+//! Direct and indirect probes of members, and probes of contact addresses.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use super::{Action, Membership, PendingProbe};
 use crate::time::Millis;
 
-/// Contacts probed in each round while no member is known.
+/// Contacts probed per round while no other member is present.
 const CONTACTS_WHILE_ALONE: usize = 3;
-/// Rounds between probes of a contact, or of a member believed dead, while members are known.
+/// Rounds between probes of a contact, or of a dead member at a contact address, otherwise.
 const ROUNDS_BETWEEN_CONTACTS: u64 = 5;
 
 impl Membership {
-    /// Probes the next member in a shuffled order that covers all; now and then also a contact.
+    /// Probes the next member in shuffled round-robin order, and periodically a contact.
     pub(super) fn probe_next<R: Rng>(
         &mut self,
         now: Millis,
@@ -36,15 +36,15 @@
 
     fn next_in_order<R: Rng>(&mut self, rng: &mut R) -> Option<String> {
         loop {
-            if self.order.is_empty() {
+            if self.probe_order.is_empty() {
                 let present = self.members.iter().filter(|(_, entry)| entry.is_present());
-                self.order = present.map(|(node, _)| node.clone()).collect();
-                self.order.shuffle(rng);
-                if self.order.is_empty() {
+                self.probe_order = present.map(|(node, _)| node.clone()).collect();
+                self.probe_order.shuffle(rng);
+                if self.probe_order.is_empty() {
                     return None;
                 }
             }
-            let next = self.order.pop()?;
+            let next = self.probe_order.pop()?;
             if self
                 .members
                 .get(&next)
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Probes addresses that belong to no member believed alive.
+    /// Probes contact addresses that belong to no present member.
     fn probe_contacts<R: Rng>(
         &mut self,
         wanted: usize,
@@ -106,13 +106,13 @@
         self.probes.insert(self.nonce, probe);
         let nonce = self.nonce;
         let mut first = vec![self.own.clone()];
-        let accusation = self.accusation_of(&target);
+        let refutable = self.refutable_record(&target);
         let body = Body::Probe(Probe { nonce, target });
-        let datagram = match accusation {
+        let datagram = match refutable {
             None => self.compose(body, first),
-            // Updates are not spent on a member that will hardly hear them.
-            Some(accusation) => {
-                first.push(accusation);
+            // Don't use up retransmissions on a member that is probably unreachable.
+            Some(refutable) => {
+                first.push(refutable);
                 Datagram {
                     body: Some(body),
                     members: first,
@@ -123,13 +123,13 @@
         actions.push(Action::Send { to, datagram });
     }
 
-    /// What this node holds against a member, so that it can refute it.
-    pub(super) fn accusation_of(&self, node: &str) -> Option<Member> {
+    /// The member's record if it is not alive here, sent to the member so that it can refute it.
+    pub(super) fn refutable_record(&self, node: &str) -> Option<Member> {
         let member = &self.members.get(node)?.member;
         (member.state() != MemberState::MemberAlive).then(|| member.clone())
     }
 
-    /// Sends indirect probes for those past the timeout; those past their end have failed.
+    /// Sends indirect probes for probes past the timeout, and fails those past the final deadline.
     pub(super) fn expire_probes<R: Rng>(
         &mut self,
         now: Millis,
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Answers a probe, unless it means another node that had this address.
+    /// Acknowledges a probe, unless it targets another node that previously used this address.
     pub(super) fn answer_probe(
         &mut self,
         from: SocketAddr,
@@ -221,7 +221,7 @@
         if !probe.target.is_empty() && probe.target != self.own.node {
             return;
         }
-        let mut first: Vec<Member> = self.accusation_of(sender).into_iter().collect();
+        let mut first: Vec<Member> = self.refutable_record(sender).into_iter().collect();
         if probe.target.is_empty() {
             first.push(self.own.clone());
         }
@@ -234,8 +234,8 @@
         actions.push(Action::Send { to: from, datagram });
     }
 
-    /// Takes an acknowledgement of a probe that still waits.
-    pub(super) fn take_ack(&mut self, ack: &Ack, now: Millis, actions: &mut Vec<Action>) {
+    /// Processes the acknowledgement of a pending probe.
+    pub(super) fn handle_ack(&mut self, ack: &Ack, now: Millis, actions: &mut Vec<Action>) {
         let expected = self
             .probes
             .get(&ack.nonce)
@@ -246,7 +246,7 @@
         let Some(probe) = self.probes.remove(&ack.nonce) else {
             return;
         };
-        self.note_acknowledged(probe.sent);
+        self.record_ack(probe.sent);
         if let Some((to, nonce)) = probe.on_behalf {
             let forwarded = Ack {
                 nonce,
@@ -258,7 +258,7 @@
         self.clear_suspicion(&ack.target, now, actions);
     }
 
-    /// An acknowledgement proves life to this node; the others learn it by the member's refutation.
+    /// Marks an acknowledged member alive locally; other nodes rely on the member's refutation.
     fn clear_suspicion(&mut self, node: &str, now: Millis, actions: &mut Vec<Action>) {
         let Some(entry) = self.members.get_mut(node) else {
             return;
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Probes for another member that could not reach the target itself.
+    /// Probes the target on behalf of another member.
     pub(super) fn probe_for_other(
         &mut self,
         from: SocketAddr,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Addresses of up to `count` random members that are present, without `except`.
+    /// Addresses of up to `count` random alive members other than `except`.
     pub fn random_present<R: Rng>(
         &self,
         count: usize,
@@ -308,7 +308,7 @@
         present.choose_multiple(rng, count).copied().collect()
     }
 
-    /// A datagram without body or updates.
+    /// Datagram with only the sender's fields set.
     pub fn header(&mut self) -> Datagram {
         self.sequence += 1;
         Datagram {
--- a/crates/decide/src/membership/standing.rs
+++ b/crates/decide/src/membership/standing.rs
@@ -1,38 +1,39 @@
-//! Whether a node can vouch for what it knows, and whether it may declare others dead.
+//! Whether a node's membership view is current, and whether it may declare others dead.
 
 use dappleyard_wire::messages::MemberState;
 
 use super::{Entry, Membership, Suspicion};
 use crate::time::Millis;
 
-/// Suspicions at once that count as one event: this many, or one in so many members.
+/// Minimum number of concurrent suspicions that are treated as one event.
 const CORRELATED_MINIMUM: usize = 3;
+/// In larger fleets the minimum is one in this many members.
 const CORRELATED_SHARE: usize = 20;
-/// Longest wait for losses to settle, in suspicion times.
-const LONGEST_SETTLING: u64 = 4;
+/// Maximum wait for more correlated suspicions, as a multiple of the suspicion time.
+const MAX_SETTLING_FACTOR: u64 = 4;
 
-/// Whether a node can vouch for what it knows.
+/// Whether a node's membership view is current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// A member or the store has answered within the vouch time, and after the last doubt.
+    /// A member or the store responded recently, and after the last pause or death claim.
     Vouched,
-    /// Nobody has answered for too long.
+    /// No member and no store response within `vouch_ms`.
     Isolated,
-    /// The node was paused, or declared dead by others, and nobody has answered since.
+    /// No response since the node was paused or was declared dead by others.
     Doubted,
-    /// A later start of the same node id is alive: this process must not act any more.
+    /// A later start of the same node id exists; this process must stop acting.
     Superseded,
 }
 
-/// Signs that a node is in touch with the fleet.
+/// Times of the latest contact with other members and the store.
 #[derive(Debug, Clone)]
 pub(super) struct Evidence {
-    /// When the last acknowledged probe was sent.
+    /// Send time of the latest acknowledged probe.
     acknowledged: Option<Millis>,
-    /// When the last answered call to the store was sent.
+    /// Send time of the latest successful store call.
     store: Option<Millis>,
-    /// Since when signs count: the start, the end of a pause, an accusation.
-    doubted_at: Option<Millis>,
+    /// Time of the last pause or death claim; earlier contacts do not count.
+    invalidated_at: Option<Millis>,
     started: Millis,
     superseded: bool,
 }
@@ -42,7 +43,7 @@
         Evidence {
             acknowledged: None,
             store: None,
-            doubted_at: None,
+            invalidated_at: None,
             started: now,
             superseded: false,
         }
@@ -54,36 +55,36 @@
 }
 
 impl Membership {
-    /// Notes that the store answered a call sent at this time.
+    /// Records that the store responded to a call sent at this time.
     pub fn note_store(&mut self, sent: Millis) {
         self.standing.store = self.standing.store.max(Some(sent));
     }
 
-    /// Whether this node can vouch for what it knows.
+    /// Whether this node's membership view is current.
     pub fn standing(&self, now: Millis) -> Standing {
         let evidence = &self.standing;
         if evidence.superseded {
             return Standing::Superseded;
         }
-        let last_sign = evidence.acknowledged.max(evidence.store);
+        let last_contact = evidence.acknowledged.max(evidence.store);
         let alone = self.members.values().all(has_left);
-        if let Some(doubted) = evidence.doubted_at
+        if let Some(invalidated) = evidence.invalidated_at
             && !alone
-            && last_sign.is_none_or(|sign| sign < doubted)
+            && last_contact.is_none_or(|contact| contact < invalidated)
         {
             return Standing::Doubted;
         }
-        let sign = last_sign.unwrap_or(evidence.started);
-        if !alone && now.since(sign) > self.settings.vouch_ms {
+        let contact = last_contact.unwrap_or(evidence.started);
+        if !alone && now.since(contact) > self.settings.vouch_ms {
             return Standing::Isolated;
         }
         Standing::Vouched
     }
 
-    /// Whether this node sees enough to declare a member of this zone dead, which it has suspected
-    /// since some time: somebody has answered since; and at least half of the fleet, or of the zone
-    /// if it is its own, is alive, or the store answers.
-    pub(super) fn may_judge(&self, zone: &str, suspected: Millis, now: Millis) -> bool {
+    /// Whether this node may declare a member of `zone` dead that was suspected at `suspected`. It
+    /// needs a recent store response, or an acknowledgement since then together with at least half
+    /// of the fleet (or of its own zone, for a member of that zone) alive.
+    pub(super) fn may_declare_dead(&self, zone: &str, suspected: Millis, now: Millis) -> bool {
         let evidence = &self.standing;
         let store_answers = evidence
             .store
@@ -96,24 +97,24 @@
         store_answers || (member_answers || last_one) && sees_half
     }
 
-    /// Whether the losses that this node sees have stopped growing. Many suspicions at once are one
-    /// event, such as the loss of a zone or of this node's own network: they are judged together
-    /// when none has come for the suspicion time, in which a survey looks for more. `latest` is when
-    /// the latest of many suspicions was raised, `None` while there are few.
-    pub(super) fn losses_settled(
+    /// Whether no more correlated suspicions are expected. Many concurrent suspicions indicate one
+    /// event, such as the loss of a zone or of this node's own network, and are evaluated together
+    /// once no new one was raised for the suspicion time. `latest` is the time of the latest one,
+    /// `None` if there are few.
+    pub(super) fn suspicions_settled(
         &self,
         latest: Option<Millis>,
         suspicion: &Suspicion,
         now: Millis,
     ) -> bool {
-        let longest = self.settings.suspicion_ms * LONGEST_SETTLING;
+        let longest = self.settings.suspicion_ms * MAX_SETTLING_FACTOR;
         latest.is_none_or(|latest| {
             now.since(latest) >= self.settings.suspicion_ms || now.since(suspicion.since) >= longest
         })
     }
 
-    /// When the latest of many suspicions at once was raised; `None` while there are few.
-    pub(super) fn many_losses(&self) -> Option<Millis> {
+    /// Time of the latest suspicion if there are many; `None` otherwise.
+    pub(super) fn latest_correlated_suspicion(&self) -> Option<Millis> {
         let suspicions = self.members.values().filter_map(|entry| entry.suspicion);
         let (count, latest) = suspicions.fold((0, Millis(0)), |(count, latest), suspicion| {
             (count + 1, latest.max(suspicion.since))
@@ -122,8 +123,8 @@
         (count >= many).then_some(latest)
     }
 
-    /// Whether at least half of the remembered members of the zones, with this node, are alive. Left
-    /// members do not count.
+    /// Whether at least half of the known members of the matching zones, including this node, are
+    /// alive. Left members do not count.
     fn sees_half(&self, zones: impl Fn(&str) -> bool) -> bool {
         let mut alive = 1;
         let mut known = 1;
@@ -140,14 +141,14 @@
         alive * 2 >= known
     }
 
-    /// A gap in this node's own ticks means that it was paused.
-    pub(super) fn notice_gap(&mut self, now: Millis) {
+    /// Treats a long gap between ticks as a pause of this process.
+    pub(super) fn detect_pause(&mut self, now: Millis) {
         let Some(last) = self.last_tick else { return };
         let gap = now.since(last);
         if gap < self.settings.suspicion_ms / 2 {
             return;
         }
-        self.standing.doubted_at = Some(now);
+        self.standing.invalidated_at = Some(now);
         self.probes.clear();
         self.next_probe = now;
         for entry in self.members.values_mut() {
@@ -157,12 +158,12 @@
         }
     }
 
-    pub(super) fn note_acknowledged(&mut self, sent: Millis) {
+    pub(super) fn record_ack(&mut self, sent: Millis) {
         self.standing.acknowledged = self.standing.acknowledged.max(Some(sent));
     }
 
-    pub(super) fn doubt(&mut self, now: Millis) {
-        self.standing.doubted_at = Some(now);
+    pub(super) fn invalidate_contacts(&mut self, now: Millis) {
+        self.standing.invalidated_at = Some(now);
         self.next_probe = now;
     }
 
--- a/crates/decide/src/membership/suspects.rs
+++ b/crates/decide/src/membership/suspects.rs
@@ -1,4 +1,4 @@
-//! Suspected members: probed again, surveyed when they are many, declared dead when proven.
+//! Probing of suspected members and declaration of deaths.
 
 use dappleyard_wire::messages::MemberState;
 use rand::Rng;
@@ -8,19 +8,19 @@
 use super::{Action, Membership};
 use crate::time::Millis;
 
-/// Members probed in each interval beside the usual one while many losses are seen.
-const SURVEY_PROBES: usize = 4;
-/// Own probes that must fail after a suspicion before a member is declared dead.
+/// Additional members probed per interval while there are many suspicions.
+const SAMPLE_PROBES: usize = 4;
+/// Failed own probes required before a member is declared dead.
 const FAILED_PROBES_FOR_DEATH: u32 = 3;
-/// Longest time between the extra probes of a suspect that may not be judged, milliseconds.
-const LONGEST_SUSPECT_PAUSE_MS: u64 = 60_000;
-/// Suspicions that this node has not raised itself end this many times later.
-const HEARSAY_FACTOR: u64 = 2;
+/// Maximum time between probes of a suspect that cannot be declared dead yet, in milliseconds.
+const MAX_SUSPECT_PROBE_INTERVAL_MS: u64 = 60_000;
+/// Multiple of the suspicion time for suspicions raised by other nodes.
+const REMOTE_SUSPICION_FACTOR: u64 = 2;
 
 impl Membership {
-    /// The suspicion of a member that was just suspected, by an own probe or by hearsay.
+    /// Creates a suspicion; `own` if it was raised by this node's probes.
     pub(super) fn new_suspicion(&self, now: Millis, own: bool) -> Suspicion {
-        let factor = if own { 1 } else { HEARSAY_FACTOR };
+        let factor = if own { 1 } else { REMOTE_SUSPICION_FACTOR };
         Suspicion {
             since: now,
             deadline: now.plus(self.settings.suspicion_ms * factor),
@@ -29,18 +29,17 @@
         }
     }
 
-    /// Probes suspects again, and declares dead those whose time is up and whom own probes did not
-    /// reach either.
-    pub(super) fn judge_suspects<R: Rng>(
+    /// Probes suspects again, and declares dead those past their deadline whose probes also failed.
+    pub(super) fn check_suspects<R: Rng>(
         &mut self,
         now: Millis,
         rng: &mut R,
         actions: &mut Vec<Action>,
     ) {
-        let many_losses = self.many_losses();
-        if many_losses.is_some() && now >= self.next_survey {
-            self.next_survey = now.plus(self.settings.probe_interval_ms);
-            self.survey(now, rng, actions);
+        let latest_correlated_suspicion = self.latest_correlated_suspicion();
+        if latest_correlated_suspicion.is_some() && now >= self.next_sample {
+            self.next_sample = now.plus(self.settings.probe_interval_ms);
+            self.probe_sample(now, rng, actions);
         }
         let suspects: Vec<(String, Suspicion)> = self
             .members
@@ -49,31 +48,35 @@
             .collect();
         for (node, suspicion) in suspects {
             let due = now >= suspicion.deadline;
-            let proven = suspicion.failed_probes >= FAILED_PROBES_FOR_DEATH;
-            let settled = self.losses_settled(many_losses, &suspicion, now);
-            if due && proven && settled && self.declare_dead(&node, suspicion, now, actions) {
+            let enough_failures = suspicion.failed_probes >= FAILED_PROBES_FOR_DEATH;
+            let settled = self.suspicions_settled(latest_correlated_suspicion, &suspicion, now);
+            if due
+                && enough_failures
+                && settled
+                && self.declare_dead(&node, suspicion, now, actions)
+            {
                 continue;
             }
             self.probe_suspect(&node, suspicion, now, actions);
         }
     }
 
-    /// Probes some members that are believed alive, to learn how far a loss reaches.
-    fn survey<R: Rng>(&mut self, now: Millis, rng: &mut R, actions: &mut Vec<Action>) {
+    /// Probes a random sample of alive members, to find the extent of a correlated failure.
+    fn probe_sample<R: Rng>(&mut self, now: Millis, rng: &mut R, actions: &mut Vec<Action>) {
         let alive = self
             .members
             .iter()
             .filter(|(_, entry)| entry.member.state() == MemberState::MemberAlive);
         let chosen = alive
             .map(|(node, _)| node.clone())
-            .choose_multiple(rng, SURVEY_PROBES);
+            .choose_multiple(rng, SAMPLE_PROBES);
         for node in chosen {
             self.probe_member(&node, now, actions);
         }
     }
 
-    /// Only those that raised the suspicion probe again before its end, so that a death costs a
-    /// bounded number of probes; the others do so when its end comes.
+    /// Before the deadline only nodes whose own probes failed probe again, which bounds the number
+    /// of probes per death; the others start at the deadline.
     fn probe_suspect(
         &mut self,
         node: &str,
@@ -86,10 +89,10 @@
         if !raised_here && now < suspicion.deadline {
             return;
         }
-        // A suspect that may not be judged is probed less and less often.
-        let pause =
-            (self.settings.probe_interval_ms / 2 + overdue / 4).min(LONGEST_SUSPECT_PAUSE_MS);
-        if now.since(suspicion.probed) < pause {
+        // Back off while the suspect cannot be declared dead.
+        let interval =
+            (self.settings.probe_interval_ms / 2 + overdue / 4).min(MAX_SUSPECT_PROBE_INTERVAL_MS);
+        if now.since(suspicion.probed) < interval {
             return;
         }
         if let Some(known) = self
@@ -112,7 +115,7 @@
         let Some(entry) = self.members.get(node) else {
             return true;
         };
-        if !self.may_judge(&entry.member.zone, suspicion.since, now) {
+        if !self.may_declare_dead(&entry.member.zone, suspicion.since, now) {
             return false;
         }
         let mut member = entry.member.clone();
--- a/crates/decide/src/once.rs
+++ b/crates/decide/src/once.rs
@@ -1,43 +1,42 @@
-//! At-most-once execution by a durable record under an idempotency key.
+//! At-most-once execution with a durable record per idempotency key.
 //!
-//! The record is created by compare-and-swap before dispatch and settled after it. Only the creator
-//! of the record runs the request, and only once; every resend reads the record.
+//! The record is created by compare-and-swap before dispatch and settled afterwards. Only the
+//! attempt that created it runs the request, once; resends read the record.
 
 use dappleyard_wire::messages::{OnceOutcome, OncePhase, OnceRow, Ran};
 
-/// What a request that must not be repeated may do, given the record that was read or written.
+/// What a non-repeatable request may do, given its record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OnceDecision {
-    /// Create the record, comparing its absence (or, for a released one, its revision).
+    /// Create the record, conditional on its absence or, if it was released, on its revision.
     Create(OnceRow),
-    /// This request created the record: run it, once.
+    /// This attempt created the record; run the request once.
     Run,
-    /// Answer with the recorded outcome.
+    /// Return the recorded outcome.
     Replay(OnceOutcome),
-    /// Another request holds the key and may still be running.
+    /// Another attempt holds the key and may still be running.
     InProgress,
     /// The key was used for a different request.
     KeyReused,
-    /// This attempt gave the key back already: it must neither run nor create the record again.
-    /// Without this a slow loop of the same attempt would take the key back for nobody.
+    /// This attempt already released the key and must neither run nor create the record again.
+    /// Otherwise a delayed retry of the attempt would hold the key with nobody running the request.
     GivenUp,
 }
 
-/// Who asks for the key.
+/// Attempt to acquire an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OnceAttempt {
-    /// Request id.
     pub request_id: String,
     /// Fingerprint of the request's content.
     pub fingerprint: u64,
-    /// Token of this attempt to create the record; unique for each attempt.
+    /// Unique token of the attempt, stored in the record that it creates.
     pub writer: String,
-    /// Wall-clock time, milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub now_unix_ms: u64,
 }
 
-/// Decides on the record as read. `writing` is `true` when this attempt has sent its create already
-/// and reads back what became of it.
+/// Decides by the record that was read. `writing` is `true` if this attempt has already sent its
+/// create and is reading back the result.
 pub fn decide(row: Option<&OnceRow>, attempt: &OnceAttempt, writing: bool) -> OnceDecision {
     let Some(row) = row else {
         return OnceDecision::Create(create(attempt));
@@ -68,12 +67,11 @@
     row
 }
 
-/// The record that an attempt writes when it was told, or told its caller, that it does not run, while
-/// a create of its own may still take effect; `None` when the key is not its own and needs no write.
-/// An absent record, or one that another attempt released, is written as released too, so that a late
-/// create finds another revision than it expects.
+/// Returns the record that an attempt writes when it will not run but its create may still take
+/// effect; `None` if no write is needed. An absent record, or one released by another attempt, is
+/// overwritten as released, so that a delayed create fails its revision check.
 pub fn give_up(row: Option<&OnceRow>, attempt: &OnceAttempt) -> Option<OnceRow> {
-    let open = row.is_none_or(|row| {
+    let must_write = row.is_none_or(|row| {
         let own = row.writer == attempt.writer;
         match row.phase() {
             OncePhase::OnceStarted => own,
@@ -81,36 +79,36 @@
             OncePhase::OnceSettled => false,
         }
     });
-    open.then(|| {
+    must_write.then(|| {
         let mut released = create(attempt);
         released.set_phase(OncePhase::OnceReleased);
         released
     })
 }
 
-/// Whether an outcome may be written over the row. Only the attempt that created a record may release
-/// it; a whole answer replaces an outcome that is none.
+/// Whether an outcome may be stored in the row. Only the attempt that created the record may
+/// release it. A successful response may replace an error outcome.
 pub fn may_settle(row: &OnceRow, request_id: &str, writer: &str, outcome: &OnceOutcome) -> bool {
-    let is_answer = outcome.kind == 0;
-    let releases = !is_answer && outcome.ran() == Ran::No;
+    let is_success = outcome.kind == 0;
+    let releases = !is_success && outcome.ran() == Ran::No;
     let is_writer = !writer.is_empty() && row.writer == writer;
     if !is_writer && (row.request_id != request_id || releases) {
         return false;
     }
     match row.phase() {
         OncePhase::OnceStarted => true,
-        OncePhase::OnceSettled => is_answer && !holds_answer(row),
+        OncePhase::OnceSettled => is_success && !has_response(row),
         OncePhase::OnceReleased => false,
     }
 }
 
-fn holds_answer(row: &OnceRow) -> bool {
+fn has_response(row: &OnceRow) -> bool {
     row.outcome
         .as_ref()
         .is_some_and(|outcome| outcome.kind == 0)
 }
 
-/// The record after the run ended. An attempt that is known not to have run releases the key.
+/// Returns the record after the run. The key is released if the request is known not to have run.
 pub fn settle(row: &OnceRow, outcome: OnceOutcome) -> OnceRow {
     let mut next = row.clone();
     let released = outcome.kind != 0 && outcome.ran() == Ran::No;
@@ -123,7 +121,7 @@
     next
 }
 
-/// The outcome of a request whose run was lost.
+/// Outcome of a request that may have run but whose result was lost.
 pub fn unknown_outcome() -> OnceOutcome {
     OnceOutcome {
         kind: dappleyard_wire::ErrorKind::OutcomeUnknown as u32,
--- a/crates/decide/src/ownership.rs
+++ b/crates/decide/src/ownership.rs
@@ -1,42 +1,36 @@
-//! Cells of nodes, and the node that owns each server.
+//! Grouping of nodes into cells, and assignment of servers to owner nodes.
 //!
-//! All of it is a pure function of the members that a node remembers, so that nodes with the same
-//! view agree without a word. The remembered members of a zone, dead and left ones included until
-//! they are forgotten, are put into cells of at most [`CellSettings::maximum_nodes`] by rendezvous
-//! hash; so a restart does not change the cells. A server belongs to a cell of its zone by weighted
-//! rendezvous hash, and to a node of that cell by rendezvous hash with bounded load: a node takes at
-//! most [`LOAD_BOUND`] times the mean. A node that leaves gives away its own servers and few others.
+//! Both depend only on the known members, so nodes with the same view agree without coordination.
+//! The members of a zone, including dead and left ones until they are forgotten, are grouped into
+//! cells of at most `maximum_nodes` by rendezvous hashing, so a restart does not change the cells.
+//! A server is assigned to a cell of its zone by weighted rendezvous hashing, and to a node of that
+//! cell by rendezvous hashing with bounded load: a node owns at most [`LOAD_BOUND`] times the mean.
+//! When a node leaves, few servers other than its own move.
 
 use std::collections::BTreeMap;
 
 use dappleyard_wire::hash::{hash_bytes, rendezvous_weight};
 
-/// Most servers of a node, as a multiple of the mean of its cell.
+/// Maximum servers of a node, as a multiple of the mean of its cell.
 pub const LOAD_BOUND: f64 = 1.25;
 
-/// A node as ownership sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerNode {
-    /// Node id.
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
-    /// Alive or suspected, and not draining: may own servers.
+    /// Alive or suspected, and not draining, so that it may own servers.
     pub eligible: bool,
 }
 
-/// Nodes of one zone that know each other's load.
+/// Nodes of one zone that exchange load reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cell {
     /// `{zone}/{number}`.
     pub name: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
-    /// Nodes in order of their ids.
+    /// Nodes sorted by id.
     pub nodes: Vec<OwnerNode>,
 }
 
@@ -46,12 +40,12 @@
         self.nodes.iter().filter(|node| node.eligible).count()
     }
 
-    /// Weight of the cell among those of its zone: all of its nodes while most of them may own
-    /// servers, so that one restart moves no server between cells.
+    /// Weight of the cell in its zone: its total node count while at least three quarters of the
+    /// nodes are eligible, so that a single restart moves no server between cells.
     fn weight(&self) -> f64 {
         let eligible = self.eligible();
-        let most = eligible * 4 >= self.nodes.len() * 3;
-        if most {
+        let mostly_eligible = eligible * 4 >= self.nodes.len() * 3;
+        if mostly_eligible {
             self.nodes.len() as f64
         } else {
             eligible as f64
@@ -66,7 +60,7 @@
 }
 
 impl Cells {
-    /// Puts nodes into cells of at most `maximum_nodes`.
+    /// Groups nodes into cells of at most `maximum_nodes`.
     pub fn of(nodes: &[OwnerNode], maximum_nodes: usize) -> Cells {
         let mut zones: BTreeMap<(&str, &str), Vec<&OwnerNode>> = BTreeMap::new();
         for node in nodes {
@@ -82,26 +76,25 @@
         Cells { cells }
     }
 
-    /// The cells, in order of region, zone and number.
+    /// All cells, sorted by region, zone and number.
     pub fn all(&self) -> &[Cell] {
         &self.cells
     }
 
-    /// The cell that a node is in.
     pub fn of_node(&self, node: &str) -> Option<&Cell> {
         self.cells
             .iter()
             .find(|cell| cell.nodes.iter().any(|member| member.node == node))
     }
 
-    /// The cells that may own servers of a zone: those of the zone; while none of its nodes may own
-    /// servers, those of its region; at last all.
+    /// Cells with eligible nodes in the zone; if there are none, those in the region; otherwise
+    /// all.
     pub fn candidates(&self, region: &str, zone: &str) -> Vec<&Cell> {
-        let able = |cell: &&Cell| cell.eligible() > 0;
+        let has_eligible = |cell: &&Cell| cell.eligible() > 0;
         let of_zone: Vec<&Cell> = self
             .cells
             .iter()
-            .filter(able)
+            .filter(has_eligible)
             .filter(|c| c.zone == zone)
             .collect();
         if !of_zone.is_empty() {
@@ -110,13 +103,13 @@
         let of_region: Vec<&Cell> = self
             .cells
             .iter()
-            .filter(able)
+            .filter(has_eligible)
             .filter(|c| c.region == region)
             .collect();
         if !of_region.is_empty() {
             return of_region;
         }
-        self.cells.iter().filter(able).collect()
+        self.cells.iter().filter(has_eligible).collect()
     }
 }
 
@@ -153,7 +146,7 @@
     cells
 }
 
-/// Number of cells: one while all nodes fit, then so many that they are three quarters full.
+/// Number of cells: one if all nodes fit, otherwise enough for cells to be three quarters full.
 fn cell_count(nodes: usize, maximum_nodes: usize) -> usize {
     let maximum_nodes = maximum_nodes.max(1);
     if nodes <= maximum_nodes {
@@ -162,13 +155,13 @@
     nodes.div_ceil((maximum_nodes * 3 / 4).max(1))
 }
 
-/// Key of a server, by which it is placed.
+/// Rendezvous hash key of a server.
 pub fn server_key(server: &str) -> u64 {
     hash_bytes(server.as_bytes())
 }
 
-/// The owner of each server of a zone; `None` where no node may own any. `keys` are the keys of the
-/// servers, in ascending order, which is the order in which they are placed.
+/// Assigns an owner to each server of a zone; `None` if no node is eligible. `keys` are the server
+/// keys, which must be sorted: servers are assigned in this order.
 pub fn owners_of_zone<'a>(candidates: &[&'a Cell], keys: &[u64]) -> Vec<Option<&'a str>> {
     let mut by_cell: Vec<Vec<usize>> = vec![Vec::new(); candidates.len()];
     let weights: Vec<f64> = candidates.iter().map(|cell| cell.weight()).collect();
@@ -184,7 +177,7 @@
     owners
 }
 
-/// Weighted rendezvous: a cell gets servers in proportion to its weight.
+/// Weighted rendezvous hashing: a cell gets servers in proportion to its weight.
 fn best_cell(key: u64, cells: &[&Cell], weights: &[f64]) -> Option<usize> {
     if cells.len() <= 1 {
         return (!cells.is_empty()).then_some(0);
@@ -200,7 +193,8 @@
         .map(|(_, index)| index)
 }
 
-/// Rendezvous with bounded load: each server goes to the heaviest node that still has room.
+/// Rendezvous hashing with bounded load: each server goes to the node of the greatest hash weight
+/// that is below the load bound.
 fn assign_in_cell<'a>(
     cell: &'a Cell,
     keys: &[u64],
@@ -214,11 +208,11 @@
         .map(|node| node.node.as_str())
         .collect();
     let mean = indexes.len() as f64 / nodes.len().max(1) as f64;
-    let room = (mean * LOAD_BOUND).ceil().max(1.0) as usize;
+    let capacity = (mean * LOAD_BOUND).ceil().max(1.0) as usize;
     let mut loads = vec![0_usize; nodes.len()];
     for index in indexes {
         let best = (0..nodes.len())
-            .filter(|node| loads[*node] < room)
+            .filter(|node| loads[*node] < capacity)
             .max_by_key(|node| rendezvous_weight(keys[*index], nodes[*node]));
         if let Some(node) = best {
             loads[node] += 1;
@@ -227,7 +221,7 @@
     }
 }
 
-/// The `count` nodes that a rendezvous hash prefers for a task, out of candidates.
+/// The first `count` candidates for a task in rendezvous hash order.
 pub fn preferred<'a>(
     task: &str,
     candidates: impl Iterator<Item = &'a str>,
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -1,41 +1,41 @@
-//! Choice of an owner node and of a server.
+//! Selection of an owner node and of a server for a request.
 //!
-//! Both levels use the same rule, rendezvous hashing with bounded load: the candidate with the
-//! greatest weight for the request's prefix key wins as long as it is not loaded far above the mean,
-//! so that requests which share a prefix meet its cache without any exchange of cache contents.
-//! Others follow by expected wait. A request without a key goes by expected wait alone.
+//! Both levels use rendezvous hashing with bounded load: the candidate with the greatest weight for
+//! the request's prefix key is chosen unless its load is far above the mean, so requests with a
+//! common prefix reach the same prefix cache. Other candidates, and requests without a key, are
+//! ordered by expected wait.
 
 use std::cmp::Ordering;
 
-/// Sequences a server may hold before the bound on its load matters at all. Below it one more
-/// sequence lengthens a step by less than the prefill that a cached prefix saves.
+/// Sequences per server below which the load bound is not applied: the cost of another sequence is
+/// lower than that of a prefill without a cached prefix.
 pub const AFFINITY_FLOOR_SEQUENCES: u64 = 8;
 
-/// Expected wait above the shortest one that prefix affinity may cost, milliseconds.
+/// Maximum additional expected wait due to prefix affinity, in milliseconds.
 pub const AFFINITY_WAIT_MS: u32 = 20;
 
-/// One owner node or one server that could take the request.
+/// Owner node or server that may be chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
     /// Rendezvous weight for the request's key: `wire::hash::rendezvous_weight`.
     pub weight: u64,
-    /// Servers behind the candidate; 1 for a server.
+    /// Number of servers of the owner node; 1 for a server.
     pub servers: u32,
-    /// Online sequences running and waiting there.
+    /// Running and waiting online sequences.
     pub sequences: u32,
-    /// Expected wait of a new online request, milliseconds.
+    /// Expected wait of a new online request, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// How far prefix affinity goes.
+/// Prefix affinity settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Affinity {
-    /// Load relative to the mean up to which affinity wins, percent; `None` for no affinity at all.
+    /// Maximum load for affinity, as a percentage of the mean; `None` disables affinity.
     pub bound_percent: Option<u32>,
 }
 
-/// Writes the indices of the best candidates into `best`, best first, and returns how many there
-/// are. Allocates nothing.
+/// Writes the indices of the best candidates to `best`, in order, and returns their count. Does not
+/// allocate.
 pub fn rank(candidates: &[Candidate], affinity: Affinity, best: &mut [usize]) -> usize {
     let limit = Limit::of(candidates, affinity);
     let mut found = 0;
@@ -52,9 +52,9 @@
     found
 }
 
-/// What a candidate must stay under to be chosen by affinity.
+/// Limits up to which a candidate is chosen by affinity.
 struct Limit {
-    /// Sequences a server, in thousandths; `None` without affinity.
+    /// Sequences per server, in thousandths; `None` without affinity.
     sequences: Option<u64>,
     wait_ms: u32,
 }
@@ -84,7 +84,7 @@
             .is_some_and(|bound| load(candidate) < bound && candidate.wait_ms <= self.wait_ms)
     }
 
-    /// Better candidates come first.
+    /// Orders better candidates first.
     fn order(&self, left: &Candidate, right: &Candidate) -> Ordering {
         let by_weight = right.weight.cmp(&left.weight);
         match (self.admits(left), self.admits(right)) {
@@ -100,55 +100,53 @@
     }
 }
 
-/// Sequences a server, in thousandths.
+/// Sequences per server, in thousandths.
 fn load(candidate: &Candidate) -> u64 {
     u64::from(candidate.sequences) * 1_000 / u64::from(candidate.servers.max(1))
 }
 
-/// What the owner knows of a server's ability to start one more sequence.
+/// Load and capacity of a server, as known to its owner node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerRoom {
-    /// Online sequences there, this owner's and others'.
+    /// Online sequences, including those of other owners.
     pub online: u32,
-    /// Prompt tokens that wait for prefill.
+    /// Prompt tokens waiting for prefill.
     pub prefill_tokens: u32,
-    /// KV tokens that online sequences may come to hold.
+    /// KV cache tokens that online sequences may use.
     pub online_tokens: u32,
-    /// KV tokens of the server.
+    /// KV cache capacity of the server, in tokens.
     pub total_tokens: u32,
-    /// Most sequences at once.
+    /// Maximum concurrent sequences.
     pub maximum_sequences: u32,
-    /// Step time, milliseconds.
     pub step_ms: f64,
 }
 
-/// Prompt tokens that an engine prefills in one step.
-pub const PREFILL_TOKENS_A_STEP: u32 = 512;
+/// Prompt tokens that an engine prefills per step.
+pub const PREFILL_TOKENS_PER_STEP: u32 = 512;
 
-/// Output tokens of a request of usual size: what a place is waited for, and what a request is
-/// expected to use of a larger limit.
-pub const USUAL_OUTPUT_TOKENS: u32 = 256;
+/// Output tokens of a typical request, used to estimate slot turnover and KV cache usage.
+pub const TYPICAL_OUTPUT_TOKENS: u32 = 256;
 
-/// KV tokens that a request is expected to hold: few use the whole of a large output limit.
+/// Expected KV cache tokens of a request. Few requests reach a large output limit.
 pub fn expected_tokens(prompt_tokens: u32, max_tokens: u32) -> u32 {
-    prompt_tokens.saturating_add(max_tokens.min(USUAL_OUTPUT_TOKENS))
+    prompt_tokens.saturating_add(max_tokens.min(TYPICAL_OUTPUT_TOKENS))
 }
 
-/// Expected wait of a request of `tokens` KV tokens for its first step, milliseconds. Batch
-/// sequences do not count: the engine drops them for online work.
+/// Expected time until the first step of a request of `tokens` KV cache tokens, in milliseconds.
+/// Batch sequences do not count because the engine preempts them for online work.
 pub fn expected_wait_ms(room: &ServerRoom, tokens: u32) -> u32 {
-    let prefill_steps = f64::from(room.prefill_tokens) / f64::from(PREFILL_TOKENS_A_STEP);
-    let ahead = f64::from(places_short(room, tokens));
-    let places = f64::from(room.maximum_sequences.max(1));
-    let turnover_steps = f64::from(USUAL_OUTPUT_TOKENS / 2) * ahead / places;
+    let prefill_steps = f64::from(room.prefill_tokens) / f64::from(PREFILL_TOKENS_PER_STEP);
+    let ahead = f64::from(sequences_ahead(room, tokens));
+    let slots = f64::from(room.maximum_sequences.max(1));
+    let turnover_steps = f64::from(TYPICAL_OUTPUT_TOKENS / 2) * ahead / slots;
     ((prefill_steps + turnover_steps) * room.step_ms).min(f64::from(u32::MAX)) as u32
 }
 
-/// Sequences that must end before this one can start, by places and by KV memory.
-fn places_short(room: &ServerRoom, tokens: u32) -> u32 {
-    let by_places = (room.online + 1).saturating_sub(room.maximum_sequences);
+/// Sequences that must finish before this one can start, by sequence slots or by KV cache memory.
+fn sequences_ahead(room: &ServerRoom, tokens: u32) -> u32 {
+    let by_slots = (room.online + 1).saturating_sub(room.maximum_sequences);
     let excess = (room.online_tokens.saturating_add(tokens)).saturating_sub(room.total_tokens);
     let mean_tokens = room.online_tokens / room.online.max(1);
     let by_memory = excess.div_ceil(mean_tokens.max(1));
-    by_places.max(by_memory)
+    by_slots.max(by_memory)
 }
--- a/crates/decide/src/plans.rs
+++ b/crates/decide/src/plans.rs
@@ -1,72 +1,65 @@
-//! What a plan will do to capacity: the waves in which servers go out, and what serves meanwhile.
+//! Division of a plan's disruptions into waves, with the capacity that remains during each wave.
 
 use std::collections::BTreeMap;
 
 use crate::disruption::Budget;
 
-/// A server as planning sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedServer {
-    /// Server id.
     pub server: String,
-    /// Service that it carries.
     pub service: String,
-    /// Zone.
     pub zone: String,
-    /// It serves at present.
+    /// Whether it currently serves requests.
     pub serving: bool,
 }
 
-/// What becomes of the servers of a wave once the wave is over.
+/// State of the servers after their wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterWave {
-    /// They serve again.
+    /// Back in service.
     Return,
-    /// They stay out.
+    /// Remain out of service.
     StayOut,
 }
 
-/// Servers of one service and zone that serve during a wave.
+/// Capacity of a service in a zone during a wave.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Capacity {
-    /// Service.
     pub service: String,
-    /// Zone.
     pub zone: String,
-    /// Servers that serve while the wave is out.
+    /// Servers in service during the wave.
     pub serving: u32,
-    /// Servers that serve before the plan.
+    /// Servers in service before the plan.
     pub before: u32,
 }
 
-/// Servers that go out together.
+/// Servers taken out of service together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wave {
-    /// Server ids.
     pub servers: Vec<String>,
-    /// What serves meanwhile, for each service and zone that the plan touches.
+    /// Remaining capacity of each affected service and zone.
     pub capacity: Vec<Capacity>,
 }
 
-/// Bounds on a wave.
+/// Limits on the size of a wave.
 #[derive(Debug, Clone)]
 pub struct WaveBounds {
-    /// Budget of each service; a service without one has the default budget.
+    /// Budgets by service; services without an entry have the default budget.
     pub budgets: BTreeMap<String, Budget>,
-    /// Most servers of a wave, whatever the budgets allow.
+    /// Maximum servers per wave, independent of the budgets.
     pub concurrency: usize,
 }
 
-/// Cuts the disruption of `targets` into waves that keep the budgets. Servers that do not serve
-/// anyway cost nothing and go with the first wave.
+/// Divides the disruption of `targets` into waves within the budgets. Servers that are not serving
+/// do not count and are part of the first wave.
 pub fn waves(
     targets: &[PlannedServer],
     all: &[PlannedServer],
     bounds: &WaveBounds,
     after: AfterWave,
 ) -> Vec<Wave> {
-    let touched = places(targets);
-    let before = serving(all, &touched);
+    let affected = service_zones(targets);
+    let before = serving(all, &affected);
     let mut now = before.clone();
     let mut waiting: Vec<&PlannedServer> = targets.iter().collect();
     let mut waves = Vec::new();
@@ -74,7 +67,7 @@
         let (wave, rest) = next_wave(&waiting, bounds);
         let mut during = now.clone();
         for server in wave.iter().filter(|server| server.serving) {
-            if let Some(count) = during.get_mut(&place(server)) {
+            if let Some(count) = during.get_mut(&service_zone(server)) {
                 *count = count.saturating_sub(1);
             }
         }
@@ -90,30 +83,36 @@
     waves
 }
 
-type Place = (String, String);
+type ServiceZone = (String, String);
 
-fn place(server: &PlannedServer) -> Place {
+fn service_zone(server: &PlannedServer) -> ServiceZone {
     (server.service.clone(), server.zone.clone())
 }
 
-fn places(servers: &[PlannedServer]) -> Vec<Place> {
-    let mut places: Vec<Place> = servers.iter().map(place).collect();
-    places.sort();
-    places.dedup();
-    places
+fn service_zones(servers: &[PlannedServer]) -> Vec<ServiceZone> {
+    let mut service_zones: Vec<ServiceZone> = servers.iter().map(service_zone).collect();
+    service_zones.sort();
+    service_zones.dedup();
+    service_zones
 }
 
-fn serving(all: &[PlannedServer], places: &[Place]) -> BTreeMap<Place, u32> {
-    let mut counts: BTreeMap<Place, u32> = places.iter().map(|place| (place.clone(), 0)).collect();
+fn serving(all: &[PlannedServer], service_zones: &[ServiceZone]) -> BTreeMap<ServiceZone, u32> {
+    let mut counts: BTreeMap<ServiceZone, u32> = service_zones
+        .iter()
+        .map(|service_zone| (service_zone.clone(), 0))
+        .collect();
     for server in all.iter().filter(|server| server.serving) {
-        if let Some(count) = counts.get_mut(&place(server)) {
+        if let Some(count) = counts.get_mut(&service_zone(server)) {
             *count += 1;
         }
     }
     counts
 }
 
-fn capacity(during: &BTreeMap<Place, u32>, before: &BTreeMap<Place, u32>) -> Vec<Capacity> {
+fn capacity(
+    during: &BTreeMap<ServiceZone, u32>,
+    before: &BTreeMap<ServiceZone, u32>,
+) -> Vec<Capacity> {
     during
         .iter()
         .map(|((service, zone), serving)| Capacity {
@@ -128,13 +127,13 @@
         .collect()
 }
 
-/// Takes servers in order while the bounds have room. The first one always goes, so that a budget
-/// of nothing still makes a plan; it is then held back when it runs.
+/// Takes servers in order up to the limits. The first server is always included, so planning
+/// terminates even with an exhausted budget; the disruption is then delayed at execution.
 fn next_wave<'a>(
     waiting: &[&'a PlannedServer],
     bounds: &WaveBounds,
 ) -> (Vec<&'a PlannedServer>, Vec<&'a PlannedServer>) {
-    let mut in_zone: BTreeMap<Place, u32> = BTreeMap::new();
+    let mut in_zone: BTreeMap<ServiceZone, u32> = BTreeMap::new();
     let mut in_service: BTreeMap<&str, u32> = BTreeMap::new();
     let mut wave = Vec::new();
     let mut rest = Vec::new();
@@ -144,7 +143,7 @@
             .get(&server.service)
             .copied()
             .unwrap_or_else(|| Budget::of_row(0, 0));
-        let zone_count = in_zone.entry(place(server)).or_default();
+        let zone_count = in_zone.entry(service_zone(server)).or_default();
         let service_count = in_service.entry(server.service.as_str()).or_default();
         let has_room = wave.len() < bounds.concurrency
             && *zone_count < budget.zone
--- a/crates/decide/src/reassembly.rs
+++ b/crates/decide/src/reassembly.rs
@@ -1,57 +1,50 @@
-//! Reassembly of an answer from pieces that may come twice, out of order, or not at all.
+//! Reassembly of a streamed response from pieces that may be duplicated, reordered or lost.
 //!
-//! An answer is a row of pieces, one piece a token, each at its offset. [`Assembly`] takes each
-//! offset once, keeps pieces that lie behind a gap within a bound, and calls the answer complete
-//! only when the end was announced and every offset before it is there. Pieces of two attempts are
-//! joined only when both were made by the same model version.
+//! A response is a sequence of pieces, one per token, identified by offset. [`Assembly`]
+//! deduplicates pieces, buffers a bounded number after a gap, and is complete once its length is
+//! known and every piece has been received. Pieces of different attempts are combined only if they
+//! come from the same model version.
 
 use std::collections::BTreeMap;
 
 use derive_more::{Display, Error};
 
-/// Bounds of one answer.
+/// Limits of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AssemblyBounds {
-    /// Most pieces of the whole answer.
+    /// Maximum pieces of the response.
     pub pieces: u32,
-    /// Most pieces kept behind a gap.
+    /// Maximum pieces buffered after a gap.
     pub behind_gap: usize,
 }
 
-/// Why received pieces were not taken.
+/// Error for pieces that were rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum AssemblyError {
-    /// The attempt is answered by another model version than the pieces that are there.
-    #[display("version {offered} cannot continue an answer of version {held}")]
+    /// The model version of the attempt differs from that of the received pieces.
+    #[display("version {offered} cannot continue a response of version {held}")]
     VersionChanged {
-        /// Version of the pieces that are there.
+        /// Version of the received pieces.
         held: String,
         /// Version of the new attempt.
         offered: String,
     },
-    /// The same offset came with another text.
-    #[display("piece {offset} came twice with different text")]
-    Conflict {
-        /// Offset of the piece.
-        offset: u32,
-    },
-    /// A bound was passed.
-    #[display("more pieces than the bound of {bound}")]
-    Bound {
-        /// The bound.
-        bound: usize,
-    },
-    /// A piece lies at or behind the announced end.
-    #[display("piece {offset} lies behind the end at {total}")]
+    /// A piece was received again with different text.
+    #[display("piece {offset} was received twice with different text")]
+    Conflict { offset: u32 },
+    /// A limit of [`AssemblyBounds`] was exceeded.
+    #[display("more pieces than the limit of {bound}")]
+    Bound { bound: usize },
+    /// A piece is at or past the announced end.
+    #[display("piece {offset} is past the end at {total}")]
     BehindEnd {
-        /// Offset of the piece.
         offset: u32,
-        /// Announced length.
+        /// Announced number of pieces.
         total: u32,
     },
 }
 
-/// One answer in the making.
+/// Response being reassembled.
 #[derive(Debug, Clone)]
 pub struct Assembly {
     bounds: AssemblyBounds,
@@ -63,7 +56,6 @@
 }
 
 impl Assembly {
-    /// An empty answer.
     pub fn new(bounds: AssemblyBounds) -> Self {
         Self {
             bounds,
@@ -75,19 +67,18 @@
         }
     }
 
-    /// Begins an attempt that resumes at [`Assembly::offset`]: what the earlier attempt left behind
-    /// a gap, and the end it announced, are forgotten.
+    /// Begins an attempt that resumes at [`Assembly::offset`]. Pieces after a gap and the length
+    /// announced by the previous attempt are discarded.
     pub fn begin_attempt(&mut self) {
         self.behind_gap.clear();
         self.total = None;
     }
 
-    /// The attempt was accepted by this model version. The version of an answer that has no piece
-    /// yet may change.
+    /// Sets the model version that accepted the attempt. It may change until a piece is received.
     pub fn accepted(&mut self, version: &str) -> Result<(), AssemblyError> {
-        let untouched = self.pieces.is_empty() && self.behind_gap.is_empty();
+        let no_pieces = self.pieces.is_empty() && self.behind_gap.is_empty();
         match &self.version {
-            Some(held) if held != version && !untouched => Err(AssemblyError::VersionChanged {
+            Some(held) if held != version && !no_pieces => Err(AssemblyError::VersionChanged {
                 held: held.clone(),
                 offered: version.to_owned(),
             }),
@@ -98,8 +89,8 @@
         }
     }
 
-    /// Takes the pieces at `offset` and after it, all or none. Pieces that are there already are
-    /// compared.
+    /// Adds consecutive pieces starting at `offset`, all or none. Pieces received before must be
+    /// identical.
     pub fn take(&mut self, offset: u32, pieces: Vec<String>) -> Result<(), AssemblyError> {
         self.check(offset, &pieces)?;
         for (position, piece) in (offset..).zip(pieces) {
@@ -126,13 +117,13 @@
             return Err(AssemblyError::BehindEnd { offset, total });
         }
         for (position, piece) in (offset..).zip(pieces) {
-            if self.held(position).is_some_and(|held| held != piece) {
+            if self.piece_at(position).is_some_and(|held| held != piece) {
                 return Err(AssemblyError::Conflict { offset: position });
             }
         }
         let new = (offset..)
             .zip(pieces)
-            .filter(|(at, _)| self.held(*at).is_none());
+            .filter(|(at, _)| self.piece_at(*at).is_none());
         let behind_gap = self.behind_gap.len() + new.count();
         if offset > self.offset() && behind_gap > self.bounds.behind_gap {
             return Err(AssemblyError::Bound {
@@ -142,13 +133,13 @@
         Ok(())
     }
 
-    fn held(&self, offset: u32) -> Option<&String> {
+    fn piece_at(&self, offset: u32) -> Option<&String> {
         self.pieces
             .get(offset as usize)
             .or_else(|| self.behind_gap.get(&offset))
     }
 
-    /// The sender announced the length of the whole answer.
+    /// Sets the length of the response, as announced by the sender.
     pub fn finish(&mut self, total: u32) -> Result<(), AssemblyError> {
         let held = self
             .behind_gap
@@ -162,8 +153,8 @@
         Ok(())
     }
 
-    /// Forgets everything, so that the request can be run anew by another version. Refused when
-    /// pieces were released already.
+    /// Resets the response so that the request can be run again by another version. Returns `false`
+    /// if pieces were already released.
     pub fn restart(&mut self) -> bool {
         if self.released > 0 {
             return false;
@@ -172,39 +163,38 @@
         true
     }
 
-    /// Offset of the first piece that is missing.
+    /// Offset of the first missing piece.
     pub fn offset(&self) -> u32 {
         u32::try_from(self.pieces.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether the end was announced and every piece before it is there.
+    /// Whether the length is known and all pieces have been received.
     pub fn is_complete(&self) -> bool {
         self.total == Some(self.offset())
     }
 
-    /// Whether the end was announced, complete or not.
+    /// Whether the length is known; pieces may still be missing.
     pub fn is_finished(&self) -> bool {
         self.total.is_some()
     }
 
-    /// Model version of the answer; `None` before the first attempt was accepted.
+    /// Model version of the response; `None` until an attempt is accepted.
     pub fn version(&self) -> Option<&str> {
         self.version.as_deref()
     }
 
-    /// All pieces before the first gap.
+    /// Pieces before the first gap.
     pub fn pieces(&self) -> &[String] {
         &self.pieces
     }
 
-    /// Text of the pieces that were not released before; they count as released from now on.
+    /// Returns the text of the pieces not yet released, and marks them as released.
     pub fn release(&mut self) -> String {
         let text = self.pieces[self.released..].concat();
         self.released = self.pieces.len();
         text
     }
 
-    /// Number of pieces released to the caller.
     pub fn released(&self) -> usize {
         self.released
     }
--- a/crates/decide/src/rollout.rs
+++ b/crates/decide/src/rollout.rs
@@ -1,45 +1,42 @@
-//! Placement of model versions on the servers of a service, the canary's health gate, and which
-//! loads may start now.
+//! Assignment of model versions to servers, the canary health gate, and scheduling of model loads.
 
 use std::collections::BTreeSet;
 
 use crate::disruption::{Budget, InFlight, Replica, ReplicaState, Situation, Verdict, may_disrupt};
 
-/// What a service row asks for.
+/// Desired state from a service row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Version of all servers but the canaries.
+    /// Version of all servers except the canaries.
     pub version: String,
-    /// Version of the canaries; empty without a rollout.
+    /// Version of the canaries; empty if no rollout is active.
     pub canary: String,
-    /// Share of servers that carry the canary, percent.
+    /// Percentage of servers that run the canary version.
     pub canary_percent: u32,
-    /// Servers that carry the service; 0 for all.
+    /// Number of servers that run the service; 0 for all.
     pub replicas: u32,
 }
 
-/// A server of the service as its controller sees it.
+/// State of a server as observed by the service's controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerView {
-    /// Server id.
     pub server: String,
-    /// Zone.
     pub zone: String,
-    /// The engine answers.
+    /// Whether the engine responds.
     pub reachable: bool,
-    /// It is leaving or drained: it takes no new work and gets no loads.
+    /// Leaving or drained: accepts no requests and no model loads.
     pub leaving: bool,
-    /// Version loaded; empty for none.
+    /// Loaded version; empty if none.
     pub version: String,
-    /// Version being loaded; empty for none.
+    /// Version being loaded; empty if none.
     pub loading: String,
-    /// What failed at the last load; empty when it succeeded.
+    /// Error of the last load; empty if it succeeded.
     pub load_failure: String,
-    /// Smoothed step time, milliseconds; 0 when unknown.
+    /// Smoothed step time in milliseconds; 0 if unknown.
     pub step_ms: f64,
-    /// Looks at which requests or calls to it were failing, of all looks at it.
+    /// Observations with failing requests or calls, out of `looks`.
     pub failed_looks: u32,
-    /// Looks at it while it carried its present version.
+    /// Observations since it loaded its current version.
     pub looks: u32,
 }
 
@@ -48,12 +45,11 @@
         self.reachable && !self.leaving
     }
 
-    /// Whether it serves a version at present.
     pub fn serves(&self) -> bool {
         self.usable() && !self.version.is_empty() && self.loading.is_empty()
     }
 
-    /// State for the disruption budget.
+    /// The server as a replica for the disruption budget.
     pub fn replica(&self) -> Replica {
         let state = if self.leaving {
             ReplicaState::Removed
@@ -70,23 +66,21 @@
     }
 }
 
-/// Version that one server should carry.
+/// Desired version of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// Server id.
     pub server: String,
-    /// Version wanted.
     pub version: String,
 }
 
-/// Number of canaries among `servers`: at least one, and never all of several.
+/// Number of canaries among `servers`: at least one, but not all if there is more than one server.
 pub fn canary_count(servers: usize, percent: u32) -> usize {
     let share = (servers * percent.min(100) as usize).div_ceil(100);
     share.clamp(usize::from(servers > 0), servers.saturating_sub(1).max(1))
 }
 
-/// Says which version each usable server should carry. Servers that carry the right version keep
-/// it; the choice depends on nothing but the arguments.
+/// Assigns a version to each usable server, preferring loaded servers, and as canaries the servers
+/// that already have the canary version.
 pub fn assign(target: &Target, servers: &[ServerView]) -> Vec<Assignment> {
     let mut usable: Vec<&ServerView> = servers.iter().filter(|view| view.usable()).collect();
     usable.sort_by_key(|view| (view.version.is_empty(), view.server.as_str()));
@@ -126,34 +120,31 @@
         .collect()
 }
 
-/// Bounds on loads.
+/// Limits on concurrent loads.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadBounds<'a> {
-    /// Servers that load at the same time.
+    /// Maximum servers that load a model at the same time.
     pub concurrency: usize,
-    /// Disruption budget of the service.
     pub budget: Budget,
-    /// Disruptions in flight.
     pub in_flight: &'a [InFlight],
-    /// Their timeout, milliseconds.
+    /// Timeout of in-flight disruptions, in milliseconds.
     pub timeout_ms: u64,
-    /// Now, on the clock of the disruptions.
+    /// Current time, on the same clock as `InFlight::since_ms`.
     pub now_ms: u64,
-    /// Why no serving server may be put out now; `None` when one may.
+    /// Reason why no serving server may be taken out of service; `None` if allowed.
     pub frozen: Option<&'a str>,
 }
 
-/// Loads to order now and those held back, with the reason.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LoadPlan {
-    /// Loads to order.
+    /// Loads to start now.
     pub start: Vec<Assignment>,
-    /// First load held back and why; empty when none is.
+    /// First deferred load and the reason.
     pub held: Option<(Assignment, String)>,
 }
 
-/// Chooses the loads that may start now: empty servers first, then those with another version, while
-/// concurrency and the disruption budget have room.
+/// Chooses the loads to start now, within the concurrency limit and the disruption budget. Empty
+/// servers come first, then servers that run another version.
 pub fn plan_loads(
     assignments: &[Assignment],
     servers: &[ServerView],
@@ -162,14 +153,14 @@
     let mut in_flight = bounds.in_flight.to_vec();
     let replicas: Vec<Replica> = servers
         .iter()
-        .map(|view| counted(view, &in_flight))
+        .map(|view| budget_replica(view, &in_flight))
         .collect();
     let loading = servers.iter().filter(|view| !view.loading.is_empty());
     let mut room = bounds.concurrency.saturating_sub(loading.count());
     let mut plan = LoadPlan::default();
     for (assignment, view) in pending(assignments, servers) {
         let held = if room == 0 {
-            Some(format!("{} loads are running already", bounds.concurrency))
+            Some(format!("{} loads are already running", bounds.concurrency))
         } else {
             let situation = Situation {
                 replicas: &replicas,
@@ -177,7 +168,7 @@
                 timeout_ms: bounds.timeout_ms,
                 now_ms: bounds.now_ms,
             };
-            load_is_held(view, situation, &bounds)
+            load_blocked_reason(view, situation, &bounds)
         };
         if let Some(reason) = held {
             plan.held.get_or_insert((assignment.clone(), reason));
@@ -194,8 +185,8 @@
     plan
 }
 
-/// A server whose drain is still under way is unavailable; once that is over it is removed.
-fn counted(view: &ServerView, in_flight: &[InFlight]) -> Replica {
+/// Counts a server as unavailable while it drains, and as removed afterwards.
+fn budget_replica(view: &ServerView, in_flight: &[InFlight]) -> Replica {
     let mut replica = view.replica();
     let under_way = in_flight.iter().any(|flight| flight.server == view.server);
     if replica.state == ReplicaState::Removed && under_way {
@@ -204,7 +195,8 @@
     replica
 }
 
-/// Assignments whose server neither carries nor loads the wanted version, empty servers first.
+/// Assignments whose server does not run the assigned version and is not loading one, empty servers
+/// first.
 fn pending<'a>(
     assignments: &'a [Assignment],
     servers: &'a [ServerView],
@@ -224,8 +216,8 @@
     pending
 }
 
-/// A server that serves nothing loses nothing by a load; one that serves is bounded by the budget.
-fn load_is_held(
+/// Reason why a load may not start now. Only servers in service count against the budget.
+fn load_blocked_reason(
     view: &ServerView,
     situation: Situation<'_>,
     bounds: &LoadBounds<'_>,
@@ -238,37 +230,36 @@
     }
     match may_disrupt(&view.replica(), situation, bounds.budget) {
         Verdict::Allowed | Verdict::AllowedUnhealthy => None,
-        Verdict::AlreadyInFlight => Some("its last disruption is not over yet".to_owned()),
+        Verdict::AlreadyInFlight => Some("its previous disruption is still in progress".to_owned()),
         Verdict::Held(shortage) => Some(shortage.words()),
     }
 }
 
-/// Bounds of the canary's health gate.
+/// Thresholds of the canary health gate.
 #[derive(Debug, Clone, Copy)]
 pub struct GateBounds {
-    /// How long canaries are watched, milliseconds.
+    /// Time that canaries must stay healthy before promotion, in milliseconds.
     pub watch_ms: u64,
-    /// Share of failing looks that rolls back, percent.
+    /// Percentage of failed observations above which the rollout is rolled back.
     pub error_percent: u32,
-    /// Step time relative to the other servers that rolls back, percent.
+    /// Step time, as a percentage of the stable version's, above which the rollout is rolled back.
     pub step_percent: u32,
 }
 
-/// Looks at a canary before its failures are judged, unless a load failed.
-pub const FEWEST_LOOKS: u32 = 5;
+/// Minimum observations before the error rate and step time of a canary are evaluated.
+pub const MIN_OBSERVATIONS: u32 = 5;
 
-/// What the gate says of a rollout.
+/// Decision of the canary health gate, with the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Gate {
-    /// Keep watching.
     Wait(String),
-    /// Give the canary version to all servers.
+    /// Roll the canary version out to all servers.
     Promote(String),
-    /// Take the canary version back.
+    /// Return the canaries to the stable version.
     RollBack(String),
 }
 
-/// Judges the canaries. `all_loaded_ms` is how long every canary has carried the version.
+/// Evaluates the canaries. `all_loaded_ms` is the time since all canaries have the version loaded.
 pub fn gate(
     target: &Target,
     servers: &[ServerView],
@@ -287,7 +278,7 @@
     if let Some(failure) = load_failure(target, servers) {
         return Gate::RollBack(failure);
     }
-    if let Some(reason) = failing_looks(target, servers, bounds.error_percent) {
+    if let Some(reason) = high_error_rate(target, servers, bounds.error_percent) {
         return Gate::RollBack(reason);
     }
     if let Some(reason) = slow_steps(target, &canaries, servers, bounds.step_percent) {
@@ -326,15 +317,15 @@
     ))
 }
 
-fn failing_looks(target: &Target, servers: &[ServerView], percent: u32) -> Option<String> {
-    let carriers = servers.iter().filter(|view| view.version == target.canary);
-    let (failed, looks) = carriers.fold((0, 0), |(failed, looks), view| {
+fn high_error_rate(target: &Target, servers: &[ServerView], percent: u32) -> Option<String> {
+    let on_canary = servers.iter().filter(|view| view.version == target.canary);
+    let (failed, looks) = on_canary.fold((0, 0), |(failed, looks), view| {
         (failed + view.failed_looks, looks + view.looks)
     });
-    let too_many = looks >= FEWEST_LOOKS && failed * 100 > looks * percent;
+    let too_many = looks >= MIN_OBSERVATIONS && failed * 100 > looks * percent;
     too_many.then(|| {
         format!(
-            "servers with {} failed at {failed} of {looks} looks, more than {percent} %",
+            "servers with {} failed in {failed} of {looks} observations, more than {percent} %",
             target.canary
         )
     })
@@ -347,14 +338,14 @@
     percent: u32,
 ) -> Option<String> {
     let stable = servers.iter().filter(|view| view.version == target.version);
-    let usual = median(stable.map(|view| view.step_ms))?;
+    let stable_ms = median(stable.map(|view| view.step_ms))?;
     let judged = canaries
         .iter()
-        .filter(|view| view.version == target.canary && view.looks >= FEWEST_LOOKS);
-    let seen = median(judged.map(|view| view.step_ms))?;
-    (seen * 100.0 > usual * f64::from(percent)).then(|| {
+        .filter(|view| view.version == target.canary && view.looks >= MIN_OBSERVATIONS);
+    let canary_ms = median(judged.map(|view| view.step_ms))?;
+    (canary_ms * 100.0 > stable_ms * f64::from(percent)).then(|| {
         format!(
-            "a step of {} takes {seen:.1} ms against {usual:.1} ms of {}, more than {percent} %",
+            "a step takes {canary_ms:.1} ms with {}, {stable_ms:.1} ms with {}, more than {percent} %",
             target.canary, target.version
         )
     })
--- a/crates/decide/src/time.rs
+++ b/crates/decide/src/time.rs
@@ -1,9 +1,9 @@
-//! Time as an argument.
+//! Monotonic timestamps, passed as arguments.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on a monotonic clock of one process.
+/// Milliseconds on the monotonic clock of a process.
 #[derive(
     Debug,
     Clone,
@@ -22,13 +22,13 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// This time plus some milliseconds.
+    /// Saturating addition of milliseconds.
     #[must_use]
     pub const fn plus(self, milliseconds: u64) -> Millis {
         Millis(self.0.saturating_add(milliseconds))
     }
 
-    /// Milliseconds since an earlier time; 0 when it is later.
+    /// Milliseconds since `earlier`; 0 if it is later than `self`.
     pub const fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/decide/src/width.rs
+++ b/crates/decide/src/width.rs
@@ -1,20 +1,16 @@
-//! Batch width of a server: how many batch sequences may run beside the online ones.
+//! Batch width of a server: the number of batch sequences that may run alongside online sequences.
 //!
-//! A step of an engine costs `base + per_sequence * sequences + per_prefill_token * prefill tokens`.
-//! The widest batch is the one whose step stays within the allowed slowdown of the step that the
-//! online sequences alone would see. With no online sequence the width is bounded by memory and by
-//! the engine's number of sequences only.
+//! An engine step takes `base + per_sequence * sequences + per_prefill_token * prefill tokens`. The
+//! width is limited so that a step exceeds the time with online sequences alone by at most the
+//! allowed slowdown. Without online sequences only memory and the engine's sequence limit apply.
 
 use serde::{Deserialize, Serialize};
 
-/// Cost of one engine step.
+/// Cost model of an engine step.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct StepModel {
-    /// Cost of an empty step, milliseconds.
     pub base_ms: f64,
-    /// Cost of one running sequence, milliseconds.
     pub per_sequence_ms: f64,
-    /// Cost of one prefill token, milliseconds.
     pub per_prefill_token_ms: f64,
 }
 
@@ -29,15 +25,13 @@
 }
 
 impl StepModel {
-    /// Expected time of a step, milliseconds.
     pub fn step_ms(&self, sequences: u32, prefill_tokens: u32) -> f64 {
         self.base_ms
             + self.per_sequence_ms * f64::from(sequences)
             + self.per_prefill_token_ms * f64::from(prefill_tokens)
     }
 
-    /// The model after an observed step time with a known number of sequences and prefill tokens a
-    /// step: the base moves towards what the observation implies.
+    /// Adjusts the base towards an observed step time by an exponential moving average.
     #[must_use]
     pub fn observe(mut self, step_ms: f64, sequences: u32, prefill_tokens: f64) -> StepModel {
         let implied = step_ms
@@ -50,35 +44,32 @@
     }
 }
 
-/// Weight of one observation of the step time.
+/// Weight of a new observation in the moving average.
 const OBSERVATION_WEIGHT: f64 = 0.05;
 
-/// What the width of one server rests on.
+/// Inputs to [`batch_width`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WidthInputs {
-    /// Cost of a step.
     pub model: StepModel,
-    /// Online sequences in flight.
     pub online_sequences: u32,
-    /// KV tokens that the online sequences may hold.
+    /// KV cache tokens that online sequences may use.
     pub online_tokens: u32,
-    /// KV tokens of the server that may be given out.
+    /// KV cache capacity of the server available for allocation, in tokens.
     pub total_tokens: u32,
-    /// Most sequences of the server.
+    /// Maximum concurrent sequences of the server.
     pub maximum_sequences: u32,
-    /// Batch sequences in flight.
     pub batch_sequences: u32,
-    /// KV tokens that the batch sequences are estimated to hold.
+    /// Estimated KV cache tokens used by batch sequences.
     pub batch_tokens: u32,
-    /// KV tokens that one more batch sequence would hold.
+    /// Estimated KV cache tokens of an additional batch sequence.
     pub new_sequence_tokens: u32,
-    /// Slowdown of an online step that batch may cause, percent.
+    /// Allowed slowdown of online steps due to batch work, in percent.
     pub slowdown_percent: u32,
-    /// Share of the width that a declared demand window leaves, percent.
+    /// Percentage of the width that remains available during a demand window.
     pub window_percent: u32,
 }
 
-/// The widest batch that is allowed.
+/// Maximum number of concurrent batch sequences.
 pub fn batch_width(inputs: &WidthInputs) -> u32 {
     let by_memory = width_in_memory(inputs);
     let by_sequences = inputs
@@ -92,7 +83,7 @@
     scale(width, inputs.window_percent)
 }
 
-/// The present width and as many sequences as the free memory holds, or fewer where it is overdrawn.
+/// Current batch sequences plus those that fit in free memory, or fewer if memory is overcommitted.
 fn width_in_memory(inputs: &WidthInputs) -> u32 {
     let used = i64::from(inputs.online_tokens) + i64::from(inputs.batch_tokens);
     let free = i64::from(inputs.total_tokens) - used;
@@ -101,17 +92,16 @@
     u32::try_from(width.max(0)).unwrap_or(u32::MAX)
 }
 
-/// Shortest time between two starts that need a prefill, on a server with online sequences,
-/// milliseconds. A prefill lengthens whole steps; the pace keeps the steps that are lengthened so few
-/// that they stay out of the online tail.
+/// Minimum time between starts of sequences that need a prefill on a server with online sequences,
+/// in milliseconds. A prefill delays whole steps; pacing keeps it from affecting online tail
+/// latency.
 pub fn prefill_interval_ms(model: &StepModel, prefill_tokens: u32, slowdown_percent: u32) -> f64 {
     let cost_ms = model.per_prefill_token_ms * f64::from(prefill_tokens);
-    cost_ms * 100.0 / f64::from(slowdown_percent.max(1)) * PREFILL_SPREAD
+    cost_ms * 100.0 / f64::from(slowdown_percent.max(1)) * PREFILL_INTERVAL_FACTOR
 }
 
-/// How much rarer prefills are than the mean slowdown alone would allow: the tail counts, not the
-/// mean.
-const PREFILL_SPREAD: f64 = 4.5;
+/// Multiple of the interval that would meet the mean slowdown, to limit the slowdown of the tail.
+const PREFILL_INTERVAL_FACTOR: f64 = 4.5;
 
 fn width_beside_online(inputs: &WidthInputs) -> u32 {
     let alone = inputs.model.step_ms(inputs.online_sequences, 0);
--- a/crates/decide/src/windows.rs
+++ b/crates/decide/src/windows.rs
@@ -1,26 +1,23 @@
-//! Declared demand windows: whether one is open or near at a time.
+//! State of declared demand windows.
 
 use dappleyard_wire::messages::WindowRow;
 
-/// Seconds of a day.
 const DAY_S: u64 = 86_400;
-/// Days of a week.
 const WEEK_DAYS: u64 = 7;
-/// Day 0 of Unix time was a Thursday; Monday is bit 0 of a window's days.
-const FIRST_DAY: u64 = 3;
+/// Weekday of the Unix epoch, a Thursday, with Monday as 0.
+const EPOCH_WEEKDAY: u64 = 3;
 
-/// Where a window stands.
+/// State of a demand window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WindowState {
-    /// Neither open nor near.
+    /// Neither open nor warming.
     Closed,
-    /// Near: models are being made warm.
+    /// About to open; models are being loaded.
     Warming,
-    /// Open.
     Open,
 }
 
-/// Where a window stands at a wall-clock time, seconds since 1970.
+/// State of a window at a wall-clock time in seconds since the Unix epoch.
 pub fn state(window: &WindowRow, now_unix_s: u64) -> WindowState {
     let warming = now_unix_s + u64::from(window.warm_before_s);
     if is_open(window, now_unix_s) {
@@ -32,7 +29,7 @@
     }
 }
 
-/// The most advanced state of a service's windows.
+/// Most active state among the windows of a service.
 pub fn service_state<'a>(
     windows: impl Iterator<Item = &'a WindowRow>,
     service: &str,
@@ -50,10 +47,10 @@
         return (window.starts_unix_s..window.ends_unix_s).contains(&now);
     }
     let today = now / DAY_S;
-    // A window that goes over midnight may have begun yesterday.
+    // A window across midnight may have started yesterday.
     [today, today.saturating_sub(1)]
         .into_iter()
-        .any(|day| daily(window, day).is_some_and(|(start, end)| (start..end).contains(&now)))
+        .any(|day| occurrence(window, day).is_some_and(|(start, end)| (start..end).contains(&now)))
 }
 
 fn opens_between(window: &WindowRow, from: u64, to: u64) -> bool {
@@ -61,12 +58,12 @@
         return window.starts_unix_s > from && window.starts_unix_s <= to;
     }
     (from / DAY_S..=to / DAY_S)
-        .any(|day| daily(window, day).is_some_and(|(start, _)| start > from && start <= to))
+        .any(|day| occurrence(window, day).is_some_and(|(start, _)| start > from && start <= to))
 }
 
-/// Start and end of the window that begins on a day, if it comes on that day.
-fn daily(window: &WindowRow, day: u64) -> Option<(u64, u64)> {
-    let weekday = (day + FIRST_DAY) % WEEK_DAYS;
+/// Start and end of the window's occurrence that starts on a day, if any.
+fn occurrence(window: &WindowRow, day: u64) -> Option<(u64, u64)> {
+    let weekday = (day + EPOCH_WEEKDAY) % WEEK_DAYS;
     if window.days & (1 << weekday) == 0 {
         return None;
     }
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tenant shares, token buckets and early refusals.
+//! Tenant limits per node, token buckets and early rejection.
 
 use dappleyard_decide::admission::{
     Infeasible, LONGEST_RETRY_AFTER_MS, SHORTEST_RETRY_AFTER_MS, TokenBucket, feasible, node_share,
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 
 #[gtest]
-fn shares_add_up_to_the_limit_or_to_the_floor() {
+fn node_shares_add_up_to_the_limit_or_the_floor() {
     for nodes in 1..400 {
         let limits = node_share(800.0, 1_600.0, 1_000_000, nodes);
         let whole = limits.requests_per_s.expect("a rate") * nodes as f64;
@@ -23,14 +23,14 @@
 }
 
 #[gtest]
-fn no_limit_stays_no_limit() {
+fn unlimited_tenant_has_no_node_limits() {
     let limits = node_share(0.0, 0.0, 0, 3);
     expect_that!(limits.requests_per_s, none());
     expect_that!(limits.concurrent_tokens, none());
 }
 
 #[gtest]
-fn a_bucket_never_gives_more_than_rate_and_burst() {
+fn token_bucket_respects_rate_and_burst() {
     let mut generator = StdRng::seed_from_u64(1);
     for _ in 0..50 {
         let (rate, burst) = (
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn the_advice_is_when_the_next_token_is_there() {
+fn retry_after_is_the_time_of_the_next_token() {
     let mut bucket = TokenBucket::full(1.0, Millis(0));
     expect_that!(bucket.take(2.0, 1.0, Millis(0)), ok(anything()));
     let wait_ms = bucket.take(2.0, 1.0, Millis(0)).expect_err("empty");
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn time_that_goes_back_gives_no_tokens() {
+fn clock_going_back_adds_no_tokens() {
     let mut bucket = TokenBucket::full(1.0, Millis(1_000));
     expect_that!(bucket.take(1.0, 1.0, Millis(1_000)), ok(anything()));
     expect_that!(bucket.take(1.0, 1.0, Millis(0)), err(anything()));
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn long_queues_and_short_deadlines_are_refused_with_advice() {
+fn long_waits_are_rejected_with_retry_after() {
     expect_that!(feasible(100, 1_000, 2_000), ok(anything()));
     expect_that!(
         feasible(2_500, 10_000, 2_000),
--- a/crates/decide/tests/batch.rs
+++ b/crates/decide/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Decisions of the batch path: widths, order of jobs, sizes and reopening of chunks.
+//! Batch decisions: width, job order, chunk sizes and chunk ownership.
 
 use std::collections::BTreeSet;
 
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn without_online_work_memory_and_sequences_bound_the_width() {
+fn width_without_online_work_is_limited_by_memory_and_sequences() {
     expect_that!(batch_width(&inputs()), eq(120));
     let small = WidthInputs {
         new_sequence_tokens: 100,
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn beside_online_work_the_step_stays_within_the_slowdown() {
+fn width_with_online_work_stays_within_the_slowdown() {
     for online in 1..40 {
         let inputs = WidthInputs {
             online_sequences: online,
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn a_demand_window_leaves_its_share() {
+fn demand_window_scales_the_width() {
     let window = WidthInputs {
         window_percent: 25,
         ..inputs()
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn the_base_is_learnt_from_reports_with_prefill_taken_out() {
+fn base_cost_is_estimated_without_the_prefill_cost() {
     let truth = StepModel {
         base_ms: 6.0,
         ..StepModel::default()
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn prefills_beside_online_work_are_rarer_the_less_slowdown_is_allowed() {
+fn prefill_interval_is_inverse_to_the_allowed_slowdown() {
     let model = StepModel::default();
     let tight = prefill_interval_ms(&model, 500, 5);
     let wide = prefill_interval_ms(&model, 500, 15);
@@ -107,7 +107,7 @@
 }
 
 #[gtest]
-fn tenants_are_served_by_their_weights() {
+fn tenants_are_served_in_proportion_to_their_weights() {
     let mut shares = TenantShares::default();
     shares.set_waiting(&BTreeSet::from(["heavy", "light"]));
     let mut served = [0, 0];
@@ -136,7 +136,7 @@
 }
 
 #[gtest]
-fn a_job_whose_deadline_is_near_goes_first_whatever_its_tenant_had() {
+fn urgent_job_goes_first_regardless_of_its_tenants_share() {
     let mut shares = TenantShares::default();
     shares.charge("greedy", 1_000.0, 1);
     shares.charge("modest", 1.0, 1);
@@ -148,19 +148,19 @@
 }
 
 #[gtest]
-fn a_tenant_that_comes_back_starts_level() {
+fn new_tenant_starts_at_the_lowest_virtual_time() {
     let mut shares = TenantShares::default();
     shares.set_waiting(&BTreeSet::from(["old"]));
     shares.charge("old", 1_000.0, 1);
     shares.set_waiting(&BTreeSet::from(["old", "new"]));
     shares.charge("new", 1.0, 1);
     let mut jobs = [candidate("a", "old", 9_000), candidate("b", "new", 9_000)];
-    // The new tenant began at what the old one had, so it is ahead by one already.
+    // The new tenant started at the virtual time of the old one, so it is now ahead by one.
     expect_that!(first(&mut jobs, &shares), eq("a"));
 }
 
 #[gtest]
-fn chunks_spread_small_jobs_and_bound_large_ones() {
+fn chunk_size_is_limited_by_share_target_and_bounds() {
     let sizing = ChunkSizing {
         items: 400_000,
         nodes: 8,
@@ -205,7 +205,7 @@
 }
 
 #[gtest]
-fn a_chunk_is_opened_by_its_holder_or_once_that_is_gone() {
+fn only_the_holder_reopens_a_chunk_unless_it_is_gone() {
     let row = claimed(Repeat::Allowed, 0);
     expect_that!(chunks::reopen(&row, &node("b"), false), none());
     for (claimant, gone) in [(node("a"), false), (node("b"), true)] {
@@ -221,7 +221,7 @@
 }
 
 #[gtest]
-fn an_item_marked_under_an_earlier_epoch_is_not_started_again() {
+fn non_repeatable_item_started_under_an_earlier_epoch_is_not_started_again() {
     let row = claimed(Repeat::Never, 0b101);
     let opened = chunks::reopen(&row, &node("b"), true).expect("opened");
     let ClaimDecision::Write(next) = chunks::claim(&opened, &node("b"), false) else {
--- a/crates/decide/tests/configuration.rs
+++ b/crates/decide/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The chain of configuration changes under loss, reordering, repetition and restarts.
+//! Configuration distribution under loss, reordering, duplication and restarts.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 
 type Rows = BTreeMap<String, Vec<u8>>;
 
-/// The store's feed, and the rows as they were at each revision.
+/// Change feed of the store, and the rows at each revision.
 #[derive(Default)]
 struct Store {
     feed: Vec<FeedRow>,
@@ -23,8 +23,8 @@
 }
 
 impl Store {
-    /// Writes one to three rows in one transaction; some are deletions. Other parts of the store
-    /// change too, so revisions have gaps.
+    /// Writes or deletes one to three rows in a transaction. Revisions have gaps, as if other rows
+    /// of the store had changed.
     fn write(&mut self, random: &mut ChaCha8Rng) {
         self.revision += random.random_range(1..4);
         let mut rows = self.at.values().next_back().cloned().unwrap_or_default();
@@ -82,7 +82,7 @@
     }
 }
 
-/// Each round: the watcher reads the feed, nodes send deltas to random others, some ask for repair.
+/// One round: node 0 reads the feed, and each node gossips to a random other and may sync from it.
 fn round(nodes: &mut [Node], store: &Store, loss: f64, random: &mut ChaCha8Rng) {
     let changes = changes_of_feed(
         &store.after(nodes[0].state.revision),
@@ -102,12 +102,12 @@
             nodes[to].offer(&entries);
         }
         if random.random_bool(0.2) && !random.random_bool(loss) {
-            repair(nodes, from, to);
+            sync(nodes, from, to);
         }
     }
 }
 
-fn repair(nodes: &mut [Node], of: usize, by: usize) {
+fn sync(nodes: &mut [Node], of: usize, by: usize) {
     let after = nodes[of].state.revision;
     let up_to = nodes[by].state.revision;
     match nodes[by].state.entries_after(after) {
@@ -121,7 +121,7 @@
 }
 
 #[gtest]
-fn every_node_holds_whole_revisions_that_only_grow() {
+fn nodes_hold_complete_and_monotonic_revisions() {
     for seed in 0..10 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut store = Store::default();
@@ -139,7 +139,7 @@
             round(&mut nodes, &store, 0.3, &mut random);
             for (node, last) in nodes.iter().zip(&mut last) {
                 let revision = node.state.revision;
-                assert!(revision >= *last, "a revision reverted");
+                assert!(revision >= *last, "the revision went back");
                 *last = revision;
                 let expected = store.at.get(&revision).cloned().unwrap_or_default();
                 assert_eq!(node.rows(), expected, "revision {revision}, seed {seed}");
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn forgotten_deletions_leave_only_the_snapshot() {
+fn snapshot_is_required_after_deletions_are_removed() {
     let mut state = ConfigurationState::default();
     let rows: Vec<FeedRow> = (1..=MAXIMUM_DELETIONS as u64 + 10)
         .map(|revision| FeedRow {
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn a_merge_that_leaves_a_hole_is_refused() {
+fn merge_with_missing_revisions_is_rejected() {
     let mut state = ConfigurationState::default();
     expect_that!(state.merge(5, &[], 9), eq(Applied::Gap));
     expect_that!(state.merge(0, &[], 9), eq(Applied::Yes));
@@ -191,7 +191,7 @@
 }
 
 #[gtest]
-fn a_row_that_came_twice_is_not_taken_for_a_whole_change() {
+fn duplicate_row_does_not_complete_a_change() {
     let mut state = ConfigurationState::default();
     let first = part(3, 0, "config/tenant/a");
     expect_that!(
@@ -204,7 +204,7 @@
 }
 
 #[gtest]
-fn rows_of_two_revisions_are_not_taken_for_one_change() {
+fn rows_of_two_revisions_are_not_one_change() {
     let mut state = ConfigurationState::default();
     let mixed = [part(3, 0, "config/tenant/a"), part(4, 1, "config/tenant/b")];
     expect_that!(state.apply(&mixed), eq(Applied::Gap));
--- a/crates/decide/tests/disruption.rs
+++ b/crates/decide/tests/disruption.rs
@@ -1,4 +1,4 @@
-//! Disruption budgets, rollouts' placement and gate, waves of plans, demand windows.
+//! Disruption budgets, rollouts, plan waves and demand windows.
 
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn a_disruption_in_flight_counts_before_the_view_shows_it_until_its_timeout() {
+fn in_flight_disruption_counts_until_its_timeout() {
     let replicas = ["a", "b", "c"].map(|name| replica(name, ReplicaState::Healthy));
     expect_that!(verdict("b", &replicas, &[], 1), eq(&Verdict::Allowed));
     let recent = [flight("a", 9_500)];
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn an_unhealthy_replica_may_go_only_while_enough_healthy_ones_remain() {
+fn unhealthy_replica_is_disrupted_only_if_enough_others_are_healthy() {
     let mut replicas = ["a", "b", "c"].map(|name| replica(name, ReplicaState::Healthy));
     replicas[0].state = ReplicaState::Unhealthy;
     expect_that!(
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn canaries_are_at_least_one_and_never_all_of_several() {
+fn canary_count_is_at_least_one_and_below_all() {
     let cases = [
         (0, 10, 0),
         (1, 10, 1),
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn servers_keep_the_version_that_they_carry() {
+fn servers_with_the_canary_version_stay_canaries() {
     let servers = [
         view("a", "v1"),
         view("b", "v2"),
@@ -131,7 +131,7 @@
 }
 
 #[gtest]
-fn the_gate_waits_promotes_and_rolls_back_for_a_stated_reason() {
+fn gate_waits_promotes_and_rolls_back_with_a_reason() {
     let bounds = GateBounds {
         watch_ms: 1_000,
         error_percent: 5,
@@ -168,7 +168,7 @@
 }
 
 #[gtest]
-fn waves_keep_the_budget_and_state_what_serves() {
+fn waves_respect_the_budget_and_report_capacity() {
     let servers: Vec<PlannedServer> = (0..4)
         .map(|number| PlannedServer {
             server: format!("s{number}"),
@@ -184,7 +184,7 @@
     let out = waves(&servers, &servers, &bounds, AfterWave::StayOut);
     let serving: Vec<u32> = out.iter().map(|wave| wave.capacity[0].serving).collect();
     expect_that!(serving, elements_are![eq(&2), eq(&1), eq(&0)]);
-    // The one that does not serve goes with the first wave.
+    // The server that is not serving is part of the first wave.
     expect_that!(out[0].servers, elements_are![eq("s0"), eq("s3")]);
     let back = waves(&servers, &servers, &bounds, AfterWave::Return);
     expect_that!(
@@ -194,7 +194,7 @@
 }
 
 #[gtest]
-fn a_window_warms_before_it_opens_and_may_go_over_midnight() {
+fn window_warms_before_it_opens_and_may_cross_midnight() {
     // 1970-01-01 was a Thursday: bit 3.
     let window = WindowRow {
         start_s: 82_800,
--- a/crates/decide/tests/membership.rs
+++ b/crates/decide/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership in a simulated network: loss, cuts, pauses, restarts, in virtual time.
+//! Membership in a simulated network with packet loss, partitions, pauses and restarts.
 
 mod support;
 
@@ -11,16 +11,16 @@
 
 fn converged(count: usize, zones: usize, seed: u64) -> Network {
     let mut network = Network::new(count, zones, seed);
-    let took = network.run_until(60 * SECOND, Network::agrees);
+    let took = network.run_until(60 * SECOND, Network::views_match);
     assert!(
         took.is_some(),
-        "{count} nodes did not find each other, seed {seed}"
+        "{count} nodes did not converge, seed {seed}"
     );
     network
 }
 
 #[gtest]
-fn nodes_find_each_other_from_one_seed() {
+fn nodes_discover_each_other_from_contacts() {
     for seed in 0..5 {
         let network = converged(40, 3, seed);
         expect_that!(network.deaths, is_empty());
@@ -29,15 +29,15 @@
 }
 
 #[gtest]
-fn a_hundred_nodes_that_start_at_once_know_each_other_soon() {
+fn hundred_nodes_started_together_converge() {
     let mut network = Network::new(100, 7, 1);
-    let took = network.run_until(60 * SECOND, Network::agrees);
+    let took = network.run_until(60 * SECOND, Network::views_match);
     expect_that!(took, some(le(20 * SECOND)));
     expect_that!(network.deaths, is_empty());
 }
 
 #[gtest]
-fn a_fifth_of_all_datagrams_lost_kills_nobody() {
+fn no_false_deaths_with_20_percent_packet_loss() {
     for seed in 0..3 {
         let mut network = converged(30, 3, seed);
         network.loss = 0.2;
@@ -45,21 +45,21 @@
         expect_that!(network.deaths, is_empty(), "seed {seed}");
         network.loss = 0.0;
         expect_that!(
-            network.run_until(30 * SECOND, Network::agrees),
+            network.run_until(30 * SECOND, Network::views_match),
             some(anything())
         );
     }
 }
 
 #[gtest]
-fn killed_nodes_are_declared_dead_and_others_are_not() {
+fn only_killed_nodes_are_declared_dead() {
     for seed in 0..5 {
         let mut network = converged(40, 4, seed);
         network.loss = 0.05;
         for index in [3, 11, 17, 39] {
             network.nodes[index].running = false;
         }
-        let took = network.run_until(60 * SECOND, Network::agrees);
+        let took = network.run_until(60 * SECOND, Network::views_match);
         expect_that!(took, some(le(15 * SECOND)), "seed {seed}");
         let false_deaths = network
             .deaths
@@ -70,33 +70,33 @@
 }
 
 #[gtest]
-fn the_small_side_of_a_cut_declares_nobody_of_the_others_dead() {
+fn minority_of_a_partition_declares_no_deaths() {
     for seed in 0..4 {
         let mut network = converged(30, 3, seed);
         network.cut_zones.insert("zone-2".to_owned());
         network.run(40 * SECOND);
         let of_zone = |index: usize| index % 3 == 2;
-        let by_small_side = network.deaths.iter().filter(|(by, _)| of_zone(*by));
-        expect_that!(by_small_side.count(), eq(0), "seed {seed}");
-        let of_small_side: std::collections::BTreeSet<usize> =
+        let by_minority = network.deaths.iter().filter(|(by, _)| of_zone(*by));
+        expect_that!(by_minority.count(), eq(0), "seed {seed}");
+        let of_minority: std::collections::BTreeSet<usize> =
             network.deaths.iter().map(|(_, of)| *of).collect();
         expect_that!(
-            of_small_side.len(),
+            of_minority.len(),
             eq(10),
-            "the large side sees the zone as lost"
+            "the majority declares the whole zone dead"
         );
-        // Peers of the zone still vouch for each other.
+        // Members of the partitioned zone still respond to each other.
         for index in (0..30).filter(|index| of_zone(*index)) {
             expect_that!(network.standing(index), eq(Standing::Vouched));
         }
         network.cut_zones.clear();
-        let took = network.run_until(60 * SECOND, Network::agrees);
+        let took = network.run_until(60 * SECOND, Network::views_match);
         expect_that!(took, some(anything()), "seed {seed}");
     }
 }
 
 #[gtest]
-fn a_death_within_the_small_side_is_still_seen_there() {
+fn minority_detects_deaths_in_its_own_zone() {
     let mut network = converged(30, 3, 9);
     network.cut_zones.insert("zone-2".to_owned());
     network.run(20 * SECOND);
@@ -104,13 +104,13 @@
     let seen = network.run_until(30 * SECOND, |network| {
         (0..30)
             .filter(|by| by % 3 == 2 && *by != 5)
-            .all(|by| network.belief(by, 5) == Some(MemberState::MemberDead))
+            .all(|by| network.state_seen_by(by, 5) == Some(MemberState::MemberDead))
     });
     expect_that!(seen, some(anything()));
 }
 
 #[gtest]
-fn a_node_alone_withdraws_and_declares_nobody_dead() {
+fn isolated_node_withdraws_and_declares_no_deaths() {
     let mut network = converged(12, 12, 1);
     network.cut_zones.insert("zone-4".to_owned());
     network.run(30 * SECOND);
@@ -119,19 +119,22 @@
     expect_that!(by_it.count(), eq(0));
     network.cut_zones.clear();
     expect_that!(
-        network.run_until(60 * SECOND, Network::agrees),
+        network.run_until(60 * SECOND, Network::views_match),
         some(anything())
     );
     expect_that!(network.standing(4), eq(Standing::Vouched));
 }
 
 #[gtest]
-fn a_paused_node_doubts_itself_when_it_wakes_and_comes_back() {
+fn paused_node_needs_a_new_response_after_it_resumes() {
     for seed in 0..5 {
         let mut network = converged(20, 2, seed);
         network.pause(7, 20 * SECOND);
         network.run(20 * SECOND - 1);
-        expect_that!(network.belief(3, 7), some(eq(MemberState::MemberDead)));
+        expect_that!(
+            network.state_seen_by(3, 7),
+            some(eq(MemberState::MemberDead))
+        );
         let mut doubted = false;
         for _ in 0..2 * support::TICK_MS {
             network.run(1);
@@ -141,20 +144,20 @@
         let vouched = network.run_until(10 * SECOND, |n| n.standing(7) == Standing::Vouched);
         expect_that!(vouched, some(anything()));
         expect_that!(
-            network.run_until(30 * SECOND, Network::agrees),
+            network.run_until(30 * SECOND, Network::views_match),
             some(anything())
         );
         let by_it = network.deaths.iter().filter(|(by, _)| *by == 7);
         expect_that!(
             by_it.count(),
             eq(0),
-            "a pause of its own is no death of others"
+            "a paused node must not declare others dead"
         );
     }
 }
 
 #[gtest]
-fn every_node_restarts_in_turn_without_a_false_death() {
+fn nodes_reconverge_after_a_rolling_restart() {
     for seed in 0..3 {
         let mut network = converged(20, 2, seed);
         network.loss = 0.05;
@@ -165,7 +168,7 @@
             network.run(5 * SECOND);
         }
         expect_that!(
-            network.run_until(60 * SECOND, Network::agrees),
+            network.run_until(60 * SECOND, Network::views_match),
             some(anything())
         );
         let incarnations = network.nodes[0].membership.members();
@@ -177,7 +180,7 @@
 }
 
 #[gtest]
-fn an_old_process_of_a_restarted_node_learns_that_it_is_superseded() {
+fn old_process_of_a_restarted_node_is_superseded() {
     let mut network = converged(10, 1, 2);
     let mut old = network.nodes[4].membership.clone();
     network.restart(4);
@@ -193,7 +196,7 @@
 }
 
 #[gtest]
-fn the_datagrams_of_a_node_do_not_grow_with_the_fleet() {
+fn datagrams_per_node_do_not_grow_with_the_fleet() {
     let per_node_second = |count: usize| {
         let mut network = converged(count, 4, 3);
         let before = network.datagrams;
--- a/crates/decide/tests/ownership.rs
+++ b/crates/decide/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Cells and owners: bounds, balance and movement.
+//! Cell sizes, balance of owned servers, and movement on node changes.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
         .collect()
 }
 
-/// Servers by name with the zone and region of each.
+/// Name, zone and region of each server.
 fn servers(count: usize, zones: usize) -> Vec<(String, String, String)> {
     (0..count)
         .map(|index| {
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn cells_hold_at_most_their_bound_and_one_zone() {
+fn cells_are_limited_in_size_and_to_one_zone() {
     for count in [1, 16, 17, 39, 112, 390] {
         let cells = Cells::of(&nodes(count, 7), CELL_SIZE);
         let total: usize = cells.all().iter().map(|cell| cell.nodes.len()).sum();
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn load_is_balanced_within_a_bound() {
+fn load_is_balanced() {
     let owners = assignment(&nodes(390, 7), &servers(7_900, 7));
     let mut loads: BTreeMap<&str, usize> = BTreeMap::new();
     for owner in owners.iter().flatten() {
@@ -86,7 +86,7 @@
 }
 
 #[gtest]
-fn a_restart_moves_little_more_than_its_own_servers() {
+fn restart_moves_few_servers_of_other_nodes() {
     let servers = servers(7_900, 7);
     let mut nodes = nodes(390, 7);
     let before = assignment(&nodes, &servers);
@@ -106,7 +106,7 @@
 }
 
 #[gtest]
-fn a_zone_without_nodes_is_served_from_its_region() {
+fn zone_without_eligible_nodes_is_owned_from_its_region() {
     let mut nodes = nodes(12, 4);
     for node in nodes.iter_mut().filter(|node| node.zone == "zone-2") {
         node.eligible = false;
@@ -127,6 +127,6 @@
 }
 
 #[gtest]
-fn nobody_owns_servers_while_no_node_is_able() {
+fn servers_have_no_owner_without_eligible_nodes() {
     expect_that!(assignment(&[], &servers(3, 1)), each(none()));
 }
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Rendezvous placement with bounded load, and the expected wait.
+//! Rendezvous hashing with bounded load, and expected waits.
 
 use dappleyard_decide::placement::{
     AFFINITY_FLOOR_SEQUENCES, Affinity, Candidate, ServerRoom, expected_wait_ms, rank,
@@ -34,14 +34,14 @@
 }
 
 #[gtest]
-fn nothing_to_choose_from_gives_nothing() {
+fn rank_returns_at_most_the_number_of_candidates() {
     let mut best = [0, 0];
     expect_that!(rank(&[], KEYED, &mut best), eq(0));
     expect_that!(rank(&candidates(1, &[0]), KEYED, &mut best), eq(1));
 }
 
 #[gtest]
-fn one_key_goes_to_one_home_while_load_is_even() {
+fn key_has_the_same_home_at_any_even_load() {
     for key in 0..200 {
         let home = best(&candidates(key, &[0; 20]), KEYED);
         let busy = best(&candidates(key, &[30; 20]), KEYED);
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn a_lost_candidate_moves_only_the_keys_that_lived_there() {
+fn removed_candidate_moves_only_its_own_keys() {
     for key in 0..200 {
         let all = candidates(key, &[0; 20]);
         let home = best(&all, KEYED);
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn a_home_above_the_bound_gives_way_to_the_next_in_the_same_order() {
+fn overloaded_home_is_replaced_by_the_next_in_hash_order() {
     for key in 0..200 {
         let home = best(&candidates(key, &[20; 20]), KEYED);
         let mut loads = [20; 20];
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn a_few_sequences_never_cost_the_home() {
+fn load_below_the_floor_does_not_move_a_key() {
     let mut loads = [0; 20];
     let home = best(&candidates(7, &loads), KEYED);
     loads[home] = u32::try_from(AFFINITY_FLOOR_SEQUENCES).expect("small") - 1;
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn without_a_key_the_least_loaded_wins() {
+fn least_loaded_is_chosen_without_a_key() {
     let mut generator = StdRng::seed_from_u64(3);
     for key in 0..200 {
         let loads: Vec<u32> = (0..20).map(|_| generator.random_range(0..100)).collect();
@@ -95,7 +95,7 @@
 }
 
 #[gtest]
-fn a_wait_is_avoided_even_by_requests_with_a_home() {
+fn home_with_a_long_wait_is_not_chosen() {
     let mut all = candidates(11, &[5; 10]);
     let home = best(&all, KEYED);
     all[home].wait_ms = 200;
@@ -103,7 +103,7 @@
 }
 
 #[gtest]
-fn no_server_is_loaded_far_above_the_mean_whatever_the_keys() {
+fn load_stays_near_the_mean_with_a_popular_key() {
     let mut generator = StdRng::seed_from_u64(5);
     for _ in 0..20 {
         let servers = generator.random_range(2..40);
@@ -146,12 +146,12 @@
 }
 
 #[gtest]
-fn a_server_with_room_has_no_wait() {
+fn server_with_free_capacity_has_no_wait() {
     expect_that!(expected_wait_ms(&room(), 500), eq(0));
 }
 
 #[gtest]
-fn the_wait_grows_with_prefill_places_and_memory() {
+fn wait_grows_with_prefill_slots_and_memory() {
     let prefill = ServerRoom {
         prefill_tokens: 5_120,
         ..room()
--- a/crates/decide/tests/reassembly.rs
+++ b/crates/decide/tests/reassembly.rs
@@ -1,4 +1,4 @@
-//! Reassembly under duplicates, reordering, overlap and loss.
+//! Reassembly under duplication, reordering, overlap and loss.
 
 use dappleyard_decide::reassembly::{Assembly, AssemblyBounds, AssemblyError};
 use googletest::prelude::*;
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn a_gap_holds_the_answer_back_until_it_is_filled() {
+fn pieces_after_a_gap_are_not_released() {
     let mut answer = Assembly::new(BOUNDS);
     answer.accepted("a").unwrap();
     answer.take(2, run("a", 2, 4)).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn pieces_behind_a_gap_are_bounded() {
+fn pieces_after_a_gap_are_limited() {
     let mut answer = Assembly::new(BOUNDS);
     expect_that!(answer.take(1, run("a", 1, 65)), ok(eq(&())));
     expect_that!(
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn another_version_never_continues_an_answer() {
+fn another_version_cannot_continue_a_response() {
     let mut answer = Assembly::new(BOUNDS);
     answer.accepted("a").unwrap();
     answer.take(0, run("a", 0, 3)).unwrap();
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn a_piece_that_comes_with_another_text_is_refused() {
+fn duplicate_piece_with_different_text_is_rejected() {
     let mut answer = Assembly::new(BOUNDS);
     answer.take(0, run("a", 0, 3)).unwrap();
     expect_that!(
@@ -69,14 +69,14 @@
 }
 
 #[gtest]
-fn an_end_before_pieces_that_came_is_refused() {
+fn end_before_received_pieces_is_rejected() {
     let mut answer = Assembly::new(BOUNDS);
     answer.take(0, run("a", 0, 3)).unwrap();
     expect_that!(answer.finish(2), err(anything()));
     expect_that!(answer.is_finished(), eq(false));
 }
 
-/// Frames of one attempt: each a range of offsets, in any order, some twice, some lost.
+/// Ranges of offsets in random order, with duplicates and gaps.
 fn frames(total: u32) -> impl Strategy<Value = Vec<(u32, u32)>> {
     proptest::collection::vec((0..total, 1..6_u32), 0..120).prop_map(move |list| {
         list.into_iter()
@@ -87,7 +87,7 @@
 
 proptest! {
     #[test]
-    fn what_is_released_is_always_a_prefix_and_complete_means_whole(
+    fn released_text_is_a_prefix_and_complete_only_with_all_pieces(
         total in 1..60_u32,
         seed_frames in frames(60),
         finish_at in 0..120_usize,
@@ -115,7 +115,7 @@
     }
 
     #[test]
-    fn an_answer_resumed_at_its_offset_is_whole(
+    fn response_resumed_at_its_offset_is_complete(
         total in 1..60_u32,
         losses in proptest::collection::vec((0..60_u32, 0..60_u32), 0..5),
     ) {
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,11 +1,11 @@
-//! Retry budgets: no storm, nothing after the deadline, nothing that must not be repeated.
+//! Retry budgets, retry conditions and backoff.
 
-use dappleyard_decide::retry::{BUDGET_BURST, LONGEST_PAUSE_MS, RetryBudget, may_follow, pause_ms};
+use dappleyard_decide::retry::{BUDGET_BURST, MAX_BACKOFF_MS, RetryBudget, may_follow, pause_ms};
 use dappleyard_wire::{Ran, Repeat};
 use googletest::prelude::*;
 
 #[gtest]
-fn retries_stay_a_share_of_first_attempts() {
+fn retries_are_limited_to_a_share_of_first_attempts() {
     let mut budget = RetryBudget::new(10);
     let mut retries = 0;
     for _ in 0..10_000 {
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn quiet_times_do_not_save_up_for_a_storm() {
+fn burst_after_an_idle_period_is_limited() {
     let mut budget = RetryBudget::new(10);
     (0..100_000).for_each(|_| budget.first_attempt());
     let burst = std::iter::from_fn(|| budget.take().then_some(())).count();
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn only_a_request_that_did_not_run_or_may_run_again_is_tried_again() {
+fn non_repeatable_request_is_retried_only_if_it_did_not_run() {
     for ran in [Ran::No, Ran::Maybe, Ran::Yes] {
         expect_that!(may_follow(ran, Repeat::Allowed), is_true());
         expect_that!(may_follow(ran, Repeat::Never), eq(ran == Ran::No));
@@ -35,13 +35,13 @@
 }
 
 #[gtest]
-fn pauses_grow_stay_bounded_and_never_reach_the_deadline() {
+fn backoff_is_limited_and_never_reaches_the_deadline() {
     for retry in 0..100 {
         for unit in [0.0, 0.3, 0.999, 1.0, 7.0] {
             for left_ms in [0, 1, 10, 100, 10_000] {
                 if let Some(pause) = pause_ms(retry, unit, left_ms) {
                     expect_that!(pause, lt(left_ms));
-                    expect_that!(pause, le(u64::from(LONGEST_PAUSE_MS)));
+                    expect_that!(pause, le(u64::from(MAX_BACKOFF_MS)));
                 }
             }
         }
--- a/crates/decide/tests/support/mod.rs
+++ b/crates/decide/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A network of membership state machines in virtual time, deterministic for a seed.
+//! Deterministic simulation of a network of membership state machines in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,20 +13,19 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Time between two ticks of a node, milliseconds.
+/// Tick interval of a node, in milliseconds.
 pub const TICK_MS: u64 = 100;
-/// Time between two looks at a condition, milliseconds.
+/// Interval at which [`Network::run_until`] checks its condition, in milliseconds.
 const CHECK_MS: u64 = 500;
-/// Ticks between two digests of a node.
 const DIGEST_TICKS: u64 = 20;
-/// One-way delay of a datagram, milliseconds.
+/// One-way delay of a datagram, in milliseconds.
 const DELAY_MS: u64 = 5;
 
 pub struct Node {
     pub membership: Membership,
     pub running: bool,
     paused_until: Millis,
-    held: Vec<(SocketAddr, Datagram)>,
+    queued: Vec<(SocketAddr, Datagram)>,
     start: u64,
 }
 
@@ -34,9 +33,9 @@
     pub now: Millis,
     pub nodes: Vec<Node>,
     pub loss: f64,
-    /// Zones of which no datagram goes in or out.
+    /// Zones that exchange no datagrams with other zones.
     pub cut_zones: BTreeSet<String>,
-    /// Statements by a node that another one is dead: (by, of).
+    /// Deaths declared or learned, as pairs of observer and dead node.
     pub deaths: Vec<(usize, usize)>,
     pub datagrams: u64,
     pub largest_datagram: usize,
@@ -67,7 +66,7 @@
 }
 
 impl Network {
-    /// `count` nodes, spread over `zones` zones, that all know the address of the first one.
+    /// Creates `count` nodes in `zones` zones that have the first two nodes as contacts.
     pub fn new(count: usize, zones: usize, seed: u64) -> Network {
         let mut network = Network {
             now: Millis(1_000_000),
@@ -83,13 +82,13 @@
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         for index in 0..count {
-            let node = network.fresh_node(index, 1);
+            let node = network.new_node(index, 1);
             network.nodes.push(node);
         }
         network
     }
 
-    fn fresh_node(&self, index: usize, start: u64) -> Node {
+    fn new_node(&self, index: usize, start: u64) -> Node {
         let own = Member {
             node: name(index),
             zone: self.zone(index),
@@ -104,7 +103,7 @@
             membership,
             running: true,
             paused_until: Millis(0),
-            held: Vec::new(),
+            queued: Vec::new(),
             start,
         }
     }
@@ -113,13 +112,13 @@
         format!("zone-{}", index % self.zones)
     }
 
-    /// Starts a node anew under the same id.
+    /// Restarts a node with the same id.
     pub fn restart(&mut self, index: usize) {
         let start = self.nodes[index].start + 1;
-        self.nodes[index] = self.fresh_node(index, start);
+        self.nodes[index] = self.new_node(index, start);
     }
 
-    /// Stops a node with its announcement.
+    /// Announces the leave of a node and stops it.
     pub fn leave(&mut self, index: usize) {
         let actions = self.nodes[index].membership.leave(&mut self.random);
         self.perform(index, actions);
@@ -135,16 +134,17 @@
         while self.now < end {
             self.now = self.now.plus(1);
             self.deliver();
-            // Nodes tick at different phases.
+            // Offset the ticks of different nodes.
             for index in 0..self.nodes.len() {
-                if (self.now.0 + index as u64 * 7).is_multiple_of(TICK_MS) && self.acts(index) {
+                if (self.now.0 + index as u64 * 7).is_multiple_of(TICK_MS) && self.is_active(index)
+                {
                     self.tick(index);
                 }
             }
         }
     }
 
-    /// Runs until a condition holds, at most this long; says how long it took.
+    /// Runs until a condition holds or the limit is reached; returns the elapsed time.
     pub fn run_until(&mut self, limit_ms: u64, holds: impl Fn(&Network) -> bool) -> Option<u64> {
         let from = self.now;
         while self.now.since(from) < limit_ms {
@@ -156,13 +156,13 @@
         None
     }
 
-    fn acts(&self, index: usize) -> bool {
+    fn is_active(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         node.running && self.now >= node.paused_until
     }
 
     fn tick(&mut self, index: usize) {
-        // Like a process that wakes: its timer runs before the datagrams that queued up.
+        // After a pause the timer runs before the queued datagrams, as in a resumed process.
         let actions = self.nodes[index]
             .membership
             .tick(self.now, &mut self.random);
@@ -170,15 +170,15 @@
         if (self.now.0 / TICK_MS + index as u64).is_multiple_of(DIGEST_TICKS) {
             let actions = self.nodes[index].membership.send_digest(&mut self.random);
             self.perform(index, actions);
-            self.fetch_list(index);
+            self.full_sync(index);
         }
-        for (from, datagram) in std::mem::take(&mut self.nodes[index].held) {
-            self.hand_over(index, from, &datagram);
+        for (from, datagram) in std::mem::take(&mut self.nodes[index].queued) {
+            self.deliver_to(index, from, &datagram);
         }
     }
 
-    /// Asks a member whose list differs for all of it, which goes over a link without loss.
-    fn fetch_list(&mut self, index: usize) {
+    /// Merges the full member list of a peer over a reliable link.
+    fn full_sync(&mut self, index: usize) {
         let Some(peer) = self.nodes[index].membership.take_differing() else {
             return;
         };
@@ -199,15 +199,15 @@
     fn deliver(&mut self) {
         let later = self.in_flight.split_off(&(self.now.plus(1), 0));
         for (_, (from, to, datagram)) in std::mem::replace(&mut self.in_flight, later) {
-            if self.acts(to) {
-                self.hand_over(to, address(from), &datagram);
+            if self.is_active(to) {
+                self.deliver_to(to, address(from), &datagram);
             } else if self.nodes[to].running {
-                self.nodes[to].held.push((address(from), datagram));
+                self.nodes[to].queued.push((address(from), datagram));
             }
         }
     }
 
-    fn hand_over(&mut self, to: usize, from: SocketAddr, datagram: &Datagram) {
+    fn deliver_to(&mut self, to: usize, from: SocketAddr, datagram: &Datagram) {
         let membership = &mut self.nodes[to].membership;
         let actions = membership.receive(self.now, from, datagram, &mut self.random);
         self.perform(to, actions);
@@ -242,8 +242,8 @@
             .insert((due, self.sent), (from, to, datagram));
     }
 
-    /// What node `by` believes of node `of`.
-    pub fn belief(&self, by: usize, of: usize) -> Option<MemberState> {
+    /// State of node `of` as seen by node `by`.
+    pub fn state_seen_by(&self, by: usize, of: usize) -> Option<MemberState> {
         let entry = self.nodes[by].membership.member(&name(of))?;
         Some(entry.member.state())
     }
@@ -254,12 +254,12 @@
             .collect()
     }
 
-    /// Whether all running nodes believe all running nodes alive, and no other.
-    pub fn agrees(&self) -> bool {
+    /// Whether all running nodes see exactly the running nodes as alive.
+    pub fn views_match(&self) -> bool {
         let running = self.running();
         running.iter().all(|by| {
             (0..self.nodes.len()).filter(|of| of != by).all(|of| {
-                let alive = self.belief(*by, of) == Some(MemberState::MemberAlive);
+                let alive = self.state_seen_by(*by, of) == Some(MemberState::MemberAlive);
                 alive == self.nodes[of].running
             })
         })
--- a/crates/settings/src/batch.rs
+++ b/crates/settings/src/batch.rs
@@ -2,16 +2,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How batch work shares servers with online work.
+/// How batch and online work share servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BatchPolicy {
-    /// Batch fills idle capacity and is paused when online work comes.
+    /// Batch uses idle capacity and is preempted by online work.
     #[default]
     Preempt,
-    /// Baseline: batch is sent at online priority, as fast as it fits.
+    /// Baseline: batch runs at online priority, as fast as capacity allows.
     SharedQueue,
-    /// Baseline: a fixed share of the servers runs batch only, the others online only.
+    /// Baseline: a fixed share of the servers runs only batch, the others only online work.
     StaticSplit,
     /// Baseline: batch never runs.
     OnlineOnly,
@@ -21,34 +21,32 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BatchSettings {
-    /// Most items of one job.
+    /// Maximum items per job.
     pub maximum_job_items: u32,
-    /// Longest line of an input file, bytes.
+    /// Maximum line length of an input file, in bytes.
     pub maximum_line_bytes: usize,
-    /// Work that one chunk should hold, milliseconds.
+    /// Target processing time of a chunk, in milliseconds.
     pub chunk_target_ms: u64,
-    /// Fewest items of a chunk.
+    /// Minimum items per chunk.
     pub chunk_minimum_items: u32,
-    /// Most items of a chunk.
+    /// Maximum items per chunk.
     pub chunk_maximum_items: u32,
-    /// Items of a chunk whose items must not repeat.
+    /// Items per chunk of non-repeatable items.
     pub once_chunk_items: u32,
-    /// Time between looks for open chunks while idle, milliseconds.
+    /// Poll interval for open chunks while idle, in milliseconds.
     pub poll_interval_ms: u64,
-    /// Most bytes of inputs and results held by this node.
+    /// Maximum memory for inputs and results on this node, in bytes.
     pub memory_bytes: usize,
-    /// How long jobs and results are kept, seconds.
+    /// Retention of jobs and results, in seconds.
     pub retention_s: u64,
-    /// Wait after a holder is believed gone before its chunk is taken over, milliseconds, jittered.
+    /// Delay before the chunk of a failed holder is taken over, in milliseconds, with jitter.
     pub takeover_delay_ms: u64,
-    /// How batch work shares servers with online work.
     pub policy: BatchPolicy,
-    /// Share of the servers that runs batch only under the policy `static-split`, percent.
+    /// Percentage of servers that run only batch under the policy `static-split`.
     pub static_split_percent: u32,
-    /// Jobs up to this many items need no confirmation when the tenant has no standing approval of
-    /// its own.
+    /// Maximum items of a job that needs no confirmation, for tenants without a configuration row.
     pub standing_items: u32,
-    /// Slowdown of online steps allowed where the service's configuration names none, percent.
+    /// Default for the allowed slowdown of online steps due to batch work, in percent.
     pub online_slowdown_percent: u32,
 }
 
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,36 +1,36 @@
-//! Settings of membership, ownership and configuration spread.
+//! Settings of membership, ownership and configuration distribution.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of membership, ownership and configuration spread.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSettings {
-    /// Gossip addresses (host:port) tried at start, besides the machine list.
+    /// Gossip addresses (host:port) to contact at startup, in addition to the machine list.
     pub seeds: Vec<String>,
-    /// Time between two probes of a member, milliseconds.
+    /// Interval between probes, in milliseconds.
     pub probe_interval_ms: u64,
-    /// Wait for a direct acknowledgement, milliseconds.
+    /// Timeout of a direct probe, in milliseconds.
     pub probe_timeout_ms: u64,
-    /// Members asked to probe one that did not answer.
+    /// Members asked to probe a member that did not respond.
     pub indirect_probes: usize,
-    /// Time from suspicion to death without a refutation, milliseconds.
+    /// Time until a suspected member is declared dead unless it refutes, in milliseconds.
     pub suspicion_ms: u64,
-    /// Time between load reports to the members of the cell, milliseconds.
+    /// Interval between load reports within the cell, in milliseconds.
     pub load_interval_ms: u64,
-    /// Time between load aggregates to other cells, milliseconds.
+    /// Interval between load aggregates to other cells, in milliseconds.
     pub aggregate_interval_ms: u64,
-    /// Time between readings of the machine list, milliseconds.
+    /// Poll interval of the machine list, in milliseconds.
     pub machine_list_interval_ms: u64,
-    /// Nodes of each zone that poll the change feed.
+    /// Nodes per zone that poll the change feed.
     pub watchers_per_zone: usize,
-    /// Time between polls of the change feed by a watcher, milliseconds.
+    /// Poll interval of the change feed, in milliseconds.
     pub watch_interval_ms: u64,
-    /// Time between digests to a random member, milliseconds.
+    /// Interval between digests to a random member, in milliseconds.
     pub digest_interval_ms: u64,
-    /// Longest time without hearing from a member or the store before the node withdraws, milliseconds.
+    /// Maximum time without a response from a member or the store before the node withdraws, in
+    /// milliseconds.
     pub vouch_ms: u64,
-    /// Most nodes of one cell.
+    /// Maximum nodes per cell.
     pub cell_size: usize,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Typed settings of every program, read from TOML.
+//! Typed settings of all programs, read from TOML files.
 //!
-//! Each part of the system has its section, with a default for each key. [`load`] refuses unknown
-//! keys and bad values and names every place at once.
+//! Every key has a default. [`load`] rejects unknown keys and invalid values, and reports all
+//! errors at once.
 
 pub mod batch;
 pub mod fleet;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,7 +1,7 @@
-//! Reading and checking of settings files: every error at once, each with its place.
+//! Parsing and validation of settings files. All errors are reported, with line numbers.
 //!
-//! The default settings, serialized, are the schema: a key that they lack is unknown, and a value of
-//! another type is bad. [`crate::rules`] holds the bounds of single values.
+//! The serialized default settings are the schema for keys and types. [`crate::rules`] defines the
+//! valid ranges of values.
 
 use std::path::Path;
 
@@ -15,50 +15,47 @@
 use crate::rules::{NODE_RULES, Rule, SIDECAR_RULES};
 use crate::sidecar::SidecarSettings;
 
-/// What is wrong with a settings file.
+/// Invalid settings.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{}", problems.join("\n"))]
 pub struct SettingsError {
-    /// One line for each problem: file, line, key and cause.
+    /// One message per problem, with file, line, key and cause.
     pub problems: Vec<String>,
 }
 
-/// Reads the settings of a node.
+/// Reads and validates a node's settings file.
 pub fn load_node(path: &Path) -> Result<NodeSettings, SettingsError> {
     parse_node(&path.display().to_string(), &read(path)?)
 }
 
-/// Reads the settings of a sidecar.
+/// Reads and validates a sidecar's settings file.
 pub fn load_sidecar(path: &Path) -> Result<SidecarSettings, SettingsError> {
     parse_sidecar(&path.display().to_string(), &read(path)?)
 }
 
-/// Checks the text of a node's settings; `name` stands for the file in messages.
+/// Parses and validates a node's settings; `name` is the file name in messages.
 pub fn parse_node(name: &str, text: &str) -> Result<NodeSettings, SettingsError> {
     parse(name, text, NODE_RULES)
 }
 
-/// Checks the text of a sidecar's settings; `name` stands for the file in messages.
+/// Parses and validates a sidecar's settings; `name` is the file name in messages.
 pub fn parse_sidecar(name: &str, text: &str) -> Result<SidecarSettings, SettingsError> {
     parse(name, text, SIDECAR_RULES)
 }
 
-/// Checks settings that were changed after they were read, by flags for example.
+/// Validates settings changed after parsing, for example by command-line flags.
 pub fn recheck_node(settings: &NodeSettings) -> Result<(), SettingsError> {
     recheck(settings, NODE_RULES)
 }
 
-/// Checks settings that were changed after they were read, by flags for example.
+/// Validates settings changed after parsing, for example by command-line flags.
 pub fn recheck_sidecar(settings: &SidecarSettings) -> Result<(), SettingsError> {
     recheck(settings, SIDECAR_RULES)
 }
 
 fn read(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|error| SettingsError {
-        problems: vec![format!(
-            "{}: the file cannot be read: {error}",
-            path.display()
-        )],
+        problems: vec![format!("{}: cannot read the file: {error}", path.display())],
     })
 }
 
@@ -77,9 +74,9 @@
         let offset = error.span().map_or(0, |span| span.start);
         checker.add(offset, "", error.message());
     }
-    checker.compare(document.get_ref(), &schema, "");
+    checker.check_schema(document.get_ref(), &schema, "");
     if checker.problems.is_empty() {
-        checker.bounds(document.get_ref(), rules);
+        checker.check_rules(document.get_ref(), rules);
     }
     if !checker.problems.is_empty() {
         return Err(SettingsError {
@@ -118,7 +115,7 @@
     parts.try_fold(first, |value, part| value.get(part))
 }
 
-/// Collects problems with their lines.
+/// Collects problems of a settings file.
 struct Checker<'a> {
     name: &'a str,
     text: &'a str,
@@ -138,8 +135,8 @@
             .push(format!("{}:{line}: {key}{cause}", self.name));
     }
 
-    /// Reports keys that the schema lacks and values of another type.
-    fn compare(&mut self, document: &DeTable<'_>, schema: &Table, parent: &str) {
+    /// Reports unknown keys and values of the wrong type.
+    fn check_schema(&mut self, document: &DeTable<'_>, schema: &Table, parent: &str) {
         for (key, value) in document {
             let path = join(parent, key.get_ref());
             let Some(expected) = schema.get(key.get_ref().as_ref()) else {
@@ -151,14 +148,14 @@
                 );
                 continue;
             };
-            self.compare_value(value, expected, &path);
+            self.check_value(value, expected, &path);
         }
     }
 
-    fn compare_value(&mut self, value: &Spanned<DeValue<'_>>, expected: &Value, path: &str) {
+    fn check_value(&mut self, value: &Spanned<DeValue<'_>>, expected: &Value, path: &str) {
         let found = value.get_ref();
         match (found, expected) {
-            (DeValue::Table(inner), Value::Table(schema)) => self.compare(inner, schema, path),
+            (DeValue::Table(inner), Value::Table(schema)) => self.check_schema(inner, schema, path),
             (DeValue::Integer(_), Value::Float(_)) => {}
             (DeValue::Integer(number), Value::Integer(_)) => {
                 if i64::from_str_radix(number.as_str(), number.radix()).is_ok_and(|n| n < 0) {
@@ -174,15 +171,15 @@
             }
             _ if found.type_str() == expected.type_str() => {}
             _ => {
-                let (wanted, given) = (expected.type_str(), found.type_str());
-                let cause = format!("expected {wanted}, found {given}");
+                let (wanted, actual) = (expected.type_str(), found.type_str());
+                let cause = format!("expected {wanted}, found {actual}");
                 self.add(value.span().start, path, &cause);
             }
         }
     }
 
-    /// Reports values outside their bounds.
-    fn bounds(&mut self, document: &DeTable<'_>, rules: &[Rule]) {
+    /// Reports values that violate a rule.
+    fn check_rules(&mut self, document: &DeTable<'_>, rules: &[Rule]) {
         let Ok(table) = toml::from_str::<Table>(self.text) else {
             return;
         };
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -8,13 +8,11 @@
 use crate::operate::OperateSettings;
 use crate::platform::PlatformSettings;
 
-/// Where a process runs.
+/// Location of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Place {
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
 }
 
@@ -27,25 +25,25 @@
     }
 }
 
-/// Bounds and timers of links between processes.
+/// Limits and timeouts of links between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkBounds {
-    /// Longest time to connect, milliseconds.
+    /// Connect timeout, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Time between pings, milliseconds.
+    /// Ping interval, in milliseconds.
     pub ping_interval_ms: u64,
-    /// Silence after which a link is lost, milliseconds.
+    /// Time without received data after which a link is closed, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// Largest frame, bytes.
+    /// Maximum frame size, in bytes.
     pub maximum_frame_bytes: usize,
-    /// Most bytes that wait to be sent on one link; a peer that reads more slowly loses it.
+    /// Maximum bytes queued for sending on a link. The link is closed if a slow peer exceeds it.
     pub maximum_queued_bytes: usize,
-    /// Most bytes that wait to be read on one stream; a stream read more slowly is ended.
+    /// Maximum unread bytes of a stream. The stream is closed if a slow reader exceeds it.
     pub maximum_stream_bytes: usize,
-    /// Most links accepted at once.
+    /// Maximum accepted links.
     pub maximum_links: usize,
-    /// Most streams on one accepted link.
+    /// Maximum streams per accepted link.
     pub maximum_streams: usize,
 }
 
@@ -64,35 +62,27 @@
     }
 }
 
-/// Settings of a node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeSettings {
     /// Node id, unique in the fleet.
     pub id: String,
-    /// Where it runs.
     pub place: Place,
-    /// TCP address of links from sidecars and nodes; port 0 takes a free one.
+    /// TCP listen address for links from sidecars and nodes; port 0 selects a free port.
     pub link_listen: String,
-    /// UDP address of gossip.
+    /// UDP listen address for gossip.
     pub gossip_listen: String,
-    /// HTTP address of metrics, health and the operators' interface.
+    /// HTTP listen address for metrics, health checks and the operator API.
     pub admin_listen: String,
     /// Worker threads of the request path.
     pub workers: usize,
-    /// Longest time that a planned stop may take, milliseconds.
+    /// Timeout of a graceful shutdown, in milliseconds.
     pub stop_bound_ms: u64,
-    /// Bounds of links.
     pub link: LinkBounds,
-    /// Platform.
     pub platform: PlatformSettings,
-    /// Membership, ownership, configuration.
     pub fleet: FleetSettings,
-    /// Online path.
     pub online: OnlineSettings,
-    /// Batch path.
     pub batch: BatchSettings,
-    /// Controllers and plans.
     pub operate: OperateSettings,
 }
 
