--- a/crates/settings/src/online.rs
+++ b/crates/settings/src/online.rs
@@ -2,29 +2,28 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of the online path.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OnlineSettings {
-    /// Time between readings of an owned engine report, milliseconds.
+    /// Poll interval of the reports of owned engines, in milliseconds.
     pub report_interval_ms: u64,
-    /// Longest time to connect to an engine, milliseconds.
+    /// Connect timeout to an engine, in milliseconds.
     pub engine_connect_timeout_ms: u64,
-    /// Longest silence of an engine in an open stream, milliseconds.
+    /// Idle timeout of an open engine stream, in milliseconds.
     pub engine_idle_timeout_ms: u64,
-    /// Expected wait above which a request is refused, milliseconds.
+    /// Expected wait above which a request is rejected, in milliseconds.
     pub maximum_queue_ms: u64,
-    /// Owners asked in order before the request spills to another cell.
+    /// Owners tried, in order, before the request is sent to another cell.
     pub owner_candidates: usize,
-    /// Load of the home owner, relative to the mean, up to which prefix affinity wins, percent.
+    /// Maximum load of an owner for prefix affinity, as a percentage of the mean.
     pub affinity_bound_percent: u32,
-    /// Retries as a share of first attempts, percent.
+    /// Retry budget, as a percentage of first attempts.
     pub retry_budget_percent: u32,
-    /// Age of the last word from an engine above which it is asked before dispatch, milliseconds.
+    /// Age of an engine's last report above which it is queried before dispatch, in milliseconds.
     pub leaving_bound_ms: u64,
-    /// How long a stream whose sidecar was lost is kept for resumption, milliseconds.
+    /// Time for which a stream is kept for resumption after losing its sidecar, in milliseconds.
     pub detach_grace_ms: u64,
-    /// Most online streams of this node at once.
+    /// Maximum concurrent online streams of this node.
     pub maximum_streams: usize,
 }
 
--- a/crates/settings/src/operate.rs
+++ b/crates/settings/src/operate.rs
@@ -2,33 +2,33 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of controllers, plans and explanations.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperateSettings {
-    /// Time between two looks of a controller at its service, milliseconds.
+    /// Reconcile interval of a service's controller, in milliseconds.
     pub reconcile_interval_ms: u64,
-    /// Servers of a service that load a model at the same time.
+    /// Maximum servers of a service that load a model at the same time.
     pub load_concurrency: usize,
-    /// How long a canary is watched before the rollout goes on, milliseconds.
+    /// Time that canaries must stay healthy before promotion, in milliseconds.
     pub canary_watch_ms: u64,
-    /// Share of failed requests on the canary that rolls the rollout back, percent.
+    /// Percentage of failed observations of canaries above which a rollout is rolled back.
     pub canary_error_percent: u32,
-    /// Age of the freshness row above which a region counts as cut off, milliseconds.
+    /// Age of the freshness row above which a region counts as partitioned, in milliseconds.
     pub region_fresh_ms: u64,
-    /// Time between writes of decision records to the object store, milliseconds.
+    /// Interval between writes of decision records to the object store, in milliseconds.
     pub journal_interval_ms: u64,
-    /// Step time of the canary, relative to the other servers, that rolls the rollout back, percent.
+    /// Step time of canaries, as a percentage of the stable version's, above which a rollout is
+    /// rolled back.
     pub canary_step_percent: u32,
-    /// Expected time for a server to load a model, milliseconds; used until loads were measured.
+    /// Expected model load time until loads have been measured, in milliseconds.
     pub expected_load_ms: u64,
-    /// Time after which a disruption that no view shows is forgotten, milliseconds.
+    /// Timeout after which an unobserved disruption no longer counts, in milliseconds.
     pub disruption_timeout_ms: u64,
-    /// Longest wait for another node's answer to a status or explain query, milliseconds.
+    /// Timeout of status and explain queries to other nodes, in milliseconds.
     pub peer_timeout_ms: u64,
-    /// Journal objects kept for each node.
+    /// Journal objects kept per node.
     pub journal_objects: usize,
-    /// How long plans that are over, unconfirmed plans and journal objects are kept, seconds.
+    /// Retention of finished and unconfirmed plans and of journal objects, in seconds.
     pub retention_s: u64,
 }
 
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,8 +1,7 @@
-//! Settings of the platform's clients and of the store gate.
+//! Settings of the platform service clients, including rate limits and the circuit breaker.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of the platform's clients and of the store gate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformSettings {
@@ -12,19 +11,19 @@
     pub objects_url: String,
     /// Base URL of the machine list.
     pub machines_url: String,
-    /// Longest time for one call to the store, milliseconds.
+    /// Timeout of a store call, in milliseconds.
     pub call_timeout_ms: u64,
-    /// Most calls a second that this node sends to the table service.
+    /// Rate limit of calls from this node to the table service, per second.
     pub calls_per_s: f64,
-    /// Burst of calls to the table service.
+    /// Burst size of the rate limit.
     pub calls_burst: f64,
-    /// Retries as a share of first calls, percent.
+    /// Retry budget, as a percentage of first calls.
     pub retry_budget_percent: u32,
-    /// Failures in a row that open the breaker.
+    /// Consecutive failures that open the circuit breaker.
     pub breaker_failures: u32,
-    /// Time between probes while the breaker is open, milliseconds, jittered.
+    /// Probe interval while the circuit breaker is open, in milliseconds, with jitter.
     pub breaker_probe_ms: u64,
-    /// Longest time that a write waits for others to join its transaction, milliseconds.
+    /// Maximum time that a write waits for others to join its transaction, in milliseconds.
     pub group_commit_ms: u64,
 }
 
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,36 +1,34 @@
-//! Bounds of single settings.
+//! Validation rules for single values.
 
 use std::net::SocketAddr;
 
 use toml::Value;
 
-/// What a value must satisfy.
+/// Constraint on a value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Bound {
-    /// A number of at least this.
+    /// Minimum of a number, inclusive.
     AtLeast(f64),
-    /// A number from the first to the second.
+    /// Minimum and maximum of a number, inclusive.
     Between(f64, f64),
-    /// A non-empty text without spaces.
+    /// Non-empty string without whitespace or slashes.
     Name,
-    /// `host:port` by IP number.
+    /// IP address and port.
     Address,
-    /// `host:port` on loopback, by IP number.
+    /// Loopback IP address and port.
     LoopbackAddress,
-    /// Each item is `host:port` by IP number.
+    /// List of IP addresses and ports.
     Addresses,
-    /// An `http://` URL.
+    /// `http://` URL.
     Url,
-    /// One of these texts.
+    /// One of these strings.
     OneOf(&'static [&'static str]),
 }
 
-/// A bound of the value at a dotted key.
+/// Constraint on the value at a dotted key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rule {
-    /// Dotted key.
     pub key: &'static str,
-    /// Bound.
     pub bound: Bound,
 }
 
@@ -38,7 +36,6 @@
     Rule { key, bound }
 }
 
-/// Bounds of a node's settings.
 pub const NODE_RULES: &[Rule] = &[
     rule("id", Bound::Name),
     rule("place.zone", Bound::Name),
@@ -100,7 +97,6 @@
     rule("operate.canary_error_percent", Bound::Between(0.0, 100.0)),
 ];
 
-/// Bounds of a sidecar's settings.
 pub const SIDECAR_RULES: &[Rule] = &[
     rule("id", Bound::Name),
     rule("place.zone", Bound::Name),
@@ -132,7 +128,7 @@
 ];
 
 impl Bound {
-    /// What is wrong with a value, in words; `None` when nothing is.
+    /// Describes how a value violates the constraint; `None` if it does not.
     pub fn problem(&self, value: &Value) -> Option<String> {
         match self {
             Bound::AtLeast(least) => number(value, |n| n >= *least, &format!("at least {least}")),
@@ -144,12 +140,12 @@
             Bound::Address => text(
                 value,
                 is_address,
-                "an IP address and port, as 10.0.0.1:7700",
+                "an IP address and port, such as 10.0.0.1:7700",
             ),
             Bound::LoopbackAddress => text(
                 value,
                 is_loopback,
-                "a loopback address and port, as 127.0.0.1:8080",
+                "a loopback address and port, such as 127.0.0.1:8080",
             ),
             Bound::Addresses => value
                 .as_array()?
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -1,54 +1,51 @@
-//! Settings of the sidecar, the process beside each caller.
+//! Settings of the sidecar process that runs next to each client.
 
 use serde::{Deserialize, Serialize};
 
 use crate::node::{LinkBounds, Place};
 
-/// Settings of the sidecar.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SidecarSettings {
     /// Name of this process in logs and links.
     pub id: String,
-    /// Where it runs.
     pub place: Place,
-    /// Address of the callers' HTTP interface; loopback only.
+    /// HTTP listen address for clients; loopback only.
     pub listen: String,
-    /// Link addresses (host:port) of nodes tried at start; others are learnt from them.
+    /// Link addresses (host:port) of nodes to contact at startup, from which others are discovered.
     pub nodes: Vec<String>,
-    /// Links kept open.
+    /// Number of open links to nodes.
     pub links: usize,
-    /// Tenant of requests that name none.
+    /// Tenant of requests that do not specify one.
     pub default_tenant: String,
-    /// Deadline of requests that name none, milliseconds.
+    /// Deadline of requests that do not specify one, in milliseconds.
     pub default_deadline_ms: u32,
-    /// Largest body of a generation request, bytes.
+    /// Maximum body size of a generation request, in bytes.
     pub maximum_body_bytes: usize,
-    /// Largest uploaded file, bytes.
+    /// Maximum size of an uploaded file, in bytes.
     pub maximum_file_bytes: u64,
-    /// Longest time for a caller to send a body, milliseconds.
+    /// Timeout for receiving a request body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Most requests at once.
+    /// Maximum concurrent requests.
     pub maximum_requests: usize,
-    /// Most file uploads at once; each holds one part of half a megabyte in memory.
+    /// Maximum concurrent file uploads; each buffers one part of half a megabyte.
     pub maximum_uploads: usize,
-    /// Longest prompt, tokens.
+    /// Maximum prompt length, in tokens.
     pub maximum_prompt_tokens: u32,
-    /// Most output tokens of a request that names no limit.
+    /// Output token limit of requests that do not specify one.
     pub default_max_tokens: u32,
-    /// Most output tokens that a request may ask for.
+    /// Maximum output token limit that a request may specify.
     pub maximum_output_tokens: u32,
-    /// Most pieces of an answer kept behind a gap.
+    /// Maximum pieces of a response buffered after a gap.
     pub maximum_gap_pieces: usize,
-    /// Retries as a share of first attempts, percent.
+    /// Retry budget, as a percentage of first attempts.
     pub retry_budget_percent: u32,
-    /// Most attempts of one request.
+    /// Maximum attempts per request.
     pub maximum_attempts: u32,
-    /// Hedge a repeatable request that has no first token after this long, milliseconds; 0 never.
+    /// Time to first token after which a repeatable request is hedged, in milliseconds; 0 disables
+    /// hedging.
     pub hedge_after_ms: u64,
-    /// Worker threads.
     pub workers: usize,
-    /// Bounds of links.
     pub link: LinkBounds,
 }
 
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -1,20 +1,20 @@
-//! Settings files: defaults, every error at once with its place, bounds, and flags checked again.
+//! Defaults, validation and error messages of settings files.
 
 use dappleyard_settings::{NodeSettings, parse_node, parse_sidecar, recheck_node};
 use googletest::prelude::*;
 
 #[gtest]
-fn an_empty_file_gives_the_defaults() {
+fn empty_file_gives_the_defaults() {
     expect_that!(parse_node("n.toml", ""), ok(eq(&NodeSettings::default())));
 }
 
 #[gtest]
-fn the_defaults_pass_their_own_bounds() {
+fn defaults_are_valid() {
     expect_that!(recheck_node(&NodeSettings::default()), ok(anything()));
 }
 
 #[gtest]
-fn every_problem_is_named_with_line_and_key() {
+fn all_problems_are_reported_with_line_and_key() {
     let text = "id = \"n1\"\nwrokers = 3\nworkers = \"two\"\n\n[online]\nbogus = 1\n\
                 report_interval_ms = -5\n\n[fleet]\nseeds = [1]\n";
     let problems = parse_node("n.toml", text).unwrap_err().problems;
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn values_outside_their_bounds_are_named() {
+fn out_of_range_values_are_reported() {
     let text = "link_listen = \"localhost:1\"\n[online]\nleaving_bound_ms = 9000\n";
     let problems = parse_node("n.toml", text).unwrap_err().problems;
     expect_that!(
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn a_sidecar_listens_on_loopback_only() {
+fn sidecar_listens_on_loopback_only() {
     let problems = parse_sidecar("s.toml", "listen = \"0.0.0.0:80\"")
         .unwrap_err()
         .problems;
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn broken_syntax_names_its_line() {
+fn syntax_error_is_reported_with_its_line() {
     let problems = parse_node("n.toml", "id = \"a\"\nworkers = = 3\n")
         .unwrap_err()
         .problems;
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn a_flag_with_a_bad_value_is_caught() {
+fn invalid_value_set_after_parsing_is_reported() {
     let settings = NodeSettings {
         workers: 0,
         ..NodeSettings::default()
