--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -6,10 +6,10 @@
 pub const FLOOR_REQUESTS_PER_S: f64 = 1.0;
 
 /// Minimum retry-after hint, in milliseconds.
-pub const SHORTEST_RETRY_AFTER_MS: u32 = 50;
+pub const MIN_RETRY_AFTER_MS: u32 = 50;
 
 /// Maximum retry-after hint, in milliseconds.
-pub const LONGEST_RETRY_AFTER_MS: u32 = 10_000;
+pub const MAX_RETRY_AFTER_MS: u32 = 10_000;
 
 /// Limits of a tenant on one node.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -103,8 +103,7 @@
 
 /// Rounds up a retry-after hint and clamps it to its limits.
 pub fn retry_after(milliseconds: f64) -> u32 {
-    milliseconds.ceil().clamp(
-        f64::from(SHORTEST_RETRY_AFTER_MS),
-        f64::from(LONGEST_RETRY_AFTER_MS),
-    ) as u32
+    milliseconds
+        .ceil()
+        .clamp(f64::from(MIN_RETRY_AFTER_MS), f64::from(MAX_RETRY_AFTER_MS)) as u32
 }
--- a/crates/decide/src/chunks.rs
+++ b/crates/decide/src/chunks.rs
@@ -117,8 +117,8 @@
     }
     let mut next = row.clone();
     next.epoch += 1;
-    let marked = !own || row.started_items != 0;
-    next.maybe_started |= marked && row.repeat() == Repeat::Never;
+    let may_have_started = !own || row.started_items != 0;
+    next.maybe_started |= may_have_started && row.repeat() == Repeat::Never;
     next.holder.clear();
     next.holder_incarnation = 0;
     next.set_phase(ChunkPhase::ChunkOpen);
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -9,7 +9,7 @@
     Millis(requested.0.saturating_sub(age_ms))
 }
 
-/// Whether a report that was valid at `valid_at` is recent enough to act on.
-pub fn still_holds(valid_at: Millis, now: Millis, bound_ms: u64) -> bool {
-    now.since(valid_at) <= bound_ms
+/// Whether a report that was valid at `as_of` is recent enough to act on.
+pub fn still_holds(as_of: Millis, now: Millis, bound_ms: u64) -> bool {
+    now.since(as_of) <= bound_ms
 }
--- a/crates/decide/src/once.rs
+++ b/crates/decide/src/once.rs
@@ -35,8 +35,8 @@
     pub now_unix_ms: u64,
 }
 
-/// Decides by the record that was read. `writing` is `true` if this attempt has already sent its
-/// create and is reading back the result.
+/// Decides based on the record that was read. `writing` is `true` if this attempt has already sent
+/// its create and is reading back the result.
 pub fn decide(row: Option<&OnceRow>, attempt: &OnceAttempt, writing: bool) -> OnceDecision {
     let Some(row) = row else {
         return OnceDecision::Create(create(attempt));
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -134,19 +134,19 @@
 
 /// Expected time until the first step of a request of `tokens` KV cache tokens, in milliseconds.
 /// Batch sequences do not count because the engine preempts them for online work.
-pub fn expected_wait_ms(room: &ServerRoom, tokens: u32) -> u32 {
-    let prefill_steps = f64::from(room.prefill_tokens) / f64::from(PREFILL_TOKENS_PER_STEP);
-    let ahead = f64::from(sequences_ahead(room, tokens));
-    let slots = f64::from(room.maximum_sequences.max(1));
+pub fn expected_wait_ms(server: &ServerRoom, tokens: u32) -> u32 {
+    let prefill_steps = f64::from(server.prefill_tokens) / f64::from(PREFILL_TOKENS_PER_STEP);
+    let ahead = f64::from(sequences_ahead(server, tokens));
+    let slots = f64::from(server.maximum_sequences.max(1));
     let turnover_steps = f64::from(TYPICAL_OUTPUT_TOKENS / 2) * ahead / slots;
-    ((prefill_steps + turnover_steps) * room.step_ms).min(f64::from(u32::MAX)) as u32
+    ((prefill_steps + turnover_steps) * server.step_ms).min(f64::from(u32::MAX)) as u32
 }
 
 /// Sequences that must finish before this one can start, by sequence slots or by KV cache memory.
-fn sequences_ahead(room: &ServerRoom, tokens: u32) -> u32 {
-    let by_slots = (room.online + 1).saturating_sub(room.maximum_sequences);
-    let excess = (room.online_tokens.saturating_add(tokens)).saturating_sub(room.total_tokens);
-    let mean_tokens = room.online_tokens / room.online.max(1);
+fn sequences_ahead(server: &ServerRoom, tokens: u32) -> u32 {
+    let by_slots = (server.online + 1).saturating_sub(server.maximum_sequences);
+    let excess = (server.online_tokens.saturating_add(tokens)).saturating_sub(server.total_tokens);
+    let mean_tokens = server.online_tokens / server.online.max(1);
     let by_memory = excess.div_ceil(mean_tokens.max(1));
     by_slots.max(by_memory)
 }
--- a/crates/decide/src/rollout.rs
+++ b/crates/decide/src/rollout.rs
@@ -109,8 +109,8 @@
     }
     let mut order: Vec<&&ServerView> = usable.iter().collect();
     order.sort_by_key(|view| {
-        let has_it = view.version == target.canary || view.loading == target.canary;
-        (!has_it, view.server.as_str())
+        let has_canary = view.version == target.canary || view.loading == target.canary;
+        (!has_canary, view.server.as_str())
     });
     let count = canary_count(usable.len(), target.canary_percent);
     order
@@ -156,10 +156,10 @@
         .map(|view| budget_replica(view, &in_flight))
         .collect();
     let loading = servers.iter().filter(|view| !view.loading.is_empty());
-    let mut room = bounds.concurrency.saturating_sub(loading.count());
+    let mut available = bounds.concurrency.saturating_sub(loading.count());
     let mut plan = LoadPlan::default();
     for (assignment, view) in pending(assignments, servers) {
-        let held = if room == 0 {
+        let held = if available == 0 {
             Some(format!("{} loads are already running", bounds.concurrency))
         } else {
             let situation = Situation {
@@ -174,7 +174,7 @@
             plan.held.get_or_insert((assignment.clone(), reason));
             continue;
         }
-        room -= 1;
+        available -= 1;
         in_flight.push(InFlight {
             server: view.server.clone(),
             zone: view.zone.clone(),
@@ -207,9 +207,9 @@
             let view = servers
                 .iter()
                 .find(|view| view.server == assignment.server)?;
-            let settled = view.loading == assignment.version
+            let up_to_date = view.loading == assignment.version
                 || view.version == assignment.version && view.loading.is_empty();
-            (!settled && view.loading.is_empty()).then_some((assignment, view))
+            (!up_to_date && view.loading.is_empty()).then_some((assignment, view))
         })
         .collect();
     pending.sort_by_key(|(_, view)| !view.version.is_empty());
--- a/crates/decide/src/width.rs
+++ b/crates/decide/src/width.rs
@@ -87,8 +87,8 @@
 fn width_in_memory(inputs: &WidthInputs) -> u32 {
     let used = i64::from(inputs.online_tokens) + i64::from(inputs.batch_tokens);
     let free = i64::from(inputs.total_tokens) - used;
-    let more = free.div_euclid(i64::from(inputs.new_sequence_tokens.max(1)));
-    let width = i64::from(inputs.batch_sequences) + more;
+    let additional = free.div_euclid(i64::from(inputs.new_sequence_tokens.max(1)));
+    let width = i64::from(inputs.batch_sequences) + additional;
     u32::try_from(width.max(0)).unwrap_or(u32::MAX)
 }
 
@@ -104,8 +104,8 @@
 const PREFILL_INTERVAL_FACTOR: f64 = 4.5;
 
 fn width_beside_online(inputs: &WidthInputs) -> u32 {
-    let alone = inputs.model.step_ms(inputs.online_sequences, 0);
-    let spare_ms = alone * f64::from(inputs.slowdown_percent) / 100.0;
+    let online_only_ms = inputs.model.step_ms(inputs.online_sequences, 0);
+    let spare_ms = online_only_ms * f64::from(inputs.slowdown_percent) / 100.0;
     let width = spare_ms / inputs.model.per_sequence_ms.max(f64::MIN_POSITIVE);
     width.clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Tenant limits per node, token buckets and early rejection.
 
 use dappleyard_decide::admission::{
-    Infeasible, LONGEST_RETRY_AFTER_MS, SHORTEST_RETRY_AFTER_MS, TokenBucket, feasible, node_share,
+    Infeasible, MAX_RETRY_AFTER_MS, MIN_RETRY_AFTER_MS, TokenBucket, feasible, node_share,
 };
 use dappleyard_decide::time::Millis;
 use googletest::prelude::*;
@@ -79,11 +79,8 @@
         err(eq((Infeasible::Deadline, 300)))
     );
     for wait_ms in [0, 1, 50, 5_000, u32::MAX] {
-        if let Err((_, advice)) = feasible(wait_ms, 1, 2_000) {
-            expect_that!(
-                advice,
-                all![ge(SHORTEST_RETRY_AFTER_MS), le(LONGEST_RETRY_AFTER_MS)]
-            );
+        if let Err((_, hint)) = feasible(wait_ms, 1, 2_000) {
+            expect_that!(hint, all![ge(MIN_RETRY_AFTER_MS), le(MAX_RETRY_AFTER_MS)]);
         }
     }
 }
--- a/crates/decide/tests/membership.rs
+++ b/crates/decide/tests/membership.rs
@@ -135,14 +135,14 @@
             network.state_seen_by(3, 7),
             some(eq(MemberState::MemberDead))
         );
-        let mut doubted = false;
+        let mut unconfirmed = false;
         for _ in 0..2 * support::TICK_MS {
             network.run(1);
-            doubted |= network.standing(7) == Standing::Doubted;
+            unconfirmed |= network.standing(7) == Standing::Doubted;
         }
-        expect_that!(doubted, eq(true), "seed {seed}");
-        let vouched = network.run_until(10 * SECOND, |n| n.standing(7) == Standing::Vouched);
-        expect_that!(vouched, some(anything()));
+        expect_that!(unconfirmed, eq(true), "seed {seed}");
+        let current = network.run_until(10 * SECOND, |n| n.standing(7) == Standing::Vouched);
+        expect_that!(current, some(anything()));
         expect_that!(
             network.run_until(30 * SECOND, Network::views_match),
             some(anything())
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -134,7 +134,7 @@
     }
 }
 
-fn room() -> ServerRoom {
+fn server() -> ServerRoom {
     ServerRoom {
         online: 10,
         prefill_tokens: 0,
@@ -147,19 +147,19 @@
 
 #[gtest]
 fn server_with_free_capacity_has_no_wait() {
-    expect_that!(expected_wait_ms(&room(), 500), eq(0));
+    expect_that!(expected_wait_ms(&server(), 500), eq(0));
 }
 
 #[gtest]
 fn wait_grows_with_prefill_slots_and_memory() {
     let prefill = ServerRoom {
         prefill_tokens: 5_120,
-        ..room()
+        ..server()
     };
     expect_that!(expected_wait_ms(&prefill, 500), eq(40));
     let mut last = 0;
     for online in [130, 160, 256, 512] {
-        let full = ServerRoom { online, ..room() };
+        let full = ServerRoom { online, ..server() };
         let wait_ms = expected_wait_ms(&full, 500);
         expect_that!(wait_ms, gt(last));
         last = wait_ms;
@@ -167,7 +167,7 @@
     let memory = ServerRoom {
         online_tokens: 60_000,
         online: 100,
-        ..room()
+        ..server()
     };
     expect_that!(expected_wait_ms(&memory, 600), gt(0));
 }
--- a/crates/decide/tests/reassembly.rs
+++ b/crates/decide/tests/reassembly.rs
@@ -23,57 +23,57 @@
 
 #[gtest]
 fn pieces_after_a_gap_are_not_released() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.accepted("a").unwrap();
-    answer.take(2, run("a", 2, 4)).unwrap();
-    answer.finish(4).unwrap();
-    expect_that!(answer.release(), eq(""));
-    expect_that!(answer.is_complete(), eq(false));
-    answer.take(0, run("a", 0, 2)).unwrap();
-    expect_that!(answer.is_complete(), eq(true));
-    expect_that!(answer.release(), eq(&text("a", 4)));
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.accepted("a").unwrap();
+    assembly.take(2, run("a", 2, 4)).unwrap();
+    assembly.finish(4).unwrap();
+    expect_that!(assembly.release(), eq(""));
+    expect_that!(assembly.is_complete(), eq(false));
+    assembly.take(0, run("a", 0, 2)).unwrap();
+    expect_that!(assembly.is_complete(), eq(true));
+    expect_that!(assembly.release(), eq(&text("a", 4)));
 }
 
 #[gtest]
 fn pieces_after_a_gap_are_limited() {
-    let mut answer = Assembly::new(BOUNDS);
-    expect_that!(answer.take(1, run("a", 1, 65)), ok(eq(&())));
+    let mut assembly = Assembly::new(BOUNDS);
+    expect_that!(assembly.take(1, run("a", 1, 65)), ok(eq(&())));
     expect_that!(
-        answer.take(65, run("a", 65, 66)),
+        assembly.take(65, run("a", 65, 66)),
         err(eq(&AssemblyError::Bound { bound: 64 }))
     );
 }
 
 #[gtest]
 fn another_version_cannot_continue_a_response() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.accepted("a").unwrap();
-    answer.take(0, run("a", 0, 3)).unwrap();
-    answer.begin_attempt();
-    expect_that!(answer.accepted("b"), err(anything()));
-    expect_that!(answer.restart(), eq(true));
-    answer.accepted("b").unwrap();
-    answer.take(0, run("b", 0, 2)).unwrap();
-    expect_that!(answer.release(), eq(&text("b", 2)));
-    expect_that!(answer.restart(), eq(false));
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.accepted("a").unwrap();
+    assembly.take(0, run("a", 0, 3)).unwrap();
+    assembly.begin_attempt();
+    expect_that!(assembly.accepted("b"), err(anything()));
+    expect_that!(assembly.restart(), eq(true));
+    assembly.accepted("b").unwrap();
+    assembly.take(0, run("b", 0, 2)).unwrap();
+    expect_that!(assembly.release(), eq(&text("b", 2)));
+    expect_that!(assembly.restart(), eq(false));
 }
 
 #[gtest]
 fn duplicate_piece_with_different_text_is_rejected() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.take(0, run("a", 0, 3)).unwrap();
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.take(0, run("a", 0, 3)).unwrap();
     expect_that!(
-        answer.take(1, run("b", 1, 2)),
+        assembly.take(1, run("b", 1, 2)),
         err(eq(&AssemblyError::Conflict { offset: 1 }))
     );
 }
 
 #[gtest]
 fn end_before_received_pieces_is_rejected() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.take(0, run("a", 0, 3)).unwrap();
-    expect_that!(answer.finish(2), err(anything()));
-    expect_that!(answer.is_finished(), eq(false));
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.take(0, run("a", 0, 3)).unwrap();
+    expect_that!(assembly.finish(2), err(anything()));
+    expect_that!(assembly.is_finished(), eq(false));
 }
 
 /// Ranges of offsets in random order, with duplicates and gaps.
@@ -92,8 +92,8 @@
         seed_frames in frames(60),
         finish_at in 0..120_usize,
     ) {
-        let mut answer = Assembly::new(BOUNDS);
-        answer.accepted("a").unwrap();
+        let mut assembly = Assembly::new(BOUNDS);
+        assembly.accepted("a").unwrap();
         let whole = text("a", total);
         let mut seen = String::new();
         let mut covered = vec![false; total as usize];
@@ -102,14 +102,14 @@
             let (from, to) = (from.min(total - 1), to.min(total));
             if to <= from { continue; }
             if index == finish_at {
-                prop_assert!(answer.finish(total).is_ok());
+                prop_assert!(assembly.finish(total).is_ok());
                 finished = true;
             }
-            prop_assert!(answer.take(from, run("a", from, to)).is_ok());
+            prop_assert!(assembly.take(from, run("a", from, to)).is_ok());
             covered[from as usize..to as usize].fill(true);
-            seen.push_str(&answer.release());
+            seen.push_str(&assembly.release());
             prop_assert!(whole.starts_with(&seen));
-            prop_assert_eq!(answer.is_complete(), finished && covered.iter().all(|c| *c));
+            prop_assert_eq!(assembly.is_complete(), finished && covered.iter().all(|c| *c));
         }
         prop_assert_eq!(seen == whole, covered.iter().all(|c| *c));
     }
@@ -119,25 +119,25 @@
         total in 1..60_u32,
         losses in proptest::collection::vec((0..60_u32, 0..60_u32), 0..5),
     ) {
-        let mut answer = Assembly::new(BOUNDS);
+        let mut assembly = Assembly::new(BOUNDS);
         let mut seen = String::new();
         for (delivered, skipped) in losses {
-            answer.begin_attempt();
-            answer.accepted("a").unwrap();
-            let from = answer.offset();
+            assembly.begin_attempt();
+            assembly.accepted("a").unwrap();
+            let from = assembly.offset();
             let to = (from + delivered).min(total);
-            answer.take(from, run("a", from, to)).unwrap();
+            assembly.take(from, run("a", from, to)).unwrap();
             let late = (to + skipped).min(total);
-            answer.take(late, run("a", late, total)).unwrap();
-            seen.push_str(&answer.release());
+            assembly.take(late, run("a", late, total)).unwrap();
+            seen.push_str(&assembly.release());
         }
-        answer.begin_attempt();
-        answer.accepted("a").unwrap();
-        let from = answer.offset();
-        answer.take(from, run("a", from, total)).unwrap();
-        answer.finish(total).unwrap();
-        seen.push_str(&answer.release());
-        prop_assert!(answer.is_complete());
+        assembly.begin_attempt();
+        assembly.accepted("a").unwrap();
+        let from = assembly.offset();
+        assembly.take(from, run("a", from, total)).unwrap();
+        assembly.finish(total).unwrap();
+        seen.push_str(&assembly.release());
+        prop_assert!(assembly.is_complete());
         prop_assert_eq!(seen, text("a", total));
     }
 }
