--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -136,7 +136,7 @@
                 let wanted = format!("from {least} to {most}");
                 number(value, |n| n >= *least && n <= *most, &wanted)
             }
-            Bound::Name => text(value, is_name, "a name without spaces"),
+            Bound::Name => text(value, is_name, "a name without spaces or slashes"),
             Bound::Address => text(
                 value,
                 is_address,
