--- a/crates/decide/tests/reassembly.rs
+++ b/crates/decide/tests/reassembly.rs
@@ -1,4 +1,4 @@
-//! Reassembly under duplicates, reordering, overlap and loss.
+//! Reassembly under duplication, reordering, overlap and loss.
 
 use dappleyard_decide::reassembly::{Assembly, AssemblyBounds, AssemblyError};
 use googletest::prelude::*;
@@ -22,61 +22,61 @@
 }
 
 #[gtest]
-fn a_gap_holds_the_answer_back_until_it_is_filled() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.accepted("a").unwrap();
-    answer.take(2, run("a", 2, 4)).unwrap();
-    answer.finish(4).unwrap();
-    expect_that!(answer.release(), eq(""));
-    expect_that!(answer.is_complete(), eq(false));
-    answer.take(0, run("a", 0, 2)).unwrap();
-    expect_that!(answer.is_complete(), eq(true));
-    expect_that!(answer.release(), eq(&text("a", 4)));
+fn pieces_after_a_gap_are_not_released() {
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.accepted("a").unwrap();
+    assembly.take(2, run("a", 2, 4)).unwrap();
+    assembly.finish(4).unwrap();
+    expect_that!(assembly.release(), eq(""));
+    expect_that!(assembly.is_complete(), eq(false));
+    assembly.take(0, run("a", 0, 2)).unwrap();
+    expect_that!(assembly.is_complete(), eq(true));
+    expect_that!(assembly.release(), eq(&text("a", 4)));
 }
 
 #[gtest]
-fn pieces_behind_a_gap_are_bounded() {
-    let mut answer = Assembly::new(BOUNDS);
-    expect_that!(answer.take(1, run("a", 1, 65)), ok(eq(&())));
+fn pieces_after_a_gap_are_limited() {
+    let mut assembly = Assembly::new(BOUNDS);
+    expect_that!(assembly.take(1, run("a", 1, 65)), ok(eq(&())));
     expect_that!(
-        answer.take(65, run("a", 65, 66)),
+        assembly.take(65, run("a", 65, 66)),
         err(eq(&AssemblyError::Bound { bound: 64 }))
     );
 }
 
 #[gtest]
-fn another_version_never_continues_an_answer() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.accepted("a").unwrap();
-    answer.take(0, run("a", 0, 3)).unwrap();
-    answer.begin_attempt();
-    expect_that!(answer.accepted("b"), err(anything()));
-    expect_that!(answer.restart(), eq(true));
-    answer.accepted("b").unwrap();
-    answer.take(0, run("b", 0, 2)).unwrap();
-    expect_that!(answer.release(), eq(&text("b", 2)));
-    expect_that!(answer.restart(), eq(false));
+fn another_version_cannot_continue_a_response() {
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.accepted("a").unwrap();
+    assembly.take(0, run("a", 0, 3)).unwrap();
+    assembly.begin_attempt();
+    expect_that!(assembly.accepted("b"), err(anything()));
+    expect_that!(assembly.restart(), eq(true));
+    assembly.accepted("b").unwrap();
+    assembly.take(0, run("b", 0, 2)).unwrap();
+    expect_that!(assembly.release(), eq(&text("b", 2)));
+    expect_that!(assembly.restart(), eq(false));
 }
 
 #[gtest]
-fn a_piece_that_comes_with_another_text_is_refused() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.take(0, run("a", 0, 3)).unwrap();
+fn duplicate_piece_with_different_text_is_rejected() {
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.take(0, run("a", 0, 3)).unwrap();
     expect_that!(
-        answer.take(1, run("b", 1, 2)),
+        assembly.take(1, run("b", 1, 2)),
         err(eq(&AssemblyError::Conflict { offset: 1 }))
     );
 }
 
 #[gtest]
-fn an_end_before_pieces_that_came_is_refused() {
-    let mut answer = Assembly::new(BOUNDS);
-    answer.take(0, run("a", 0, 3)).unwrap();
-    expect_that!(answer.finish(2), err(anything()));
-    expect_that!(answer.is_finished(), eq(false));
+fn end_before_received_pieces_is_rejected() {
+    let mut assembly = Assembly::new(BOUNDS);
+    assembly.take(0, run("a", 0, 3)).unwrap();
+    expect_that!(assembly.finish(2), err(anything()));
+    expect_that!(assembly.is_finished(), eq(false));
 }
 
-/// Frames of one attempt: each a range of offsets, in any order, some twice, some lost.
+/// Ranges of offsets in random order, with duplicates and gaps.
 fn frames(total: u32) -> impl Strategy<Value = Vec<(u32, u32)>> {
     proptest::collection::vec((0..total, 1..6_u32), 0..120).prop_map(move |list| {
         list.into_iter()
@@ -87,13 +87,13 @@
 
 proptest! {
     #[test]
-    fn what_is_released_is_always_a_prefix_and_complete_means_whole(
+    fn released_text_is_a_prefix_and_complete_only_with_all_pieces(
         total in 1..60_u32,
         seed_frames in frames(60),
         finish_at in 0..120_usize,
     ) {
-        let mut answer = Assembly::new(BOUNDS);
-        answer.accepted("a").unwrap();
+        let mut assembly = Assembly::new(BOUNDS);
+        assembly.accepted("a").unwrap();
         let whole = text("a", total);
         let mut seen = String::new();
         let mut covered = vec![false; total as usize];
@@ -102,42 +102,42 @@
             let (from, to) = (from.min(total - 1), to.min(total));
             if to <= from { continue; }
             if index == finish_at {
-                prop_assert!(answer.finish(total).is_ok());
+                prop_assert!(assembly.finish(total).is_ok());
                 finished = true;
             }
-            prop_assert!(answer.take(from, run("a", from, to)).is_ok());
+            prop_assert!(assembly.take(from, run("a", from, to)).is_ok());
             covered[from as usize..to as usize].fill(true);
-            seen.push_str(&answer.release());
+            seen.push_str(&assembly.release());
             prop_assert!(whole.starts_with(&seen));
-            prop_assert_eq!(answer.is_complete(), finished && covered.iter().all(|c| *c));
+            prop_assert_eq!(assembly.is_complete(), finished && covered.iter().all(|c| *c));
         }
         prop_assert_eq!(seen == whole, covered.iter().all(|c| *c));
     }
 
     #[test]
-    fn an_answer_resumed_at_its_offset_is_whole(
+    fn response_resumed_at_its_offset_is_complete(
         total in 1..60_u32,
         losses in proptest::collection::vec((0..60_u32, 0..60_u32), 0..5),
     ) {
-        let mut answer = Assembly::new(BOUNDS);
+        let mut assembly = Assembly::new(BOUNDS);
         let mut seen = String::new();
         for (delivered, skipped) in losses {
-            answer.begin_attempt();
-            answer.accepted("a").unwrap();
-            let from = answer.offset();
+            assembly.begin_attempt();
+            assembly.accepted("a").unwrap();
+            let from = assembly.offset();
             let to = (from + delivered).min(total);
-            answer.take(from, run("a", from, to)).unwrap();
+            assembly.take(from, run("a", from, to)).unwrap();
             let late = (to + skipped).min(total);
-            answer.take(late, run("a", late, total)).unwrap();
-            seen.push_str(&answer.release());
+            assembly.take(late, run("a", late, total)).unwrap();
+            seen.push_str(&assembly.release());
         }
-        answer.begin_attempt();
-        answer.accepted("a").unwrap();
-        let from = answer.offset();
-        answer.take(from, run("a", from, total)).unwrap();
-        answer.finish(total).unwrap();
-        seen.push_str(&answer.release());
-        prop_assert!(answer.is_complete());
+        assembly.begin_attempt();
+        assembly.accepted("a").unwrap();
+        let from = assembly.offset();
+        assembly.take(from, run("a", from, total)).unwrap();
+        assembly.finish(total).unwrap();
+        seen.push_str(&assembly.release());
+        prop_assert!(assembly.is_complete());
         prop_assert_eq!(seen, text("a", total));
     }
 }
