--- a/crates/crashes/src/fingerprint.rs
+++ b/crates/crashes/src/fingerprint.rs
@@ -21,7 +21,6 @@
     pub method: &'a str,
     /// Host of the request; case is ignored.
     pub host: &'a str,
-    /// Path and query.
     pub target: &'a str,
     pub body: &'a [u8],
 }
@@ -36,7 +35,6 @@
 pub struct ParseFingerprintError;
 
 impl Fingerprint {
-    /// Computes the fingerprint of a request.
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let host = parts.host.to_ascii_lowercase();
         let mut digest = Sha256::new();
--- a/crates/crashes/src/gossip.rs
+++ b/crates/crashes/src/gossip.rs
@@ -12,8 +12,8 @@
 
 /// Number of messages that carry a change, so that two messages in a row may be lost.
 pub(crate) const SENDS_PER_CHANGE: u8 = 3;
-/// Changes of requests with less than two ended servers are dropped after this time, even if not sent often enough. After many
-/// servers end at once there are too many of them, and most retries have already happened.
+/// Changes of requests with fewer than two ended servers are dropped after this time, even if not sent often enough.
+/// After many servers end at once there are too many of them, and most retries have already happened.
 const MAX_UNSENT_AGE: Duration = Duration::from_secs(10);
 /// Refused and nearly refused records that each refresh resends, for nodes that have started or missed messages.
 const REFRESHED_RECORDS: usize = 2;
--- a/crates/crashes/src/ledger.rs
+++ b/crates/crashes/src/ledger.rs
@@ -40,7 +40,6 @@
     Refused,
 }
 
-/// Result of recording the end of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndOutcome {
     /// Number of servers that have ended while they ran the request.
@@ -49,7 +48,6 @@
     pub now_refused: bool,
 }
 
-/// Result of merging a record.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
     /// Whether the record contained new information.
@@ -68,7 +66,6 @@
     pub age: Duration,
 }
 
-/// The crash records of all requests.
 pub struct Ledger {
     pub(crate) node_id: u64,
     pub(crate) sequence: u64,
@@ -275,7 +272,6 @@
         servers
     }
 
-    /// Servers that ended while they ran a request.
     pub fn ended_under(&self, request: &Fingerprint) -> Vec<String> {
         let record = self.records.get(request);
         record.map(Record::servers).unwrap_or_default()
@@ -327,7 +323,6 @@
         self.unstored.insert(request);
     }
 
-    /// Removes expired records.
     pub fn sweep(&mut self, now: Instant) {
         self.records.retain(|_, record| {
             let age = now.saturating_duration_since(record.changed);
--- a/crates/crashes/src/messages.rs
+++ b/crates/crashes/src/messages.rs
@@ -15,10 +15,8 @@
     pub servers: Vec<String>,
 }
 
-/// Crash record of one request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CrashRecord {
-    /// Fingerprint of the request.
     #[prost(bytes = "vec", tag = "1")]
     pub fingerprint: Vec<u8>,
     /// Number of times the record was cleared. Ends from earlier epochs no longer count.
@@ -45,7 +43,6 @@
     /// Whether a run had produced output for a long time before its server ended.
     #[prost(bool, tag = "10")]
     pub ran_long: bool,
-    /// Active runs.
     #[prost(message, repeated, tag = "5")]
     pub runs: Vec<NodeRuns>,
 }
--- a/crates/crashes/src/record.rs
+++ b/crates/crashes/src/record.rs
@@ -35,7 +35,6 @@
 /// Limit on the nodes whose runs of one request are kept or sent; runs beyond [`MOST_ENDED`] make no difference.
 const MAX_REPORTING_NODES: usize = 8;
 
-/// Runs reported by another node.
 struct ReportedRuns {
     sequence: u64,
     servers: Vec<String>,
@@ -50,9 +49,7 @@
     pub(crate) brought_output: bool,
 }
 
-/// Crash record of one request.
 pub(crate) struct Record {
-    /// Number of times the record was cleared.
     pub(crate) epoch: u32,
     /// Servers that ended in this epoch, in the order in which this node learned of them.
     pub(crate) ended: Vec<ServerEnd>,
@@ -131,7 +128,6 @@
             && now.saturating_duration_since(self.changed) >= TRIAL_DELAY
     }
 
-    /// When the first end was observed.
     pub(crate) fn first_end(&self) -> Option<Instant> {
         self.ended.iter().map(|end| end.at).min()
     }
--- a/crates/crashes/src/server_failures.rs
+++ b/crates/crashes/src/server_failures.rs
@@ -14,7 +14,6 @@
 /// Limit on the recorded ends.
 const MAX_FAILURES: usize = 4_096;
 
-/// Recently ended servers.
 #[derive(Default)]
 pub(crate) struct ServerFailures {
     by_server: HashMap<String, Instant>,
@@ -36,7 +35,6 @@
         self.by_time.insert((at, server.to_owned()));
     }
 
-    /// When a server was observed to end.
     pub(crate) fn ended_at(&self, server: &str) -> Option<Instant> {
         self.by_server.get(server).copied()
     }
--- a/crates/crashes/src/table.rs
+++ b/crates/crashes/src/table.rs
@@ -51,7 +51,6 @@
         done
     }
 
-    /// Decides on the next run of a request.
     pub fn permit(&self, request: &Fingerprint) -> Permit {
         self.ledger.lock().permit(request, Instant::now())
     }
@@ -80,7 +79,6 @@
         self.ledger.lock().last_run_servers(but, Instant::now())
     }
 
-    /// Servers that ended while they ran a request.
     pub fn ended_under(&self, request: &Fingerprint) -> Vec<String> {
         self.ledger.lock().ended_under(request)
     }
@@ -129,7 +127,6 @@
         self.unstored.notify_one();
     }
 
-    /// Removes expired records.
     pub fn sweep(&self) {
         self.ledger.lock().sweep(Instant::now());
     }
--- a/crates/jobs/src/accept.rs
+++ b/crates/jobs/src/accept.rs
@@ -15,7 +15,6 @@
 
 /// Total time for the attempts of one submission.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Delay after an attempt that changed nothing.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Longest wait for the table to include another node's submission.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
@@ -36,7 +35,6 @@
     in_doubt: bool,
 }
 
-/// Outcome of one attempt.
 enum StepOutcome {
     Reply(JobReply),
     Retry,
--- a/crates/jobs/src/admission.rs
+++ b/crates/jobs/src/admission.rs
@@ -37,9 +37,7 @@
     pub returning: u32,
     /// Slots of the servers that accept items.
     pub slots: u32,
-    /// Online requests on these servers.
     pub online: u32,
-    /// Items on these servers.
     pub batch: u32,
     /// Free slots, summed over these servers.
     pub free: u32,
@@ -63,7 +61,6 @@
     }
 }
 
-/// Change of a service's admission state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionChange {
     /// Only urgent items are admitted from now on.
@@ -80,7 +77,6 @@
     batch_at_start: u32,
 }
 
-/// Admission state of one service.
 #[derive(Debug, Clone, Default)]
 pub struct BatchAdmission {
     closed_since: Option<Instant>,
--- a/crates/jobs/src/api.rs
+++ b/crates/jobs/src/api.rs
@@ -16,7 +16,6 @@
 use crate::table::{CachedJob, JobTable};
 use crate::{accept, end, read};
 
-/// Handler of job requests.
 pub struct NodeJobs {
     pub(crate) node: Arc<Node>,
     pub(crate) table: Arc<JobTable>,
@@ -24,7 +23,6 @@
 }
 
 impl NodeJobs {
-    /// Creates a handler that uses a store client of this thread.
     pub fn new(node: Arc<Node>, table: Arc<JobTable>, store: Rc<dyn RowStore>) -> Self {
         Self { node, table, store }
     }
--- a/crates/jobs/src/end.rs
+++ b/crates/jobs/src/end.rs
@@ -14,7 +14,6 @@
 
 /// Total time for the attempts of one request.
 const END_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Delay before a retry after a store error.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 pub(crate) async fn end(service: &NodeJobs, caller: &Caller, job: &str) -> JobReply {
--- a/crates/jobs/src/garbage_collection.rs
+++ b/crates/jobs/src/garbage_collection.rs
@@ -11,15 +11,12 @@
 };
 use crate::runner::Runner;
 
-/// Interval between two collections.
 const GC_INTERVAL: Duration = Duration::from_secs(10);
 /// Added to the retention period of results.
 const RETENTION_MARGIN_MS: u64 = 60_000;
-/// Rows deleted by one transaction.
 const GC_BATCH_ROWS: usize = 90;
 
 impl Runner {
-    /// Deletes the rows of closed jobs whose retention period has passed.
     pub(crate) fn collect_garbage(self: &Rc<Self>) {
         if self.last_gc.get().elapsed() < GC_INTERVAL {
             return;
--- a/crates/jobs/src/keys.rs
+++ b/crates/jobs/src/keys.rs
@@ -14,7 +14,6 @@
 /// One row per route and tenant, which serializes submissions close to the quota.
 pub const QUOTAS_TABLE: &str = "quotas";
 
-/// All tables of this crate.
 pub const JOB_TABLES: [&str; 5] = [
     JOBS_TABLE,
     ITEMS_TABLE,
@@ -26,7 +25,6 @@
 /// Tables that hold request bodies.
 pub const BODY_TABLES: [&str; 1] = [ITEMS_TABLE];
 
-/// Number of partitions of the job tables.
 const PARTITIONS: u64 = 4;
 /// Size limit of a row's value in bytes, before the store encodes it.
 pub const CHUNK_BYTES: usize = 48_000;
@@ -36,7 +34,6 @@
     (xxh3_64(job.as_bytes()) % PARTITIONS).to_string()
 }
 
-/// Key of a job's row.
 pub fn job_key(job: &str) -> RowKey {
     RowKey::new(JOBS_TABLE, partition(job), job)
 }
@@ -50,12 +47,10 @@
     RowKey::new(QUOTAS_TABLE, "quota", key)
 }
 
-/// Key of one chunk of a job's items.
 pub fn items_key(job: &str, chunk: usize) -> RowKey {
     RowKey::new(ITEMS_TABLE, partition(job), format!("{job}/{chunk:05}"))
 }
 
-/// Key of one chunk of a result.
 pub fn result_key(job: &str, position: u64, chunk: usize) -> RowKey {
     let key = format!("{job}/{position:06}/{chunk:04}");
     RowKey::new(RESULTS_TABLE, partition(job), key)
--- a/crates/jobs/src/messages.rs
+++ b/crates/jobs/src/messages.rs
@@ -5,7 +5,6 @@
 use dappleyard_tenants::Caller;
 use prost::{Enumeration, Message};
 
-/// Lifecycle state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum JobState {
@@ -17,7 +16,6 @@
     Done = 2,
 }
 
-/// Value of a job's row.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct JobRow {
     /// Name of the route.
@@ -97,7 +95,6 @@
     }
 }
 
-/// One HTTP header of an item.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredHeader {
     #[prost(string, tag = "1")]
@@ -149,13 +146,11 @@
 /// One result; encoded and split into chunks for the store.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredResult {
-    /// Identifier of the item.
     #[prost(string, tag = "1")]
     pub item: String,
     /// Whether the item was completed; otherwise it was abandoned.
     #[prost(bool, tag = "2")]
     pub completed: bool,
-    /// Output text.
     #[prost(string, tag = "3")]
     pub text: String,
 }
@@ -179,7 +174,6 @@
     /// Epoch of the job in which the segment was written.
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
-    /// Number of events in the segment.
     #[prost(uint64, tag = "6")]
     pub events: u64,
     /// Whether the next segment continues this one; without it the text ends inside an event.
--- a/crates/jobs/src/owned.rs
+++ b/crates/jobs/src/owned.rs
@@ -16,13 +16,10 @@
 use crate::runner::Runner;
 use dappleyard_clock::Instant;
 
-/// Limit on the result bytes in one commit.
 const MAX_COMMIT_BYTES: usize = 500_000;
-/// Limit on the result rows in one commit.
 const MAX_COMMIT_ROWS: usize = 80;
 /// Initial delay before a commit is retried.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest delay before a commit is retried.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 /// Interval between saves of unfinished output: at most this much work is lost when a node is killed.
 const SAVE_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -37,7 +34,6 @@
     Finished,
 }
 
-/// Execution state of one item.
 pub(crate) struct Item {
     pub stored: StoredItem,
     pub fingerprint: Fingerprint,
@@ -58,7 +54,6 @@
     pub pauses_before_response: u32,
 }
 
-/// A run in progress.
 pub(crate) struct ActiveRun {
     pub server: String,
     handle: tokio::task::AbortHandle,
@@ -117,7 +112,6 @@
     }
 }
 
-/// Mutable state of an owned job.
 pub(crate) struct OwnedState {
     pub row: JobRow,
     pub revision: u64,
--- a/crates/jobs/src/ownership.rs
+++ b/crates/jobs/src/ownership.rs
@@ -127,7 +127,8 @@
                     runner.table.put(&name, row, committed.revision);
                 }
                 Err(StoreError::Conflict { rows }) => {
-                    // Another node was first. Updating the table at once avoids further attempts until the change feed catches up.
+                    // Another node was first. Updating the table at once avoids further attempts until the change
+                    // feed catches up.
                     runner.table.put_from_conflict(&name, &rows);
                     runner.suspected.borrow_mut().remove(&name);
                 }
--- a/crates/jobs/src/partials.rs
+++ b/crates/jobs/src/partials.rs
@@ -18,7 +18,6 @@
 
 /// Row limit of one transaction, results and segments together.
 const MAX_TRANSACTION_ROWS: usize = 90;
-/// Limit on the segment bytes in one transaction.
 const MAX_SEGMENT_BYTES: usize = 400_000;
 /// Limit on the value bytes in one transaction. The store accepts 1 MB after base64 encoding, which adds a third.
 const MAX_TRANSACTION_BYTES: usize = 700_000;
@@ -26,19 +25,14 @@
 const RESERVED_JOB_ROW_BYTES: usize = 4_000;
 /// Bytes reserved in a segment's row for fields other than the text.
 const RESERVED_FIELD_BYTES: usize = 100;
-/// Rows per read request.
 const PAGE_ROWS: usize = 400;
 
 /// The part of an item's output that is saved in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SavedOutput {
-    /// Length of the text in bytes.
     pub bytes: usize,
-    /// Number of events.
     pub events: u64,
-    /// Identifier of the last event.
     pub last_event: Option<u64>,
-    /// Number of segments.
     pub segments: usize,
 }
 
@@ -55,7 +49,6 @@
     pub text: String,
     /// Failed responses so far.
     pub failures: u32,
-    /// Extent of the restored output.
     pub saved: SavedOutput,
 }
 
--- a/crates/jobs/src/placement.rs
+++ b/crates/jobs/src/placement.rs
@@ -24,7 +24,6 @@
     pub zone: &'a str,
     /// Concurrent requests that it supports.
     pub slots: u32,
-    /// Load from all nodes.
     pub load: LoadSummary,
 }
 
--- a/crates/jobs/src/preempt.rs
+++ b/crates/jobs/src/preempt.rs
@@ -17,7 +17,6 @@
 /// loads are up to date.
 const RESUME_DELAY: Duration = Duration::from_millis(80);
 
-/// A running item that may be preempted.
 struct RunningItem {
     job: Rc<OwnedJob>,
     index: usize,
--- a/crates/jobs/src/read.rs
+++ b/crates/jobs/src/read.rs
@@ -14,13 +14,11 @@
 use crate::messages::{ItemsBlob, JobState, StoredItem, StoredResult};
 use dappleyard_clock::Instant;
 
-/// Rows per read request.
 const PAGE_ROWS: usize = 400;
 /// Limit on the text bytes in one page of results.
 const MAX_PAGE_BYTES: usize = 900_000;
 /// Attempts of a read that the store does not answer.
 const MAX_READ_ATTEMPTS: usize = 3;
-/// Delay between two attempts.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest time for which a request waits for new results.
 const MAX_WAIT_MS: u64 = 1_000;
@@ -139,7 +137,6 @@
         .collect()
 }
 
-/// Reads all items of a job.
 pub(crate) async fn read_items(
     store: &dyn RowStore,
     job: &str,
--- a/crates/jobs/src/residency.rs
+++ b/crates/jobs/src/residency.rs
@@ -16,7 +16,6 @@
         Homes::of(route, tenant.map(AsRef::as_ref))
     }
 
-    /// Regions to which a job is restricted.
     pub(crate) fn job_homes(&self, row: &JobRow) -> Homes {
         let configuration = self.node.view.configuration();
         let configuration = configuration.as_deref();
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -45,17 +45,14 @@
 }
 
 enum RunOutcome {
-    /// The output is complete.
     Completed,
     /// The server rejected the item permanently.
     Unprocessable,
-    /// The server responded with this failure status.
     Failed(u16),
     /// The run was interrupted or could not be started.
     Interrupted(AttemptError),
 }
 
-/// Runs an item and records the outcome.
 pub(crate) async fn run_item(
     runner: Rc<Runner>,
     job: Rc<OwnedJob>,
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -31,7 +31,6 @@
 /// Interval between passes above which this node counts as stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Job runner of a node.
 pub struct Runner {
     pub(crate) node: Arc<Node>,
     pub(crate) table: Arc<JobTable>,
@@ -55,7 +54,6 @@
 }
 
 impl Runner {
-    /// Creates a runner that owns no job.
     pub fn new(
         node: Arc<Node>,
         table: Arc<JobTable>,
@@ -116,7 +114,6 @@
         tokio::time::sleep(remaining).await;
     }
 
-    /// Longest time until the next pass.
     fn tick(&self) -> Duration {
         let idle = self.owned.borrow().is_empty() && self.suspected.borrow().is_empty();
         match idle && self.in_transition.borrow().is_empty() {
--- a/crates/jobs/src/scheduling.rs
+++ b/crates/jobs/src/scheduling.rs
@@ -77,7 +77,8 @@
                 allowance.refresh(&loads.waiting, capacity, rand::random());
                 capacity
             });
-            // An item whose allowed regions have no free server neither uses up the allowance nor marks the service as full.
+            // An item whose allowed regions have no free server neither uses up the allowance nor marks the service
+            // as full.
             if candidate.homes.bind() && self.pick(service, &candidate).is_none() {
                 continue;
             }
@@ -269,7 +270,6 @@
     }
 }
 
-/// Counts this node's urgent items by service.
 fn urgent_by_service(candidates: &[Candidate]) -> HashMap<String, u32> {
     let mut urgent: HashMap<String, u32> = HashMap::new();
     for candidate in candidates.iter().filter(|candidate| candidate.urgent) {
--- a/crates/jobs/src/service_state.rs
+++ b/crates/jobs/src/service_state.rs
@@ -12,7 +12,6 @@
 use crate::placement::accepts_items;
 use crate::runner::Runner;
 
-/// State of one service as of the last pass.
 #[derive(Default)]
 pub(crate) struct ServiceState {
     pub(crate) load: ServiceLoad,
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -19,7 +19,6 @@
 /// Shortest interval between polls for changes, since job rows change with each commit of results.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A cached job row.
 #[derive(Debug, Clone)]
 pub struct CachedJob {
     pub row: Arc<JobRow>,
@@ -36,7 +35,6 @@
     stashed_items: HashMap<String, Vec<StoredItem>>,
 }
 
-/// Cache of all job rows.
 #[derive(Default)]
 pub struct JobTable {
     state: Mutex<State>,
--- a/crates/jobs/tests/admission.rs
+++ b/crates/jobs/tests/admission.rs
@@ -6,7 +6,6 @@
 use dappleyard_jobs::{AdmissionChange, BatchAdmission, ServiceLoad, apportion, is_urgent};
 use googletest::prelude::*;
 
-/// Run time of an item.
 const ITEM: Duration = Duration::from_secs(4);
 const PASS_INTERVAL: Duration = Duration::from_millis(50);
 const SLOTS: u32 = 100;
--- a/crates/tenants/src/account.rs
+++ b/crates/tenants/src/account.rs
@@ -31,7 +31,6 @@
 /// Refill rate and depth of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refill {
-    /// Requests per second.
     pub per_s: f64,
     /// Largest burst of requests.
     pub depth: f64,
@@ -106,7 +105,6 @@
     }
 }
 
-/// A token bucket.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     refill: Refill,
@@ -132,7 +130,6 @@
         self.add(seconds * self.refill.per_s);
     }
 
-    /// Time until there is credit for one request.
     fn until_credit(&self) -> Duration {
         let missing = (1.0 - self.level).max(0.0);
         Duration::try_from_secs_f64(missing / self.refill.per_s)
@@ -205,8 +202,8 @@
         self.withheld = held.withheld_s * per_s;
     }
 
-    /// Changes the parameters of the bucket and keeps the level, up to the new depth. Credit that was withheld from this
-    /// side during a partition stays unspent if the rest of the fleet turns out to be gone.
+    /// Changes the parameters of the bucket and keeps the level, up to the new depth. Credit that was withheld from
+    /// this side during a partition stays unspent if the rest of the fleet turns out to be gone.
     pub(crate) fn set_refill(&mut self, refill: Refill, random_point: f64) {
         let level = self.level().min(round_fraction(refill.depth, random_point));
         self.fleet = Bucket::new(refill, level);
@@ -257,7 +254,6 @@
         self.fleet.level.min(part)
     }
 
-    /// Credit that may be spent now.
     pub(crate) fn spendable(&self) -> f64 {
         self.level().min(self.fleet.level - self.withheld)
     }
--- a/crates/tenants/src/counts.rs
+++ b/crates/tenants/src/counts.rs
@@ -26,7 +26,6 @@
     }
 }
 
-/// Counts last reported by another node.
 #[derive(Debug, Default)]
 pub(crate) struct NodeCounts {
     life: u64,
--- a/crates/tenants/src/identity.rs
+++ b/crates/tenants/src/identity.rs
@@ -6,7 +6,6 @@
 use dappleyard_model::{Bounds, Configuration, KeyDigest, Tenant, TenantStamp};
 use derive_more::{Display, Error};
 
-/// Caller of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Caller {
     /// The configuration defines no tenants.
@@ -43,7 +42,6 @@
 /// Reason for which a key is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum KeyRefusal {
-    /// No tenant holds the key.
     #[display("no tenant holds the key")]
     Unknown,
     /// The configuration is too old to decide: a newer one may have added or revoked the key.
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -44,7 +44,6 @@
     started_at: Instant,
     /// When this node started to aggregate; `None` while it receives levels.
     aggregating_since: Option<Instant>,
-    /// When a delegate last reported levels.
     levels_at: Option<Instant>,
     share: f64,
     growth_tracker: GrowthTracker,
@@ -70,7 +69,6 @@
         }
     }
 
-    /// Applies the limits of a configuration.
     pub fn set_limits(&mut self, tenants: Option<&Tenants>, now: Instant) {
         let limited = tenants.into_iter().flat_map(Tenants::iter);
         self.limits = limited
@@ -139,10 +137,10 @@
         self.reports.own_zone_fraction(now)
     }
 
-    /// Fractions of the rate at which the fleet's credit grows: for all that are heard, and for those that are not late.
-    /// A node that receives levels waits for the next report, since others spend the same credit. An aggregating node
-    /// uses the fraction of the fleet that has reported recently: during a partition, all sides together must not admit
-    /// more than before, and the share reflects silence only after seconds.
+    /// Fractions of the rate at which the fleet's credit grows: for all that are heard, and for those that are not
+    /// late. A node that receives levels waits for the next report, since others spend the same credit. An
+    /// aggregating node uses the fraction of the fleet that has reported recently: during a partition, all sides
+    /// together must not admit more than before, and the share reflects silence only after seconds.
     fn growth_fractions(&self, now: Instant) -> (f64, f64) {
         match self.aggregating_since {
             Some(_) => (
@@ -271,8 +269,8 @@
         }
     }
 
-    /// Counts of all nodes of this zone, for the delegates of other zones: for tenants with low credit, or with `all` for
-    /// every tenant.
+    /// Counts of all nodes of this zone, for the delegates of other zones: for tenants with low credit, or with `all`
+    /// for every tenant.
     pub fn zone_passed(&mut self, all: bool, now: Instant) -> Vec<PassedCount> {
         let aggregating = self
             .aggregating_since
--- a/crates/tenants/tests/distance.rs
+++ b/crates/tenants/tests/distance.rs
@@ -16,7 +16,6 @@
 const QUOTA_PER_S: f64 = 100.0;
 /// Message delay between two regions.
 const REGION_DELAY: Duration = Duration::from_millis(20);
-/// Another zone and its delegate.
 const ZONE: u64 = 7;
 const DELEGATE: (u64, u64) = (8, 1);
 
--- a/crates/tenants/tests/fleet.rs
+++ b/crates/tenants/tests/fleet.rs
@@ -9,7 +9,6 @@
 
 const NODES: usize = 61;
 const ZONES: usize = 3;
-/// Simulation runs per test.
 const SEEDS: u64 = 8;
 
 fn limit(per_s: f64) -> RateLimit {
--- a/crates/tenants/tests/schedules.rs
+++ b/crates/tenants/tests/schedules.rs
@@ -13,7 +13,6 @@
 const SCHEDULES: u64 = 40;
 /// Time after which tenants at five times their quota have used up their burst.
 const BURST_USED_MS: u64 = 6_000;
-/// Faults per schedule.
 const FAULTS: usize = 8;
 /// Length of the quota window, after which the effects of the last fault have passed.
 const SPAN_MS: u64 = 5_000;
--- a/crates/tenants/tests/support/mod.rs
+++ b/crates/tenants/tests/support/mod.rs
@@ -15,7 +15,6 @@
     over: 0.1,
     slack: 20.0,
 };
-/// Length of a simulation step.
 const STEP_MS: u64 = 5;
 /// Delay of a message until it takes effect, including scheduling delays on a slow machine.
 const DELIVERY_DELAY_MS: std::ops::Range<u64> = 1..25;
@@ -43,7 +42,6 @@
     pub sends_per_s: f64,
 }
 
-/// Results for one tenant.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     pub asked: u64,
