--- a/crates/batch/src/input/check.rs
+++ b/crates/batch/src/input/check.rs
@@ -1,7 +1,7 @@
-//! Checking of a whole input file, and cutting of it into chunks.
+//! Validation of an input file and its division into chunks.
 //!
-//! The file is read once, line by line. Held at the same time are one line, a hash of each item's
-//! name and the places of small groups of items, about 20 bytes an item.
+//! The file is streamed once. Memory holds one line, a hash of each `custom_id` and the byte ranges
+//! of small groups of items: about 20 bytes per item.
 
 use std::collections::HashSet;
 
@@ -14,54 +14,54 @@
 use super::lines::{Line, LineReader};
 use super::parts::PartIndex;
 
-/// Errors reported for one job.
+/// Maximum number of errors reported for a job.
 const MAXIMUM_ERRORS: usize = 20;
 
-/// What an input file must keep to, and how it is cut.
+/// Limits on an input file, and the sizing of its chunks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bounds {
-    /// Endpoint of all items.
+    /// Endpoint that every item must name.
     pub endpoint: String,
-    /// Longest line, bytes.
+    /// Maximum length of a line, bytes.
     pub line_bytes: usize,
-    /// Most items.
+    /// Maximum number of items.
     pub items: u32,
-    /// Most bytes of a chunk that has more than one item.
+    /// Maximum size of a chunk, bytes; a chunk of one item may be larger.
     pub chunk_bytes: u64,
-    /// Sizing of chunks; `items` is filled in once it is known.
+    /// Chunk sizing; its `items` is replaced by the number of items not yet in a chunk.
     pub chunks: ChunkSizing,
 }
 
-/// Place of a chunk in the input.
+/// Range of the input that makes up a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span {
-    /// First byte.
+    /// Offset of the first byte.
     pub start: u64,
-    /// Byte after the last.
+    /// Offset after the last byte.
     pub end: u64,
-    /// First item.
+    /// Index of the first item.
     pub first_item: u32,
-    /// Items.
+    /// Number of items.
     pub items: u32,
 }
 
-/// What the reading of an input gave.
+/// Result of validating an input file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Checked {
-    /// What is wrong, by line and field; the first few problems.
+    /// The first errors, at most [`MAXIMUM_ERRORS`].
     pub errors: Vec<JobError>,
-    /// Items.
+    /// Number of items.
     pub items: u32,
-    /// The one service that all items name.
+    /// Service that all items name.
     pub service: String,
-    /// Chunks, in order; of no use when there are errors.
+    /// Chunks in input order; meaningless if there are errors.
     pub chunks: Vec<Span>,
 }
 
-/// Reads and checks a whole input.
+/// Validates an input file and divides it into chunks.
 ///
 /// # Errors
-/// Only those of the store: what is wrong with the input stands in the result.
+/// Store errors only; errors in the input are part of the result.
 pub async fn check(
     objects: &dyn ObjectStore,
     parts: &PartIndex,
@@ -77,7 +77,7 @@
     Ok(checker.end())
 }
 
-/// State of a check.
+/// State of a validation.
 struct Checker<'a> {
     bounds: &'a Bounds,
     checked: Checked,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes a line; `false` when no more need be read.
+    /// Checks the next line. Returns `false` when reading should stop.
     fn take(&mut self, line: &Line) -> bool {
         if self.checked.items == self.bounds.items {
             let message = format!("a job has at most {} items", self.bounds.items);
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Adds a good line to the last small group, or begins a new one.
+    /// Appends a valid line to the last group, or starts a new group.
     fn add(&mut self, line: &Line) {
         let most = self
             .bounds
@@ -169,7 +169,7 @@
     }
 }
 
-/// Merges neighbouring groups into chunks, each sized by what is left of the job.
+/// Merges adjacent groups into chunks, each sized by the number of remaining items.
 fn merge(groups: &[Span], items: u32, bounds: &Bounds) -> Vec<Span> {
     let mut spans: Vec<Span> = Vec::new();
     let mut size = 0;
--- a/crates/batch/src/input/item.rs
+++ b/crates/batch/src/input/item.rs
@@ -1,46 +1,43 @@
-//! One line of an input file: OpenAI's batch request, checked field by field.
+//! Parsing and validation of one line of an input file, in OpenAI's batch request format.
 
 use dappleyard_wire::hash::hash_bytes;
 use dappleyard_wire::prompt;
 use serde::Deserialize;
 
-/// Output tokens of an item that names no limit.
+/// Token limit of an item that sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Endpoint of chat items.
 pub const CHAT_ENDPOINT: &str = "/v1/chat/completions";
-/// Endpoint of completion items.
 pub const COMPLETIONS_ENDPOINT: &str = "/v1/completions";
 
 /// One item of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Caller's name of the item.
+    /// Client's id of the item, unique in the job.
     pub custom_id: String,
     /// Model service.
     pub service: String,
-    /// Adapter; empty for none.
+    /// Adapter; empty if none.
     pub adapter: String,
-    /// Canonical prompt.
+    /// Prompt in canonical form.
     pub prompt: String,
     /// Length of the prompt, tokens.
     pub prompt_tokens: u32,
-    /// Hash of the head that items of a job share.
+    /// Hash of the prompt prefix that other items may share.
     pub prefix_hash: u64,
-    /// Length of that head, tokens.
+    /// Length of the shared prefix, tokens.
     pub prefix_tokens: u32,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Whether the answer has the shape of a chat completion.
+    /// Whether the response is a chat completion.
     pub chat: bool,
 }
 
-/// What is wrong with a line.
+/// Error in an input line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LineError {
-    /// Field, as a path; empty for the line as a whole.
+    /// Path of the invalid field; empty for the line as a whole.
     pub field: &'static str,
-    /// What is wrong with it.
     pub message: String,
 }
 
@@ -97,10 +94,10 @@
     }
 }
 
-/// Reads one line of a job for an endpoint.
+/// Parses one line of a job for `endpoint`.
 ///
 /// # Errors
-/// The first field that is wrong, and what is wrong with it.
+/// Returns the first invalid field.
 pub fn parse(line: &[u8], endpoint: &str) -> Result<Item, LineError> {
     let request: RequestLine = serde_json::from_slice(line)
         .map_err(|error| LineError::new("", format!("not a batch request: {error}")))?;
@@ -146,10 +143,10 @@
     })
 }
 
-/// Roles of messages at the head of a chat that items of a job share.
+/// Roles of leading messages that count as the shared prefix of a chat.
 const SHARED_ROLES: [&str; 2] = ["system", "developer"];
 
-/// The canonical prompt and its shared head: the messages of the system before all others.
+/// Returns the canonical prompt and its shared prefix: the leading system and developer messages.
 fn chat_prompt(messages: Option<Vec<ChatMessage>>) -> Result<(String, String), LineError> {
     let messages = messages.unwrap_or_default();
     if messages.is_empty() {
@@ -171,7 +168,7 @@
     ))
 }
 
-/// A model is named `service` or `service:adapter`.
+/// Splits a model name of the form `service` or `service:adapter`.
 fn split_model(model: &str) -> (String, String) {
     match model.split_once(':') {
         Some((service, adapter)) => (service.to_owned(), adapter.to_owned()),
--- a/crates/batch/src/input/lines.rs
+++ b/crates/batch/src/input/lines.rs
@@ -1,27 +1,27 @@
-//! Lines of an input file, read through a bounded buffer.
+//! Line reader over an input file with a bounded buffer.
 
 use bytes::{Buf, Bytes, BytesMut};
 use dappleyard_store::{ObjectStore, StoreError};
 
 use crate::input::parts::PartIndex;
 
-/// Bytes asked of the object store at once.
+/// Size of a read from the object store, bytes.
 const READ_BYTES: u64 = 256 * 1024;
 
-/// One line that is not blank.
+/// A non-blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// Number in the file, from 1; blank lines count.
+    /// 1-based line number, counting blank lines.
     pub number: u32,
     /// Offset of its first byte.
     pub start: u64,
-    /// Offset after its line feed.
+    /// Offset after the line feed.
     pub end: u64,
-    /// Content without the line feed; `None` when the line is longer than allowed.
+    /// Content without the line feed; `None` if the line exceeds the maximum length.
     pub content: Option<Bytes>,
 }
 
-/// Reads lines one after the other. Holds at most one read and one line of the file.
+/// Reads lines in order. Buffers at most one line and one read.
 pub struct LineReader<'a> {
     objects: &'a dyn ObjectStore,
     parts: &'a PartIndex,
@@ -30,12 +30,12 @@
     /// Offset of the first byte of `buffer`.
     offset: u64,
     line: u32,
-    /// The present line was found too long: its bytes are dropped up to its end.
+    /// Start of the current line if it is too long; its bytes are discarded.
     skipping_from: Option<u64>,
 }
 
 impl<'a> LineReader<'a> {
-    /// A reader from an offset at the start of a line on.
+    /// Creates a reader that starts at `offset`, which must be the start of a line.
     pub fn new(
         objects: &'a dyn ObjectStore,
         parts: &'a PartIndex,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The next line that is not blank; `None` at the end of the file.
+    /// Returns the next non-blank line; `None` at the end of the file.
     pub async fn next(&mut self) -> Result<Option<Line>, StoreError> {
         loop {
             if let Some(line) = self.take_line() {
--- a/crates/batch/src/input/mod.rs
+++ b/crates/batch/src/input/mod.rs
@@ -1,4 +1,4 @@
-//! Input files: parts in the object store, lines, and the items they describe.
+//! Input files: their parts in the object store, their lines and the items in them.
 
 pub mod check;
 pub mod item;
--- a/crates/batch/src/input/parts.rs
+++ b/crates/batch/src/input/parts.rs
@@ -1,24 +1,24 @@
-//! Parts of an uploaded file in the object store, and reads that span them.
+//! Parts of an uploaded file in the object store, and reads across them.
 
 use bytes::{Bytes, BytesMut};
 use dappleyard_store::{ObjectStore, StoreError};
 use dappleyard_wire::keys;
 
-/// Most names asked for in one listing.
+/// Maximum number of names in one listing.
 const LIST_LIMIT: usize = 1_000;
 
 /// One part of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
-    /// Name of the object.
+    /// Object name.
     pub object: String,
-    /// Offset of its first byte in the file.
+    /// Offset in the file.
     pub offset: u64,
     /// Size, bytes.
     pub size: u64,
 }
 
-/// The parts of one file, in order and without gaps.
+/// Contiguous parts of a file, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PartIndex {
     parts: Vec<Part>,
@@ -58,18 +58,17 @@
         }
     }
 
-    /// Bytes from the start of the file up to the first gap.
+    /// Total size of the contiguous parts, bytes.
     pub fn size(&self) -> u64 {
         self.parts.last().map_or(0, |part| part.offset + part.size)
     }
 
-    /// The parts.
     pub fn parts(&self) -> &[Part] {
         &self.parts
     }
 
-    /// Reads up to `limit` bytes from `offset`; fewer at the end of a part, none at the end of the
-    /// file.
+    /// Reads up to `limit` bytes at `offset`. A read stops at the end of a part; it is empty at the
+    /// end of the file.
     pub async fn read(
         &self,
         objects: &dyn ObjectStore,
@@ -86,12 +85,12 @@
         }
         let data = objects.read(&part.object, within, limit).await?;
         let data = data.ok_or_else(|| StoreError::Invalid {
-            reason: format!("part {} is gone", part.object),
+            reason: format!("input part {} is missing", part.object),
         })?;
         Ok(data.bytes)
     }
 
-    /// Reads a whole range.
+    /// Reads the range `start..end`.
     pub async fn read_range(
         &self,
         objects: &dyn ObjectStore,
@@ -104,7 +103,7 @@
             let bytes = self.read(objects, offset, end - offset).await?;
             if bytes.is_empty() {
                 return Err(StoreError::Invalid {
-                    reason: format!("the input ends at {offset}, before {end}"),
+                    reason: format!("input ends at byte {offset}, expected {end}"),
                 });
             }
             offset += bytes.len() as u64;
--- a/crates/batch/src/jobs/approval.rs
+++ b/crates/batch/src/jobs/approval.rs
@@ -1,4 +1,4 @@
-//! Plans and confirmation of jobs that no standing approval covers.
+//! Plans and confirmation of jobs that exceed their tenant's standing approval.
 
 use dappleyard_store::Transaction;
 use dappleyard_store::tables::Expect;
@@ -10,37 +10,36 @@
 use super::JobsApi;
 use crate::store::{self, Applied};
 
-/// What a job takes from whom.
+/// Effect of a job on another tenant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantEffect {
-    /// Tenant whose jobs wait longer.
+    /// Tenant whose jobs are delayed.
     pub tenant: String,
-    /// Its jobs that are active.
+    /// Number of its active jobs.
     pub active_jobs: u32,
-    /// Its share of batch work now and with the job, percent.
+    /// Its share of batch work without the job, percent.
     pub share_before_percent: u32,
-    /// Share with the job, percent.
+    /// Its share of batch work with the job, percent.
     pub share_after_percent: u32,
 }
 
-/// What confirming a job does.
+/// Expected effects of confirming a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobPlan {
-    /// Job.
     pub job_id: String,
-    /// Items of the job.
+    /// Number of items.
     pub items: u32,
-    /// Expected finish, seconds since 1970; 0 when unknown.
+    /// Expected completion time, Unix seconds; 0 if unknown.
     pub expected_unix_s: u64,
-    /// Deadline, seconds since 1970.
+    /// Deadline, Unix seconds.
     pub deadline_unix_s: u64,
-    /// Whether the deadline is at risk.
+    /// Whether the job is expected to miss its deadline.
     pub deadline_at_risk: bool,
-    /// Other tenants that get less.
+    /// Effects on other tenants; always empty at present.
     pub effects: Vec<TenantEffect>,
 }
 
-/// Rows of a planned job once it is approved: its split begins again.
+/// Rows written when a planned job is approved, so that it is split again.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ApprovedRows {
     /// Row `job/{tenant}/{job}`.
@@ -51,7 +50,7 @@
     pub active: ActiveJobRow,
 }
 
-/// The rows to be written, in one transaction, when a planned job is confirmed.
+/// Returns the rows to write, in one transaction, when a planned job is confirmed.
 pub fn approved_rows(planned: &JobRow) -> ApprovedRows {
     let mut row = planned.clone();
     let mut state = row.state.take().unwrap_or_default();
@@ -76,7 +75,7 @@
 }
 
 impl JobsApi {
-    /// The plan of a job that waits for confirmation.
+    /// Returns the plan of a job.
     pub async fn plan(&self, tenant: &str, job: &str) -> Result<JobPlan, Failure> {
         let state = self.state_of(tenant, job).await?;
         Ok(JobPlan {
@@ -89,7 +88,7 @@
         })
     }
 
-    /// Confirms a planned job; a job that runs already answers its state.
+    /// Confirms a planned job. A job in any other phase is left as it is and its state returned.
     pub async fn confirm(&self, tenant: &str, job: &str) -> Result<JobState, Failure> {
         let state = self.state_of(tenant, job).await?;
         if state.phase() != JobPhase::JobPlanned {
@@ -98,7 +97,7 @@
         self.start_planned(tenant, job).await
     }
 
-    /// Puts a planned job back to its split, now approved.
+    /// Marks a planned job as approved and queues it for splitting.
     async fn start_planned(&self, tenant: &str, job: &str) -> Result<JobState, Failure> {
         let read = self.job_row(tenant, job).await?;
         let ApprovedRows {
--- a/crates/batch/src/jobs/cancel.rs
+++ b/crates/batch/src/jobs/cancel.rs
@@ -1,4 +1,5 @@
-//! Cancelling a job: a compare-and-swap on its row, after which no chunk commit succeeds.
+//! Cancellation of jobs: a compare-and-swap on the job row, after which no chunk of the job can be
+//! committed.
 
 use dappleyard_store::Transaction;
 use dappleyard_store::tables::Expect;
@@ -9,7 +10,7 @@
 use super::{JobsApi, check_name};
 use crate::store::{self, Applied, Versioned};
 
-/// Attempts against concurrent writers of the job row.
+/// Attempts of the compare-and-swap while other writers change the job row.
 const CANCEL_ATTEMPTS: usize = 8;
 
 impl JobsApi {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Tells this node's runner and, by gossip, the others.
+    /// Informs this node's runner and, through gossip, the other nodes.
     fn announce(&self, job: &str) {
         self.tables.cancelled_jobs.lock().insert(job.to_owned());
     }
--- a/crates/batch/src/jobs/files.rs
+++ b/crates/batch/src/jobs/files.rs
@@ -1,5 +1,5 @@
-//! Uploaded files: parts go to the object store as they come; a row is written when the file is
-//! sealed.
+//! Uploaded files. Each part is written to the object store as it arrives; the file's row is written
+//! when the file is sealed.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -20,12 +20,12 @@
 
 /// Prefix of file ids.
 const FILE_PREFIX: &str = "file-";
-/// Bytes read at once when a file is hashed again.
+/// Size of a read when a file is hashed from its parts, bytes.
 const HASH_READ_BYTES: u64 = 1024 * 1024;
-/// Uploads whose running hash is kept.
+/// Maximum number of uploads whose incremental hash is kept; the oldest is dropped.
 const MAXIMUM_UPLOADS: usize = 64;
 
-/// Running hashes of files whose parts came to this worker in order.
+/// Incremental hashes of files whose parts arrive at this worker in order.
 #[derive(Default)]
 pub struct Uploads {
     open: RefCell<VecDeque<Upload>>,
@@ -66,7 +66,8 @@
     }
 }
 
-/// Object with the name and purpose of a file; its name is no offset, so it is no part.
+/// Object that holds the name and purpose of a file. Its name is not an offset, so [`PartIndex`]
+/// does not take it for a part.
 fn head_object(tenant: &str, file: &str) -> String {
     format!("{}/head", keys::file_object(tenant, file))
 }
@@ -105,7 +106,8 @@
         })
     }
 
-    /// Creates a part. A part that exists already with the same content came from an earlier attempt.
+    /// Creates an object. An existing object with the same content counts as success, since an
+    /// earlier attempt may have written it.
     async fn create_part(&self, name: &str, bytes: Bytes) -> Result<(), Failure> {
         let objects = &self.platform.objects;
         match objects.create(name, bytes.clone()).await {
@@ -160,7 +162,7 @@
         self.write_file_row(row).await
     }
 
-    /// What the caller said when it began the upload, perhaps to another node.
+    /// Reads the name and purpose given when the upload was created, possibly on another node.
     async fn read_head(&self, tenant: &str, file: &str) -> Result<FileCreate, Failure> {
         let name = head_object(tenant, file);
         let read = self.platform.objects.read(&name, 0, HASH_READ_BYTES).await;
@@ -183,7 +185,8 @@
         Ok(hash.digest())
     }
 
-    /// A file that is sealed already keeps its row: sealing again answers the same.
+    /// Writes the row of a sealed file. An existing row is kept and its state returned, so that
+    /// sealing is idempotent.
     async fn write_file_row(&self, row: FileRow) -> Result<FileState, Failure> {
         let state = row.state.clone().unwrap_or_default();
         let key = keys::file(&row.tenant, &state.file_id);
--- a/crates/batch/src/jobs/mod.rs
+++ b/crates/batch/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Calls about files and jobs, answered on the request path.
+//! Handlers of file and job calls, run on the request path.
 
 mod approval;
 mod cancel;
@@ -23,12 +23,12 @@
 
 use crate::store::{self, Versioned};
 
-/// Suffix of the id of a job's output file.
+/// Appended to a job id to form the id of its output file.
 pub const OUTPUT_SUFFIX: &str = "-output";
-/// Suffix of the id of a job's error file.
+/// Appended to a job id to form the id of its error file.
 pub const ERRORS_SUFFIX: &str = "-errors";
 
-/// Calls about files and jobs. One instance for each worker thread.
+/// Handler of file and job calls. Each worker thread has its own instance.
 pub struct JobsApi {
     tables: Arc<NodeTables>,
     platform: Platform,
@@ -38,7 +38,6 @@
 }
 
 impl JobsApi {
-    /// The interface of one worker thread.
     pub fn new(
         tables: Arc<NodeTables>,
         settings: BatchSettings,
@@ -53,11 +52,11 @@
         })
     }
 
-    /// Answers one call of the `file_*` and `job_*` methods.
+    /// Handles a call of one of the `file_*` and `job_*` methods.
     ///
     /// # Errors
-    /// The refusal to send. `ran` is `maybe` when a write's answer was lost and could not be resolved
-    /// within the call's time: the same call may be sent again.
+    /// The failure to return to the client. Its `ran` is `maybe` when it is unknown whether a write
+    /// took effect, or when the call's time budget ran out; the client may send the call again.
     pub async fn call(&self, call: Call) -> Result<Reply, Failure> {
         let budget = Duration::from_millis(u64::from(call.budget_ms));
         let answered = self.dispatch(call.method);
@@ -111,7 +110,8 @@
     )
 }
 
-/// A name that may stand in a key: not empty, no slash, no control character.
+/// Checks that a name can be part of a key: not empty, not too long, no slash and no control
+/// character.
 fn check_name(what: &str, name: &str) -> Result<(), Failure> {
     let fits = !name.is_empty()
         && name.len() <= MAXIMUM_NAME_BYTES
@@ -126,5 +126,5 @@
     }
 }
 
-/// Longest tenant, file or client key, bytes.
+/// Maximum length of a tenant, a file or job id, or a client key, bytes.
 const MAXIMUM_NAME_BYTES: usize = 256;
--- a/crates/batch/src/jobs/progress.rs
+++ b/crates/batch/src/jobs/progress.rs
@@ -1,7 +1,7 @@
-//! Progress of a job, counted from its chunk rows.
+//! Progress and completion of a job, computed from its chunk rows.
 //!
-//! No counter row is written by commits, so that they do not contend. Committed chunks never change:
-//! the count of those at the front of the job is remembered and only the rest is read again.
+//! Commits update no counter row, so that they do not contend. Committed chunks never change, so the
+//! count of the leading committed chunks is cached and only the later rows are read again.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,12 +14,12 @@
 
 use crate::store::{self, Applied, Versioned};
 
-/// Rows read at once.
+/// Chunk rows per read.
 const PAGE: usize = 256;
-/// Jobs whose count is remembered by each worker.
+/// Maximum number of jobs in the cache of a worker.
 const MAXIMUM_CACHED: usize = 256;
 
-/// Counts of a job's committed chunks.
+/// Counts over committed chunks of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Committed chunks.
@@ -37,8 +37,7 @@
         self.failed += row.failed;
     }
 
-    /// When the job should be finished if it goes on as fast as so far, seconds since 1970; 0 when
-    /// nothing is known yet.
+    /// Expected completion time at the average rate so far, Unix seconds; 0 before the first result.
     pub fn expected_unix_s(&self, state: &JobState, now_unix_s: u64) -> u64 {
         let done = u64::from(self.completed + self.failed);
         if done == 0 {
@@ -50,21 +49,21 @@
     }
 }
 
-/// Count of the committed chunks at the front of one job.
+/// Counts over the leading committed chunks of a job.
 #[derive(Debug, Clone)]
 struct Front {
     job: String,
     progress: Progress,
 }
 
-/// Remembered counts.
+/// Cache of the counts over the leading committed chunks.
 #[derive(Default)]
 pub struct ProgressCache {
     fronts: RefCell<VecDeque<Front>>,
 }
 
 impl ProgressCache {
-    /// Counts the committed chunks of a job.
+    /// Counts all committed chunks of a job.
     pub async fn count(&self, platform: &Platform, row: &JobRow) -> Result<Progress, StoreError> {
         let job = row.state.as_ref().map_or("", |state| &state.job_id);
         let (front, whole) = count(platform, job, self.front(job)).await?;
@@ -93,7 +92,8 @@
     }
 }
 
-/// Counts from a known front on; returns the new front and the whole count.
+/// Counts the committed chunks after the leading ones that `front` covers. Returns the counts over
+/// the leading committed chunks and over all committed chunks.
 async fn count(
     platform: &Platform,
     job: &str,
@@ -127,8 +127,8 @@
     }
 }
 
-/// The first chunk from `front` on that is not done; `None` when all are. `front` is the count of
-/// those known to be done and is moved on. A chunk row that is missing counts as done by nobody.
+/// Finds the first uncommitted chunk after the leading ones that `front` covers, and advances
+/// `front` to it. Returns `None` if all chunks are committed. A missing row counts as uncommitted.
 async fn first_undone(
     platform: &Platform,
     job: &JobRow,
@@ -159,27 +159,27 @@
     Ok(None)
 }
 
-/// What stands in the way of a job's end.
+/// First uncommitted chunk of a job.
 #[derive(Debug, Clone, PartialEq)]
 enum Undone {
     Chunk(Versioned<ChunkRow>),
     Missing,
 }
 
-/// What was found when the end of a job was looked for.
+/// Result of [`finish_when_done`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum End {
-    /// The job is finished, now or before.
+    /// The job has ended or does not exist.
     Finished,
-    /// It goes on; the first chunk that is not committed, when there is one.
+    /// The job has not ended; holds the first uncommitted chunk if it was read.
     Running(Option<Versioned<ChunkRow>>),
 }
 
-/// Rows read at once when a job's end is looked for.
+/// Chunk rows per read in [`first_undone`].
 const FINISH_PAGE: usize = 32;
 
-/// Completes a job whose chunks are all committed. `front` is what the caller knows to be committed
-/// at the front of the job; it is moved on.
+/// Completes a job if all its chunks are committed. `front` covers leading committed chunks that the
+/// caller knows of; it is advanced.
 pub async fn finish_when_done(
     platform: &Platform,
     tenant: &str,
--- a/crates/batch/src/jobs/read.rs
+++ b/crates/batch/src/jobs/read.rs
@@ -1,4 +1,4 @@
-//! State and listing of jobs.
+//! Reading and listing of jobs.
 
 use dappleyard_wire::messages::{JobGet, JobList, JobPage, JobPhase, JobRow, JobState};
 use dappleyard_wire::{Failure, keys};
@@ -6,9 +6,9 @@
 use super::{JobsApi, check_name};
 use crate::store;
 
-/// Most jobs of one page.
+/// Maximum page size, jobs.
 const MAXIMUM_PAGE: u32 = 100;
-/// Jobs of a page when the caller names no limit.
+/// Page size if the call sets no limit, jobs.
 const DEFAULT_PAGE: u32 = 20;
 
 impl JobsApi {
@@ -18,7 +18,7 @@
         self.state_of(&call.tenant, &call.job_id).await
     }
 
-    /// The state of a job with its progress.
+    /// Returns the state of a job, with its current progress.
     pub(super) async fn state_of(&self, tenant: &str, job: &str) -> Result<JobState, Failure> {
         let read = self.job_row(tenant, job).await?;
         self.with_progress(read.row).await
@@ -42,7 +42,7 @@
         Ok(state)
     }
 
-    /// Jobs of a tenant, oldest first, after a job id.
+    /// Lists the jobs of a tenant after a job id, oldest first.
     pub(super) async fn list(&self, call: JobList) -> Result<JobPage, Failure> {
         check_name("the tenant", &call.tenant)?;
         let limit = match call.limit {
--- a/crates/batch/src/jobs/results.rs
+++ b/crates/batch/src/jobs/results.rs
@@ -1,4 +1,4 @@
-//! Output and error files of a job: its committed chunk objects in order.
+//! Output and error files of a job, read from the result objects of its committed chunks in order.
 
 use dappleyard_wire::messages::{
     ChunkPhase, ChunkRow, FileData, FileRead, FileStat, FileState, JobPhase, JobRow,
@@ -8,21 +8,22 @@
 use super::{ERRORS_SUFFIX, JobsApi, OUTPUT_SUFFIX, check_name};
 use crate::store;
 
-/// Chunk rows read at once.
+/// Chunk rows per read.
 const PAGE: usize = 256;
 
-/// Which lines of the chunks a file holds.
+/// Kind of a result file. A result object holds the output lines first, then the error lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Half {
     Output,
     Errors,
 }
 
-/// Place of a part of a result file.
+/// Section of a result object that belongs to a result file.
 struct Segment {
     object: String,
-    /// Offset of the segment in its object and length, bytes.
+    /// Offset in the object, bytes.
     within: u64,
+    /// Length, bytes.
     length: u64,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl JobsApi {
-    /// State of a result file; `None` when the id does not name one.
+    /// Returns the state of a result file; `None` if the id is not that of a result file.
     pub(super) async fn stat_result(&self, call: &FileStat) -> Result<Option<FileState>, Failure> {
         let Some((job, half)) = parse(&call.file_id) else {
             return Ok(None);
@@ -70,8 +71,8 @@
         }))
     }
 
-    /// Reads from a result file; `None` when the id does not name one. While the job runs, the file
-    /// ends before the first chunk that is not committed, so that offsets never change.
+    /// Reads from a result file; `None` if the id is not that of a result file. Until the job has
+    /// ended, the file stops before the first uncommitted chunk, so that offsets stay valid.
     pub(super) async fn read_result(&self, call: &FileRead) -> Result<Option<FileData>, Failure> {
         let Some((job, half)) = parse(&call.file_id) else {
             return Ok(None);
@@ -133,7 +134,7 @@
         Ok(self.job_row(tenant, job).await?.row)
     }
 
-    /// Visits the committed chunks at the front of a job in order until the visitor returns `false`.
+    /// Visits the leading committed chunks of a job in order until `visit` returns `false`.
     async fn walk(
         &self,
         job: &str,
--- a/crates/batch/src/jobs/submit.rs
+++ b/crates/batch/src/jobs/submit.rs
@@ -1,4 +1,4 @@
-//! Acceptance of jobs: one transaction creates the job and binds the client's key to it.
+//! Submission of jobs: one transaction creates the job and binds the client's idempotency key to it.
 
 use dappleyard_store::Transaction;
 use dappleyard_store::tables::Expect;
@@ -13,9 +13,8 @@
 use crate::input::item::{CHAT_ENDPOINT, COMPLETIONS_ENDPOINT};
 use crate::store::{self, Applied};
 
-/// Prefix of job ids.
 const JOB_ID_PREFIX: &str = "batch_";
-/// Shortest completion window, seconds.
+/// Minimum completion window, seconds.
 const MINIMUM_WINDOW_S: u64 = 1;
 
 impl JobsApi {
@@ -62,7 +61,8 @@
         }
     }
 
-    /// Writes job, client key, split and feed rows together. The job is acknowledged only after that.
+    /// Writes the job, client key, split and active-job rows in one transaction. The job is
+    /// acknowledged only after that.
     async fn accept(&self, row: JobRow, fingerprint: u64) -> Result<JobState, Failure> {
         let state = row.state.clone().unwrap_or_default();
         let job = state.job_id.as_str().into();
@@ -95,7 +95,7 @@
                 .expect(key.as_str(), Expect::Absent)
                 .put(key, bound.encode_to_vec());
         }
-        // The job's id is new: a row under it can only come from this transaction.
+        // The job id is new, so only this transaction can have written a row under it.
         let applied = store::apply(&*self.platform.tables, &transaction, &job_key, |_| true).await;
         match applied.map_err(|error| store::failure(&error))? {
             Applied::Yes { .. } => Ok(state),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Another submission with the same key was faster: its job is the answer.
+    /// Returns the job of a concurrent submission with the same client key.
     async fn job_after_race(&self, row: &JobRow, fingerprint: u64) -> Result<JobState, Failure> {
         let state = row.state.clone().unwrap_or_default();
         let call = JobSubmit {
@@ -156,8 +156,8 @@
     Ok(())
 }
 
-/// Fingerprint of what a job asks for. It rests on the content of the input file, not on its id, so
-/// that a client that uploads the same file again and resends the job gets the same job.
+/// Fingerprint of a submission. It covers the content of the input file instead of its id, so that a
+/// client that uploads the same file again and resends the job gets the same job.
 fn fingerprint(call: &JobSubmit, content_hash: u64, size: u64) -> u64 {
     let mut metadata: Vec<_> = call.metadata.iter().collect();
     metadata.sort();
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,11 +1,11 @@
-//! The batch path of a node: jobs, chunks and their runners.
+//! Batch processing on a node.
 //!
-//! [`JobsApi`] answers the calls about files and jobs on the request path. [`start`] runs, on the
-//! node's batch arbiter, what works on jobs: it splits accepted jobs into chunks, claims chunks for
-//! the servers that this node owns, runs their items beside online work, commits results, takes over
-//! chunks of nodes that are gone and stops the work of cancelled jobs.
+//! [`JobsApi`] handles file and job calls. [`start`] starts the batch runner on the node's batch
+//! arbiter: it splits accepted jobs into chunks, claims chunks for the servers that this node owns,
+//! runs their items alongside online requests, commits results, takes over chunks of failed nodes
+//! and stops the work of cancelled jobs.
 //!
-//! Authority over a chunk is the epoch in its row; see `dappleyard_decide::chunks`.
+//! Ownership of a chunk is fenced by the epoch in its row; see `dappleyard_decide::chunks`.
 
 pub mod input;
 pub mod jobs;
--- a/crates/batch/src/metrics.rs
+++ b/crates/batch/src/metrics.rs
@@ -5,28 +5,27 @@
 /// Metrics of one node's batch runner.
 #[derive(Clone)]
 pub struct Metrics {
-    /// Items by how they ended: `answered`, `failed`.
+    /// Finished items by outcome: `answered`, `failed`.
     pub items: IntCounterVec,
-    /// Chunks by what became of them: `claimed`, `committed`, `fenced`, `cancelled`, `handed_back`,
-    /// `taken_over`.
+    /// Chunk events: `claimed`, `committed`, `fenced`, `cancelled`, `handed_back`, `taken_over`.
     pub chunks: IntCounterVec,
-    /// Streams paused for online work.
+    /// Streams preempted by online requests.
     pub pauses: IntCounter,
-    /// Streams that went on from an offset.
+    /// Streams resumed from an offset.
     pub resumes: IntCounter,
-    /// Items started again from their first token after they had been started.
+    /// Items restarted from the first token.
     pub repeated: IntCounter,
-    /// Bytes of inputs and results held.
+    /// Estimated memory of the held chunks, bytes.
     pub held_bytes: IntGauge,
-    /// Items that wait on this node.
+    /// Items queued on this node.
     pub waiting: IntGauge,
-    /// Items that run on this node's servers.
+    /// Items running on this node's servers.
     pub running: IntGauge,
 }
 
 impl Metrics {
-    /// Registers the metrics. A registry that has them already keeps its own; these then count for
-    /// nobody.
+    /// Registers the metrics. If the registry already has metrics of these names, it keeps the
+    /// earlier ones and the new ones are not exported.
     pub fn register(registry: &Registry) -> Metrics {
         let metrics = Metrics {
             items: counters("items", "Batch items by how they ended.", "outcome"),
@@ -62,7 +61,6 @@
         metrics
     }
 
-    /// Counts a chunk event.
     pub fn chunk(&self, event: &str) {
         self.chunks.with_label_values(&[event]).inc();
     }
--- a/crates/batch/src/output.rs
+++ b/crates/batch/src/output.rs
@@ -5,32 +5,25 @@
 
 use crate::input::Item;
 
-/// A whole answer of an item.
+/// Complete model response to an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemAnswer {
-    /// Answer, one piece a token.
+    /// Text of each output token.
     pub pieces: Vec<String>,
-    /// "stop" or "length".
+    /// `stop` or `length`.
     pub reason: String,
-    /// Version of the model that answered.
+    /// Model version that produced the response.
     pub version: String,
 }
 
-/// How an item ended.
+/// Outcome of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemOutcome {
-    /// With an answer.
     Answered(ItemAnswer),
-    /// With an error.
-    Failed {
-        /// Kind of the error.
-        kind: ErrorKind,
-        /// What happened.
-        message: String,
-    },
+    Failed { kind: ErrorKind, message: String },
 }
 
-/// One line, with its line feed.
+/// Formats the result line of an item, including the line feed.
 pub fn line(item: &Item, request_id: &str, created_unix_s: u64, outcome: &ItemOutcome) -> Vec<u8> {
     let (response, error) = match outcome {
         ItemOutcome::Answered(answer) => (
--- a/crates/batch/src/runner/cache.rs
+++ b/crates/batch/src/runner/cache.rs
@@ -1,31 +1,31 @@
-//! What a server's prefix cache is taken to hold of sequences that ended there.
+//! Estimate of which ended sequences a server's prefix cache still holds.
 
 use std::collections::BTreeMap;
 
-/// Share of the room that batch sequences are taken to have of the cache, percent.
+/// Share of the free KV memory that is assumed to cache batch sequences, percent.
 const BATCH_PERCENT: u64 = 85;
 
-/// A place in the order in which sequences left their state behind; 0 is none.
+/// Identifies a cache entry; ids increase over time and 0 means none.
 pub type CacheMark = u64;
 
-/// Model of a cache that drops what was used least recently.
+/// Model of a cache with least-recently-used eviction.
 #[derive(Debug, Default)]
 pub struct CacheModel {
     last_mark: CacheMark,
-    /// Tokens by mark, oldest first.
+    /// Tokens by entry id, oldest first.
     entries: BTreeMap<CacheMark, u32>,
     tokens: u64,
     room: u64,
 }
 
 impl CacheModel {
-    /// Sets how many tokens of the server's memory no running sequence holds.
+    /// Sets the capacity from the KV memory, in tokens, that no running sequence holds.
     pub fn set_room(&mut self, tokens: u32) {
         self.room = u64::from(tokens) * BATCH_PERCENT / 100;
         self.drop_oldest();
     }
 
-    /// A sequence ended and left its state behind.
+    /// Adds the state of a sequence that ended.
     pub fn leave(&mut self, tokens: u32) -> CacheMark {
         self.last_mark += 1;
         self.entries.insert(self.last_mark, tokens);
@@ -34,14 +34,14 @@
         self.last_mark
     }
 
-    /// A sequence goes on: its state is taken out of the cache.
+    /// Removes the state of a sequence that is resumed.
     pub fn take(&mut self, mark: CacheMark) {
         if let Some(tokens) = self.entries.remove(&mark) {
             self.tokens -= u64::from(tokens);
         }
     }
 
-    /// Whether the state that was left at a mark is probably still there.
+    /// Whether an entry has not been evicted or removed.
     pub fn holds(&self, mark: CacheMark) -> bool {
         self.entries.contains_key(&mark)
     }
--- a/crates/batch/src/runner/claim.rs
+++ b/crates/batch/src/runner/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming of open chunks for the servers that this node owns.
+//! Claims open chunks for the servers that this node owns.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -21,21 +21,24 @@
 use super::{Runner, load};
 use crate::store::{self, Applied, Versioned, wait_jittered};
 
-/// Open chunks read at once.
+/// Open chunk rows per read.
 const OPEN_PAGE: usize = 32;
-/// Open chunks at the front of which one is taken at random, so that nodes seldom collide.
+/// Number of leading open chunks from which one is picked at random, so that claims of different
+/// nodes seldom conflict.
 const FRONT_ROWS: usize = 8;
-/// How long a job without open chunks is not looked at, milliseconds, unless its row changes.
+/// Time before a job without open chunks is searched again unless its row changes, milliseconds.
 const EXHAUSTED_MS: u64 = 3_000;
-/// Items kept waiting for a server without online work that is full: it ends about as many while a
-/// claim is under way.
+/// Minimum demand of a server without online requests, items. A full server finishes about as many
+/// during a claim.
 const ITEMS_IN_RESERVE: u32 = 16;
-/// Items kept waiting for a server with online work; what waits here cannot run elsewhere.
+/// Demand of a server with online requests, items. Kept low because items queued here cannot run on
+/// other nodes.
 const ITEMS_BESIDE_ONLINE: u32 = 2;
-/// Items that the fleet is taken to finish in a second when the slack of a job is estimated.
+/// Throughput of the fleet that is assumed when the remaining time of a job is estimated, items per
+/// second.
 const ITEMS_PER_SECOND_GUESS: u64 = 100;
 
-/// Claims chunks whenever this node's servers could use them.
+/// Claims chunks whenever the queues of this node's servers run low.
 pub async fn run(runner: Rc<Runner>) {
     loop {
         let idle = Duration::from_millis(runner.settings.poll_interval_ms);
@@ -45,14 +48,14 @@
         }
         for service in runner.service_widths().into_keys() {
             if let Err(error) = fill(&runner, &service).await {
-                tracing::debug!(%error, service, "no chunk was claimed");
+                tracing::debug!(%error, service, "failed to claim chunks");
                 wait_jittered(runner.settings.poll_interval_ms).await;
             }
         }
     }
 }
 
-/// Claims chunks of one service until its servers have enough.
+/// Claims chunks of a service until its demand is met or no open chunk is left.
 async fn fill(runner: &Rc<Runner>, service: &str) -> Result<(), StoreError> {
     while runner.wanted_items(service) > 0 {
         if !claim_some(runner, service).await? {
@@ -62,8 +65,8 @@
     Ok(())
 }
 
-/// Claims chunks of the first job, in the order of fairness, that has open ones. Returns whether
-/// there was any.
+/// Claims chunks of the first job in fair-share order that has open chunks. Returns whether any chunk
+/// was claimed.
 async fn claim_some(runner: &Rc<Runner>, service: &str) -> Result<bool, StoreError> {
     for candidate in candidates(runner, service) {
         let job = JobId::from(&candidate.job);
@@ -119,7 +122,8 @@
     }
 }
 
-/// Claims open chunks of a job with about `wanted` items, by transactions that the store gate joins.
+/// Claims open chunks of a job with about `wanted` items in total. The claims are concurrent so that
+/// the store gate can batch their transactions.
 async fn claim_of_job(
     runner: &Runner,
     job: &JobId,
@@ -146,8 +150,8 @@
     Ok(claimed)
 }
 
-/// Takes rows near the front until they hold the items that are wanted: chunks get smaller towards
-/// the end of a job, and the large ones should go first.
+/// Picks rows near the front until they hold `wanted` items. Chunks get smaller towards the end of a
+/// job, and the large ones should run first.
 fn choose(rows: &mut Vec<Row>, wanted: usize) -> Result<Vec<Versioned<ChunkRow>>, StoreError> {
     let mut chosen = Vec::new();
     let mut items = 0;
@@ -176,15 +180,15 @@
     if let Ok(Some(_)) = claimed {
         runner.metrics.chunk("claimed");
     } else {
-        // A claim whose fate is unknown may still take effect: the sweep of this node's own list
-        // finds it then.
+        // A claim with an unknown outcome may still take effect. The takeover sweep then finds it in
+        // this node's list of held chunks.
         runner.state.borrow_mut().claiming.remove(&place);
     }
     claimed
 }
 
-/// Claims a chunk whose open row was read. Open row and chunk row were written by the same
-/// transaction, so that one revision stands for both.
+/// Claims a chunk given its open row. The open row and the chunk row were written by the same
+/// transaction and so have the same revision.
 async fn write_claim(
     runner: &Runner,
     job: &JobId,
@@ -220,7 +224,8 @@
     })
 }
 
-/// Items that a server could start soon: beside online work starts are paced, so few.
+/// Number of items to keep queued for a server. It is small beside online requests, where prefills
+/// are rate-limited.
 fn server_wants(server: &OwnedServer, state: &State) -> u32 {
     if !server.online.is_empty() {
         return ITEMS_BESIDE_ONLINE;
@@ -234,7 +239,7 @@
 }
 
 impl Runner {
-    /// Batch sequences that the servers of each service may run at present.
+    /// Total batch width of the servers of each service.
     fn service_widths(&self) -> BTreeMap<String, u32> {
         self.tables.servers.read(|servers| {
             let mut widths = BTreeMap::new();
@@ -246,7 +251,8 @@
         })
     }
 
-    /// Items that the servers of a service could use beyond those that wait here, within memory.
+    /// Number of items to claim for a service beyond those already queued; 0 while memory is full or
+    /// the node takes no new work.
     fn wanted_items(&self, service: &str) -> usize {
         let state = self.state.borrow();
         let room = state.held.is_empty() || state.held_bytes < self.settings.memory_bytes;
--- a/crates/batch/src/runner/commit.rs
+++ b/crates/batch/src/runner/commit.rs
@@ -1,5 +1,5 @@
-//! The commit of a chunk's result: the object first, then one transaction that compares the epoch
-//! of the chunk and the state of its job, and points to the object.
+//! Commit of a chunk's result. The result object is written first; a transaction then stores its name
+//! in the chunk row, provided that the epoch of the chunk and the state of its job still allow it.
 
 use std::rc::Rc;
 
@@ -16,10 +16,10 @@
 use crate::jobs::{End, Progress, finish_when_done};
 use crate::store::{self, Applied, wait_jittered};
 
-/// Wait between two attempts while the store does not answer, milliseconds, jittered.
+/// Wait between attempts after a store error, milliseconds, jittered.
 const STORE_WAIT_MS: u64 = 500;
 
-/// How the commit of a chunk ended.
+/// Outcome of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Committed {
     Yes,
@@ -27,7 +27,7 @@
     Cancelled,
 }
 
-/// Commits a chunk whose items are all settled.
+/// Commits a chunk whose items all have a result line.
 pub async fn run(runner: Rc<Runner>, chunk: Rc<HeldChunk>) {
     let object = keys::result_object(&chunk.job, chunk.index, chunk.epoch);
     match commit_until_known(&runner, &chunk, &object).await {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Removes what an earlier holder had left, now that the whole is committed.
+/// Deletes the partial result of an earlier holder, which the commit has made obsolete.
 async fn remove_partial(runner: &Runner, chunk: &HeldChunk) {
     let partial = chunk.row.borrow().row.partial_object.clone();
     if !partial.is_empty() {
@@ -65,7 +65,7 @@
 
 async fn remove_object(runner: &Runner, object: &str) {
     if let Err(error) = runner.platform.objects.delete(object).await {
-        tracing::debug!(%error, object, "an unused object was not removed");
+        tracing::debug!(%error, object, "failed to delete an unused object");
     }
 }
 
@@ -81,14 +81,14 @@
             Ok(Some(committed)) => return committed,
             Ok(None) => {}
             Err(error) => {
-                tracing::debug!(%error, job = %chunk.job, "a result waits for the store");
+                tracing::debug!(%error, job = %chunk.job, "failed to commit a chunk; retrying");
                 wait_jittered(STORE_WAIT_MS).await;
             }
         }
     }
 }
 
-/// One attempt. `None` when a row changed in between.
+/// Makes one attempt to commit. Returns `None` if a row changed concurrently.
 async fn commit_once(
     runner: &Runner,
     chunk: &HeldChunk,
@@ -133,7 +133,7 @@
         .is_ok_and(|row| row.phase() == ChunkPhase::ChunkDone && row.result_object == object)
 }
 
-/// Output lines and error lines.
+/// Returns the output lines and the error lines of a chunk.
 fn halves(chunk: &HeldChunk) -> (Vec<u8>, Vec<u8>) {
     let lines = chunk.lines.borrow();
     let of = |failed: bool| -> Vec<u8> {
@@ -155,7 +155,8 @@
     }
 }
 
-/// Creates an object whose name belongs to this holder's epoch alone: one that exists is its own.
+/// Creates an object whose name is unique to this epoch. An existing object was written by an earlier
+/// attempt and counts as success.
 async fn create_object(runner: &Runner, name: &str, bytes: Vec<u8>) -> Result<(), StoreError> {
     match runner.platform.objects.create(name, bytes.into()).await {
         Ok(()) | Err(StoreError::Conflict { .. }) => Ok(()),
@@ -163,7 +164,7 @@
     }
 }
 
-/// Completes the job when this was its last chunk. A failure here is mended by the janitor.
+/// Completes the job if this was its last chunk. The cleanup task retries after a failure.
 async fn finish_job(runner: &Runner, chunk: &HeldChunk) {
     let job = chunk.job.as_str();
     let mut front = Progress::default();
@@ -175,6 +176,6 @@
             runner.decide(DecisionKind::JobChanged, job, cause, "completed".to_owned());
         }
         Ok(End::Running(_)) => {}
-        Err(error) => tracing::debug!(%error, job, "the end of a job was not looked for"),
+        Err(error) => tracing::debug!(%error, job, "failed to check a job for completion"),
     }
 }
--- a/crates/batch/src/runner/dispatch.rs
+++ b/crates/batch/src/runner/dispatch.rs
@@ -1,5 +1,5 @@
-//! Which items run on which server: the width of each server is decided afresh whenever online work
-//! comes or goes, and streams are started or paused to meet it.
+//! Dispatch of items to servers. The batch width of each server is recomputed whenever its online
+//! load changes, and items are started or paused to match it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use super::work::WorkItem;
 use super::{Runner, run_item};
 
-/// Longest time between two looks, milliseconds.
+/// Maximum interval between dispatch runs, milliseconds.
 const TICK_MS: u64 = 20;
-/// A gap between two looks above which this node counts as having been paused, milliseconds.
+/// Gap between dispatch runs above which the process counts as having been suspended, milliseconds.
 const PAUSE_MS: u64 = 500;
-/// KV tokens that one more batch sequence is taken to hold.
+/// Estimated KV memory of an additional batch sequence, tokens.
 const SEQUENCE_TOKENS: u32 = 500;
-/// Longest time that the prompts of streams started at the slow pace take to compute, milliseconds.
+/// Upper bound on the estimated prefill backlog of a server with online requests, milliseconds.
 const LONGEST_PACED_PREFILL_MS: u64 = 20;
-/// Share of the KV memory that is given out, percent.
+/// Share of the KV memory that is allocated, percent.
 const MEMORY_PERCENT: u32 = 97;
 
-/// Keeps all owned servers at their width.
+/// Keeps all owned servers at their batch width; never returns.
 pub async fn run(runner: Rc<Runner>) {
     let mut online = runner.tables.servers.subscribe();
     let mut looked_at = runner.tables.clock.now();
@@ -116,7 +116,7 @@
     width::batch_width(&inputs)
 }
 
-/// Takes a new report into what is known of the server's steps.
+/// Updates the step time model from a new engine report.
 fn observe(known: &mut ServerState, report: &EngineReport, now: Millis) {
     if report.sequence <= known.report_seen {
         return;
@@ -131,7 +131,7 @@
     known.prefill_sent = 0;
 }
 
-/// Stops the streams of chunks that were given up.
+/// Cancels the streams of stopped chunks.
 fn stop_given_up(runner: &Rc<Runner>, server: &OwnedServer) {
     let streams = mark_stopping(runner, &server.entry.server, usize::MAX, |running| {
         running.chunk.is_stopped()
@@ -139,9 +139,8 @@
     cancel(runner, server, streams);
 }
 
-/// Pauses the streams whose prompts are not computed yet as soon as there is online work: each step
-/// that computes prompts is far longer than the others. Streams that were sent since, at the slow
-/// pace, go on.
+/// Pauses the items in prefill that were dispatched before the oldest online request of the server,
+/// because prefill makes steps much longer. Items dispatched later are rate-limited and continue.
 fn pause_uncomputed(runner: &Rc<Runner>, server: &OwnedServer) {
     if runner.settings.policy != BatchPolicy::Preempt {
         return;
@@ -168,7 +167,7 @@
     cancel(runner, server, streams);
 }
 
-/// Pauses the newest streams.
+/// Pauses the `count` newest items.
 fn pause_newest(runner: &Rc<Runner>, server: &OwnedServer, count: u32) {
     if runner.settings.policy == BatchPolicy::SharedQueue {
         return;
@@ -178,8 +177,9 @@
     cancel(runner, server, streams);
 }
 
-/// Marks up to `count` of the newest streams as stopping and returns the engine streams to cancel.
-/// One whose engine stream is not known yet is cancelled when it is.
+/// Marks up to `count` of the newest matching items as stopping and returns their engine streams.
+/// An item that the engine has not accepted yet is cancelled once it is. At-most-once items are only
+/// stopped with their chunk.
 fn mark_stopping(
     runner: &Runner,
     server: &ServerId,
@@ -214,8 +214,8 @@
     runner.spawn(async move { run_item::cancel_streams(&canceller, &base, &streams).await });
 }
 
-/// Starts up to `count` items: those that the server still caches first. Beside online work those
-/// that need a prefill are started at a slow pace only.
+/// Starts up to `count` items, those with KV state cached on the server first. Beside online requests,
+/// items that need a prefill are rate-limited.
 fn start_items(runner: &Rc<Runner>, server: &OwnedServer, count: u32) {
     let now = runner.tables.clock.now();
     let id = &server.entry.server;
@@ -257,8 +257,8 @@
 }
 
 impl Runner {
-    /// Share of the width that open demand windows of a service leave, percent. While models are made
-    /// warm before a window the share is the window's already, so that batch is out of the way in time.
+    /// Share of the batch width that the demand windows of a service allow, percent. It applies from
+    /// the warm-up before a window, so that capacity is free when the window opens.
     fn window_percent(&self, service: &str) -> u32 {
         let configuration = self.tables.configuration.current();
         let now_unix_s = self.now_unix_s();
@@ -271,7 +271,7 @@
             .unwrap_or(100)
     }
 
-    /// Slowdown of online steps that batch may cause, percent.
+    /// Allowed slowdown of online steps through batch work, percent.
     fn slowdown_percent(&self, service: &str) -> u32 {
         let configuration = self.tables.configuration.current();
         let row = configuration.services.get(service);
--- a/crates/batch/src/runner/feed.rs
+++ b/crates/batch/src/runner/feed.rs
@@ -1,5 +1,5 @@
-//! Mirror of the jobs that are not finished, kept by the change feed of their rows. New jobs,
-//! cancels and ends reach every node this way; gossip carries cancels besides.
+//! Mirror of the active jobs, kept current by the change feed of their rows. New jobs, cancellations
+//! and completions reach every node this way; gossip also carries cancellations.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -16,17 +16,16 @@
 use super::work::StopReason;
 use crate::store::wait_jittered;
 
-/// Rows read at once.
+/// Rows per read.
 const PAGE: usize = 512;
-/// Longest wait of the feed for a change while this node holds work, milliseconds: bounds how long
-/// a cancel can go unseen.
+/// Maximum wait of a feed read for changes while this node holds chunks, milliseconds.
 const BUSY_WAIT_MS: u32 = 1_000;
-/// Longest wait while it holds none, milliseconds.
+/// Maximum wait of a feed read while this node holds no chunk, milliseconds.
 const IDLE_WAIT_MS: u32 = 10_000;
-/// Time between looks at the cancels that gossip brought, milliseconds.
+/// Interval of checks for cancellations received by gossip, milliseconds.
 const GOSSIP_LOOK_MS: u64 = 100;
 
-/// Follows feed and gossip for ever.
+/// Follows the feed and gossip; never returns.
 pub async fn run(runner: Rc<Runner>) {
     tokio::join!(follow_feed(&runner), follow_gossip(&runner));
 }
@@ -41,7 +40,7 @@
         match step {
             Ok(next) => position = next,
             Err(error) => {
-                tracing::debug!(%error, "the feed of active jobs was not read");
+                tracing::debug!(%error, "failed to read the feed of active jobs");
                 runner.state.borrow_mut().feed_failed_at = runner.tables.clock.now();
                 wait_jittered(runner.settings.poll_interval_ms).await;
             }
@@ -49,8 +48,8 @@
     }
 }
 
-/// Reads all rows. The feed goes on from a revision that was asked for before, so that no change in
-/// between is missed.
+/// Reads all rows and returns the revision at which the feed continues. The revision is read before
+/// the rows so that no change is missed.
 async fn read_all(runner: &Runner) -> Result<Option<u64>, StoreError> {
     let tables = &runner.platform.tables;
     let asked_at = runner.tables.clock.now();
@@ -103,7 +102,7 @@
     Ok(Some(changes.up_to.max(after)))
 }
 
-/// How long the feed may wait for a change. After a pause of this node it must not wait.
+/// Maximum wait of the next feed read; 0 after a suspension, so that the feed is read at once.
 fn feed_wait_ms(runner: &Runner) -> u32 {
     let state = runner.state.borrow();
     if state.is_behind() {
@@ -137,7 +136,7 @@
     state.inputs.remove(job);
 }
 
-/// The feed was read by a call that was sent at a time: what changed before it is known.
+/// Records that all changes before `asked_at` have been read.
 fn mark_read(runner: &Runner, asked_at: Millis) {
     runner.state.borrow_mut().feed_read_at = asked_at;
     runner.dispatch_wake.notify_one();
@@ -160,7 +159,7 @@
     }
 }
 
-/// Stops all that this node does for a job, and lets gossip carry the news.
+/// Stops all work of this node on a job and publishes the cancellation through gossip.
 fn cancel(runner: &Runner, job: &str) {
     runner.tables.cancelled_jobs.lock().insert(job.to_owned());
     let mut stopped = Vec::new();
--- a/crates/batch/src/runner/handback.rs
+++ b/crates/batch/src/runner/handback.rs
@@ -1,6 +1,6 @@
-//! Held chunks are given back, so that other nodes go on with them: all at a planned stop, and those
-//! of a service when all of its servers here are closed. What is finished of a chunk goes into an
-//! object that its next holder reads.
+//! Hands held chunks back so that other nodes can continue them: all of them on a graceful shutdown,
+//! and those of a service once all its servers on this node are closed to new work. Finished result
+//! lines are written to an object that the next holder reads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -16,22 +16,22 @@
 use super::work::{HeldChunk, ItemLine, StopReason};
 use crate::store::wait_jittered;
 
-/// Time between looks while commits end, milliseconds.
+/// Interval of checks for finished chunks during a drain, milliseconds.
 const LOOK_MS: u64 = 20;
-/// Wait between attempts while the store does not answer, milliseconds.
+/// Wait between attempts after a store error, milliseconds, jittered.
 const STORE_WAIT_MS: u64 = 200;
 
-/// How long items that run are waited for, milliseconds; those that may repeat run again elsewhere
-/// when they take longer.
+/// Time that a drain waits for running items, milliseconds. Repeatable items that take longer run
+/// again on another node.
 const FINISH_MS: u64 = 3_000;
 
-/// Time between looks for services without an open server, milliseconds.
+/// Interval of checks for services without an open server, milliseconds.
 const WATCH_MS: u64 = 250;
 
-/// Time for which all servers of a service must have been closed, milliseconds.
+/// Time that all servers of a service must be closed before its chunks are handed back, milliseconds.
 const CLOSED_MS: u64 = 1_000;
 
-/// Gives back the chunks of services of which this node has had no open server for a time, for ever.
+/// Hands back the chunks of services without an open server on this node; never returns.
 pub async fn watch(runner: Rc<Runner>) {
     let mut closed_since: BTreeMap<String, Millis> = BTreeMap::new();
     loop {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Services of which a server here may be sent batch work.
+/// Services with a server on this node that takes new batch work.
 fn open_services(runner: &Runner) -> BTreeSet<String> {
     let configuration = runner.tables.configuration.current();
     runner.tables.servers.read(|servers| {
@@ -62,8 +62,7 @@
     })
 }
 
-/// Gives back all chunks. No item is started any more; chunks whose items are all settled are
-/// committed instead.
+/// Hands back all chunks. Chunks whose items all have a result are committed instead.
 pub async fn run(runner: &Rc<Runner>) {
     let begun = runner.tables.clock.now();
     loop {
@@ -82,7 +81,7 @@
     }
 }
 
-/// A chunk that is being committed is left to its commit.
+/// Whether a chunk may be handed back; one that is being committed may not.
 fn may_hand_back(chunk: &HeldChunk) -> bool {
     chunk.remaining.get() > 0 && !chunk.is_stopped()
 }
@@ -91,7 +90,7 @@
     chunk.stop(StopReason::HandedBack);
     runner.dispatch_wake.notify_one();
     while let Err(error) = reopen(runner, chunk).await {
-        tracing::debug!(%error, job = %chunk.job, "a chunk waits to be handed back");
+        tracing::debug!(%error, job = %chunk.job, "failed to hand back a chunk; retrying");
         wait_jittered(STORE_WAIT_MS).await;
     }
     runner.metrics.chunk("handed_back");
@@ -105,7 +104,8 @@
     Ok(())
 }
 
-/// Writes what is finished; `None` when nothing is. The object's name belongs to this epoch alone.
+/// Writes the finished result lines to an object and returns its name; `None` if there are none. The
+/// name is unique to this epoch, so an existing object was written by an earlier attempt.
 async fn write_partial(runner: &Runner, chunk: &HeldChunk) -> Result<Option<String>, StoreError> {
     let result = PartialResult {
         lines: finished_lines(&chunk.lines.borrow()),
--- a/crates/batch/src/runner/janitor.rs
+++ b/crates/batch/src/runner/janitor.rs
@@ -1,5 +1,5 @@
-//! Mending and cleaning: jobs whose last committer was lost are completed, rows of cancelled jobs
-//! are removed.
+//! Periodic cleanup of active jobs. Completes jobs whose last committer failed, repairs the list
+//! entries of chunks and removes the rows of cancelled jobs.
 
 use std::rc::Rc;
 
@@ -14,12 +14,12 @@
 use crate::jobs::{End, Progress, finish_when_done};
 use crate::store::{self, Versioned};
 
-/// Time between two looks, milliseconds, for each member.
+/// Interval of cleanups, milliseconds per member.
 const SWEEP_MS_PER_MEMBER: u64 = 1_000;
-/// Rows removed by one transaction.
+/// Rows deleted per transaction.
 const PAGE: usize = 100;
 
-/// Mends and cleans for ever.
+/// Runs the cleanup; never returns.
 pub async fn run(runner: Rc<Runner>) {
     loop {
         tokio::time::sleep(runner.sweep_wait(SWEEP_MS_PER_MEMBER)).await;
@@ -29,7 +29,7 @@
         };
         for job in jobs {
             if let Err(error) = look_at(&runner, &job).await {
-                tracing::debug!(%error, job = job.job_id, "an active job was not looked at");
+                tracing::debug!(%error, job = job.job_id, "failed to clean up an active job");
             }
         }
     }
@@ -51,8 +51,8 @@
     }
 }
 
-/// Mends the first chunk of a job that is not committed, if no list leads to it any more: whatever
-/// was lost, the front of a job moves on.
+/// Repairs the first uncommitted chunk of a job: reopens it if its holder is gone, and restores a
+/// missing or outdated open row. This ensures that the job makes progress.
 async fn mend(runner: &Runner, chunk: Versioned<ChunkRow>) -> Result<(), StoreError> {
     let job = JobId::from(&chunk.row.job_id);
     let tables = &*runner.platform.tables;
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// Writes an open chunk and its list entry anew, at one revision.
+/// Rewrites the chunk row and the open row of an open chunk at the same revision.
 async fn list_again(
     runner: &Runner,
     job: &JobId,
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Removes the open rows, the split row and the feed row of a cancelled job.
+/// Deletes the open rows, the split row and the active-job row of a cancelled job.
 async fn clean_cancelled(runner: &Runner, job: &str) -> Result<(), StoreError> {
     let tables = &runner.platform.tables;
     let prefix = format!("{OPEN_CHUNK_PREFIX}{job}/");
--- a/crates/batch/src/runner/load.rs
+++ b/crates/batch/src/runner/load.rs
@@ -1,4 +1,4 @@
-//! Loading of a claimed chunk: its lines are read and its items queued.
+//! Loads claimed chunks: reads their input lines and queues their items.
 
 use std::rc::Rc;
 
@@ -15,10 +15,10 @@
 use crate::input::{Item, PartIndex, parse};
 use crate::store::{self, Versioned, wait_jittered};
 
-/// Largest object with finished lines, bytes.
+/// Maximum size of a partial result that is read, bytes.
 const LARGEST_PARTIAL_BYTES: u64 = 1 << 32;
 
-/// Loads a claimed chunk in a task of its own.
+/// Loads a claimed chunk in a new task.
 pub fn begin(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
     let loader = runner.clone();
     runner.spawn(async move {
@@ -28,19 +28,19 @@
     });
 }
 
-/// Loads the input of a claimed chunk and queues its items. While the store does not answer it is
-/// tried again. A chunk whose job is cancelled or gone is dropped; the janitor removes its rows.
+/// Loads the input of a claimed chunk and queues its items. Store errors are retried, except for
+/// invalid data. A chunk whose job is cancelled or missing is dropped.
 async fn hold(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
     let loaded = loop {
         match load(runner, &job, &row.row).await {
             Ok(Some(loaded)) => break loaded,
             Ok(None) => return,
             Err(error @ StoreError::Invalid { .. }) => {
-                tracing::warn!(%error, %job, "a chunk was not loaded");
+                tracing::warn!(%error, %job, "dropped a chunk with invalid input");
                 return;
             }
             Err(error) => {
-                tracing::debug!(%error, %job, "the input of a chunk was not read");
+                tracing::debug!(%error, %job, "failed to read the input of a chunk; retrying");
                 wait_jittered(runner.settings.poll_interval_ms).await;
             }
         }
@@ -55,7 +55,7 @@
     queue(runner, &chunk);
 }
 
-/// Takes the line of an item that an earlier holder finished.
+/// Restores the result line of an item that an earlier holder finished.
 fn take_finished(chunk: &HeldChunk, line: PartialLine) {
     let mut lines = chunk.lines.borrow_mut();
     let Some(slot @ None) = lines.get_mut(line.index as usize) else {
@@ -68,14 +68,14 @@
     chunk.remaining.set(chunk.remaining.get() - 1);
 }
 
-/// What was read of a chunk.
+/// Input of a chunk and the results of earlier holders.
 struct Loaded {
     items: Vec<Item>,
-    /// Lines of items that an earlier holder finished.
+    /// Result lines of items that an earlier holder finished.
     finished: Vec<PartialLine>,
 }
 
-/// Reads a chunk's items; `None` when its job is cancelled or gone.
+/// Reads the items of a chunk; `None` if its job is cancelled or missing.
 async fn load(runner: &Runner, job: &JobId, row: &ChunkRow) -> Result<Option<Loaded>, StoreError> {
     let Some(input) = job_input(runner, job, &row.tenant).await? else {
         return Ok(None);
@@ -95,12 +95,14 @@
             items,
             finished: load_partial(objects, row).await?,
         })),
-        false => Err(invalid("the input does not hold the chunk's items")),
+        false => Err(invalid(
+            "number of valid input lines differs from the chunk row",
+        )),
     }
 }
 
-/// Where the input of a job is, remembered while the job is active; `None` when the job is cancelled
-/// or gone. A cancel that comes later is seen by the feed and, at the latest, by the commit.
+/// Returns the location of a job's input, cached while the job is active; `None` if the job is
+/// cancelled or missing. Later cancellations are detected by the feed or, at the latest, the commit.
 async fn job_input(
     runner: &Runner,
     job: &JobId,
@@ -128,8 +130,9 @@
     Ok(Some(input))
 }
 
-/// Reads what an earlier holder finished. An object that is gone costs repeated work only, where
-/// items may repeat; where they may not, they are known to have been started.
+/// Reads the result lines of an earlier holder. If the object is missing or invalid, the items are
+/// treated as unfinished: repeatable ones run again, and the marks in the chunk row keep the others
+/// from a second run.
 async fn load_partial(
     objects: &dyn ObjectStore,
     row: &ChunkRow,
@@ -150,7 +153,7 @@
     }
 }
 
-/// Queues the items of a chunk; those that may not be started settle at once.
+/// Queues the unfinished items of a chunk. Those that must not be started again fail at once.
 fn queue(runner: &Rc<Runner>, chunk: &Rc<HeldChunk>) {
     let row = chunk.row.borrow().row.clone();
     let open: Vec<u32> = {
--- a/crates/batch/src/runner/mod.rs
+++ b/crates/batch/src/runner/mod.rs
@@ -1,13 +1,14 @@
-//! The batch runner of a node: one set of tasks on the batch arbiter.
+//! The batch runner of a node, a set of tasks on the batch arbiter.
 //!
-//! - `feed` mirrors the jobs that are not finished,
-//! - `split` cuts accepted jobs into chunk rows,
-//! - `claim` takes open chunks for this node's servers, `load` reads their input,
-//! - `dispatch` starts and pauses items on the servers, `run_item` follows one of them,
-//! - `once` marks items that must not repeat,
-//! - `settle` keeps result lines, `commit` makes the result of a chunk durable,
-//! - `takeover` opens chunks of nodes that are gone, `janitor` removes what is left behind,
-//! - `handback` gives chunks back on a planned stop.
+//! - `feed` mirrors the active jobs
+//! - `split` divides accepted jobs into chunk rows
+//! - `claim` claims open chunks for this node's servers and `load` reads their input
+//! - `dispatch` starts and pauses items on the servers and `run_item` runs a single attempt
+//! - `at_most_once` marks items that must not be repeated before they start
+//! - `outcome` records result lines and `commit` commits the result of a chunk
+//! - `takeover` reopens chunks of failed nodes
+//! - `cleanup` completes jobs, repairs chunk lists and removes rows of cancelled jobs
+//! - `handback` returns chunks on a graceful shutdown
 
 mod cache;
 mod claim;
@@ -43,23 +44,22 @@
 use crate::metrics::Metrics;
 use state::{ChunkPlace, State};
 
-/// Time after its start from which a node takes a holder that it has never heard of for gone,
-/// milliseconds: several rounds of gossip and of the machine list.
+/// Uptime before which a holder missing from the member table is not considered gone, milliseconds;
+/// covers several rounds of gossip and of machine list updates.
 const UNKNOWN_GONE_MS: u64 = 15_000;
 
-/// What a batch runner works with.
+/// Dependencies of a batch runner.
 pub struct BatchContext {
-    /// Tables of the node.
+    /// Shared tables of the node.
     pub tables: Arc<NodeTables>,
-    /// Settings.
     pub settings: BatchSettings,
-    /// Platform, behind the store gate.
+    /// Platform services, accessed through the store gate.
     pub platform: Platform,
-    /// Client of the engines.
+    /// Engine client.
     pub engine: Rc<dyn Engine>,
 }
 
-/// Shared state of the runner's tasks, all on one thread.
+/// State shared by the runner's tasks, which all run on one thread.
 pub(crate) struct Runner {
     tables: Arc<NodeTables>,
     settings: BatchSettings,
@@ -75,11 +75,12 @@
     split_wake: Notify,
     draining: Cell<bool>,
     started_at: Millis,
-    /// Items under way and commits; they end with the runner.
+    /// Chunk loads, item attempts, stream cancellations and commits; aborted when the handle is
+    /// dropped.
     children: RefCell<JoinSet<()>>,
 }
 
-/// A running batch runner.
+/// Handle of a batch runner; dropping it aborts all its tasks.
 pub struct BatchHandle {
     runner: Rc<Runner>,
     tasks: Vec<JoinHandle<()>>,
@@ -116,9 +117,8 @@
 }
 
 impl BatchHandle {
-    /// Hands back what this node holds, so that other nodes go on with it; returns when nothing is
-    /// held any more. Bounded by the caller, who may drop the future: whatever is then still held is
-    /// taken over by other nodes.
+    /// Hands back the chunks of this node so that other nodes can continue them; returns once none is
+    /// held. The caller may drop the future to bound the time; other nodes take over what is left.
     pub async fn drain(&self) {
         self.runner.draining.set(true);
         handback::run(&self.runner).await;
@@ -135,7 +135,7 @@
 }
 
 impl Runner {
-    /// Runs a task that ends with the runner.
+    /// Spawns a task that is aborted when the handle is dropped.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let mut children = self.children.borrow_mut();
         while children.try_join_next().is_some() {}
@@ -157,9 +157,8 @@
         self.tables.clock.unix_ms() / 1_000
     }
 
-    /// Whether a holder is believed gone. An earlier start of this very node is. A node that this one
-    /// has never heard of counts as gone only once this one has been up long enough to have heard of
-    /// all that live.
+    /// Whether a holder is considered gone. An earlier incarnation of this node always is. A node
+    /// missing from the member table is not until this node has been up for [`UNKNOWN_GONE_MS`].
     fn is_gone(&self, holder: &str, incarnation: u64) -> bool {
         let own = &self.tables.identity;
         if holder == own.node.as_str() {
@@ -172,7 +171,7 @@
         self.tables.members.is_gone(holder, incarnation)
     }
 
-    /// Drops a chunk that is finished or was stopped, and wakes who may go on.
+    /// Removes a finished or stopped chunk and wakes the dispatcher and the claimer.
     fn forget(&self, place: &ChunkPlace) {
         self.state.borrow_mut().forget(place);
         self.dispatch_wake.notify_one();
--- a/crates/batch/src/runner/once.rs
+++ b/crates/batch/src/runner/once.rs
@@ -1,5 +1,5 @@
-//! Items that must not repeat: each is marked in the chunk row, durably and under the holder's
-//! epoch, before it is started.
+//! At-most-once items. Each is durably marked as started in the chunk row, under the holder's epoch,
+//! before it is sent to an engine.
 
 use std::rc::Rc;
 
@@ -14,24 +14,24 @@
 use super::work::{HeldChunk, StopReason};
 use crate::store::{self, Applied, Versioned, wait_jittered};
 
-/// Longest time between the sending of the call that showed the epoch and the start of an item,
-/// milliseconds. A holder that was paused in between looks again.
+/// Maximum time from the request that confirmed the epoch to the start of an item, milliseconds. A
+/// holder that was suspended for longer checks the epoch again.
 const FRESH_MS: u64 = 500;
 
-/// What became of a mark.
+/// Result of marking an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mark {
-    /// It stands in the row, and the chunk is this node's.
+    /// The mark is in the row and this node holds the chunk.
     Durable,
-    /// The row had changed but is still this node's: try again.
+    /// The row had changed but this node still holds the chunk; the mark must be retried.
     RowChanged,
-    /// The chunk is not this node's any more.
+    /// This node no longer holds the chunk.
     Fenced,
 }
 
 impl Runner {
-    /// Marks an item as started. `true` when it may be started now: the mark is durable, and the
-    /// chunk was this node's a moment ago.
+    /// Marks an item as started. Returns whether it may start now: the mark is durable and this node
+    /// held the chunk within the last [`FRESH_MS`].
     pub(super) async fn mark_started(&self, chunk: &Rc<HeldChunk>, index: u32) -> bool {
         loop {
             if chunk.is_stopped() {
@@ -51,14 +51,14 @@
                     return false;
                 }
                 Err(error) => {
-                    tracing::debug!(%error, job = %chunk.job, "an item waits for its mark");
+                    tracing::debug!(%error, job = %chunk.job, "failed to mark an item as started; retrying");
                     wait_jittered(self.settings.poll_interval_ms).await;
                 }
             }
         }
     }
 
-    /// Writes the mark, or reads the chunk row again when the item is marked already.
+    /// Writes the mark, or rereads the chunk row if the item is already marked.
     async fn mark(&self, chunk: &HeldChunk, index: u32) -> Result<Mark, StoreError> {
         let known = chunk.row.borrow().clone();
         let marked = chunks::mark_started(&known.row, index);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Reads the chunk row again; `false` when it is not this node's any more.
+    /// Rereads the chunk row. Returns whether this node still holds the chunk.
     async fn reread(&self, chunk: &HeldChunk, key: &str) -> Result<bool, StoreError> {
         let read = store::read_row::<ChunkRow>(&*self.platform.tables, key).await?;
         let Some(read) = read else {
--- a/crates/batch/src/runner/run_item.rs
+++ b/crates/batch/src/runner/run_item.rs
@@ -1,4 +1,4 @@
-//! One item on one engine: from the call to the end of its stream.
+//! A single attempt to run an item on an engine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,31 +17,31 @@
 use super::work::WorkItem;
 use crate::output::{ItemAnswer, ItemOutcome};
 
-/// How long nothing is started on a server whose engine refused or was not reached, milliseconds.
+/// Time for which no item is started on a server after a failed attempt, milliseconds.
 const AVOID_MS: u64 = 500;
 
-/// Pause of an item whose run elsewhere is under way, and may end an engine.
+/// Delay before an item is queued again when the crash tracker does not permit it to run yet.
 const WAIT: Duration = Duration::from_millis(20);
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 enum Ended {
-    /// With the whole answer.
+    /// The response is complete.
     Answered { reason: String },
-    /// It was paused, or told to stop: the tokens so far are kept.
+    /// The item was paused or stopped; its tokens are kept.
     Paused,
-    /// Nothing ran.
+    /// The engine did not run the item.
     NotRun(String),
-    /// The model version that made the tokens so far is gone from the server.
+    /// The server no longer has the model version that generated the earlier tokens.
     VersionGone,
-    /// The engine was lost: it may have run.
+    /// The connection was lost or the response is incomplete; the item may have run.
     Lost(String),
-    /// The engine will never take the item.
+    /// The engine rejected the item permanently.
     Rejected(String),
-    /// As many engines as may have ended while they ran it.
+    /// The item reached the limit of engine crashes.
     Blamed,
 }
 
-/// Starts an item on a server and follows it in a task of its own.
+/// Starts an attempt to run an item on a server in a new task.
 pub fn start(runner: &Rc<Runner>, entry: ServerEntry, mut item: WorkItem) {
     let attempt = item.next_attempt();
     let request = item.chunk.request_id(item.index);
@@ -103,8 +103,8 @@
     runner.claim_wake.notify_one();
 }
 
-/// Removes a stream that ended from those of its server, and returns the mark of what it left in the
-/// cache there.
+/// Removes an ended item from the running items of its server and returns the cache entry of its KV
+/// state.
 fn remove_running(
     runner: &Runner,
     entry: &ServerEntry,
@@ -146,7 +146,7 @@
                 &ItemOutcome::Failed { kind, message },
             );
         }
-        // The engine gave up an item that must not repeat by itself: it may have run.
+        // The engine cancelled an at-most-once item after accepting it, so it may have run.
         Ended::Paused if item.chunk.once && !item.version.is_empty() => {
             runner.settle_unknown(&item.chunk, item.index);
         }
@@ -158,7 +158,7 @@
             runner.state.borrow_mut().put_back(item);
         }
         Ended::Lost(reason) | Ended::NotRun(reason) => {
-            tracing::debug!(reason, server = %entry.server, "a batch item is tried again");
+            tracing::debug!(reason, server = %entry.server, "a batch item failed; retrying it");
             avoid(runner, entry);
             runner.state.borrow_mut().put_back(item);
         }
@@ -173,7 +173,8 @@
     server.avoid_until = until;
 }
 
-/// Runs an item unless engines that ended under it forbid it, and notes whether this one does.
+/// Runs an item if the crash tracker permits it, and reports to the tracker whether the engine
+/// crashed.
 async fn run_counted(
     runner: &Runner,
     entry: &ServerEntry,
@@ -199,7 +200,7 @@
                 let clock = &runner.tables.clock;
                 let ended = counted.note_ended(clock.now(), clock.unix_ms());
                 tracing::info!(%request, server = %entry.server, ended,
-                    "an engine ended while it ran an item");
+                    "engine became unreachable while running an item");
             }
         }
         _ => {}
@@ -207,7 +208,7 @@
     ended
 }
 
-/// What makes two runs of an item the same request, and an item the same as an online request.
+/// Fingerprint of an item in the crash tracker.
 fn fingerprint(item: &WorkItem) -> Fingerprint {
     let input = item.item();
     Fingerprint::of(&RequestParts {
@@ -257,7 +258,7 @@
             Err(error) => return refused(error, item),
         }
     }
-    Ended::Lost("the stream ended without its end".to_owned())
+    Ended::Lost("the stream closed without a finish event".to_owned())
 }
 
 fn generate_call(item: &WorkItem, request: &RequestId, attempt: u32) -> GenerateCall {
@@ -277,12 +278,12 @@
         resume_offset: u32::try_from(item.pieces.len()).unwrap_or(u32::MAX),
         attach_stream: String::new(),
         attach_only: false,
-        // The leader of a shared head shows by its first token that the head is computed.
+        // The first token of the leader shows that the shared prefix is computed.
         stream: item.leads_prefix,
     }
 }
 
-/// Notes the stream; one that was told to stop in the meantime is cancelled now.
+/// Records the engine stream, and cancels it if the item was stopped in the meantime.
 async fn accepted(
     runner: &Runner,
     entry: &ServerEntry,
@@ -307,15 +308,15 @@
     }
 }
 
-/// Tells an engine to stop streams. A failure is harmless: the engine keeps running items whose
-/// results are dropped, or its loss is seen on the streams themselves.
+/// Cancels streams on an engine. A failure is only logged: the streams run on, and the loss of an
+/// engine is detected on the streams themselves.
 pub async fn cancel_streams(runner: &Runner, base: &str, streams: &[String]) {
     if let Err(error) = runner.engine.cancel_all(base, streams).await {
-        tracing::debug!(%error, base, "streams were not cancelled");
+        tracing::debug!(%error, base, "failed to cancel streams");
     }
 }
 
-/// A token of the leader of a shared head has come: others may follow.
+/// Marks a shared prefix as computed on the first token of its leader and wakes the dispatcher.
 fn note_prefix(runner: &Runner, entry: &ServerEntry, item: &mut WorkItem) {
     if !std::mem::take(&mut item.leads_prefix) {
         return;
@@ -328,7 +329,8 @@
     runner.dispatch_wake.notify_one();
 }
 
-/// Appends tokens; those that are known already are skipped, and tokens after a gap are dropped.
+/// Appends tokens at an offset. Tokens that overlap earlier ones are skipped; tokens after a gap are
+/// dropped.
 fn take_tokens(item: &mut WorkItem, offset: u32, pieces: Vec<String>) {
     let known = item.pieces.len();
     let offset = offset as usize;
@@ -343,7 +345,7 @@
     }
     match item.pieces.len() == total_tokens as usize {
         true => Ended::Answered { reason },
-        false => Ended::Lost("tokens of the answer are missing".to_owned()),
+        false => Ended::Lost("the response is missing tokens".to_owned()),
     }
 }
 
--- a/crates/batch/src/runner/server.rs
+++ b/crates/batch/src/runner/server.rs
@@ -1,5 +1,4 @@
-//! What the runner knows of a server besides the shared table: its streams, learnt step cost, shared
-//! heads of prompts and cache.
+//! Per-server state of the runner: running streams, step time model, shared prefixes and cache model.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,44 +10,42 @@
 use super::cache::CacheModel;
 use super::work::{HeldChunk, WorkItem};
 
-/// A batch stream on a server.
+/// An item running on a server.
 pub struct RunningItem {
-    /// Request id.
     pub request: RequestId,
-    /// Attempt, which tells two streams of the same item apart.
+    /// Attempt number, which distinguishes streams of the same item.
     pub attempt: u32,
-    /// Its chunk.
     pub chunk: Rc<HeldChunk>,
-    /// Engine stream, once it is known.
+    /// Engine stream id, once the engine has accepted the item.
     pub stream: Option<String>,
-    /// It was told to stop.
+    /// Whether the stream is being cancelled.
     pub stopping: bool,
-    /// What it needs of the KV memory.
+    /// KV memory use.
     pub memory: SequenceMemory,
-    /// When it was sent.
+    /// Time of dispatch.
     pub started_at: Millis,
-    /// When its prompt is estimated to be computed.
+    /// Estimated time at which the prefill is complete.
     pub prefilled_at: Millis,
 }
 
-/// What a sequence needs of the KV memory.
+/// KV memory use of a sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SequenceMemory {
-    /// Hash of the shared head of its prompt.
+    /// Hash of the shared prefix.
     pub prefix_hash: u64,
-    /// Tokens of the shared head, which sequences with the same hash hold together.
+    /// Tokens of the shared prefix, stored once for all sequences with the same hash.
     pub prefix_tokens: u32,
-    /// Tokens of its own when it was sent.
+    /// Tokens beyond the shared prefix at dispatch.
     pub own_tokens: u32,
-    /// Tokens that it may still make.
+    /// Maximum number of tokens still to be generated.
     pub left: u32,
 }
 
-/// Tokens that a sequence holds beyond its own, since memory is given out in blocks.
+/// Allowance for the partly filled last block of a sequence, tokens.
 const BLOCK_WASTE_TOKENS: u32 = 16;
 
 impl SequenceMemory {
-    /// Memory of an item that is about to be sent.
+    /// Returns the memory use of an item at its current offset.
     pub fn of(item: &WorkItem) -> SequenceMemory {
         let input = item.item();
         let made = u32::try_from(item.pieces.len()).unwrap_or(u32::MAX);
@@ -63,57 +60,57 @@
     }
 }
 
-/// What is known of a server besides the shared table.
+/// State of a server that is private to the runner.
 #[derive(Default)]
 pub struct ServerState {
-    /// Streams, oldest first.
+    /// Running items, oldest first.
     pub running: Vec<RunningItem>,
-    /// Learnt cost of a step.
+    /// Step time model, fitted to engine reports.
     pub steps: StepModel,
-    /// Number of the last report taken into `steps`.
+    /// Sequence number of the last engine report used for the step model.
     pub report_seen: u64,
-    /// Start nothing before this time, since the engine refused or failed.
+    /// Time before which no item is started, after the engine refused or failed one.
     pub avoid_until: Millis,
-    /// When an item was last started that needed a prefill.
+    /// Time at which an item that needs a prefill was last dispatched.
     pub prefilled_at: Millis,
-    /// Prefill tokens sent since the last report was taken in, and when that was.
+    /// Prefill tokens dispatched since the last engine report.
     pub prefill_sent: u32,
-    /// When the last report was taken in.
+    /// Time at which the last engine report was processed.
     pub report_at: Millis,
-    /// Shared heads of prompts that the server computes or caches.
+    /// Shared prefixes that the server computes or caches, by hash.
     pub prefixes: BTreeMap<u64, PrefixState>,
-    /// Tokens of the last prompt sent that had to be computed.
+    /// Tokens to be computed for the last dispatched prefill.
     pub last_prefill_tokens: u32,
-    /// What it is taken to cache of sequences that ended there.
+    /// Model of the KV state cached for ended sequences.
     pub cache: CacheModel,
-    /// When the server will have computed all prompts sent to it, as estimated.
+    /// Estimated time at which all dispatched prefills are complete.
     pub prefill_free_at: Millis,
 }
 
-/// What is known of a shared head of prompts on a server.
+/// State of a shared prefix on a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PrefixState {
-    /// The first item with it, its leader, was sent and has not made a token yet.
+    /// The first item with the prefix, its leader, was dispatched and has produced no token yet.
     Computing {
-        /// When the leader was sent.
+        /// Dispatch time of the leader.
         since: Millis,
     },
-    /// It is in the cache.
+    /// The prefix is in the cache.
     Cached {
-        /// When it was last used.
+        /// Time of last use.
         used_at: Millis,
     },
 }
 
-/// Time after which a leader is taken to be lost, milliseconds.
+/// Time after which another item may replace a leader without a token, milliseconds.
 const LEADER_LOST_MS: u64 = 2_000;
-/// Time without use after which a shared head is taken to have left the cache, milliseconds.
+/// Time without use after which a shared prefix counts as evicted, milliseconds.
 const PREFIX_KEPT_MS: u64 = 10_000;
-/// Prompt tokens that a server computes in one step.
+/// Prefill tokens that a server computes in one step.
 const PREFILL_TOKENS_PER_STEP: f64 = 512.0;
 
 impl ServerState {
-    /// Tokens of KV memory that the running streams are estimated to hold: each makes a token a step.
+    /// Estimated KV memory of the running items, tokens; assumes one token per step for each.
     pub fn batch_tokens(&self, now: Millis) -> u32 {
         let step_ms = self.steps.step_ms(self.active(), 0);
         let mut prefixes = BTreeMap::new();
@@ -127,8 +124,8 @@
         own.saturating_add(prefixes.values().sum())
     }
 
-    /// Whether an item whose prompt begins with a shared head may be sent: the first one that does,
-    /// or one that comes after the first has computed it and finds it in the cache.
+    /// Whether an item with a shared prefix may be dispatched. Items after the first one wait until
+    /// the prefix is in the cache.
     pub fn admits_prefix(&mut self, prefix: u64, now: Millis) -> bool {
         self.prefixes.retain(|_, state| match state {
             PrefixState::Computing { since } => now.since(*since) < LEADER_LOST_MS,
@@ -140,8 +137,8 @@
         )
     }
 
-    /// Notes that an item is sent whose prompt must be computed, and says when that is estimated to be
-    /// done and whether the item is the leader of its shared head.
+    /// Records the dispatch of an item that needs a prefill. Returns the estimated time at which the
+    /// prefill is complete, and whether the item is the leader of its shared prefix.
     pub fn send_cold(&mut self, memory: &SequenceMemory, now: Millis) -> (Millis, bool) {
         let leads = memory.prefix_tokens > 0 && !self.prefixes.contains_key(&memory.prefix_hash);
         let state = match leads {
@@ -161,13 +158,13 @@
         (self.prefill_free_at, leads)
     }
 
-    /// The leader of a shared head has made a token.
+    /// Records that the leader of a shared prefix has produced a token.
     pub fn prefix_computed(&mut self, prefix: u64, now: Millis) {
         let cached = PrefixState::Cached { used_at: now };
         self.prefixes.insert(prefix, cached);
     }
 
-    /// Streams that were not told to stop.
+    /// Number of running items that are not being cancelled.
     pub fn active(&self) -> u32 {
         let active = self.running.iter().filter(|running| !running.stopping);
         u32::try_from(active.count()).unwrap_or(u32::MAX)
--- a/crates/batch/src/runner/settle.rs
+++ b/crates/batch/src/runner/settle.rs
@@ -1,4 +1,5 @@
-//! Settling of items: the result line of each is kept until its chunk is whole.
+//! Recording of item outcomes. Result lines are kept in memory until all items of the chunk have
+//! one.
 
 use std::rc::Rc;
 
@@ -9,7 +10,7 @@
 use crate::output::{ItemOutcome, line};
 
 impl Runner {
-    /// Records how an item ended; the last one of a chunk starts its commit.
+    /// Records the outcome of an item; the last outcome of a chunk starts the commit.
     pub(super) fn settle(
         self: &Rc<Self>,
         chunk: &Rc<HeldChunk>,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Settles an item that must not repeat and may have run under an earlier epoch.
+    /// Fails an item that must not be repeated and may have run already.
     pub(super) fn settle_unknown(self: &Rc<Self>, chunk: &Rc<HeldChunk>, index: u32) {
         let outcome = ItemOutcome::Failed {
             kind: ErrorKind::OutcomeUnknown,
--- a/crates/batch/src/runner/split.rs
+++ b/crates/batch/src/runner/split.rs
@@ -1,8 +1,8 @@
-//! Cutting of accepted jobs into chunk rows.
+//! Splits accepted jobs into chunk rows.
 //!
-//! A split runs under an epoch in the job's split row. It reads the whole input once, checks every
-//! line and only then writes chunk rows, a few to a transaction, each of which moves the cursor of
-//! the split row. A node that takes the split over goes on at the cursor.
+//! A split is fenced by the epoch in the job's split row. It reads and validates the whole input
+//! before it writes chunk rows. Each transaction writes several chunk rows and advances the cursor in
+//! the split row; a node that takes over the split resumes at the cursor.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,21 +22,21 @@
 use crate::input::{Bounds, Checked, PartIndex, Span, check};
 use crate::store::{self, Applied, Versioned, wait_jittered};
 
-/// Splits looked at in one reading.
+/// Split rows per read.
 const PAGE: usize = 16;
-/// Chunk rows written by one transaction.
+/// Chunk rows per transaction.
 const CHUNKS_PER_TRANSACTION: usize = 32;
-/// Time between looks for splits that nobody works on, milliseconds, for each live member.
+/// Interval of sweeps for unowned splits, milliseconds per known member.
 const SWEEP_MS_PER_MEMBER: u64 = 1_000;
 
-/// Splits accepted jobs for ever.
+/// Splits accepted jobs; never returns.
 pub async fn run(runner: Rc<Runner>) {
     loop {
         let members = runner.tables.members.all().len().max(1) as u64;
         let sweep = Duration::from_millis(SWEEP_MS_PER_MEMBER * members);
         let _ = tokio::time::timeout(sweep, runner.split_wake.notified()).await;
         if let Err(error) = split_all(&runner).await {
-            tracing::debug!(%error, "a split was not finished");
+            tracing::debug!(%error, "failed to split accepted jobs");
             wait_jittered(runner.settings.poll_interval_ms).await;
             runner.split_wake.notify_one();
         }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Raises the epoch of a split that nobody alive works on.
+/// Takes ownership of a split, raising its epoch, unless another live node owns it.
 async fn own(
     runner: &Runner,
     read: Versioned<SplitRow>,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Inputs of chunks that fit into a node's memory together.
+/// Number of chunk inputs that must fit into the memory limit of a node.
 const CHUNKS_IN_MEMORY: usize = 8;
 
 fn is_unsplit(row: &JobRow) -> bool {
@@ -172,7 +172,7 @@
     row.approved || items <= standing
 }
 
-/// Writes the chunk rows from the cursor on. `None` when another node took the split over.
+/// Writes the chunk rows from the cursor on. Returns `None` if another writer changed the split row.
 async fn write_chunks(
     runner: &Runner,
     mut split: Versioned<SplitRow>,
@@ -227,7 +227,7 @@
     }
 }
 
-/// All chunk rows are written: the job is in progress.
+/// Starts the job once all chunk rows are written.
 async fn begin(
     runner: &Runner,
     split: &Versioned<SplitRow>,
@@ -254,7 +254,7 @@
     finish_split(runner, split, (row, read.revision), Some(active)).await
 }
 
-/// The input is wrong: the job fails with the errors found.
+/// Fails the job with the errors in its input.
 async fn fail(
     runner: &Runner,
     split: &Versioned<SplitRow>,
@@ -274,7 +274,7 @@
     Ok(())
 }
 
-/// No approval covers the job: it waits for a confirmation.
+/// Leaves the job in the planned phase until it is confirmed.
 async fn park(
     runner: &Runner,
     split: &Versioned<SplitRow>,
@@ -294,8 +294,8 @@
     Ok(())
 }
 
-/// Writes the job's new row and removes the split row. Without an `active` row the job's feed row is
-/// removed too.
+/// Writes the new job row and deletes the split row. Writes the active-job row if `active` is given
+/// and deletes it otherwise.
 async fn finish_split(
     runner: &Runner,
     split: &Versioned<SplitRow>,
@@ -322,7 +322,7 @@
     Ok(())
 }
 
-/// Removes the split row of a job that needs no split any more.
+/// Deletes the split row of a job that no longer needs to be split.
 async fn drop_split(runner: &Runner, split: &Versioned<SplitRow>) -> Result<(), StoreError> {
     let key = keys::split_job(&split.row.job_id.as_str().into());
     let transaction = Transaction::default()
--- a/crates/batch/src/runner/state.rs
+++ b/crates/batch/src/runner/state.rs
@@ -1,4 +1,4 @@
-//! What the runner's tasks share: active jobs, held chunks, waiting and running items.
+//! Shared state of the runner's tasks: active jobs, held chunks, queued and running items.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -12,93 +12,94 @@
 use super::work::{HeldChunk, WorkItem};
 use crate::input::PartIndex;
 
-/// Place of a chunk: job id and index.
+/// Job id and index of a chunk.
 pub type ChunkPlace = (String, u32);
 
-/// An active job as the feed shows it.
+/// An active job, as read from the change feed.
 pub struct ActiveJob {
-    /// The row.
+    /// Row of the active job.
     pub row: ActiveJobRow,
-    /// No open chunk was found: do not look again before this time.
+    /// Time before which the job is not searched again, after no open chunk was found.
     pub exhausted_until: Millis,
 }
 
-/// Where the input of a job is.
+/// Location of a job's input.
 pub struct JobInput {
-    /// Endpoint of its items.
+    /// Endpoint of the job's items.
     pub endpoint: String,
     /// Parts of the input file.
     pub parts: PartIndex,
 }
 
-/// State of the runner.
+/// State shared by the runner's tasks.
 #[derive(Default)]
 pub struct State {
-    /// Jobs that are not finished.
+    /// Active jobs by id.
     pub jobs: BTreeMap<String, ActiveJob>,
-    /// Inputs of active jobs of which this node holds or held chunks.
+    /// Inputs of active jobs of which this node has loaded chunks.
     pub inputs: BTreeMap<String, Rc<JobInput>>,
-    /// When the last call was sent that read the feed with success.
+    /// Send time of the last successful read of the feed.
     pub feed_read_at: Millis,
-    /// When the feed was last asked for in vain.
+    /// Time of the last failed read of the feed.
     pub feed_failed_at: Millis,
-    /// When this node was last found to have been paused: until it has asked for the feed again, it
-    /// starts nothing, since a job may have been cancelled meanwhile.
+    /// Time at which the process was last found to have been suspended. No item is started until the
+    /// feed has been read again, because a job may have been cancelled in the meantime.
     pub paused_until: Millis,
-    /// Chunks that are being claimed or loaded, with their items.
+    /// Chunks being claimed or loaded, with their item counts.
     pub claiming: BTreeMap<ChunkPlace, u32>,
-    /// Chunks held, input loaded.
+    /// Chunks held by this node whose input is loaded.
     pub held: BTreeMap<ChunkPlace, Rc<HeldChunk>>,
-    /// Items never started, by service.
+    /// Queued items without any token, by service.
     pub fresh: BTreeMap<String, VecDeque<WorkItem>>,
-    /// Items that were paused or have to be tried again, by service.
+    /// Queued items with tokens, which were paused or are to be retried, by service.
     pub paused: BTreeMap<String, Vec<WorkItem>>,
-    /// Servers that run or ran items.
+    /// State of the servers of this node.
     pub servers: BTreeMap<ServerId, ServerState>,
-    /// Batch work given to tenants.
+    /// Batch work charged to tenants.
     pub shares: TenantShares,
-    /// Bytes that held chunks account for.
+    /// Estimated memory of the held chunks, bytes.
     pub held_bytes: usize,
 }
 
 impl State {
-    /// Whether the node was paused and has not asked for the feed since. A store that does not answer
-    /// cannot have acknowledged a cancel lately; what gossip brought is known.
+    /// Whether the process was suspended and has not read the feed since. A failed read is enough: a
+    /// store that does not respond has acknowledged no recent cancel, and gossip covers the others.
     pub fn is_behind(&self) -> bool {
         self.feed_read_at.max(self.feed_failed_at) < self.paused_until
     }
 
-    /// Whether this node works on a chunk.
+    /// Whether this node is claiming, loading or holding a chunk.
     pub fn knows(&self, place: &ChunkPlace) -> bool {
         self.held.contains_key(place) || self.claiming.contains_key(place)
     }
 
-    /// Whether an item of a chunk is on an engine.
+    /// Whether an item of a chunk is running.
     pub fn runs(&self, chunk: &Rc<HeldChunk>) -> bool {
         let mut running = self.servers.values().flat_map(|server| &server.running);
         running.any(|running| Rc::ptr_eq(&running.chunk, chunk))
     }
 
-    /// Items of a service that were never started, and all that are being claimed or loaded.
+    /// Number of queued items of a service without any token, plus the items of all services that are
+    /// being claimed or loaded.
     pub fn waiting_cold(&self, service: &str) -> usize {
         let coming: u32 = self.claiming.values().sum();
         self.fresh.get(service).map_or(0, VecDeque::len) + coming as usize
     }
 
-    /// All items that wait.
+    /// Number of queued items.
     pub fn waiting_total(&self) -> usize {
         let fresh: usize = self.fresh.values().map(VecDeque::len).sum();
         let paused: usize = self.paused.values().map(Vec::len).sum();
         fresh + paused
     }
 
-    /// All streams.
+    /// Number of running streams.
     pub fn running_total(&self) -> usize {
         let servers = self.servers.values();
         servers.map(|server| server.running.len()).sum()
     }
 
-    /// Takes an item whose state a server still caches.
+    /// Removes and returns a paused item whose KV state is probably still cached on a server.
     pub fn take_warm(&mut self, service: &str, server: &ServerId, now: Millis) -> Option<WorkItem> {
         let cache = &self.servers.get(server)?.cache;
         let paused = self.paused.get_mut(service)?;
@@ -109,15 +110,15 @@
         Some(paused.remove(index))
     }
 
-    /// Takes an item that needs a prefill: one that has waited long for its server, or a fresh one,
-    /// or else one that was paused elsewhere.
+    /// Removes and returns an item that needs a prefill: preferably a paused one whose cached state
+    /// has expired, then one without any token, then any paused one.
     pub fn take_cold(&mut self, service: &str, server: &ServerId, now: Millis) -> Option<WorkItem> {
         self.take_stale(service, now)
             .or_else(|| self.take_fresh(service, server, now))
             .or_else(|| self.take_any_paused(service))
     }
 
-    /// Takes a paused item that no server is taken to cache any more.
+    /// Removes and returns a paused item whose KV state is probably no longer cached on any server.
     fn take_stale(&mut self, service: &str, now: Millis) -> Option<WorkItem> {
         let servers = &self.servers;
         let paused = self.paused.get_mut(service)?;
@@ -134,8 +135,8 @@
         (!paused.is_empty()).then(|| paused.remove(0))
     }
 
-    /// Takes the first fresh item of which a server is not just computing the shared head: what
-    /// starts a little later finds it in the cache.
+    /// Removes and returns the first item whose shared prefix the server is not computing right now.
+    /// The others are delayed so that they find the prefix in the cache.
     fn take_fresh(&mut self, service: &str, server: &ServerId, now: Millis) -> Option<WorkItem> {
         let fresh = self.fresh.get_mut(service)?;
         let known = self.servers.entry(server.clone()).or_default();
@@ -154,8 +155,8 @@
         fresh.remove(index)
     }
 
-    /// Puts an item back that was paused or has to be tried again. One without a token goes to the
-    /// front of those that were never started.
+    /// Queues an item again after a pause or a failed attempt. An item without any token goes to the
+    /// front of its queue.
     pub fn put_back(&mut self, item: WorkItem) {
         if item.chunk.is_stopped() {
             return;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Holds a chunk and queues the items that are chosen.
+    /// Adds a loaded chunk and queues the given items of it.
     pub fn hold(&mut self, chunk: &Rc<HeldChunk>, queued: impl Iterator<Item = u32>) {
         self.held_bytes += chunk.bytes;
         self.held.insert(chunk.place(), chunk.clone());
@@ -176,7 +177,7 @@
         fresh.extend(queued.map(|index| WorkItem::fresh(chunk, index)));
     }
 
-    /// Drops a chunk and its waiting items.
+    /// Removes a chunk and its queued items.
     pub fn forget(&mut self, place: &ChunkPlace) {
         let Some(chunk) = self.held.remove(place) else {
             return;
--- a/crates/batch/src/runner/takeover.rs
+++ b/crates/batch/src/runner/takeover.rs
@@ -1,8 +1,8 @@
-//! Opening of chunks whose holder is gone.
+//! Reopens chunks whose holder is gone.
 //!
-//! Each claimed chunk is listed under its holder. When membership says that a node is gone, the few
-//! nodes that the hash prefers look at its list, one after the other; a slow sweep over all lists
-//! catches what they miss. Opening raises the epoch, so a holder that was only paused is fenced.
+//! Each claimed chunk has a row under its holder. Every node sweeps these rows after a membership
+//! change, with a random delay, and periodically. Reopening a chunk raises its epoch, so that a
+//! holder that was only suspended is fenced.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,13 +20,12 @@
 use super::Runner;
 use crate::store::{self, Applied, Versioned};
 
-/// Rows read at once.
+/// Rows per read.
 const PAGE: usize = 256;
-/// Time between two sweeps, milliseconds, for each member: the store sees about one sweep of the
-/// fleet in this time.
+/// Interval of sweeps, milliseconds per member, so that the fleet sweeps about once in this time.
 const SWEEP_MS_PER_MEMBER: u64 = 3_000;
 
-/// Looks for chunks of nodes that are gone for ever.
+/// Reopens chunks of nodes that are gone; never returns.
 pub async fn run(runner: Rc<Runner>) {
     let mut members = runner.tables.members.subscribe();
     loop {
@@ -43,7 +42,7 @@
             continue;
         }
         if let Err(error) = sweep_held(&runner).await {
-            tracing::debug!(%error, "the lists of held chunks were not read");
+            tracing::debug!(%error, "failed to sweep the held chunks");
         }
     }
 }
@@ -70,8 +69,8 @@
     }
 }
 
-/// Opens a chunk whose holder is gone, or that is this node's without its knowing: a claim took
-/// effect after this node had given up waiting for its answer.
+/// Reopens a chunk if its holder is gone, or if it is listed under this node without being known
+/// here: the claim took effect after this node stopped waiting for the response.
 async fn look_at(
     runner: &Runner,
     held_key: &str,
@@ -130,7 +129,7 @@
     Ok(read.is_some_and(|read| !read.row.cancelled))
 }
 
-/// Removes an entry that its chunk row does not bear out, unless it was written anew meanwhile.
+/// Deletes a held-chunk row that does not match its chunk row, unless it has been rewritten.
 async fn remove_list_entry(runner: &Runner, key: &str, revision: u64) -> Result<(), StoreError> {
     let transaction = Transaction::default()
         .expect(key, Expect::Revision(revision))
@@ -140,8 +139,8 @@
 }
 
 impl Runner {
-    /// Opens a claimed chunk of this node, or of one that is gone; `partial` is the object with what
-    /// is finished of it. Returns whether it did.
+    /// Reopens a claimed chunk of this node or of a node that is gone. `partial` is the object with
+    /// the finished result lines. Returns whether the chunk was reopened.
     pub(super) async fn reopen(
         &self,
         job: &JobId,
@@ -172,7 +171,7 @@
         Ok(opened)
     }
 
-    /// Time until a sweep that all members share, milliseconds for each member, jittered.
+    /// Jittered wait between sweeps that scales with the number of members.
     pub(super) fn sweep_wait(&self, milliseconds_per_member: u64) -> Duration {
         let members = self.tables.members.all().len().max(1) as u64;
         jitter(milliseconds_per_member * members)
--- a/crates/batch/src/runner/work.rs
+++ b/crates/batch/src/runner/work.rs
@@ -1,4 +1,4 @@
-//! Work that a node holds: claimed chunks and their items.
+//! Held chunks and their items.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,63 +13,59 @@
 use crate::input::Item;
 use crate::store::Versioned;
 
-/// Why a held chunk is given up.
+/// Reason for stopping work on a held chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its job was cancelled.
+    /// The job was cancelled.
     Cancelled,
-    /// Another node holds it now.
+    /// This node no longer holds the chunk.
     Fenced,
-    /// The node hands it back.
+    /// This node hands the chunk back.
     HandedBack,
 }
 
-/// Result line of one item.
+/// Result line of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemLine {
-    /// The line, with its line feed.
+    /// Line, including the line feed.
     pub bytes: Vec<u8>,
-    /// Whether it belongs into the error file.
+    /// Whether the line belongs to the error file.
     pub failed: bool,
 }
 
 /// A chunk that this node holds under an epoch.
 pub struct HeldChunk {
-    /// Job.
     pub job: JobId,
-    /// Index in the job.
+    /// Index of the chunk in the job.
     pub index: u32,
-    /// Tenant.
     pub tenant: String,
-    /// Service.
     pub service: String,
-    /// Whether its items must not repeat.
+    /// Whether its items must run at most once.
     pub once: bool,
     /// Epoch under which this node holds the chunk.
     pub epoch: u64,
-    /// The row as last written or read, with its revision.
+    /// Chunk row as last written or read.
     pub row: RefCell<Versioned<ChunkRow>>,
-    /// Its items.
     pub items: Vec<Item>,
-    /// Result lines, by item.
+    /// Result lines by item index.
     pub lines: RefCell<Vec<Option<ItemLine>>>,
-    /// Items without a result line.
+    /// Number of items without a result line.
     pub remaining: Cell<usize>,
-    /// Set once the chunk is given up: no item is started, nothing is committed.
+    /// Set when work on the chunk is stopped; no further item is started.
     pub stopped: Cell<Option<StopReason>>,
-    /// One mark of a started item is written at a time.
+    /// Serializes the writes of started marks.
     pub marking: tokio::sync::Mutex<()>,
-    /// Bytes that it holds, results included as expected.
+    /// Estimated memory including the results, bytes.
     pub bytes: usize,
 }
 
-/// Estimate of the memory of a result token, bytes.
+/// Estimated memory per result token, bytes.
 const RESULT_TOKEN_BYTES: usize = 8;
-/// Memory of a held item besides its input and result, bytes.
+/// Estimated memory per item besides its input and result, bytes.
 const ITEM_OVERHEAD_BYTES: usize = 512;
 
 impl HeldChunk {
-    /// A chunk just claimed, with its items.
+    /// Creates the state of a claimed chunk.
     pub fn new(job: JobId, row: Versioned<ChunkRow>, items: Vec<Item>) -> HeldChunk {
         let results: usize = items
             .iter()
@@ -93,24 +89,25 @@
         }
     }
 
-    /// Its place among the held chunks.
+    /// Key of the chunk among the held chunks.
     pub fn place(&self) -> ChunkPlace {
         (self.job.to_string(), self.index)
     }
 
-    /// Gives the chunk up, unless that has happened already.
+    /// Stops work on the chunk. The first reason is kept.
     pub fn stop(&self, reason: StopReason) {
         if self.stopped.get().is_none() {
             self.stopped.set(Some(reason));
         }
     }
 
-    /// Whether the chunk was given up.
+    /// Whether work on the chunk was stopped.
     pub fn is_stopped(&self) -> bool {
         self.stopped.get().is_some()
     }
 
-    /// Request id of an item: the same under each epoch, so that engines' records can be compared.
+    /// Request id of an item. It does not depend on the epoch, so that repeated runs of an item can be
+    /// recognized in engine logs.
     pub fn request_id(&self, item: u32) -> RequestId {
         let number = self.row.borrow().row.first_item + item;
         let left = hash_bytes(format!("{}/{number}", self.job).as_bytes());
@@ -119,35 +116,34 @@
     }
 }
 
-/// An item that waits to be started or resumed, or runs.
+/// A queued or running item.
 pub struct WorkItem {
-    /// Its chunk.
     pub chunk: Rc<HeldChunk>,
-    /// Index in the chunk.
+    /// Index of the item in the chunk.
     pub index: u32,
-    /// Tokens that it has, one piece a token.
+    /// Text of each token generated so far.
     pub pieces: Vec<String>,
-    /// Version that made them; empty without any.
+    /// Model version that the engine reported; empty before the first attempt is accepted.
     pub version: String,
-    /// Server that it ran on last.
+    /// Server of the last attempt.
     pub last_server: Option<ServerId>,
-    /// When it stopped running there.
+    /// Time at which the last attempt ended.
     pub stopped_at: Millis,
-    /// Mark of what it left in that server's cache.
+    /// Entry of its KV state in the cache model of that server.
     pub cache_mark: CacheMark,
-    /// Attempts made under this epoch.
+    /// Number of attempts under this epoch.
     pub attempts: u32,
-    /// It is the first on its server with its shared head and has not made a token there.
+    /// Whether the item is the leader of its shared prefix and has produced no token yet.
     pub leads_prefix: bool,
 }
 
-/// How long the state of a paused item is taken to stay in a server's cache, milliseconds.
+/// Time after which the KV state of a paused item counts as evicted, milliseconds.
 const WARM_MS: u64 = 3_000;
-/// Attempt numbers that each epoch has for an item.
+/// Attempt numbers reserved for an item in each epoch.
 const ATTEMPTS_PER_EPOCH: u32 = 10_000;
 
 impl WorkItem {
-    /// An item that was never started by this node.
+    /// Creates an item that this node has not started.
     pub fn fresh(chunk: &Rc<HeldChunk>, index: u32) -> WorkItem {
         WorkItem {
             chunk: chunk.clone(),
@@ -162,32 +158,31 @@
         }
     }
 
-    /// The item.
+    /// Returns the parsed input of the item.
     pub fn item(&self) -> &Item {
         &self.chunk.items[self.index as usize]
     }
 
-    /// KV tokens that it may hold while it runs.
+    /// Maximum KV memory of the item, tokens.
     pub fn kv_tokens(&self) -> u32 {
         let item = self.item();
         item.prompt_tokens.saturating_add(item.max_tokens)
     }
 
-    /// Whether a server probably still caches the state of the item, so that going on costs it no
-    /// prefill.
+    /// Whether a server probably still caches the KV state of the item, so that resuming it there
+    /// needs no prefill.
     pub fn is_warm_on(&self, server: &ServerId, cache: &CacheModel, now: Millis) -> bool {
         let there = self.last_server.as_ref() == Some(server) && !self.pieces.is_empty();
         there && !self.is_stale(Some(cache), now)
     }
 
-    /// Whether the item has waited too long for the server that it ran on, or that server is taken to
-    /// have dropped its state.
+    /// Whether the KV state of the item has probably been evicted from the server that it ran on.
     pub fn is_stale(&self, cache: Option<&CacheModel>, now: Millis) -> bool {
         let cached = cache.is_some_and(|cache| cache.holds(self.cache_mark));
         !cached || now.since(self.stopped_at) > WARM_MS
     }
 
-    /// Number of the next attempt: grows over epochs too.
+    /// Returns the number of the next attempt, which increases across epochs.
     pub fn next_attempt(&mut self) -> u32 {
         self.attempts += 1;
         let epoch = u32::try_from(self.chunk.epoch).unwrap_or(u32::MAX);
--- a/crates/batch/src/store.rs
+++ b/crates/batch/src/store.rs
@@ -1,4 +1,5 @@
-//! Typed rows of the table service, and writes whose lost answers are resolved by reading back.
+//! Typed rows of the table service, and conditional writes that resolve lost responses by reading
+//! the row back.
 
 use std::time::Duration;
 
@@ -8,16 +9,16 @@
 use prost::Message;
 use rand::Rng;
 
-/// A row as read: its message and the revision at which it was written.
+/// A decoded row with its revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<M> {
-    /// The row.
     pub row: M,
-    /// Revision at which it was written.
+    /// Revision of the transaction that last wrote the row.
     pub revision: u64,
 }
 
-/// Reads one row; `None` when it is absent. A row that does not decode counts as an invalid answer.
+/// Reads one row; `None` when it is absent. A row that does not decode is
+/// [`StoreError::Invalid`].
 pub async fn read_row<M: Message + Default>(
     tables: &dyn TableStore,
     key: &str,
@@ -28,7 +29,6 @@
     }
 }
 
-/// Decodes a row's value.
 pub fn decode<M: Message + Default>(
     key: &str,
     value: &Bytes,
@@ -37,35 +37,35 @@
     match M::decode(value.clone()) {
         Ok(row) => Ok(Versioned { row, revision }),
         Err(error) => Err(StoreError::Invalid {
-            reason: format!("row {key} does not decode: {error}"),
+            reason: format!("failed to decode row {key}: {error}"),
         }),
     }
 }
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
-    /// It took effect, now or under an answer that was lost.
+    /// The write took effect, possibly in an earlier attempt whose response was lost.
     Yes {
         /// Revision of the written rows.
         revision: u64,
     },
-    /// A row had changed: nothing was written.
+    /// A condition did not hold; nothing was written.
     Conflict,
 }
 
-/// Attempts to resolve a write whose answer was lost before the caller is told that it is unknown.
+/// Attempts to write before an unresolved outcome is returned as [`StoreError::Ambiguous`].
 const RESOLVE_ATTEMPTS: u32 = 5;
-/// First wait between two attempts, milliseconds; doubles with each.
+/// Base of the exponential backoff between attempts, milliseconds.
 const RESOLVE_WAIT_MS: u64 = 50;
 
-/// Sends a conditional write. When an answer is lost, the row under `key` is read back: `ours` says
-/// whether it holds what this write puts there. Repeating the write is safe, since its comparisons
-/// hold at most once.
+/// Sends a conditional write and retries it when the response is lost. If a retry conflicts, the row
+/// under `key` is read back and `ours` tells whether it holds the value of this write. Retrying is
+/// safe because the conditions hold at most once.
 ///
 /// # Errors
-/// [`StoreError::Ambiguous`] when it could not be learnt whether the write took effect; any other
-/// error when it is certain that nothing was written.
+/// [`StoreError::Ambiguous`] if it is unknown whether the write took effect. After any other error,
+/// nothing was written.
 pub async fn apply(
     tables: &dyn TableStore,
     transaction: &Transaction,
@@ -112,13 +112,13 @@
     })
 }
 
-/// Waits between half of and the whole of some milliseconds.
+/// Sleeps for a random time between half of `milliseconds` and all of it.
 pub async fn wait_jittered(milliseconds: u64) {
     let jittered = rand::rng().random_range(milliseconds / 2..=milliseconds.max(1));
     tokio::time::sleep(Duration::from_millis(jittered)).await;
 }
 
-/// The answer to a caller whose call needed the store and failed.
+/// Converts a store error to the failure that the caller receives.
 pub fn failure(error: &StoreError) -> Failure {
     match error {
         StoreError::RateLimited { retry_after_ms } => {
@@ -138,5 +138,5 @@
     }
 }
 
-/// Advice to callers while the store does not answer, milliseconds.
+/// `retry_after` sent to callers while the store is unavailable, milliseconds.
 const STORE_RETRY_AFTER_MS: u32 = 1_000;
