--- a/crates/batch/examples/check_memory.rs
+++ b/crates/batch/examples/check_memory.rs
@@ -3,7 +3,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use dappleyard_batch::input::{Bounds, PartIndex, check};
+use dappleyard_batch::input::{InputLimits, PartIndex, check_input};
 use dappleyard_decide::chunks::ChunkSizing;
 use dappleyard_store::{ObjectData, ObjectStore, StoreError};
 
@@ -90,7 +90,7 @@
         .unwrap_or(4_000);
     let store = MadeUp { items };
     let before = peak_kb();
-    let bounds = Bounds {
+    let limits = InputLimits {
         endpoint: "/v1/completions".to_owned(),
         line_bytes: 1 << 20,
         items: 400_000,
@@ -107,7 +107,7 @@
     let parts = PartIndex::list(&store, "tenant", "file")
         .await
         .expect("parts");
-    let checked = check(&store, &parts, &bounds).await.expect("checked");
+    let checked = check_input(&store, &parts, &limits).await.expect("checked");
     let (errors, chunks) = (checked.errors.len(), checked.chunks.len());
     println!("{} items, {errors} errors, {chunks} chunks", checked.items);
     println!("peak memory before {before} kB, after {} kB", peak_kb());
--- a/crates/batch/src/input/check.rs
+++ b/crates/batch/src/input/check.rs
@@ -10,7 +10,7 @@
 use dappleyard_wire::hash::hash_bytes;
 use dappleyard_wire::messages::JobError;
 
-use super::item::parse;
+use super::item::parse_item;
 use super::lines::{Line, LineReader};
 use super::parts::PartIndex;
 
@@ -19,7 +19,7 @@
 
 /// Limits on an input file, and the sizing of its chunks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Bounds {
+pub struct InputLimits {
     /// Endpoint that every item must name.
     pub endpoint: String,
     /// Maximum length of a line, bytes.
@@ -34,7 +34,7 @@
 
 /// Range of the input that makes up a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
+pub struct ChunkRange {
     /// Offset of the first byte.
     pub start: u64,
     /// Offset after the last byte.
@@ -47,7 +47,7 @@
 
 /// Result of validating an input file.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Checked {
+pub struct CheckedInput {
     /// The first errors, at most [`MAXIMUM_ERRORS`].
     pub errors: Vec<JobError>,
     /// Number of items.
@@ -55,56 +55,58 @@
     /// Service that all items name.
     pub service: String,
     /// Chunks in input order; meaningless if there are errors.
-    pub chunks: Vec<Span>,
+    pub chunks: Vec<ChunkRange>,
 }
 
 /// Validates an input file and divides it into chunks.
 ///
 /// # Errors
 /// Store errors only; errors in the input are part of the result.
-pub async fn check(
+pub async fn check_input(
     objects: &dyn ObjectStore,
     parts: &PartIndex,
-    bounds: &Bounds,
-) -> Result<Checked, StoreError> {
-    let mut reader = LineReader::new(objects, parts, 0, bounds.line_bytes);
-    let mut checker = Checker::new(bounds);
+    limits: &InputLimits,
+) -> Result<CheckedInput, StoreError> {
+    let mut reader = LineReader::new(objects, parts, 0, limits.line_bytes);
+    let mut checker = InputChecker::new(limits);
     while let Some(line) = reader.next().await? {
-        if !checker.take(&line) {
+        if !checker.check_next(&line) {
             break;
         }
     }
-    Ok(checker.end())
+    Ok(checker.finish())
 }
 
 /// State of a validation.
-struct Checker<'a> {
-    bounds: &'a Bounds,
-    checked: Checked,
-    names: HashSet<u64>,
-    groups: Vec<Span>,
+struct InputChecker<'a> {
+    limits: &'a InputLimits,
+    checked: CheckedInput,
+    custom_id_hashes: HashSet<u64>,
+    groups: Vec<ChunkRange>,
 }
 
-impl<'a> Checker<'a> {
-    fn new(bounds: &'a Bounds) -> Checker<'a> {
-        Checker {
-            bounds,
-            checked: Checked::default(),
-            names: HashSet::new(),
+impl<'a> InputChecker<'a> {
+    fn new(limits: &'a InputLimits) -> InputChecker<'a> {
+        InputChecker {
+            limits,
+            checked: CheckedInput::default(),
+            custom_id_hashes: HashSet::new(),
             groups: Vec::new(),
         }
     }
 
     /// Checks the next line. Returns `false` when reading should stop.
-    fn take(&mut self, line: &Line) -> bool {
-        if self.checked.items == self.bounds.items {
-            let message = format!("a job has at most {} items", self.bounds.items);
-            self.checked.errors.push(error(line.number, "", message));
+    fn check_next(&mut self, line: &Line) -> bool {
+        if self.checked.items == self.limits.items {
+            let message = format!("a job has at most {} items", self.limits.items);
+            self.checked
+                .errors
+                .push(job_error(line.number, "", message));
             return false;
         }
         match self.check_line(line) {
             Ok(()) => self.add(line),
-            Err(problem) => self.checked.errors.push(problem),
+            Err(line_error) => self.checked.errors.push(line_error),
         }
         self.checked.items += 1;
         self.checked.errors.len() < MAXIMUM_ERRORS
@@ -112,39 +114,45 @@
 
     fn check_line(&mut self, line: &Line) -> Result<(), JobError> {
         let Some(content) = &line.content else {
-            let message = format!("the line is longer than {} bytes", self.bounds.line_bytes);
-            return Err(error(line.number, "", message));
+            let message = format!("the line is longer than {} bytes", self.limits.line_bytes);
+            return Err(job_error(line.number, "", message));
         };
-        let item = parse(content, &self.bounds.endpoint)
-            .map_err(|problem| error(line.number, problem.field, problem.message))?;
+        let item = parse_item(content, &self.limits.endpoint)
+            .map_err(|line_error| job_error(line.number, line_error.field, line_error.message))?;
         let service = &mut self.checked.service;
         if service.is_empty() {
             service.clone_from(&item.service);
         }
         if *service != item.service {
             let message = format!("all items of a job name one model; the first names {service:?}");
-            return Err(error(line.number, "body.model", message));
+            return Err(job_error(line.number, "body.model", message));
         }
-        if !self.names.insert(hash_bytes(item.custom_id.as_bytes())) {
+        if !self
+            .custom_id_hashes
+            .insert(hash_bytes(item.custom_id.as_bytes()))
+        {
             let message = format!("{:?} names an earlier item too", item.custom_id);
-            return Err(error(line.number, "custom_id", message));
+            return Err(job_error(line.number, "custom_id", message));
         }
         Ok(())
     }
 
     /// Appends a valid line to the last group, or starts a new group.
     fn add(&mut self, line: &Line) {
-        let most = self
-            .bounds
+        let max_group_items = self
+            .limits
             .chunks
             .minimum
-            .clamp(1, self.bounds.chunks.maximum.max(1));
+            .clamp(1, self.limits.chunks.maximum.max(1));
         match self.groups.last_mut() {
-            Some(group) if group.items < most && self.bounds.admits(group.start, line.end) => {
+            Some(group)
+                if group.items < max_group_items
+                    && self.limits.fits_chunk(group.start, line.end) =>
+            {
                 group.end = line.end;
                 group.items += 1;
             }
-            _ => self.groups.push(Span {
+            _ => self.groups.push(ChunkRange {
                 start: line.start,
                 end: line.end,
                 first_item: self.checked.items,
@@ -153,47 +161,51 @@
         }
     }
 
-    fn end(mut self) -> Checked {
+    fn finish(mut self) -> CheckedInput {
         if self.checked.items == 0 {
             let message = "the file has no items".to_owned();
-            self.checked.errors.push(error(0, "", message));
+            self.checked.errors.push(job_error(0, "", message));
         }
-        self.checked.chunks = merge(&self.groups, self.checked.items, self.bounds);
+        self.checked.chunks = merge_groups(&self.groups, self.checked.items, self.limits);
         self.checked
     }
 }
 
-impl Bounds {
-    fn admits(&self, start: u64, end: u64) -> bool {
+impl InputLimits {
+    fn fits_chunk(&self, start: u64, end: u64) -> bool {
         end - start <= self.chunk_bytes
     }
 }
 
 /// Merges adjacent groups into chunks, each sized by the number of remaining items.
-fn merge(groups: &[Span], items: u32, bounds: &Bounds) -> Vec<Span> {
-    let mut spans: Vec<Span> = Vec::new();
+fn merge_groups(groups: &[ChunkRange], items: u32, limits: &InputLimits) -> Vec<ChunkRange> {
+    let mut chunk_ranges: Vec<ChunkRange> = Vec::new();
     let mut size = 0;
     for group in groups {
-        if spans.last().is_none_or(|span| span.items >= size) {
+        if chunk_ranges
+            .last()
+            .is_none_or(|chunk_range| chunk_range.items >= size)
+        {
             size = chunks::chunk_items(&ChunkSizing {
                 items: items - group.first_item,
-                ..bounds.chunks
+                ..limits.chunks
             });
         }
-        match spans.last_mut() {
-            Some(span)
-                if span.items + group.items <= size && bounds.admits(span.start, group.end) =>
+        match chunk_ranges.last_mut() {
+            Some(chunk_range)
+                if chunk_range.items + group.items <= size
+                    && limits.fits_chunk(chunk_range.start, group.end) =>
             {
-                span.end = group.end;
-                span.items += group.items;
+                chunk_range.end = group.end;
+                chunk_range.items += group.items;
             }
-            _ => spans.push(*group),
+            _ => chunk_ranges.push(*group),
         }
     }
-    spans
+    chunk_ranges
 }
 
-fn error(line: u32, field: &str, message: String) -> JobError {
+fn job_error(line: u32, field: &str, message: String) -> JobError {
     JobError {
         line,
         field: field.to_owned(),
--- a/crates/batch/src/input/item.rs
+++ b/crates/batch/src/input/item.rs
@@ -55,11 +55,11 @@
     custom_id: Option<String>,
     method: Option<String>,
     url: Option<String>,
-    body: Option<Body>,
+    body: Option<RequestBody>,
 }
 
 #[derive(Deserialize)]
-struct Body {
+struct RequestBody {
     model: Option<String>,
     messages: Option<Vec<ChatMessage>>,
     prompt: Option<String>,
@@ -98,7 +98,7 @@
 ///
 /// # Errors
 /// Returns the first invalid field.
-pub fn parse(line: &[u8], endpoint: &str) -> Result<Item, LineError> {
+pub fn parse_item(line: &[u8], endpoint: &str) -> Result<Item, LineError> {
     let request: RequestLine = serde_json::from_slice(line)
         .map_err(|error| LineError::new("", format!("not a batch request: {error}")))?;
     let custom_id = required(request.custom_id, "custom_id")?;
@@ -115,7 +115,7 @@
     parse_body(custom_id, body, endpoint == CHAT_ENDPOINT)
 }
 
-fn parse_body(custom_id: String, body: Body, chat: bool) -> Result<Item, LineError> {
+fn parse_body(custom_id: String, body: RequestBody, chat: bool) -> Result<Item, LineError> {
     let model = required(body.model, "body.model")?;
     let (prompt, prefix) = match chat {
         true => chat_prompt(body.messages)?,
@@ -126,7 +126,7 @@
     if max_tokens == 0 {
         return Err(LineError::new("body.max_tokens", "must be at least 1"));
     }
-    let (service, adapter) = split_model(&model);
+    let (service, adapter) = split_model_name(&model);
     Ok(Item {
         custom_id,
         service,
@@ -169,7 +169,7 @@
 }
 
 /// Splits a model name of the form `service` or `service:adapter`.
-fn split_model(model: &str) -> (String, String) {
+fn split_model_name(model: &str) -> (String, String) {
     match model.split_once(':') {
         Some((service, adapter)) => (service.to_owned(), adapter.to_owned()),
         None => (model.to_owned(), String::new()),
--- a/crates/batch/src/input/lines.rs
+++ b/crates/batch/src/input/lines.rs
@@ -62,13 +62,13 @@
                 }
                 continue;
             }
-            if !self.fill().await? {
-                return Ok(self.take_rest().filter(|line| !is_blank(line)));
+            if !self.read_more().await? {
+                return Ok(self.take_last_line().filter(|line| !is_blank(line)));
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<bool, StoreError> {
+    async fn read_more(&mut self) -> Result<bool, StoreError> {
         if self.buffer.len() > self.maximum_line_bytes {
             self.skipping_from.get_or_insert(self.offset);
             self.offset += self.buffer.len() as u64;
@@ -84,21 +84,21 @@
         let length = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let content = self.buffer.split_to(length).freeze();
         self.buffer.advance(1);
-        Some(self.line_of(content, 1))
+        Some(self.build_line(content, 1))
     }
 
-    fn take_rest(&mut self) -> Option<Line> {
+    fn take_last_line(&mut self) -> Option<Line> {
         if self.buffer.is_empty() && self.skipping_from.is_none() {
             return None;
         }
         let content = self.buffer.split().freeze();
-        Some(self.line_of(content, 0))
+        Some(self.build_line(content, 0))
     }
 
-    fn line_of(&mut self, content: Bytes, feed: u64) -> Line {
+    fn build_line(&mut self, content: Bytes, line_feed_bytes: u64) -> Line {
         let skipped = self.skipping_from.take();
         let start = skipped.unwrap_or(self.offset);
-        self.offset += content.len() as u64 + feed;
+        self.offset += content.len() as u64 + line_feed_bytes;
         self.line += 1;
         let fits = skipped.is_none() && content.len() <= self.maximum_line_bytes;
         Line {
--- a/crates/batch/src/input/mod.rs
+++ b/crates/batch/src/input/mod.rs
@@ -5,7 +5,7 @@
 pub mod lines;
 pub mod parts;
 
-pub use check::{Bounds, Checked, Span, check};
-pub use item::{Item, LineError, parse};
+pub use check::{CheckedInput, ChunkRange, InputLimits, check_input};
+pub use item::{Item, LineError, parse_item};
 pub use lines::{Line, LineReader};
 pub use parts::{Part, PartIndex};
--- a/crates/batch/src/input/parts.rs
+++ b/crates/batch/src/input/parts.rs
@@ -79,11 +79,11 @@
         let Some(part) = next.checked_sub(1).and_then(|index| self.parts.get(index)) else {
             return Ok(Bytes::new());
         };
-        let within = offset - part.offset;
-        if within >= part.size {
+        let part_offset = offset - part.offset;
+        if part_offset >= part.size {
             return Ok(Bytes::new());
         }
-        let data = objects.read(&part.object, within, limit).await?;
+        let data = objects.read(&part.object, part_offset, limit).await?;
         let data = data.ok_or_else(|| StoreError::Invalid {
             reason: format!("input part {} is missing", part.object),
         })?;
@@ -97,7 +97,7 @@
         start: u64,
         end: u64,
     ) -> Result<Bytes, StoreError> {
-        let mut whole = BytesMut::new();
+        let mut buffer = BytesMut::new();
         let mut offset = start;
         while offset < end {
             let bytes = self.read(objects, offset, end - offset).await?;
@@ -107,8 +107,8 @@
                 });
             }
             offset += bytes.len() as u64;
-            whole.extend_from_slice(&bytes);
+            buffer.extend_from_slice(&bytes);
         }
-        Ok(whole.freeze())
+        Ok(buffer.freeze())
     }
 }
--- a/crates/batch/src/jobs/approval.rs
+++ b/crates/batch/src/jobs/approval.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::JobsApi;
-use crate::store::{self, Applied};
+use crate::store::{self, WriteOutcome};
 
 /// Effect of a job on another tenant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -113,12 +113,13 @@
             .put(key.as_str(), row.encode_to_vec())
             .put(keys::split_job(&job), split.encode_to_vec())
             .put(keys::active_job(&job), active.encode_to_vec());
-        let applied = store::apply(&*self.platform.tables, &transaction, &key, |value| {
-            JobRow::decode(value.clone()).is_ok_and(|written| written == row)
-        });
+        let applied =
+            store::transact_resolved(&*self.platform.tables, &transaction, &key, |value| {
+                JobRow::decode(value.clone()).is_ok_and(|written| written == row)
+            });
         match applied.await.map_err(|error| store::failure(&error))? {
-            Applied::Yes { .. } => Ok(state),
-            Applied::Conflict => Err(Failure::not_run(
+            WriteOutcome::Written { .. } => Ok(state),
+            WriteOutcome::Conflict => Err(Failure::not_run(
                 ErrorKind::Conflict,
                 "the job changed meanwhile; look at it and confirm it again",
             )),
--- a/crates/batch/src/jobs/cancel.rs
+++ b/crates/batch/src/jobs/cancel.rs
@@ -8,7 +8,7 @@
 use prost::Message;
 
 use super::{JobsApi, check_name};
-use crate::store::{self, Applied, Versioned};
+use crate::store::{self, Versioned, WriteOutcome};
 
 /// Attempts of the compare-and-swap while other writers change the job row.
 const CANCEL_ATTEMPTS: usize = 8;
@@ -22,7 +22,7 @@
             let phase = read.row.state.as_ref().map(JobState::phase);
             match phase.unwrap_or(JobPhase::JobFailed) {
                 JobPhase::JobCancelled | JobPhase::JobCancelling => {
-                    self.announce(&call.job_id);
+                    self.publish_cancel(&call.job_id);
                     return Ok(read.row.state.unwrap_or_default());
                 }
                 JobPhase::JobCompleted | JobPhase::JobFailed => {
@@ -32,7 +32,7 @@
                 _ => {}
             }
             if let Some(state) = self.write_cancel(&call, read).await? {
-                self.announce(&call.job_id);
+                self.publish_cancel(&call.job_id);
                 return Ok(state);
             }
         }
@@ -67,17 +67,18 @@
             .expect(key.as_str(), Expect::Revision(read.revision))
             .put(key.as_str(), row.encode_to_vec())
             .put(keys::active_job(&job), active.encode_to_vec());
-        let applied = store::apply(&*self.platform.tables, &transaction, &key, |value| {
-            JobRow::decode(value.clone()).is_ok_and(|row| row.cancelled)
-        });
+        let applied =
+            store::transact_resolved(&*self.platform.tables, &transaction, &key, |value| {
+                JobRow::decode(value.clone()).is_ok_and(|row| row.cancelled)
+            });
         match applied.await.map_err(|error| store::failure(&error))? {
-            Applied::Yes { .. } => Ok(Some(state)),
-            Applied::Conflict => Ok(None),
+            WriteOutcome::Written { .. } => Ok(Some(state)),
+            WriteOutcome::Conflict => Ok(None),
         }
     }
 
     /// Informs this node's runner and, through gossip, the other nodes.
-    fn announce(&self, job: &str) {
+    fn publish_cancel(&self, job: &str) {
         self.tables.cancelled_jobs.lock().insert(job.to_owned());
     }
 }
--- a/crates/batch/src/jobs/files.rs
+++ b/crates/batch/src/jobs/files.rs
@@ -16,10 +16,10 @@
 
 use super::{JobsApi, check_name};
 use crate::input::PartIndex;
-use crate::store::{self, Applied};
+use crate::store::{self, WriteOutcome};
 
 /// Prefix of file ids.
-const FILE_PREFIX: &str = "file-";
+const FILE_ID_PREFIX: &str = "file-";
 /// Size of a read when a file is hashed from its parts, bytes.
 const HASH_READ_BYTES: u64 = 1024 * 1024;
 /// Maximum number of uploads whose incremental hash is kept; the oldest is dropped.
@@ -27,23 +27,23 @@
 
 /// Incremental hashes of files whose parts arrive at this worker in order.
 #[derive(Default)]
-pub struct Uploads {
-    open: RefCell<VecDeque<Upload>>,
+pub struct UploadHashes {
+    open: RefCell<VecDeque<UploadHash>>,
 }
 
-struct Upload {
+struct UploadHash {
     file: String,
     size: u64,
     hash: Xxh3,
 }
 
-impl Uploads {
+impl UploadHashes {
     fn begin(&self, file: &str) {
         let mut open = self.open.borrow_mut();
         if open.len() == MAXIMUM_UPLOADS {
             open.pop_front();
         }
-        open.push_back(Upload {
+        open.push_back(UploadHash {
             file: file.to_owned(),
             size: 0,
             hash: Xxh3::new(),
@@ -59,7 +59,7 @@
         }
     }
 
-    fn take(&self, file: &str) -> Option<Upload> {
+    fn take(&self, file: &str) -> Option<UploadHash> {
         let mut open = self.open.borrow_mut();
         let index = open.iter().position(|upload| upload.file == file)?;
         open.remove(index)
@@ -68,17 +68,18 @@
 
 /// Object that holds the name and purpose of a file. Its name is not an offset, so [`PartIndex`]
 /// does not take it for a part.
-fn head_object(tenant: &str, file: &str) -> String {
+fn metadata_object(tenant: &str, file: &str) -> String {
     format!("{}/head", keys::file_object(tenant, file))
 }
 
 impl JobsApi {
     pub(super) async fn create_file(&self, call: FileCreate) -> Result<FileState, Failure> {
         check_name("the tenant", &call.tenant)?;
-        let file_id = format!("{FILE_PREFIX}{}", uuid::Uuid::now_v7().simple());
-        let name = head_object(&call.tenant, &file_id);
-        self.create_part(&name, call.encode_to_vec().into()).await?;
-        self.uploads.begin(&file_id);
+        let file_id = format!("{FILE_ID_PREFIX}{}", uuid::Uuid::now_v7().simple());
+        let name = metadata_object(&call.tenant, &file_id);
+        self.create_object(&name, call.encode_to_vec().into())
+            .await?;
+        self.upload_hashes.begin(&file_id);
         Ok(FileState {
             file_id,
             filename: call.filename,
@@ -97,8 +98,9 @@
         }
         let name = keys::file_part(&call.tenant, &call.file_id, call.offset);
         let bytes = Bytes::from(call.data);
-        self.create_part(&name, bytes.clone()).await?;
-        self.uploads.extend(&call.file_id, call.offset, &bytes);
+        self.create_object(&name, bytes.clone()).await?;
+        self.upload_hashes
+            .extend(&call.file_id, call.offset, &bytes);
         Ok(FileState {
             file_id: call.file_id,
             size: call.offset + bytes.len() as u64,
@@ -108,7 +110,7 @@
 
     /// Creates an object. An existing object with the same content counts as success, since an
     /// earlier attempt may have written it.
-    async fn create_part(&self, name: &str, bytes: Bytes) -> Result<(), Failure> {
+    async fn create_object(&self, name: &str, bytes: Bytes) -> Result<(), Failure> {
         let objects = &self.platform.objects;
         match objects.create(name, bytes.clone()).await {
             Ok(()) => Ok(()),
@@ -140,18 +142,18 @@
                 format!("{} of {} bytes are stored", parts.size(), call.size),
             ));
         }
-        let upload = self.uploads.take(&call.file_id);
+        let upload = self.upload_hashes.take(&call.file_id);
         let known = upload.filter(|upload| upload.size == call.size);
         let content_hash = match known {
             Some(upload) => upload.hash.digest(),
             None => self.hash_content(&parts).await?,
         };
-        let head = self.read_head(&call.tenant, &call.file_id).await?;
+        let metadata = self.read_metadata(&call.tenant, &call.file_id).await?;
         let row = FileRow {
             state: Some(FileState {
                 file_id: call.file_id,
-                filename: head.filename,
-                purpose: head.purpose,
+                filename: metadata.filename,
+                purpose: metadata.purpose,
                 size: call.size,
                 created_unix_s: self.now_unix_s(),
                 sealed: true,
@@ -163,12 +165,12 @@
     }
 
     /// Reads the name and purpose given when the upload was created, possibly on another node.
-    async fn read_head(&self, tenant: &str, file: &str) -> Result<FileCreate, Failure> {
-        let name = head_object(tenant, file);
+    async fn read_metadata(&self, tenant: &str, file: &str) -> Result<FileCreate, Failure> {
+        let name = metadata_object(tenant, file);
         let read = self.platform.objects.read(&name, 0, HASH_READ_BYTES).await;
         let data = read.map_err(|error| store::failure(&error))?;
-        let head = data.and_then(|data| FileCreate::decode(data.bytes).ok());
-        Ok(head.unwrap_or_default())
+        let metadata = data.and_then(|data| FileCreate::decode(data.bytes).ok());
+        Ok(metadata.unwrap_or_default())
     }
 
     async fn hash_content(&self, parts: &PartIndex) -> Result<u64, Failure> {
@@ -193,10 +195,11 @@
         let transaction = Transaction::default()
             .expect(key.as_str(), Expect::Absent)
             .put(key.as_str(), row.encode_to_vec());
-        let applied = store::apply(&*self.platform.tables, &transaction, &key, |_| true).await;
+        let applied =
+            store::transact_resolved(&*self.platform.tables, &transaction, &key, |_| true).await;
         match applied.map_err(|error| store::failure(&error))? {
-            Applied::Yes { .. } => Ok(state),
-            Applied::Conflict => {
+            WriteOutcome::Written { .. } => Ok(state),
+            WriteOutcome::Conflict => {
                 let known = self.file_row(&row.tenant, &state.file_id).await?;
                 Ok(known.state.unwrap_or_default())
             }
--- a/crates/batch/src/jobs/mod.rs
+++ b/crates/batch/src/jobs/mod.rs
@@ -19,7 +19,7 @@
 use dappleyard_wire::{ErrorKind, Failure};
 
 pub use approval::{ApprovedRows, JobPlan, TenantEffect, approved_rows};
-pub use progress::{End, Progress, finish_when_done};
+pub use progress::{CompletionCheck, Progress, complete_if_done};
 
 use crate::store::{self, Versioned};
 
@@ -33,7 +33,7 @@
     tables: Arc<NodeTables>,
     platform: Platform,
     maximum_part_bytes: usize,
-    uploads: files::Uploads,
+    upload_hashes: files::UploadHashes,
     progress: progress::ProgressCache,
 }
 
@@ -47,7 +47,7 @@
             tables,
             platform,
             maximum_part_bytes: settings.memory_bytes,
-            uploads: files::Uploads::default(),
+            upload_hashes: files::UploadHashes::default(),
             progress: progress::ProgressCache::default(),
         })
     }
@@ -64,7 +64,7 @@
             true => answered.await,
             false => tokio::time::timeout(budget, answered)
                 .await
-                .unwrap_or_else(|_| Err(out_of_time())),
+                .unwrap_or_else(|_| Err(budget_exceeded())),
         };
         result.map(|result| Reply {
             result: Some(result),
@@ -103,7 +103,7 @@
     }
 }
 
-fn out_of_time() -> Failure {
+fn budget_exceeded() -> Failure {
     Failure::maybe_ran(
         ErrorKind::DeadlineExceeded,
         "the call's time ran out; send it again to learn what became of it",
--- a/crates/batch/src/jobs/progress.rs
+++ b/crates/batch/src/jobs/progress.rs
@@ -12,7 +12,7 @@
 use dappleyard_wire::messages::{ChunkPhase, ChunkRow, JobPhase, JobRow, JobState};
 use prost::Message;
 
-use crate::store::{self, Applied, Versioned};
+use crate::store::{self, Versioned, WriteOutcome};
 
 /// Chunk rows per read.
 const PAGE: usize = 256;
@@ -51,7 +51,7 @@
 
 /// Counts over the leading committed chunks of a job.
 #[derive(Debug, Clone)]
-struct Front {
+struct CachedProgress {
     job: String,
     progress: Progress,
 }
@@ -59,50 +59,50 @@
 /// Cache of the counts over the leading committed chunks.
 #[derive(Default)]
 pub struct ProgressCache {
-    fronts: RefCell<VecDeque<Front>>,
+    entries: RefCell<VecDeque<CachedProgress>>,
 }
 
 impl ProgressCache {
     /// Counts all committed chunks of a job.
     pub async fn count(&self, platform: &Platform, row: &JobRow) -> Result<Progress, StoreError> {
         let job = row.state.as_ref().map_or("", |state| &state.job_id);
-        let (front, whole) = count(platform, job, self.front(job)).await?;
-        self.remember(job, front);
-        Ok(whole)
+        let (leading, total) = count(platform, job, self.leading(job)).await?;
+        self.store_leading(job, leading);
+        Ok(total)
     }
 
-    fn front(&self, job: &str) -> Progress {
-        let fronts = self.fronts.borrow();
-        let known = fronts.iter().find(|front| front.job == job);
+    fn leading(&self, job: &str) -> Progress {
+        let entries = self.entries.borrow();
+        let known = entries.iter().find(|leading| leading.job == job);
         known
-            .map(|front| front.progress.clone())
+            .map(|leading| leading.progress.clone())
             .unwrap_or_default()
     }
 
-    fn remember(&self, job: &str, progress: Progress) {
-        let mut fronts = self.fronts.borrow_mut();
-        fronts.retain(|front| front.job != job);
-        if fronts.len() == MAXIMUM_CACHED {
-            fronts.pop_front();
+    fn store_leading(&self, job: &str, progress: Progress) {
+        let mut entries = self.entries.borrow_mut();
+        entries.retain(|leading| leading.job != job);
+        if entries.len() == MAXIMUM_CACHED {
+            entries.pop_front();
         }
-        fronts.push_back(Front {
+        entries.push_back(CachedProgress {
             job: job.to_owned(),
             progress,
         });
     }
 }
 
-/// Counts the committed chunks after the leading ones that `front` covers. Returns the counts over
+/// Counts the committed chunks after the leading ones that `leading` covers. Returns the counts over
 /// the leading committed chunks and over all committed chunks.
 async fn count(
     platform: &Platform,
     job: &str,
-    mut front: Progress,
+    mut leading: Progress,
 ) -> Result<(Progress, Progress), StoreError> {
-    let mut whole = front.clone();
-    let mut at_front = true;
+    let mut total = leading.clone();
+    let mut is_leading = true;
     let prefix = format!("{}{job}/", keys::CHUNK_PREFIX);
-    let mut after = match front.done_chunks.checked_sub(1) {
+    let mut after = match leading.done_chunks.checked_sub(1) {
         Some(last) => keys::chunk(&job.into(), last),
         None => String::new(),
     };
@@ -112,48 +112,51 @@
         for read in rows {
             let chunk = store::decode::<ChunkRow>(&read.key, &read.value, read.revision)?.row;
             let done = chunk.phase() == ChunkPhase::ChunkDone;
-            at_front &= done;
+            is_leading &= done;
             if done {
-                whole.add(&chunk);
+                total.add(&chunk);
             }
-            if at_front {
-                front.add(&chunk);
+            if is_leading {
+                leading.add(&chunk);
             }
             after = read.key;
         }
         if !full {
-            return Ok((front, whole));
+            return Ok((leading, total));
         }
     }
 }
 
-/// Finds the first uncommitted chunk after the leading ones that `front` covers, and advances
-/// `front` to it. Returns `None` if all chunks are committed. A missing row counts as uncommitted.
-async fn first_undone(
+/// Finds the first uncommitted chunk after the leading ones that `leading` covers, and advances
+/// `leading` to it. Returns `None` if all chunks are committed. A missing row counts as uncommitted.
+async fn first_uncommitted(
     platform: &Platform,
     job: &JobRow,
-    front: &mut Progress,
-) -> Result<Option<Undone>, StoreError> {
+    leading: &mut Progress,
+) -> Result<Option<Uncommitted>, StoreError> {
     let id = job.state.as_ref().map_or("", |state| &state.job_id);
     let prefix = format!("{}{id}/", keys::CHUNK_PREFIX);
-    while front.done_chunks < job.chunks {
-        let after = match front.done_chunks.checked_sub(1) {
+    while leading.done_chunks < job.chunks {
+        let after = match leading.done_chunks.checked_sub(1) {
             Some(last) => keys::chunk(&id.into(), last),
             None => String::new(),
         };
-        let rows = platform.tables.range(&prefix, &after, FINISH_PAGE).await?;
+        let rows = platform
+            .tables
+            .range(&prefix, &after, COMPLETION_PAGE)
+            .await?;
         if rows.is_empty() {
-            return Ok(Some(Undone::Missing));
+            return Ok(Some(Uncommitted::Missing));
         }
         for read in rows {
             let chunk = store::decode::<ChunkRow>(&read.key, &read.value, read.revision)?.row;
             if chunk.phase() != ChunkPhase::ChunkDone {
-                return Ok(Some(Undone::Chunk(Versioned {
+                return Ok(Some(Uncommitted::Chunk(Versioned {
                     row: chunk,
                     revision: read.revision,
                 })));
             }
-            front.add(&chunk);
+            leading.add(&chunk);
         }
     }
     Ok(None)
@@ -161,47 +164,47 @@
 
 /// First uncommitted chunk of a job.
 #[derive(Debug, Clone, PartialEq)]
-enum Undone {
+enum Uncommitted {
     Chunk(Versioned<ChunkRow>),
     Missing,
 }
 
-/// Result of [`finish_when_done`].
+/// Result of [`complete_if_done`].
 #[derive(Debug, Clone, PartialEq)]
-pub enum End {
+pub enum CompletionCheck {
     /// The job has ended or does not exist.
     Finished,
     /// The job has not ended; holds the first uncommitted chunk if it was read.
     Running(Option<Versioned<ChunkRow>>),
 }
 
-/// Chunk rows per read in [`first_undone`].
-const FINISH_PAGE: usize = 32;
+/// Chunk rows per read in [`first_uncommitted`].
+const COMPLETION_PAGE: usize = 32;
 
-/// Completes a job if all its chunks are committed. `front` covers leading committed chunks that the
+/// Completes a job if all its chunks are committed. `leading` covers leading committed chunks that the
 /// caller knows of; it is advanced.
-pub async fn finish_when_done(
+pub async fn complete_if_done(
     platform: &Platform,
     tenant: &str,
     job: &str,
-    front: &mut Progress,
+    leading: &mut Progress,
     now_unix_s: u64,
-) -> Result<End, StoreError> {
+) -> Result<CompletionCheck, StoreError> {
     let key = keys::job(&tenant.into(), &job.into());
     let Some(read) = store::read_row::<JobRow>(&*platform.tables, &key).await? else {
-        return Ok(End::Finished);
+        return Ok(CompletionCheck::Finished);
     };
     let phase = read.row.state.as_ref().map(JobState::phase);
     if is_final(phase) {
-        return Ok(End::Finished);
+        return Ok(CompletionCheck::Finished);
     }
     if phase != Some(JobPhase::JobInProgress) {
-        return Ok(End::Running(None));
+        return Ok(CompletionCheck::Running(None));
     }
-    match first_undone(platform, &read.row, front).await? {
-        Some(Undone::Chunk(chunk)) => Ok(End::Running(Some(chunk))),
-        Some(Undone::Missing) => Ok(End::Running(None)),
-        None => complete(platform, &key, read, front, now_unix_s).await,
+    match first_uncommitted(platform, &read.row, leading).await? {
+        Some(Uncommitted::Chunk(chunk)) => Ok(CompletionCheck::Running(Some(chunk))),
+        Some(Uncommitted::Missing) => Ok(CompletionCheck::Running(None)),
+        None => complete(platform, &key, read, leading, now_unix_s).await,
     }
 }
 
@@ -218,7 +221,7 @@
     read: Versioned<JobRow>,
     progress: &Progress,
     now_unix_s: u64,
-) -> Result<End, StoreError> {
+) -> Result<CompletionCheck, StoreError> {
     let mut row = read.row;
     let mut state = row.state.take().unwrap_or_default();
     let active = keys::active_job(&state.job_id.as_str().into());
@@ -232,12 +235,12 @@
         .expect(key, Expect::Revision(read.revision))
         .put(key, row.encode_to_vec())
         .delete(active);
-    let applied = store::apply(&*platform.tables, &transaction, key, |value| {
+    let applied = store::transact_resolved(&*platform.tables, &transaction, key, |value| {
         JobRow::decode(value.clone())
             .is_ok_and(|row| is_final(row.state.as_ref().map(JobState::phase)))
     });
     Ok(match applied.await? {
-        Applied::Yes { .. } => End::Finished,
-        Applied::Conflict => End::Running(None),
+        WriteOutcome::Written { .. } => CompletionCheck::Finished,
+        WriteOutcome::Conflict => CompletionCheck::Running(None),
     })
 }
--- a/crates/batch/src/jobs/results.rs
+++ b/crates/batch/src/jobs/results.rs
@@ -13,7 +13,7 @@
 
 /// Kind of a result file. A result object holds the output lines first, then the error lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Half {
+enum ResultFileKind {
     Output,
     Errors,
 }
@@ -22,27 +22,27 @@
 struct Segment {
     object: String,
     /// Offset in the object, bytes.
-    within: u64,
+    object_offset: u64,
     /// Length, bytes.
     length: u64,
 }
 
-fn parse(file_id: &str) -> Option<(&str, Half)> {
+fn parse_result_file_id(file_id: &str) -> Option<(&str, ResultFileKind)> {
     let output = file_id.strip_suffix(OUTPUT_SUFFIX);
     let errors = file_id.strip_suffix(ERRORS_SUFFIX);
     output
-        .map(|job| (job, Half::Output))
-        .or(errors.map(|job| (job, Half::Errors)))
+        .map(|job| (job, ResultFileKind::Output))
+        .or(errors.map(|job| (job, ResultFileKind::Errors)))
 }
 
-fn segment(row: &ChunkRow, half: Half) -> Segment {
-    let (within, length) = match half {
-        Half::Output => (0, row.output_bytes),
-        Half::Errors => (row.output_bytes, row.error_bytes),
+fn segment(row: &ChunkRow, file_kind: ResultFileKind) -> Segment {
+    let (object_offset, length) = match file_kind {
+        ResultFileKind::Output => (0, row.output_bytes),
+        ResultFileKind::Errors => (row.output_bytes, row.error_bytes),
     };
     Segment {
         object: row.result_object.clone(),
-        within,
+        object_offset,
         length,
     }
 }
@@ -50,13 +50,13 @@
 impl JobsApi {
     /// Returns the state of a result file; `None` if the id is not that of a result file.
     pub(super) async fn stat_result(&self, call: &FileStat) -> Result<Option<FileState>, Failure> {
-        let Some((job, half)) = parse(&call.file_id) else {
+        let Some((job, file_kind)) = parse_result_file_id(&call.file_id) else {
             return Ok(None);
         };
         let row = self.result_job(&call.tenant, job).await?;
         let mut size = 0;
-        self.walk(job, |chunk| {
-            size += segment(chunk, half).length;
+        self.visit_committed(job, |chunk| {
+            size += segment(chunk, file_kind).length;
             true
         })
         .await?;
@@ -74,15 +74,15 @@
     /// Reads from a result file; `None` if the id is not that of a result file. Until the job has
     /// ended, the file stops before the first uncommitted chunk, so that offsets stay valid.
     pub(super) async fn read_result(&self, call: &FileRead) -> Result<Option<FileData>, Failure> {
-        let Some((job, half)) = parse(&call.file_id) else {
+        let Some((job, file_kind)) = parse_result_file_id(&call.file_id) else {
             return Ok(None);
         };
         self.result_job(&call.tenant, job).await?;
         let mut offset = 0;
         let mut found = None;
         let mut more = false;
-        self.walk(job, |chunk| {
-            let segment = segment(chunk, half);
+        self.visit_committed(job, |chunk| {
+            let segment = segment(chunk, file_kind);
             let start = offset;
             offset += segment.length;
             if found.is_some() {
@@ -93,19 +93,19 @@
             !more
         })
         .await?;
-        let Some((segment, skipped)) = found else {
+        let Some((segment, segment_offset)) = found else {
             return Ok(Some(FileData {
                 offset: call.offset,
                 data: Vec::new(),
                 end: true,
             }));
         };
-        let length = (segment.length - skipped).min(u64::from(call.limit));
-        let data = self.read_segment(&segment, skipped, length).await?;
-        let whole = skipped + data.len() as u64 >= segment.length;
+        let length = (segment.length - segment_offset).min(u64::from(call.limit));
+        let data = self.read_segment(&segment, segment_offset, length).await?;
+        let segment_read = segment_offset + data.len() as u64 >= segment.length;
         Ok(Some(FileData {
             offset: call.offset,
-            end: whole && !more,
+            end: segment_read && !more,
             data,
         }))
     }
@@ -113,10 +113,10 @@
     async fn read_segment(
         &self,
         segment: &Segment,
-        skipped: u64,
+        segment_offset: u64,
         length: u64,
     ) -> Result<Vec<u8>, Failure> {
-        let from = segment.within + skipped;
+        let from = segment.object_offset + segment_offset;
         let read = self.platform.objects.read(&segment.object, from, length);
         let data = read.await.map_err(|error| store::failure(&error))?;
         match data {
@@ -135,7 +135,7 @@
     }
 
     /// Visits the leading committed chunks of a job in order until `visit` returns `false`.
-    async fn walk(
+    async fn visit_committed(
         &self,
         job: &str,
         mut visit: impl FnMut(&ChunkRow) -> bool,
--- a/crates/batch/src/jobs/submit.rs
+++ b/crates/batch/src/jobs/submit.rs
@@ -11,7 +11,7 @@
 
 use super::{ERRORS_SUFFIX, JobsApi, OUTPUT_SUFFIX, check_name};
 use crate::input::item::{CHAT_ENDPOINT, COMPLETIONS_ENDPOINT};
-use crate::store::{self, Applied};
+use crate::store::{self, WriteOutcome};
 
 const JOB_ID_PREFIX: &str = "batch_";
 /// Minimum completion window, seconds.
@@ -27,11 +27,11 @@
         let file = self.file_row(&call.tenant, &call.input_file_id).await?;
         let size = file.state.as_ref().map_or(0, |state| state.size);
         let fingerprint = fingerprint(&call, file.content_hash, size);
-        if let Some(known) = self.job_of_key(&call, fingerprint).await? {
-            return Ok(known);
+        if let Some(existing) = self.job_for_client_key(&call, fingerprint).await? {
+            return Ok(existing);
         }
         let row = self.new_job(&call, size);
-        self.accept(row, fingerprint).await
+        self.create_job(row, fingerprint).await
     }
 
     fn new_job(&self, call: &JobSubmit, input_bytes: u64) -> JobRow {
@@ -63,7 +63,7 @@
 
     /// Writes the job, client key, split and active-job rows in one transaction. The job is
     /// acknowledged only after that.
-    async fn accept(&self, row: JobRow, fingerprint: u64) -> Result<JobState, Failure> {
+    async fn create_job(&self, row: JobRow, fingerprint: u64) -> Result<JobState, Failure> {
         let state = row.state.clone().unwrap_or_default();
         let job = state.job_id.as_str().into();
         let tenant = state.tenant.as_str().into();
@@ -87,32 +87,38 @@
             .put(keys::active_job(&job), active.encode_to_vec());
         if !row.client_key.is_empty() {
             let key = keys::client_key(&tenant, &row.client_key);
-            let bound = ClientKeyRow {
+            let binding = ClientKeyRow {
                 job_id: state.job_id.clone(),
                 fingerprint,
             };
             transaction = transaction
                 .expect(key.as_str(), Expect::Absent)
-                .put(key, bound.encode_to_vec());
+                .put(key, binding.encode_to_vec());
         }
         // The job id is new, so only this transaction can have written a row under it.
-        let applied = store::apply(&*self.platform.tables, &transaction, &job_key, |_| true).await;
+        let applied =
+            store::transact_resolved(&*self.platform.tables, &transaction, &job_key, |_| true)
+                .await;
         match applied.map_err(|error| store::failure(&error))? {
-            Applied::Yes { .. } => Ok(state),
-            Applied::Conflict => self.job_after_race(&row, fingerprint).await,
+            WriteOutcome::Written { .. } => Ok(state),
+            WriteOutcome::Conflict => self.job_after_conflict(&row, fingerprint).await,
         }
     }
 
     /// Returns the job of a concurrent submission with the same client key.
-    async fn job_after_race(&self, row: &JobRow, fingerprint: u64) -> Result<JobState, Failure> {
+    async fn job_after_conflict(
+        &self,
+        row: &JobRow,
+        fingerprint: u64,
+    ) -> Result<JobState, Failure> {
         let state = row.state.clone().unwrap_or_default();
         let call = JobSubmit {
             tenant: state.tenant,
             client_key: row.client_key.clone(),
             ..JobSubmit::default()
         };
-        let known = self.job_of_key(&call, fingerprint).await?;
-        known.ok_or_else(|| {
+        let existing = self.job_for_client_key(&call, fingerprint).await?;
+        existing.ok_or_else(|| {
             Failure::not_run(
                 ErrorKind::Conflict,
                 "the job could not be created; send it again",
@@ -120,7 +126,7 @@
         })
     }
 
-    async fn job_of_key(
+    async fn job_for_client_key(
         &self,
         call: &JobSubmit,
         fingerprint: u64,
@@ -129,15 +135,15 @@
             return Ok(None);
         }
         let key = keys::client_key(&call.tenant.as_str().into(), &call.client_key);
-        let bound = store::read_row::<ClientKeyRow>(&*self.platform.tables, &key).await;
-        let Some(bound) = bound.map_err(|error| store::failure(&error))? else {
+        let binding = store::read_row::<ClientKeyRow>(&*self.platform.tables, &key).await;
+        let Some(binding) = binding.map_err(|error| store::failure(&error))? else {
             return Ok(None);
         };
-        if bound.row.fingerprint != fingerprint {
+        if binding.row.fingerprint != fingerprint {
             let message = format!("client key {:?} belongs to another job", call.client_key);
             return Err(Failure::not_run(ErrorKind::KeyReused, message));
         }
-        self.state_of(&call.tenant, &bound.row.job_id)
+        self.state_of(&call.tenant, &binding.row.job_id)
             .await
             .map(Some)
     }
--- a/crates/batch/src/metrics.rs
+++ b/crates/batch/src/metrics.rs
@@ -28,8 +28,8 @@
     /// earlier ones and the new ones are not exported.
     pub fn register(registry: &Registry) -> Metrics {
         let metrics = Metrics {
-            items: counters("items", "Batch items by how they ended.", "outcome"),
-            chunks: counters("chunks", "Chunks by what became of them.", "event"),
+            items: counter_vec("items", "Batch items by how they ended.", "outcome"),
+            chunks: counter_vec("chunks", "Chunks by what became of them.", "event"),
             pauses: counter("pauses", "Batch streams paused for online work."),
             resumes: counter("resumes", "Batch streams that went on from an offset."),
             repeated: counter(
@@ -61,24 +61,24 @@
         metrics
     }
 
-    pub fn chunk(&self, event: &str) {
+    pub fn count_chunk(&self, event: &str) {
         self.chunks.with_label_values(&[event]).inc();
     }
 }
 
-fn name(suffix: &str) -> String {
+fn metric_name(suffix: &str) -> String {
     format!("dappleyard_batch_{suffix}")
 }
 
 fn counter(suffix: &str, help: &str) -> IntCounter {
-    IntCounter::new(name(suffix), help).expect("the name is a constant and valid")
+    IntCounter::new(metric_name(suffix), help).expect("the name is a constant and valid")
 }
 
 fn gauge(suffix: &str, help: &str) -> IntGauge {
-    IntGauge::new(name(suffix), help).expect("the name is a constant and valid")
+    IntGauge::new(metric_name(suffix), help).expect("the name is a constant and valid")
 }
 
-fn counters(suffix: &str, help: &str, label: &str) -> IntCounterVec {
-    IntCounterVec::new(Opts::new(name(suffix), help), &[label])
+fn counter_vec(suffix: &str, help: &str, label: &str) -> IntCounterVec {
+    IntCounterVec::new(Opts::new(metric_name(suffix), help), &[label])
         .expect("the name is a constant and valid")
 }
--- a/crates/batch/src/output.rs
+++ b/crates/batch/src/output.rs
@@ -7,7 +7,7 @@
 
 /// Complete model response to an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ItemAnswer {
+pub struct ItemCompletion {
     /// Text of each output token.
     pub pieces: Vec<String>,
     /// `stop` or `length`.
@@ -19,18 +19,23 @@
 /// Outcome of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemOutcome {
-    Answered(ItemAnswer),
+    Completed(ItemCompletion),
     Failed { kind: ErrorKind, message: String },
 }
 
 /// Formats the result line of an item, including the line feed.
-pub fn line(item: &Item, request_id: &str, created_unix_s: u64, outcome: &ItemOutcome) -> Vec<u8> {
+pub fn result_line(
+    item: &Item,
+    request_id: &str,
+    created_unix_s: u64,
+    outcome: &ItemOutcome,
+) -> Vec<u8> {
     let (response, error) = match outcome {
-        ItemOutcome::Answered(answer) => (
+        ItemOutcome::Completed(completion) => (
             json!({
                 "status_code": 200,
                 "request_id": request_id,
-                "body": body(item, request_id, created_unix_s, answer),
+                "body": completion_body(item, request_id, created_unix_s, completion),
             }),
             serde_json::Value::Null,
         ),
@@ -50,32 +55,32 @@
     bytes
 }
 
-fn body(
+fn completion_body(
     item: &Item,
     request_id: &str,
     created_unix_s: u64,
-    answer: &ItemAnswer,
+    completion: &ItemCompletion,
 ) -> serde_json::Value {
-    let text = answer.pieces.concat();
+    let text = completion.pieces.concat();
     let choice = match item.chat {
         true => json!({
             "index": 0,
             "message": { "role": "assistant", "content": text },
-            "finish_reason": answer.reason,
+            "finish_reason": completion.reason,
         }),
-        false => json!({ "index": 0, "text": text, "finish_reason": answer.reason }),
+        false => json!({ "index": 0, "text": text, "finish_reason": completion.reason }),
     };
     let (prefix, object) = match item.chat {
         true => ("chatcmpl", "chat.completion"),
         false => ("cmpl", "text_completion"),
     };
-    let completion_tokens = answer.pieces.len();
+    let completion_tokens = completion.pieces.len();
     json!({
         "id": format!("{prefix}-{request_id}"),
         "object": object,
         "created": created_unix_s,
         "model": item.service,
-        "system_fingerprint": answer.version,
+        "system_fingerprint": completion.version,
         "choices": [choice],
         "usage": {
             "prompt_tokens": item.prompt_tokens,
--- a/crates/batch/src/runner/once.rs
+++ b/crates/batch/src/runner/at_most_once.rs
@@ -12,7 +12,7 @@
 
 use super::Runner;
 use super::work::{HeldChunk, StopReason};
-use crate::store::{self, Applied, Versioned, wait_jittered};
+use crate::store::{self, Versioned, WriteOutcome, sleep_jittered};
 
 /// Maximum time from the request that confirmed the epoch to the start of an item, milliseconds. A
 /// holder that was suspended for longer checks the epoch again.
@@ -46,13 +46,13 @@
                 Ok(Mark::Durable | Mark::RowChanged) => {}
                 Ok(Mark::Fenced) => {
                     chunk.stop(StopReason::Fenced);
-                    self.metrics.chunk("fenced");
+                    self.metrics.count_chunk("fenced");
                     self.forget(&chunk.place());
                     return false;
                 }
                 Err(error) => {
                     tracing::debug!(%error, job = %chunk.job, "failed to mark an item as started; retrying");
-                    wait_jittered(self.settings.poll_interval_ms).await;
+                    sleep_jittered(self.settings.poll_interval_ms).await;
                 }
             }
         }
@@ -70,16 +70,17 @@
         let transaction = Transaction::default()
             .expect(key.as_str(), Expect::Revision(known.revision))
             .put(key.as_str(), marked.encode_to_vec());
-        let applied = store::apply(&*self.platform.tables, &transaction, &key, |value| {
-            ChunkRow::decode(value.clone()).is_ok_and(|written| written == marked)
-        });
+        let applied =
+            store::transact_resolved(&*self.platform.tables, &transaction, &key, |value| {
+                ChunkRow::decode(value.clone()).is_ok_and(|written| written == marked)
+            });
         match applied.await? {
-            Applied::Yes { revision } => {
+            WriteOutcome::Written { revision } => {
                 let row = marked;
                 *chunk.row.borrow_mut() = Versioned { row, revision };
                 Ok(Mark::Durable)
             }
-            Applied::Conflict => {
+            WriteOutcome::Conflict => {
                 let own = self.reread(chunk, &key).await?;
                 Ok(if own { Mark::RowChanged } else { Mark::Fenced })
             }
--- a/crates/batch/src/runner/claim.rs
+++ b/crates/batch/src/runner/claim.rs
@@ -19,7 +19,7 @@
 use super::server::ServerState;
 use super::state::State;
 use super::{Runner, load};
-use crate::store::{self, Applied, Versioned, wait_jittered};
+use crate::store::{self, Versioned, WriteOutcome, sleep_jittered};
 
 /// Open chunk rows per read.
 const OPEN_PAGE: usize = 32;
@@ -49,7 +49,7 @@
         for service in runner.service_widths().into_keys() {
             if let Err(error) = fill(&runner, &service).await {
                 tracing::debug!(%error, service, "failed to claim chunks");
-                wait_jittered(runner.settings.poll_interval_ms).await;
+                sleep_jittered(runner.settings.poll_interval_ms).await;
             }
         }
     }
@@ -178,7 +178,7 @@
         .insert(place.clone(), items);
     let claimed = write_claim(runner, job, read).await;
     if let Ok(Some(_)) = claimed {
-        runner.metrics.chunk("claimed");
+        runner.metrics.count_chunk("claimed");
     } else {
         // A claim with an unknown outcome may still take effect. The takeover sweep then finds it in
         // this node's list of held chunks.
@@ -215,12 +215,12 @@
             held.encode_to_vec(),
         )
         .delete(open);
-    let applied = store::apply(&*runner.platform.tables, &transaction, &key, |value| {
+    let applied = store::transact_resolved(&*runner.platform.tables, &transaction, &key, |value| {
         ChunkRow::decode(value.clone()).is_ok_and(|written| written == row)
     });
     Ok(match applied.await? {
-        Applied::Yes { revision } => Some(Versioned { row, revision }),
-        Applied::Conflict => None,
+        WriteOutcome::Written { revision } => Some(Versioned { row, revision }),
+        WriteOutcome::Conflict => None,
     })
 }
 
--- a/crates/batch/src/runner/janitor.rs
+++ b/crates/batch/src/runner/cleanup.rs
@@ -11,7 +11,7 @@
 use prost::Message;
 
 use super::Runner;
-use crate::jobs::{End, Progress, finish_when_done};
+use crate::jobs::{CompletionCheck, Progress, complete_if_done};
 use crate::store::{self, Versioned};
 
 /// Interval of cleanups, milliseconds per member.
@@ -43,11 +43,18 @@
         return Ok(());
     }
     let now = runner.now_unix_s();
-    let mut front = Progress::default();
-    let end = finish_when_done(&runner.platform, &job.tenant, &job.job_id, &mut front, now).await?;
+    let mut leading = Progress::default();
+    let end = complete_if_done(
+        &runner.platform,
+        &job.tenant,
+        &job.job_id,
+        &mut leading,
+        now,
+    )
+    .await?;
     match end {
-        End::Running(Some(first)) => mend(runner, first).await,
-        End::Running(None) | End::Finished => Ok(()),
+        CompletionCheck::Running(Some(first)) => mend(runner, first).await,
+        CompletionCheck::Running(None) | CompletionCheck::Finished => Ok(()),
     }
 }
 
@@ -86,7 +93,7 @@
         .expect(key.as_str(), Expect::Revision(chunk.revision))
         .put(key.as_str(), row.clone())
         .put(keys::open_chunk(job, chunk.row.index), row);
-    store::apply(&*runner.platform.tables, &transaction, &key, |_| false).await?;
+    store::transact_resolved(&*runner.platform.tables, &transaction, &key, |_| false).await?;
     Ok(())
 }
 
--- a/crates/batch/src/runner/commit.rs
+++ b/crates/batch/src/runner/commit.rs
@@ -13,8 +13,8 @@
 
 use super::Runner;
 use super::work::{HeldChunk, StopReason};
-use crate::jobs::{End, Progress, finish_when_done};
-use crate::store::{self, Applied, wait_jittered};
+use crate::jobs::{CompletionCheck, Progress, complete_if_done};
+use crate::store::{self, WriteOutcome, sleep_jittered};
 
 /// Wait between attempts after a store error, milliseconds, jittered.
 const STORE_WAIT_MS: u64 = 500;
@@ -22,7 +22,7 @@
 /// Outcome of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Committed {
-    Yes,
+    Written,
     Fenced,
     Cancelled,
 }
@@ -31,14 +31,14 @@
 pub async fn run(runner: Rc<Runner>, chunk: Rc<HeldChunk>) {
     let object = keys::result_object(&chunk.job, chunk.index, chunk.epoch);
     match commit_until_known(&runner, &chunk, &object).await {
-        Committed::Yes => {
-            runner.metrics.chunk("committed");
+        Committed::Written => {
+            runner.metrics.count_chunk("committed");
             runner.forget(&chunk.place());
             finish_job(&runner, &chunk).await;
             remove_partial(&runner, &chunk).await;
         }
         Committed::Fenced => {
-            runner.metrics.chunk("fenced");
+            runner.metrics.count_chunk("fenced");
             let outcome = format!("the result of chunk {} was dropped", chunk.index);
             runner.decide(
                 DecisionKind::Fenced,
@@ -49,7 +49,7 @@
             give_up(&runner, &chunk, StopReason::Fenced, &object).await;
         }
         Committed::Cancelled => {
-            runner.metrics.chunk("cancelled");
+            runner.metrics.count_chunk("cancelled");
             give_up(&runner, &chunk, StopReason::Cancelled, &object).await;
         }
     }
@@ -82,7 +82,7 @@
             Ok(None) => {}
             Err(error) => {
                 tracing::debug!(%error, job = %chunk.job, "failed to commit a chunk; retrying");
-                wait_jittered(STORE_WAIT_MS).await;
+                sleep_jittered(STORE_WAIT_MS).await;
             }
         }
     }
@@ -108,7 +108,7 @@
     let result = result_of(chunk, object);
     let mut row = match chunks::commit(&read.row, &job.row, chunk.epoch, &result) {
         CommitDecision::Write(row) => row,
-        CommitDecision::AlreadyCommitted => return Ok(Some(Committed::Yes)),
+        CommitDecision::AlreadyCommitted => return Ok(Some(Committed::Written)),
         CommitDecision::Fenced => return Ok(Some(Committed::Fenced)),
         CommitDecision::Cancelled => return Ok(Some(Committed::Cancelled)),
     };
@@ -119,12 +119,12 @@
         .expect(job_key, Expect::Revision(job.revision))
         .put(chunk_key.as_str(), row.encode_to_vec())
         .delete(held);
-    let applied = store::apply(tables, &transaction, &chunk_key, |value| {
+    let applied = store::transact_resolved(tables, &transaction, &chunk_key, |value| {
         is_result(value, object)
     });
     Ok(match applied.await? {
-        Applied::Yes { .. } => Some(Committed::Yes),
-        Applied::Conflict => None,
+        WriteOutcome::Written { .. } => Some(Committed::Written),
+        WriteOutcome::Conflict => None,
     })
 }
 
@@ -167,15 +167,15 @@
 /// Completes the job if this was its last chunk. The cleanup task retries after a failure.
 async fn finish_job(runner: &Runner, chunk: &HeldChunk) {
     let job = chunk.job.as_str();
-    let mut front = Progress::default();
+    let mut leading = Progress::default();
     let now = runner.now_unix_s();
-    let finished = finish_when_done(&runner.platform, &chunk.tenant, job, &mut front, now).await;
+    let finished = complete_if_done(&runner.platform, &chunk.tenant, job, &mut leading, now).await;
     match finished {
-        Ok(End::Finished) => {
+        Ok(CompletionCheck::Finished) => {
             let cause = "all chunks are committed";
             runner.decide(DecisionKind::JobChanged, job, cause, "completed".to_owned());
         }
-        Ok(End::Running(_)) => {}
+        Ok(CompletionCheck::Running(_)) => {}
         Err(error) => tracing::debug!(%error, job, "failed to check a job for completion"),
     }
 }
--- a/crates/batch/src/runner/feed.rs
+++ b/crates/batch/src/runner/feed.rs
@@ -14,7 +14,7 @@
 use super::Runner;
 use super::state::ActiveJob;
 use super::work::StopReason;
-use crate::store::wait_jittered;
+use crate::store::sleep_jittered;
 
 /// Rows per read.
 const PAGE: usize = 512;
@@ -42,7 +42,7 @@
             Err(error) => {
                 tracing::debug!(%error, "failed to read the feed of active jobs");
                 runner.state.borrow_mut().feed_failed_at = runner.tables.clock.now();
-                wait_jittered(runner.settings.poll_interval_ms).await;
+                sleep_jittered(runner.settings.poll_interval_ms).await;
             }
         }
     }
@@ -170,7 +170,7 @@
         }
     }
     for place in stopped {
-        runner.metrics.chunk("cancelled");
+        runner.metrics.count_chunk("cancelled");
         runner.forget(&place);
     }
 }
--- a/crates/batch/src/runner/handback.rs
+++ b/crates/batch/src/runner/handback.rs
@@ -14,7 +14,7 @@
 
 use super::Runner;
 use super::work::{HeldChunk, ItemLine, StopReason};
-use crate::store::wait_jittered;
+use crate::store::sleep_jittered;
 
 /// Interval of checks for finished chunks during a drain, milliseconds.
 const LOOK_MS: u64 = 20;
@@ -91,9 +91,9 @@
     runner.dispatch_wake.notify_one();
     while let Err(error) = reopen(runner, chunk).await {
         tracing::debug!(%error, job = %chunk.job, "failed to hand back a chunk; retrying");
-        wait_jittered(STORE_WAIT_MS).await;
+        sleep_jittered(STORE_WAIT_MS).await;
     }
-    runner.metrics.chunk("handed_back");
+    runner.metrics.count_chunk("handed_back");
     runner.forget(&chunk.place());
 }
 
--- a/crates/batch/src/runner/load.rs
+++ b/crates/batch/src/runner/load.rs
@@ -12,8 +12,8 @@
 use super::state::JobInput;
 use super::work::{HeldChunk, ItemLine};
 use super::{Runner, commit};
-use crate::input::{Item, PartIndex, parse};
-use crate::store::{self, Versioned, wait_jittered};
+use crate::input::{Item, PartIndex, parse_item};
+use crate::store::{self, Versioned, sleep_jittered};
 
 /// Maximum size of a partial result that is read, bytes.
 const LARGEST_PARTIAL_BYTES: u64 = 1 << 32;
@@ -41,7 +41,7 @@
             }
             Err(error) => {
                 tracing::debug!(%error, %job, "failed to read the input of a chunk; retrying");
-                wait_jittered(runner.settings.poll_interval_ms).await;
+                sleep_jittered(runner.settings.poll_interval_ms).await;
             }
         }
     };
@@ -88,7 +88,7 @@
     let items: Vec<Item> = bytes
         .split(|byte| *byte == b'\n')
         .filter(|line| !line.iter().all(u8::is_ascii_whitespace))
-        .filter_map(|line| parse(line, endpoint).ok())
+        .filter_map(|line| parse_item(line, endpoint).ok())
         .collect();
     match items.len() == row.items as usize {
         true => Ok(Some(Loaded {
--- a/crates/batch/src/runner/mod.rs
+++ b/crates/batch/src/runner/mod.rs
@@ -10,18 +10,18 @@
 //! - `cleanup` completes jobs, repairs chunk lists and removes rows of cancelled jobs
 //! - `handback` returns chunks on a graceful shutdown
 
+mod at_most_once;
 mod cache;
 mod claim;
+mod cleanup;
 mod commit;
 mod dispatch;
 mod feed;
 mod handback;
-mod janitor;
 mod load;
-mod once;
+mod outcome;
 mod run_item;
 mod server;
-mod settle;
 mod split;
 mod state;
 mod takeover;
@@ -110,7 +110,7 @@
         actix_rt::spawn(claim::run(runner.clone())),
         actix_rt::spawn(dispatch::run(runner.clone())),
         actix_rt::spawn(takeover::run(runner.clone())),
-        actix_rt::spawn(janitor::run(runner.clone())),
+        actix_rt::spawn(cleanup::run(runner.clone())),
         actix_rt::spawn(handback::watch(runner.clone())),
     ];
     BatchHandle { runner, tasks }
--- a/crates/batch/src/runner/settle.rs
+++ b/crates/batch/src/runner/outcome.rs
@@ -7,7 +7,7 @@
 
 use super::work::{HeldChunk, ItemLine};
 use super::{Runner, commit};
-use crate::output::{ItemOutcome, line};
+use crate::output::{ItemOutcome, result_line};
 
 impl Runner {
     /// Records the outcome of an item; the last outcome of a chunk starts the commit.
@@ -24,7 +24,7 @@
         let request = chunk.request_id(index);
         let failed = matches!(outcome, ItemOutcome::Failed { .. });
         let written = ItemLine {
-            bytes: line(item, request.as_str(), self.now_unix_s(), outcome),
+            bytes: result_line(item, request.as_str(), self.now_unix_s(), outcome),
             failed,
         };
         let name = if failed { "failed" } else { "answered" };
--- a/crates/batch/src/runner/run_item.rs
+++ b/crates/batch/src/runner/run_item.rs
@@ -15,7 +15,7 @@
 use super::cache::CacheMark;
 use super::server::{RunningItem, SequenceMemory};
 use super::work::WorkItem;
-use crate::output::{ItemAnswer, ItemOutcome};
+use crate::output::{ItemCompletion, ItemOutcome};
 
 /// Time for which no item is started on a server after a failed attempt, milliseconds.
 const AVOID_MS: u64 = 500;
@@ -26,7 +26,7 @@
 /// Outcome of an attempt.
 enum Ended {
     /// The response is complete.
-    Answered { reason: String },
+    Completed { reason: String },
     /// The item was paused or stopped; its tokens are kept.
     Paused,
     /// The engine did not run the item.
@@ -121,13 +121,13 @@
 
 fn finish(runner: &Rc<Runner>, entry: &ServerEntry, mut item: WorkItem, ended: Ended) {
     match ended {
-        Ended::Answered { reason } => {
-            let answer = ItemAnswer {
+        Ended::Completed { reason } => {
+            let completion = ItemCompletion {
                 pieces: std::mem::take(&mut item.pieces),
                 reason,
                 version: item.version.clone(),
             };
-            runner.settle(&item.chunk, item.index, &ItemOutcome::Answered(answer));
+            runner.settle(&item.chunk, item.index, &ItemOutcome::Completed(completion));
         }
         Ended::Rejected(message) => {
             let kind = ErrorKind::InvalidRequest;
@@ -193,7 +193,7 @@
     };
     let ended = run(runner, entry, item, request, attempt).await;
     match &ended {
-        Ended::Answered { .. } => counted.note_served(),
+        Ended::Completed { .. } => counted.note_served(),
         Ended::Lost(_) => {
             let answered = runner.engine.status(&entry.base_url).await;
             if matches!(answered, Err(EngineError::Unreachable { .. })) {
@@ -344,7 +344,7 @@
         return Ended::Paused;
     }
     match item.pieces.len() == total_tokens as usize {
-        true => Ended::Answered { reason },
+        true => Ended::Completed { reason },
         false => Ended::Lost("the response is missing tokens".to_owned()),
     }
 }
--- a/crates/batch/src/runner/split.rs
+++ b/crates/batch/src/runner/split.rs
@@ -19,8 +19,8 @@
 use prost::Message;
 
 use super::Runner;
-use crate::input::{Bounds, Checked, PartIndex, Span, check};
-use crate::store::{self, Applied, Versioned, wait_jittered};
+use crate::input::{CheckedInput, ChunkRange, InputLimits, PartIndex, check_input};
+use crate::store::{self, Versioned, WriteOutcome, sleep_jittered};
 
 /// Split rows per read.
 const PAGE: usize = 16;
@@ -37,7 +37,7 @@
         let _ = tokio::time::timeout(sweep, runner.split_wake.notified()).await;
         if let Err(error) = split_all(&runner).await {
             tracing::debug!(%error, "failed to split accepted jobs");
-            wait_jittered(runner.settings.poll_interval_ms).await;
+            sleep_jittered(runner.settings.poll_interval_ms).await;
             runner.split_wake.notify_one();
         }
     }
@@ -97,12 +97,12 @@
     key: &str,
     row: SplitRow,
 ) -> Result<Option<Versioned<SplitRow>>, StoreError> {
-    let applied = store::apply(&*runner.platform.tables, transaction, key, |value| {
+    let applied = store::transact_resolved(&*runner.platform.tables, transaction, key, |value| {
         SplitRow::decode(value.clone()).is_ok_and(|written| written == row)
     });
     Ok(match applied.await? {
-        Applied::Yes { revision } => Some(Versioned { row, revision }),
-        Applied::Conflict => None,
+        WriteOutcome::Written { revision } => Some(Versioned { row, revision }),
+        WriteOutcome::Conflict => None,
     })
 }
 
@@ -116,8 +116,8 @@
     let state = read.row.state.clone().unwrap_or_default();
     let objects = &*runner.platform.objects;
     let parts = PartIndex::list(objects, &state.tenant, &state.input_file_id).await?;
-    let bounds = bounds(runner, &state.endpoint, read.row.repeat());
-    let checked = check(objects, &parts, &bounds).await?;
+    let limits = limits(runner, &state.endpoint, read.row.repeat());
+    let checked = check_input(objects, &parts, &limits).await?;
     if !checked.errors.is_empty() {
         return fail(runner, &split, read, checked.errors).await;
     }
@@ -130,13 +130,13 @@
     begin(runner, &split, read, &checked).await
 }
 
-fn bounds(runner: &Runner, endpoint: &str, repeat: Repeat) -> Bounds {
+fn limits(runner: &Runner, endpoint: &str, repeat: Repeat) -> InputLimits {
     let settings = &runner.settings;
     let maximum = match repeat {
         Repeat::Never => settings.once_chunk_items.min(chunks::MAXIMUM_ONCE_ITEMS),
         Repeat::Allowed => settings.chunk_maximum_items,
     };
-    Bounds {
+    InputLimits {
         endpoint: endpoint.to_owned(),
         line_bytes: settings.maximum_line_bytes,
         items: settings.maximum_job_items,
@@ -178,7 +178,7 @@
     mut split: Versioned<SplitRow>,
     state: &JobState,
     job: &JobRow,
-    checked: &Checked,
+    checked: &CheckedInput,
 ) -> Result<Option<Versioned<SplitRow>>, StoreError> {
     let id = JobId::from(&state.job_id);
     let key = keys::split_job(&id);
@@ -190,9 +190,9 @@
         let from = first + batch_index * CHUNKS_PER_TRANSACTION;
         let mut transaction =
             Transaction::default().expect(key.as_str(), Expect::Revision(split.revision));
-        for (offset, span) in batch.iter().enumerate() {
+        for (offset, chunk_range) in batch.iter().enumerate() {
             let index = u32::try_from(from + offset).unwrap_or(u32::MAX);
-            let row = chunk_row(state, job, &checked.service, index, span).encode_to_vec();
+            let row = chunk_row(state, job, &checked.service, index, chunk_range).encode_to_vec();
             transaction = transaction
                 .put(keys::chunk(&id, index), row.clone())
                 .put(keys::open_chunk(&id, index), row);
@@ -200,8 +200,8 @@
         let mut next = split.row.clone();
         next.next_chunk = u32::try_from(from + batch.len()).unwrap_or(u32::MAX);
         let last = batch.last().copied();
-        next.next_offset = last.map_or(0, |span| span.end);
-        next.next_item = last.map_or(0, |span| span.first_item + span.items);
+        next.next_offset = last.map_or(0, |chunk_range| chunk_range.end);
+        next.next_item = last.map_or(0, |chunk_range| chunk_range.first_item + chunk_range.items);
         transaction = transaction.put(key.as_str(), next.encode_to_vec());
         match write(runner, &transaction, &key, next).await? {
             Some(written) => split = written,
@@ -211,15 +211,21 @@
     Ok(Some(split))
 }
 
-fn chunk_row(state: &JobState, job: &JobRow, service: &str, index: u32, span: &Span) -> ChunkRow {
+fn chunk_row(
+    state: &JobState,
+    job: &JobRow,
+    service: &str,
+    index: u32,
+    chunk_range: &ChunkRange,
+) -> ChunkRow {
     ChunkRow {
         job_id: state.job_id.clone(),
         tenant: state.tenant.clone(),
         index,
-        input_start: span.start,
-        input_end: span.end,
-        first_item: span.first_item,
-        items: span.items,
+        input_start: chunk_range.start,
+        input_end: chunk_range.end,
+        first_item: chunk_range.first_item,
+        items: chunk_range.items,
         repeat: job.repeat,
         service: service.to_owned(),
         deadline_unix_s: state.deadline_unix_s,
@@ -232,7 +238,7 @@
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
-    checked: &Checked,
+    checked: &CheckedInput,
 ) -> Result<(), StoreError> {
     let mut row = read.row;
     let mut state = row.state.take().unwrap_or_default();
@@ -279,7 +285,7 @@
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
-    checked: &Checked,
+    checked: &CheckedInput,
 ) -> Result<(), StoreError> {
     let mut row = read.row;
     let mut state = row.state.take().unwrap_or_default();
@@ -315,7 +321,7 @@
         Some(active) => transaction.put(active_key, active.encode_to_vec()),
         None => transaction.delete(active_key),
     };
-    store::apply(&*runner.platform.tables, &transaction, &key, |value| {
+    store::transact_resolved(&*runner.platform.tables, &transaction, &key, |value| {
         JobRow::decode(value.clone()).is_ok_and(|written| written == row)
     })
     .await?;
@@ -328,6 +334,6 @@
     let transaction = Transaction::default()
         .expect(key.as_str(), Expect::Revision(split.revision))
         .delete(key.as_str());
-    store::apply(&*runner.platform.tables, &transaction, &key, |_| false).await?;
+    store::transact_resolved(&*runner.platform.tables, &transaction, &key, |_| false).await?;
     Ok(())
 }
--- a/crates/batch/src/runner/takeover.rs
+++ b/crates/batch/src/runner/takeover.rs
@@ -18,7 +18,7 @@
 use rand::Rng;
 
 use super::Runner;
-use crate::store::{self, Applied, Versioned};
+use crate::store::{self, Versioned, WriteOutcome};
 
 /// Rows per read.
 const PAGE: usize = 256;
@@ -107,7 +107,7 @@
     if !runner.reopen(job, read, true, None).await? {
         return Ok(());
     }
-    runner.metrics.chunk("taken_over");
+    runner.metrics.count_chunk("taken_over");
     let outcome = format!("chunk {index} was opened again");
     let cause = format!("node {} does not work on it any more", held.row.holder);
     runner.decide(DecisionKind::TakenOver, job.as_str(), &cause, outcome);
@@ -134,7 +134,7 @@
     let transaction = Transaction::default()
         .expect(key, Expect::Revision(revision))
         .delete(key);
-    store::apply(&*runner.platform.tables, &transaction, key, |_| false).await?;
+    store::transact_resolved(&*runner.platform.tables, &transaction, key, |_| false).await?;
     Ok(())
 }
 
@@ -161,10 +161,11 @@
             .put(key.as_str(), row.encode_to_vec())
             .put(keys::open_chunk(job, row.index), row.encode_to_vec())
             .delete(keys::held_chunk(&holder, job, row.index));
-        let applied = store::apply(&*self.platform.tables, &transaction, &key, |value| {
-            ChunkRow::decode(value.clone()).is_ok_and(|written| written == row)
-        });
-        let opened = matches!(applied.await?, Applied::Yes { .. });
+        let applied =
+            store::transact_resolved(&*self.platform.tables, &transaction, &key, |value| {
+                ChunkRow::decode(value.clone()).is_ok_and(|written| written == row)
+            });
+        let opened = matches!(applied.await?, WriteOutcome::Written { .. });
         if opened && let Some(job) = self.state.borrow_mut().jobs.get_mut(job.as_str()) {
             job.exhausted_until = dappleyard_decide::time::Millis(0);
         }
--- a/crates/batch/src/store.rs
+++ b/crates/batch/src/store.rs
@@ -44,9 +44,9 @@
 
 /// Outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum WriteOutcome {
     /// The write took effect, possibly in an earlier attempt whose response was lost.
-    Yes {
+    Written {
         /// Revision of the written rows.
         revision: u64,
     },
@@ -57,63 +57,65 @@
 /// Attempts to write before an unresolved outcome is returned as [`StoreError::Ambiguous`].
 const RESOLVE_ATTEMPTS: u32 = 5;
 /// Base of the exponential backoff between attempts, milliseconds.
-const RESOLVE_WAIT_MS: u64 = 50;
+const RESOLVE_BACKOFF_MS: u64 = 50;
 
 /// Sends a conditional write and retries it when the response is lost. If a retry conflicts, the row
-/// under `key` is read back and `ours` tells whether it holds the value of this write. Retrying is
+/// under `key` is read back and `is_own_value` tells whether it holds the value of this write. Retrying is
 /// safe because the conditions hold at most once.
 ///
 /// # Errors
 /// [`StoreError::Ambiguous`] if it is unknown whether the write took effect. After any other error,
 /// nothing was written.
-pub async fn apply(
+pub async fn transact_resolved(
     tables: &dyn TableStore,
     transaction: &Transaction,
     key: &str,
-    ours: impl Fn(&Bytes) -> bool,
-) -> Result<Applied, StoreError> {
-    let mut lost = false;
-    let mut last = None;
+    is_own_value: impl Fn(&Bytes) -> bool,
+) -> Result<WriteOutcome, StoreError> {
+    let mut response_lost = false;
+    let mut last_reason = None;
     for attempt in 0..RESOLVE_ATTEMPTS {
         if attempt > 0 {
-            wait_jittered(RESOLVE_WAIT_MS << attempt).await;
+            sleep_jittered(RESOLVE_BACKOFF_MS << attempt).await;
         }
         match tables.transact(transaction.clone()).await {
-            Ok(revision) => return Ok(Applied::Yes { revision }),
-            Err(StoreError::Conflict { .. }) if !lost => return Ok(Applied::Conflict),
+            Ok(revision) => return Ok(WriteOutcome::Written { revision }),
+            Err(StoreError::Conflict { .. }) if !response_lost => {
+                return Ok(WriteOutcome::Conflict);
+            }
             Err(StoreError::Conflict { .. }) => {
-                if let Ok(read) = read_back(tables, key, &ours).await {
+                if let Ok(read) = read_back(tables, key, &is_own_value).await {
                     return Ok(read);
                 }
             }
             Err(StoreError::Ambiguous { reason }) => {
-                lost = true;
-                last = Some(reason);
+                response_lost = true;
+                last_reason = Some(reason);
             }
-            Err(error) if !lost => return Err(error),
-            Err(error) => last = Some(error.to_string()),
+            Err(error) if !response_lost => return Err(error),
+            Err(error) => last_reason = Some(error.to_string()),
         }
     }
     Err(StoreError::Ambiguous {
-        reason: last.unwrap_or_default(),
+        reason: last_reason.unwrap_or_default(),
     })
 }
 
 async fn read_back(
     tables: &dyn TableStore,
     key: &str,
-    ours: &impl Fn(&Bytes) -> bool,
-) -> Result<Applied, StoreError> {
+    is_own_value: &impl Fn(&Bytes) -> bool,
+) -> Result<WriteOutcome, StoreError> {
     Ok(match tables.get(key).await? {
-        Some(row) if ours(&row.value) => Applied::Yes {
+        Some(row) if is_own_value(&row.value) => WriteOutcome::Written {
             revision: row.revision,
         },
-        _ => Applied::Conflict,
+        _ => WriteOutcome::Conflict,
     })
 }
 
 /// Sleeps for a random time between half of `milliseconds` and all of it.
-pub async fn wait_jittered(milliseconds: u64) {
+pub async fn sleep_jittered(milliseconds: u64) {
     let jittered = rand::rng().random_range(milliseconds / 2..=milliseconds.max(1));
     tokio::time::sleep(Duration::from_millis(jittered)).await;
 }
