--- a/crates/batch/src/runner/at_most_once.rs
+++ b/crates/batch/src/runner/at_most_once.rs
@@ -16,11 +16,11 @@
 
 /// Maximum time from the request that confirmed the epoch to the start of an item, milliseconds. A
 /// holder that was suspended for longer checks the epoch again.
-const FRESH_MS: u64 = 500;
+const MAXIMUM_MARK_AGE_MS: u64 = 500;
 
-/// Result of marking an item.
+/// Result of mark_lock an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mark {
+enum MarkResult {
     /// The mark is in the row and this node holds the chunk.
     Durable,
     /// The row had changed but this node still holds the chunk; the mark must be retried.
@@ -31,23 +31,25 @@
 
 impl Runner {
     /// Marks an item as started. Returns whether it may start now: the mark is durable and this node
-    /// held the chunk within the last [`FRESH_MS`].
+    /// held the chunk within the last [`MAXIMUM_MARK_AGE_MS`].
     pub(super) async fn mark_started(&self, chunk: &Rc<HeldChunk>, index: u32) -> bool {
         loop {
             if chunk.is_stopped() {
                 return false;
             }
-            let _turn = chunk.marking.lock().await;
-            let asked = self.tables.clock.now();
+            let _guard = chunk.mark_lock.lock().await;
+            let asked_at = self.tables.clock.now();
             match self.mark(chunk, index).await {
-                Ok(Mark::Durable) if self.tables.clock.now().since(asked) <= FRESH_MS => {
+                Ok(MarkResult::Durable)
+                    if self.tables.clock.now().since(asked_at) <= MAXIMUM_MARK_AGE_MS =>
+                {
                     return !chunk.is_stopped();
                 }
-                Ok(Mark::Durable | Mark::RowChanged) => {}
-                Ok(Mark::Fenced) => {
+                Ok(MarkResult::Durable | MarkResult::RowChanged) => {}
+                Ok(MarkResult::Fenced) => {
                     chunk.stop(StopReason::Fenced);
                     self.metrics.count_chunk("fenced");
-                    self.forget(&chunk.place());
+                    self.remove_chunk(&chunk.chunk_id());
                     return false;
                 }
                 Err(error) => {
@@ -59,13 +61,17 @@
     }
 
     /// Writes the mark, or rereads the chunk row if the item is already marked.
-    async fn mark(&self, chunk: &HeldChunk, index: u32) -> Result<Mark, StoreError> {
+    async fn mark(&self, chunk: &HeldChunk, index: u32) -> Result<MarkResult, StoreError> {
         let known = chunk.row.borrow().clone();
         let marked = chunks::mark_started(&known.row, index);
         let key = keys::chunk(&chunk.job, chunk.index);
         if marked == known.row {
-            let own = self.reread(chunk, &key).await?;
-            return Ok(if own { Mark::Durable } else { Mark::Fenced });
+            let is_holder = self.refresh_row(chunk, &key).await?;
+            return Ok(if is_holder {
+                MarkResult::Durable
+            } else {
+                MarkResult::Fenced
+            });
         }
         let transaction = Transaction::default()
             .expect(key.as_str(), Expect::Revision(known.revision))
@@ -78,25 +84,30 @@
             WriteOutcome::Written { revision } => {
                 let row = marked;
                 *chunk.row.borrow_mut() = Versioned { row, revision };
-                Ok(Mark::Durable)
+                Ok(MarkResult::Durable)
             }
             WriteOutcome::Conflict => {
-                let own = self.reread(chunk, &key).await?;
-                Ok(if own { Mark::RowChanged } else { Mark::Fenced })
+                let is_holder = self.refresh_row(chunk, &key).await?;
+                Ok(if is_holder {
+                    MarkResult::RowChanged
+                } else {
+                    MarkResult::Fenced
+                })
             }
         }
     }
 
     /// Rereads the chunk row. Returns whether this node still holds the chunk.
-    async fn reread(&self, chunk: &HeldChunk, key: &str) -> Result<bool, StoreError> {
+    async fn refresh_row(&self, chunk: &HeldChunk, key: &str) -> Result<bool, StoreError> {
         let read = store::read_row::<ChunkRow>(&*self.platform.tables, key).await?;
         let Some(read) = read else {
             return Ok(false);
         };
-        let own = read.row.epoch == chunk.epoch && read.row.phase() == ChunkPhase::ChunkClaimed;
-        if own {
+        let is_holder =
+            read.row.epoch == chunk.epoch && read.row.phase() == ChunkPhase::ChunkClaimed;
+        if is_holder {
             *chunk.row.borrow_mut() = read;
         }
-        Ok(own)
+        Ok(is_holder)
     }
 }
--- a/crates/batch/src/runner/claim.rs
+++ b/crates/batch/src/runner/claim.rs
@@ -17,7 +17,7 @@
 use rand::Rng;
 
 use super::server::ServerState;
-use super::state::State;
+use super::state::RunnerState;
 use super::{Runner, load};
 use crate::store::{self, Versioned, WriteOutcome, sleep_jittered};
 
@@ -25,18 +25,18 @@
 const OPEN_PAGE: usize = 32;
 /// Number of leading open chunks from which one is picked at random, so that claims of different
 /// nodes seldom conflict.
-const FRONT_ROWS: usize = 8;
+const CANDIDATE_ROWS: usize = 8;
 /// Time before a job without open chunks is searched again unless its row changes, milliseconds.
 const EXHAUSTED_MS: u64 = 3_000;
 /// Minimum demand of a server without online requests, items. A full server finishes about as many
 /// during a claim.
-const ITEMS_IN_RESERVE: u32 = 16;
+const MINIMUM_DEMAND_ITEMS: u32 = 16;
 /// Demand of a server with online requests, items. Kept low because items queued here cannot run on
 /// other nodes.
-const ITEMS_BESIDE_ONLINE: u32 = 2;
+const ONLINE_DEMAND_ITEMS: u32 = 2;
 /// Throughput of the fleet that is assumed when the remaining time of a job is estimated, items per
 /// second.
-const ITEMS_PER_SECOND_GUESS: u64 = 100;
+const ASSUMED_ITEMS_PER_SECOND: u64 = 100;
 
 /// Claims chunks whenever the queues of this node's servers run low.
 pub async fn run(runner: Rc<Runner>) {
@@ -47,7 +47,7 @@
             continue;
         }
         for service in runner.service_widths().into_keys() {
-            if let Err(error) = fill(&runner, &service).await {
+            if let Err(error) = claim_for_service(&runner, &service).await {
                 tracing::debug!(%error, service, "failed to claim chunks");
                 sleep_jittered(runner.settings.poll_interval_ms).await;
             }
@@ -56,9 +56,9 @@
 }
 
 /// Claims chunks of a service until its demand is met or no open chunk is left.
-async fn fill(runner: &Rc<Runner>, service: &str) -> Result<(), StoreError> {
-    while runner.wanted_items(service) > 0 {
-        if !claim_some(runner, service).await? {
+async fn claim_for_service(runner: &Rc<Runner>, service: &str) -> Result<(), StoreError> {
+    while runner.item_demand(service) > 0 {
+        if !claim_from_next_job(runner, service).await? {
             return Ok(());
         }
     }
@@ -67,10 +67,10 @@
 
 /// Claims chunks of the first job in fair-share order that has open chunks. Returns whether any chunk
 /// was claimed.
-async fn claim_some(runner: &Rc<Runner>, service: &str) -> Result<bool, StoreError> {
+async fn claim_from_next_job(runner: &Rc<Runner>, service: &str) -> Result<bool, StoreError> {
     for candidate in candidates(runner, service) {
         let job = JobId::from(&candidate.job);
-        let wanted = runner.wanted_items(service);
+        let wanted = runner.item_demand(service);
         let claimed = claim_of_job(runner, &job, wanted).await?;
         if claimed.is_empty() {
             set_exhausted(runner, &candidate.job);
@@ -81,7 +81,7 @@
             let work = f64::from(row.row.items);
             let shares = &mut runner.state.borrow_mut().shares;
             shares.charge(&candidate.tenant, work, weight);
-            load::begin(runner, job.clone(), row);
+            load::spawn_load(runner, job.clone(), row);
         }
         return Ok(true);
     }
@@ -91,7 +91,7 @@
 fn candidates(runner: &Runner, service: &str) -> Vec<Candidate> {
     let now = runner.tables.clock.now();
     let mut state = runner.state.borrow_mut();
-    let State { jobs, shares, .. } = &mut *state;
+    let RunnerState { jobs, shares, .. } = &mut *state;
     let of_service = jobs.values().filter(|job| job.row.service == service);
     shares.set_waiting(&of_service.map(|job| job.row.tenant.as_str()).collect());
     let mut candidates: Vec<Candidate> = jobs
@@ -102,7 +102,7 @@
             job: job.row.job_id.clone(),
             tenant: job.row.tenant.clone(),
             deadline_unix_s: job.row.deadline_unix_s,
-            remaining_s: u64::from(job.row.items) / ITEMS_PER_SECOND_GUESS,
+            remaining_s: u64::from(job.row.items) / ASSUMED_ITEMS_PER_SECOND,
         })
         .collect();
     fairness::order(&mut candidates, shares, runner.now_unix_s());
@@ -134,7 +134,7 @@
     let mut rows = tables.range(&prefix, "", OPEN_PAGE).await?;
     let mut claimed = Vec::new();
     while claimed.is_empty() && !rows.is_empty() {
-        let chosen = choose(&mut rows, wanted)?;
+        let chosen = choose_open_chunks(&mut rows, wanted)?;
         let claims = chosen.into_iter().map(|read| try_claim(runner, job, read));
         let mut failed = None;
         for result in futures::future::join_all(claims).await {
@@ -152,11 +152,14 @@
 
 /// Picks rows near the front until they hold `wanted` items. Chunks get smaller towards the end of a
 /// job, and the large ones should run first.
-fn choose(rows: &mut Vec<Row>, wanted: usize) -> Result<Vec<Versioned<ChunkRow>>, StoreError> {
+fn choose_open_chunks(
+    rows: &mut Vec<Row>,
+    wanted: usize,
+) -> Result<Vec<Versioned<ChunkRow>>, StoreError> {
     let mut chosen = Vec::new();
     let mut items = 0;
     while items < wanted.max(1) && !rows.is_empty() {
-        let open = rows.remove(rand::rng().random_range(0..rows.len().min(FRONT_ROWS)));
+        let open = rows.remove(rand::rng().random_range(0..rows.len().min(CANDIDATE_ROWS)));
         let read = store::decode::<ChunkRow>(&open.key, &open.value, open.revision)?;
         items += read.row.items as usize;
         chosen.push(read);
@@ -169,20 +172,20 @@
     job: &JobId,
     read: Versioned<ChunkRow>,
 ) -> Result<Option<Versioned<ChunkRow>>, StoreError> {
-    let place = (job.to_string(), read.row.index);
+    let chunk_id = (job.to_string(), read.row.index);
     let items = read.row.items;
     runner
         .state
         .borrow_mut()
         .claiming
-        .insert(place.clone(), items);
+        .insert(chunk_id.clone(), items);
     let claimed = write_claim(runner, job, read).await;
     if let Ok(Some(_)) = claimed {
         runner.metrics.count_chunk("claimed");
     } else {
         // A claim with an unknown outcome may still take effect. The takeover sweep then finds it in
         // this node's list of held chunks.
-        runner.state.borrow_mut().claiming.remove(&place);
+        runner.state.borrow_mut().claiming.remove(&chunk_id);
     }
     claimed
 }
@@ -226,16 +229,16 @@
 
 /// Number of items to keep queued for a server. It is small beside online requests, where prefills
 /// are rate-limited.
-fn server_wants(server: &OwnedServer, state: &State) -> u32 {
+fn server_demand(server: &OwnedServer, state: &RunnerState) -> u32 {
     if !server.online.is_empty() {
-        return ITEMS_BESIDE_ONLINE;
+        return ONLINE_DEMAND_ITEMS;
     }
     let known = state.servers.get(&server.entry.server);
     let active = known.map_or(0, ServerState::active);
     server
         .batch_width
         .saturating_sub(active)
-        .max(ITEMS_IN_RESERVE)
+        .max(MINIMUM_DEMAND_ITEMS)
 }
 
 impl Runner {
@@ -253,7 +256,7 @@
 
     /// Number of items to claim for a service beyond those already queued; 0 while memory is full or
     /// the node takes no new work.
-    fn wanted_items(&self, service: &str) -> usize {
+    fn item_demand(&self, service: &str) -> usize {
         let state = self.state.borrow();
         let room = state.held.is_empty() || state.held_bytes < self.settings.memory_bytes;
         if !room || !self.takes_new_work() {
@@ -264,8 +267,8 @@
                 .values()
                 .filter(|server| server.entry.service.as_str() == service)
                 .filter(|server| server.batch_width > 0);
-            of_service.map(|server| server_wants(server, &state)).sum()
+            of_service.map(|server| server_demand(server, &state)).sum()
         });
-        (wanted as usize).saturating_sub(state.waiting_cold(service))
+        (wanted as usize).saturating_sub(state.queued_unstarted(service))
     }
 }
--- a/crates/batch/src/runner/cleanup.rs
+++ b/crates/batch/src/runner/cleanup.rs
@@ -22,22 +22,22 @@
 /// Runs the cleanup; never returns.
 pub async fn run(runner: Rc<Runner>) {
     loop {
-        tokio::time::sleep(runner.sweep_wait(SWEEP_MS_PER_MEMBER)).await;
+        tokio::time::sleep(runner.sweep_interval(SWEEP_MS_PER_MEMBER)).await;
         let jobs: Vec<ActiveJobRow> = {
             let state = runner.state.borrow();
             state.jobs.values().map(|job| job.row.clone()).collect()
         };
         for job in jobs {
-            if let Err(error) = look_at(&runner, &job).await {
+            if let Err(error) = check_job(&runner, &job).await {
                 tracing::debug!(%error, job = job.job_id, "failed to clean up an active job");
             }
         }
     }
 }
 
-async fn look_at(runner: &Runner, job: &ActiveJobRow) -> Result<(), StoreError> {
+async fn check_job(runner: &Runner, job: &ActiveJobRow) -> Result<(), StoreError> {
     if job.cancelled {
-        return clean_cancelled(runner, &job.job_id).await;
+        return delete_cancelled_rows(runner, &job.job_id).await;
     }
     if job.chunks == 0 {
         return Ok(());
@@ -53,14 +53,14 @@
     )
     .await?;
     match end {
-        CompletionCheck::Running(Some(first)) => mend(runner, first).await,
+        CompletionCheck::Running(Some(first)) => repair_chunk(runner, first).await,
         CompletionCheck::Running(None) | CompletionCheck::Finished => Ok(()),
     }
 }
 
 /// Repairs the first uncommitted chunk of a job: reopens it if its holder is gone, and restores a
 /// missing or outdated open row. This ensures that the job makes progress.
-async fn mend(runner: &Runner, chunk: Versioned<ChunkRow>) -> Result<(), StoreError> {
+async fn repair_chunk(runner: &Runner, chunk: Versioned<ChunkRow>) -> Result<(), StoreError> {
     let job = JobId::from(&chunk.row.job_id);
     let tables = &*runner.platform.tables;
     match chunk.row.phase() {
@@ -73,7 +73,7 @@
             let open = keys::open_chunk(&job, chunk.row.index);
             let listed = tables.get(&open).await?;
             if listed.is_none_or(|listed| listed.revision != chunk.revision) {
-                list_again(runner, &job, chunk).await?;
+                restore_open_row(runner, &job, chunk).await?;
             }
         }
         ChunkPhase::ChunkDone => {}
@@ -82,7 +82,7 @@
 }
 
 /// Rewrites the chunk row and the open row of an open chunk at the same revision.
-async fn list_again(
+async fn restore_open_row(
     runner: &Runner,
     job: &JobId,
     chunk: Versioned<ChunkRow>,
@@ -98,7 +98,7 @@
 }
 
 /// Deletes the open rows, the split row and the active-job row of a cancelled job.
-async fn clean_cancelled(runner: &Runner, job: &str) -> Result<(), StoreError> {
+async fn delete_cancelled_rows(runner: &Runner, job: &str) -> Result<(), StoreError> {
     let tables = &runner.platform.tables;
     let prefix = format!("{OPEN_CHUNK_PREFIX}{job}/");
     loop {
--- a/crates/batch/src/runner/commit.rs
+++ b/crates/batch/src/runner/commit.rs
@@ -17,11 +17,11 @@
 use crate::store::{self, WriteOutcome, sleep_jittered};
 
 /// Wait between attempts after a store error, milliseconds, jittered.
-const STORE_WAIT_MS: u64 = 500;
+const STORE_RETRY_MS: u64 = 500;
 
 /// Outcome of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Committed {
+enum CommitOutcome {
     Written,
     Fenced,
     Cancelled,
@@ -30,27 +30,27 @@
 /// Commits a chunk whose items all have a result line.
 pub async fn run(runner: Rc<Runner>, chunk: Rc<HeldChunk>) {
     let object = keys::result_object(&chunk.job, chunk.index, chunk.epoch);
-    match commit_until_known(&runner, &chunk, &object).await {
-        Committed::Written => {
+    match commit_with_retry(&runner, &chunk, &object).await {
+        CommitOutcome::Written => {
             runner.metrics.count_chunk("committed");
-            runner.forget(&chunk.place());
-            finish_job(&runner, &chunk).await;
+            runner.remove_chunk(&chunk.chunk_id());
+            complete_job(&runner, &chunk).await;
             remove_partial(&runner, &chunk).await;
         }
-        Committed::Fenced => {
+        CommitOutcome::Fenced => {
             runner.metrics.count_chunk("fenced");
             let outcome = format!("the result of chunk {} was dropped", chunk.index);
-            runner.decide(
+            runner.record_decision(
                 DecisionKind::Fenced,
                 chunk.job.as_str(),
                 "old epoch",
                 outcome,
             );
-            give_up(&runner, &chunk, StopReason::Fenced, &object).await;
+            discard_result(&runner, &chunk, StopReason::Fenced, &object).await;
         }
-        Committed::Cancelled => {
+        CommitOutcome::Cancelled => {
             runner.metrics.count_chunk("cancelled");
-            give_up(&runner, &chunk, StopReason::Cancelled, &object).await;
+            discard_result(&runner, &chunk, StopReason::Cancelled, &object).await;
         }
     }
 }
@@ -69,20 +69,20 @@
     }
 }
 
-async fn give_up(runner: &Runner, chunk: &HeldChunk, reason: StopReason, object: &str) {
+async fn discard_result(runner: &Runner, chunk: &HeldChunk, reason: StopReason, object: &str) {
     chunk.stop(reason);
-    runner.forget(&chunk.place());
+    runner.remove_chunk(&chunk.chunk_id());
     remove_object(runner, object).await;
 }
 
-async fn commit_until_known(runner: &Runner, chunk: &HeldChunk, object: &str) -> Committed {
+async fn commit_with_retry(runner: &Runner, chunk: &HeldChunk, object: &str) -> CommitOutcome {
     loop {
         match commit_once(runner, chunk, object).await {
             Ok(Some(committed)) => return committed,
             Ok(None) => {}
             Err(error) => {
                 tracing::debug!(%error, job = %chunk.job, "failed to commit a chunk; retrying");
-                sleep_jittered(STORE_WAIT_MS).await;
+                sleep_jittered(STORE_RETRY_MS).await;
             }
         }
     }
@@ -93,8 +93,8 @@
     runner: &Runner,
     chunk: &HeldChunk,
     object: &str,
-) -> Result<Option<Committed>, StoreError> {
-    let (output, errors) = halves(chunk);
+) -> Result<Option<CommitOutcome>, StoreError> {
+    let (output, errors) = split_lines(chunk);
     let sizes = (output.len() as u64, errors.len() as u64);
     create_object(runner, object, [output, errors].concat()).await?;
     let tables = &*runner.platform.tables;
@@ -103,14 +103,14 @@
     let read = store::read_row::<ChunkRow>(tables, &chunk_key).await?;
     let job = store::read_row::<JobRow>(tables, &job_key).await?;
     let (Some(read), Some(job)) = (read, job) else {
-        return Ok(Some(Committed::Cancelled));
+        return Ok(Some(CommitOutcome::Cancelled));
     };
     let result = result_of(chunk, object);
     let mut row = match chunks::commit(&read.row, &job.row, chunk.epoch, &result) {
         CommitDecision::Write(row) => row,
-        CommitDecision::AlreadyCommitted => return Ok(Some(Committed::Written)),
-        CommitDecision::Fenced => return Ok(Some(Committed::Fenced)),
-        CommitDecision::Cancelled => return Ok(Some(Committed::Cancelled)),
+        CommitDecision::AlreadyCommitted => return Ok(Some(CommitOutcome::Written)),
+        CommitDecision::Fenced => return Ok(Some(CommitOutcome::Fenced)),
+        CommitDecision::Cancelled => return Ok(Some(CommitOutcome::Cancelled)),
     };
     (row.output_bytes, row.error_bytes) = sizes;
     let held = keys::held_chunk(&row.holder, &chunk.job, row.index);
@@ -123,7 +123,7 @@
         is_result(value, object)
     });
     Ok(match applied.await? {
-        WriteOutcome::Written { .. } => Some(Committed::Written),
+        WriteOutcome::Written { .. } => Some(CommitOutcome::Written),
         WriteOutcome::Conflict => None,
     })
 }
@@ -134,13 +134,13 @@
 }
 
 /// Returns the output lines and the error lines of a chunk.
-fn halves(chunk: &HeldChunk) -> (Vec<u8>, Vec<u8>) {
+fn split_lines(chunk: &HeldChunk) -> (Vec<u8>, Vec<u8>) {
     let lines = chunk.lines.borrow();
-    let of = |failed: bool| -> Vec<u8> {
+    let collect_lines = |failed: bool| -> Vec<u8> {
         let chosen = lines.iter().flatten().filter(|line| line.failed == failed);
         chosen.flat_map(|line| line.bytes.iter().copied()).collect()
     };
-    (of(false), of(true))
+    (collect_lines(false), collect_lines(true))
 }
 
 fn result_of(chunk: &HeldChunk, object: &str) -> ChunkResult {
@@ -165,7 +165,7 @@
 }
 
 /// Completes the job if this was its last chunk. The cleanup task retries after a failure.
-async fn finish_job(runner: &Runner, chunk: &HeldChunk) {
+async fn complete_job(runner: &Runner, chunk: &HeldChunk) {
     let job = chunk.job.as_str();
     let mut leading = Progress::default();
     let now = runner.now_unix_s();
@@ -173,7 +173,7 @@
     match finished {
         Ok(CompletionCheck::Finished) => {
             let cause = "all chunks are committed";
-            runner.decide(DecisionKind::JobChanged, job, cause, "completed".to_owned());
+            runner.record_decision(DecisionKind::JobChanged, job, cause, "completed".to_owned());
         }
         Ok(CompletionCheck::Running(_)) => {}
         Err(error) => tracing::debug!(%error, job, "failed to check a job for completion"),
--- a/crates/batch/src/runner/dispatch.rs
+++ b/crates/batch/src/runner/dispatch.rs
@@ -17,37 +17,37 @@
 use super::{Runner, run_item};
 
 /// Maximum interval between dispatch runs, milliseconds.
-const TICK_MS: u64 = 20;
+const DISPATCH_INTERVAL_MS: u64 = 20;
 /// Gap between dispatch runs above which the process counts as having been suspended, milliseconds.
-const PAUSE_MS: u64 = 500;
+const SUSPENSION_MS: u64 = 500;
 /// Estimated KV memory of an additional batch sequence, tokens.
-const SEQUENCE_TOKENS: u32 = 500;
+const NEW_SEQUENCE_TOKENS: u32 = 500;
 /// Upper bound on the estimated prefill backlog of a server with online requests, milliseconds.
-const LONGEST_PACED_PREFILL_MS: u64 = 20;
+const MAXIMUM_PREFILL_BACKLOG_MS: u64 = 20;
 /// Share of the KV memory that is allocated, percent.
 const MEMORY_PERCENT: u32 = 97;
 
 /// Keeps all owned servers at their batch width; never returns.
 pub async fn run(runner: Rc<Runner>) {
     let mut online = runner.tables.servers.subscribe();
-    let mut looked_at = runner.tables.clock.now();
+    let mut last_run = runner.tables.clock.now();
     loop {
         tokio::select! {
             _ = online.changed() => {}
             () = runner.dispatch_wake.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(TICK_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(DISPATCH_INTERVAL_MS)) => {}
         }
         online.borrow_and_update();
         let now = runner.tables.clock.now();
-        if now.since(looked_at) > PAUSE_MS {
-            runner.state.borrow_mut().paused_until = now;
+        if now.since(last_run) > SUSPENSION_MS {
+            runner.state.borrow_mut().resumed_at = now;
         }
-        looked_at = now;
-        pump(&runner);
+        last_run = now;
+        dispatch_all(&runner);
     }
 }
 
-fn pump(runner: &Rc<Runner>) {
+fn dispatch_all(runner: &Rc<Runner>) {
     for server in runner.tables.servers.all() {
         let width = decide_width(runner, &server);
         let id = server.entry.server.clone();
@@ -55,8 +55,8 @@
             .tables
             .servers
             .with(&id, |state| state.batch_width = width);
-        stop_given_up(runner, &server);
-        pause_uncomputed(runner, &server);
+        cancel_stopped(runner, &server);
+        pause_prefills(runner, &server);
         let running = active_streams(runner, &id);
         if running > width {
             pause_newest(runner, &server, running - width);
@@ -66,7 +66,7 @@
     }
     let state = runner.state.borrow();
     let count = |items: usize| i64::try_from(items).unwrap_or(i64::MAX);
-    runner.metrics.waiting.set(count(state.waiting_total()));
+    runner.metrics.waiting.set(count(state.queued_total()));
     runner.metrics.running.set(count(state.running_total()));
     runner.metrics.held_bytes.set(count(state.held_bytes));
 }
@@ -87,26 +87,26 @@
     }
     let now = runner.tables.clock.now();
     let mut state = runner.state.borrow_mut();
-    let known = state
+    let server_state = state
         .servers
         .entry(server.entry.server.clone())
         .or_default();
-    observe(known, report, now);
+    update_step_model(server_state, report, now);
     let total = report.total_blocks.saturating_mul(report.block_tokens);
     let online_tokens = server.online.values().map(|flight| flight.tokens).sum();
-    let batch_tokens = known.batch_tokens(now);
-    known
+    let batch_tokens = server_state.batch_tokens(now);
+    server_state
         .cache
-        .set_room(total.saturating_sub(online_tokens + batch_tokens));
+        .set_free_tokens(total.saturating_sub(online_tokens + batch_tokens));
     let mut inputs = WidthInputs {
-        model: known.steps,
+        model: server_state.step_model,
         online_sequences: u32::try_from(server.online.len()).unwrap_or(u32::MAX),
         online_tokens,
         total_tokens: total / 100 * MEMORY_PERCENT,
         maximum_sequences: report.maximum_sequences,
-        batch_sequences: known.active(),
+        batch_sequences: server_state.active(),
         batch_tokens,
-        new_sequence_tokens: SEQUENCE_TOKENS,
+        new_sequence_tokens: NEW_SEQUENCE_TOKENS,
         slowdown_percent: runner.slowdown_percent(server.entry.service.as_str()),
         window_percent: runner.window_percent(server.entry.service.as_str()),
     };
@@ -117,22 +117,24 @@
 }
 
 /// Updates the step time model from a new engine report.
-fn observe(known: &mut ServerState, report: &EngineReport, now: Millis) {
-    if report.sequence <= known.report_seen {
+fn update_step_model(server_state: &mut ServerState, report: &EngineReport, now: Millis) {
+    if report.sequence <= server_state.last_report_sequence {
         return;
     }
-    let passed_ms = now.since(known.report_at).max(1) as f64;
-    let steps = (passed_ms / report.step_ms.max(0.1)).max(1.0);
-    let prefill = f64::from(known.prefill_sent) / steps;
+    let elapsed_ms = now.since(server_state.report_at).max(1) as f64;
+    let steps = (elapsed_ms / report.step_ms.max(0.1)).max(1.0);
+    let prefill = f64::from(server_state.prefill_tokens_sent) / steps;
     let sequences = report.running_online + report.running_batch;
-    known.steps = known.steps.observe(report.step_ms, sequences, prefill);
-    known.report_seen = report.sequence;
-    known.report_at = now;
-    known.prefill_sent = 0;
+    server_state.step_model = server_state
+        .step_model
+        .observe(report.step_ms, sequences, prefill);
+    server_state.last_report_sequence = report.sequence;
+    server_state.report_at = now;
+    server_state.prefill_tokens_sent = 0;
 }
 
 /// Cancels the streams of stopped chunks.
-fn stop_given_up(runner: &Rc<Runner>, server: &OwnedServer) {
+fn cancel_stopped(runner: &Rc<Runner>, server: &OwnedServer) {
     let streams = mark_stopping(runner, &server.entry.server, usize::MAX, |running| {
         running.chunk.is_stopped()
     });
@@ -141,7 +143,7 @@
 
 /// Pauses the items in prefill that were dispatched before the oldest online request of the server,
 /// because prefill makes steps much longer. Items dispatched later are rate-limited and continue.
-fn pause_uncomputed(runner: &Rc<Runner>, server: &OwnedServer) {
+fn pause_prefills(runner: &Rc<Runner>, server: &OwnedServer) {
     if runner.settings.policy != BatchPolicy::Preempt {
         return;
     }
@@ -153,15 +155,15 @@
     let streams = mark_stopping(runner, &server.entry.server, usize::MAX, |running| {
         running.prefilled_at > now && running.started_at <= since
     });
-    if let Some(known) = runner
+    if let Some(server_state) = runner
         .state
         .borrow_mut()
         .servers
         .get_mut(&server.entry.server)
     {
-        known.prefill_free_at = known
-            .prefill_free_at
-            .min(now.plus(LONGEST_PACED_PREFILL_MS));
+        server_state.prefills_done_at = server_state
+            .prefills_done_at
+            .min(now.plus(MAXIMUM_PREFILL_BACKLOG_MS));
     }
     runner.metrics.pauses.inc_by(streams.len() as u64);
     cancel(runner, server, streams);
@@ -184,7 +186,7 @@
     runner: &Runner,
     server: &ServerId,
     count: usize,
-    wanted: impl Fn(&RunningItem) -> bool,
+    predicate: impl Fn(&RunningItem) -> bool,
 ) -> Vec<String> {
     let mut state = runner.state.borrow_mut();
     let Some(server) = state.servers.get_mut(server) else {
@@ -194,8 +196,8 @@
         .running
         .iter_mut()
         .rev()
-        .filter(|running| !running.stopping && wanted(running))
-        .filter(|running| !running.chunk.once || running.chunk.is_stopped())
+        .filter(|running| !running.stopping && predicate(running))
+        .filter(|running| !running.chunk.at_most_once || running.chunk.is_stopped())
         .take(count);
     let mut streams = Vec::new();
     for running in chosen {
@@ -219,8 +221,8 @@
 fn start_items(runner: &Rc<Runner>, server: &OwnedServer, count: u32) {
     let now = runner.tables.clock.now();
     let id = &server.entry.server;
-    let behind = runner.state.borrow().is_behind();
-    if behind || runner.draining.get() || avoided(runner, id, now) {
+    let feed_stale = runner.state.borrow().is_feed_stale();
+    if feed_stale || runner.draining.get() || in_backoff(runner, id, now) {
         return;
     }
     let service = server.entry.service.as_str();
@@ -237,23 +239,23 @@
     let id = &server.entry.server;
     let service = server.entry.service.as_str();
     let slowdown = runner.slowdown_percent(service);
-    let paced = !server.online.is_empty() && runner.settings.policy == BatchPolicy::Preempt;
+    let rate_limited = !server.online.is_empty() && runner.settings.policy == BatchPolicy::Preempt;
     let mut state = runner.state.borrow_mut();
-    let known = state.servers.entry(id.clone()).or_default();
-    if paced {
-        let tokens = known.last_prefill_tokens;
-        let interval = width::prefill_interval_ms(&known.steps, tokens, slowdown);
-        if (now.since(known.prefilled_at) as f64) < interval {
+    let server_state = state.servers.entry(id.clone()).or_default();
+    if rate_limited {
+        let tokens = server_state.last_prefill_tokens;
+        let interval = width::prefill_interval_ms(&server_state.step_model, tokens, slowdown);
+        if (now.since(server_state.prefilled_at) as f64) < interval {
             return None;
         }
     }
     state.take_cold(service, id, now)
 }
 
-fn avoided(runner: &Runner, server: &ServerId, now: Millis) -> bool {
+fn in_backoff(runner: &Runner, server: &ServerId, now: Millis) -> bool {
     let state = runner.state.borrow();
-    let known = state.servers.get(server);
-    known.is_some_and(|known| known.avoid_until > now)
+    let server_state = state.servers.get(server);
+    server_state.is_some_and(|server_state| server_state.backoff_until > now)
 }
 
 impl Runner {
--- a/crates/batch/src/runner/feed.rs
+++ b/crates/batch/src/runner/feed.rs
@@ -23,7 +23,7 @@
 /// Maximum wait of a feed read while this node holds no chunk, milliseconds.
 const IDLE_WAIT_MS: u32 = 10_000;
 /// Interval of checks for cancellations received by gossip, milliseconds.
-const GOSSIP_LOOK_MS: u64 = 100;
+const GOSSIP_POLL_MS: u64 = 100;
 
 /// Follows the feed and gossip; never returns.
 pub async fn run(runner: Rc<Runner>) {
@@ -67,15 +67,15 @@
             break;
         }
     }
-    forget_others(runner, &seen);
+    retain_jobs(runner, &seen);
     for active in seen {
-        put(runner, active);
+        apply_row(runner, active);
     }
-    mark_read(runner, asked_at);
+    record_read(runner, asked_at);
     Ok(Some(start.up_to))
 }
 
-fn forget_others(runner: &Runner, seen: &[ActiveJobRow]) {
+fn retain_jobs(runner: &Runner, seen: &[ActiveJobRow]) {
     let ids = seen.iter().map(|active| active.job_id.as_str());
     let ids: BTreeSet<&str> = ids.collect();
     let mut state = runner.state.borrow_mut();
@@ -93,19 +93,19 @@
     }
     for (key, _, value) in changes.rows {
         match value.map(ActiveJobRow::decode) {
-            Some(Ok(active)) => put(runner, active),
+            Some(Ok(active)) => apply_row(runner, active),
             Some(Err(_)) => {}
-            None => remove(runner, key.trim_start_matches(ACTIVE_JOB_PREFIX)),
+            None => remove_job(runner, key.trim_start_matches(ACTIVE_JOB_PREFIX)),
         }
     }
-    mark_read(runner, asked_at);
+    record_read(runner, asked_at);
     Ok(Some(changes.up_to.max(after)))
 }
 
 /// Maximum wait of the next feed read; 0 after a suspension, so that the feed is read at once.
 fn feed_wait_ms(runner: &Runner) -> u32 {
     let state = runner.state.borrow();
-    if state.is_behind() {
+    if state.is_feed_stale() {
         0
     } else if state.held.is_empty() {
         IDLE_WAIT_MS
@@ -114,9 +114,9 @@
     }
 }
 
-fn put(runner: &Runner, row: ActiveJobRow) {
+fn apply_row(runner: &Runner, row: ActiveJobRow) {
     if row.cancelled {
-        cancel(runner, &row.job_id);
+        cancel_job(runner, &row.job_id);
     }
     if row.chunks == 0 {
         runner.split_wake.notify_one();
@@ -130,21 +130,21 @@
     runner.claim_wake.notify_one();
 }
 
-fn remove(runner: &Runner, job: &str) {
+fn remove_job(runner: &Runner, job: &str) {
     let mut state = runner.state.borrow_mut();
     state.jobs.remove(job);
     state.inputs.remove(job);
 }
 
 /// Records that all changes before `asked_at` have been read.
-fn mark_read(runner: &Runner, asked_at: Millis) {
+fn record_read(runner: &Runner, asked_at: Millis) {
     runner.state.borrow_mut().feed_read_at = asked_at;
     runner.dispatch_wake.notify_one();
 }
 
 async fn follow_gossip(runner: &Runner) {
     loop {
-        tokio::time::sleep(Duration::from_millis(GOSSIP_LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(GOSSIP_POLL_MS)).await;
         let held: BTreeSet<String> = {
             let state = runner.state.borrow();
             state.held.keys().map(|(job, _)| job.clone()).collect()
@@ -154,23 +154,23 @@
             held.into_iter().filter(|job| known.contains(job)).collect()
         };
         for job in cancelled {
-            cancel(runner, &job);
+            cancel_job(runner, &job);
         }
     }
 }
 
 /// Stops all work of this node on a job and publishes the cancellation through gossip.
-fn cancel(runner: &Runner, job: &str) {
+fn cancel_job(runner: &Runner, job: &str) {
     runner.tables.cancelled_jobs.lock().insert(job.to_owned());
     let mut stopped = Vec::new();
-    for (place, chunk) in &runner.state.borrow().held {
-        if place.0 == job && !chunk.is_stopped() {
+    for (chunk_id, chunk) in &runner.state.borrow().held {
+        if chunk_id.0 == job && !chunk.is_stopped() {
             chunk.stop(StopReason::Cancelled);
-            stopped.push(place.clone());
+            stopped.push(chunk_id.clone());
         }
     }
-    for place in stopped {
+    for chunk_id in stopped {
         runner.metrics.count_chunk("cancelled");
-        runner.forget(&place);
+        runner.remove_chunk(&chunk_id);
     }
 }
--- a/crates/batch/src/runner/handback.rs
+++ b/crates/batch/src/runner/handback.rs
@@ -13,37 +13,37 @@
 use prost::Message;
 
 use super::Runner;
-use super::work::{HeldChunk, ItemLine, StopReason};
+use super::work::{HeldChunk, ResultLine, StopReason};
 use crate::store::sleep_jittered;
 
 /// Interval of checks for finished chunks during a drain, milliseconds.
-const LOOK_MS: u64 = 20;
+const DRAIN_POLL_MS: u64 = 20;
 /// Wait between attempts after a store error, milliseconds, jittered.
-const STORE_WAIT_MS: u64 = 200;
+const STORE_RETRY_MS: u64 = 200;
 
 /// Time that a drain waits for running items, milliseconds. Repeatable items that take longer run
 /// again on another node.
-const FINISH_MS: u64 = 3_000;
+const DRAIN_WAIT_MS: u64 = 3_000;
 
 /// Interval of checks for services without an open server, milliseconds.
-const WATCH_MS: u64 = 250;
+const CLOSED_POLL_MS: u64 = 250;
 
 /// Time that all servers of a service must be closed before its chunks are handed back, milliseconds.
-const CLOSED_MS: u64 = 1_000;
+const CLOSED_GRACE_MS: u64 = 1_000;
 
 /// Hands back the chunks of services without an open server on this node; never returns.
 pub async fn watch(runner: Rc<Runner>) {
     let mut closed_since: BTreeMap<String, Millis> = BTreeMap::new();
     loop {
-        tokio::time::sleep(Duration::from_millis(WATCH_MS)).await;
+        tokio::time::sleep(Duration::from_millis(CLOSED_POLL_MS)).await;
         let now = runner.tables.clock.now();
         let held: Vec<Rc<HeldChunk>> = runner.state.borrow().held.values().cloned().collect();
         let open = open_services(&runner);
         closed_since.retain(|service, _| !open.contains(service));
         for chunk in held.iter().filter(|chunk| !open.contains(&chunk.service)) {
             let since = *closed_since.entry(chunk.service.clone()).or_insert(now);
-            let running = runner.state.borrow().runs(chunk);
-            if now.since(since) >= CLOSED_MS && may_hand_back(chunk) && !running {
+            let running = runner.state.borrow().is_running(chunk);
+            if now.since(since) >= CLOSED_GRACE_MS && may_hand_back(chunk) && !running {
                 hand_back(&runner, chunk).await;
             }
         }
@@ -64,20 +64,20 @@
 
 /// Hands back all chunks. Chunks whose items all have a result are committed instead.
 pub async fn run(runner: &Rc<Runner>) {
-    let begun = runner.tables.clock.now();
+    let started_at = runner.tables.clock.now();
     loop {
-        let waited = runner.tables.clock.now().since(begun) > FINISH_MS;
+        let wait_over = runner.tables.clock.now().since(started_at) > DRAIN_WAIT_MS;
         let held: Vec<Rc<HeldChunk>> = runner.state.borrow().held.values().cloned().collect();
         if held.is_empty() && runner.state.borrow().claiming.is_empty() {
             return;
         }
         for chunk in held {
-            let running = runner.state.borrow().runs(&chunk);
-            if may_hand_back(&chunk) && (!running || waited && !chunk.once) {
+            let running = runner.state.borrow().is_running(&chunk);
+            if may_hand_back(&chunk) && (!running || wait_over && !chunk.at_most_once) {
                 hand_back(runner, &chunk).await;
             }
         }
-        tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(DRAIN_POLL_MS)).await;
     }
 }
 
@@ -91,10 +91,10 @@
     runner.dispatch_wake.notify_one();
     while let Err(error) = reopen(runner, chunk).await {
         tracing::debug!(%error, job = %chunk.job, "failed to hand back a chunk; retrying");
-        sleep_jittered(STORE_WAIT_MS).await;
+        sleep_jittered(STORE_RETRY_MS).await;
     }
     runner.metrics.count_chunk("handed_back");
-    runner.forget(&chunk.place());
+    runner.remove_chunk(&chunk.chunk_id());
 }
 
 async fn reopen(runner: &Runner, chunk: &HeldChunk) -> Result<(), StoreError> {
@@ -121,7 +121,7 @@
     }
 }
 
-fn finished_lines(lines: &[Option<ItemLine>]) -> Vec<PartialLine> {
+fn finished_lines(lines: &[Option<ResultLine>]) -> Vec<PartialLine> {
     let numbered = lines.iter().enumerate();
     let finished = numbered.filter_map(|(index, line)| {
         line.as_ref().map(|line| PartialLine {
--- a/crates/batch/src/runner/load.rs
+++ b/crates/batch/src/runner/load.rs
@@ -10,27 +10,27 @@
 use prost::Message;
 
 use super::state::JobInput;
-use super::work::{HeldChunk, ItemLine};
+use super::work::{HeldChunk, ResultLine};
 use super::{Runner, commit};
 use crate::input::{Item, PartIndex, parse_item};
 use crate::store::{self, Versioned, sleep_jittered};
 
 /// Maximum size of a partial result that is read, bytes.
-const LARGEST_PARTIAL_BYTES: u64 = 1 << 32;
+const MAXIMUM_PARTIAL_BYTES: u64 = 1 << 32;
 
 /// Loads a claimed chunk in a new task.
-pub fn begin(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
+pub fn spawn_load(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
     let loader = runner.clone();
     runner.spawn(async move {
-        let place = (job.to_string(), row.row.index);
-        hold(&loader, job, row).await;
-        loader.state.borrow_mut().claiming.remove(&place);
+        let chunk_id = (job.to_string(), row.row.index);
+        load_and_queue(&loader, job, row).await;
+        loader.state.borrow_mut().claiming.remove(&chunk_id);
     });
 }
 
 /// Loads the input of a claimed chunk and queues its items. Store errors are retried, except for
 /// invalid data. A chunk whose job is cancelled or missing is dropped.
-async fn hold(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
+async fn load_and_queue(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
     let loaded = loop {
         match load(runner, &job, &row.row).await {
             Ok(Some(loaded)) => break loaded,
@@ -50,18 +50,18 @@
     }
     let chunk = Rc::new(HeldChunk::new(job, row, loaded.items));
     for line in loaded.finished {
-        take_finished(&chunk, line);
+        restore_line(&chunk, line);
     }
-    queue(runner, &chunk);
+    queue_items(runner, &chunk);
 }
 
 /// Restores the result line of an item that an earlier holder finished.
-fn take_finished(chunk: &HeldChunk, line: PartialLine) {
+fn restore_line(chunk: &HeldChunk, line: PartialLine) {
     let mut lines = chunk.lines.borrow_mut();
     let Some(slot @ None) = lines.get_mut(line.index as usize) else {
         return;
     };
-    *slot = Some(ItemLine {
+    *slot = Some(ResultLine {
         bytes: line.line,
         failed: line.failed,
     });
@@ -69,14 +69,18 @@
 }
 
 /// Input of a chunk and the results of earlier holders.
-struct Loaded {
+struct LoadedChunk {
     items: Vec<Item>,
     /// Result lines of items that an earlier holder finished.
     finished: Vec<PartialLine>,
 }
 
 /// Reads the items of a chunk; `None` if its job is cancelled or missing.
-async fn load(runner: &Runner, job: &JobId, row: &ChunkRow) -> Result<Option<Loaded>, StoreError> {
+async fn load(
+    runner: &Runner,
+    job: &JobId,
+    row: &ChunkRow,
+) -> Result<Option<LoadedChunk>, StoreError> {
     let Some(input) = job_input(runner, job, &row.tenant).await? else {
         return Ok(None);
     };
@@ -91,7 +95,7 @@
         .filter_map(|line| parse_item(line, endpoint).ok())
         .collect();
     match items.len() == row.items as usize {
-        true => Ok(Some(Loaded {
+        true => Ok(Some(LoadedChunk {
             items,
             finished: load_partial(objects, row).await?,
         })),
@@ -141,7 +145,7 @@
         return Ok(Vec::new());
     }
     let data = objects
-        .read(&row.partial_object, 0, LARGEST_PARTIAL_BYTES)
+        .read(&row.partial_object, 0, MAXIMUM_PARTIAL_BYTES)
         .await?;
     let result = data.and_then(|data| PartialResult::decode(data.bytes).ok());
     Ok(result.unwrap_or_default().lines)
@@ -154,7 +158,7 @@
 }
 
 /// Queues the unfinished items of a chunk. Those that must not be started again fail at once.
-fn queue(runner: &Rc<Runner>, chunk: &Rc<HeldChunk>) {
+fn queue_items(runner: &Rc<Runner>, chunk: &Rc<HeldChunk>) {
     let row = chunk.row.borrow().row.clone();
     let open: Vec<u32> = {
         let lines = chunk.lines.borrow();
@@ -165,9 +169,12 @@
         .into_iter()
         .partition(|index| chunks::may_start_item(&row, *index));
     let nothing_left = startable.is_empty() && unknown.is_empty();
-    runner.state.borrow_mut().hold(chunk, startable.into_iter());
+    runner
+        .state
+        .borrow_mut()
+        .add_held(chunk, startable.into_iter());
     for index in unknown {
-        runner.settle_unknown(chunk, index);
+        runner.record_unknown(chunk, index);
     }
     if nothing_left {
         runner.spawn(commit::run(runner.clone(), chunk.clone()));
--- a/crates/batch/src/runner/mod.rs
+++ b/crates/batch/src/runner/mod.rs
@@ -42,11 +42,11 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use crate::metrics::Metrics;
-use state::{ChunkPlace, State};
+use state::{ChunkId, RunnerState};
 
 /// Uptime before which a holder missing from the member table is not considered gone, milliseconds;
 /// covers several rounds of gossip and of machine list updates.
-const UNKNOWN_GONE_MS: u64 = 15_000;
+const UNKNOWN_HOLDER_GRACE_MS: u64 = 15_000;
 
 /// Dependencies of a batch runner.
 pub struct BatchContext {
@@ -66,7 +66,7 @@
     platform: Platform,
     engine: Rc<dyn Engine>,
     metrics: Metrics,
-    state: RefCell<State>,
+    state: RefCell<RunnerState>,
     /// Wakes the dispatcher.
     dispatch_wake: Notify,
     /// Wakes the claimer.
@@ -96,7 +96,7 @@
         platform: context.platform,
         engine: context.engine,
         metrics,
-        state: RefCell::new(State::default()),
+        state: RefCell::new(RunnerState::default()),
         dispatch_wake: Notify::new(),
         claim_wake: Notify::new(),
         split_wake: Notify::new(),
@@ -158,27 +158,27 @@
     }
 
     /// Whether a holder is considered gone. An earlier incarnation of this node always is. A node
-    /// missing from the member table is not until this node has been up for [`UNKNOWN_GONE_MS`].
+    /// missing from the member table is not until this node has been up for [`UNKNOWN_HOLDER_GRACE_MS`].
     fn is_gone(&self, holder: &str, incarnation: u64) -> bool {
         let own = &self.tables.identity;
         if holder == own.node.as_str() {
             return incarnation != own.incarnation;
         }
         let up_ms = self.tables.clock.now().since(self.started_at);
-        if self.tables.members.get(&holder.into()).is_none() && up_ms < UNKNOWN_GONE_MS {
+        if self.tables.members.get(&holder.into()).is_none() && up_ms < UNKNOWN_HOLDER_GRACE_MS {
             return false;
         }
         self.tables.members.is_gone(holder, incarnation)
     }
 
     /// Removes a finished or stopped chunk and wakes the dispatcher and the claimer.
-    fn forget(&self, place: &ChunkPlace) {
-        self.state.borrow_mut().forget(place);
+    fn remove_chunk(&self, chunk_id: &ChunkId) {
+        self.state.borrow_mut().remove_chunk(chunk_id);
         self.dispatch_wake.notify_one();
         self.claim_wake.notify_one();
     }
 
-    fn decide(&self, kind: DecisionKind, job: &str, cause: &str, outcome: String) {
+    fn record_decision(&self, kind: DecisionKind, job: &str, cause: &str, outcome: String) {
         tracing::info!(node = %self.tables.identity.node, ?kind, job, cause, outcome);
         self.tables.decisions.record(Decision {
             unix_ms: self.tables.clock.unix_ms(),
--- a/crates/batch/src/runner/outcome.rs
+++ b/crates/batch/src/runner/outcome.rs
@@ -5,13 +5,13 @@
 
 use dappleyard_wire::ErrorKind;
 
-use super::work::{HeldChunk, ItemLine};
+use super::work::{HeldChunk, ResultLine};
 use super::{Runner, commit};
 use crate::output::{ItemOutcome, result_line};
 
 impl Runner {
     /// Records the outcome of an item; the last outcome of a chunk starts the commit.
-    pub(super) fn settle(
+    pub(super) fn record_outcome(
         self: &Rc<Self>,
         chunk: &Rc<HeldChunk>,
         index: u32,
@@ -23,7 +23,7 @@
         let item = &chunk.items[index as usize];
         let request = chunk.request_id(index);
         let failed = matches!(outcome, ItemOutcome::Failed { .. });
-        let written = ItemLine {
+        let written = ResultLine {
             bytes: result_line(item, request.as_str(), self.now_unix_s(), outcome),
             failed,
         };
@@ -39,12 +39,12 @@
     }
 
     /// Fails an item that must not be repeated and may have run already.
-    pub(super) fn settle_unknown(self: &Rc<Self>, chunk: &Rc<HeldChunk>, index: u32) {
+    pub(super) fn record_unknown(self: &Rc<Self>, chunk: &Rc<HeldChunk>, index: u32) {
         let outcome = ItemOutcome::Failed {
             kind: ErrorKind::OutcomeUnknown,
             message: "the item may have run and its outcome is lost; it is not run again"
                 .to_owned(),
         };
-        self.settle(chunk, index, &outcome);
+        self.record_outcome(chunk, index, &outcome);
     }
 }
--- a/crates/batch/src/runner/run_item.rs
+++ b/crates/batch/src/runner/run_item.rs
@@ -12,19 +12,19 @@
 use futures::StreamExt;
 
 use super::Runner;
-use super::cache::CacheMark;
+use super::cache::CacheEntryId;
 use super::server::{RunningItem, SequenceMemory};
 use super::work::WorkItem;
 use crate::output::{ItemCompletion, ItemOutcome};
 
 /// Time for which no item is started on a server after a failed attempt, milliseconds.
-const AVOID_MS: u64 = 500;
+const SERVER_BACKOFF_MS: u64 = 500;
 
 /// Delay before an item is queued again when the crash tracker does not permit it to run yet.
-const WAIT: Duration = Duration::from_millis(20);
+const CRASH_PERMIT_DELAY: Duration = Duration::from_millis(20);
 
 /// Outcome of an attempt.
-enum Ended {
+enum AttemptOutcome {
     /// The response is complete.
     Completed { reason: String },
     /// The item was paused or stopped; its tokens are kept.
@@ -38,7 +38,7 @@
     /// The engine rejected the item permanently.
     Rejected(String),
     /// The item reached the limit of engine crashes.
-    Blamed,
+    CrashLimit,
 }
 
 /// Starts an attempt to run an item on a server in a new task.
@@ -61,11 +61,11 @@
     let server = state.servers.entry(entry.server.clone()).or_default();
     let warm = item.is_warm_on(&entry.server, &server.cache, now);
     if item.last_server.as_ref() == Some(&entry.server) {
-        server.cache.take(item.cache_mark);
+        server.cache.remove_resumed(item.cache_entry);
     }
-    let (prefilled_at, leads) = match warm {
+    let (prefilled_at, is_leader) = match warm {
         true => (now, false),
-        false => server.send_cold(&memory, now),
+        false => server.record_prefill(&memory, now),
     };
     let running = RunningItem {
         request: request.clone(),
@@ -79,26 +79,26 @@
     };
     server.running.push(running);
     drop(state);
-    item.leads_prefix = leads;
-    runner.spawn(follow(runner.clone(), entry, item, request, attempt));
+    item.is_prefix_leader = is_leader;
+    runner.spawn(run_attempt(runner.clone(), entry, item, request, attempt));
 }
 
-async fn follow(
+async fn run_attempt(
     runner: Rc<Runner>,
     entry: ServerEntry,
     mut item: WorkItem,
     request: RequestId,
     attempt: u32,
 ) {
-    let ended = match item.chunk.once {
-        true if !runner.mark_started(&item.chunk, item.index).await => Ended::Paused,
-        _ => run_counted(&runner, &entry, &mut item, &request, attempt).await,
+    let ended = match item.chunk.at_most_once {
+        true if !runner.mark_started(&item.chunk, item.index).await => AttemptOutcome::Paused,
+        _ => run_tracked(&runner, &entry, &mut item, &request, attempt).await,
     };
     runner.tables.servers.end_batch(&entry.server, &request);
-    item.cache_mark = remove_running(&runner, &entry, &request, attempt, &item);
+    item.cache_entry = remove_running(&runner, &entry, &request, attempt, &item);
     item.last_server = Some(entry.server.clone());
     item.stopped_at = runner.tables.clock.now();
-    finish(&runner, &entry, item, ended);
+    handle_outcome(&runner, &entry, item, ended);
     runner.dispatch_wake.notify_one();
     runner.claim_wake.notify_one();
 }
@@ -111,94 +111,103 @@
     request: &RequestId,
     attempt: u32,
     item: &WorkItem,
-) -> CacheMark {
+) -> CacheEntryId {
     let mut state = runner.state.borrow_mut();
     let server = state.servers.entry(entry.server.clone()).or_default();
     let running = &mut server.running;
     running.retain(|running| running.request != *request || running.attempt != attempt);
-    server.cache.leave(SequenceMemory::of(item).own_tokens)
+    server
+        .cache
+        .insert_ended(SequenceMemory::of(item).own_tokens)
 }
 
-fn finish(runner: &Rc<Runner>, entry: &ServerEntry, mut item: WorkItem, ended: Ended) {
+fn handle_outcome(
+    runner: &Rc<Runner>,
+    entry: &ServerEntry,
+    mut item: WorkItem,
+    ended: AttemptOutcome,
+) {
     match ended {
-        Ended::Completed { reason } => {
+        AttemptOutcome::Completed { reason } => {
             let completion = ItemCompletion {
                 pieces: std::mem::take(&mut item.pieces),
                 reason,
                 version: item.version.clone(),
             };
-            runner.settle(&item.chunk, item.index, &ItemOutcome::Completed(completion));
+            runner.record_outcome(&item.chunk, item.index, &ItemOutcome::Completed(completion));
         }
-        Ended::Rejected(message) => {
+        AttemptOutcome::Rejected(message) => {
             let kind = ErrorKind::InvalidRequest;
-            runner.settle(
+            runner.record_outcome(
                 &item.chunk,
                 item.index,
                 &ItemOutcome::Failed { kind, message },
             );
         }
-        Ended::Blamed => {
+        AttemptOutcome::CrashLimit => {
             let kind = ErrorKind::ServersEnded;
             let message = "engines ended while they ran this item".to_owned();
-            runner.settle(
+            runner.record_outcome(
                 &item.chunk,
                 item.index,
                 &ItemOutcome::Failed { kind, message },
             );
         }
         // The engine cancelled an at-most-once item after accepting it, so it may have run.
-        Ended::Paused if item.chunk.once && !item.version.is_empty() => {
-            runner.settle_unknown(&item.chunk, item.index);
+        AttemptOutcome::Paused if item.chunk.at_most_once && !item.version.is_empty() => {
+            runner.record_unknown(&item.chunk, item.index);
         }
-        Ended::Lost(_) if item.chunk.once => runner.settle_unknown(&item.chunk, item.index),
-        Ended::VersionGone => {
+        AttemptOutcome::Lost(_) if item.chunk.at_most_once => {
+            runner.record_unknown(&item.chunk, item.index)
+        }
+        AttemptOutcome::VersionGone => {
             runner.metrics.repeated.inc();
             item.pieces.clear();
             item.version.clear();
-            runner.state.borrow_mut().put_back(item);
+            runner.state.borrow_mut().requeue(item);
         }
-        Ended::Lost(reason) | Ended::NotRun(reason) => {
+        AttemptOutcome::Lost(reason) | AttemptOutcome::NotRun(reason) => {
             tracing::debug!(reason, server = %entry.server, "a batch item failed; retrying it");
-            avoid(runner, entry);
-            runner.state.borrow_mut().put_back(item);
+            back_off(runner, entry);
+            runner.state.borrow_mut().requeue(item);
         }
-        Ended::Paused => runner.state.borrow_mut().put_back(item),
+        AttemptOutcome::Paused => runner.state.borrow_mut().requeue(item),
     }
 }
 
-fn avoid(runner: &Runner, entry: &ServerEntry) {
-    let until = runner.tables.clock.now().plus(AVOID_MS);
+fn back_off(runner: &Runner, entry: &ServerEntry) {
+    let until = runner.tables.clock.now().plus(SERVER_BACKOFF_MS);
     let mut state = runner.state.borrow_mut();
     let server = state.servers.entry(entry.server.clone()).or_default();
-    server.avoid_until = until;
+    server.backoff_until = until;
 }
 
 /// Runs an item if the crash tracker permits it, and reports to the tracker whether the engine
 /// crashed.
-async fn run_counted(
+async fn run_tracked(
     runner: &Runner,
     entry: &ServerEntry,
     item: &mut WorkItem,
     request: &RequestId,
     attempt: u32,
-) -> Ended {
+) -> AttemptOutcome {
     let crashes = &runner.tables.crashes;
-    let counted = match crashes.begin(fingerprint(item), &entry.server) {
-        Ok(counted) => counted,
-        Err(Permit::Refused) => return Ended::Blamed,
+    let crash_run = match crashes.begin(fingerprint(item), &entry.server) {
+        Ok(crash_run) => crash_run,
+        Err(Permit::Refused) => return AttemptOutcome::CrashLimit,
         Err(_) => {
-            tokio::time::sleep(WAIT).await;
-            return Ended::Paused;
+            tokio::time::sleep(CRASH_PERMIT_DELAY).await;
+            return AttemptOutcome::Paused;
         }
     };
     let ended = run(runner, entry, item, request, attempt).await;
     match &ended {
-        Ended::Completed { .. } => counted.note_served(),
-        Ended::Lost(_) => {
-            let answered = runner.engine.status(&entry.base_url).await;
-            if matches!(answered, Err(EngineError::Unreachable { .. })) {
+        AttemptOutcome::Completed { .. } => crash_run.note_served(),
+        AttemptOutcome::Lost(_) => {
+            let status = runner.engine.status(&entry.base_url).await;
+            if matches!(status, Err(EngineError::Unreachable { .. })) {
                 let clock = &runner.tables.clock;
-                let ended = counted.note_ended(clock.now(), clock.unix_ms());
+                let ended = crash_run.note_ended(clock.now(), clock.unix_ms());
                 tracing::info!(%request, server = %entry.server, ended,
                     "engine became unreachable while running an item");
             }
@@ -226,9 +235,9 @@
     item: &mut WorkItem,
     request: &RequestId,
     attempt: u32,
-) -> Ended {
+) -> AttemptOutcome {
     if item.chunk.is_stopped() {
-        return Ended::Paused;
+        return AttemptOutcome::Paused;
     }
     if !item.pieces.is_empty() {
         runner.metrics.resumes.inc();
@@ -236,29 +245,29 @@
     let call = generate_call(item, request, attempt);
     let mut events = match runner.engine.generate(&entry.base_url, call).await {
         Ok(events) => events,
-        Err(error) => return refused(error, item),
+        Err(error) => return outcome_of_error(error, item),
     };
     while let Some(event) = events.next().await {
         match event {
             Ok(EngineEvent::Accepted { stream, version }) => {
                 item.version = version;
-                accepted(runner, entry, request, attempt, stream).await;
+                record_stream(runner, entry, request, attempt, stream).await;
             }
             Ok(EngineEvent::Tokens { offset, pieces }) => {
-                note_prefix(runner, entry, item);
-                take_tokens(item, offset, pieces);
+                mark_prefix_cached(runner, entry, item);
+                append_tokens(item, offset, pieces);
             }
             Ok(EngineEvent::Finished {
                 reason,
                 total_tokens,
                 ..
             }) => {
-                return finished(item, reason, total_tokens);
+                return outcome_of_finish(item, reason, total_tokens);
             }
-            Err(error) => return refused(error, item),
+            Err(error) => return outcome_of_error(error, item),
         }
     }
-    Ended::Lost("the stream closed without a finish event".to_owned())
+    AttemptOutcome::Lost("the stream closed without a finish event".to_owned())
 }
 
 fn generate_call(item: &WorkItem, request: &RequestId, attempt: u32) -> GenerateCall {
@@ -279,12 +288,12 @@
         attach_stream: String::new(),
         attach_only: false,
         // The first token of the leader shows that the shared prefix is computed.
-        stream: item.leads_prefix,
+        stream: item.is_prefix_leader,
     }
 }
 
 /// Records the engine stream, and cancels it if the item was stopped in the meantime.
-async fn accepted(
+async fn record_stream(
     runner: &Runner,
     entry: &ServerEntry,
     request: &RequestId,
@@ -317,21 +326,21 @@
 }
 
 /// Marks a shared prefix as computed on the first token of its leader and wakes the dispatcher.
-fn note_prefix(runner: &Runner, entry: &ServerEntry, item: &mut WorkItem) {
-    if !std::mem::take(&mut item.leads_prefix) {
+fn mark_prefix_cached(runner: &Runner, entry: &ServerEntry, item: &mut WorkItem) {
+    if !std::mem::take(&mut item.is_prefix_leader) {
         return;
     }
     let now = runner.tables.clock.now();
     let prefix = item.item().prefix_hash;
     let mut state = runner.state.borrow_mut();
     let server = state.servers.entry(entry.server.clone()).or_default();
-    server.prefix_computed(prefix, now);
+    server.set_prefix_cached(prefix, now);
     runner.dispatch_wake.notify_one();
 }
 
 /// Appends tokens at an offset. Tokens that overlap earlier ones are skipped; tokens after a gap are
 /// dropped.
-fn take_tokens(item: &mut WorkItem, offset: u32, pieces: Vec<String>) {
+fn append_tokens(item: &mut WorkItem, offset: u32, pieces: Vec<String>) {
     let known = item.pieces.len();
     let offset = offset as usize;
     if offset <= known {
@@ -339,24 +348,26 @@
     }
 }
 
-fn finished(item: &WorkItem, reason: String, total_tokens: u32) -> Ended {
+fn outcome_of_finish(item: &WorkItem, reason: String, total_tokens: u32) -> AttemptOutcome {
     if reason == "cancelled" {
-        return Ended::Paused;
+        return AttemptOutcome::Paused;
     }
     match item.pieces.len() == total_tokens as usize {
-        true => Ended::Completed { reason },
-        false => Ended::Lost("the response is missing tokens".to_owned()),
+        true => AttemptOutcome::Completed { reason },
+        false => AttemptOutcome::Lost("the response is missing tokens".to_owned()),
     }
 }
 
-fn refused(error: EngineError, item: &WorkItem) -> Ended {
+fn outcome_of_error(error: EngineError, item: &WorkItem) -> AttemptOutcome {
     match error {
-        EngineError::Lost { reason } => Ended::Lost(reason),
-        EngineError::Unreachable { reason } => Ended::NotRun(reason),
-        EngineError::Refused { status: 404, .. } if !item.version.is_empty() => Ended::VersionGone,
+        EngineError::Lost { reason } => AttemptOutcome::Lost(reason),
+        EngineError::Unreachable { reason } => AttemptOutcome::NotRun(reason),
+        EngineError::Refused { status: 404, .. } if !item.version.is_empty() => {
+            AttemptOutcome::VersionGone
+        }
         EngineError::Refused { status, reason } => match status {
-            400 | 413 | 422 => Ended::Rejected(reason),
-            _ => Ended::NotRun(reason),
+            400 | 413 | 422 => AttemptOutcome::Rejected(reason),
+            _ => AttemptOutcome::NotRun(reason),
         },
     }
 }
--- a/crates/batch/src/runner/split.rs
+++ b/crates/batch/src/runner/split.rs
@@ -55,8 +55,8 @@
             if !runner.takes_new_work() {
                 return Ok(());
             }
-            if let Some(owned) = own(runner, read).await? {
-                split_one(runner, owned).await?;
+            if let Some(owned) = take_ownership(runner, read).await? {
+                split_input(runner, owned).await?;
             }
         }
         if !full {
@@ -66,14 +66,14 @@
 }
 
 /// Takes ownership of a split, raising its epoch, unless another live node owns it.
-async fn own(
+async fn take_ownership(
     runner: &Runner,
     read: Versioned<SplitRow>,
 ) -> Result<Option<Versioned<SplitRow>>, StoreError> {
     let claimant = runner.claimant();
-    let mine =
+    let is_holder =
         read.row.holder == claimant.node && read.row.holder_incarnation == claimant.incarnation;
-    if mine {
+    if is_holder {
         return Ok(Some(read));
     }
     let held = !read.row.holder.is_empty();
@@ -88,10 +88,10 @@
     let transaction = Transaction::default()
         .expect(key.as_str(), Expect::Revision(read.revision))
         .put(key.as_str(), row.encode_to_vec());
-    write(runner, &transaction, &key, row).await
+    write_split_row(runner, &transaction, &key, row).await
 }
 
-async fn write(
+async fn write_split_row(
     runner: &Runner,
     transaction: &Transaction,
     key: &str,
@@ -106,12 +106,12 @@
     })
 }
 
-async fn split_one(runner: &Runner, split: Versioned<SplitRow>) -> Result<(), StoreError> {
+async fn split_input(runner: &Runner, split: Versioned<SplitRow>) -> Result<(), StoreError> {
     let job = JobId::from(&split.row.job_id);
     let key = keys::job(&split.row.tenant.as_str().into(), &job);
     let read = store::read_row::<JobRow>(&*runner.platform.tables, &key).await?;
-    let Some(read) = read.filter(|read| is_unsplit(&read.row)) else {
-        return drop_split(runner, &split).await;
+    let Some(read) = read.filter(|read| needs_split(&read.row)) else {
+        return delete_split(runner, &split).await;
     };
     let state = read.row.state.clone().unwrap_or_default();
     let objects = &*runner.platform.objects;
@@ -119,15 +119,15 @@
     let limits = limits(runner, &state.endpoint, read.row.repeat());
     let checked = check_input(objects, &parts, &limits).await?;
     if !checked.errors.is_empty() {
-        return fail(runner, &split, read, checked.errors).await;
+        return fail_job(runner, &split, read, checked.errors).await;
     }
     if !is_approved(runner, &read.row, checked.items) {
-        return park(runner, &split, read, &checked).await;
+        return leave_planned(runner, &split, read, &checked).await;
     }
     let Some(split) = write_chunks(runner, split, &state, &read.row, &checked).await? else {
         return Ok(());
     };
-    begin(runner, &split, read, &checked).await
+    start_job(runner, &split, read, &checked).await
 }
 
 fn limits(runner: &Runner, endpoint: &str, repeat: Repeat) -> InputLimits {
@@ -155,7 +155,7 @@
 /// Number of chunk inputs that must fit into the memory limit of a node.
 const CHUNKS_IN_MEMORY: usize = 8;
 
-fn is_unsplit(row: &JobRow) -> bool {
+fn needs_split(row: &JobRow) -> bool {
     let phase = row.state.as_ref().map(JobState::phase);
     !row.cancelled && phase == Some(JobPhase::JobValidating)
 }
@@ -203,7 +203,7 @@
         next.next_offset = last.map_or(0, |chunk_range| chunk_range.end);
         next.next_item = last.map_or(0, |chunk_range| chunk_range.first_item + chunk_range.items);
         transaction = transaction.put(key.as_str(), next.encode_to_vec());
-        match write(runner, &transaction, &key, next).await? {
+        match write_split_row(runner, &transaction, &key, next).await? {
             Some(written) => split = written,
             None => return Ok(None),
         }
@@ -234,7 +234,7 @@
 }
 
 /// Starts the job once all chunk rows are written.
-async fn begin(
+async fn start_job(
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
@@ -261,7 +261,7 @@
 }
 
 /// Fails the job with the errors in its input.
-async fn fail(
+async fn fail_job(
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
@@ -276,12 +276,12 @@
     row.state = Some(state);
     finish_split(runner, split, (row, read.revision), None).await?;
     let cause = "the input file has errors";
-    runner.decide(DecisionKind::JobChanged, &job, cause, "failed".to_owned());
+    runner.record_decision(DecisionKind::JobChanged, &job, cause, "failed".to_owned());
     Ok(())
 }
 
 /// Leaves the job in the planned phase until it is confirmed.
-async fn park(
+async fn leave_planned(
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
@@ -296,7 +296,7 @@
     row.state = Some(state);
     finish_split(runner, split, (row, read.revision), None).await?;
     let cause = "no standing approval covers its items";
-    runner.decide(DecisionKind::JobChanged, &job, cause, "planned".to_owned());
+    runner.record_decision(DecisionKind::JobChanged, &job, cause, "planned".to_owned());
     Ok(())
 }
 
@@ -329,7 +329,7 @@
 }
 
 /// Deletes the split row of a job that no longer needs to be split.
-async fn drop_split(runner: &Runner, split: &Versioned<SplitRow>) -> Result<(), StoreError> {
+async fn delete_split(runner: &Runner, split: &Versioned<SplitRow>) -> Result<(), StoreError> {
     let key = keys::split_job(&split.row.job_id.as_str().into());
     let transaction = Transaction::default()
         .expect(key.as_str(), Expect::Revision(split.revision))
--- a/crates/batch/src/runner/state.rs
+++ b/crates/batch/src/runner/state.rs
@@ -13,7 +13,7 @@
 use crate::input::PartIndex;
 
 /// Job id and index of a chunk.
-pub type ChunkPlace = (String, u32);
+pub type ChunkId = (String, u32);
 
 /// An active job, as read from the change feed.
 pub struct ActiveJob {
@@ -33,7 +33,7 @@
 
 /// State shared by the runner's tasks.
 #[derive(Default)]
-pub struct State {
+pub struct RunnerState {
     /// Active jobs by id.
     pub jobs: BTreeMap<String, ActiveJob>,
     /// Inputs of active jobs of which this node has loaded chunks.
@@ -44,13 +44,13 @@
     pub feed_failed_at: Millis,
     /// Time at which the process was last found to have been suspended. No item is started until the
     /// feed has been read again, because a job may have been cancelled in the meantime.
-    pub paused_until: Millis,
+    pub resumed_at: Millis,
     /// Chunks being claimed or loaded, with their item counts.
-    pub claiming: BTreeMap<ChunkPlace, u32>,
+    pub claiming: BTreeMap<ChunkId, u32>,
     /// Chunks held by this node whose input is loaded.
-    pub held: BTreeMap<ChunkPlace, Rc<HeldChunk>>,
+    pub held: BTreeMap<ChunkId, Rc<HeldChunk>>,
     /// Queued items without any token, by service.
-    pub fresh: BTreeMap<String, VecDeque<WorkItem>>,
+    pub unstarted: BTreeMap<String, VecDeque<WorkItem>>,
     /// Queued items with tokens, which were paused or are to be retried, by service.
     pub paused: BTreeMap<String, Vec<WorkItem>>,
     /// State of the servers of this node.
@@ -61,36 +61,36 @@
     pub held_bytes: usize,
 }
 
-impl State {
+impl RunnerState {
     /// Whether the process was suspended and has not read the feed since. A failed read is enough: a
     /// store that does not respond has acknowledged no recent cancel, and gossip covers the others.
-    pub fn is_behind(&self) -> bool {
-        self.feed_read_at.max(self.feed_failed_at) < self.paused_until
+    pub fn is_feed_stale(&self) -> bool {
+        self.feed_read_at.max(self.feed_failed_at) < self.resumed_at
     }
 
     /// Whether this node is claiming, loading or holding a chunk.
-    pub fn knows(&self, place: &ChunkPlace) -> bool {
-        self.held.contains_key(place) || self.claiming.contains_key(place)
+    pub fn tracks_chunk(&self, chunk_id: &ChunkId) -> bool {
+        self.held.contains_key(chunk_id) || self.claiming.contains_key(chunk_id)
     }
 
     /// Whether an item of a chunk is running.
-    pub fn runs(&self, chunk: &Rc<HeldChunk>) -> bool {
+    pub fn is_running(&self, chunk: &Rc<HeldChunk>) -> bool {
         let mut running = self.servers.values().flat_map(|server| &server.running);
         running.any(|running| Rc::ptr_eq(&running.chunk, chunk))
     }
 
     /// Number of queued items of a service without any token, plus the items of all services that are
     /// being claimed or loaded.
-    pub fn waiting_cold(&self, service: &str) -> usize {
-        let coming: u32 = self.claiming.values().sum();
-        self.fresh.get(service).map_or(0, VecDeque::len) + coming as usize
+    pub fn queued_unstarted(&self, service: &str) -> usize {
+        let incoming: u32 = self.claiming.values().sum();
+        self.unstarted.get(service).map_or(0, VecDeque::len) + incoming as usize
     }
 
     /// Number of queued items.
-    pub fn waiting_total(&self) -> usize {
-        let fresh: usize = self.fresh.values().map(VecDeque::len).sum();
+    pub fn queued_total(&self) -> usize {
+        let unstarted: usize = self.unstarted.values().map(VecDeque::len).sum();
         let paused: usize = self.paused.values().map(Vec::len).sum();
-        fresh + paused
+        unstarted + paused
     }
 
     /// Number of running streams.
@@ -114,7 +114,7 @@
     /// has expired, then one without any token, then any paused one.
     pub fn take_cold(&mut self, service: &str, server: &ServerId, now: Millis) -> Option<WorkItem> {
         self.take_stale(service, now)
-            .or_else(|| self.take_fresh(service, server, now))
+            .or_else(|| self.take_unstarted(service, server, now))
             .or_else(|| self.take_any_paused(service))
     }
 
@@ -137,54 +137,60 @@
 
     /// Removes and returns the first item whose shared prefix the server is not computing right now.
     /// The others are delayed so that they find the prefix in the cache.
-    fn take_fresh(&mut self, service: &str, server: &ServerId, now: Millis) -> Option<WorkItem> {
-        let fresh = self.fresh.get_mut(service)?;
-        let known = self.servers.entry(server.clone()).or_default();
-        let mut held_back = None;
-        let index = fresh.iter().position(|item| {
+    fn take_unstarted(
+        &mut self,
+        service: &str,
+        server: &ServerId,
+        now: Millis,
+    ) -> Option<WorkItem> {
+        let unstarted = self.unstarted.get_mut(service)?;
+        let server_state = self.servers.entry(server.clone()).or_default();
+        let mut blocked_prefix = None;
+        let index = unstarted.iter().position(|item| {
             let prefix = item.item().prefix_hash;
-            if item.chunk.is_stopped() || held_back == Some(prefix) {
+            if item.chunk.is_stopped() || blocked_prefix == Some(prefix) {
                 return false;
             }
-            let admitted = item.item().prefix_tokens == 0 || known.admits_prefix(prefix, now);
+            let admitted =
+                item.item().prefix_tokens == 0 || server_state.admits_prefix(prefix, now);
             if !admitted {
-                held_back = Some(prefix);
+                blocked_prefix = Some(prefix);
             }
             admitted
         })?;
-        fresh.remove(index)
+        unstarted.remove(index)
     }
 
     /// Queues an item again after a pause or a failed attempt. An item without any token goes to the
     /// front of its queue.
-    pub fn put_back(&mut self, item: WorkItem) {
+    pub fn requeue(&mut self, item: WorkItem) {
         if item.chunk.is_stopped() {
             return;
         }
         let service = item.chunk.service.clone();
         if item.pieces.is_empty() {
-            self.fresh.entry(service).or_default().push_front(item);
+            self.unstarted.entry(service).or_default().push_front(item);
         } else {
             self.paused.entry(service).or_default().push(item);
         }
     }
 
     /// Adds a loaded chunk and queues the given items of it.
-    pub fn hold(&mut self, chunk: &Rc<HeldChunk>, queued: impl Iterator<Item = u32>) {
+    pub fn add_held(&mut self, chunk: &Rc<HeldChunk>, queued: impl Iterator<Item = u32>) {
         self.held_bytes += chunk.bytes;
-        self.held.insert(chunk.place(), chunk.clone());
-        let fresh = self.fresh.entry(chunk.service.clone()).or_default();
-        fresh.extend(queued.map(|index| WorkItem::fresh(chunk, index)));
+        self.held.insert(chunk.chunk_id(), chunk.clone());
+        let unstarted = self.unstarted.entry(chunk.service.clone()).or_default();
+        unstarted.extend(queued.map(|index| WorkItem::unstarted(chunk, index)));
     }
 
     /// Removes a chunk and its queued items.
-    pub fn forget(&mut self, place: &ChunkPlace) {
-        let Some(chunk) = self.held.remove(place) else {
+    pub fn remove_chunk(&mut self, chunk_id: &ChunkId) {
+        let Some(chunk) = self.held.remove(chunk_id) else {
             return;
         };
         self.held_bytes = self.held_bytes.saturating_sub(chunk.bytes);
-        if let Some(fresh) = self.fresh.get_mut(&chunk.service) {
-            fresh.retain(|item| !Rc::ptr_eq(&item.chunk, &chunk));
+        if let Some(unstarted) = self.unstarted.get_mut(&chunk.service) {
+            unstarted.retain(|item| !Rc::ptr_eq(&item.chunk, &chunk));
         }
         if let Some(paused) = self.paused.get_mut(&chunk.service) {
             paused.retain(|item| !Rc::ptr_eq(&item.chunk, &chunk));
--- a/crates/batch/src/runner/takeover.rs
+++ b/crates/batch/src/runner/takeover.rs
@@ -29,7 +29,7 @@
 pub async fn run(runner: Rc<Runner>) {
     let mut members = runner.tables.members.subscribe();
     loop {
-        let sweep = runner.sweep_wait(SWEEP_MS_PER_MEMBER);
+        let sweep = runner.sweep_interval(SWEEP_MS_PER_MEMBER);
         tokio::select! {
             _ = members.changed() => {
                 let delay = jitter(runner.settings.takeover_delay_ms);
@@ -60,7 +60,7 @@
         let full = rows.len() == PAGE;
         for row in rows {
             let held = store::decode::<EpochRow>(&row.key, &row.value, row.revision)?;
-            look_at(runner, &row.key, &held).await?;
+            check_held(runner, &row.key, &held).await?;
             after = row.key;
         }
         if !full {
@@ -71,25 +71,29 @@
 
 /// Reopens a chunk if its holder is gone, or if it is listed under this node without being known
 /// here: the claim took effect after this node stopped waiting for the response.
-async fn look_at(
+async fn check_held(
     runner: &Runner,
     held_key: &str,
     held: &Versioned<EpochRow>,
 ) -> Result<(), StoreError> {
-    let Some((job, index)) = place(held_key, &held.row.holder) else {
+    let Some((job, index)) = parse_held_key(held_key, &held.row.holder) else {
         return Ok(());
     };
     let claimant = runner.claimant();
     let (holder, incarnation) = (&held.row.holder, held.row.holder_incarnation);
     let own = *holder == claimant.node && incarnation == claimant.incarnation;
-    let unknown = own && !runner.state.borrow().knows(&(job.to_string(), index));
-    if unknown || runner.is_gone(holder, incarnation) {
-        open_again(runner, held_key, held, &job, index).await?;
+    let untracked = own
+        && !runner
+            .state
+            .borrow()
+            .tracks_chunk(&(job.to_string(), index));
+    if untracked || runner.is_gone(holder, incarnation) {
+        reopen_held(runner, held_key, held, &job, index).await?;
     }
     Ok(())
 }
 
-async fn open_again(
+async fn reopen_held(
     runner: &Runner,
     held_key: &str,
     held: &Versioned<EpochRow>,
@@ -98,11 +102,11 @@
 ) -> Result<(), StoreError> {
     let key = keys::chunk(job, index);
     let Some(read) = store::read_row::<ChunkRow>(&*runner.platform.tables, &key).await? else {
-        return remove_list_entry(runner, held_key, held.revision).await;
+        return delete_held_row(runner, held_key, held.revision).await;
     };
     let stale = read.row.epoch != held.row.epoch || read.row.holder != held.row.holder;
     if stale || !is_live_job(runner, &read.row.tenant, job).await? {
-        return remove_list_entry(runner, held_key, held.revision).await;
+        return delete_held_row(runner, held_key, held.revision).await;
     }
     if !runner.reopen(job, read, true, None).await? {
         return Ok(());
@@ -110,11 +114,11 @@
     runner.metrics.count_chunk("taken_over");
     let outcome = format!("chunk {index} was opened again");
     let cause = format!("node {} does not work on it any more", held.row.holder);
-    runner.decide(DecisionKind::TakenOver, job.as_str(), &cause, outcome);
+    runner.record_decision(DecisionKind::TakenOver, job.as_str(), &cause, outcome);
     Ok(())
 }
 
-fn place(held_key: &str, holder: &str) -> Option<(JobId, u32)> {
+fn parse_held_key(held_key: &str, holder: &str) -> Option<(JobId, u32)> {
     let path = held_key.strip_prefix(HELD_CHUNK_PREFIX)?;
     let (job, index) = path
         .strip_prefix(holder)?
@@ -130,7 +134,7 @@
 }
 
 /// Deletes a held-chunk row that does not match its chunk row, unless it has been rewritten.
-async fn remove_list_entry(runner: &Runner, key: &str, revision: u64) -> Result<(), StoreError> {
+async fn delete_held_row(runner: &Runner, key: &str, revision: u64) -> Result<(), StoreError> {
     let transaction = Transaction::default()
         .expect(key, Expect::Revision(revision))
         .delete(key);
@@ -173,7 +177,7 @@
     }
 
     /// Jittered wait between sweeps that scales with the number of members.
-    pub(super) fn sweep_wait(&self, milliseconds_per_member: u64) -> Duration {
+    pub(super) fn sweep_interval(&self, milliseconds_per_member: u64) -> Duration {
         let members = self.tables.members.all().len().max(1) as u64;
         jitter(milliseconds_per_member * members)
     }
--- a/crates/batch/src/runner/work.rs
+++ b/crates/batch/src/runner/work.rs
@@ -8,8 +8,8 @@
 use dappleyard_wire::ids::{JobId, RequestId, ServerId};
 use dappleyard_wire::messages::{ChunkRow, Repeat};
 
-use super::cache::{CacheMark, CacheModel};
-use super::state::ChunkPlace;
+use super::cache::{CacheEntryId, CacheModel};
+use super::state::ChunkId;
 use crate::input::Item;
 use crate::store::Versioned;
 
@@ -26,7 +26,7 @@
 
 /// Result line of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ItemLine {
+pub struct ResultLine {
     /// Line, including the line feed.
     pub bytes: Vec<u8>,
     /// Whether the line belongs to the error file.
@@ -41,20 +41,20 @@
     pub tenant: String,
     pub service: String,
     /// Whether its items must run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Epoch under which this node holds the chunk.
     pub epoch: u64,
     /// Chunk row as last written or read.
     pub row: RefCell<Versioned<ChunkRow>>,
     pub items: Vec<Item>,
     /// Result lines by item index.
-    pub lines: RefCell<Vec<Option<ItemLine>>>,
+    pub lines: RefCell<Vec<Option<ResultLine>>>,
     /// Number of items without a result line.
     pub remaining: Cell<usize>,
     /// Set when work on the chunk is stopped; no further item is started.
     pub stopped: Cell<Option<StopReason>>,
     /// Serializes the writes of started marks.
-    pub marking: tokio::sync::Mutex<()>,
+    pub mark_lock: tokio::sync::Mutex<()>,
     /// Estimated memory including the results, bytes.
     pub bytes: usize,
 }
@@ -77,12 +77,12 @@
             index: row.row.index,
             tenant: row.row.tenant.clone(),
             service: row.row.service.clone(),
-            once: row.row.repeat() == Repeat::Never,
+            at_most_once: row.row.repeat() == Repeat::Never,
             epoch: row.row.epoch,
             lines: RefCell::new(vec![None; items.len()]),
             remaining: Cell::new(items.len()),
             stopped: Cell::new(None),
-            marking: tokio::sync::Mutex::new(()),
+            mark_lock: tokio::sync::Mutex::new(()),
             bytes: usize::try_from(input).unwrap_or(usize::MAX) + results,
             row: RefCell::new(row),
             items,
@@ -90,7 +90,7 @@
     }
 
     /// Key of the chunk among the held chunks.
-    pub fn place(&self) -> ChunkPlace {
+    pub fn chunk_id(&self) -> ChunkId {
         (self.job.to_string(), self.index)
     }
 
@@ -130,21 +130,21 @@
     /// Time at which the last attempt ended.
     pub stopped_at: Millis,
     /// Entry of its KV state in the cache model of that server.
-    pub cache_mark: CacheMark,
+    pub cache_entry: CacheEntryId,
     /// Number of attempts under this epoch.
     pub attempts: u32,
     /// Whether the item is the leader of its shared prefix and has produced no token yet.
-    pub leads_prefix: bool,
+    pub is_prefix_leader: bool,
 }
 
 /// Time after which the KV state of a paused item counts as evicted, milliseconds.
-const WARM_MS: u64 = 3_000;
+const CACHED_STATE_TTL_MS: u64 = 3_000;
 /// Attempt numbers reserved for an item in each epoch.
 const ATTEMPTS_PER_EPOCH: u32 = 10_000;
 
 impl WorkItem {
     /// Creates an item that this node has not started.
-    pub fn fresh(chunk: &Rc<HeldChunk>, index: u32) -> WorkItem {
+    pub fn unstarted(chunk: &Rc<HeldChunk>, index: u32) -> WorkItem {
         WorkItem {
             chunk: chunk.clone(),
             index,
@@ -152,9 +152,9 @@
             version: String::new(),
             last_server: None,
             stopped_at: Millis(0),
-            cache_mark: 0,
+            cache_entry: 0,
             attempts: 0,
-            leads_prefix: false,
+            is_prefix_leader: false,
         }
     }
 
@@ -178,8 +178,8 @@
 
     /// Whether the KV state of the item has probably been evicted from the server that it ran on.
     pub fn is_stale(&self, cache: Option<&CacheModel>, now: Millis) -> bool {
-        let cached = cache.is_some_and(|cache| cache.holds(self.cache_mark));
-        !cached || now.since(self.stopped_at) > WARM_MS
+        let cached = cache.is_some_and(|cache| cache.is_cached(self.cache_entry));
+        !cached || now.since(self.stopped_at) > CACHED_STATE_TTL_MS
     }
 
     /// Returns the number of the next attempt, which increases across epochs.
--- a/crates/batch/src/store.rs
+++ b/crates/batch/src/store.rs
@@ -72,7 +72,7 @@
     key: &str,
     is_own_value: impl Fn(&Bytes) -> bool,
 ) -> Result<WriteOutcome, StoreError> {
-    let mut response_lost = false;
+    let mut ambiguous = false;
     let mut last_reason = None;
     for attempt in 0..RESOLVE_ATTEMPTS {
         if attempt > 0 {
@@ -80,7 +80,7 @@
         }
         match tables.transact(transaction.clone()).await {
             Ok(revision) => return Ok(WriteOutcome::Written { revision }),
-            Err(StoreError::Conflict { .. }) if !response_lost => {
+            Err(StoreError::Conflict { .. }) if !ambiguous => {
                 return Ok(WriteOutcome::Conflict);
             }
             Err(StoreError::Conflict { .. }) => {
@@ -89,10 +89,10 @@
                 }
             }
             Err(StoreError::Ambiguous { reason }) => {
-                response_lost = true;
+                ambiguous = true;
                 last_reason = Some(reason);
             }
-            Err(error) if !response_lost => return Err(error),
+            Err(error) if !ambiguous => return Err(error),
             Err(error) => last_reason = Some(error.to_string()),
         }
     }
