--- a/crates/batch/src/jobs/files.rs
+++ b/crates/batch/src/jobs/files.rs
@@ -1,5 +1,5 @@
-//! Uploaded files. Each part is written to the object store as it arrives; the file's row is written
-//! when the file is sealed.
+//! Uploaded files. Each part is written to the object store as it arrives; the file's row is
+//! written when the file is sealed.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
--- a/crates/batch/src/jobs/progress.rs
+++ b/crates/batch/src/jobs/progress.rs
@@ -1,7 +1,7 @@
 //! Progress and completion of a job, computed from its chunk rows.
 //!
-//! Commits update no counter row, so that they do not contend. Committed chunks never change, so the
-//! count of the leading committed chunks is cached and only the later rows are read again.
+//! Commits update no counter row, so that they do not contend. Committed chunks never change, so
+//! the count of the leading committed chunks is cached and only the later rows are read again.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -37,7 +37,8 @@
         self.failed += row.failed;
     }
 
-    /// Expected completion time at the average rate so far, Unix seconds; 0 before the first result.
+    /// Expected completion time at the average rate so far, Unix seconds; 0 before the first
+    /// result.
     pub fn expected_unix_s(&self, state: &JobState, now_unix_s: u64) -> u64 {
         let done = u64::from(self.completed + self.failed);
         if done == 0 {
@@ -92,8 +93,8 @@
     }
 }
 
-/// Counts the committed chunks after the leading ones that `leading` covers. Returns the counts over
-/// the leading committed chunks and over all committed chunks.
+/// Reads the chunk rows after those that `leading` covers. Returns the counts over the leading
+/// committed chunks and over all committed chunks.
 async fn count(
     platform: &Platform,
     job: &str,
@@ -127,8 +128,8 @@
     }
 }
 
-/// Finds the first uncommitted chunk after the leading ones that `leading` covers, and advances
-/// `leading` to it. Returns `None` if all chunks are committed. A missing row counts as uncommitted.
+/// Finds the first uncommitted chunk after those that `leading` covers, and advances `leading` to
+/// it. Returns `None` if all chunks are committed. A missing row counts as uncommitted.
 async fn first_uncommitted(
     platform: &Platform,
     job: &JobRow,
@@ -181,8 +182,8 @@
 /// Chunk rows per read in [`first_uncommitted`].
 const COMPLETION_PAGE: usize = 32;
 
-/// Completes a job if all its chunks are committed. `leading` covers leading committed chunks that the
-/// caller knows of; it is advanced.
+/// Completes a job if all its chunks are committed. `leading` covers leading committed chunks that
+/// the caller knows of; it is advanced.
 pub async fn complete_if_done(
     platform: &Platform,
     tenant: &str,
--- a/crates/batch/src/jobs/submit.rs
+++ b/crates/batch/src/jobs/submit.rs
@@ -1,4 +1,5 @@
-//! Submission of jobs: one transaction creates the job and binds the client's idempotency key to it.
+//! Submission of jobs: one transaction creates the job and binds the client's idempotency key to
+//! it.
 
 use dappleyard_store::Transaction;
 use dappleyard_store::tables::Expect;
@@ -162,8 +163,8 @@
     Ok(())
 }
 
-/// Fingerprint of a submission. It covers the content of the input file instead of its id, so that a
-/// client that uploads the same file again and resends the job gets the same job.
+/// Fingerprint of a submission. It covers the content of the input file instead of its id, so that
+/// a client that uploads the same file again and resends the job gets the same job.
 fn fingerprint(call: &JobSubmit, content_hash: u64, size: u64) -> u64 {
     let mut metadata: Vec<_> = call.metadata.iter().collect();
     metadata.sort();
--- a/crates/batch/src/runner/at_most_once.rs
+++ b/crates/batch/src/runner/at_most_once.rs
@@ -1,5 +1,5 @@
-//! At-most-once items. Each is durably marked as started in the chunk row, under the holder's epoch,
-//! before it is sent to an engine.
+//! At-most-once items. Each is durably marked as started in the chunk row, under the holder's
+//! epoch, before it is sent to an engine.
 
 use std::rc::Rc;
 
@@ -16,11 +16,11 @@
 
 /// Maximum time from the request that confirmed the epoch to the start of an item, milliseconds. A
 /// holder that was suspended for longer checks the epoch again.
-const MAXIMUM_MARK_AGE_MS: u64 = 500;
+const MARK_VALID_MS: u64 = 500;
 
-/// Result of mark_lock an item.
+/// Result of marking an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum MarkResult {
+enum Mark {
     /// The mark is in the row and this node holds the chunk.
     Durable,
     /// The row had changed but this node still holds the chunk; the mark must be retried.
@@ -30,8 +30,8 @@
 }
 
 impl Runner {
-    /// Marks an item as started. Returns whether it may start now: the mark is durable and this node
-    /// held the chunk within the last [`MAXIMUM_MARK_AGE_MS`].
+    /// Marks an item as started. Returns whether it may start now: the mark is durable and this
+    /// node held the chunk within the last [`MARK_VALID_MS`].
     pub(super) async fn mark_started(&self, chunk: &Rc<HeldChunk>, index: u32) -> bool {
         loop {
             if chunk.is_stopped() {
@@ -40,20 +40,18 @@
             let _guard = chunk.mark_lock.lock().await;
             let asked_at = self.tables.clock.now();
             match self.mark(chunk, index).await {
-                Ok(MarkResult::Durable)
-                    if self.tables.clock.now().since(asked_at) <= MAXIMUM_MARK_AGE_MS =>
-                {
+                Ok(Mark::Durable) if self.tables.clock.now().since(asked_at) <= MARK_VALID_MS => {
                     return !chunk.is_stopped();
                 }
-                Ok(MarkResult::Durable | MarkResult::RowChanged) => {}
-                Ok(MarkResult::Fenced) => {
+                Ok(Mark::Durable | Mark::RowChanged) => {}
+                Ok(Mark::Fenced) => {
                     chunk.stop(StopReason::Fenced);
                     self.metrics.count_chunk("fenced");
                     self.remove_chunk(&chunk.chunk_id());
                     return false;
                 }
                 Err(error) => {
-                    tracing::debug!(%error, job = %chunk.job, "failed to mark an item as started; retrying");
+                    tracing::debug!(%error, job = %chunk.job, "failed to mark an item; retrying");
                     sleep_jittered(self.settings.poll_interval_ms).await;
                 }
             }
@@ -61,17 +59,13 @@
     }
 
     /// Writes the mark, or rereads the chunk row if the item is already marked.
-    async fn mark(&self, chunk: &HeldChunk, index: u32) -> Result<MarkResult, StoreError> {
+    async fn mark(&self, chunk: &HeldChunk, index: u32) -> Result<Mark, StoreError> {
         let known = chunk.row.borrow().clone();
         let marked = chunks::mark_started(&known.row, index);
         let key = keys::chunk(&chunk.job, chunk.index);
         if marked == known.row {
-            let is_holder = self.refresh_row(chunk, &key).await?;
-            return Ok(if is_holder {
-                MarkResult::Durable
-            } else {
-                MarkResult::Fenced
-            });
+            let held = self.refresh_row(chunk, &key).await?;
+            return Ok(if held { Mark::Durable } else { Mark::Fenced });
         }
         let transaction = Transaction::default()
             .expect(key.as_str(), Expect::Revision(known.revision))
@@ -84,15 +78,11 @@
             WriteOutcome::Written { revision } => {
                 let row = marked;
                 *chunk.row.borrow_mut() = Versioned { row, revision };
-                Ok(MarkResult::Durable)
+                Ok(Mark::Durable)
             }
             WriteOutcome::Conflict => {
-                let is_holder = self.refresh_row(chunk, &key).await?;
-                Ok(if is_holder {
-                    MarkResult::RowChanged
-                } else {
-                    MarkResult::Fenced
-                })
+                let held = self.refresh_row(chunk, &key).await?;
+                Ok(if held { Mark::RowChanged } else { Mark::Fenced })
             }
         }
     }
@@ -103,11 +93,10 @@
         let Some(read) = read else {
             return Ok(false);
         };
-        let is_holder =
-            read.row.epoch == chunk.epoch && read.row.phase() == ChunkPhase::ChunkClaimed;
-        if is_holder {
+        let held = read.row.epoch == chunk.epoch && read.row.phase() == ChunkPhase::ChunkClaimed;
+        if held {
             *chunk.row.borrow_mut() = read;
         }
-        Ok(is_holder)
+        Ok(held)
     }
 }
--- a/crates/batch/src/runner/claim.rs
+++ b/crates/batch/src/runner/claim.rs
@@ -65,8 +65,8 @@
     Ok(())
 }
 
-/// Claims chunks of the first job in fair-share order that has open chunks. Returns whether any chunk
-/// was claimed.
+/// Claims chunks of the first job in fair-share order that has open chunks. Returns whether any
+/// chunk was claimed.
 async fn claim_from_next_job(runner: &Rc<Runner>, service: &str) -> Result<bool, StoreError> {
     for candidate in candidates(runner, service) {
         let job = JobId::from(&candidate.job);
@@ -122,8 +122,8 @@
     }
 }
 
-/// Claims open chunks of a job with about `wanted` items in total. The claims are concurrent so that
-/// the store gate can batch their transactions.
+/// Claims open chunks of a job with about `wanted` items in total. The claims are concurrent so
+/// that the store gate can batch their transactions.
 async fn claim_of_job(
     runner: &Runner,
     job: &JobId,
@@ -150,8 +150,8 @@
     Ok(claimed)
 }
 
-/// Picks rows near the front until they hold `wanted` items. Chunks get smaller towards the end of a
-/// job, and the large ones should run first.
+/// Picks rows near the front until they hold `wanted` items. Chunks get smaller towards the end of
+/// a job, and the large ones should run first.
 fn choose_open_chunks(
     rows: &mut Vec<Row>,
     wanted: usize,
@@ -183,8 +183,8 @@
     if let Ok(Some(_)) = claimed {
         runner.metrics.count_chunk("claimed");
     } else {
-        // A claim with an unknown outcome may still take effect. The takeover sweep then finds it in
-        // this node's list of held chunks.
+        // A claim with an unknown outcome may still take effect. The takeover sweep then finds it
+        // in this node's list of held chunks.
         runner.state.borrow_mut().claiming.remove(&chunk_id);
     }
     claimed
@@ -254,8 +254,8 @@
         })
     }
 
-    /// Number of items to claim for a service beyond those already queued; 0 while memory is full or
-    /// the node takes no new work.
+    /// Number of items to claim for a service beyond those already queued; 0 while memory is full
+    /// or the node takes no new work.
     fn item_demand(&self, service: &str) -> usize {
         let state = self.state.borrow();
         let room = state.held.is_empty() || state.held_bytes < self.settings.memory_bytes;
--- a/crates/batch/src/runner/commit.rs
+++ b/crates/batch/src/runner/commit.rs
@@ -1,5 +1,6 @@
-//! Commit of a chunk's result. The result object is written first; a transaction then stores its name
-//! in the chunk row, provided that the epoch of the chunk and the state of its job still allow it.
+//! Commit of a chunk's result. The result object is written first; a transaction then stores its
+//! name in the chunk row, provided that the epoch of the chunk and the state of its job still allow
+//! it.
 
 use std::rc::Rc;
 
@@ -155,8 +156,8 @@
     }
 }
 
-/// Creates an object whose name is unique to this epoch. An existing object was written by an earlier
-/// attempt and counts as success.
+/// Creates an object whose name is unique to this epoch. An existing object was written by an
+/// earlier attempt and counts as success.
 async fn create_object(runner: &Runner, name: &str, bytes: Vec<u8>) -> Result<(), StoreError> {
     match runner.platform.objects.create(name, bytes.into()).await {
         Ok(()) | Err(StoreError::Conflict { .. }) => Ok(()),
--- a/crates/batch/src/runner/dispatch.rs
+++ b/crates/batch/src/runner/dispatch.rs
@@ -180,8 +180,8 @@
 }
 
 /// Marks up to `count` of the newest matching items as stopping and returns their engine streams.
-/// An item that the engine has not accepted yet is cancelled once it is. At-most-once items are only
-/// stopped with their chunk.
+/// An item that the engine has not accepted yet is cancelled once it is. At-most-once items are
+/// only stopped with their chunk.
 fn mark_stopping(
     runner: &Runner,
     server: &ServerId,
@@ -216,8 +216,8 @@
     runner.spawn(async move { run_item::cancel_streams(&canceller, &base, &streams).await });
 }
 
-/// Starts up to `count` items, those with KV state cached on the server first. Beside online requests,
-/// items that need a prefill are rate-limited.
+/// Starts up to `count` items, those with KV state cached on the server first. Beside online
+/// requests, items that need a prefill are rate-limited.
 fn start_items(runner: &Rc<Runner>, server: &OwnedServer, count: u32) {
     let now = runner.tables.clock.now();
     let id = &server.entry.server;
@@ -259,8 +259,8 @@
 }
 
 impl Runner {
-    /// Share of the batch width that the demand windows of a service allow, percent. It applies from
-    /// the warm-up before a window, so that capacity is free when the window opens.
+    /// Share of the batch width that the demand windows of a service allow, percent. It applies
+    /// from the warm-up before a window, so that capacity is free when the window opens.
     fn window_percent(&self, service: &str) -> u32 {
         let configuration = self.tables.configuration.current();
         let now_unix_s = self.now_unix_s();
--- a/crates/batch/src/runner/feed.rs
+++ b/crates/batch/src/runner/feed.rs
@@ -1,5 +1,5 @@
-//! Mirror of the active jobs, kept current by the change feed of their rows. New jobs, cancellations
-//! and completions reach every node this way; gossip also carries cancellations.
+//! Mirror of the active jobs, kept current by the change feed of their rows. New jobs,
+//! cancellations and completions reach every node this way; gossip also carries cancellations.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/crates/batch/src/runner/handback.rs
+++ b/crates/batch/src/runner/handback.rs
@@ -1,6 +1,6 @@
-//! Hands held chunks back so that other nodes can continue them: all of them on a graceful shutdown,
-//! and those of a service once all its servers on this node are closed to new work. Finished result
-//! lines are written to an object that the next holder reads.
+//! Hands held chunks back so that other nodes can continue them: all of them on a graceful
+//! shutdown, and those of a service once all its servers on this node are closed to new work.
+//! Finished result lines are written to an object that the next holder reads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -28,7 +28,8 @@
 /// Interval of checks for services without an open server, milliseconds.
 const CLOSED_POLL_MS: u64 = 250;
 
-/// Time that all servers of a service must be closed before its chunks are handed back, milliseconds.
+/// Time that all servers of a service must be closed before its chunks are handed back,
+/// milliseconds.
 const CLOSED_GRACE_MS: u64 = 1_000;
 
 /// Hands back the chunks of services without an open server on this node; never returns.
@@ -104,8 +105,8 @@
     Ok(())
 }
 
-/// Writes the finished result lines to an object and returns its name; `None` if there are none. The
-/// name is unique to this epoch, so an existing object was written by an earlier attempt.
+/// Writes the finished result lines to an object and returns its name; `None` if there are none.
+/// The name is unique to this epoch, so an existing object was written by an earlier attempt.
 async fn write_partial(runner: &Runner, chunk: &HeldChunk) -> Result<Option<String>, StoreError> {
     let result = PartialResult {
         lines: finished_lines(&chunk.lines.borrow()),
--- a/crates/batch/src/runner/load.rs
+++ b/crates/batch/src/runner/load.rs
@@ -106,7 +106,8 @@
 }
 
 /// Returns the location of a job's input, cached while the job is active; `None` if the job is
-/// cancelled or missing. Later cancellations are detected by the feed or, at the latest, the commit.
+/// cancelled or missing. Later cancellations are detected by the feed or, at the latest, the
+/// commit.
 async fn job_input(
     runner: &Runner,
     job: &JobId,
@@ -169,10 +170,7 @@
         .into_iter()
         .partition(|index| chunks::may_start_item(&row, *index));
     let nothing_left = startable.is_empty() && unknown.is_empty();
-    runner
-        .state
-        .borrow_mut()
-        .add_held(chunk, startable.into_iter());
+    runner.state.borrow_mut().hold(chunk, startable.into_iter());
     for index in unknown {
         runner.record_unknown(chunk, index);
     }
--- a/crates/batch/src/runner/mod.rs
+++ b/crates/batch/src/runner/mod.rs
@@ -117,8 +117,9 @@
 }
 
 impl BatchHandle {
-    /// Hands back the chunks of this node so that other nodes can continue them; returns once none is
-    /// held. The caller may drop the future to bound the time; other nodes take over what is left.
+    /// Hands back the chunks of this node so that other nodes can continue them; returns once none
+    /// is held. The caller may drop the future to bound the time; other nodes take over what is
+    /// left.
     pub async fn drain(&self) {
         self.runner.draining.set(true);
         handback::run(&self.runner).await;
@@ -158,7 +159,8 @@
     }
 
     /// Whether a holder is considered gone. An earlier incarnation of this node always is. A node
-    /// missing from the member table is not until this node has been up for [`UNKNOWN_HOLDER_GRACE_MS`].
+    /// missing from the member table is not until this node has been up for
+    /// [`UNKNOWN_HOLDER_GRACE_MS`].
     fn is_gone(&self, holder: &str, incarnation: u64) -> bool {
         let own = &self.tables.identity;
         if holder == own.node.as_str() {
--- a/crates/batch/src/runner/run_item.rs
+++ b/crates/batch/src/runner/run_item.rs
@@ -204,8 +204,8 @@
     match &ended {
         AttemptOutcome::Completed { .. } => crash_run.note_served(),
         AttemptOutcome::Lost(_) => {
-            let status = runner.engine.status(&entry.base_url).await;
-            if matches!(status, Err(EngineError::Unreachable { .. })) {
+            let engine_status = runner.engine.status(&entry.base_url).await;
+            if matches!(engine_status, Err(EngineError::Unreachable { .. })) {
                 let clock = &runner.tables.clock;
                 let ended = crash_run.note_ended(clock.now(), clock.unix_ms());
                 tracing::info!(%request, server = %entry.server, ended,
@@ -338,8 +338,8 @@
     runner.dispatch_wake.notify_one();
 }
 
-/// Appends tokens at an offset. Tokens that overlap earlier ones are skipped; tokens after a gap are
-/// dropped.
+/// Appends tokens at an offset. Tokens that overlap earlier ones are skipped; tokens after a gap
+/// are dropped.
 fn append_tokens(item: &mut WorkItem, offset: u32, pieces: Vec<String>) {
     let known = item.pieces.len();
     let offset = offset as usize;
--- a/crates/batch/src/runner/server.rs
+++ b/crates/batch/src/runner/server.rs
@@ -1,4 +1,5 @@
-//! Per-server state of the runner: running streams, step time model, shared prefixes and cache model.
+//! Per-server state of the runner: running streams, step time model, shared prefixes and cache
+//! model.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -138,8 +139,8 @@
         )
     }
 
-    /// Records the dispatch of an item that needs a prefill. Returns the estimated time at which the
-    /// prefill is complete, and whether the item is the leader of its shared prefix.
+    /// Records the dispatch of an item that needs a prefill. Returns the estimated time at which
+    /// the prefill is complete, and whether the item is the leader of its shared prefix.
     pub fn record_prefill(&mut self, memory: &SequenceMemory, now: Millis) -> (Millis, bool) {
         let is_leader =
             memory.prefix_tokens > 0 && !self.prefixes.contains_key(&memory.prefix_hash);
--- a/crates/batch/src/runner/split.rs
+++ b/crates/batch/src/runner/split.rs
@@ -1,8 +1,8 @@
 //! Splits accepted jobs into chunk rows.
 //!
 //! A split is fenced by the epoch in the job's split row. It reads and validates the whole input
-//! before it writes chunk rows. Each transaction writes several chunk rows and advances the cursor in
-//! the split row; a node that takes over the split resumes at the cursor.
+//! before it writes chunk rows. Each transaction writes several chunk rows and advances the cursor
+//! in the split row; a node that takes over the split resumes at the cursor.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -172,7 +172,8 @@
     row.approved || items <= standing
 }
 
-/// Writes the chunk rows from the cursor on. Returns `None` if another writer changed the split row.
+/// Writes the chunk rows from the cursor on. Returns `None` if another writer changed the split
+/// row.
 async fn write_chunks(
     runner: &Runner,
     mut split: Versioned<SplitRow>,
--- a/crates/batch/src/runner/state.rs
+++ b/crates/batch/src/runner/state.rs
@@ -42,8 +42,8 @@
     pub feed_read_at: Millis,
     /// Time of the last failed read of the feed.
     pub feed_failed_at: Millis,
-    /// Time at which the process was last found to have been suspended. No item is started until the
-    /// feed has been read again, because a job may have been cancelled in the meantime.
+    /// Time at which the process was last found to have been suspended. No item is started until
+    /// the feed has been read again, because a job may have been cancelled in the meantime.
     pub resumed_at: Millis,
     /// Chunks being claimed or loaded, with their item counts.
     pub claiming: BTreeMap<ChunkId, u32>,
@@ -62,8 +62,9 @@
 }
 
 impl RunnerState {
-    /// Whether the process was suspended and has not read the feed since. A failed read is enough: a
-    /// store that does not respond has acknowledged no recent cancel, and gossip covers the others.
+    /// Whether the process was suspended and has not read the feed since. A failed read is enough:
+    /// a store that does not respond has acknowledged no recent cancel, and gossip covers the
+    /// others.
     pub fn is_feed_stale(&self) -> bool {
         self.feed_read_at.max(self.feed_failed_at) < self.resumed_at
     }
@@ -79,8 +80,8 @@
         running.any(|running| Rc::ptr_eq(&running.chunk, chunk))
     }
 
-    /// Number of queued items of a service without any token, plus the items of all services that are
-    /// being claimed or loaded.
+    /// Number of queued items of a service without any token, plus the items of all services that
+    /// are being claimed or loaded.
     pub fn queued_unstarted(&self, service: &str) -> usize {
         let incoming: u32 = self.claiming.values().sum();
         self.unstarted.get(service).map_or(0, VecDeque::len) + incoming as usize
@@ -135,8 +136,8 @@
         (!paused.is_empty()).then(|| paused.remove(0))
     }
 
-    /// Removes and returns the first item whose shared prefix the server is not computing right now.
-    /// The others are delayed so that they find the prefix in the cache.
+    /// Removes and returns the first item whose shared prefix the server is not computing right
+    /// now. The others are delayed so that they find the prefix in the cache.
     fn take_unstarted(
         &mut self,
         service: &str,
@@ -161,8 +162,8 @@
         unstarted.remove(index)
     }
 
-    /// Queues an item again after a pause or a failed attempt. An item without any token goes to the
-    /// front of its queue.
+    /// Queues an item again after a pause or a failed attempt. An item without any token goes to
+    /// the front of its queue.
     pub fn requeue(&mut self, item: WorkItem) {
         if item.chunk.is_stopped() {
             return;
@@ -176,7 +177,7 @@
     }
 
     /// Adds a loaded chunk and queues the given items of it.
-    pub fn add_held(&mut self, chunk: &Rc<HeldChunk>, queued: impl Iterator<Item = u32>) {
+    pub fn hold(&mut self, chunk: &Rc<HeldChunk>, queued: impl Iterator<Item = u32>) {
         self.held_bytes += chunk.bytes;
         self.held.insert(chunk.chunk_id(), chunk.clone());
         let unstarted = self.unstarted.entry(chunk.service.clone()).or_default();
--- a/crates/batch/src/runner/work.rs
+++ b/crates/batch/src/runner/work.rs
@@ -106,8 +106,8 @@
         self.stopped.get().is_some()
     }
 
-    /// Request id of an item. It does not depend on the epoch, so that repeated runs of an item can be
-    /// recognized in engine logs.
+    /// Request id of an item. It does not depend on the epoch, so that repeated runs of an item can
+    /// be recognized in engine logs.
     pub fn request_id(&self, item: u32) -> RequestId {
         let number = self.row.borrow().row.first_item + item;
         let left = hash_bytes(format!("{}/{number}", self.job).as_bytes());
--- a/crates/batch/src/store.rs
+++ b/crates/batch/src/store.rs
@@ -59,9 +59,9 @@
 /// Base of the exponential backoff between attempts, milliseconds.
 const RESOLVE_BACKOFF_MS: u64 = 50;
 
-/// Sends a conditional write and retries it when the response is lost. If a retry conflicts, the row
-/// under `key` is read back and `is_own_value` tells whether it holds the value of this write. Retrying is
-/// safe because the conditions hold at most once.
+/// Sends a conditional write and retries it when the response is lost. If a retry conflicts, the
+/// row under `key` is read back and `is_own_value` tells whether it holds the value of this write.
+/// Retrying is safe because the conditions hold at most once.
 ///
 /// # Errors
 /// [`StoreError::Ambiguous`] if it is unknown whether the write took effect. After any other error,
@@ -80,9 +80,7 @@
         }
         match tables.transact(transaction.clone()).await {
             Ok(revision) => return Ok(WriteOutcome::Written { revision }),
-            Err(StoreError::Conflict { .. }) if !ambiguous => {
-                return Ok(WriteOutcome::Conflict);
-            }
+            Err(StoreError::Conflict { .. }) if !ambiguous => return Ok(WriteOutcome::Conflict),
             Err(StoreError::Conflict { .. }) => {
                 if let Ok(read) = read_back(tables, key, &is_own_value).await {
                     return Ok(read);
