--- a/crates/batch/examples/check_memory.rs
+++ b/crates/batch/examples/check_memory.rs
@@ -1,5 +1,5 @@
-//! Peak memory of the check of an input of some items: `check_memory ITEMS`. The input is made up as
-//! it is read, so that the process holds none of it.
+//! Prints the peak memory of validating an input file with a number of items: `check_memory ITEMS`.
+//! The input is generated as it is read, so that the process does not hold it.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -7,12 +7,12 @@
 use dappleyard_decide::chunks::ChunkSizing;
 use dappleyard_store::{ObjectData, ObjectStore, StoreError};
 
-/// Bytes of a line.
+/// Length of a line, bytes.
 const LINE_BYTES: u64 = 1_000;
-/// Lines of a part.
+/// Number of lines in a part.
 const PART_LINES: u64 = 1_000;
 
-struct MadeUp {
+struct GeneratedInput {
     items: u64,
 }
 
@@ -21,15 +21,15 @@
         r#"{{"custom_id":"item-{index}","method":"POST","url":"/v1/completions","body":{{"model":"llm","max_tokens":20,"prompt":""#
     );
     let tail = "\"}}\n";
-    let filling = LINE_BYTES as usize - head.len() - tail.len();
+    let padding = LINE_BYTES as usize - head.len() - tail.len();
     format!(
         "{head}{}{tail}",
-        "a ".repeat(filling / 2 + 1).get(..filling).unwrap_or("")
+        "a ".repeat(padding / 2 + 1).get(..padding).unwrap_or("")
     )
 }
 
 #[async_trait(?Send)]
-impl ObjectStore for MadeUp {
+impl ObjectStore for GeneratedInput {
     async fn create(&self, _name: &str, _bytes: Bytes) -> Result<(), StoreError> {
         Ok(())
     }
@@ -88,7 +88,7 @@
         .nth(1)
         .and_then(|text| text.parse().ok())
         .unwrap_or(4_000);
-    let store = MadeUp { items };
+    let store = GeneratedInput { items };
     let before = peak_kb();
     let limits = InputLimits {
         endpoint: "/v1/completions".to_owned(),
--- a/crates/batch/tests/batch/crashes.rs
+++ b/crates/batch/tests/batch/crashes.rs
@@ -1,29 +1,29 @@
-//! An item that crashes the engines which run it, beside others of its job.
+//! An item that crashes the engines that run it fails alone; the other items of its job complete.
 
 use dappleyard_wire::messages::JobPhase;
 use googletest::prelude::*;
 use tokio::task::LocalSet;
 
-use crate::faults::{expect_once_each, results, settings};
+use crate::faults::{expect_one_result_each, results, small_chunk_settings};
 use crate::support::harness::{Fleet, lines, submit, upload};
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn an_item_that_crashes_engines_is_given_up() {
+async fn an_item_that_crashes_engines_fails_alone() {
     LocalSet::new()
         .run_until(async {
-            let fleet = Fleet::start(1, settings());
-            *fleet.engine.crashed_by.borrow_mut() = Some("match part 7".to_owned());
+            let fleet = Fleet::start(1, small_chunk_settings());
+            *fleet.engine.crash_prompt.borrow_mut() = Some("match part 7".to_owned());
             let file = upload(&fleet.nodes[0], &lines(9, 10)).await;
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
                 .expect("accepted");
-            let ended = fleet.nodes[0].ended(&job.job_id).await;
+            let ended = fleet.nodes[0].wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobCompleted));
             expect_that!(fleet.engine.crashes.get(), eq(3));
             let found = results(&fleet, 0, &ended).await;
-            expect_once_each(&found, 9);
+            expect_one_result_each(&found, 9);
             expect_that!(found["item-7"], elements_are![eq("servers_ended")]);
             expect_that!(found["item-1"], elements_are![eq("ok")]);
         })
--- a/crates/batch/tests/batch/drains.rs
+++ b/crates/batch/tests/batch/drains.rs
@@ -1,4 +1,4 @@
-//! A server that an operator drains gets no batch work, and its chunks are run elsewhere.
+//! A drained server receives no batch work, and its chunks run on other nodes.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use prost::Message;
 use tokio::task::LocalSet;
 
-use crate::faults::{expect_once_each, results, settings};
+use crate::faults::{expect_one_result_each, results, small_chunk_settings};
 use crate::support::harness::{Fleet, lines, submit, upload};
 
 const ITEMS: usize = 40;
 
-/// Puts an operator's drain of a server in force on all nodes.
+/// Applies an operator's drain of a server on all nodes.
 fn drain(fleet: &Fleet, server: &str) {
     let row = DrainRow {
         kind: "server".to_owned(),
@@ -38,11 +38,11 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn nothing_is_sent_to_a_server_after_its_drain() {
+async fn a_drained_server_receives_no_items() {
     for drained_after_ms in [0, 40, 100] {
         LocalSet::new()
             .run_until(async move {
-                let fleet = Fleet::start(2, settings());
+                let fleet = Fleet::start(2, small_chunk_settings());
                 let file = upload(&fleet.nodes[0], &lines(ITEMS, 100)).await;
                 let job = fleet.nodes[0]
                     .submit(submit(&file, "key"))
@@ -51,9 +51,9 @@
                 tokio::time::sleep(Duration::from_millis(drained_after_ms)).await;
                 drain(&fleet, "server-0");
                 let before = runs_of(&fleet, "http://server-0");
-                let ended = fleet.nodes[1].ended(&job.job_id).await;
+                let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
                 expect_that!(runs_of(&fleet, "http://server-0"), eq(before));
-                expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
+                expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
             })
             .await;
     }
--- a/crates/batch/tests/batch/faults.rs
+++ b/crates/batch/tests/batch/faults.rs
@@ -1,4 +1,5 @@
-//! Faults: lost answers, lost and paused nodes, outages, cancels that race with commits.
+//! Fault tolerance: lost responses, failed nodes, store outages, and cancels that race with
+//! commits.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -15,12 +16,12 @@
 use rand::{Rng, SeedableRng};
 use tokio::task::LocalSet;
 
-use crate::support::harness::{Fleet, lines, once_submit, submit, upload};
+use crate::support::harness::{Fleet, at_most_once_submit, lines, submit, upload};
 use crate::support::platform::Fault;
 
 pub const ITEMS: usize = 60;
 
-pub fn settings() -> BatchSettings {
+pub fn small_chunk_settings() -> BatchSettings {
     BatchSettings {
         chunk_minimum_items: 4,
         once_chunk_items: 4,
@@ -28,7 +29,8 @@
     }
 }
 
-/// Result lines by the names of their items.
+/// Reads the result files of a job. Returns the error code of each result line by `custom_id`; the
+/// code is `ok` for items without an error.
 pub async fn results(fleet: &Fleet, node: usize, job: &JobState) -> BTreeMap<String, Vec<String>> {
     expect_results_under_their_epochs(fleet, &job.job_id);
     let mut found: BTreeMap<String, Vec<String>> = BTreeMap::new();
@@ -43,7 +45,7 @@
     found
 }
 
-/// Each committed chunk points to the object that was made under the epoch in its row.
+/// Checks that each committed chunk points to the result object of the epoch in its row.
 fn expect_results_under_their_epochs(fleet: &Fleet, job: &str) {
     for key in fleet.platform.keys(&format!("chunk/{job}/")) {
         let row: ChunkRow = fleet.platform.row(&key).expect("a chunk row");
@@ -54,7 +56,7 @@
     }
 }
 
-pub fn expect_once_each(found: &BTreeMap<String, Vec<String>>, items: usize) {
+pub fn expect_one_result_each(found: &BTreeMap<String, Vec<String>>, items: usize) {
     expect_that!(found.len(), eq(items));
     expect_that!(
         found.values().filter(|lines| lines.len() != 1).count(),
@@ -62,8 +64,8 @@
     );
 }
 
-/// Items that were begun more than once from their first token.
-pub fn repeated_requests(fleet: &Fleet) -> usize {
+/// Number of items that were started from the first token more than once.
+pub fn repeated_item_count(fleet: &Fleet) -> usize {
     let mut counts = BTreeMap::new();
     for run in fleet.engine.runs.borrow().iter() {
         if run.resume_offset == 0 {
@@ -93,16 +95,16 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn lost_answers_neither_lose_nor_double_a_result() {
+async fn lost_responses_neither_lose_nor_duplicate_a_result() {
     for seed in 0..8 {
         LocalSet::new()
             .run_until(async move {
-                let fleet = Fleet::start(3, settings());
+                let fleet = Fleet::start(3, small_chunk_settings());
                 let file = upload(&fleet.nodes[0], &lines(ITEMS, 10)).await;
                 let mut random = StdRng::seed_from_u64(seed);
                 fleet
                     .platform
-                    .on_transact(move |_| match random.random_range(0..10) {
+                    .inject_transact_faults(move |_| match random.random_range(0..10) {
                         0 | 1 => Some(Fault::LostAfterEffect),
                         2 => Some(Fault::LostBeforeEffect),
                         3 => Some(Fault::Down),
@@ -113,9 +115,9 @@
                         break job;
                     }
                 };
-                let ended = fleet.nodes[1].ended(&job.job_id).await;
+                let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
                 expect_that!(ended.phase(), eq(JobPhase::JobCompleted));
-                expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
+                expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
                 expect_that!(fleet.platform.keys("job/").len(), eq(1));
             })
             .await;
@@ -127,7 +129,7 @@
 async fn a_job_survives_the_loss_of_the_node_that_accepted_it() {
     LocalSet::new()
         .run_until(async {
-            let mut fleet = Fleet::start(3, settings());
+            let mut fleet = Fleet::start(3, small_chunk_settings());
             let file = upload(&fleet.nodes[0], &lines(ITEMS, 10)).await;
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
@@ -140,19 +142,19 @@
                 .await
                 .expect("the same");
             expect_that!(resent.job_id, eq(&job.job_id));
-            let ended = fleet.nodes[2].ended(&job.job_id).await;
-            expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
+            let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
+            expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
         })
         .await;
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn chunks_of_a_lost_node_are_run_by_others() {
+async fn chunks_of_a_lost_node_run_on_other_nodes() {
     for after_ms in [5, 20, 40, 60, 80, 120] {
         LocalSet::new()
             .run_until(async move {
-                let mut fleet = Fleet::start(3, settings());
+                let mut fleet = Fleet::start(3, small_chunk_settings());
                 let file = upload(&fleet.nodes[0], &lines(ITEMS, 10)).await;
                 let job = fleet.nodes[0]
                     .submit(submit(&file, "key"))
@@ -161,8 +163,8 @@
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
                 fleet.kill(0);
                 fleet.declare_dead(0);
-                let ended = fleet.nodes[2].ended(&job.job_id).await;
-                expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
+                let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
+                expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
             })
             .await;
     }
@@ -170,10 +172,10 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_was_believed_dead_is_fenced() {
+async fn a_live_holder_that_was_declared_dead_is_fenced() {
     LocalSet::new()
         .run_until(async {
-            let fleet = Fleet::start(3, settings());
+            let fleet = Fleet::start(3, small_chunk_settings());
             let file = upload(&fleet.nodes[0], &lines(ITEMS, 800)).await;
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
@@ -181,10 +183,10 @@
                 .expect("accepted");
             tokio::time::sleep(Duration::from_millis(300)).await;
             fleet.declare_dead(0);
-            let ended = fleet.nodes[2].ended(&job.job_id).await;
-            expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
+            let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
+            expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
             tokio::time::sleep(Duration::from_secs(30)).await;
-            // The results that lost were removed: as many objects as chunks are left.
+            // The results of the fenced holder were deleted: one object per chunk is left.
             let chunks = fleet.platform.keys("chunk/").len();
             expect_that!(fleet.platform.object_names("results/").len(), eq(chunks));
             expect_that!(fleet.platform.keys("held-chunk/").len(), eq(0));
@@ -197,18 +199,18 @@
 async fn a_node_that_has_just_started_takes_nothing_over() {
     LocalSet::new()
         .run_until(async {
-            let mut fleet = Fleet::start(2, settings());
+            let mut fleet = Fleet::start(2, small_chunk_settings());
             let file = upload(&fleet.nodes[0], &lines(ITEMS, 800)).await;
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
                 .expect("accepted");
             tokio::time::sleep(Duration::from_millis(300)).await;
-            // It knows no member yet, as after a start.
-            fleet.add_stranger(2);
-            let ended = fleet.nodes[1].ended(&job.job_id).await;
-            expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
-            expect_that!(repeated_requests(&fleet), eq(0));
+            // Its member table is empty, as right after a start.
+            fleet.add_isolated_node(2);
+            let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
+            expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
+            expect_that!(repeated_item_count(&fleet), eq(0));
         })
         .await;
 }
@@ -219,7 +221,7 @@
     for after_ms in [0, 10, 30, 50, 70, 100, 150, 300] {
         LocalSet::new()
             .run_until(async move {
-                let fleet = Fleet::start(3, settings());
+                let fleet = Fleet::start(3, small_chunk_settings());
                 let file = upload(&fleet.nodes[0], &lines(2_000, 40)).await;
                 let job = fleet.nodes[0]
                     .submit(submit(&file, "key"))
@@ -246,18 +248,19 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_cancel_whose_commit_race_is_lost_by_the_answer_still_holds() {
+async fn a_cancel_holds_when_commit_responses_are_lost() {
     LocalSet::new()
         .run_until(async {
-            let fleet = Fleet::start(2, settings());
+            let fleet = Fleet::start(2, small_chunk_settings());
             let file = upload(&fleet.nodes[0], &lines(200, 40)).await;
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
                 .expect("accepted");
-            // Every commit's answer is lost, with and without effect in turn.
+            // The response to every commit is lost. Whether the commit takes effect alternates with
+            // the number of transactions.
             let turn = Cell::new(0);
-            fleet.platform.on_transact(move |transaction| {
+            fleet.platform.inject_transact_faults(move |transaction| {
                 turn.set(turn.get() + 1);
                 let lost = match turn.get() % 2 {
                     0 => Fault::LostAfterEffect,
@@ -276,10 +279,10 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn batch_goes_on_after_the_store_was_down_for_minutes() {
+async fn jobs_complete_after_a_store_outage_of_minutes() {
     LocalSet::new()
         .run_until(async {
-            let fleet = Fleet::start(3, settings());
+            let fleet = Fleet::start(3, small_chunk_settings());
             let file = upload(&fleet.nodes[0], &lines(ITEMS, 40)).await;
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
@@ -291,9 +294,9 @@
             expect_that!(refused.is_err(), eq(true));
             tokio::time::sleep(Duration::from_secs(120)).await;
             fleet.platform.set_down(false);
-            let ended = fleet.nodes[2].ended(&job.job_id).await;
+            let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobCompleted));
-            expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
+            expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
             expect_that!(fleet.platform.keys("job/").len(), eq(1));
         })
         .await;
@@ -301,24 +304,24 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn items_that_must_not_repeat_run_at_most_once_when_a_node_is_lost() {
+async fn at_most_once_items_are_not_repeated_when_a_node_is_lost() {
     for after_ms in [20, 40, 60, 80, 100, 150] {
         for killed in [true, false] {
             LocalSet::new()
                 .run_until(async move {
-                    let mut fleet = Fleet::start(3, settings());
+                    let mut fleet = Fleet::start(3, small_chunk_settings());
                     let file = upload(&fleet.nodes[0], &lines(ITEMS, 40)).await;
-                    let call = once_submit(&file, "key");
+                    let call = at_most_once_submit(&file, "key");
                     let job = fleet.nodes[0].submit(call).await.expect("accepted");
                     tokio::time::sleep(Duration::from_millis(after_ms)).await;
                     if killed {
                         fleet.kill(0);
                     }
                     fleet.declare_dead(0);
-                    let ended = fleet.nodes[2].ended(&job.job_id).await;
+                    let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
                     tokio::time::sleep(Duration::from_secs(10)).await;
-                    expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
-                    expect_that!(repeated_requests(&fleet), eq(0));
+                    expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
+                    expect_that!(repeated_item_count(&fleet), eq(0));
                 })
                 .await;
         }
@@ -327,10 +330,10 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_planned_stop_hands_chunks_back() {
+async fn a_drained_node_hands_chunks_back() {
     LocalSet::new()
         .run_until(async {
-            let fleet = Fleet::start(2, settings());
+            let fleet = Fleet::start(2, small_chunk_settings());
             let file = upload(&fleet.nodes[0], &lines(ITEMS, 100)).await;
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
@@ -341,9 +344,9 @@
             handle.drain().await;
             let held = fleet.platform.keys("held-chunk/node-0/");
             expect_that!(held.len(), eq(0));
-            let ended = fleet.nodes[1].ended(&job.job_id).await;
-            expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
-            expect_that!(repeated_requests(&fleet), eq(0));
+            let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
+            expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
+            expect_that!(repeated_item_count(&fleet), eq(0));
             tokio::time::sleep(Duration::from_secs(5)).await;
             expect_that!(fleet.platform.object_names("partial/").len(), eq(0));
         })
@@ -352,26 +355,27 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_planned_stop_repeats_no_item_that_must_not_repeat() {
+async fn a_drained_node_repeats_no_at_most_once_item() {
     for after_ms in [30, 60, 100, 150] {
         LocalSet::new()
             .run_until(async move {
                 let settings = BatchSettings {
                     once_chunk_items: 32,
-                    ..settings()
+                    ..small_chunk_settings()
                 };
                 let fleet = Fleet::start(2, settings);
-                // Few items fit on a server at once, so that some of a chunk's wait.
+                // Few of these items fit on a server at once, so some are still queued at the
+                // drain.
                 let text = lines(ITEMS, 1_500);
                 let file = upload(&fleet.nodes[0], &text).await;
-                let call = once_submit(&file, "key");
+                let call = at_most_once_submit(&file, "key");
                 let job = fleet.nodes[0].submit(call).await.expect("accepted");
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
                 fleet.nodes[0].handle.as_ref().expect("runs").drain().await;
-                let ended = fleet.nodes[1].ended(&job.job_id).await;
+                let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
                 expect_that!(ended.items_failed, eq(0));
-                expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
-                expect_that!(repeated_requests(&fleet), eq(0));
+                expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
+                expect_that!(repeated_item_count(&fleet), eq(0));
             })
             .await;
     }
--- a/crates/batch/tests/batch/jobs.rs
+++ b/crates/batch/tests/batch/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from upload to result files, on nodes that share a store.
+//! Jobs from upload to result files.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -32,7 +32,7 @@
                 .submit(submit(&file, "key"))
                 .await
                 .expect("accepted");
-            let ended = fleet.nodes[1].ended(&job.job_id).await;
+            let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobCompleted));
             expect_that!(ended.items_total, eq(100));
             expect_that!(ended.items_completed, eq(100));
@@ -48,7 +48,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_resent_job_is_the_same_job_even_after_a_second_upload() {
+async fn a_resubmitted_job_is_deduplicated_even_after_a_second_upload() {
     LocalSet::new()
         .run_until(async {
             let fleet = Fleet::start(2, BatchSettings::default());
@@ -81,7 +81,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn bad_lines_are_named_with_line_and_field() {
+async fn invalid_lines_are_reported_with_line_and_field() {
     LocalSet::new()
         .run_until(async {
             let fleet = Fleet::start(1, BatchSettings::default());
@@ -92,7 +92,7 @@
                 .submit(submit(&file, ""))
                 .await
                 .expect("accepted");
-            let ended = fleet.nodes[0].ended(&job.job_id).await;
+            let ended = fleet.nodes[0].wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobFailed));
             let places: Vec<(u32, &str)> = ended
                 .errors
@@ -107,7 +107,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_job_beyond_the_standing_approval_waits_for_its_confirmation() {
+async fn a_job_beyond_the_standing_approval_waits_for_confirmation() {
     LocalSet::new()
         .run_until(async {
             let settings = BatchSettings {
@@ -127,7 +127,7 @@
             expect_that!(plan.items, eq(21));
             let confirmed = fleet.nodes[1].api.confirm(TENANT, &job.job_id).await;
             confirmed.expect("confirmed");
-            let ended = node.ended(&job.job_id).await;
+            let ended = node.wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobCompleted));
             expect_that!(ended.items_completed, eq(21));
         })
@@ -136,7 +136,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn an_open_demand_window_narrows_batch() {
+async fn an_open_demand_window_reduces_the_batch_width() {
     LocalSet::new()
         .run_until(async {
             let fleet = Fleet::start(1, BatchSettings::default());
@@ -160,8 +160,8 @@
             let node = &fleet.nodes[0];
             let file = upload(node, &lines(300, 20)).await;
             let job = node.submit(submit(&file, "key")).await.expect("accepted");
-            node.ended(&job.job_id).await;
-            let widest = fleet.engine.widest.borrow()["http://server-0"];
+            node.wait_until_ended(&job.job_id).await;
+            let widest = fleet.engine.peak_running.borrow()["http://server-0"];
             expect_that!(widest, all!(ge(8), le(12)));
         })
         .await;
--- a/crates/batch/tests/batch/main.rs
+++ b/crates/batch/tests/batch/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the batch path on nodes that share an in-memory store, in virtual time.
+//! Integration tests with nodes that share an in-memory platform, in virtual time.
 
 mod crashes;
 mod drains;
 mod faults;
 mod jobs;
-mod paused;
 mod support;
+mod suspended;
--- a/crates/batch/tests/batch/support/engine.rs
+++ b/crates/batch/tests/batch/support/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that makes one token a step for each stream, and keeps a record of what it ran.
+//! Fake engine that generates one token per step for each stream and records its runs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,10 +11,10 @@
     GenerateCall, LoadedModel,
 };
 
-/// Time of one step.
-pub const STEP: Duration = Duration::from_millis(4);
+/// Duration of a step.
+pub const STEP_TIME: Duration = Duration::from_millis(4);
 
-/// One run as the engine recorded it.
+/// Record of a run on an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
     pub base: String,
@@ -27,15 +27,15 @@
 pub struct FakeEngine {
     pub runs: RefCell<Vec<Run>>,
     pub running: RefCell<BTreeMap<String, u32>>,
-    pub widest: RefCell<BTreeMap<String, u32>>,
+    pub peak_running: RefCell<BTreeMap<String, u32>>,
     pub cancelled: RefCell<BTreeSet<String>>,
-    /// Engines that lose their streams.
+    /// Engines that are down: streams end with an error and calls are refused.
     pub dead: RefCell<BTreeSet<String>>,
-    /// Prompts that hold this end the engine that begins to run them; it is back a second later.
-    pub crashed_by: RefCell<Option<String>>,
-    /// How often that happened.
+    /// A prompt that contains this text crashes the engine, which recovers after a second.
+    pub crash_prompt: RefCell<Option<String>>,
+    /// Number of crashes.
     pub crashes: Cell<u32>,
-    next: Cell<u64>,
+    next_stream: Cell<u64>,
 }
 
 impl FakeEngine {
@@ -68,8 +68,8 @@
         let mut running = self.running.borrow_mut();
         let count = running.entry(base.to_owned()).or_insert(0);
         *count += 1;
-        let mut widest = self.widest.borrow_mut();
-        let most = widest.entry(base.to_owned()).or_insert(0);
+        let mut peak_running = self.peak_running.borrow_mut();
+        let most = peak_running.entry(base.to_owned()).or_insert(0);
         *most = (*most).max(*count);
     }
 
@@ -107,8 +107,8 @@
     }
 }
 
-/// Piece of the answer to a prompt at an offset.
-pub fn piece(prompt: &str, offset: u32) -> String {
+/// Text of the token at an offset of the response to a prompt.
+pub fn token_text(prompt: &str, offset: u32) -> String {
     format!(" {}.{offset}", prompt.len())
 }
 
@@ -117,23 +117,24 @@
 #[async_trait(?Send)]
 impl Engine for EngineClient {
     async fn generate(&self, base: &str, call: GenerateCall) -> Result<EventStream, EngineError> {
-        // What has been sent reaches the engine even if the sender is stopped now.
+        // The run is recorded before the first await: a request that was sent reaches the engine
+        // even if the sender is suspended.
         let engine = self.0.clone();
         if engine.dead.borrow().contains(base) {
             return Err(EngineError::Unreachable {
                 reason: "dead".to_owned(),
             });
         }
-        let crashed_by = engine.crashed_by.borrow().clone();
-        if crashed_by.is_some_and(|text| call.prompt.contains(&text)) {
+        let crash_prompt = engine.crash_prompt.borrow().clone();
+        if crash_prompt.is_some_and(|text| call.prompt.contains(&text)) {
             engine.crash(base);
             return Err(EngineError::Lost {
                 reason: "connection reset".to_owned(),
             });
         }
         let base = base.to_owned();
-        let stream = format!("stream-{}", engine.next.get());
-        engine.next.set(engine.next.get() + 1);
+        let stream = format!("stream-{}", engine.next_stream.get());
+        engine.next_stream.set(engine.next_stream.get() + 1);
         engine.runs.borrow_mut().push(Run {
             base: base.clone(),
             request_id: call.request_id.clone(),
@@ -148,7 +149,7 @@
             let mut total = call.resume_offset;
             let mut reason = "length";
             while total < call.max_tokens {
-                tokio::time::sleep(STEP).await;
+                tokio::time::sleep(STEP_TIME).await;
                 if engine.dead.borrow().contains(&base) {
                     yield Err(EngineError::Lost { reason: "dead".to_owned() });
                     return;
@@ -160,7 +161,7 @@
                 }
             }
             let pieces = (call.resume_offset..total)
-                .map(|offset| piece(&call.prompt, offset))
+                .map(|offset| token_text(&call.prompt, offset))
                 .collect();
             yield Ok(EngineEvent::Tokens { offset: call.resume_offset, pieces });
             yield Ok(EngineEvent::Finished {
--- a/crates/batch/tests/batch/support/harness.rs
+++ b/crates/batch/tests/batch/support/harness.rs
@@ -1,4 +1,4 @@
-//! Nodes that share a platform and engines.
+//! Fleet of nodes that share a platform and engines.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 }
 
 impl Fleet {
-    /// Nodes that own one server each.
+    /// Starts nodes that own one server each.
     pub fn start(count: usize, settings: BatchSettings) -> Fleet {
         let mut fleet = Fleet {
             platform: FakePlatform::new(),
@@ -49,14 +49,14 @@
         fleet
     }
 
-    /// Adds a node that is known to all.
+    /// Adds a node and updates the member tables of all nodes.
     pub fn add_node(&mut self, index: usize) {
-        self.add_stranger(index);
-        self.spread_members();
+        self.add_isolated_node(index);
+        self.update_members();
     }
 
-    /// Adds a node that knows of no other, and of which no other knows.
-    pub fn add_stranger(&mut self, index: usize) {
+    /// Adds a node with an empty member table, of which the other nodes do not know.
+    pub fn add_isolated_node(&mut self, index: usize) {
         let name = format!("node-{index}");
         let tables = NodeTables::new(Identity {
             node: name.as_str().into(),
@@ -96,7 +96,7 @@
         });
     }
 
-    fn spread_members(&self) {
+    fn update_members(&self) {
         for node in &self.nodes {
             for other in &self.nodes {
                 node.tables.members.put(Member {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Makes the other nodes believe that a node is dead.
+    /// Marks a node as dead in the member tables of the other nodes.
     pub fn declare_dead(&self, index: usize) {
         let dead = self.nodes[index].name.clone();
         for node in self.nodes.iter().filter(|node| node.name != dead) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Stops a node's tasks at once.
+    /// Aborts the tasks of a node.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].handle = None;
         self.nodes[index]
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Waits until a job has ended, at most ten minutes of virtual time.
-    pub async fn ended(&self, job: &str) -> JobState {
+    /// Waits until a job has ended, for at least ten minutes of virtual time before it panics.
+    pub async fn wait_until_ended(&self, job: &str) -> JobState {
         for _ in 0..12_000 {
             tokio::time::sleep(Duration::from_millis(50)).await;
             let call = JobGet {
@@ -214,7 +214,7 @@
     }
 }
 
-/// Input lines of chat items named `item-0` and so on.
+/// Input lines of chat items with the ids `item-0`, `item-1` and so on.
 pub fn lines(count: usize, max_tokens: u32) -> String {
     let line = |index: usize| {
         format!(
@@ -258,7 +258,7 @@
     file.file_id
 }
 
-/// A job over a file.
+/// Submission of a job over a file.
 pub fn submit(file: &str, key: &str) -> JobSubmit {
     JobSubmit {
         tenant: TENANT.to_owned(),
@@ -271,8 +271,8 @@
     }
 }
 
-/// A job whose items must not repeat.
-pub fn once_submit(file: &str, key: &str) -> JobSubmit {
+/// Submission of a job whose items must run at most once.
+pub fn at_most_once_submit(file: &str, key: &str) -> JobSubmit {
     JobSubmit {
         repeat: Repeat::Never as i32,
         ..submit(file, key)
--- a/crates/batch/tests/batch/support/mod.rs
+++ b/crates/batch/tests/batch/support/mod.rs
@@ -1,7 +1,7 @@
-//! In-memory platform and engine, with faults that a test switches on.
+//! In-memory platform and engine with fault injection.
 #![allow(dead_code)]
 
 pub mod engine;
 pub mod harness;
-pub mod pause;
 pub mod platform;
+pub mod suspension;
--- a/crates/batch/tests/batch/support/platform.rs
+++ b/crates/batch/tests/batch/support/platform.rs
@@ -1,4 +1,4 @@
-//! In-memory tables and objects with faults.
+//! In-memory table store and object store with fault injection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -14,18 +14,18 @@
 };
 use tokio::sync::Notify;
 
-/// What goes wrong with a call.
+/// Fault of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Refused, nothing changed.
+    /// The transaction is refused and has no effect.
     Down,
-    /// The change took effect, the answer was lost.
+    /// The transaction takes effect, and the response is lost.
     LostAfterEffect,
-    /// Nothing changed, the answer was lost.
+    /// The transaction has no effect, and the response is lost.
     LostBeforeEffect,
 }
 
-/// Chooses a fault for a transaction by its written keys.
+/// Returns the fault to inject into a transaction.
 type TransactFault = Box<dyn FnMut(&Transaction) -> Option<Fault>>;
 
 #[derive(Default)]
@@ -59,11 +59,14 @@
         self.down.set(down);
     }
 
-    pub fn on_transact(&self, fault: impl FnMut(&Transaction) -> Option<Fault> + 'static) {
+    pub fn inject_transact_faults(
+        &self,
+        fault: impl FnMut(&Transaction) -> Option<Fault> + 'static,
+    ) {
         *self.fault.borrow_mut() = Some(Box::new(fault));
     }
 
-    pub fn no_faults(&self) {
+    pub fn clear_faults(&self) {
         *self.fault.borrow_mut() = None;
         self.down.set(false);
     }
@@ -91,7 +94,7 @@
         M::decode(value.clone()).ok()
     }
 
-    fn check(&self) -> Result<(), StoreError> {
+    fn record_call(&self) -> Result<(), StoreError> {
         self.calls.set(self.calls.get() + 1);
         match self.down.get() {
             true => Err(StoreError::Unavailable {
@@ -153,10 +156,10 @@
 
 struct Store(Rc<FakePlatform>);
 
-/// Time of one call.
-const CALL: Duration = Duration::from_millis(2);
+/// Latency of a call.
+const CALL_LATENCY: Duration = Duration::from_millis(2);
 
-fn lost() -> StoreError {
+fn lost_response() -> StoreError {
     StoreError::Ambiguous {
         reason: "lost".to_owned(),
     }
@@ -165,8 +168,8 @@
 #[async_trait(?Send)]
 impl TableStore for Store {
     async fn transact(&self, transaction: Transaction) -> Result<u64, StoreError> {
-        tokio::time::sleep(CALL).await;
-        self.0.check()?;
+        tokio::time::sleep(CALL_LATENCY).await;
+        self.0.record_call()?;
         let fault = match self.0.fault.borrow_mut().as_mut() {
             Some(fault) => fault(&transaction),
             None => None,
@@ -176,17 +179,17 @@
             Some(Fault::Down) => Err(StoreError::Unavailable {
                 reason: "fault".to_owned(),
             }),
-            Some(Fault::LostBeforeEffect) => Err(lost()),
+            Some(Fault::LostBeforeEffect) => Err(lost_response()),
             Some(Fault::LostAfterEffect) => {
                 let _ = self.0.apply(&transaction);
-                Err(lost())
+                Err(lost_response())
             }
         }
     }
 
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
-        tokio::time::sleep(CALL).await;
-        self.0.check()?;
+        tokio::time::sleep(CALL_LATENCY).await;
+        self.0.record_call()?;
         let rows = self.0.rows.borrow();
         Ok(rows.get(key).map(|(value, revision)| Row {
             key: key.to_owned(),
@@ -196,8 +199,8 @@
     }
 
     async fn range(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>, StoreError> {
-        tokio::time::sleep(CALL).await;
-        self.0.check()?;
+        tokio::time::sleep(CALL_LATENCY).await;
+        self.0.record_call()?;
         let rows = self.0.rows.borrow();
         let found = rows
             .iter()
@@ -212,10 +215,10 @@
     }
 
     async fn changes(&self, prefix: &str, after: u64, wait_ms: u32) -> Result<Changes, StoreError> {
-        tokio::time::sleep(CALL).await;
+        tokio::time::sleep(CALL_LATENCY).await;
         let until = dappleyard_clock::Instant::now() + Duration::from_millis(u64::from(wait_ms));
         loop {
-            self.0.check()?;
+            self.0.record_call()?;
             let changes = self.0.changes_after(prefix, after);
             if !changes.rows.is_empty() || dappleyard_clock::Instant::now() >= until {
                 return Ok(changes);
@@ -228,8 +231,8 @@
 #[async_trait(?Send)]
 impl ObjectStore for Store {
     async fn create(&self, name: &str, bytes: Bytes) -> Result<(), StoreError> {
-        tokio::time::sleep(CALL).await;
-        self.0.check()?;
+        tokio::time::sleep(CALL_LATENCY).await;
+        self.0.record_call()?;
         let mut objects = self.0.objects.borrow_mut();
         if objects.contains_key(name) {
             return Err(StoreError::Conflict {
@@ -247,8 +250,8 @@
         offset: u64,
         limit: u64,
     ) -> Result<Option<ObjectData>, StoreError> {
-        tokio::time::sleep(CALL).await;
-        self.0.check()?;
+        tokio::time::sleep(CALL_LATENCY).await;
+        self.0.record_call()?;
         let objects = self.0.objects.borrow();
         Ok(objects.get(name).map(|bytes| {
             let start = usize::try_from(offset).unwrap().min(bytes.len());
@@ -264,8 +267,8 @@
     }
 
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
-        tokio::time::sleep(CALL).await;
-        self.0.check()?;
+        tokio::time::sleep(CALL_LATENCY).await;
+        self.0.record_call()?;
         self.0.objects.borrow_mut().remove(name);
         Ok(())
     }
@@ -276,8 +279,8 @@
         after: &str,
         limit: usize,
     ) -> Result<Vec<(String, u64)>, StoreError> {
-        tokio::time::sleep(CALL).await;
-        self.0.check()?;
+        tokio::time::sleep(CALL_LATENCY).await;
+        self.0.record_call()?;
         let objects = self.0.objects.borrow();
         let found = objects
             .iter()
--- a/crates/batch/tests/batch/paused.rs
+++ b/crates/batch/tests/batch/suspended.rs
@@ -1,4 +1,4 @@
-//! A node that stands still while the others go on, and wakes believing what it knew.
+//! A node that is suspended while the others run, and resumes with stale state.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,32 +8,34 @@
 use googletest::prelude::*;
 use tokio::task::LocalSet;
 
-use crate::faults::{ITEMS, expect_once_each, repeated_requests, results, settings};
-use crate::support::harness::{Fleet, lines, once_submit, submit, upload};
-use crate::support::pause::{PausableSet, Pause};
+use crate::faults::{
+    ITEMS, expect_one_result_each, repeated_item_count, results, small_chunk_settings,
+};
+use crate::support::harness::{Fleet, at_most_once_submit, lines, submit, upload};
+use crate::support::suspension::{SuspendableSet, Suspension};
 
-/// Runs a test body with a fleet of which node 0 can be paused.
-async fn with_pausable_node<F: Future<Output = ()>>(
+/// Runs a test body with a fleet of three nodes, of which node 0 can be suspended.
+async fn with_suspendable_node<F: Future<Output = ()>>(
     settings: BatchSettings,
-    body: impl FnOnce(Fleet, Rc<Pause>) -> F,
+    body: impl FnOnce(Fleet, Rc<Suspension>) -> F,
 ) {
     let mut fleet = Fleet::start(0, settings);
-    let pausable = PausableSet::new();
-    pausable.set.run_until(async { fleet.add_node(0) }).await;
-    let pause = pausable.pause.clone();
+    let suspendable = SuspendableSet::new();
+    suspendable.set.run_until(async { fleet.add_node(0) }).await;
+    let suspension = suspendable.suspension.clone();
     LocalSet::new()
         .run_until(async {
             fleet.add_node(1);
             fleet.add_node(2);
             tokio::select! {
-                () = pausable => {}
-                () = body(fleet, pause) => {}
+                () = suspendable => {}
+                () = body(fleet, suspension) => {}
             }
         })
         .await;
 }
 
-/// Submits through node 1 and waits until node 0 runs items.
+/// Submits through node 1 and waits until node 0 runs items, at most one second.
 async fn begin(fleet: &Fleet, call: JobSubmit) -> String {
     let job = fleet.nodes[1].submit(call).await.expect("accepted");
     for _ in 0..500 {
@@ -47,17 +49,17 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn it_starts_nothing_of_a_job_cancelled_meanwhile() {
-    for pause_ms in [700, 3_000, 20_000] {
-        with_pausable_node(settings(), async |fleet, pause| {
+async fn a_resumed_node_starts_no_item_of_a_cancelled_job() {
+    for suspended_ms in [700, 3_000, 20_000] {
+        with_suspendable_node(small_chunk_settings(), async |fleet, suspension| {
             let file = upload(&fleet.nodes[1], &lines(4_000, 40)).await;
             let job = begin(&fleet, submit(&file, "key")).await;
-            pause.stop();
-            // Nothing of the cancel reaches the paused node by gossip.
+            suspension.suspend();
+            // There is no gossip in these tests, so node 0 learns of the cancel from the feed only.
             fleet.nodes[1].cancel(&job).await.expect("cancelled");
-            tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+            tokio::time::sleep(Duration::from_millis(suspended_ms)).await;
             let before = runs_of_node_0(&fleet);
-            pause.go_on();
+            suspension.resume();
             tokio::time::sleep(Duration::from_secs(20)).await;
             expect_that!(runs_of_node_0(&fleet), eq(before));
         })
@@ -74,16 +76,16 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn its_chunks_are_taken_over_and_its_results_are_dropped() {
-    with_pausable_node(settings(), async |fleet, pause| {
+async fn chunks_of_a_suspended_node_are_taken_over_and_its_results_dropped() {
+    with_suspendable_node(small_chunk_settings(), async |fleet, suspension| {
         let file = upload(&fleet.nodes[1], &lines(ITEMS, 100)).await;
         let job = begin(&fleet, submit(&file, "key")).await;
-        pause.stop();
+        suspension.suspend();
         fleet.declare_dead(0);
-        let ended = fleet.nodes[1].ended(&job).await;
-        pause.go_on();
+        let ended = fleet.nodes[1].wait_until_ended(&job).await;
+        suspension.resume();
         tokio::time::sleep(Duration::from_secs(30)).await;
-        expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
+        expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
         let chunks = fleet.platform.keys("chunk/").len();
         expect_that!(fleet.platform.object_names("results/").len(), eq(chunks));
         let fenced = fleet.nodes[0].tables.decisions.recent(100);
@@ -94,13 +96,13 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn it_repeats_no_item_that_must_not_repeat() {
+async fn a_resumed_node_repeats_no_at_most_once_item() {
     let mut unknown = 0;
     for wait_ms in [0, 1, 2, 3, 4, 5, 6, 8, 20] {
         let failed = std::cell::Cell::new(0);
-        with_pausable_node(settings(), async |fleet, pause| {
+        with_suspendable_node(small_chunk_settings(), async |fleet, suspension| {
             let file = upload(&fleet.nodes[1], &lines(ITEMS, 100)).await;
-            let call = once_submit(&file, "key");
+            let call = at_most_once_submit(&file, "key");
             let job = fleet.nodes[1].submit(call).await.expect("accepted");
             for _ in 0..1_000 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -109,15 +111,15 @@
                 }
             }
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-            pause.stop();
+            suspension.suspend();
             fleet.declare_dead(0);
-            let ended = fleet.nodes[1].ended(&job.job_id).await;
+            let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
             let runs_at_end = runs_of_node_0(&fleet);
-            pause.go_on();
+            suspension.resume();
             tokio::time::sleep(Duration::from_secs(30)).await;
-            expect_once_each(&results(&fleet, 1, &ended).await, ITEMS);
-            expect_that!(repeated_requests(&fleet), eq(0));
-            // What was settled as unknown is not started later.
+            expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
+            expect_that!(repeated_item_count(&fleet), eq(0));
+            // Items that failed with an unknown outcome are not started later.
             expect_that!(runs_of_node_0(&fleet), eq(runs_at_end));
             failed.set(ended.items_failed);
         })
