--- a/crates/batch/src/input/check.rs
+++ b/crates/batch/src/input/check.rs
@@ -48,7 +48,7 @@
 /// Result of validating an input file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CheckedInput {
-    /// The first errors, at most [`MAXIMUM_ERRORS`].
+    /// The first errors in the file.
     pub errors: Vec<JobError>,
     /// Number of items.
     pub items: u32,
--- a/crates/batch/src/jobs/files.rs
+++ b/crates/batch/src/jobs/files.rs
@@ -18,7 +18,6 @@
 use crate::input::PartIndex;
 use crate::store::{self, WriteOutcome};
 
-/// Prefix of file ids.
 const FILE_ID_PREFIX: &str = "file-";
 /// Size of a read when a file is hashed from its parts, bytes.
 const HASH_READ_BYTES: u64 = 1024 * 1024;
--- a/crates/batch/src/jobs/progress.rs
+++ b/crates/batch/src/jobs/progress.rs
@@ -74,8 +74,8 @@
 
     fn leading(&self, job: &str) -> Progress {
         let entries = self.entries.borrow();
-        let known = entries.iter().find(|leading| leading.job == job);
-        known
+        let cached = entries.iter().find(|leading| leading.job == job);
+        cached
             .map(|leading| leading.progress.clone())
             .unwrap_or_default()
     }
--- a/crates/batch/src/runner/claim.rs
+++ b/crates/batch/src/runner/claim.rs
@@ -233,8 +233,8 @@
     if !server.online.is_empty() {
         return ONLINE_DEMAND_ITEMS;
     }
-    let known = state.servers.get(&server.entry.server);
-    let active = known.map_or(0, ServerState::active);
+    let server_state = state.servers.get(&server.entry.server);
+    let active = server_state.map_or(0, ServerState::active);
     server
         .batch_width
         .saturating_sub(active)
@@ -258,8 +258,8 @@
     /// or the node takes no new work.
     fn item_demand(&self, service: &str) -> usize {
         let state = self.state.borrow();
-        let room = state.held.is_empty() || state.held_bytes < self.settings.memory_bytes;
-        if !room || !self.takes_new_work() {
+        let has_memory = state.held.is_empty() || state.held_bytes < self.settings.memory_bytes;
+        if !has_memory || !self.takes_new_work() {
             return 0;
         }
         let wanted: u32 = self.tables.servers.read(|servers| {
--- a/crates/batch/src/runner/mod.rs
+++ b/crates/batch/src/runner/mod.rs
@@ -67,11 +67,8 @@
     engine: Rc<dyn Engine>,
     metrics: Metrics,
     state: RefCell<RunnerState>,
-    /// Wakes the dispatcher.
     dispatch_wake: Notify,
-    /// Wakes the claimer.
     claim_wake: Notify,
-    /// Wakes the splitter.
     split_wake: Notify,
     draining: Cell<bool>,
     started_at: Millis,
--- a/crates/batch/src/runner/takeover.rs
+++ b/crates/batch/src/runner/takeover.rs
@@ -81,8 +81,8 @@
     };
     let claimant = runner.claimant();
     let (holder, incarnation) = (&held.row.holder, held.row.holder_incarnation);
-    let own = *holder == claimant.node && incarnation == claimant.incarnation;
-    let untracked = own
+    let is_own = *holder == claimant.node && incarnation == claimant.incarnation;
+    let untracked = is_own
         && !runner
             .state
             .borrow()
--- a/crates/batch/src/runner/work.rs
+++ b/crates/batch/src/runner/work.rs
@@ -110,9 +110,9 @@
     /// be recognized in engine logs.
     pub fn request_id(&self, item: u32) -> RequestId {
         let number = self.row.borrow().row.first_item + item;
-        let left = hash_bytes(format!("{}/{number}", self.job).as_bytes());
-        let right = hash_bytes(format!("{number}/{}", self.job).as_bytes());
-        RequestId::from(format!("{left:016x}{right:016x}"))
+        let high = hash_bytes(format!("{}/{number}", self.job).as_bytes());
+        let low = hash_bytes(format!("{number}/{}", self.job).as_bytes());
+        RequestId::from(format!("{high:016x}{low:016x}"))
     }
 }
 
@@ -172,8 +172,8 @@
     /// Whether a server probably still caches the KV state of the item, so that resuming it there
     /// needs no prefill.
     pub fn is_warm_on(&self, server: &ServerId, cache: &CacheModel, now: Millis) -> bool {
-        let there = self.last_server.as_ref() == Some(server) && !self.pieces.is_empty();
-        there && !self.is_stale(Some(cache), now)
+        let ran_on_server = self.last_server.as_ref() == Some(server) && !self.pieces.is_empty();
+        ran_on_server && !self.is_stale(Some(cache), now)
     }
 
     /// Whether the KV state of the item has probably been evicted from the server that it ran on.
--- a/crates/batch/tests/batch/jobs.rs
+++ b/crates/batch/tests/batch/jobs.rs
@@ -161,8 +161,8 @@
             let file = upload(node, &lines(300, 20)).await;
             let job = node.submit(submit(&file, "key")).await.expect("accepted");
             node.wait_until_ended(&job.job_id).await;
-            let widest = fleet.engine.peak_running.borrow()["http://server-0"];
-            expect_that!(widest, all!(ge(8), le(12)));
+            let peak_running = fleet.engine.peak_running.borrow()["http://server-0"];
+            expect_that!(peak_running, all!(ge(8), le(12)));
         })
         .await;
 }
--- a/crates/batch/tests/batch/support/engine.rs
+++ b/crates/batch/tests/batch/support/engine.rs
@@ -144,7 +144,7 @@
         engine.begin(&base);
         tokio::time::sleep(Duration::from_millis(1)).await;
         Ok(Box::pin(async_stream::stream! {
-            let _running = Running { engine: engine.clone(), base: base.clone() };
+            let _running = RunningGuard { engine: engine.clone(), base: base.clone() };
             yield Ok(EngineEvent::Accepted { stream: stream.clone(), version: "v1".to_owned() });
             let mut total = call.resume_offset;
             let mut reason = "length";
@@ -201,12 +201,12 @@
     }
 }
 
-struct Running {
+struct RunningGuard {
     engine: Rc<FakeEngine>,
     base: String,
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.engine.end(&self.base);
     }
--- a/crates/batch/tests/batch/support/platform.rs
+++ b/crates/batch/tests/batch/support/platform.rs
@@ -49,9 +49,9 @@
 
     pub fn platform(self: &Rc<Self>) -> Platform {
         Platform {
-            tables: Rc::new(Store(self.clone())),
-            objects: Rc::new(Store(self.clone())),
-            machines: Rc::new(Store(self.clone())),
+            tables: Rc::new(FakeStore(self.clone())),
+            objects: Rc::new(FakeStore(self.clone())),
+            machines: Rc::new(FakeStore(self.clone())),
         }
     }
 
@@ -154,7 +154,7 @@
     }
 }
 
-struct Store(Rc<FakePlatform>);
+struct FakeStore(Rc<FakePlatform>);
 
 /// Latency of a call.
 const CALL_LATENCY: Duration = Duration::from_millis(2);
@@ -166,7 +166,7 @@
 }
 
 #[async_trait(?Send)]
-impl TableStore for Store {
+impl TableStore for FakeStore {
     async fn transact(&self, transaction: Transaction) -> Result<u64, StoreError> {
         tokio::time::sleep(CALL_LATENCY).await;
         self.0.record_call()?;
@@ -229,7 +229,7 @@
 }
 
 #[async_trait(?Send)]
-impl ObjectStore for Store {
+impl ObjectStore for FakeStore {
     async fn create(&self, name: &str, bytes: Bytes) -> Result<(), StoreError> {
         tokio::time::sleep(CALL_LATENCY).await;
         self.0.record_call()?;
@@ -292,7 +292,7 @@
 }
 
 #[async_trait(?Send)]
-impl MachineList for Store {
+impl MachineList for FakeStore {
     async fn machines(&self) -> Result<Vec<Machine>, StoreError> {
         Ok(Vec::new())
     }
