--- a/crates/batch/src/input/lines.rs
+++ b/crates/batch/src/input/lines.rs
@@ -1,27 +1,27 @@
-//! Lines of an input file, read through a bounded buffer.
+//! Line reader over an input file with a bounded buffer.
 
 use bytes::{Buf, Bytes, BytesMut};
 use dappleyard_store::{ObjectStore, StoreError};
 
 use crate::input::parts::PartIndex;
 
-/// Bytes asked of the object store at once.
+/// Size of a read from the object store, bytes.
 const READ_BYTES: u64 = 256 * 1024;
 
-/// One line that is not blank.
+/// A non-blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// Number in the file, from 1; blank lines count.
+    /// 1-based line number, counting blank lines.
     pub number: u32,
     /// Offset of its first byte.
     pub start: u64,
-    /// Offset after its line feed.
+    /// Offset after the line feed.
     pub end: u64,
-    /// Content without the line feed; `None` when the line is longer than allowed.
+    /// Content without the line feed; `None` if the line exceeds the maximum length.
     pub content: Option<Bytes>,
 }
 
-/// Reads lines one after the other. Holds at most one read and one line of the file.
+/// Reads lines in order. Buffers at most one line and one read.
 pub struct LineReader<'a> {
     objects: &'a dyn ObjectStore,
     parts: &'a PartIndex,
@@ -30,12 +30,12 @@
     /// Offset of the first byte of `buffer`.
     offset: u64,
     line: u32,
-    /// The present line was found too long: its bytes are dropped up to its end.
+    /// Start of the current line if it is too long; its bytes are discarded.
     skipping_from: Option<u64>,
 }
 
 impl<'a> LineReader<'a> {
-    /// A reader from an offset at the start of a line on.
+    /// Creates a reader that starts at `offset`, which must be the start of a line.
     pub fn new(
         objects: &'a dyn ObjectStore,
         parts: &'a PartIndex,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The next line that is not blank; `None` at the end of the file.
+    /// Returns the next non-blank line; `None` at the end of the file.
     pub async fn next(&mut self) -> Result<Option<Line>, StoreError> {
         loop {
             if let Some(line) = self.take_line() {
@@ -62,13 +62,13 @@
                 }
                 continue;
             }
-            if !self.fill().await? {
-                return Ok(self.take_rest().filter(|line| !is_blank(line)));
+            if !self.read_more().await? {
+                return Ok(self.take_last_line().filter(|line| !is_blank(line)));
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<bool, StoreError> {
+    async fn read_more(&mut self) -> Result<bool, StoreError> {
         if self.buffer.len() > self.maximum_line_bytes {
             self.skipping_from.get_or_insert(self.offset);
             self.offset += self.buffer.len() as u64;
@@ -84,21 +84,21 @@
         let length = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let content = self.buffer.split_to(length).freeze();
         self.buffer.advance(1);
-        Some(self.line_of(content, 1))
+        Some(self.build_line(content, 1))
     }
 
-    fn take_rest(&mut self) -> Option<Line> {
+    fn take_last_line(&mut self) -> Option<Line> {
         if self.buffer.is_empty() && self.skipping_from.is_none() {
             return None;
         }
         let content = self.buffer.split().freeze();
-        Some(self.line_of(content, 0))
+        Some(self.build_line(content, 0))
     }
 
-    fn line_of(&mut self, content: Bytes, feed: u64) -> Line {
+    fn build_line(&mut self, content: Bytes, line_feed_bytes: u64) -> Line {
         let skipped = self.skipping_from.take();
         let start = skipped.unwrap_or(self.offset);
-        self.offset += content.len() as u64 + feed;
+        self.offset += content.len() as u64 + line_feed_bytes;
         self.line += 1;
         let fits = skipped.is_none() && content.len() <= self.maximum_line_bytes;
         Line {
--- a/crates/batch/src/jobs/progress.rs
+++ b/crates/batch/src/jobs/progress.rs
@@ -1,7 +1,7 @@
-//! Progress of a job, counted from its chunk rows.
+//! Progress and completion of a job, computed from its chunk rows.
 //!
-//! No counter row is written by commits, so that they do not contend. Committed chunks never change:
-//! the count of those at the front of the job is remembered and only the rest is read again.
+//! Commits update no counter row, so that they do not contend. Committed chunks never change, so
+//! the count of the leading committed chunks is cached and only the later rows are read again.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,14 +12,14 @@
 use dappleyard_wire::messages::{ChunkPhase, ChunkRow, JobPhase, JobRow, JobState};
 use prost::Message;
 
-use crate::store::{self, Applied, Versioned};
+use crate::store::{self, Versioned, WriteOutcome};
 
-/// Rows read at once.
+/// Chunk rows per read.
 const PAGE: usize = 256;
-/// Jobs whose count is remembered by each worker.
+/// Maximum number of jobs in the cache of a worker.
 const MAXIMUM_CACHED: usize = 256;
 
-/// Counts of a job's committed chunks.
+/// Counts over committed chunks of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Committed chunks.
@@ -37,8 +37,8 @@
         self.failed += row.failed;
     }
 
-    /// When the job should be finished if it goes on as fast as so far, seconds since 1970; 0 when
-    /// nothing is known yet.
+    /// Expected completion time at the average rate so far, Unix seconds; 0 before the first
+    /// result.
     pub fn expected_unix_s(&self, state: &JobState, now_unix_s: u64) -> u64 {
         let done = u64::from(self.completed + self.failed);
         if done == 0 {
@@ -50,59 +50,60 @@
     }
 }
 
-/// Count of the committed chunks at the front of one job.
+/// Counts over the leading committed chunks of a job.
 #[derive(Debug, Clone)]
-struct Front {
+struct CachedProgress {
     job: String,
     progress: Progress,
 }
 
-/// Remembered counts.
+/// Cache of the counts over the leading committed chunks.
 #[derive(Default)]
 pub struct ProgressCache {
-    fronts: RefCell<VecDeque<Front>>,
+    entries: RefCell<VecDeque<CachedProgress>>,
 }
 
 impl ProgressCache {
-    /// Counts the committed chunks of a job.
+    /// Counts all committed chunks of a job.
     pub async fn count(&self, platform: &Platform, row: &JobRow) -> Result<Progress, StoreError> {
         let job = row.state.as_ref().map_or("", |state| &state.job_id);
-        let (front, whole) = count(platform, job, self.front(job)).await?;
-        self.remember(job, front);
-        Ok(whole)
+        let (leading, total) = count(platform, job, self.leading(job)).await?;
+        self.store_leading(job, leading);
+        Ok(total)
     }
 
-    fn front(&self, job: &str) -> Progress {
-        let fronts = self.fronts.borrow();
-        let known = fronts.iter().find(|front| front.job == job);
-        known
-            .map(|front| front.progress.clone())
+    fn leading(&self, job: &str) -> Progress {
+        let entries = self.entries.borrow();
+        let cached = entries.iter().find(|leading| leading.job == job);
+        cached
+            .map(|leading| leading.progress.clone())
             .unwrap_or_default()
     }
 
-    fn remember(&self, job: &str, progress: Progress) {
-        let mut fronts = self.fronts.borrow_mut();
-        fronts.retain(|front| front.job != job);
-        if fronts.len() == MAXIMUM_CACHED {
-            fronts.pop_front();
+    fn store_leading(&self, job: &str, progress: Progress) {
+        let mut entries = self.entries.borrow_mut();
+        entries.retain(|leading| leading.job != job);
+        if entries.len() == MAXIMUM_CACHED {
+            entries.pop_front();
         }
-        fronts.push_back(Front {
+        entries.push_back(CachedProgress {
             job: job.to_owned(),
             progress,
         });
     }
 }
 
-/// Counts from a known front on; returns the new front and the whole count.
+/// Reads the chunk rows after those that `leading` covers. Returns the counts over the leading
+/// committed chunks and over all committed chunks.
 async fn count(
     platform: &Platform,
     job: &str,
-    mut front: Progress,
+    mut leading: Progress,
 ) -> Result<(Progress, Progress), StoreError> {
-    let mut whole = front.clone();
-    let mut at_front = true;
+    let mut total = leading.clone();
+    let mut is_leading = true;
     let prefix = format!("{}{job}/", keys::CHUNK_PREFIX);
-    let mut after = match front.done_chunks.checked_sub(1) {
+    let mut after = match leading.done_chunks.checked_sub(1) {
         Some(last) => keys::chunk(&job.into(), last),
         None => String::new(),
     };
@@ -112,96 +113,99 @@
         for read in rows {
             let chunk = store::decode::<ChunkRow>(&read.key, &read.value, read.revision)?.row;
             let done = chunk.phase() == ChunkPhase::ChunkDone;
-            at_front &= done;
+            is_leading &= done;
             if done {
-                whole.add(&chunk);
+                total.add(&chunk);
             }
-            if at_front {
-                front.add(&chunk);
+            if is_leading {
+                leading.add(&chunk);
             }
             after = read.key;
         }
         if !full {
-            return Ok((front, whole));
+            return Ok((leading, total));
         }
     }
 }
 
-/// The first chunk from `front` on that is not done; `None` when all are. `front` is the count of
-/// those known to be done and is moved on. A chunk row that is missing counts as done by nobody.
-async fn first_undone(
+/// Finds the first uncommitted chunk after those that `leading` covers, and advances `leading` to
+/// it. Returns `None` if all chunks are committed. A missing row counts as uncommitted.
+async fn first_uncommitted(
     platform: &Platform,
     job: &JobRow,
-    front: &mut Progress,
-) -> Result<Option<Undone>, StoreError> {
+    leading: &mut Progress,
+) -> Result<Option<Uncommitted>, StoreError> {
     let id = job.state.as_ref().map_or("", |state| &state.job_id);
     let prefix = format!("{}{id}/", keys::CHUNK_PREFIX);
-    while front.done_chunks < job.chunks {
-        let after = match front.done_chunks.checked_sub(1) {
+    while leading.done_chunks < job.chunks {
+        let after = match leading.done_chunks.checked_sub(1) {
             Some(last) => keys::chunk(&id.into(), last),
             None => String::new(),
         };
-        let rows = platform.tables.range(&prefix, &after, FINISH_PAGE).await?;
+        let rows = platform
+            .tables
+            .range(&prefix, &after, COMPLETION_PAGE)
+            .await?;
         if rows.is_empty() {
-            return Ok(Some(Undone::Missing));
+            return Ok(Some(Uncommitted::Missing));
         }
         for read in rows {
             let chunk = store::decode::<ChunkRow>(&read.key, &read.value, read.revision)?.row;
             if chunk.phase() != ChunkPhase::ChunkDone {
-                return Ok(Some(Undone::Chunk(Versioned {
+                return Ok(Some(Uncommitted::Chunk(Versioned {
                     row: chunk,
                     revision: read.revision,
                 })));
             }
-            front.add(&chunk);
+            leading.add(&chunk);
         }
     }
     Ok(None)
 }
 
-/// What stands in the way of a job's end.
+/// First uncommitted chunk of a job.
 #[derive(Debug, Clone, PartialEq)]
-enum Undone {
+enum Uncommitted {
     Chunk(Versioned<ChunkRow>),
     Missing,
 }
 
-/// What was found when the end of a job was looked for.
+/// Result of [`complete_if_done`].
 #[derive(Debug, Clone, PartialEq)]
-pub enum End {
-    /// The job is finished, now or before.
+pub enum CompletionCheck {
+    /// The job has ended or does not exist.
     Finished,
-    /// It goes on; the first chunk that is not committed, when there is one.
+    /// The job has not ended; holds the first uncommitted chunk if it was read.
     Running(Option<Versioned<ChunkRow>>),
 }
 
-/// Rows read at once when a job's end is looked for.
-const FINISH_PAGE: usize = 32;
+/// Chunk rows per read in [`first_uncommitted`].
+const COMPLETION_PAGE: usize = 32;
 
-/// Completes a job whose chunks are all committed. `front` is what the caller knows to be committed
-/// at the front of the job; it is moved on.
-pub async fn finish_when_done(
+/// Completes a job if all its chunks are committed. `leading` covers leading committed chunks that
+/// the caller knows of; it is advanced.
+pub async fn complete_if_done(
     platform: &Platform,
     tenant: &str,
     job: &str,
-    front: &mut Progress,
+    leading: &mut Progress,
     now_unix_s: u64,
-) -> Result<End, StoreError> {
+) -> Result<CompletionCheck, StoreError> {
     let key = keys::job(&tenant.into(), &job.into());
     let Some(read) = store::read_row::<JobRow>(&*platform.tables, &key).await? else {
-        return Ok(End::Finished);
+        return Ok(CompletionCheck::Finished);
     };
     let phase = read.row.state.as_ref().map(JobState::phase);
     if is_final(phase) {
-        return Ok(End::Finished);
+        return Ok(CompletionCheck::Finished);
     }
     if phase != Some(JobPhase::JobInProgress) {
-        return Ok(End::Running(None));
+        return Ok(CompletionCheck::Running(None));
     }
-    match first_undone(platform, &read.row, front).await? {
-        Some(Undone::Chunk(chunk)) => Ok(End::Running(Some(chunk))),
-        Some(Undone::Missing) => Ok(End::Running(None)),
-        None => complete(platform, &key, read, front, now_unix_s).await,
+    match first_uncommitted(platform, &read.row, leading).await? {
+        Some(Uncommitted::Chunk(chunk)) => Ok(CompletionCheck::Running(Some(chunk))),
+        Some(Uncommitted::Missing) => Ok(CompletionCheck::Running(None)),
+        None => complete(platform, &key, read, leading, now_unix_s).await,
     }
 }
 
@@ -218,7 +222,7 @@
     read: Versioned<JobRow>,
     progress: &Progress,
     now_unix_s: u64,
-) -> Result<End, StoreError> {
+) -> Result<CompletionCheck, StoreError> {
     let mut row = read.row;
     let mut state = row.state.take().unwrap_or_default();
     let active = keys::active_job(&state.job_id.as_str().into());
@@ -232,12 +236,12 @@
         .expect(key, Expect::Revision(read.revision))
         .put(key, row.encode_to_vec())
         .delete(active);
-    let applied = store::apply(&*platform.tables, &transaction, key, |value| {
+    let applied = store::transact_resolved(&*platform.tables, &transaction, key, |value| {
         JobRow::decode(value.clone())
             .is_ok_and(|row| is_final(row.state.as_ref().map(JobState::phase)))
     });
     Ok(match applied.await? {
-        Applied::Yes { .. } => End::Finished,
-        Applied::Conflict => End::Running(None),
+        WriteOutcome::Written { .. } => CompletionCheck::Finished,
+        WriteOutcome::Conflict => CompletionCheck::Running(None),
     })
 }
--- a/crates/batch/src/metrics.rs
+++ b/crates/batch/src/metrics.rs
@@ -5,32 +5,31 @@
 /// Metrics of one node's batch runner.
 #[derive(Clone)]
 pub struct Metrics {
-    /// Items by how they ended: `answered`, `failed`.
+    /// Finished items by outcome: `answered`, `failed`.
     pub items: IntCounterVec,
-    /// Chunks by what became of them: `claimed`, `committed`, `fenced`, `cancelled`, `handed_back`,
-    /// `taken_over`.
+    /// Chunk events: `claimed`, `committed`, `fenced`, `cancelled`, `handed_back`, `taken_over`.
     pub chunks: IntCounterVec,
-    /// Streams paused for online work.
+    /// Streams preempted by online requests.
     pub pauses: IntCounter,
-    /// Streams that went on from an offset.
+    /// Streams resumed from an offset.
     pub resumes: IntCounter,
-    /// Items started again from their first token after they had been started.
+    /// Items restarted from the first token.
     pub repeated: IntCounter,
-    /// Bytes of inputs and results held.
+    /// Estimated memory of the held chunks, bytes.
     pub held_bytes: IntGauge,
-    /// Items that wait on this node.
+    /// Items queued on this node.
     pub waiting: IntGauge,
-    /// Items that run on this node's servers.
+    /// Items running on this node's servers.
     pub running: IntGauge,
 }
 
 impl Metrics {
-    /// Registers the metrics. A registry that has them already keeps its own; these then count for
-    /// nobody.
+    /// Registers the metrics. If the registry already has metrics of these names, it keeps the
+    /// earlier ones and the new ones are not exported.
     pub fn register(registry: &Registry) -> Metrics {
         let metrics = Metrics {
-            items: counters("items", "Batch items by how they ended.", "outcome"),
-            chunks: counters("chunks", "Chunks by what became of them.", "event"),
+            items: counter_vec("items", "Batch items by how they ended.", "outcome"),
+            chunks: counter_vec("chunks", "Chunks by what became of them.", "event"),
             pauses: counter("pauses", "Batch streams paused for online work."),
             resumes: counter("resumes", "Batch streams that went on from an offset."),
             repeated: counter(
@@ -62,25 +61,24 @@
         metrics
     }
 
-    /// Counts a chunk event.
-    pub fn chunk(&self, event: &str) {
+    pub fn count_chunk(&self, event: &str) {
         self.chunks.with_label_values(&[event]).inc();
     }
 }
 
-fn name(suffix: &str) -> String {
+fn metric_name(suffix: &str) -> String {
     format!("dappleyard_batch_{suffix}")
 }
 
 fn counter(suffix: &str, help: &str) -> IntCounter {
-    IntCounter::new(name(suffix), help).expect("the name is a constant and valid")
+    IntCounter::new(metric_name(suffix), help).expect("the name is a constant and valid")
 }
 
 fn gauge(suffix: &str, help: &str) -> IntGauge {
-    IntGauge::new(name(suffix), help).expect("the name is a constant and valid")
+    IntGauge::new(metric_name(suffix), help).expect("the name is a constant and valid")
 }
 
-fn counters(suffix: &str, help: &str, label: &str) -> IntCounterVec {
-    IntCounterVec::new(Opts::new(name(suffix), help), &[label])
+fn counter_vec(suffix: &str, help: &str, label: &str) -> IntCounterVec {
+    IntCounterVec::new(Opts::new(metric_name(suffix), help), &[label])
         .expect("the name is a constant and valid")
 }
--- a/crates/batch/src/runner/claim.rs
+++ b/crates/batch/src/runner/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming of open chunks for the servers that this node owns.
+//! Claims open chunks for the servers that this node owns.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,25 +17,28 @@
 use rand::Rng;
 
 use super::server::ServerState;
-use super::state::State;
+use super::state::RunnerState;
 use super::{Runner, load};
-use crate::store::{self, Applied, Versioned, wait_jittered};
+use crate::store::{self, Versioned, WriteOutcome, sleep_jittered};
 
-/// Open chunks read at once.
+/// Open chunk rows per read.
 const OPEN_PAGE: usize = 32;
-/// Open chunks at the front of which one is taken at random, so that nodes seldom collide.
-const FRONT_ROWS: usize = 8;
-/// How long a job without open chunks is not looked at, milliseconds, unless its row changes.
+/// Number of leading open chunks from which one is picked at random, so that claims of different
+/// nodes seldom conflict.
+const CANDIDATE_ROWS: usize = 8;
+/// Time before a job without open chunks is searched again unless its row changes, milliseconds.
 const EXHAUSTED_MS: u64 = 3_000;
-/// Items kept waiting for a server without online work that is full: it ends about as many while a
-/// claim is under way.
-const ITEMS_IN_RESERVE: u32 = 16;
-/// Items kept waiting for a server with online work; what waits here cannot run elsewhere.
-const ITEMS_BESIDE_ONLINE: u32 = 2;
-/// Items that the fleet is taken to finish in a second when the slack of a job is estimated.
-const ITEMS_PER_SECOND_GUESS: u64 = 100;
+/// Minimum demand of a server without online requests, items. A full server finishes about as many
+/// during a claim.
+const MINIMUM_DEMAND_ITEMS: u32 = 16;
+/// Demand of a server with online requests, items. Kept low because items queued here cannot run on
+/// other nodes.
+const ONLINE_DEMAND_ITEMS: u32 = 2;
+/// Throughput of the fleet that is assumed when the remaining time of a job is estimated, items per
+/// second.
+const ASSUMED_ITEMS_PER_SECOND: u64 = 100;
 
-/// Claims chunks whenever this node's servers could use them.
+/// Claims chunks whenever the queues of this node's servers run low.
 pub async fn run(runner: Rc<Runner>) {
     loop {
         let idle = Duration::from_millis(runner.settings.poll_interval_ms);
@@ -44,30 +47,30 @@
             continue;
         }
         for service in runner.service_widths().into_keys() {
-            if let Err(error) = fill(&runner, &service).await {
-                tracing::debug!(%error, service, "no chunk was claimed");
-                wait_jittered(runner.settings.poll_interval_ms).await;
+            if let Err(error) = claim_for_service(&runner, &service).await {
+                tracing::debug!(%error, service, "failed to claim chunks");
+                sleep_jittered(runner.settings.poll_interval_ms).await;
             }
         }
     }
 }
 
-/// Claims chunks of one service until its servers have enough.
-async fn fill(runner: &Rc<Runner>, service: &str) -> Result<(), StoreError> {
-    while runner.wanted_items(service) > 0 {
-        if !claim_some(runner, service).await? {
+/// Claims chunks of a service until its demand is met or no open chunk is left.
+async fn claim_for_service(runner: &Rc<Runner>, service: &str) -> Result<(), StoreError> {
+    while runner.item_demand(service) > 0 {
+        if !claim_from_next_job(runner, service).await? {
             return Ok(());
         }
     }
     Ok(())
 }
 
-/// Claims chunks of the first job, in the order of fairness, that has open ones. Returns whether
-/// there was any.
-async fn claim_some(runner: &Rc<Runner>, service: &str) -> Result<bool, StoreError> {
+/// Claims chunks of the first job in fair-share order that has open chunks. Returns whether any
+/// chunk was claimed.
+async fn claim_from_next_job(runner: &Rc<Runner>, service: &str) -> Result<bool, StoreError> {
     for candidate in candidates(runner, service) {
         let job = JobId::from(&candidate.job);
-        let wanted = runner.wanted_items(service);
+        let wanted = runner.item_demand(service);
         let claimed = claim_of_job(runner, &job, wanted).await?;
         if claimed.is_empty() {
             set_exhausted(runner, &candidate.job);
@@ -78,7 +81,7 @@
             let work = f64::from(row.row.items);
             let shares = &mut runner.state.borrow_mut().shares;
             shares.charge(&candidate.tenant, work, weight);
-            load::begin(runner, job.clone(), row);
+            load::spawn_load(runner, job.clone(), row);
         }
         return Ok(true);
     }
@@ -88,7 +91,7 @@
 fn candidates(runner: &Runner, service: &str) -> Vec<Candidate> {
     let now = runner.tables.clock.now();
     let mut state = runner.state.borrow_mut();
-    let State { jobs, shares, .. } = &mut *state;
+    let RunnerState { jobs, shares, .. } = &mut *state;
     let of_service = jobs.values().filter(|job| job.row.service == service);
     shares.set_waiting(&of_service.map(|job| job.row.tenant.as_str()).collect());
     let mut candidates: Vec<Candidate> = jobs
@@ -99,7 +102,7 @@
             job: job.row.job_id.clone(),
             tenant: job.row.tenant.clone(),
             deadline_unix_s: job.row.deadline_unix_s,
-            remaining_s: u64::from(job.row.items) / ITEMS_PER_SECOND_GUESS,
+            remaining_s: u64::from(job.row.items) / ASSUMED_ITEMS_PER_SECOND,
         })
         .collect();
     fairness::order(&mut candidates, shares, runner.now_unix_s());
@@ -119,7 +122,8 @@
     }
 }
 
-/// Claims open chunks of a job with about `wanted` items, by transactions that the store gate joins.
+/// Claims open chunks of a job with about `wanted` items in total. The claims are concurrent so
+/// that the store gate can batch their transactions.
 async fn claim_of_job(
     runner: &Runner,
     job: &JobId,
@@ -130,7 +134,7 @@
     let mut rows = tables.range(&prefix, "", OPEN_PAGE).await?;
     let mut claimed = Vec::new();
     while claimed.is_empty() && !rows.is_empty() {
-        let chosen = choose(&mut rows, wanted)?;
+        let chosen = choose_open_chunks(&mut rows, wanted)?;
         let claims = chosen.into_iter().map(|read| try_claim(runner, job, read));
         let mut failed = None;
         for result in futures::future::join_all(claims).await {
@@ -146,13 +150,16 @@
     Ok(claimed)
 }
 
-/// Takes rows near the front until they hold the items that are wanted: chunks get smaller towards
-/// the end of a job, and the large ones should go first.
-fn choose(rows: &mut Vec<Row>, wanted: usize) -> Result<Vec<Versioned<ChunkRow>>, StoreError> {
+/// Picks rows near the front until they hold `wanted` items. Chunks get smaller towards the end of
+/// a job, and the large ones should run first.
+fn choose_open_chunks(
+    rows: &mut Vec<Row>,
+    wanted: usize,
+) -> Result<Vec<Versioned<ChunkRow>>, StoreError> {
     let mut chosen = Vec::new();
     let mut items = 0;
     while items < wanted.max(1) && !rows.is_empty() {
-        let open = rows.remove(rand::rng().random_range(0..rows.len().min(FRONT_ROWS)));
+        let open = rows.remove(rand::rng().random_range(0..rows.len().min(CANDIDATE_ROWS)));
         let read = store::decode::<ChunkRow>(&open.key, &open.value, open.revision)?;
         items += read.row.items as usize;
         chosen.push(read);
@@ -165,26 +172,26 @@
     job: &JobId,
     read: Versioned<ChunkRow>,
 ) -> Result<Option<Versioned<ChunkRow>>, StoreError> {
-    let place = (job.to_string(), read.row.index);
+    let chunk_id = (job.to_string(), read.row.index);
     let items = read.row.items;
     runner
         .state
         .borrow_mut()
         .claiming
-        .insert(place.clone(), items);
+        .insert(chunk_id.clone(), items);
     let claimed = write_claim(runner, job, read).await;
     if let Ok(Some(_)) = claimed {
-        runner.metrics.chunk("claimed");
+        runner.metrics.count_chunk("claimed");
     } else {
-        // A claim whose fate is unknown may still take effect: the sweep of this node's own list
-        // finds it then.
-        runner.state.borrow_mut().claiming.remove(&place);
+        // A claim with an unknown outcome may still take effect. The takeover sweep then finds it
+        // in this node's list of held chunks.
+        runner.state.borrow_mut().claiming.remove(&chunk_id);
     }
     claimed
 }
 
-/// Claims a chunk whose open row was read. Open row and chunk row were written by the same
-/// transaction, so that one revision stands for both.
+/// Claims a chunk given its open row. The open row and the chunk row were written by the same
+/// transaction and so have the same revision.
 async fn write_claim(
     runner: &Runner,
     job: &JobId,
@@ -211,30 +218,31 @@
             held.encode_to_vec(),
         )
         .delete(open);
-    let applied = store::apply(&*runner.platform.tables, &transaction, &key, |value| {
+    let applied = store::transact_resolved(&*runner.platform.tables, &transaction, &key, |value| {
         ChunkRow::decode(value.clone()).is_ok_and(|written| written == row)
     });
     Ok(match applied.await? {
-        Applied::Yes { revision } => Some(Versioned { row, revision }),
-        Applied::Conflict => None,
+        WriteOutcome::Written { revision } => Some(Versioned { row, revision }),
+        WriteOutcome::Conflict => None,
     })
 }
 
-/// Items that a server could start soon: beside online work starts are paced, so few.
-fn server_wants(server: &OwnedServer, state: &State) -> u32 {
+/// Number of items to keep queued for a server. It is small beside online requests, where prefills
+/// are rate-limited.
+fn server_demand(server: &OwnedServer, state: &RunnerState) -> u32 {
     if !server.online.is_empty() {
-        return ITEMS_BESIDE_ONLINE;
+        return ONLINE_DEMAND_ITEMS;
     }
-    let known = state.servers.get(&server.entry.server);
-    let active = known.map_or(0, ServerState::active);
+    let server_state = state.servers.get(&server.entry.server);
+    let active = server_state.map_or(0, ServerState::active);
     server
         .batch_width
         .saturating_sub(active)
-        .max(ITEMS_IN_RESERVE)
+        .max(MINIMUM_DEMAND_ITEMS)
 }
 
 impl Runner {
-    /// Batch sequences that the servers of each service may run at present.
+    /// Total batch width of the servers of each service.
     fn service_widths(&self) -> BTreeMap<String, u32> {
         self.tables.servers.read(|servers| {
             let mut widths = BTreeMap::new();
@@ -246,11 +254,12 @@
         })
     }
 
-    /// Items that the servers of a service could use beyond those that wait here, within memory.
-    fn wanted_items(&self, service: &str) -> usize {
+    /// Number of items to claim for a service beyond those already queued; 0 while memory is full
+    /// or the node takes no new work.
+    fn item_demand(&self, service: &str) -> usize {
         let state = self.state.borrow();
-        let room = state.held.is_empty() || state.held_bytes < self.settings.memory_bytes;
-        if !room || !self.takes_new_work() {
+        let has_memory = state.held.is_empty() || state.held_bytes < self.settings.memory_bytes;
+        if !has_memory || !self.takes_new_work() {
             return 0;
         }
         let wanted: u32 = self.tables.servers.read(|servers| {
@@ -258,8 +267,8 @@
                 .values()
                 .filter(|server| server.entry.service.as_str() == service)
                 .filter(|server| server.batch_width > 0);
-            of_service.map(|server| server_wants(server, &state)).sum()
+            of_service.map(|server| server_demand(server, &state)).sum()
         });
-        (wanted as usize).saturating_sub(state.waiting_cold(service))
+        (wanted as usize).saturating_sub(state.queued_unstarted(service))
     }
 }
--- a/crates/batch/src/runner/janitor.rs
+++ b/crates/batch/src/runner/cleanup.rs
@@ -1,5 +1,5 @@
-//! Mending and cleaning: jobs whose last committer was lost are completed, rows of cancelled jobs
-//! are removed.
+//! Periodic cleanup of active jobs. Completes jobs whose last committer failed, repairs the list
+//! entries of chunks and removes the rows of cancelled jobs.
 
 use std::rc::Rc;
 
@@ -11,49 +11,56 @@
 use prost::Message;
 
 use super::Runner;
-use crate::jobs::{End, Progress, finish_when_done};
+use crate::jobs::{CompletionCheck, Progress, complete_if_done};
 use crate::store::{self, Versioned};
 
-/// Time between two looks, milliseconds, for each member.
+/// Interval of cleanups, milliseconds per member.
 const SWEEP_MS_PER_MEMBER: u64 = 1_000;
-/// Rows removed by one transaction.
+/// Rows deleted per transaction.
 const PAGE: usize = 100;
 
-/// Mends and cleans for ever.
+/// Runs the cleanup; never returns.
 pub async fn run(runner: Rc<Runner>) {
     loop {
-        tokio::time::sleep(runner.sweep_wait(SWEEP_MS_PER_MEMBER)).await;
+        tokio::time::sleep(runner.sweep_interval(SWEEP_MS_PER_MEMBER)).await;
         let jobs: Vec<ActiveJobRow> = {
             let state = runner.state.borrow();
             state.jobs.values().map(|job| job.row.clone()).collect()
         };
         for job in jobs {
-            if let Err(error) = look_at(&runner, &job).await {
-                tracing::debug!(%error, job = job.job_id, "an active job was not looked at");
+            if let Err(error) = check_job(&runner, &job).await {
+                tracing::debug!(%error, job = job.job_id, "failed to clean up an active job");
             }
         }
     }
 }
 
-async fn look_at(runner: &Runner, job: &ActiveJobRow) -> Result<(), StoreError> {
+async fn check_job(runner: &Runner, job: &ActiveJobRow) -> Result<(), StoreError> {
     if job.cancelled {
-        return clean_cancelled(runner, &job.job_id).await;
+        return delete_cancelled_rows(runner, &job.job_id).await;
     }
     if job.chunks == 0 {
         return Ok(());
     }
     let now = runner.now_unix_s();
-    let mut front = Progress::default();
-    let end = finish_when_done(&runner.platform, &job.tenant, &job.job_id, &mut front, now).await?;
+    let mut leading = Progress::default();
+    let end = complete_if_done(
+        &runner.platform,
+        &job.tenant,
+        &job.job_id,
+        &mut leading,
+        now,
+    )
+    .await?;
     match end {
-        End::Running(Some(first)) => mend(runner, first).await,
-        End::Running(None) | End::Finished => Ok(()),
+        CompletionCheck::Running(Some(first)) => repair_chunk(runner, first).await,
+        CompletionCheck::Running(None) | CompletionCheck::Finished => Ok(()),
     }
 }
 
-/// Mends the first chunk of a job that is not committed, if no list leads to it any more: whatever
-/// was lost, the front of a job moves on.
-async fn mend(runner: &Runner, chunk: Versioned<ChunkRow>) -> Result<(), StoreError> {
+/// Repairs the first uncommitted chunk of a job: reopens it if its holder is gone, and restores a
+/// missing or outdated open row. This ensures that the job makes progress.
+async fn repair_chunk(runner: &Runner, chunk: Versioned<ChunkRow>) -> Result<(), StoreError> {
     let job = JobId::from(&chunk.row.job_id);
     let tables = &*runner.platform.tables;
     match chunk.row.phase() {
@@ -66,7 +73,7 @@
             let open = keys::open_chunk(&job, chunk.row.index);
             let listed = tables.get(&open).await?;
             if listed.is_none_or(|listed| listed.revision != chunk.revision) {
-                list_again(runner, &job, chunk).await?;
+                restore_open_row(runner, &job, chunk).await?;
             }
         }
         ChunkPhase::ChunkDone => {}
@@ -74,8 +81,8 @@
     Ok(())
 }
 
-/// Writes an open chunk and its list entry anew, at one revision.
-async fn list_again(
+/// Rewrites the chunk row and the open row of an open chunk at the same revision.
+async fn restore_open_row(
     runner: &Runner,
     job: &JobId,
     chunk: Versioned<ChunkRow>,
@@ -86,12 +93,12 @@
         .expect(key.as_str(), Expect::Revision(chunk.revision))
         .put(key.as_str(), row.clone())
         .put(keys::open_chunk(job, chunk.row.index), row);
-    store::apply(&*runner.platform.tables, &transaction, &key, |_| false).await?;
+    store::transact_resolved(&*runner.platform.tables, &transaction, &key, |_| false).await?;
     Ok(())
 }
 
-/// Removes the open rows, the split row and the feed row of a cancelled job.
-async fn clean_cancelled(runner: &Runner, job: &str) -> Result<(), StoreError> {
+/// Deletes the open rows, the split row and the active-job row of a cancelled job.
+async fn delete_cancelled_rows(runner: &Runner, job: &str) -> Result<(), StoreError> {
     let tables = &runner.platform.tables;
     let prefix = format!("{OPEN_CHUNK_PREFIX}{job}/");
     loop {
--- a/crates/batch/src/runner/commit.rs
+++ b/crates/batch/src/runner/commit.rs
@@ -1,5 +1,6 @@
-//! The commit of a chunk's result: the object first, then one transaction that compares the epoch
-//! of the chunk and the state of its job, and points to the object.
+//! Commit of a chunk's result. The result object is written first; a transaction then stores its
+//! name in the chunk row, provided that the epoch of the chunk and the state of its job still allow
+//! it.
 
 use std::rc::Rc;
 
@@ -13,49 +14,49 @@
 
 use super::Runner;
 use super::work::{HeldChunk, StopReason};
-use crate::jobs::{End, Progress, finish_when_done};
-use crate::store::{self, Applied, wait_jittered};
+use crate::jobs::{CompletionCheck, Progress, complete_if_done};
+use crate::store::{self, WriteOutcome, sleep_jittered};
 
-/// Wait between two attempts while the store does not answer, milliseconds, jittered.
-const STORE_WAIT_MS: u64 = 500;
+/// Wait between attempts after a store error, milliseconds, jittered.
+const STORE_RETRY_MS: u64 = 500;
 
-/// How the commit of a chunk ended.
+/// Outcome of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Committed {
-    Yes,
+enum CommitOutcome {
+    Written,
     Fenced,
     Cancelled,
 }
 
-/// Commits a chunk whose items are all settled.
+/// Commits a chunk whose items all have a result line.
 pub async fn run(runner: Rc<Runner>, chunk: Rc<HeldChunk>) {
     let object = keys::result_object(&chunk.job, chunk.index, chunk.epoch);
-    match commit_until_known(&runner, &chunk, &object).await {
-        Committed::Yes => {
-            runner.metrics.chunk("committed");
-            runner.forget(&chunk.place());
-            finish_job(&runner, &chunk).await;
+    match commit_with_retry(&runner, &chunk, &object).await {
+        CommitOutcome::Written => {
+            runner.metrics.count_chunk("committed");
+            runner.remove_chunk(&chunk.chunk_id());
+            complete_job(&runner, &chunk).await;
             remove_partial(&runner, &chunk).await;
         }
-        Committed::Fenced => {
-            runner.metrics.chunk("fenced");
+        CommitOutcome::Fenced => {
+            runner.metrics.count_chunk("fenced");
             let outcome = format!("the result of chunk {} was dropped", chunk.index);
-            runner.decide(
+            runner.record_decision(
                 DecisionKind::Fenced,
                 chunk.job.as_str(),
                 "old epoch",
                 outcome,
             );
-            give_up(&runner, &chunk, StopReason::Fenced, &object).await;
+            discard_result(&runner, &chunk, StopReason::Fenced, &object).await;
         }
-        Committed::Cancelled => {
-            runner.metrics.chunk("cancelled");
-            give_up(&runner, &chunk, StopReason::Cancelled, &object).await;
+        CommitOutcome::Cancelled => {
+            runner.metrics.count_chunk("cancelled");
+            discard_result(&runner, &chunk, StopReason::Cancelled, &object).await;
         }
     }
 }
 
-/// Removes what an earlier holder had left, now that the whole is committed.
+/// Deletes the partial result of an earlier holder, which the commit has made obsolete.
 async fn remove_partial(runner: &Runner, chunk: &HeldChunk) {
     let partial = chunk.row.borrow().row.partial_object.clone();
     if !partial.is_empty() {
@@ -65,36 +66,36 @@
 
 async fn remove_object(runner: &Runner, object: &str) {
     if let Err(error) = runner.platform.objects.delete(object).await {
-        tracing::debug!(%error, object, "an unused object was not removed");
+        tracing::debug!(%error, object, "failed to delete an unused object");
     }
 }
 
-async fn give_up(runner: &Runner, chunk: &HeldChunk, reason: StopReason, object: &str) {
+async fn discard_result(runner: &Runner, chunk: &HeldChunk, reason: StopReason, object: &str) {
     chunk.stop(reason);
-    runner.forget(&chunk.place());
+    runner.remove_chunk(&chunk.chunk_id());
     remove_object(runner, object).await;
 }
 
-async fn commit_until_known(runner: &Runner, chunk: &HeldChunk, object: &str) -> Committed {
+async fn commit_with_retry(runner: &Runner, chunk: &HeldChunk, object: &str) -> CommitOutcome {
     loop {
         match commit_once(runner, chunk, object).await {
             Ok(Some(committed)) => return committed,
             Ok(None) => {}
             Err(error) => {
-                tracing::debug!(%error, job = %chunk.job, "a result waits for the store");
-                wait_jittered(STORE_WAIT_MS).await;
+                tracing::debug!(%error, job = %chunk.job, "failed to commit a chunk; retrying");
+                sleep_jittered(STORE_RETRY_MS).await;
             }
         }
     }
 }
 
-/// One attempt. `None` when a row changed in between.
+/// Makes one attempt to commit. Returns `None` if a row changed concurrently.
 async fn commit_once(
     runner: &Runner,
     chunk: &HeldChunk,
     object: &str,
-) -> Result<Option<Committed>, StoreError> {
-    let (output, errors) = halves(chunk);
+) -> Result<Option<CommitOutcome>, StoreError> {
+    let (output, errors) = split_lines(chunk);
     let sizes = (output.len() as u64, errors.len() as u64);
     create_object(runner, object, [output, errors].concat()).await?;
     let tables = &*runner.platform.tables;
@@ -103,14 +104,14 @@
     let read = store::read_row::<ChunkRow>(tables, &chunk_key).await?;
     let job = store::read_row::<JobRow>(tables, &job_key).await?;
     let (Some(read), Some(job)) = (read, job) else {
-        return Ok(Some(Committed::Cancelled));
+        return Ok(Some(CommitOutcome::Cancelled));
     };
     let result = result_of(chunk, object);
     let mut row = match chunks::commit(&read.row, &job.row, chunk.epoch, &result) {
         CommitDecision::Write(row) => row,
-        CommitDecision::AlreadyCommitted => return Ok(Some(Committed::Yes)),
-        CommitDecision::Fenced => return Ok(Some(Committed::Fenced)),
-        CommitDecision::Cancelled => return Ok(Some(Committed::Cancelled)),
+        CommitDecision::AlreadyCommitted => return Ok(Some(CommitOutcome::Written)),
+        CommitDecision::Fenced => return Ok(Some(CommitOutcome::Fenced)),
+        CommitDecision::Cancelled => return Ok(Some(CommitOutcome::Cancelled)),
     };
     (row.output_bytes, row.error_bytes) = sizes;
     let held = keys::held_chunk(&row.holder, &chunk.job, row.index);
@@ -119,12 +120,12 @@
         .expect(job_key, Expect::Revision(job.revision))
         .put(chunk_key.as_str(), row.encode_to_vec())
         .delete(held);
-    let applied = store::apply(tables, &transaction, &chunk_key, |value| {
+    let applied = store::transact_resolved(tables, &transaction, &chunk_key, |value| {
         is_result(value, object)
     });
     Ok(match applied.await? {
-        Applied::Yes { .. } => Some(Committed::Yes),
-        Applied::Conflict => None,
+        WriteOutcome::Written { .. } => Some(CommitOutcome::Written),
+        WriteOutcome::Conflict => None,
     })
 }
 
@@ -133,14 +134,14 @@
         .is_ok_and(|row| row.phase() == ChunkPhase::ChunkDone && row.result_object == object)
 }
 
-/// Output lines and error lines.
-fn halves(chunk: &HeldChunk) -> (Vec<u8>, Vec<u8>) {
+/// Returns the output lines and the error lines of a chunk.
+fn split_lines(chunk: &HeldChunk) -> (Vec<u8>, Vec<u8>) {
     let lines = chunk.lines.borrow();
-    let of = |failed: bool| -> Vec<u8> {
+    let collect_lines = |failed: bool| -> Vec<u8> {
         let chosen = lines.iter().flatten().filter(|line| line.failed == failed);
         chosen.flat_map(|line| line.bytes.iter().copied()).collect()
     };
-    (of(false), of(true))
+    (collect_lines(false), collect_lines(true))
 }
 
 fn result_of(chunk: &HeldChunk, object: &str) -> ChunkResult {
@@ -155,7 +156,8 @@
     }
 }
 
-/// Creates an object whose name belongs to this holder's epoch alone: one that exists is its own.
+/// Creates an object whose name is unique to this epoch. An existing object was written by an
+/// earlier attempt and counts as success.
 async fn create_object(runner: &Runner, name: &str, bytes: Vec<u8>) -> Result<(), StoreError> {
     match runner.platform.objects.create(name, bytes.into()).await {
         Ok(()) | Err(StoreError::Conflict { .. }) => Ok(()),
@@ -163,18 +165,18 @@
     }
 }
 
-/// Completes the job when this was its last chunk. A failure here is mended by the janitor.
-async fn finish_job(runner: &Runner, chunk: &HeldChunk) {
+/// Completes the job if this was its last chunk. The cleanup task retries after a failure.
+async fn complete_job(runner: &Runner, chunk: &HeldChunk) {
     let job = chunk.job.as_str();
-    let mut front = Progress::default();
+    let mut leading = Progress::default();
     let now = runner.now_unix_s();
-    let finished = finish_when_done(&runner.platform, &chunk.tenant, job, &mut front, now).await;
+    let finished = complete_if_done(&runner.platform, &chunk.tenant, job, &mut leading, now).await;
     match finished {
-        Ok(End::Finished) => {
+        Ok(CompletionCheck::Finished) => {
             let cause = "all chunks are committed";
-            runner.decide(DecisionKind::JobChanged, job, cause, "completed".to_owned());
+            runner.record_decision(DecisionKind::JobChanged, job, cause, "completed".to_owned());
         }
-        Ok(End::Running(_)) => {}
-        Err(error) => tracing::debug!(%error, job, "the end of a job was not looked for"),
+        Ok(CompletionCheck::Running(_)) => {}
+        Err(error) => tracing::debug!(%error, job, "failed to check a job for completion"),
     }
 }
--- a/crates/batch/src/runner/feed.rs
+++ b/crates/batch/src/runner/feed.rs
@@ -1,5 +1,5 @@
-//! Mirror of the jobs that are not finished, kept by the change feed of their rows. New jobs,
-//! cancels and ends reach every node this way; gossip carries cancels besides.
+//! Mirror of the active jobs, kept current by the change feed of their rows. New jobs,
+//! cancellations and completions reach every node this way; gossip also carries cancellations.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -14,19 +14,18 @@
 use super::Runner;
 use super::state::ActiveJob;
 use super::work::StopReason;
-use crate::store::wait_jittered;
+use crate::store::sleep_jittered;
 
-/// Rows read at once.
+/// Rows per read.
 const PAGE: usize = 512;
-/// Longest wait of the feed for a change while this node holds work, milliseconds: bounds how long
-/// a cancel can go unseen.
+/// Maximum wait of a feed read for changes while this node holds chunks, milliseconds.
 const BUSY_WAIT_MS: u32 = 1_000;
-/// Longest wait while it holds none, milliseconds.
+/// Maximum wait of a feed read while this node holds no chunk, milliseconds.
 const IDLE_WAIT_MS: u32 = 10_000;
-/// Time between looks at the cancels that gossip brought, milliseconds.
-const GOSSIP_LOOK_MS: u64 = 100;
+/// Interval of checks for cancellations received by gossip, milliseconds.
+const GOSSIP_POLL_MS: u64 = 100;
 
-/// Follows feed and gossip for ever.
+/// Follows the feed and gossip; never returns.
 pub async fn run(runner: Rc<Runner>) {
     tokio::join!(follow_feed(&runner), follow_gossip(&runner));
 }
@@ -41,16 +40,16 @@
         match step {
             Ok(next) => position = next,
             Err(error) => {
-                tracing::debug!(%error, "the feed of active jobs was not read");
+                tracing::debug!(%error, "failed to read the feed of active jobs");
                 runner.state.borrow_mut().feed_failed_at = runner.tables.clock.now();
-                wait_jittered(runner.settings.poll_interval_ms).await;
+                sleep_jittered(runner.settings.poll_interval_ms).await;
             }
         }
     }
 }
 
-/// Reads all rows. The feed goes on from a revision that was asked for before, so that no change in
-/// between is missed.
+/// Reads all rows and returns the revision at which the feed continues. The revision is read before
+/// the rows so that no change is missed.
 async fn read_all(runner: &Runner) -> Result<Option<u64>, StoreError> {
     let tables = &runner.platform.tables;
     let asked_at = runner.tables.clock.now();
@@ -68,15 +67,15 @@
             break;
         }
     }
-    forget_others(runner, &seen);
+    retain_jobs(runner, &seen);
     for active in seen {
-        put(runner, active);
+        apply_row(runner, active);
     }
-    mark_read(runner, asked_at);
+    record_read(runner, asked_at);
     Ok(Some(start.up_to))
 }
 
-fn forget_others(runner: &Runner, seen: &[ActiveJobRow]) {
+fn retain_jobs(runner: &Runner, seen: &[ActiveJobRow]) {
     let ids = seen.iter().map(|active| active.job_id.as_str());
     let ids: BTreeSet<&str> = ids.collect();
     let mut state = runner.state.borrow_mut();
@@ -94,19 +93,19 @@
     }
     for (key, _, value) in changes.rows {
         match value.map(ActiveJobRow::decode) {
-            Some(Ok(active)) => put(runner, active),
+            Some(Ok(active)) => apply_row(runner, active),
             Some(Err(_)) => {}
-            None => remove(runner, key.trim_start_matches(ACTIVE_JOB_PREFIX)),
+            None => remove_job(runner, key.trim_start_matches(ACTIVE_JOB_PREFIX)),
         }
     }
-    mark_read(runner, asked_at);
+    record_read(runner, asked_at);
     Ok(Some(changes.up_to.max(after)))
 }
 
-/// How long the feed may wait for a change. After a pause of this node it must not wait.
+/// Maximum wait of the next feed read; 0 after a suspension, so that the feed is read at once.
 fn feed_wait_ms(runner: &Runner) -> u32 {
     let state = runner.state.borrow();
-    if state.is_behind() {
+    if state.is_feed_stale() {
         0
     } else if state.held.is_empty() {
         IDLE_WAIT_MS
@@ -115,9 +114,9 @@
     }
 }
 
-fn put(runner: &Runner, row: ActiveJobRow) {
+fn apply_row(runner: &Runner, row: ActiveJobRow) {
     if row.cancelled {
-        cancel(runner, &row.job_id);
+        cancel_job(runner, &row.job_id);
     }
     if row.chunks == 0 {
         runner.split_wake.notify_one();
@@ -131,21 +130,21 @@
     runner.claim_wake.notify_one();
 }
 
-fn remove(runner: &Runner, job: &str) {
+fn remove_job(runner: &Runner, job: &str) {
     let mut state = runner.state.borrow_mut();
     state.jobs.remove(job);
     state.inputs.remove(job);
 }
 
-/// The feed was read by a call that was sent at a time: what changed before it is known.
-fn mark_read(runner: &Runner, asked_at: Millis) {
+/// Records that all changes before `asked_at` have been read.
+fn record_read(runner: &Runner, asked_at: Millis) {
     runner.state.borrow_mut().feed_read_at = asked_at;
     runner.dispatch_wake.notify_one();
 }
 
 async fn follow_gossip(runner: &Runner) {
     loop {
-        tokio::time::sleep(Duration::from_millis(GOSSIP_LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(GOSSIP_POLL_MS)).await;
         let held: BTreeSet<String> = {
             let state = runner.state.borrow();
             state.held.keys().map(|(job, _)| job.clone()).collect()
@@ -155,23 +154,23 @@
             held.into_iter().filter(|job| known.contains(job)).collect()
         };
         for job in cancelled {
-            cancel(runner, &job);
+            cancel_job(runner, &job);
         }
     }
 }
 
-/// Stops all that this node does for a job, and lets gossip carry the news.
-fn cancel(runner: &Runner, job: &str) {
+/// Stops all work of this node on a job and publishes the cancellation through gossip.
+fn cancel_job(runner: &Runner, job: &str) {
     runner.tables.cancelled_jobs.lock().insert(job.to_owned());
     let mut stopped = Vec::new();
-    for (place, chunk) in &runner.state.borrow().held {
-        if place.0 == job && !chunk.is_stopped() {
+    for (chunk_id, chunk) in &runner.state.borrow().held {
+        if chunk_id.0 == job && !chunk.is_stopped() {
             chunk.stop(StopReason::Cancelled);
-            stopped.push(place.clone());
+            stopped.push(chunk_id.clone());
         }
     }
-    for place in stopped {
-        runner.metrics.chunk("cancelled");
-        runner.forget(&place);
+    for chunk_id in stopped {
+        runner.metrics.count_chunk("cancelled");
+        runner.remove_chunk(&chunk_id);
     }
 }
--- a/crates/batch/src/runner/handback.rs
+++ b/crates/batch/src/runner/handback.rs
@@ -1,6 +1,6 @@
-//! Held chunks are given back, so that other nodes go on with them: all at a planned stop, and those
-//! of a service when all of its servers here are closed. What is finished of a chunk goes into an
-//! object that its next holder reads.
+//! Hands held chunks back so that other nodes can continue them: all of them on a graceful
+//! shutdown, and those of a service once all its servers on this node are closed to new work.
+//! Finished result lines are written to an object that the next holder reads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,44 +13,45 @@
 use prost::Message;
 
 use super::Runner;
-use super::work::{HeldChunk, ItemLine, StopReason};
-use crate::store::wait_jittered;
+use super::work::{HeldChunk, ResultLine, StopReason};
+use crate::store::sleep_jittered;
 
-/// Time between looks while commits end, milliseconds.
-const LOOK_MS: u64 = 20;
-/// Wait between attempts while the store does not answer, milliseconds.
-const STORE_WAIT_MS: u64 = 200;
+/// Interval of checks for finished chunks during a drain, milliseconds.
+const DRAIN_POLL_MS: u64 = 20;
+/// Wait between attempts after a store error, milliseconds, jittered.
+const STORE_RETRY_MS: u64 = 200;
 
-/// How long items that run are waited for, milliseconds; those that may repeat run again elsewhere
-/// when they take longer.
-const FINISH_MS: u64 = 3_000;
+/// Time that a drain waits for running items, milliseconds. Repeatable items that take longer run
+/// again on another node.
+const DRAIN_WAIT_MS: u64 = 3_000;
 
-/// Time between looks for services without an open server, milliseconds.
-const WATCH_MS: u64 = 250;
+/// Interval of checks for services without an open server, milliseconds.
+const CLOSED_POLL_MS: u64 = 250;
 
-/// Time for which all servers of a service must have been closed, milliseconds.
-const CLOSED_MS: u64 = 1_000;
+/// Time that all servers of a service must be closed before its chunks are handed back,
+/// milliseconds.
+const CLOSED_GRACE_MS: u64 = 1_000;
 
-/// Gives back the chunks of services of which this node has had no open server for a time, for ever.
+/// Hands back the chunks of services without an open server on this node; never returns.
 pub async fn watch(runner: Rc<Runner>) {
     let mut closed_since: BTreeMap<String, Millis> = BTreeMap::new();
     loop {
-        tokio::time::sleep(Duration::from_millis(WATCH_MS)).await;
+        tokio::time::sleep(Duration::from_millis(CLOSED_POLL_MS)).await;
         let now = runner.tables.clock.now();
         let held: Vec<Rc<HeldChunk>> = runner.state.borrow().held.values().cloned().collect();
         let open = open_services(&runner);
         closed_since.retain(|service, _| !open.contains(service));
         for chunk in held.iter().filter(|chunk| !open.contains(&chunk.service)) {
             let since = *closed_since.entry(chunk.service.clone()).or_insert(now);
-            let running = runner.state.borrow().runs(chunk);
-            if now.since(since) >= CLOSED_MS && may_hand_back(chunk) && !running {
+            let running = runner.state.borrow().is_running(chunk);
+            if now.since(since) >= CLOSED_GRACE_MS && may_hand_back(chunk) && !running {
                 hand_back(&runner, chunk).await;
             }
         }
     }
 }
 
-/// Services of which a server here may be sent batch work.
+/// Services with a server on this node that takes new batch work.
 fn open_services(runner: &Runner) -> BTreeSet<String> {
     let configuration = runner.tables.configuration.current();
     runner.tables.servers.read(|servers| {
@@ -62,27 +63,26 @@
     })
 }
 
-/// Gives back all chunks. No item is started any more; chunks whose items are all settled are
-/// committed instead.
+/// Hands back all chunks. Chunks whose items all have a result are committed instead.
 pub async fn run(runner: &Rc<Runner>) {
-    let begun = runner.tables.clock.now();
+    let started_at = runner.tables.clock.now();
     loop {
-        let waited = runner.tables.clock.now().since(begun) > FINISH_MS;
+        let wait_over = runner.tables.clock.now().since(started_at) > DRAIN_WAIT_MS;
         let held: Vec<Rc<HeldChunk>> = runner.state.borrow().held.values().cloned().collect();
         if held.is_empty() && runner.state.borrow().claiming.is_empty() {
             return;
         }
         for chunk in held {
-            let running = runner.state.borrow().runs(&chunk);
-            if may_hand_back(&chunk) && (!running || waited && !chunk.once) {
+            let running = runner.state.borrow().is_running(&chunk);
+            if may_hand_back(&chunk) && (!running || wait_over && !chunk.at_most_once) {
                 hand_back(runner, &chunk).await;
             }
         }
-        tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(DRAIN_POLL_MS)).await;
     }
 }
 
-/// A chunk that is being committed is left to its commit.
+/// Whether a chunk may be handed back; one that is being committed may not.
 fn may_hand_back(chunk: &HeldChunk) -> bool {
     chunk.remaining.get() > 0 && !chunk.is_stopped()
 }
@@ -91,11 +91,11 @@
     chunk.stop(StopReason::HandedBack);
     runner.dispatch_wake.notify_one();
     while let Err(error) = reopen(runner, chunk).await {
-        tracing::debug!(%error, job = %chunk.job, "a chunk waits to be handed back");
-        wait_jittered(STORE_WAIT_MS).await;
+        tracing::debug!(%error, job = %chunk.job, "failed to hand back a chunk; retrying");
+        sleep_jittered(STORE_RETRY_MS).await;
     }
-    runner.metrics.chunk("handed_back");
-    runner.forget(&chunk.place());
+    runner.metrics.count_chunk("handed_back");
+    runner.remove_chunk(&chunk.chunk_id());
 }
 
 async fn reopen(runner: &Runner, chunk: &HeldChunk) -> Result<(), StoreError> {
@@ -105,7 +105,8 @@
     Ok(())
 }
 
-/// Writes what is finished; `None` when nothing is. The object's name belongs to this epoch alone.
+/// Writes the finished result lines to an object and returns its name; `None` if there are none.
+/// The name is unique to this epoch, so an existing object was written by an earlier attempt.
 async fn write_partial(runner: &Runner, chunk: &HeldChunk) -> Result<Option<String>, StoreError> {
     let result = PartialResult {
         lines: finished_lines(&chunk.lines.borrow()),
@@ -121,7 +122,7 @@
     }
 }
 
-fn finished_lines(lines: &[Option<ItemLine>]) -> Vec<PartialLine> {
+fn finished_lines(lines: &[Option<ResultLine>]) -> Vec<PartialLine> {
     let numbered = lines.iter().enumerate();
     let finished = numbered.filter_map(|(index, line)| {
         line.as_ref().map(|line| PartialLine {
--- a/crates/batch/src/runner/load.rs
+++ b/crates/batch/src/runner/load.rs
@@ -1,4 +1,4 @@
-//! Loading of a claimed chunk: its lines are read and its items queued.
+//! Loads claimed chunks: reads their input lines and queues their items.
 
 use std::rc::Rc;
 
@@ -10,38 +10,38 @@
 use prost::Message;
 
 use super::state::JobInput;
-use super::work::{HeldChunk, ItemLine};
+use super::work::{HeldChunk, ResultLine};
 use super::{Runner, commit};
-use crate::input::{Item, PartIndex, parse};
-use crate::store::{self, Versioned, wait_jittered};
+use crate::input::{Item, PartIndex, parse_item};
+use crate::store::{self, Versioned, sleep_jittered};
 
-/// Largest object with finished lines, bytes.
-const LARGEST_PARTIAL_BYTES: u64 = 1 << 32;
+/// Maximum size of a partial result that is read, bytes.
+const MAXIMUM_PARTIAL_BYTES: u64 = 1 << 32;
 
-/// Loads a claimed chunk in a task of its own.
-pub fn begin(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
+/// Loads a claimed chunk in a new task.
+pub fn spawn_load(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
     let loader = runner.clone();
     runner.spawn(async move {
-        let place = (job.to_string(), row.row.index);
-        hold(&loader, job, row).await;
-        loader.state.borrow_mut().claiming.remove(&place);
+        let chunk_id = (job.to_string(), row.row.index);
+        load_and_queue(&loader, job, row).await;
+        loader.state.borrow_mut().claiming.remove(&chunk_id);
     });
 }
 
-/// Loads the input of a claimed chunk and queues its items. While the store does not answer it is
-/// tried again. A chunk whose job is cancelled or gone is dropped; the janitor removes its rows.
-async fn hold(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
+/// Loads the input of a claimed chunk and queues its items. Store errors are retried, except for
+/// invalid data. A chunk whose job is cancelled or missing is dropped.
+async fn load_and_queue(runner: &Rc<Runner>, job: JobId, row: Versioned<ChunkRow>) {
     let loaded = loop {
         match load(runner, &job, &row.row).await {
             Ok(Some(loaded)) => break loaded,
             Ok(None) => return,
             Err(error @ StoreError::Invalid { .. }) => {
-                tracing::warn!(%error, %job, "a chunk was not loaded");
+                tracing::warn!(%error, %job, "dropped a chunk with invalid input");
                 return;
             }
             Err(error) => {
-                tracing::debug!(%error, %job, "the input of a chunk was not read");
-                wait_jittered(runner.settings.poll_interval_ms).await;
+                tracing::debug!(%error, %job, "failed to read the input of a chunk; retrying");
+                sleep_jittered(runner.settings.poll_interval_ms).await;
             }
         }
     };
@@ -50,33 +50,37 @@
     }
     let chunk = Rc::new(HeldChunk::new(job, row, loaded.items));
     for line in loaded.finished {
-        take_finished(&chunk, line);
+        restore_line(&chunk, line);
     }
-    queue(runner, &chunk);
+    queue_items(runner, &chunk);
 }
 
-/// Takes the line of an item that an earlier holder finished.
-fn take_finished(chunk: &HeldChunk, line: PartialLine) {
+/// Restores the result line of an item that an earlier holder finished.
+fn restore_line(chunk: &HeldChunk, line: PartialLine) {
     let mut lines = chunk.lines.borrow_mut();
     let Some(slot @ None) = lines.get_mut(line.index as usize) else {
         return;
     };
-    *slot = Some(ItemLine {
+    *slot = Some(ResultLine {
         bytes: line.line,
         failed: line.failed,
     });
     chunk.remaining.set(chunk.remaining.get() - 1);
 }
 
-/// What was read of a chunk.
-struct Loaded {
+/// Input of a chunk and the results of earlier holders.
+struct LoadedChunk {
     items: Vec<Item>,
-    /// Lines of items that an earlier holder finished.
+    /// Result lines of items that an earlier holder finished.
     finished: Vec<PartialLine>,
 }
 
-/// Reads a chunk's items; `None` when its job is cancelled or gone.
-async fn load(runner: &Runner, job: &JobId, row: &ChunkRow) -> Result<Option<Loaded>, StoreError> {
+/// Reads the items of a chunk; `None` if its job is cancelled or missing.
+async fn load(
+    runner: &Runner,
+    job: &JobId,
+    row: &ChunkRow,
+) -> Result<Option<LoadedChunk>, StoreError> {
     let Some(input) = job_input(runner, job, &row.tenant).await? else {
         return Ok(None);
     };
@@ -88,19 +92,22 @@
     let items: Vec<Item> = bytes
         .split(|byte| *byte == b'\n')
         .filter(|line| !line.iter().all(u8::is_ascii_whitespace))
-        .filter_map(|line| parse(line, endpoint).ok())
+        .filter_map(|line| parse_item(line, endpoint).ok())
         .collect();
     match items.len() == row.items as usize {
-        true => Ok(Some(Loaded {
+        true => Ok(Some(LoadedChunk {
             items,
             finished: load_partial(objects, row).await?,
         })),
-        false => Err(invalid("the input does not hold the chunk's items")),
+        false => Err(invalid(
+            "number of valid input lines differs from the chunk row",
+        )),
     }
 }
 
-/// Where the input of a job is, remembered while the job is active; `None` when the job is cancelled
-/// or gone. A cancel that comes later is seen by the feed and, at the latest, by the commit.
+/// Returns the location of a job's input, cached while the job is active; `None` if the job is
+/// cancelled or missing. Later cancellations are detected by the feed or, at the latest, the
+/// commit.
 async fn job_input(
     runner: &Runner,
     job: &JobId,
@@ -128,8 +135,9 @@
     Ok(Some(input))
 }
 
-/// Reads what an earlier holder finished. An object that is gone costs repeated work only, where
-/// items may repeat; where they may not, they are known to have been started.
+/// Reads the result lines of an earlier holder. If the object is missing or invalid, the items are
+/// treated as unfinished: repeatable ones run again, and the marks in the chunk row keep the others
+/// from a second run.
 async fn load_partial(
     objects: &dyn ObjectStore,
     row: &ChunkRow,
@@ -138,7 +146,7 @@
         return Ok(Vec::new());
     }
     let data = objects
-        .read(&row.partial_object, 0, LARGEST_PARTIAL_BYTES)
+        .read(&row.partial_object, 0, MAXIMUM_PARTIAL_BYTES)
         .await?;
     let result = data.and_then(|data| PartialResult::decode(data.bytes).ok());
     Ok(result.unwrap_or_default().lines)
@@ -150,8 +158,8 @@
     }
 }
 
-/// Queues the items of a chunk; those that may not be started settle at once.
-fn queue(runner: &Rc<Runner>, chunk: &Rc<HeldChunk>) {
+/// Queues the unfinished items of a chunk. Those that must not be started again fail at once.
+fn queue_items(runner: &Rc<Runner>, chunk: &Rc<HeldChunk>) {
     let row = chunk.row.borrow().row.clone();
     let open: Vec<u32> = {
         let lines = chunk.lines.borrow();
@@ -164,7 +172,7 @@
     let nothing_left = startable.is_empty() && unknown.is_empty();
     runner.state.borrow_mut().hold(chunk, startable.into_iter());
     for index in unknown {
-        runner.settle_unknown(chunk, index);
+        runner.record_unknown(chunk, index);
     }
     if nothing_left {
         runner.spawn(commit::run(runner.clone(), chunk.clone()));
--- a/crates/batch/src/runner/settle.rs
+++ b/crates/batch/src/runner/outcome.rs
@@ -1,16 +1,17 @@
-//! Settling of items: the result line of each is kept until its chunk is whole.
+//! Recording of item outcomes. Result lines are kept in memory until all items of the chunk have
+//! one.
 
 use std::rc::Rc;
 
 use dappleyard_wire::ErrorKind;
 
-use super::work::{HeldChunk, ItemLine};
+use super::work::{HeldChunk, ResultLine};
 use super::{Runner, commit};
-use crate::output::{ItemOutcome, line};
+use crate::output::{ItemOutcome, result_line};
 
 impl Runner {
-    /// Records how an item ended; the last one of a chunk starts its commit.
-    pub(super) fn settle(
+    /// Records the outcome of an item; the last outcome of a chunk starts the commit.
+    pub(super) fn record_outcome(
         self: &Rc<Self>,
         chunk: &Rc<HeldChunk>,
         index: u32,
@@ -22,8 +23,8 @@
         let item = &chunk.items[index as usize];
         let request = chunk.request_id(index);
         let failed = matches!(outcome, ItemOutcome::Failed { .. });
-        let written = ItemLine {
-            bytes: line(item, request.as_str(), self.now_unix_s(), outcome),
+        let written = ResultLine {
+            bytes: result_line(item, request.as_str(), self.now_unix_s(), outcome),
             failed,
         };
         let name = if failed { "failed" } else { "answered" };
@@ -37,13 +38,13 @@
         }
     }
 
-    /// Settles an item that must not repeat and may have run under an earlier epoch.
-    pub(super) fn settle_unknown(self: &Rc<Self>, chunk: &Rc<HeldChunk>, index: u32) {
+    /// Fails an item that must not be repeated and may have run already.
+    pub(super) fn record_unknown(self: &Rc<Self>, chunk: &Rc<HeldChunk>, index: u32) {
         let outcome = ItemOutcome::Failed {
             kind: ErrorKind::OutcomeUnknown,
             message: "the item may have run and its outcome is lost; it is not run again"
                 .to_owned(),
         };
-        self.settle(chunk, index, &outcome);
+        self.record_outcome(chunk, index, &outcome);
     }
 }
--- a/crates/batch/src/runner/split.rs
+++ b/crates/batch/src/runner/split.rs
@@ -1,8 +1,8 @@
-//! Cutting of accepted jobs into chunk rows.
+//! Splits accepted jobs into chunk rows.
 //!
-//! A split runs under an epoch in the job's split row. It reads the whole input once, checks every
-//! line and only then writes chunk rows, a few to a transaction, each of which moves the cursor of
-//! the split row. A node that takes the split over goes on at the cursor.
+//! A split is fenced by the epoch in the job's split row. It reads and validates the whole input
+//! before it writes chunk rows. Each transaction writes several chunk rows and advances the cursor
+//! in the split row; a node that takes over the split resumes at the cursor.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,25 +19,25 @@
 use prost::Message;
 
 use super::Runner;
-use crate::input::{Bounds, Checked, PartIndex, Span, check};
-use crate::store::{self, Applied, Versioned, wait_jittered};
+use crate::input::{CheckedInput, ChunkRange, InputLimits, PartIndex, check_input};
+use crate::store::{self, Versioned, WriteOutcome, sleep_jittered};
 
-/// Splits looked at in one reading.
+/// Split rows per read.
 const PAGE: usize = 16;
-/// Chunk rows written by one transaction.
+/// Chunk rows per transaction.
 const CHUNKS_PER_TRANSACTION: usize = 32;
-/// Time between looks for splits that nobody works on, milliseconds, for each live member.
+/// Interval of sweeps for unowned splits, milliseconds per known member.
 const SWEEP_MS_PER_MEMBER: u64 = 1_000;
 
-/// Splits accepted jobs for ever.
+/// Splits accepted jobs; never returns.
 pub async fn run(runner: Rc<Runner>) {
     loop {
         let members = runner.tables.members.all().len().max(1) as u64;
         let sweep = Duration::from_millis(SWEEP_MS_PER_MEMBER * members);
         let _ = tokio::time::timeout(sweep, runner.split_wake.notified()).await;
         if let Err(error) = split_all(&runner).await {
-            tracing::debug!(%error, "a split was not finished");
-            wait_jittered(runner.settings.poll_interval_ms).await;
+            tracing::debug!(%error, "failed to split accepted jobs");
+            sleep_jittered(runner.settings.poll_interval_ms).await;
             runner.split_wake.notify_one();
         }
     }
@@ -55,8 +55,8 @@
             if !runner.takes_new_work() {
                 return Ok(());
             }
-            if let Some(owned) = own(runner, read).await? {
-                split_one(runner, owned).await?;
+            if let Some(owned) = take_ownership(runner, read).await? {
+                split_input(runner, owned).await?;
             }
         }
         if !full {
@@ -65,15 +65,15 @@
     }
 }
 
-/// Raises the epoch of a split that nobody alive works on.
-async fn own(
+/// Takes ownership of a split, raising its epoch, unless another live node owns it.
+async fn take_ownership(
     runner: &Runner,
     read: Versioned<SplitRow>,
 ) -> Result<Option<Versioned<SplitRow>>, StoreError> {
     let claimant = runner.claimant();
-    let mine =
+    let is_holder =
         read.row.holder == claimant.node && read.row.holder_incarnation == claimant.incarnation;
-    if mine {
+    if is_holder {
         return Ok(Some(read));
     }
     let held = !read.row.holder.is_empty();
@@ -88,55 +88,55 @@
     let transaction = Transaction::default()
         .expect(key.as_str(), Expect::Revision(read.revision))
         .put(key.as_str(), row.encode_to_vec());
-    write(runner, &transaction, &key, row).await
+    write_split_row(runner, &transaction, &key, row).await
 }
 
-async fn write(
+async fn write_split_row(
     runner: &Runner,
     transaction: &Transaction,
     key: &str,
     row: SplitRow,
 ) -> Result<Option<Versioned<SplitRow>>, StoreError> {
-    let applied = store::apply(&*runner.platform.tables, transaction, key, |value| {
+    let applied = store::transact_resolved(&*runner.platform.tables, transaction, key, |value| {
         SplitRow::decode(value.clone()).is_ok_and(|written| written == row)
     });
     Ok(match applied.await? {
-        Applied::Yes { revision } => Some(Versioned { row, revision }),
-        Applied::Conflict => None,
+        WriteOutcome::Written { revision } => Some(Versioned { row, revision }),
+        WriteOutcome::Conflict => None,
     })
 }
 
-async fn split_one(runner: &Runner, split: Versioned<SplitRow>) -> Result<(), StoreError> {
+async fn split_input(runner: &Runner, split: Versioned<SplitRow>) -> Result<(), StoreError> {
     let job = JobId::from(&split.row.job_id);
     let key = keys::job(&split.row.tenant.as_str().into(), &job);
     let read = store::read_row::<JobRow>(&*runner.platform.tables, &key).await?;
-    let Some(read) = read.filter(|read| is_unsplit(&read.row)) else {
-        return drop_split(runner, &split).await;
+    let Some(read) = read.filter(|read| needs_split(&read.row)) else {
+        return delete_split(runner, &split).await;
     };
     let state = read.row.state.clone().unwrap_or_default();
     let objects = &*runner.platform.objects;
     let parts = PartIndex::list(objects, &state.tenant, &state.input_file_id).await?;
-    let bounds = bounds(runner, &state.endpoint, read.row.repeat());
-    let checked = check(objects, &parts, &bounds).await?;
+    let limits = limits(runner, &state.endpoint, read.row.repeat());
+    let checked = check_input(objects, &parts, &limits).await?;
     if !checked.errors.is_empty() {
-        return fail(runner, &split, read, checked.errors).await;
+        return fail_job(runner, &split, read, checked.errors).await;
     }
     if !is_approved(runner, &read.row, checked.items) {
-        return park(runner, &split, read, &checked).await;
+        return leave_planned(runner, &split, read, &checked).await;
     }
     let Some(split) = write_chunks(runner, split, &state, &read.row, &checked).await? else {
         return Ok(());
     };
-    begin(runner, &split, read, &checked).await
+    start_job(runner, &split, read, &checked).await
 }
 
-fn bounds(runner: &Runner, endpoint: &str, repeat: Repeat) -> Bounds {
+fn limits(runner: &Runner, endpoint: &str, repeat: Repeat) -> InputLimits {
     let settings = &runner.settings;
     let maximum = match repeat {
         Repeat::Never => settings.once_chunk_items.min(chunks::MAXIMUM_ONCE_ITEMS),
         Repeat::Allowed => settings.chunk_maximum_items,
     };
-    Bounds {
+    InputLimits {
         endpoint: endpoint.to_owned(),
         line_bytes: settings.maximum_line_bytes,
         items: settings.maximum_job_items,
@@ -152,10 +152,10 @@
     }
 }
 
-/// Inputs of chunks that fit into a node's memory together.
+/// Number of chunk inputs that must fit into the memory limit of a node.
 const CHUNKS_IN_MEMORY: usize = 8;
 
-fn is_unsplit(row: &JobRow) -> bool {
+fn needs_split(row: &JobRow) -> bool {
     let phase = row.state.as_ref().map(JobState::phase);
     !row.cancelled && phase == Some(JobPhase::JobValidating)
 }
@@ -172,13 +172,14 @@
     row.approved || items <= standing
 }
 
-/// Writes the chunk rows from the cursor on. `None` when another node took the split over.
+/// Writes the chunk rows from the cursor on. Returns `None` if another writer changed the split
+/// row.
 async fn write_chunks(
     runner: &Runner,
     mut split: Versioned<SplitRow>,
     state: &JobState,
     job: &JobRow,
-    checked: &Checked,
+    checked: &CheckedInput,
 ) -> Result<Option<Versioned<SplitRow>>, StoreError> {
     let id = JobId::from(&state.job_id);
     let key = keys::split_job(&id);
@@ -190,9 +191,9 @@
         let from = first + batch_index * CHUNKS_PER_TRANSACTION;
         let mut transaction =
             Transaction::default().expect(key.as_str(), Expect::Revision(split.revision));
-        for (offset, span) in batch.iter().enumerate() {
+        for (offset, chunk_range) in batch.iter().enumerate() {
             let index = u32::try_from(from + offset).unwrap_or(u32::MAX);
-            let row = chunk_row(state, job, &checked.service, index, span).encode_to_vec();
+            let row = chunk_row(state, job, &checked.service, index, chunk_range).encode_to_vec();
             transaction = transaction
                 .put(keys::chunk(&id, index), row.clone())
                 .put(keys::open_chunk(&id, index), row);
@@ -200,10 +201,10 @@
         let mut next = split.row.clone();
         next.next_chunk = u32::try_from(from + batch.len()).unwrap_or(u32::MAX);
         let last = batch.last().copied();
-        next.next_offset = last.map_or(0, |span| span.end);
-        next.next_item = last.map_or(0, |span| span.first_item + span.items);
+        next.next_offset = last.map_or(0, |chunk_range| chunk_range.end);
+        next.next_item = last.map_or(0, |chunk_range| chunk_range.first_item + chunk_range.items);
         transaction = transaction.put(key.as_str(), next.encode_to_vec());
-        match write(runner, &transaction, &key, next).await? {
+        match write_split_row(runner, &transaction, &key, next).await? {
             Some(written) => split = written,
             None => return Ok(None),
         }
@@ -211,15 +212,21 @@
     Ok(Some(split))
 }
 
-fn chunk_row(state: &JobState, job: &JobRow, service: &str, index: u32, span: &Span) -> ChunkRow {
+fn chunk_row(
+    state: &JobState,
+    job: &JobRow,
+    service: &str,
+    index: u32,
+    chunk_range: &ChunkRange,
+) -> ChunkRow {
     ChunkRow {
         job_id: state.job_id.clone(),
         tenant: state.tenant.clone(),
         index,
-        input_start: span.start,
-        input_end: span.end,
-        first_item: span.first_item,
-        items: span.items,
+        input_start: chunk_range.start,
+        input_end: chunk_range.end,
+        first_item: chunk_range.first_item,
+        items: chunk_range.items,
         repeat: job.repeat,
         service: service.to_owned(),
         deadline_unix_s: state.deadline_unix_s,
@@ -227,12 +234,12 @@
     }
 }
 
-/// All chunk rows are written: the job is in progress.
-async fn begin(
+/// Starts the job once all chunk rows are written.
+async fn start_job(
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
-    checked: &Checked,
+    checked: &CheckedInput,
 ) -> Result<(), StoreError> {
     let mut row = read.row;
     let mut state = row.state.take().unwrap_or_default();
@@ -254,8 +261,8 @@
     finish_split(runner, split, (row, read.revision), Some(active)).await
 }
 
-/// The input is wrong: the job fails with the errors found.
-async fn fail(
+/// Fails the job with the errors in its input.
+async fn fail_job(
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
@@ -270,16 +277,16 @@
     row.state = Some(state);
     finish_split(runner, split, (row, read.revision), None).await?;
     let cause = "the input file has errors";
-    runner.decide(DecisionKind::JobChanged, &job, cause, "failed".to_owned());
+    runner.record_decision(DecisionKind::JobChanged, &job, cause, "failed".to_owned());
     Ok(())
 }
 
-/// No approval covers the job: it waits for a confirmation.
-async fn park(
+/// Leaves the job in the planned phase until it is confirmed.
+async fn leave_planned(
     runner: &Runner,
     split: &Versioned<SplitRow>,
     read: Versioned<JobRow>,
-    checked: &Checked,
+    checked: &CheckedInput,
 ) -> Result<(), StoreError> {
     let mut row = read.row;
     let mut state = row.state.take().unwrap_or_default();
@@ -290,12 +297,12 @@
     row.state = Some(state);
     finish_split(runner, split, (row, read.revision), None).await?;
     let cause = "no standing approval covers its items";
-    runner.decide(DecisionKind::JobChanged, &job, cause, "planned".to_owned());
+    runner.record_decision(DecisionKind::JobChanged, &job, cause, "planned".to_owned());
     Ok(())
 }
 
-/// Writes the job's new row and removes the split row. Without an `active` row the job's feed row is
-/// removed too.
+/// Writes the new job row and deletes the split row. Writes the active-job row if `active` is given
+/// and deletes it otherwise.
 async fn finish_split(
     runner: &Runner,
     split: &Versioned<SplitRow>,
@@ -315,19 +322,19 @@
         Some(active) => transaction.put(active_key, active.encode_to_vec()),
         None => transaction.delete(active_key),
     };
-    store::apply(&*runner.platform.tables, &transaction, &key, |value| {
+    store::transact_resolved(&*runner.platform.tables, &transaction, &key, |value| {
         JobRow::decode(value.clone()).is_ok_and(|written| written == row)
     })
     .await?;
     Ok(())
 }
 
-/// Removes the split row of a job that needs no split any more.
-async fn drop_split(runner: &Runner, split: &Versioned<SplitRow>) -> Result<(), StoreError> {
+/// Deletes the split row of a job that no longer needs to be split.
+async fn delete_split(runner: &Runner, split: &Versioned<SplitRow>) -> Result<(), StoreError> {
     let key = keys::split_job(&split.row.job_id.as_str().into());
     let transaction = Transaction::default()
         .expect(key.as_str(), Expect::Revision(split.revision))
         .delete(key.as_str());
-    store::apply(&*runner.platform.tables, &transaction, &key, |_| false).await?;
+    store::transact_resolved(&*runner.platform.tables, &transaction, &key, |_| false).await?;
     Ok(())
 }
--- a/crates/batch/src/runner/takeover.rs
+++ b/crates/batch/src/runner/takeover.rs
@@ -1,8 +1,8 @@
-//! Opening of chunks whose holder is gone.
+//! Reopens chunks whose holder is gone.
 //!
-//! Each claimed chunk is listed under its holder. When membership says that a node is gone, the few
-//! nodes that the hash prefers look at its list, one after the other; a slow sweep over all lists
-//! catches what they miss. Opening raises the epoch, so a holder that was only paused is fenced.
+//! Each claimed chunk has a row under its holder. Every node sweeps these rows after a membership
+//! change, with a random delay, and periodically. Reopening a chunk raises its epoch, so that a
+//! holder that was only suspended is fenced.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,19 +18,18 @@
 use rand::Rng;
 
 use super::Runner;
-use crate::store::{self, Applied, Versioned};
+use crate::store::{self, Versioned, WriteOutcome};
 
-/// Rows read at once.
+/// Rows per read.
 const PAGE: usize = 256;
-/// Time between two sweeps, milliseconds, for each member: the store sees about one sweep of the
-/// fleet in this time.
+/// Interval of sweeps, milliseconds per member, so that the fleet sweeps about once in this time.
 const SWEEP_MS_PER_MEMBER: u64 = 3_000;
 
-/// Looks for chunks of nodes that are gone for ever.
+/// Reopens chunks of nodes that are gone; never returns.
 pub async fn run(runner: Rc<Runner>) {
     let mut members = runner.tables.members.subscribe();
     loop {
-        let sweep = runner.sweep_wait(SWEEP_MS_PER_MEMBER);
+        let sweep = runner.sweep_interval(SWEEP_MS_PER_MEMBER);
         tokio::select! {
             _ = members.changed() => {
                 let delay = jitter(runner.settings.takeover_delay_ms);
@@ -43,7 +42,7 @@
             continue;
         }
         if let Err(error) = sweep_held(&runner).await {
-            tracing::debug!(%error, "the lists of held chunks were not read");
+            tracing::debug!(%error, "failed to sweep the held chunks");
         }
     }
 }
@@ -61,7 +60,7 @@
         let full = rows.len() == PAGE;
         for row in rows {
             let held = store::decode::<EpochRow>(&row.key, &row.value, row.revision)?;
-            look_at(runner, &row.key, &held).await?;
+            check_held(runner, &row.key, &held).await?;
             after = row.key;
         }
         if !full {
@@ -70,27 +69,31 @@
     }
 }
 
-/// Opens a chunk whose holder is gone, or that is this node's without its knowing: a claim took
-/// effect after this node had given up waiting for its answer.
-async fn look_at(
+/// Reopens a chunk if its holder is gone, or if it is listed under this node without being known
+/// here: the claim took effect after this node stopped waiting for the response.
+async fn check_held(
     runner: &Runner,
     held_key: &str,
     held: &Versioned<EpochRow>,
 ) -> Result<(), StoreError> {
-    let Some((job, index)) = place(held_key, &held.row.holder) else {
+    let Some((job, index)) = parse_held_key(held_key, &held.row.holder) else {
         return Ok(());
     };
     let claimant = runner.claimant();
     let (holder, incarnation) = (&held.row.holder, held.row.holder_incarnation);
-    let own = *holder == claimant.node && incarnation == claimant.incarnation;
-    let unknown = own && !runner.state.borrow().knows(&(job.to_string(), index));
-    if unknown || runner.is_gone(holder, incarnation) {
-        open_again(runner, held_key, held, &job, index).await?;
+    let is_own = *holder == claimant.node && incarnation == claimant.incarnation;
+    let untracked = is_own
+        && !runner
+            .state
+            .borrow()
+            .tracks_chunk(&(job.to_string(), index));
+    if untracked || runner.is_gone(holder, incarnation) {
+        reopen_held(runner, held_key, held, &job, index).await?;
     }
     Ok(())
 }
 
-async fn open_again(
+async fn reopen_held(
     runner: &Runner,
     held_key: &str,
     held: &Versioned<EpochRow>,
@@ -99,23 +102,23 @@
 ) -> Result<(), StoreError> {
     let key = keys::chunk(job, index);
     let Some(read) = store::read_row::<ChunkRow>(&*runner.platform.tables, &key).await? else {
-        return remove_list_entry(runner, held_key, held.revision).await;
+        return delete_held_row(runner, held_key, held.revision).await;
     };
     let stale = read.row.epoch != held.row.epoch || read.row.holder != held.row.holder;
     if stale || !is_live_job(runner, &read.row.tenant, job).await? {
-        return remove_list_entry(runner, held_key, held.revision).await;
+        return delete_held_row(runner, held_key, held.revision).await;
     }
     if !runner.reopen(job, read, true, None).await? {
         return Ok(());
     }
-    runner.metrics.chunk("taken_over");
+    runner.metrics.count_chunk("taken_over");
     let outcome = format!("chunk {index} was opened again");
     let cause = format!("node {} does not work on it any more", held.row.holder);
-    runner.decide(DecisionKind::TakenOver, job.as_str(), &cause, outcome);
+    runner.record_decision(DecisionKind::TakenOver, job.as_str(), &cause, outcome);
     Ok(())
 }
 
-fn place(held_key: &str, holder: &str) -> Option<(JobId, u32)> {
+fn parse_held_key(held_key: &str, holder: &str) -> Option<(JobId, u32)> {
     let path = held_key.strip_prefix(HELD_CHUNK_PREFIX)?;
     let (job, index) = path
         .strip_prefix(holder)?
@@ -130,18 +133,18 @@
     Ok(read.is_some_and(|read| !read.row.cancelled))
 }
 
-/// Removes an entry that its chunk row does not bear out, unless it was written anew meanwhile.
-async fn remove_list_entry(runner: &Runner, key: &str, revision: u64) -> Result<(), StoreError> {
+/// Deletes a held-chunk row that does not match its chunk row, unless it has been rewritten.
+async fn delete_held_row(runner: &Runner, key: &str, revision: u64) -> Result<(), StoreError> {
     let transaction = Transaction::default()
         .expect(key, Expect::Revision(revision))
         .delete(key);
-    store::apply(&*runner.platform.tables, &transaction, key, |_| false).await?;
+    store::transact_resolved(&*runner.platform.tables, &transaction, key, |_| false).await?;
     Ok(())
 }
 
 impl Runner {
-    /// Opens a claimed chunk of this node, or of one that is gone; `partial` is the object with what
-    /// is finished of it. Returns whether it did.
+    /// Reopens a claimed chunk of this node or of a node that is gone. `partial` is the object with
+    /// the finished result lines. Returns whether the chunk was reopened.
     pub(super) async fn reopen(
         &self,
         job: &JobId,
@@ -162,18 +165,19 @@
             .put(key.as_str(), row.encode_to_vec())
             .put(keys::open_chunk(job, row.index), row.encode_to_vec())
             .delete(keys::held_chunk(&holder, job, row.index));
-        let applied = store::apply(&*self.platform.tables, &transaction, &key, |value| {
-            ChunkRow::decode(value.clone()).is_ok_and(|written| written == row)
-        });
-        let opened = matches!(applied.await?, Applied::Yes { .. });
+        let applied =
+            store::transact_resolved(&*self.platform.tables, &transaction, &key, |value| {
+                ChunkRow::decode(value.clone()).is_ok_and(|written| written == row)
+            });
+        let opened = matches!(applied.await?, WriteOutcome::Written { .. });
         if opened && let Some(job) = self.state.borrow_mut().jobs.get_mut(job.as_str()) {
             job.exhausted_until = dappleyard_decide::time::Millis(0);
         }
         Ok(opened)
     }
 
-    /// Time until a sweep that all members share, milliseconds for each member, jittered.
-    pub(super) fn sweep_wait(&self, milliseconds_per_member: u64) -> Duration {
+    /// Jittered wait between sweeps that scales with the number of members.
+    pub(super) fn sweep_interval(&self, milliseconds_per_member: u64) -> Duration {
         let members = self.tables.members.all().len().max(1) as u64;
         jitter(milliseconds_per_member * members)
     }
