--- a/crates/engine/src/client/lines.rs
+++ b/crates/engine/src/client/lines.rs
@@ -1,17 +1,16 @@
-//! Cuts a chunked body into lines.
+//! Splits a chunked response body into lines.
 
 use bytes::{Buf, Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// Longest line, bytes.
+/// Maximum number of buffered bytes, and thus the maximum length of a line.
 const MAXIMUM_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A line is longer than any that an engine sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("a line of the answer is longer than {MAXIMUM_LINE_BYTES} bytes")]
 pub(super) struct LineTooLong;
 
-/// Bytes received and not yet given out as lines.
+/// Received bytes that have not yet been returned as lines.
 #[derive(Debug, Default)]
 pub(super) struct Lines {
     buffer: BytesMut,
@@ -19,7 +18,6 @@
 }
 
 impl Lines {
-    /// Adds received bytes.
     pub(super) fn push(&mut self, bytes: &[u8]) -> Result<(), LineTooLong> {
         if self.buffer.len() + bytes.len() > MAXIMUM_LINE_BYTES {
             return Err(LineTooLong);
@@ -28,7 +26,7 @@
         Ok(())
     }
 
-    /// The next whole line that is not blank. Blank lines keep a silent connection open.
+    /// Returns the next complete line, skipping blank lines, which engines send as keep-alives.
     pub(super) fn next_line(&mut self) -> Option<Bytes> {
         loop {
             let unsearched = &self.buffer[self.searched..];
--- a/crates/engine/src/client/mod.rs
+++ b/crates/engine/src/client/mod.rs
@@ -17,24 +17,24 @@
 };
 use lines::Lines;
 
-/// Largest body of a unary answer, bytes.
+/// Maximum body size of a unary response, bytes.
 const MAXIMUM_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Characters of an engine's refusal that are kept.
+/// Maximum length of a refusal reason; longer ones are truncated.
 const MAXIMUM_REASON_CHARACTERS: usize = 300;
 
-/// Statuses by which an engine says that nothing ran. Any other failure, a redirect included, says
-/// nothing about what ran.
+/// Statuses that guarantee that the call did not run. After any other failure status, including
+/// redirects, it may have run.
 const REFUSALS: [u16; 9] = [400, 404, 405, 409, 413, 422, 429, 501, 503];
 
-/// [`Engine`] over HTTP/1.1 by `awc`. One for each worker thread; connections are kept and reused.
+/// [`Engine`] over HTTP/1.1 with `awc`. Each worker thread has its own client and connection pool.
 pub struct HttpEngine {
     client: Client,
     idle_timeout: Duration,
 }
 
 impl HttpEngine {
-    /// A client that gives up on a connection after `connect_timeout`, and on an engine that says
-    /// nothing for `idle_timeout`.
+    /// `connect_timeout` limits connection setup, `idle_timeout` the wait for a response or for the next
+    /// bytes of an event stream.
     pub fn new(connect_timeout: Duration, idle_timeout: Duration) -> HttpEngine {
         let connector = Connector::new().timeout(connect_timeout).limit(0);
         let client = Client::builder()
@@ -64,7 +64,7 @@
         self.read(response).await
     }
 
-    /// Reads the whole answer to a unary call.
+    /// Reads the response to a unary call.
     async fn read<S, T>(&self, mut response: awc::ClientResponse<S>) -> Result<T, EngineError>
     where
         S: futures::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>>,
@@ -75,7 +75,7 @@
         }
         let body = response.body().limit(MAXIMUM_ANSWER_BYTES);
         let bytes = self.in_time(body).await?.map_err(lost)?;
-        // An answer without a body says as much as `null`.
+        // An empty body is read as `null`, the JSON form of `()`.
         let json = if bytes.is_empty() {
             b"null"
         } else {
@@ -153,8 +153,8 @@
     }
 }
 
-/// Events of a chunked answer. Ends after [`EngineEvent::Finished`]; an answer that ends earlier,
-/// or falls silent, gives one error.
+/// Events of a chunked response. The stream ends after [`EngineEvent::Finished`] or after an error, such
+/// as a premature end of the response or an idle timeout.
 fn events<S>(
     response: awc::ClientResponse<S>,
     idle_timeout: Duration,
@@ -225,7 +225,7 @@
 
 fn send_error(error: SendRequestError) -> EngineError {
     match error {
-        // This is what `awc` says when a connection breaks after the call was sent on it.
+        // `awc` reports a connection that breaks after the request was sent as `Disconnected`.
         SendRequestError::Connect(ConnectError::Disconnected) => lost(error),
         SendRequestError::Connect(cause) => EngineError::Unreachable {
             reason: cause.to_string(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
-//! Port and HTTP client of the model engines.
+//! Interface and HTTP client of the model engines.
 //!
-//! [`Engine`] is what the node depends on. `client` implements it with `awc` against the HTTP
-//! interface of the engines: newline-delimited JSON events in a chunked answer.
+//! The node depends only on the [`Engine`] trait. `client` implements it with `awc` over HTTP, where
+//! events are newline-delimited JSON in a chunked response.
 
 pub mod client;
 pub mod port;
--- a/crates/online/benches/relay.rs
+++ b/crates/online/benches/relay.rs
@@ -1,6 +1,6 @@
-//! Processor time of the online path of one node, from a submission to its last frame: admission, both
-//! placements, dispatch and relay of 120 tokens, with engines that answer at once. What remains of a
-//! request is the links and the engine's HTTP.
+//! CPU time of the online path on one node, from submission to the last frame: admission, placement at
+//! the ingress and owner stages, dispatch and relay of 120 tokens. Engines answer immediately; links and
+//! engine HTTP are not included.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
--- a/crates/online/src/admit.rs
+++ b/crates/online/src/admit.rs
@@ -1,4 +1,5 @@
-//! The admission filter of the ingress stage: tenant limits, and refusals of what cannot be served.
+//! Admission control at the ingress stage: checks deadline, service limits, tenant limits and expected
+//! wait.
 
 use std::rc::Rc;
 
@@ -9,11 +10,11 @@
 use crate::shared::TenantSlot;
 use crate::worker::OnlineWorker;
 
-/// Advice when no server carries the service, milliseconds.
+/// Retry delay suggested when no server offers the service, milliseconds.
 const NO_SERVER_RETRY_AFTER_MS: u32 = 1_000;
 
-/// Admits a request, or says why not. A continued request is admitted already: it only holds its
-/// share of the tenant's concurrent tokens again.
+/// Admits or refuses a request. A resumed request is not checked against the expected wait again, and a
+/// repeated attempt does not count against the tenant's request rate; both reserve concurrent tokens.
 pub(crate) fn admit(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
@@ -55,7 +56,7 @@
     Ok(())
 }
 
-/// A service without a configuration row exists when servers are meant for it.
+/// A service without a configuration row exists if servers are assigned to it.
 fn check_unconfigured(worker: &OnlineWorker, service: &str) -> Result<(), Failure> {
     let has_owner = worker.view().shortest_wait_ms(service).is_some();
     let is_meant = || {
@@ -123,7 +124,7 @@
     check_wait(worker, incoming, wait_ms)
 }
 
-/// Refuses a request whose expected wait is too long for its deadline or for the queue bound.
+/// Refuses a request whose expected wait exceeds its deadline or the queue limit.
 pub(crate) fn check_wait(
     worker: &OnlineWorker,
     incoming: &Incoming,
--- a/crates/online/src/caller.rs
+++ b/crates/online/src/caller.rs
@@ -1,16 +1,16 @@
-//! The end of a stream towards whoever submitted the request.
+//! Connection to the submitter of a request.
 
 use dappleyard_transport::link::ServerStreamSender;
 use dappleyard_transport::{ServerStream, StreamReceiver};
 use dappleyard_wire::messages::frame;
 use tokio::sync::mpsc;
 
-/// How the submitter went away.
+/// How the submitter disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Gone {
-    /// It said that it does not want the answer any more.
+    /// It cancelled the request.
     Cancelled,
-    /// Its link was lost: it may come back through another node.
+    /// Its link was lost; it may resume through another node.
     LinkLost,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Caller {
-    /// The submitter behind a link.
+    /// A submitter connected by a link.
     pub fn from_stream(stream: ServerStream) -> Caller {
         Caller {
             sink: FrameSink::Link(stream.sender()),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends a frame. A lost link shows in [`Caller::gone`], so a failure to send is no error.
+    /// Sends a frame. Send errors are ignored, since [`Caller::disconnected`] reports a lost link.
     pub fn send(&self, body: frame::Body) {
         match &self.sink {
             FrameSink::Link(sender) => drop(sender.send(body)),
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Whether the submitter was seen to go away.
+    /// Whether [`Caller::disconnected`] has resolved.
     pub fn is_gone(&self) -> bool {
         self.gone.is_some()
     }
 
-    /// Resolves once, when the submitter goes away; afterwards never.
+    /// Resolves when the submitter cancels or its link is lost; never resolves again afterwards.
     pub async fn gone(&mut self) -> Gone {
         if self.gone.is_some() {
             return std::future::pending().await;
--- a/crates/online/src/dispatch.rs
+++ b/crates/online/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatch filter of the owner stage: chooses a server and makes the call to its engine.
+//! Server selection and engine calls at the owner stage.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,18 +21,17 @@
 use crate::reports;
 use crate::worker::OnlineWorker;
 
-/// A server to call.
+/// Server selected for a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Chosen {
-    /// The server.
     pub server: ServerId,
     /// Base URL of its engine.
     pub base_url: String,
-    /// Version that it is believed to carry; empty when not known.
+    /// Last known loaded version; empty if unknown.
     pub version: String,
 }
 
-/// Chooses among the owned servers that take new work.
+/// Selects one of the owned servers that accept new work.
 pub(crate) fn choose(
     worker: &OnlineWorker,
     incoming: &Incoming,
@@ -59,7 +58,7 @@
     Ok(chosen)
 }
 
-/// The best server and its expected wait, milliseconds.
+/// Returns the best server and its expected wait in milliseconds.
 fn best_of(
     servers: &[&OwnedServer],
     incoming: &Incoming,
@@ -90,7 +89,7 @@
     Some((chosen, candidates[best[0]].wait_ms))
 }
 
-/// Whether a drain names the server, its hall or its zone.
+/// Whether the server, its hall or its zone is being drained.
 pub(crate) fn is_draining(configuration: &Configuration, entry: &ServerEntry) -> bool {
     configuration.drains(entry)
 }
@@ -111,7 +110,7 @@
         || model.is_some_and(|model| model.adapters.iter().any(|loaded| loaded == adapter))
 }
 
-/// Whether the engine takes new work, asking it when its last word is too old.
+/// Whether the engine accepts new work. Requests its status if the last known state is too old.
 pub(crate) async fn still_accepts(worker: &OnlineWorker, chosen: &Chosen) -> bool {
     let now = worker.tables.clock.now();
     let bound = worker.settings.leaving_bound_ms;
@@ -141,7 +140,7 @@
     }
 }
 
-/// The call to the engine. A call that attaches never starts anything.
+/// Builds the engine call. A call that attaches to a stream never starts a new run.
 pub(crate) fn engine_call(
     incoming: &Incoming,
     attempt: u32,
@@ -174,7 +173,7 @@
     }
 }
 
-/// A sequence counted as in flight on a server; dropping it ends the count.
+/// Counts a sequence as in flight on a server until it is dropped.
 pub(crate) struct FlightGuard {
     tables: Arc<NodeTables>,
     server: ServerId,
@@ -182,7 +181,6 @@
 }
 
 impl FlightGuard {
-    /// Counts attempt `attempt` as sent to the server.
     pub fn begin(
         tables: &Arc<NodeTables>,
         server: &ServerId,
@@ -205,7 +203,7 @@
         }
     }
 
-    /// The first token came back.
+    /// Marks the sequence as started: its first token was received.
     pub fn started(&self) {
         self.tables
             .servers
--- a/crates/online/src/ingress/ask.rs
+++ b/crates/online/src/ingress/ask.rs
@@ -1,4 +1,4 @@
-//! One target: the request is sent, its frames are relayed, and its end is told.
+//! One attempt at one target: sends the request and relays its frames.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::place::Target;
 use crate::receive::EarlierRun;
 
-/// How one target answered.
+/// Result of an attempt at one target.
 pub(super) enum Tried {
     Finished(Finish),
     Refused(Failure),
-    /// The target was not reached: nothing was sent.
+    /// The request was not sent.
     NotSent(String),
     /// The target was lost after the request was sent.
     Lost,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Cancels at the owner. It may have dispatched without our knowing.
+    /// Cancels at the owner, which may already have dispatched the request.
     fn give_up(&mut self, link: &OwnerLink, reason: &str) {
         link.send(cancel(reason));
         self.ran = join_ran(self.ran, Ran::Maybe);
@@ -70,7 +70,7 @@
         Tried::Lost
     }
 
-    /// Takes one frame of an owner; `Some` when it was the last one.
+    /// Handles a frame of the owner; `Some` if the attempt has ended.
     fn absorb(&mut self, body: frame::Body) -> Option<Tried> {
         match body {
             frame::Body::Accepted(accepted) => {
@@ -122,8 +122,8 @@
         None
     }
 
-    /// An owner that refuses has no stream of this request any more; its fresh load goes into the
-    /// table for the next placement.
+    /// Handles a refusal. The owner no longer has a stream of this request; its current load is stored for
+    /// the next placement.
     fn absorb_refusal(&mut self, refused: Refused) -> Tried {
         let failure = Failure::from_refused(&refused);
         if let Some(load) = refused.load {
@@ -135,9 +135,9 @@
         Tried::Refused(failure)
     }
 
-    /// Whether the request goes on although its caller went away. One that must not be repeated runs
-    /// to its end, so that a resend gets the recorded answer; others wait a while for the caller to
-    /// come back through another node, unless it said that it will not.
+    /// Whether the request continues after its caller disconnected. An at-most-once request runs to its
+    /// end, so that a retry gets the recorded answer. Other requests continue for the grace period after a
+    /// lost link, in case the caller resumes through another node.
     fn keeps_on(&mut self, gone: Gone) -> bool {
         if self.incoming.never_repeats() {
             return true;
--- a/crates/online/src/ingress/mod.rs
+++ b/crates/online/src/ingress/mod.rs
@@ -1,4 +1,5 @@
-//! The ingress stage: admits a request, takes its record, asks owners in turn and relays the answer.
+//! The ingress stage: admits a request, reserves its idempotency key, tries owners in order and relays
+//! the answer.
 
 mod ask;
 mod targets;
@@ -20,19 +21,19 @@
 use crate::worker::OnlineWorker;
 use ask::Tried;
 
-/// Shortest advice when every node that was asked refused, milliseconds.
+/// Minimum retry delay suggested when no target is left, milliseconds.
 const EXHAUSTED_RETRY_AFTER_MS: u32 = 200;
 
-/// One submission at the ingress stage, or at a cell that was entered.
+/// One submission at the ingress stage, or at the entry node of another cell.
 pub(crate) struct IngressRun {
     worker: Rc<OnlineWorker>,
     caller: Caller,
     incoming: Incoming,
-    /// What is known of whether it ran, as far as the record leaves open.
+    /// Whether the request may have run. A newly reserved idempotency key resets it.
     ran: Ran,
-    /// Tokens of the answer so far.
+    /// Tokens received so far.
     pieces: Vec<String>,
-    /// Where it ran last.
+    /// Where the request ran last.
     earlier: EarlierRun,
     holder: Option<Holder>,
     submissions: u32,
@@ -40,13 +41,12 @@
     owners_asked: usize,
     spills: usize,
     tried: Vec<String>,
-    /// When a stream whose caller was lost is given up.
+    /// End of the grace period for a disconnected caller.
     detached_until: Option<Instant>,
     has_token: bool,
 }
 
 impl IngressRun {
-    /// A run that has not begun.
     pub fn new(worker: Rc<OnlineWorker>, incoming: Incoming, caller: Caller) -> IngressRun {
         IngressRun {
             worker,
@@ -98,7 +98,7 @@
         self.ask_until_done().await
     }
 
-    /// Asks targets in turn until one gives the whole answer or none is left.
+    /// Tries targets in order until one completes the answer or none is left.
     async fn ask_until_done(&mut self) -> Result<Finish, Failure> {
         let mut last = None;
         loop {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Says whether another target may be asked after a failure, and waits as long as it should.
+    /// Decides whether another target may be tried after a failure, and waits for the retry delay.
     async fn follow(&mut self, failure: &Failure) -> Result<(), Failure> {
         if !failure.kind.answer().retryable {
             return Err(failure.clone());
@@ -153,7 +153,7 @@
         Instant::now() >= self.incoming.deadline
     }
 
-    /// What to say when nobody is left to ask.
+    /// Failure reported when no target is left.
     fn exhausted(&self, last: Option<Failure>) -> Failure {
         if self.incoming.never_repeats() && self.ran != Ran::No {
             return settle::outcome_unknown();
@@ -177,7 +177,7 @@
         Failure::not_run(kind, last.message).retry_after(retry_after_ms)
     }
 
-    /// The recorded answer, from the caller's offset on.
+    /// Replays the recorded answer from the caller's offset.
     fn replay(&mut self, outcome: OnceOutcome) -> Finish {
         self.worker.shared.metrics.replayed.inc();
         let total_tokens = u32::try_from(outcome.pieces.len()).unwrap_or(u32::MAX);
@@ -231,7 +231,7 @@
     }
 }
 
-/// A cell that could not place the request: its sender goes on.
+/// Refusal of a cell that could not place the request. The sender tries another target.
 fn bounced(last: Option<Failure>) -> Failure {
     last.unwrap_or_else(|| {
         Failure::not_run(ErrorKind::Bounced, "no owner of this cell can take it")
--- a/crates/online/src/ingress/targets.rs
+++ b/crates/online/src/ingress/targets.rs
@@ -1,4 +1,4 @@
-//! Which node is asked next, and what it is sent.
+//! Selection of the next target and construction of its submission.
 
 use dappleyard_decide::retry::may_follow;
 use dappleyard_wire::ids::{NodeId, ServerId};
@@ -9,11 +9,11 @@
 use crate::receive::ATTEMPTS_A_STAGE;
 use crate::view;
 
-/// Entry nodes of other cells that are asked at most.
+/// Maximum number of entry nodes of other cells tried per submission.
 const MAXIMUM_SPILLS: usize = 3;
 
 impl IngressRun {
-    /// The node that can attach to a running stream, else the best that was not asked.
+    /// The node that can attach to the running stream, otherwise the best untried target.
     pub(super) fn next_target(&mut self) -> Option<Target> {
         if self.earlier.has_stream() {
             return Some(self.resume_target());
@@ -55,8 +55,8 @@
         placed.with_label_values(&[place]).inc();
     }
 
-    /// The owner of the server that holds the stream; this node itself when the owner is not usable
-    /// or was asked already, since any node may call any engine.
+    /// The owner of the stream's server. Falls back to this node if the owner is unusable or was already
+    /// tried, since any node may call any engine.
     fn resume_target(&mut self) -> Target {
         let placed = &self.worker.shared.metrics.placed;
         placed.with_label_values(&["resumed"]).inc();
--- a/crates/online/src/lib.rs
+++ b/crates/online/src/lib.rs
@@ -1,14 +1,14 @@
-//! The online path of a node: receive, admit, place, dispatch, relay, settle.
+//! Online request handling of a node: receive, admit, place, dispatch, relay, settle.
 //!
-//! A submission passes small filters, each a module. At the ingress node: [`receive`](mod@receive)
-//! checks it, `admit` applies tenant limits and refuses what cannot be served in time, `once` takes
-//! the record of a request that must not be repeated, `place` orders the owners, `ingress` hands the
-//! request to them in turn and relays the answer. At the owner node: `dispatch` chooses a server and
-//! calls its engine, `relay` turns the engine's events into frames, `owner` decides what follows a
-//! loss. `settle` closes the record and tells the truth about execution.
+//! At the ingress node, [`receive`](mod@receive) validates a submission, `admit` applies tenant limits
+//! and refuses requests that cannot meet their deadline, `idempotency` reserves the key of an
+//! at-most-once request, `place` ranks the owners, and `ingress` tries them in order and relays the
+//! answer. At the owner node, `dispatch` selects a server and calls its engine, `relay` converts engine
+//! events to frames, and `owner` decides whether to retry after a failure. `settle` builds the failures
+//! and recorded outcomes.
 //!
-//! Every stream has one final frame, `Finish` or `Refused`, and a `Refused` says what is known of
-//! whether anything ran.
+//! Every stream ends with exactly one final frame, `Finish` or `Refused`. `Refused` reports whether the
+//! request may have run.
 
 mod admit;
 mod caller;
--- a/crates/online/src/load.rs
+++ b/crates/online/src/load.rs
@@ -1,4 +1,4 @@
-//! Load summary of this node, from the live state of the servers that it owns.
+//! Load summary of this node, computed from the current state of its owned servers.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 
 use crate::dispatch;
 
-/// Step time assumed before anything was measured, milliseconds.
+/// Step time assumed for a server without measurements, milliseconds.
 const DEFAULT_STEP_MS: f64 = 4.0;
 
-/// Tokens of a request of usual size, for the expected wait in a summary.
+/// Size of a typical request, for the expected wait in a summary, tokens.
 const USUAL_TOKENS: u32 = 512;
 
-/// Load of this node at this moment.
+/// Current load of this node.
 pub fn summary(tables: &NodeTables) -> NodeLoad {
     let configuration = tables.configuration.current();
     let services = tables.servers.read(|servers| {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Service whose model the server has loaded, else the one it is meant for.
+/// Service of the loaded model, otherwise the service that the server is assigned to.
 pub(crate) fn service_of(state: &OwnedServer) -> &str {
     let loaded = state
         .report
@@ -49,7 +49,8 @@
     loaded.map_or(state.entry.service.as_str(), |model| &model.service)
 }
 
-/// Room of a server for one more online sequence: this owner's own count corrects the lagged report.
+/// Capacity of a server for another online sequence. Online sequences are counted by this owner, since
+/// the report lags.
 pub(crate) fn room(state: &OwnedServer) -> ServerRoom {
     let report = state.report.as_ref().map(|(report, _)| report);
     let unstarted = state.online.values().filter(|flight| !flight.started);
@@ -64,13 +65,13 @@
     }
 }
 
-/// KV tokens that a sequence in flight is expected to hold.
+/// Expected number of KV tokens held by a sequence in flight.
 fn held_tokens(flight: &InFlight) -> u32 {
     let output = flight.tokens.saturating_sub(flight.prefill_tokens);
     expected_tokens(flight.prefill_tokens, output)
 }
 
-/// Step time of a server as its online streams see it, else as it reports it, milliseconds.
+/// Step time measured on online streams, otherwise the reported one, milliseconds.
 pub(crate) fn step_ms(state: &OwnedServer) -> f64 {
     if state.online_step_ms > 0.0 {
         return state.online_step_ms;
--- a/crates/online/src/metrics.rs
+++ b/crates/online/src/metrics.rs
@@ -1,49 +1,47 @@
-//! Counters and histograms of the online path.
+//! Prometheus metrics of the online path.
 
 use dappleyard_wire::{ErrorKind, Failure, error::ran_name};
 use prometheus::{Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
-/// Bucket bounds of times, seconds.
+/// Bucket bounds of the duration histograms, seconds.
 const TIME_BUCKETS: &[f64] = &[
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0,
 ];
 
-/// Metrics of the online path of one node.
 pub(crate) struct OnlineMetrics {
     /// Submissions by stage.
     pub requests: IntCounterVec,
-    /// Refusals by kind and execution truth.
+    /// Refusals by kind and by whether the request ran.
     pub refused: IntCounterVec,
-    /// Placements by where the request went: home, other, cell, resumed.
+    /// Placements by target: `local`, `owner`, `cell` or `resumed`.
     pub placed: IntCounterVec,
-    /// Requests placed again, by cause.
+    /// Repeated placements by cause.
     pub placed_again: IntCounterVec,
-    /// Retries that the budget did not allow.
+    /// Retries refused by the retry budget.
     pub budget_refused: IntCounter,
-    /// Decisions about requests that were counted without a record.
+    /// Decisions not recorded because of the rate limit.
     pub unexplained: IntCounter,
-    /// Answers that ended whole.
+    /// Completed answers.
     pub finished: IntCounter,
-    /// Streams that were cancelled at an engine, by cause.
+    /// Streams cancelled at an engine, by cause.
     pub cancelled: IntCounterVec,
-    /// Streams in progress.
+    /// Active streams and pending settlements.
     pub streams: IntGauge,
-    /// Time from receipt to the first token at this node.
+    /// Time from receipt to the first token at the ingress stage.
     pub first_token: Histogram,
-    /// Time from receipt to a refusal before anything ran.
+    /// Time from receipt to the refusal of a request that did not run.
     pub refusal_time: Histogram,
-    /// Engines asked whether they still take work, since the last word was too old.
+    /// Status requests before dispatch because the last known state was too old.
     pub status_asked: IntCounter,
-    /// Writes of at-most-once records, by result.
+    /// Writes of at-most-once records by result.
     pub record_writes: IntCounterVec,
-    /// Transactions that carried them.
+    /// Transactions that wrote at-most-once records.
     pub record_transactions: IntCounter,
     /// Answers replayed from a record.
     pub replayed: IntCounter,
 }
 
 impl OnlineMetrics {
-    /// Creates the metrics and registers them.
     pub fn new(registry: &Registry) -> OnlineMetrics {
         OnlineMetrics {
             requests: family(registry, "requests_total", "Submissions.", &["stage"]),
@@ -64,7 +62,6 @@
         }
     }
 
-    /// Counts a refusal.
     pub fn count_refusal(&self, failure: &Failure) {
         let kind: ErrorKind = failure.kind;
         self.refused
@@ -100,7 +97,7 @@
     )
 }
 
-/// Registers a metric; a second one of the same name stays unregistered, which only tests do.
+/// Registers a metric. Errors are ignored: only tests register the same metric twice.
 fn register<M: prometheus::core::Collector + Clone + 'static>(registry: &Registry, metric: M) -> M {
     let _ = registry.register(Box::new(metric.clone()));
     metric
--- a/crates/online/src/once.rs
+++ b/crates/online/src/once.rs
@@ -1,4 +1,5 @@
-//! The ingress node's side of at-most-once records: takes a key before dispatch, settles it after.
+//! At-most-once execution at the ingress node: reserves the idempotency key before dispatch and records
+//! the outcome afterwards.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,41 +19,41 @@
 use crate::view::NodeAddress;
 use crate::worker::OnlineWorker;
 
-/// How long the recorder of the cell is waited for before the record is written directly.
+/// Time to wait for the cell's recorder before writing the record directly.
 const RECORDER_PATIENCE: Duration = Duration::from_millis(1_000);
 
-/// Advice while the request with this key still runs, milliseconds.
+/// Retry delay suggested while the request with this key is still running, milliseconds.
 const IN_PROGRESS_RETRY_AFTER_MS: u32 = 250;
 
-/// Age up to which a record of a node that is not known is taken as running, milliseconds.
+/// Age up to which a record written by an unknown node is considered running, milliseconds.
 const UNKNOWN_WRITER_GRACE_MS: u64 = 10_000;
 
-/// Pauses between attempts to write a record while the store is away.
+/// Bounds of the backoff between attempts to write a record.
 const FIRST_WRITE_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_WRITE_PAUSE: Duration = Duration::from_secs(2);
 
-/// What a request that must not be repeated may do.
+/// Result of reserving the key of an at-most-once request.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Begun {
-    /// It holds the key: it may run, once.
+    /// The request holds the key and may run once.
     Fresh(Holder),
-    /// An earlier attempt of the same request holds the key: its stream may be attached to.
+    /// An earlier attempt of the same request holds the key; the request may only attach to its stream.
     Attach(Holder),
-    /// The recorded answer.
+    /// The request has completed; this is its recorded answer.
     Replay(OnceOutcome),
 }
 
-/// The hold of a request on its record.
+/// A request's reservation of its idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Holder {
     tenant: String,
     key: String,
     request_id: String,
-    /// Token of the attempt that created the record; empty for one that only attaches.
+    /// Token of the attempt that created the record; empty for an attempt that only attaches.
     writer: String,
 }
 
-/// Takes the record of a request.
+/// Reserves the idempotency key of a request.
 pub(crate) async fn begin(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
@@ -87,7 +88,7 @@
     Failure::not_run(ErrorKind::StoreUnavailable, message).retry_after(STORE_RETRY_AFTER_MS)
 }
 
-/// Judges a record that another attempt holds.
+/// Determines the result for a key that another attempt holds.
 fn judge(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
@@ -123,7 +124,7 @@
     Err(failure.retry_after(IN_PROGRESS_RETRY_AFTER_MS))
 }
 
-/// The node that ran the request is gone: its outcome is unknown for good, and the key stays used.
+/// Settles a record whose node is gone as unknown. The key cannot be used again.
 fn settle_unknown(worker: &Rc<OnlineWorker>, holder: &Holder, row: &OnceRow) {
     tracing::info!(
         key = holder.key,
@@ -138,9 +139,9 @@
     lost.settle(worker, dappleyard_decide::once::unknown_outcome());
 }
 
-/// Whether the node that created a record is dead, left or restarted. A token that does not read
-/// counts as gone; so does a node that is not known, unless the record is so young that the node may
-/// have started just now.
+/// Whether the node that created a record is dead, has left or has restarted. An invalid token counts
+/// as gone. So does an unknown node, unless the record is recent: membership may not have announced a
+/// newly started node yet.
 fn writer_is_gone(worker: &OnlineWorker, row: &OnceRow) -> bool {
     let mut parts = row.writer.split('|');
     let (Some(node), Some(Ok(incarnation))) = (parts.next(), parts.next().map(str::parse::<u64>))
@@ -180,7 +181,8 @@
         }
     }
 
-    /// Records the outcome, in a task that goes on until the store has it. A planned stop waits.
+    /// Records the outcome in a task that retries until the store has accepted it. A graceful shutdown
+    /// waits for the task.
     pub fn settle(&self, worker: &Rc<OnlineWorker>, outcome: OnceOutcome) {
         let (worker, settlement) = (worker.clone(), self.settlement(outcome));
         let slot = worker.shared.count_stream();
@@ -191,7 +193,7 @@
     }
 }
 
-/// Makes sure that a create which was not confirmed holds the key no more.
+/// Releases a key whose create was not confirmed.
 fn give_up(worker: &Rc<OnlineWorker>, begin: RecordBegin) {
     let worker = worker.clone();
     actix_rt::spawn(async move {
@@ -199,7 +201,7 @@
     });
 }
 
-/// Repeats a write, with growing pauses, until the store has taken it.
+/// Retries a write with exponential backoff until it succeeds.
 async fn repeat_until_done(write: impl AsyncFn() -> Result<(), Failure>) {
     let mut pause = FIRST_WRITE_PAUSE;
     while write().await.is_err() {
@@ -208,9 +210,10 @@
     }
 }
 
-/// Asks the recorder of the cell; when it is lost, writes the record directly.
+/// Reserves the key through the cell's recorder, or directly if the recorder is unreachable.
 ///
-/// The recorder gets no more time than it is waited for, so that it takes the key for nobody else.
+/// The recorder's budget equals the time that this node waits for it, so that it does not reserve the key
+/// for a caller that no longer waits.
 async fn ask(
     worker: &Rc<OnlineWorker>,
     begin: RecordBegin,
@@ -249,7 +252,7 @@
     let begun = worker.recorder.begin(begin, deadline).await;
     begun.map_err(|failure| Failure {
         kind: if unanswered {
-            // The recorder's create may still take effect: the key must be given up.
+            // The recorder's create may still take effect, so the key must be released.
             ErrorKind::OutcomeUnknown
         } else {
             failure.kind
@@ -276,7 +279,7 @@
     worker.recorder.settle(settlement.clone()).await
 }
 
-/// The node of this cell that records the key; `None` when it is this one.
+/// Node of this cell that records the key; `None` if it is this node.
 fn recorder_node(worker: &OnlineWorker, tenant: &str, key: &str) -> Option<NodeAddress> {
     let hash = hash_bytes(keys::once(tenant, key).as_bytes());
     let view = worker.view();
@@ -287,7 +290,7 @@
     (!preferred.is_self).then(|| preferred.address.clone())
 }
 
-/// Fingerprint of what is asked: two requests under one key must be the same.
+/// Hash of the request content, which detects reuse of a key for a different request.
 fn fingerprint(incoming: &Incoming) -> u64 {
     let request = &incoming.request;
     let text = format!(
--- a/crates/online/src/owner/cancel.rs
+++ b/crates/online/src/owner/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels at the engine, in tasks that outlive the run.
+//! Cancellation of engine streams, in tasks that outlive the run.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use super::{Generating, OwnerRun};
 use crate::dispatch::Chosen;
 
-/// Pause before a cancel that failed is sent once more.
+/// Delay before the single retry of a failed cancel call.
 const CANCEL_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long an engine is waited for to name a stream that is not wanted any more.
+/// Time to wait for an engine to accept a call or report the id of a stream to cancel.
 const CANCEL_PATIENCE: Duration = Duration::from_secs(5);
 
 impl OwnerRun {
-    /// Cancels the stream at the engine, unless a later run reads it.
+    /// Cancels the stream at the engine unless a later run has become its reader.
     pub(super) fn cancel(&mut self, events: EventStream, chosen: &Chosen, cause: &str) {
         if self.is_superseded() {
             return;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Cancels a stream. Its id is read from the events when it is not known yet.
+/// Cancels a stream. An unknown stream id is read from the events.
 async fn cancel_stream(
     engine: Rc<dyn Engine>,
     base: String,
--- a/crates/online/src/owner/crashes.rs
+++ b/crates/online/src/owner/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines end: whether another run may begin, and what the end of one says.
+//! Crash accounting: limits the runs of requests under which engines have crashed.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use super::{End, Next, OwnerRun};
 use crate::dispatch::Chosen;
 
-/// Time between two looks whether a run under way elsewhere has ended.
+/// Interval between checks whether a concurrent run has ended.
 const WAIT: Duration = Duration::from_millis(20);
 
 impl OwnerRun {
-    /// Whether the request may run. Going on with a stream that lives is no run.
+    /// Whether the request may run. Attaching to a running stream does not count as a run.
     pub(super) fn permit(&self, attaching: bool) -> Permit {
         match attaching {
             true => Permit::Free,
@@ -25,7 +25,7 @@
         tokio::time::sleep(WAIT.min(Duration::from_millis(u64::from(left)))).await;
     }
 
-    /// Counts a run that begins; `false` when others were quicker and it must not.
+    /// Registers a run. Returns `false` if concurrent runs have used up the permits.
     pub(super) fn begin_run(&mut self, chosen: &Chosen, attaching: bool) -> bool {
         if attaching && self.run.is_some() {
             return true;
@@ -35,8 +35,8 @@
         attaching || self.run.is_some()
     }
 
-    /// Judges a call that has ended. The stream of a lost connection may live on, so the run does until its engine
-    /// answers no more.
+    /// Updates the crash accounting after a call. A stream may outlive a lost connection, so its run counts
+    /// as active unless the engine is unreachable.
     pub(super) async fn end_run(&mut self, chosen: &Chosen, next: &Next) {
         let Some(run) = &self.run else {
             return;
--- a/crates/online/src/owner/mod.rs
+++ b/crates/online/src/owner/mod.rs
@@ -1,4 +1,4 @@
-//! The owner stage: dispatches to one of this node's servers, and decides what follows a loss.
+//! The owner stage: dispatches a request to one of this node's servers and retries after failures.
 
 mod cancel;
 mod crashes;
@@ -28,7 +28,7 @@
 use crate::shared::ReaderSlot;
 use crate::worker::OnlineWorker;
 
-/// Most calls to engines for one submission.
+/// Maximum number of engine calls per submission.
 const MAXIMUM_DISPATCHES: u32 = 4;
 
 type Generating = Pin<Box<dyn Future<Output = Result<EventStream, EngineError>>>>;
@@ -38,39 +38,38 @@
     pub worker: Rc<OnlineWorker>,
     pub caller: Caller,
     incoming: Incoming,
-    /// Next token wanted.
+    /// Offset of the next token to relay.
     pub next: u32,
-    /// What is known of whether it ran.
+    /// Whether the request may have run.
     pub ran: Ran,
-    /// A token came in this submission.
+    /// Whether this submission has received a token.
     pub has_token: bool,
-    /// Where it ran last.
+    /// Where the request ran last.
     pub earlier: EarlierRun,
     reader: Option<ReaderSlot>,
     excluded: Vec<ServerId>,
     dispatches: u32,
-    /// The connection of the last call was lost.
+    /// Whether the connection of the last call was lost.
     lost: bool,
-    /// The run at an engine that is under way.
+    /// The active run at an engine.
     run: Option<RunAtEngine>,
-    /// When a stream whose caller was lost is given up.
+    /// End of the grace period for a disconnected caller.
     detached_until: Option<Instant>,
 }
 
-/// How a submission ended.
+/// Final result of a submission.
 enum End {
     Finished(Finish),
     Refused(Failure),
 }
 
-/// What follows a call to an engine.
+/// Next step after a call to an engine.
 enum Next {
     End(End),
     Again,
 }
 
 impl OwnerRun {
-    /// A run that has not begun.
     pub fn new(worker: Rc<OnlineWorker>, incoming: Incoming, caller: Caller) -> OwnerRun {
         OwnerRun {
             worker,
@@ -132,7 +131,7 @@
         }
     }
 
-    /// The server that holds the stream, else the best that still takes work.
+    /// The server of the running stream, otherwise the best server that accepts work.
     async fn next_server(&mut self, attaching: bool) -> Result<Chosen, Failure> {
         if attaching {
             if let Some(chosen) = self.holder() {
@@ -153,7 +152,7 @@
         }
     }
 
-    /// The server of the earlier run. It need not be owned by this node: any node may call it.
+    /// Server of the earlier run. It need not be owned by this node, since any node may call any engine.
     fn holder(&self) -> Option<Chosen> {
         let server = ServerId::from(&self.earlier.server);
         let entry = self.worker.tables.directory.get(&server)?;
@@ -164,7 +163,7 @@
         })
     }
 
-    /// A request that must not be repeated and may have run is never started again.
+    /// Whether the request may only attach: an at-most-once request that may have run is never restarted.
     fn attach_only(&self) -> bool {
         self.incoming.never_repeats() && self.ran != Ran::No
     }
@@ -192,7 +191,7 @@
         self.after_relay(end, events, chosen)
     }
 
-    /// Waits for the engine to take the call.
+    /// Waits for the engine to accept the call.
     async fn open(
         &mut self,
         mut generating: Generating,
@@ -254,9 +253,9 @@
         }
     }
 
-    /// Takes a failure of the engine into account and says whether another call may follow. With the
-    /// caller gone nothing follows: the engine ends a connection when another node attaches to its
-    /// stream, and taking the stream back would cut that node's caller off.
+    /// Handles an engine error and decides whether to retry. There is no retry once the caller has
+    /// disconnected: the engine closes a connection when another node attaches to its stream, and
+    /// attaching again would disconnect that node.
     fn engine_failed(&mut self, error: EngineError, chosen: &Chosen) -> Next {
         if self.is_superseded() || self.caller.is_gone() {
             return Next::End(End::Refused(self.superseded()));
@@ -281,7 +280,7 @@
         Next::End(End::Refused(failure.after(self.ran)))
     }
 
-    /// Makes the server's state show the failure. A refusal to attach says nothing about the server.
+    /// Updates the server's state. A refusal to attach is ignored, since it depends only on the stream.
     fn note_failure(&self, error: &EngineError, chosen: &Chosen) {
         let tables = &self.worker.tables;
         match error {
@@ -293,8 +292,8 @@
         }
     }
 
-    /// A stream whose connection was lost is attached to again; a server that failed otherwise is not
-    /// asked again by this submission.
+    /// Excludes a failed server from this submission. After a lost connection to a stream the server is kept,
+    /// so that the next call can attach to the stream, except before the last permitted call.
     fn set_aside(&mut self, lost: bool, chosen: &Chosen) {
         let holds_stream =
             self.earlier.has_stream() && self.earlier.server == chosen.server.as_str();
@@ -307,7 +306,8 @@
         self.excluded.push(chosen.server.clone());
     }
 
-    /// Notes that the caller went away, and says whether the stream is kept for it.
+    /// Handles a disconnected caller. After a lost link the run continues for the grace period, or until the
+    /// deadline if the request is at-most-once.
     pub fn caller_gone(&mut self, gone: Gone) -> Gone {
         if gone == Gone::LinkLost {
             let grace = Duration::from_millis(self.worker.settings.detach_grace_ms);
@@ -318,32 +318,31 @@
         gone
     }
 
-    /// When this run stops waiting: at the deadline, or when nobody came back for it.
+    /// The deadline or the end of the grace period, whichever is earlier.
     pub fn waits_until(&self) -> Instant {
         let deadline = self.incoming.deadline;
         self.detached_until
             .map_or(deadline, |until| until.min(deadline))
     }
 
-    /// Whether the caller's deadline has passed.
     pub fn deadline_passed(&self) -> bool {
         Instant::now() >= self.incoming.deadline
     }
 
-    /// Becomes the reader of an engine stream.
+    /// Registers this run as the reader of an engine stream.
     pub fn reads(&mut self, server: &ServerId, stream: &str) {
         let shared = &self.worker.shared;
         self.reader = Some(shared.read_stream(server.as_str(), stream));
     }
 
-    /// Relays tokens and moves the offset.
+    /// Sends tokens to the caller and advances the offset.
     pub fn send_chunk(&mut self, chunk: Chunk) {
         let count = u32::try_from(chunk.pieces.len()).unwrap_or(u32::MAX);
         self.next = self.next.saturating_add(count);
         self.caller.send(frame::Body::Chunk(chunk));
     }
 
-    /// A later attempt goes on with the stream, here or elsewhere; its outcome is not known here.
+    /// Failure of a run whose stream a later attempt may continue; the outcome is not known here.
     fn superseded(&self) -> Failure {
         if self.incoming.never_repeats() {
             settle::outcome_unknown()
--- a/crates/online/src/owner_link.rs
+++ b/crates/online/src/owner_link.rs
@@ -1,4 +1,4 @@
-//! The way from the ingress stage to an owner stage: in this worker, or over a link.
+//! Connection from the ingress stage to an owner stage, in this worker or over a link.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::receive::Incoming;
 use crate::worker::OnlineWorker;
 
-/// An open submission to an owner.
+/// A submission to an owner in progress.
 pub(crate) enum OwnerLink {
     Local {
         to_owner: mpsc::UnboundedSender<frame::Body>,
@@ -31,7 +31,6 @@
 pub(crate) struct OwnerLost;
 
 impl OwnerLink {
-    /// Opens a submission.
     pub async fn open(
         worker: &Rc<OnlineWorker>,
         target: &Target,
@@ -65,7 +64,7 @@
         })
     }
 
-    /// Sends a frame; a lost owner shows in [`OwnerLink::receive`].
+    /// Sends a frame. The loss of the owner is reported by [`OwnerLink::receive`].
     pub fn send(&self, body: frame::Body) {
         match self {
             OwnerLink::Local { to_owner, .. } => drop(to_owner.send(body)),
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Next frame from the owner.
+    /// Receives the next frame from the owner.
     pub async fn receive(&mut self) -> Result<frame::Body, OwnerLost> {
         match self {
             OwnerLink::Local { from_owner, .. } => from_owner.recv().await.ok_or(OwnerLost),
--- a/crates/online/src/place.rs
+++ b/crates/online/src/place.rs
@@ -1,4 +1,4 @@
-//! The placement filter of the ingress stage: orders the nodes that may be asked.
+//! Placement at the ingress stage: ranks the nodes that a request can be sent to.
 
 use dappleyard_decide::placement::{Affinity, Candidate, rank};
 use dappleyard_wire::hash::{hash_bytes, rendezvous_weight};
@@ -6,18 +6,18 @@
 
 use crate::view::{CellView, NodeAddress, PlacementView};
 
-/// Where a request is sent next.
+/// Destination of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Target {
     /// The owner stage of this node.
     Local,
-    /// Another node, which is to do this stage.
+    /// Another node, which runs the given stage.
     Node(NodeAddress, Stage),
 }
 
-/// Key by which requests meet the same prefix cache, and whether it is one at all: without a prefix
-/// or session the request's own id spreads requests evenly. The sidecar chooses the ingress node by
-/// the same key, so that this is often the home owner.
+/// Affinity key of a request, and whether it stands for a shared prefix or session. Without either, the
+/// request id spreads requests evenly. The sidecar selects the ingress node by the same key, so the
+/// ingress node is often the preferred owner as well.
 pub(crate) fn affinity_key(request: &GenerateRequest) -> (u64, bool) {
     if request.prefix_hash != 0 {
         return (request.prefix_hash, true);
@@ -28,26 +28,23 @@
     (hash_bytes(request.request_id.as_bytes()), false)
 }
 
-/// How far affinity goes for a request.
 pub(crate) fn affinity(has_key: bool, bound_percent: u32) -> Affinity {
     Affinity {
         bound_percent: has_key.then_some(bound_percent),
     }
 }
 
-/// What a node must be able to do, and which were asked already.
+/// Requirements of a request on its target, and the nodes tried so far.
 pub(crate) struct Wanted<'a> {
-    /// The request.
     pub request: &'a GenerateRequest,
-    /// Version that must go on with it; empty for any.
+    /// Version required to continue the request; empty for any.
     pub version: &'a str,
-    /// Load up to which affinity wins, percent of the mean.
+    /// Load up to which affinity is preferred, percent of the mean.
     pub bound_percent: u32,
-    /// Nodes that were asked already.
     pub tried: &'a [String],
 }
 
-/// The best owner of this cell that was not asked yet, else the best entry node of another cell.
+/// Best untried owner in this cell, otherwise the best untried entry node of another cell.
 pub(crate) fn next_target(
     view: &PlacementView,
     wanted: &Wanted<'_>,
@@ -96,7 +93,7 @@
     })
 }
 
-/// Nearest cell first, then the shortest wait; within a cell the entry node that the key prefers.
+/// Selects the nearest cell, then the shortest wait, then the entry node by rendezvous hashing.
 fn best_entry(view: &PlacementView, wanted: &Wanted<'_>) -> Option<Target> {
     let (key, _) = affinity_key(wanted.request);
     let wait = |cell: &CellView| {
--- a/crates/online/src/receive.rs
+++ b/crates/online/src/receive.rs
@@ -1,4 +1,4 @@
-//! The first filter: turns a submission into checked, typed form.
+//! Validates a submission and converts it to [`Incoming`].
 
 use std::time::Duration;
 
@@ -7,43 +7,37 @@
 use dappleyard_wire::messages::{GenerateRequest, Stage, Submit};
 use dappleyard_wire::{ErrorKind, Failure, Ran, Repeat};
 
-/// Longest request id and idempotency key, bytes.
+/// Maximum length of a request id or idempotency key, bytes.
 const MAXIMUM_KEY_BYTES: usize = 256;
 
-/// Attempts that a stage may make below each attempt of the stage above it.
+/// Attempt numbers reserved at each stage for one attempt of the preceding stage.
 pub(crate) const ATTEMPTS_A_STAGE: u32 = 64;
 
-/// A checked submission.
+/// A validated submission.
 #[derive(Debug, Clone)]
 pub(crate) struct Incoming {
-    /// What is to be answered.
     pub request: GenerateRequest,
-    /// Its id.
     pub id: RequestId,
-    /// Attempt number.
     pub attempt: u32,
-    /// What this node is to do with it.
+    /// Stage that this node executes.
     pub stage: Stage,
-    /// When it came.
     pub received: Instant,
-    /// When the caller gives up.
     pub deadline: Instant,
-    /// What is known of earlier attempts.
+    /// Whether an earlier attempt ran.
     pub ran_before: Ran,
     /// Tokens received by earlier attempts.
     pub pieces: Vec<String>,
-    /// Where an earlier attempt ran.
     pub earlier: EarlierRun,
 }
 
-/// Where an earlier attempt of a request ran; empty strings where nothing is known.
+/// Where an earlier attempt of a request ran. Unknown fields are empty.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct EarlierRun {
-    /// Version that produced the tokens received.
+    /// Model version that produced the received tokens.
     pub version: String,
-    /// Engine stream that may still live.
+    /// Engine stream that may still be running.
     pub engine_stream: String,
-    /// Server that holds it.
+    /// Server of the stream.
     pub server: String,
 }
 
@@ -55,7 +49,6 @@
 }
 
 impl Incoming {
-    /// Checks a submission.
     pub fn read(submit: Submit) -> Result<Incoming, Failure> {
         let stage = submit.stage();
         let ran_before = Ran::try_from(submit.ran_before).unwrap_or(Ran::Maybe);
@@ -90,13 +83,13 @@
         self.request.repeat() == Repeat::Never
     }
 
-    /// KV tokens that the request may come to hold.
+    /// Maximum number of KV tokens that the request can hold.
     pub fn tokens(&self) -> u32 {
         let request = &self.request;
         request.prompt_tokens.saturating_add(request.max_tokens)
     }
 
-    /// Time left, milliseconds.
+    /// Time until the deadline, milliseconds.
     pub fn left_ms(&self) -> u32 {
         let left = self.deadline.saturating_duration_since(Instant::now());
         u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
--- a/crates/online/src/recorder.rs
+++ b/crates/online/src/recorder.rs
@@ -1,7 +1,8 @@
-//! The recorder of at-most-once records: many keys in one transaction, ambiguous writes read back.
+//! Writes at-most-once records. Writes of several keys share a transaction, and the result of an
+//! ambiguous write is read back.
 //!
-//! Safety lies in the compare-and-swap on each row, not in who writes: any node may write a record
-//! when the recorder of its cell is lost.
+//! Safety depends only on the compare-and-swap on each row. Any node may therefore write a record when
+//! the cell's recorder is unreachable.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,23 +20,23 @@
 
 use crate::shared::OnlineShared;
 
-/// Most keys in one transaction.
+/// Maximum number of keys in one transaction.
 const MAXIMUM_GROUP: usize = 64;
 
-/// Times that a record is read again after a conflict or an ambiguous answer.
+/// Attempts to read or write a record after conflicts, ambiguous results or store errors.
 const MAXIMUM_READS: u32 = 6;
 
-/// Pause before a record is read back again.
+/// Delay between attempts to read back a record.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(30);
 
-/// Advice when the store is unavailable, milliseconds.
+/// Retry delay suggested when the store is unavailable, milliseconds.
 pub(crate) const STORE_RETRY_AFTER_MS: u32 = 500;
 
-/// What became of one write.
+/// Result of one write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Written {
     Done,
-    /// The row was not as expected, or the answer was lost: read it.
+    /// The write conflicted or its result is ambiguous: the row must be read.
     ReadBack,
     /// Nothing was written.
     Unavailable(StoreError),
@@ -48,7 +49,7 @@
     done: oneshot::Sender<Written>,
 }
 
-/// A record as read: its row and revision.
+/// A record and its revision; `None` if there is none.
 type Read = Option<(OnceRow, u64)>;
 
 /// The recorder of one worker thread.
@@ -58,7 +59,6 @@
 }
 
 impl Recorder {
-    /// A recorder over a table service.
     pub fn new(tables: Rc<dyn TableStore>, shared: Arc<OnlineShared>, clock: Clock) -> Recorder {
         Recorder {
             clock,
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Reserves a key: `fresh` when the caller's attempt holds it now and may run. Fails with
-    /// `StoreUnavailable` when nothing was written, and with `OutcomeUnknown` when a create was sent
-    /// whose fate could not be read back: the caller must then give the key up.
+    /// Reserves a key. `fresh` means that the caller's attempt now holds the key and may run. Fails with
+    /// `StoreUnavailable` if nothing was written, and with `OutcomeUnknown` if a create was sent whose
+    /// result could not be read back; the caller must then release the key.
     ///
-    /// No create is sent that rests on a read after `until`: the asker then no longer listens, and a
-    /// key taken for nobody would stay in progress for good.
+    /// No create is queued after `deadline`: the caller no longer waits by then, and the key would stay in
+    /// progress forever.
     pub async fn begin(&self, begin: RecordBegin, until: Instant) -> Result<RecordState, Failure> {
         let key = keys::once(&begin.tenant, &begin.idempotency_key);
         let attempt = self.attempt_of(&begin);
@@ -115,8 +115,8 @@
         Err(unresolved())
     }
 
-    /// Stores the outcome under a key. Settling twice is no error; a whole answer replaces an
-    /// outcome that is none.
+    /// Stores the outcome of a key. Settling is idempotent; `once::may_settle` decides which outcome may
+    /// replace an earlier one.
     pub async fn settle(&self, settle: RecordSettle) -> Result<(), Failure> {
         let key = keys::once(&settle.tenant, &settle.idempotency_key);
         let outcome = settle.outcome.unwrap_or_else(once::unknown_outcome);
@@ -143,8 +143,8 @@
         Err(undecided())
     }
 
-    /// Makes sure that an attempt which was told that it may not run holds the key no more, even if
-    /// its create takes effect later: an absent record is written as released.
+    /// Releases the key of an attempt that was refused. An absent record is written as released, so that
+    /// a delayed create of this attempt cannot take effect later.
     pub async fn give_up(&self, begin: RecordBegin) -> Result<(), Failure> {
         let key = keys::once(&begin.tenant, &begin.idempotency_key);
         let attempt = self.attempt_of(&begin);
@@ -239,7 +239,7 @@
     )
 }
 
-/// Writes rows of many keys in one transaction: while one is under way, others gather for the next.
+/// Group commit: writes that arrive while a transaction is in progress share the next one.
 struct GroupWriter {
     tables: Rc<dyn TableStore>,
     shared: Arc<OnlineShared>,
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Writes that wait, each key once: a second write of a key waits for the next group.
+    /// Takes pending writes with distinct keys; a second write of a key stays queued for the next group.
     fn next_group(&self) -> Vec<PendingWrite> {
         let mut queue = self.queue.borrow_mut();
         let mut group: Vec<PendingWrite> = Vec::new();
@@ -291,7 +291,7 @@
         group
     }
 
-    /// Writes a group; a row that is not as expected is taken out and the others are tried again.
+    /// Writes a group. A conflicting write is removed and the rest is retried.
     async fn write_group(&self, mut group: Vec<PendingWrite>) {
         while !group.is_empty() {
             self.shared.metrics.record_transactions.inc();
--- a/crates/online/src/relay.rs
+++ b/crates/online/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay filter of the owner stage: engine events become frames.
+//! Converts engine events to frames for the caller at the owner stage.
 
 use std::time::Duration;
 
@@ -15,31 +15,29 @@
 use crate::dispatch::{Chosen, FlightGuard};
 use crate::owner::OwnerRun;
 
-/// Tokens over which one step time is taken.
+/// Tokens per step time sample.
 const STEP_SAMPLE_TOKENS: u32 = 4;
 
-/// Weight of a new sample in the smoothed step time.
+/// Weight of a new sample in the moving average of the step time.
 const STEP_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How reading a stream ended.
+/// Why relaying a stream ended.
 #[derive(Debug, PartialEq)]
 pub(crate) enum RelayEnd {
-    /// The whole answer was relayed.
+    /// The complete answer was relayed.
     Finished {
-        /// Why it ended.
         reason: String,
-        /// Prompt tokens from the cache.
+        /// Prompt tokens served from the prefix cache.
         cached_tokens: u32,
     },
-    /// The engine failed or was lost.
+    /// The engine failed or its connection was lost.
     Engine(EngineError),
-    /// The caller went away and nobody came back for the stream.
+    /// The caller cancelled, or disconnected and did not resume within the grace period.
     CallerGone,
-    /// The deadline passed.
     Deadline,
 }
 
-/// Relays events until the stream ends, the caller is gone for good or the deadline passes.
+/// Relays events until the stream ends, the caller is gone or the deadline passes.
 pub(crate) async fn relay(
     run: &mut OwnerRun,
     events: &mut EventStream,
@@ -150,7 +148,7 @@
     }
 }
 
-/// Measures the time between tokens and keeps the server's smoothed step time.
+/// Measures the time between tokens and updates the server's smoothed step time.
 #[derive(Default)]
 struct StepMeter {
     since: Option<Instant>,
--- a/crates/online/src/reports.rs
+++ b/crates/online/src/reports.rs
@@ -1,5 +1,5 @@
-//! Polls the reports of owned servers, spots engines that leave or fail, and publishes this node's
-//! load summary.
+//! Polls the engine reports of owned servers, withdraws servers whose engines are draining or failing,
+//! and publishes this node's load summary.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -19,17 +19,17 @@
 
 use crate::load;
 
-/// Calls that must fail in a row before a server is withdrawn.
+/// Consecutive failed calls after which a server is withdrawn.
 const FAILURES_TO_WITHDRAW: u32 = 2;
 
-/// HTTP status of an engine that takes no new work.
+/// HTTP status returned by an engine that accepts no new work.
 const STATUS_LEAVING: u16 = 503;
 
-/// Own sequence counts kept for each server, one for each poll: as long as reports lag.
+/// Own sequence counts kept per server, one per poll. They must cover the lag of the reports.
 const OWN_COUNTS: usize = 10;
 
-/// Polls the engines of the servers that this node owns and publishes the node's load, for ever, on
-/// this arbiter.
+/// Starts a task on the current arbiter that polls the engines of the servers owned by this node and
+/// publishes the node's load. The task never ends.
 pub fn start_reports(tables: Arc<NodeTables>, settings: OnlineSettings, engine: Rc<dyn Engine>) {
     let poller = Rc::new(Poller {
         tables,
@@ -58,9 +58,9 @@
     tables: Arc<NodeTables>,
     engine: Rc<dyn Engine>,
     patience: Duration,
-    /// Servers with a call in progress.
+    /// Servers with a poll in progress.
     asked: RefCell<BTreeSet<ServerId>>,
-    /// This node's own sequences at the last polls.
+    /// Number of this node's own sequences on each server at recent polls.
     own_counts: RefCell<BTreeMap<ServerId, VecDeque<u32>>>,
 }
 
@@ -100,7 +100,7 @@
         counts.push_back(u32::try_from(own).unwrap_or(u32::MAX));
     }
 
-    /// A server seen for the first time is asked for its state at once, others for their report.
+    /// Requests the current status of a server without a report, and the published report of any other.
     async fn poll(&self, server: &ServerId, base: &str, first: bool) {
         let asked = self.tables.clock.now();
         let asking = async {
@@ -130,8 +130,7 @@
     }
 }
 
-/// Takes a report or status that was asked for at `asked` into the table. An older word never replaces
-/// a newer one.
+/// Stores a report or status requested at `asked`. A report older than the stored one is ignored.
 pub(crate) fn apply_report(
     tables: &NodeTables,
     server: &ServerId,
@@ -174,7 +173,8 @@
     }
 }
 
-/// Counts a failed call. Several in a row withdraw the server until the engine answers again.
+/// Counts a failed call. After [`FAILURES_BEFORE_WITHDRAWAL`] consecutive failures the server is
+/// withdrawn until its engine answers again.
 pub(crate) fn note_failure(tables: &NodeTables, server: &ServerId, reason: &str) {
     let now = tables.clock.now();
     let withdrawn = tables.servers.with(server, |state| {
@@ -190,8 +190,8 @@
     }
 }
 
-/// Takes the refusal of a call into account. An engine that says that it leaves is withdrawn until a
-/// later word; one that refuses otherwise is asked for its state before the next dispatch.
+/// Handles a refused call. A draining engine is withdrawn until a later report says otherwise; after any
+/// other refusal the engine's status is requested before the next dispatch.
 pub(crate) fn note_refusal(tables: &NodeTables, server: &ServerId, status: u16) {
     let now = tables.clock.now();
     let withdrawn = tables.servers.with(server, |state| {
--- a/crates/online/src/settle.rs
+++ b/crates/online/src/settle.rs
@@ -1,4 +1,4 @@
-//! The last filter: what a submission's end means for the caller, the record and the operators.
+//! Failures, recorded outcomes and decision records for the end of a submission.
 
 use dappleyard_decide::once::unknown_outcome;
 use dappleyard_tables::decisions::{Decision, DecisionKind, Subject};
@@ -9,13 +9,12 @@
 use crate::receive::Incoming;
 use crate::worker::OnlineWorker;
 
-/// Advice after a passed deadline, milliseconds.
+/// Retry delay suggested after an exceeded deadline, milliseconds.
 const DEADLINE_RETRY_AFTER_MS: u32 = 100;
 
-/// Advice to use another node, milliseconds.
+/// Retry delay suggested when the caller should use another node, milliseconds.
 const OTHER_NODE_RETRY_AFTER_MS: u32 = 50;
 
-/// The node takes nothing new.
 pub(crate) fn not_ready() -> Failure {
     Failure::not_run(
         ErrorKind::NotReady,
@@ -24,18 +23,16 @@
     .retry_after(OTHER_NODE_RETRY_AFTER_MS)
 }
 
-/// The deadline passed.
 pub(crate) fn deadline(ran: Ran) -> Failure {
     let failure = Failure::not_run(ErrorKind::DeadlineExceeded, "the deadline passed");
     failure.retry_after(DEADLINE_RETRY_AFTER_MS).after(ran)
 }
 
-/// The caller went away.
 pub(crate) fn cancelled(ran: Ran) -> Failure {
     Failure::not_run(ErrorKind::Cancelled, "the caller went away").after(ran)
 }
 
-/// A request that must not be repeated may have run, and its outcome is lost.
+/// An at-most-once request may have run and its outcome is lost.
 pub(crate) fn outcome_unknown() -> Failure {
     Failure::maybe_ran(
         ErrorKind::OutcomeUnknown,
@@ -43,13 +40,13 @@
     )
 }
 
-/// As many servers as may have ended while they ran the request.
+/// The limit of servers that ended while running the request was reached.
 pub(crate) fn servers_ended(ran: Ran) -> Failure {
     let message = "servers ended while they ran this request; it is not run again";
     Failure::not_run(ErrorKind::ServersEnded, message).after(ran)
 }
 
-/// The outcome to record for a failure.
+/// Outcome recorded for a failure.
 pub(crate) fn failed_outcome(failure: &Failure) -> OnceOutcome {
     if failure.kind == ErrorKind::OutcomeUnknown {
         return unknown_outcome();
@@ -61,7 +58,7 @@
     }
 }
 
-/// The failure that a recorded outcome stands for.
+/// Failure reported for a recorded outcome.
 pub(crate) fn recorded_failure(outcome: &OnceOutcome) -> Failure {
     let kind = ErrorKind::from_number(outcome.kind);
     Failure {
@@ -72,7 +69,7 @@
     }
 }
 
-/// Records a refusal for operators. Tenant limits are counted only: they come in masses.
+/// Records a refusal as a decision. Refusals by tenant limits are frequent and only counted in metrics.
 pub(crate) fn explain_refusal(worker: &OnlineWorker, incoming: &Incoming, failure: &Failure) {
     if matches!(
         failure.kind,
@@ -90,15 +87,14 @@
     record(worker, incoming, kind, &failure.message, inputs, code);
 }
 
-/// Records that a request was placed again.
+/// Records a repeated placement as a decision.
 pub(crate) fn explain_again(worker: &OnlineWorker, incoming: &Incoming, cause: &str, ran: Ran) {
     let inputs = vec![("ran".to_owned(), ran_name(ran).to_owned())];
     let kind = DecisionKind::PlacedAgain;
     record(worker, incoming, kind, cause, inputs, "placed again");
 }
 
-/// Records a decision about a request, unless there were too many just before: under overload the
-/// counters tell the rest.
+/// Records a decision about a request. The rate is limited; decisions beyond it are only counted.
 fn record(
     worker: &OnlineWorker,
     incoming: &Incoming,
--- a/crates/online/src/shared.rs
+++ b/crates/online/src/shared.rs
@@ -1,4 +1,4 @@
-//! State of the online path that all worker threads of a node share.
+//! State of the online path shared by the worker threads of a node.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,10 +14,11 @@
 
 use crate::metrics::OnlineMetrics;
 
-/// Advice when a concurrency limit is used up, milliseconds: about the length of a short answer.
+/// Retry delay suggested when a concurrency limit is reached, milliseconds. A short answer takes about
+/// as long.
 const CONCURRENCY_RETRY_AFTER_MS: u32 = 250;
 
-/// Decision records about requests per second, and how many may come at once; the others are counted.
+/// Rate limit and burst of decision records about requests. Decisions beyond it are only counted.
 const EXPLAINED_PER_S: f64 = 5.0;
 const EXPLAINED_BURST: f64 = 100.0;
 
@@ -33,7 +34,7 @@
     tenants: BTreeMap<String, TenantState>,
     budget: RetryBudget,
     explained: TokenBucket,
-    /// Number of the run that reads each engine stream: a later one supersedes an earlier one.
+    /// Number of the current reader of each engine stream. A later reader supersedes an earlier one.
     readers: BTreeMap<String, u64>,
     next_reader: u64,
 }
@@ -44,7 +45,7 @@
 }
 
 impl OnlineShared {
-    /// Empty state; its metrics are registered in the node's registry.
+    /// Creates empty state and registers the metrics in the node's registry.
     pub fn new(settings: &OnlineSettings, tables: &Arc<NodeTables>) -> Arc<OnlineShared> {
         let state = SharedState {
             tenants: BTreeMap::new(),
@@ -61,12 +62,12 @@
         })
     }
 
-    /// Streams in progress, and records that still have to be settled. A planned stop waits for 0.
+    /// Number of active streams and pending settlements. A graceful shutdown waits until it is 0.
     pub fn active_streams(&self) -> usize {
         self.streams.load(Ordering::Acquire)
     }
 
-    /// Counts a stream; `None` when the node has as many as it may have.
+    /// Counts a stream; `None` if the node has reached its limit.
     pub(crate) fn open_stream(self: &Arc<Self>) -> Option<StreamSlot> {
         if self.active_streams() >= self.maximum_streams {
             return None;
@@ -74,7 +75,7 @@
         Some(self.count_stream())
     }
 
-    /// Counts a stream whatever the bound says.
+    /// Counts a stream regardless of the limit.
     pub(crate) fn count_stream(self: &Arc<Self>) -> StreamSlot {
         let streams = self.streams.fetch_add(1, Ordering::AcqRel) + 1;
         self.metrics.streams.set(as_gauge(streams));
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Takes one request of `tokens` tokens from the tenant's limits.
+    /// Charges a request of `tokens` tokens to the tenant's limits.
     pub(crate) fn take_tenant(
         self: &Arc<Self>,
         tenant: &str,
@@ -117,12 +118,12 @@
         })
     }
 
-    /// Counts a first attempt for the retry budget.
+    /// Adds a first attempt to the retry budget.
     pub(crate) fn first_attempt(&self) {
         self.state.lock().budget.first_attempt();
     }
 
-    /// Takes a retry from the budget.
+    /// Takes a retry from the budget; `false` if the budget is exhausted.
     pub(crate) fn take_retry(&self) -> bool {
         let taken = self.state.lock().budget.take();
         if !taken {
@@ -131,7 +132,7 @@
         taken
     }
 
-    /// Whether a decision about a request may be recorded now.
+    /// Whether the rate limit permits another decision record.
     pub(crate) fn may_explain(&self, now: Millis) -> bool {
         let mut state = self.state.lock();
         let taken = state.explained.take(EXPLAINED_PER_S, EXPLAINED_BURST, now);
@@ -141,7 +142,7 @@
         taken.is_ok()
     }
 
-    /// Becomes the reader of an engine stream. An earlier reader is superseded: it ends without
+    /// Registers a reader of an engine stream. The previous reader is superseded and ends without
     /// cancelling the stream.
     pub(crate) fn read_stream(self: &Arc<Self>, server: &str, stream: &str) -> ReaderSlot {
         let key = format!("{server}/{stream}");
@@ -177,7 +178,7 @@
     i64::try_from(streams).unwrap_or(i64::MAX)
 }
 
-/// A counted stream; dropping it ends the count.
+/// A counted stream. Dropping it decrements the count.
 pub(crate) struct StreamSlot {
     shared: Arc<OnlineShared>,
 }
@@ -189,7 +190,7 @@
     }
 }
 
-/// A request counted against a tenant's concurrent tokens; dropping it gives them back.
+/// Concurrent tokens reserved for a tenant's request. Dropping it releases them.
 pub(crate) struct TenantSlot {
     shared: Arc<OnlineShared>,
     tenant: String,
@@ -205,7 +206,7 @@
     }
 }
 
-/// The right to read, and to cancel, an engine stream.
+/// Registration of a run as reader of an engine stream.
 pub(crate) struct ReaderSlot {
     shared: Arc<OnlineShared>,
     key: String,
@@ -213,7 +214,7 @@
 }
 
 impl ReaderSlot {
-    /// Whether a later run of this node reads the stream now.
+    /// Whether a later run on this node has become the reader.
     pub fn is_superseded(&self) -> bool {
         let state = self.shared.state.lock();
         state.readers.get(&self.key) != Some(&self.number)
--- a/crates/online/src/view.rs
+++ b/crates/online/src/view.rs
@@ -1,5 +1,5 @@
-//! What a worker knows of where requests can go: owners of this cell and other cells, gathered from
-//! the tables a few times a second instead of once for each request.
+//! Cached view of placement targets: owners in this cell and entry nodes of other cells. It is rebuilt
+//! from the tables when it is stale instead of once per request.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -12,50 +12,46 @@
 
 use crate::load;
 
-/// Age above which a view is built anew, milliseconds.
+/// Age at which a view is rebuilt, milliseconds.
 const VIEW_AGE_MS: u64 = 50;
 
-/// Wait added to an owner that membership suspects, milliseconds.
+/// Wait added to an owner whose membership state is suspect, milliseconds.
 const SUSPECT_WAIT_MS: u32 = 500;
 
-/// A node that can be asked.
+/// Id and link address of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct NodeAddress {
-    /// Node id.
     pub node: String,
-    /// host:port of its links.
+    /// `host:port` of the node's link listener.
     pub link_address: String,
 }
 
 /// An owner node of this cell.
 #[derive(Debug)]
 pub(crate) struct OwnerView {
-    /// Who it is.
     pub address: NodeAddress,
-    /// It is this node.
     pub is_self: bool,
-    /// Its load.
     load: NodeLoad,
     suspect: bool,
-    /// Requests that this worker sent it since `load` was made.
+    /// Requests sent to the owner by this worker since `load` was reported.
     sent: Cell<u32>,
 }
 
-/// Load of one service on one owner, as placement counts it.
+/// Load of one service on one owner, as used for placement.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OwnerLoad<'a> {
-    /// Servers that take new work.
+    /// Servers that accept new work.
     pub servers: u32,
-    /// Online sequences running and waiting.
+    /// Running and waiting online sequences.
     pub sequences: u32,
     /// Expected wait, milliseconds.
     pub wait_ms: u32,
-    /// Versions loaded.
+    /// Loaded versions.
     pub versions: &'a [String],
 }
 
 impl OwnerView {
-    /// Load of a service, with what this worker has sent since it was reported.
+    /// Reported load of a service plus the requests sent by this worker since the report.
     pub fn service(&self, service: &str) -> Option<OwnerLoad<'_>> {
         let services = self.load.services.iter();
         let load = services.into_iter().find(|one| one.service == service)?;
@@ -68,47 +64,42 @@
         })
     }
 
-    /// Counts a request as sent there.
+    /// Counts a request sent to this owner.
     pub fn count_sent(&self) {
         self.sent.set(self.sent.get() + 1);
     }
 }
 
-/// How far away a cell is.
+/// Distance to another cell, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
-    /// Another cell of this zone.
     Zone,
-    /// Another zone of this region.
     Region,
-    /// Another region.
     Far,
 }
 
 /// Another cell.
 #[derive(Debug)]
 pub(crate) struct CellView {
-    /// How far away.
     pub distance: Distance,
-    /// Its load by service.
     pub services: Vec<ServiceLoad>,
-    /// Nodes that may be entered.
+    /// Usable entry nodes.
     pub entries: Vec<NodeAddress>,
 }
 
-/// Everything that placement looks at.
+/// Input of placement decisions.
 #[derive(Debug, Default)]
 pub(crate) struct PlacementView {
-    /// Owners of this cell that take new work.
+    /// Owners in this cell that accept new work.
     pub owners: Vec<OwnerView>,
     /// Other cells, nearest first.
     pub cells: Vec<CellView>,
-    /// Live nodes of this region, this one included.
+    /// Number of live nodes in this region, including this one.
     pub region_nodes: usize,
 }
 
 impl PlacementView {
-    /// Shortest expected wait for a service anywhere, milliseconds; `None` when nobody has it.
+    /// Shortest expected wait for a service in any cell, milliseconds; `None` if no server offers it.
     pub fn shortest_wait_ms(&self, service: &str) -> Option<u32> {
         let near = self
             .owners
@@ -123,7 +114,7 @@
     }
 }
 
-/// The last view, and when it was built.
+/// The most recent view and the time it was built.
 #[derive(Default)]
 pub(crate) struct ViewCache {
     view: Rc<PlacementView>,
@@ -131,7 +122,7 @@
 }
 
 impl ViewCache {
-    /// The view, built anew when it is old.
+    /// Returns the view, rebuilding it if it is stale.
     pub fn get(&mut self, tables: &NodeTables) -> Rc<PlacementView> {
         let now = tables.clock.now();
         if self
@@ -144,7 +135,7 @@
         self.view.clone()
     }
 
-    /// Makes the next view a new one.
+    /// Forces a rebuild at the next [`ViewCache::get`].
     pub fn invalidate(&mut self) {
         self.built = None;
     }
@@ -260,14 +251,14 @@
     1 + others.count()
 }
 
-/// Whether a member may be sent new work.
+/// Whether new work may be sent to a member.
 pub(crate) fn is_usable(member: &Member) -> bool {
     let state = member.state();
     let believed = matches!(state, MemberState::MemberAlive | MemberState::MemberSuspect);
     believed && !member.draining
 }
 
-/// Address of a usable member; `None` when it is unknown, gone or draining.
+/// Address of a usable member; `None` if it is unknown, dead or draining.
 pub(crate) fn usable_node(tables: &NodeTables, node: &NodeId) -> Option<NodeAddress> {
     let member = tables.members.get(node)?;
     is_usable(&member).then(|| address(&member))
--- a/crates/online/src/worker.rs
+++ b/crates/online/src/worker.rs
@@ -1,4 +1,4 @@
-//! The online path on one worker thread.
+//! Entry point of the online path on a worker thread.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,14 +24,13 @@
 use crate::shared::{OnlineShared, StreamSlot};
 use crate::view::{PlacementView, ViewCache};
 
-/// Advice to a caller that meets a full or stopping node, milliseconds.
+/// Retry delay suggested when the node has reached its stream limit, milliseconds.
 const FULL_RETRY_AFTER_MS: u32 = 200;
 
-/// What a worker is given.
+/// Dependencies of an [`OnlineWorker`].
 pub struct OnlineContext {
-    /// Shared tables of the node.
+    /// Tables shared by the node's threads.
     pub tables: Arc<NodeTables>,
-    /// Settings.
     pub settings: OnlineSettings,
     /// Platform clients of this thread.
     pub platform: Platform,
@@ -43,15 +42,15 @@
     pub shared: Arc<OnlineShared>,
 }
 
-/// The submitter's end of a submission inside this process.
+/// Client end of a submission made within this process.
 pub struct LocalStream {
-    /// Frames to the worker: only `Cancel` has a meaning.
+    /// Frames to the worker. Frames other than `Cancel` are ignored.
     pub to_worker: mpsc::UnboundedSender<frame::Body>,
-    /// Frames from the worker, the last one `Finish` or `Refused`.
+    /// Frames from the worker; the last one is `Finish` or `Refused`.
     pub from_worker: StreamReceiver,
 }
 
-/// The online path of one worker thread.
+/// Serves submissions on one worker thread.
 pub struct OnlineWorker {
     pub(crate) tables: Arc<NodeTables>,
     pub(crate) settings: OnlineSettings,
@@ -63,7 +62,7 @@
 }
 
 impl OnlineWorker {
-    /// A worker. Must be called on the arbiter that it is to run on.
+    /// Must be called on the arbiter that the worker runs on.
     pub fn new(context: OnlineContext) -> Rc<OnlineWorker> {
         Rc::new(OnlineWorker {
             recorder: Recorder::new(
@@ -80,13 +79,13 @@
         })
     }
 
-    /// Serves one submission in a task of its own. The stream gets exactly one final frame.
+    /// Serves a submission in a separate task. Exactly one final frame is sent on the stream.
     pub fn handle(self: &Rc<Self>, submit: Submit, stream: ServerStream) {
         self.begin(submit, Caller::from_stream(stream));
     }
 
-    /// Serves one submission of this process, without a link. Dropping `to_worker` counts as a lost
-    /// link.
+    /// Serves a submission made within this process, without a link. Dropping `to_worker` is handled as
+    /// a lost link.
     pub fn handle_local(self: &Rc<Self>, submit: Submit) -> LocalStream {
         let (to_worker, receiver) = mpsc::unbounded_channel();
         let (sink, from_worker) = mpsc::unbounded_channel();
@@ -110,7 +109,7 @@
         }
     }
 
-    /// Answers `RecordBegin` and `RecordSettle`: this node is the recorder of the key's cell.
+    /// Handles `RecordBegin` and `RecordSettle` calls sent to this node as recorder of a key.
     pub async fn record_call(&self, call: Call) -> Result<Reply, Failure> {
         let budget = Duration::from_millis(u64::from(call.budget_ms));
         let until = Instant::now() + budget;
@@ -132,12 +131,12 @@
         })
     }
 
-    /// The current view of where requests can go.
+    /// Current view of the placement targets.
     pub(crate) fn view(&self) -> Rc<PlacementView> {
         self.views.borrow_mut().get(&self.tables)
     }
 
-    /// Makes the next placement see the tables afresh.
+    /// Forces a rebuild of the view at the next placement.
     pub(crate) fn refresh_view(&self) {
         self.views.borrow_mut().invalidate();
     }
--- a/crates/online/tests/admission.rs
+++ b/crates/online/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Early, cheap and true refusals, and servers that leave.
+//! Refusals before dispatch, and servers that stop accepting work.
 
 mod support;
 
--- a/crates/online/tests/chaos.rs
+++ b/crates/online/tests/chaos.rs
@@ -1,5 +1,5 @@
-//! Random faults of engines, store and callers, on virtual time: what was refused as "not run" did not
-//! run, and no key ran twice.
+//! Random faults of engines, store and callers on virtual time. A request refused as "not run" must not
+//! have run, and no idempotency key may run twice.
 
 mod support;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// One request with what became of it; the caller may cancel or vanish in the middle.
+/// Reads the answer of a request; the caller may cancel or disconnect before the end.
 async fn call(mut client: Client, leave_after: Option<Duration>, cancels: bool) -> Answer {
     let Some(leave_after) = leave_after else {
         return client.whole().await;
--- a/crates/online/tests/crashes.rs
+++ b/crates/online/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the engines which run them.
+//! Requests that crash the engines they run on.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::engine::Script;
 use support::*;
 
-/// Engines that may end under one request.
+/// Number of engines that one request may crash.
 const MOST_ENDED: usize = 3;
 const SERVERS: usize = 8;
 
@@ -47,7 +47,7 @@
         for server in 0..SERVERS {
             node.engine.script(&format!("s{server}"), [Script::Crash]);
         }
-        // Each with a key of its own: the caller decides to run it anew.
+        // Each submission has a new key, so the caller requests another run.
         for try_number in 0..5 {
             let id = format!("r{try_number}");
             node.submit(once_request(&id, &id)).whole().await;
@@ -60,7 +60,7 @@
 fn others_are_served() {
     run(async {
         let node = Node::new(SERVERS);
-        // Two engines end for a reason of their own while they run the same request.
+        // Two engines crash for unrelated reasons while running the same request.
         for server in 0..2 {
             node.engine.script(&format!("s{server}"), [Script::Crash]);
         }
--- a/crates/online/tests/once.rs
+++ b/crates/online/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be repeated run at most once, whatever is lost.
+//! At-most-once requests do not run twice when engines, the store or callers fail.
 
 mod support;
 
@@ -286,7 +286,7 @@
     });
 }
 
-/// Puts a running record of another node into the store.
+/// Stores a started record written by another node.
 async fn put_running(node: &Node, key: &str, writer: &str, age_ms: u64) {
     let answer = node.submit(once_request("r0", "key-0")).whole().await;
     assert!(answer.finish.is_some());
--- a/crates/online/tests/relay.rs
+++ b/crates/online/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Whole answers, whatever happens to engines and callers in the middle of a stream.
+//! Answers stay complete when engines fail or callers disconnect during a stream.
 
 mod support;
 
--- a/crates/online/tests/remote.rs
+++ b/crates/online/tests/remote.rs
@@ -1,4 +1,4 @@
-//! Requests that enter at one node and run through another, over real links.
+//! Requests that enter at one node and run at another, over TCP links.
 
 mod support;
 
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Runs a test on a thread of real time, for sockets.
+/// Runs a test without virtual time, since it uses sockets.
 fn run_real<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -28,7 +28,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// A node behind a listener.
+/// A node that serves links on a local port.
 struct Peer {
     node: Node,
     address: String,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Makes the peer known to a node as an owner of its cell.
+    /// Registers the peer with a node as an owner in its cell.
     fn introduce(&self, to: &Node) {
         to.tables.members.put(self.member());
         let now = to.tables.clock.now();
--- a/crates/online/tests/support/engine.rs
+++ b/crates/online/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that does what its script says. Streams whose connection was lost live on.
+//! A scripted fake engine. Its streams survive a lost connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -14,37 +14,36 @@
 
 use super::{SERVICE, TOKENS, VERSION};
 
-/// Time of one token.
 pub const TOKEN_TIME: Duration = Duration::from_millis(4);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     Accept,
-    /// Tokens, one event each.
+    /// Sends tokens, one event each.
     Tokens(u32),
     Finish,
-    /// The connection is lost.
+    /// Loses the connection.
     Lose,
-    /// Nothing more comes.
+    /// Sends nothing more.
     Hang,
 }
 
-/// What becomes of one call.
+/// Behaviour of one call.
 #[derive(Debug, Clone)]
 pub enum Script {
     Steps(Vec<Step>),
     Unreachable,
     Refuse(u16),
-    /// Lost before an answer to the call came.
+    /// The connection is lost before the response.
     LostAtCall,
-    /// No answer to the call, ever.
+    /// The call never gets a response.
     SilentAtCall,
-    /// The engine ends while it runs the request, and is not back before the test is over.
+    /// The engine crashes while it runs the request and stays down for the rest of the test.
     Crash,
 }
 
 impl Script {
-    /// Whether an engine that does this may have run the request.
+    /// Whether the request may have run.
     fn may_run(&self) -> bool {
         !matches!(self, Script::Unreachable | Script::Refuse(_))
     }
@@ -54,7 +53,7 @@
     }
 }
 
-/// Text of the token at an offset, whichever server makes it.
+/// Text of the token at an offset, the same on all servers.
 pub fn piece(offset: u32) -> String {
     format!(" t{offset}")
 }
@@ -89,39 +88,39 @@
 #[derive(Default)]
 pub struct FakeEngine {
     scripts: RefCell<BTreeMap<String, VecDeque<Script>>>,
-    /// Calls to generate, with the base URL of each.
+    /// Base URL and body of each call to `generate`.
     pub calls: RefCell<Vec<(String, GenerateCall)>>,
     /// Request ids of calls that may have started a run.
     pub runs: RefCell<Vec<String>>,
-    /// Streams cancelled.
+    /// Ids of cancelled streams.
     pub cancels: RefCell<Vec<String>>,
-    /// Engines that have ended.
+    /// Base URLs of crashed engines.
     pub ended: RefCell<Vec<String>>,
-    /// Servers whose status says that they take no new work.
+    /// Servers whose status reports that they accept no new work.
     pub leaving: RefCell<Vec<String>>,
-    /// Statuses asked for.
+    /// Number of status and report calls.
     pub statuses: Cell<u32>,
     next_stream: Cell<u32>,
     /// Streams that can be attached to.
     pub living: RefCell<Vec<String>>,
-    /// Tokens of answers that come at once; 0 for answers in time.
+    /// Length of answers returned without delay; 0 to follow the scripts.
     at_once: Cell<u32>,
 }
 
 impl FakeEngine {
-    /// What becomes of the next calls to a server; later ones give whole answers.
+    /// Sets the behaviour of the next calls to a server; later calls give complete answers.
     pub fn script(&self, server: &str, scripts: impl IntoIterator<Item = Script>) {
         let mut all = self.scripts.borrow_mut();
         let queue = all.entry(format!("http://{server}")).or_default();
         queue.extend(scripts);
     }
 
-    /// Makes all answers come at once, with this many tokens.
+    /// Makes every call return an answer of `tokens` tokens without delay.
     pub fn answer_at_once(&self, tokens: u32) {
         self.at_once.set(tokens);
     }
 
-    /// Forgets what was called, for long measurements.
+    /// Clears the recorded calls, runs and streams, which would grow without bound in a benchmark.
     pub fn forget(&self) {
         self.calls.borrow_mut().clear();
         self.runs.borrow_mut().clear();
@@ -298,5 +297,4 @@
     }
 }
 
-/// Shared between the tests and the worker.
 pub type SharedEngine = Rc<FakeEngine>;
--- a/crates/online/tests/support/mod.rs
+++ b/crates/online/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node with one or more owned servers, scripted engines and an in-memory platform, on virtual time.
+//! Test node with owned servers, scripted engines and an in-memory platform, on virtual time.
 #![allow(dead_code, unused_imports)]
 
 pub mod engine;
@@ -28,7 +28,7 @@
 pub const VERSION: &str = "v1";
 pub const TOKENS: u32 = 6;
 
-/// Runs a test on a thread of virtual time.
+/// Runs a test on virtual time.
 pub fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -47,7 +47,7 @@
 }
 
 impl Node {
-    /// A ready node that owns `servers`, named s0, s1, and so on.
+    /// A ready node that owns `servers` servers named `s0`, `s1` and so on.
     pub fn new(servers: usize) -> Node {
         Node::with(
             servers,
@@ -60,7 +60,7 @@
         Node::named("n0", servers, settings, platform, Rc::default())
     }
 
-    /// A node of this name, with engines that it may share with other nodes.
+    /// A node with the given name and engines, which other nodes may share.
     pub fn named(
         name: &str,
         servers: usize,
@@ -104,7 +104,7 @@
         node
     }
 
-    /// Puts a fresh report of a server into the table.
+    /// Stores a current report of a server.
     pub fn report(&self, server: &str, version: &str) {
         let now = self.tables.clock.now();
         self.tables.servers.with(&ServerId::from(server), |state| {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The record of an idempotency key.
+    /// Record stored for an idempotency key.
     pub fn record(&self, key: &str) -> Option<OnceRow> {
         let row = self.platform.row(&keys::once("tenant-a", key))?;
         Some(OnceRow::decode(row.value).expect("a record"))
@@ -136,7 +136,7 @@
             .read(|servers| servers.values().map(|state| state.online.len()).sum())
     }
 
-    /// Puts configuration rows in force.
+    /// Applies configuration rows.
     pub fn configure(&self, rows: Vec<(String, Vec<u8>)>) {
         let revision = self.tables.configuration.revision() + 1;
         let entries = rows.into_iter().map(|(key, value)| {
@@ -182,7 +182,7 @@
     }
 }
 
-/// A request of [`TOKENS`] tokens with ten seconds to its deadline.
+/// A request for [`TOKENS`] tokens with a deadline of ten seconds.
 pub fn request(id: &str) -> Submit {
     Submit {
         request: Some(GenerateRequest {
@@ -202,7 +202,7 @@
     }
 }
 
-/// The same, to be run at most once under `key`.
+/// The same request, at most once under `key`.
 pub fn once_request(id: &str, key: &str) -> Submit {
     let mut submit = request(id);
     let inner = submit.request.as_mut().expect("a request");
@@ -211,13 +211,13 @@
     submit
 }
 
-/// The submitter.
+/// Submitter of a request.
 pub struct Client {
     pub stream: LocalStream,
     answer: Answer,
 }
 
-/// Everything that came until the final frame.
+/// Frames received so far.
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
     pub accepted: Vec<Accepted>,
@@ -235,7 +235,7 @@
         self.stream.from_worker.recv().await
     }
 
-    /// Reads until the answer has `tokens` tokens.
+    /// Reads until at least `tokens` tokens were received.
     pub async fn read_tokens(&mut self, tokens: usize) -> Answer {
         while self.answer.pieces.len() < tokens {
             let Some(body) = self.next().await else { break };
@@ -244,7 +244,7 @@
         self.answer.clone()
     }
 
-    /// Reads to the final frame; the answer holds what was read before, too.
+    /// Reads to the final frame and returns everything received, including frames read earlier.
     pub async fn whole(&mut self) -> Answer {
         while self.answer.finish.is_none() && self.answer.refused.is_none() {
             let Some(body) = self.next().await else { break };
@@ -273,7 +273,7 @@
     }
 }
 
-/// The text that a request of [`TOKENS`] tokens must get.
+/// Complete answer to a request for [`TOKENS`] tokens.
 pub fn whole_text() -> String {
     (0..TOKENS).map(piece).collect()
 }
