--- a/crates/engine/src/client/lines.rs
+++ b/crates/engine/src/client/line_buffer.rs
@@ -7,17 +7,17 @@
 const MAXIMUM_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("a line of the answer is longer than {MAXIMUM_LINE_BYTES} bytes")]
+#[display("a line of the response exceeds {MAXIMUM_LINE_BYTES} bytes")]
 pub(super) struct LineTooLong;
 
 /// Received bytes that have not yet been returned as lines.
 #[derive(Debug, Default)]
-pub(super) struct Lines {
+pub(super) struct LineBuffer {
     buffer: BytesMut,
     searched: usize,
 }
 
-impl Lines {
+impl LineBuffer {
     pub(super) fn push(&mut self, bytes: &[u8]) -> Result<(), LineTooLong> {
         if self.buffer.len() + bytes.len() > MAXIMUM_LINE_BYTES {
             return Err(LineTooLong);
--- a/crates/engine/src/client/mod.rs
+++ b/crates/engine/src/client/mod.rs
@@ -1,6 +1,6 @@
 //! The HTTP client of the engines.
 
-mod lines;
+mod line_buffer;
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     CacheEvent, Engine, EngineError, EngineEvent, EngineOrder, EngineReport, EventStream,
     GenerateCall, KvQuery, KvState,
 };
-use lines::Lines;
+use line_buffer::LineBuffer;
 
 /// Maximum body size of a unary response, bytes.
 const MAXIMUM_ANSWER_BYTES: usize = 16 * 1024 * 1024;
@@ -24,7 +24,7 @@
 
 /// Statuses that guarantee that the call did not run. After any other failure status, including
 /// redirects, it may have run.
-const REFUSALS: [u16; 9] = [400, 404, 405, 409, 413, 422, 429, 501, 503];
+const REFUSAL_STATUSES: [u16; 9] = [400, 404, 405, 409, 413, 422, 429, 501, 503];
 
 /// [`Engine`] over HTTP/1.1 with `awc`. Each worker thread has its own client and connection pool.
 pub struct HttpEngine {
@@ -50,7 +50,7 @@
 
     async fn get<T: DeserializeOwned>(&self, url: String) -> Result<T, EngineError> {
         let sent = self.client.get(url).send();
-        let response = self.in_time(sent).await?.map_err(send_error)?;
+        let response = self.with_timeout(sent).await?.map_err(send_error)?;
         self.read(response).await
     }
 
@@ -60,7 +60,7 @@
         body: &impl Serialize,
     ) -> Result<T, EngineError> {
         let sent = self.client.post(url).send_json(body);
-        let response = self.in_time(sent).await?.map_err(send_error)?;
+        let response = self.with_timeout(sent).await?.map_err(send_error)?;
         self.read(response).await
     }
 
@@ -74,20 +74,20 @@
             return Err(refusal(&mut response, self.idle_timeout).await);
         }
         let body = response.body().limit(MAXIMUM_ANSWER_BYTES);
-        let bytes = self.in_time(body).await?.map_err(lost)?;
+        let bytes = self.with_timeout(body).await?.map_err(lost_error)?;
         // An empty body is read as `null`, the JSON form of `()`.
         let json = if bytes.is_empty() {
             b"null"
         } else {
             &bytes[..]
         };
-        serde_json::from_slice(json).map_err(lost)
+        serde_json::from_slice(json).map_err(lost_error)
     }
 
-    async fn in_time<F: Future>(&self, call: F) -> Result<F::Output, EngineError> {
+    async fn with_timeout<F: Future>(&self, call: F) -> Result<F::Output, EngineError> {
         tokio::time::timeout(self.idle_timeout, call)
             .await
-            .map_err(|_| lost("the engine did not answer in time"))
+            .map_err(|_| lost_error("the engine did not respond in time"))
     }
 }
 
@@ -98,7 +98,7 @@
             .client
             .post(format!("{base}/v1/generate"))
             .send_json(&call);
-        let mut response = self.in_time(sent).await?.map_err(send_error)?;
+        let mut response = self.with_timeout(sent).await?.map_err(send_error)?;
         if !response.status().is_success() {
             return Err(refusal(&mut response, self.idle_timeout).await);
         }
@@ -162,42 +162,42 @@
 where
     S: futures::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin + 'static,
 {
-    let state = Reading {
+    let state = EventReader {
         response,
-        lines: Lines::default(),
-        ended: false,
+        line_buffer: LineBuffer::default(),
+        finished: false,
     };
     futures::stream::unfold(state, move |mut state| async move {
-        if state.ended {
+        if state.finished {
             return None;
         }
         let next = state.next_event(idle_timeout).await;
-        state.ended = matches!(next, Err(_) | Ok(EngineEvent::Finished { .. }));
+        state.finished = matches!(next, Err(_) | Ok(EngineEvent::Finished { .. }));
         Some((next, state))
     })
 }
 
-struct Reading<S> {
+struct EventReader<S> {
     response: awc::ClientResponse<S>,
-    lines: Lines,
-    ended: bool,
+    line_buffer: LineBuffer,
+    finished: bool,
 }
 
-impl<S> Reading<S>
+impl<S> EventReader<S>
 where
     S: futures::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
     async fn next_event(&mut self, idle_timeout: Duration) -> Result<EngineEvent, EngineError> {
         loop {
-            if let Some(line) = self.lines.next_line() {
-                return serde_json::from_slice(&line).map_err(lost);
+            if let Some(line) = self.line_buffer.next_line() {
+                return serde_json::from_slice(&line).map_err(lost_error);
             }
             let read = tokio::time::timeout(idle_timeout, self.response.next()).await;
             match read {
-                Err(_) => return Err(lost("the engine fell silent")),
-                Ok(None) => return Err(lost("the answer ended before its last event")),
-                Ok(Some(Err(error))) => return Err(lost(error)),
-                Ok(Some(Ok(bytes))) => self.lines.push(&bytes).map_err(lost)?,
+                Err(_) => return Err(lost_error("the engine sent no data in time")),
+                Ok(None) => return Err(lost_error("the response ended before its final event")),
+                Ok(Some(Err(error))) => return Err(lost_error(error)),
+                Ok(Some(Ok(bytes))) => self.line_buffer.push(&bytes).map_err(lost_error)?,
             }
         }
     }
@@ -216,28 +216,28 @@
             .collect(),
         _ => String::new(),
     };
-    if REFUSALS.contains(&status) {
+    if REFUSAL_STATUSES.contains(&status) {
         EngineError::Refused { status, reason }
     } else {
-        lost(format!("status {status}: {reason}"))
+        lost_error(format!("status {status}: {reason}"))
     }
 }
 
 fn send_error(error: SendRequestError) -> EngineError {
     match error {
         // `awc` reports a connection that breaks after the request was sent as `Disconnected`.
-        SendRequestError::Connect(ConnectError::Disconnected) => lost(error),
+        SendRequestError::Connect(ConnectError::Disconnected) => lost_error(error),
         SendRequestError::Connect(cause) => EngineError::Unreachable {
             reason: cause.to_string(),
         },
         SendRequestError::Url(cause) => EngineError::Unreachable {
             reason: cause.to_string(),
         },
-        other => lost(other),
+        other => lost_error(other),
     }
 }
 
-fn lost(reason: impl ToString) -> EngineError {
+fn lost_error(reason: impl ToString) -> EngineError {
     EngineError::Lost {
         reason: reason.to_string(),
     }
--- a/crates/online/benches/relay.rs
+++ b/crates/online/benches/relay.rs
@@ -27,7 +27,7 @@
         .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     let node = local.block_on(&runtime, async { Node::new(SERVERS) });
-    node.engine.answer_at_once(TOKENS);
+    node.engine.answer_immediately(TOKENS);
     let mut group = criterion.benchmark_group("relay");
     group.throughput(Throughput::Elements(u64::from(TOKENS)));
     let mut number = 0_u64;
@@ -51,7 +51,7 @@
                 }
                 assert_eq!(tokens, TOKENS as usize);
             });
-            node.engine.forget();
+            node.engine.clear_calls();
         });
     });
     group.finish();
--- a/crates/online/src/admit.rs
+++ b/crates/online/src/admit.rs
@@ -21,7 +21,7 @@
 ) -> Result<Option<TenantSlot>, Failure> {
     check_deadline(incoming)?;
     check_service(worker, incoming)?;
-    let slot = take_tenant(worker, incoming)?;
+    let slot = acquire_tenant_slot(worker, incoming)?;
     if incoming.pieces.is_empty() && !incoming.earlier.has_stream() {
         check_feasible(worker, incoming)?;
     }
@@ -29,12 +29,12 @@
 }
 
 fn check_deadline(incoming: &Incoming) -> Result<(), Failure> {
-    if incoming.left_ms() > 0 {
+    if incoming.remaining_ms() > 0 {
         return Ok(());
     }
     Err(Failure::not_run(
         ErrorKind::DeadlineExceeded,
-        "the deadline had passed when the request came",
+        "the deadline had passed when the request arrived",
     ))
 }
 
@@ -59,19 +59,19 @@
 /// A service without a configuration row exists if servers are assigned to it.
 fn check_unconfigured(worker: &OnlineWorker, service: &str) -> Result<(), Failure> {
     let has_owner = worker.view().shortest_wait_ms(service).is_some();
-    let is_meant = || {
+    let is_assigned = || {
         worker.tables.directory.read(|servers| {
             servers
                 .values()
                 .any(|entry| entry.service.as_str() == service)
         })
     };
-    if has_owner || is_meant() {
+    if has_owner || is_assigned() {
         return Ok(());
     }
     Err(Failure::not_run(
         ErrorKind::UnknownModel,
-        format!("there is no service {service}"),
+        format!("unknown service {service}"),
     ))
 }
 
@@ -81,11 +81,11 @@
     }
     Err(Failure::not_run(
         ErrorKind::TooLarge,
-        format!("the {what} of {tokens} tokens is longer than the service's {maximum}"),
+        format!("the {what} of {tokens} tokens exceeds the service's limit of {maximum}"),
     ))
 }
 
-fn take_tenant(
+fn acquire_tenant_slot(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
 ) -> Result<Option<TenantSlot>, Failure> {
@@ -108,7 +108,7 @@
     let tenant = &incoming.request.tenant;
     worker
         .shared
-        .take_tenant(tenant, limits, tokens, now)
+        .acquire_tenant_slot(tenant, limits, tokens, now)
         .map(Some)
 }
 
@@ -117,7 +117,7 @@
     let Some(wait_ms) = worker.view().shortest_wait_ms(service) else {
         let failure = Failure::not_run(
             ErrorKind::NoServer,
-            format!("no server carries service {service} at present"),
+            format!("no server currently offers service {service}"),
         );
         return Err(failure.retry_after(NO_SERVER_RETRY_AFTER_MS));
     };
@@ -131,10 +131,14 @@
     wait_ms: u32,
 ) -> Result<(), Failure> {
     let maximum = u32::try_from(worker.settings.maximum_queue_ms).unwrap_or(u32::MAX);
-    admission::feasible(wait_ms, incoming.left_ms(), maximum).map_err(|(why, retry_after)| {
+    admission::feasible(wait_ms, incoming.remaining_ms(), maximum).map_err(|(why, retry_after)| {
         let message = match why {
-            Infeasible::Queue => format!("the queue is {wait_ms} ms long; {maximum} are allowed"),
-            Infeasible::Deadline => format!("the wait of {wait_ms} ms reaches the deadline"),
+            Infeasible::Queue => {
+                format!("the expected wait of {wait_ms} ms exceeds the limit of {maximum} ms")
+            }
+            Infeasible::Deadline => {
+                format!("the expected wait of {wait_ms} ms exceeds the deadline")
+            }
         };
         Failure::not_run(ErrorKind::Overloaded, message).retry_after(retry_after)
     })
--- a/crates/online/src/caller.rs
+++ b/crates/online/src/caller.rs
@@ -7,7 +7,7 @@
 
 /// How the submitter disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Gone {
+pub(crate) enum Disconnect {
     /// It cancelled the request.
     Cancelled,
     /// Its link was lost; it may resume through another node.
@@ -23,7 +23,7 @@
 pub(crate) struct Caller {
     sink: FrameSink,
     receiver: StreamReceiver,
-    gone: Option<Gone>,
+    disconnected: Option<Disconnect>,
 }
 
 impl Caller {
@@ -32,7 +32,7 @@
         Caller {
             sink: FrameSink::Link(stream.sender()),
             receiver: stream.receiver,
-            gone: None,
+            disconnected: None,
         }
     }
 
@@ -41,7 +41,7 @@
         Caller {
             sink: FrameSink::Local(sink),
             receiver,
-            gone: None,
+            disconnected: None,
         }
     }
 
@@ -54,23 +54,23 @@
     }
 
     /// Whether [`Caller::disconnected`] has resolved.
-    pub fn is_gone(&self) -> bool {
-        self.gone.is_some()
+    pub fn is_disconnected(&self) -> bool {
+        self.disconnected.is_some()
     }
 
     /// Resolves when the submitter cancels or its link is lost; never resolves again afterwards.
-    pub async fn gone(&mut self) -> Gone {
-        if self.gone.is_some() {
+    pub async fn disconnected(&mut self) -> Disconnect {
+        if self.disconnected.is_some() {
             return std::future::pending().await;
         }
-        let gone = loop {
+        let disconnected = loop {
             match self.receiver.recv().await {
-                Some(frame::Body::Cancel(_)) => break Gone::Cancelled,
+                Some(frame::Body::Cancel(_)) => break Disconnect::Cancelled,
                 Some(_) => {}
-                None => break Gone::LinkLost,
+                None => break Disconnect::LinkLost,
             }
         };
-        self.gone = Some(gone);
-        gone
+        self.disconnected = Some(disconnected);
+        disconnected
     }
 }
--- a/crates/online/src/dispatch.rs
+++ b/crates/online/src/dispatch.rs
@@ -23,7 +23,7 @@
 
 /// Server selected for a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Chosen {
+pub(crate) struct SelectedServer {
     pub server: ServerId,
     /// Base URL of its engine.
     pub base_url: String,
@@ -32,38 +32,38 @@
 }
 
 /// Selects one of the owned servers that accept new work.
-pub(crate) fn choose(
+pub(crate) fn select_server(
     worker: &OnlineWorker,
     incoming: &Incoming,
     version: &str,
     excluded: &[ServerId],
-) -> Result<Chosen, Failure> {
+) -> Result<SelectedServer, Failure> {
     let configuration = worker.tables.configuration.current();
     let best = worker.tables.servers.read(|owned| {
-        let suitable = |state: &&OwnedServer| {
+        let eligible = |state: &&OwnedServer| {
             !excluded.contains(&state.entry.server)
-                && suits(state, incoming, version)
+                && is_eligible(state, incoming, version)
                 && !is_draining(&configuration, &state.entry)
         };
-        let servers: Vec<&OwnedServer> = owned.values().filter(suitable).collect();
-        best_of(&servers, incoming, worker.settings.affinity_bound_percent)
+        let servers: Vec<&OwnedServer> = owned.values().filter(eligible).collect();
+        best_server(&servers, incoming, worker.settings.affinity_bound_percent)
     });
-    let Some((chosen, wait_ms)) = best else {
+    let Some((selected, wait_ms)) = best else {
         return Err(Failure::not_run(
             ErrorKind::Bounced,
-            "this node owns no server that takes the request",
+            "no server owned by this node can accept the request",
         ));
     };
     admit::check_wait(worker, incoming, wait_ms)?;
-    Ok(chosen)
+    Ok(selected)
 }
 
 /// Returns the best server and its expected wait in milliseconds.
-fn best_of(
+fn best_server(
     servers: &[&OwnedServer],
     incoming: &Incoming,
     bound_percent: u32,
-) -> Option<(Chosen, u32)> {
+) -> Option<(SelectedServer, u32)> {
     let (key, has_key) = affinity_key(&incoming.request);
     let (prompt, output) = (incoming.request.prompt_tokens, incoming.request.max_tokens);
     let candidate = |state: &&OwnedServer| {
@@ -81,12 +81,12 @@
         return None;
     }
     let state = servers[best[0]];
-    let chosen = Chosen {
+    let selected = SelectedServer {
         server: state.entry.server.clone(),
         base_url: state.entry.base_url.clone(),
         version: state.version().unwrap_or_default().to_owned(),
     };
-    Some((chosen, candidates[best[0]].wait_ms))
+    Some((selected, candidates[best[0]].wait_ms))
 }
 
 /// Whether the server, its hall or its zone is being drained.
@@ -94,7 +94,7 @@
     configuration.drains(entry)
 }
 
-fn suits(state: &OwnedServer, incoming: &Incoming, version: &str) -> bool {
+fn is_eligible(state: &OwnedServer, incoming: &Incoming, version: &str) -> bool {
     let request = &incoming.request;
     let has_version = version.is_empty() || state.version() == Some(version);
     state.takes_new_work()
@@ -111,30 +111,34 @@
 }
 
 /// Whether the engine accepts new work. Requests its status if the last known state is too old.
-pub(crate) async fn still_accepts(worker: &OnlineWorker, chosen: &Chosen) -> bool {
+pub(crate) async fn still_accepts(worker: &OnlineWorker, selected: &SelectedServer) -> bool {
     let now = worker.tables.clock.now();
     let bound = worker.settings.leaving_bound_ms;
-    let known = worker.tables.servers.with(&chosen.server, |state| {
+    let known = worker.tables.servers.with(&selected.server, |state| {
         freshness::still_holds(state.accepting_known_at, now, bound)
     });
     if known == Some(true) {
         return true;
     }
     worker.shared.metrics.status_asked.inc();
-    let patience = Duration::from_millis(worker.settings.engine_connect_timeout_ms);
-    let asking = worker.engine.status(&chosen.base_url);
-    match tokio::time::timeout(patience, asking).await {
+    let call_timeout = Duration::from_millis(worker.settings.engine_connect_timeout_ms);
+    let asking = worker.engine.status(&selected.base_url);
+    match tokio::time::timeout(call_timeout, asking).await {
         Ok(Ok(report)) => {
             let takes = report.accepting && report.model.is_some();
-            reports::apply_report(&worker.tables, &chosen.server, report, now);
+            reports::apply_report(&worker.tables, &selected.server, report, now);
             takes
         }
         Ok(Err(error)) => {
-            reports::note_failure(&worker.tables, &chosen.server, &error.to_string());
+            reports::record_failure(&worker.tables, &selected.server, &error.to_string());
             false
         }
         Err(_) => {
-            reports::note_failure(&worker.tables, &chosen.server, "no status in time");
+            reports::record_failure(
+                &worker.tables,
+                &selected.server,
+                "the status request timed out",
+            );
             false
         }
     }
@@ -174,20 +178,20 @@
 }
 
 /// Counts a sequence as in flight on a server until it is dropped.
-pub(crate) struct FlightGuard {
+pub(crate) struct InFlightGuard {
     tables: Arc<NodeTables>,
     server: ServerId,
     flight: RequestId,
 }
 
-impl FlightGuard {
+impl InFlightGuard {
     pub fn begin(
         tables: &Arc<NodeTables>,
         server: &ServerId,
         incoming: &Incoming,
         attempt: u32,
         offset: u32,
-    ) -> FlightGuard {
+    ) -> InFlightGuard {
         let flight = RequestId::from(format!("{}#{attempt}", incoming.id));
         let in_flight = InFlight {
             tokens: incoming.tokens(),
@@ -196,7 +200,7 @@
             started: false,
         };
         tables.servers.begin_online(server, &flight, in_flight);
-        FlightGuard {
+        InFlightGuard {
             tables: tables.clone(),
             server: server.clone(),
             flight,
@@ -211,7 +215,7 @@
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.tables.servers.end_online(&self.server, &self.flight);
     }
--- a/crates/online/src/once.rs
+++ b/crates/online/src/idempotency.rs
@@ -20,7 +20,7 @@
 use crate::worker::OnlineWorker;
 
 /// Time to wait for the cell's recorder before writing the record directly.
-const RECORDER_PATIENCE: Duration = Duration::from_millis(1_000);
+const RECORDER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Retry delay suggested while the request with this key is still running, milliseconds.
 const IN_PROGRESS_RETRY_AFTER_MS: u32 = 250;
@@ -29,23 +29,23 @@
 const UNKNOWN_WRITER_GRACE_MS: u64 = 10_000;
 
 /// Bounds of the backoff between attempts to write a record.
-const FIRST_WRITE_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_WRITE_PAUSE: Duration = Duration::from_secs(2);
+const INITIAL_WRITE_BACKOFF: Duration = Duration::from_millis(100);
+const MAXIMUM_WRITE_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Result of reserving the key of an at-most-once request.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Begun {
+pub(crate) enum BeginOutcome {
     /// The request holds the key and may run once.
-    Fresh(Holder),
+    Acquired(KeyReservation),
     /// An earlier attempt of the same request holds the key; the request may only attach to its stream.
-    Attach(Holder),
+    Attach(KeyReservation),
     /// The request has completed; this is its recorded answer.
     Replay(OnceOutcome),
 }
 
 /// A request's reservation of its idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Holder {
+pub(crate) struct KeyReservation {
     tenant: String,
     key: String,
     request_id: String,
@@ -57,26 +57,28 @@
 pub(crate) async fn begin(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
-) -> Result<Begun, Failure> {
-    let holder = Holder::new(worker, incoming);
+) -> Result<BeginOutcome, Failure> {
+    let reservation = KeyReservation::new(worker, incoming);
     let begin = RecordBegin {
-        tenant: holder.tenant.clone(),
-        idempotency_key: holder.key.clone(),
-        request_id: holder.request_id.clone(),
+        tenant: reservation.tenant.clone(),
+        idempotency_key: reservation.key.clone(),
+        request_id: reservation.request_id.clone(),
         fingerprint: fingerprint(incoming),
-        writer: holder.writer.clone(),
+        writer: reservation.writer.clone(),
     };
-    let asked = ask(worker, begin.clone(), incoming.deadline);
+    let asked = reserve_key(worker, begin.clone(), incoming.deadline);
     match dappleyard_clock::timeout_at(incoming.deadline, asked).await {
-        Ok(Ok(state)) if state.fresh => Ok(Begun::Fresh(holder)),
-        Ok(Ok(state)) => judge(worker, incoming, holder, state.row.unwrap_or_default()),
+        Ok(Ok(state)) if state.fresh => Ok(BeginOutcome::Acquired(reservation)),
+        Ok(Ok(state)) => {
+            resolve_existing(worker, incoming, reservation, state.row.unwrap_or_default())
+        }
         Ok(Err(failure)) if failure.kind == ErrorKind::OutcomeUnknown => {
-            give_up(worker, begin);
+            release_key(worker, begin);
             Err(store_unavailable(&failure.message))
         }
         Ok(Err(failure)) => Err(failure),
         Err(_) => {
-            give_up(worker, begin);
+            release_key(worker, begin);
             Err(store_unavailable(
                 "the record could not be written before the deadline",
             ))
@@ -89,12 +91,12 @@
 }
 
 /// Determines the result for a key that another attempt holds.
-fn judge(
+fn resolve_existing(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
-    holder: Holder,
+    reservation: KeyReservation,
     row: OnceRow,
-) -> Result<Begun, Failure> {
+) -> Result<BeginOutcome, Failure> {
     if row.fingerprint != fingerprint(incoming) {
         return Err(Failure::not_run(
             ErrorKind::KeyReused,
@@ -104,37 +106,40 @@
     if row.phase() == OncePhase::OnceSettled {
         let outcome = row.outcome.unwrap_or_default();
         return if outcome.kind == 0 {
-            Ok(Begun::Replay(outcome))
+            Ok(BeginOutcome::Replay(outcome))
         } else {
             Err(recorded_failure(&outcome))
         };
     }
-    if row.request_id == holder.request_id && incoming.earlier.has_stream() {
+    if row.request_id == reservation.request_id && incoming.earlier.has_stream() {
         let writer = String::new();
-        return Ok(Begun::Attach(Holder { writer, ..holder }));
+        return Ok(BeginOutcome::Attach(KeyReservation {
+            writer,
+            ..reservation
+        }));
     }
     if writer_is_gone(worker, &row) {
-        settle_unknown(worker, &holder, &row);
+        settle_unknown(worker, &reservation, &row);
         return Err(outcome_unknown());
     }
     let failure = Failure::maybe_ran(
         ErrorKind::InProgress,
-        "a request with this idempotency key is running; ask again for its answer",
+        "a request with this idempotency key is running; retry to get its answer",
     );
     Err(failure.retry_after(IN_PROGRESS_RETRY_AFTER_MS))
 }
 
 /// Settles a record whose node is gone as unknown. The key cannot be used again.
-fn settle_unknown(worker: &Rc<OnlineWorker>, holder: &Holder, row: &OnceRow) {
+fn settle_unknown(worker: &Rc<OnlineWorker>, reservation: &KeyReservation, row: &OnceRow) {
     tracing::info!(
-        key = holder.key,
+        key = reservation.key,
         writer = row.writer,
-        "a record is settled as unknown: the node that ran the request is gone"
+        "settling a record as unknown: the node that ran the request is gone"
     );
-    let lost = Holder {
+    let lost = KeyReservation {
         request_id: row.request_id.clone(),
         writer: row.writer.clone(),
-        ..holder.clone()
+        ..reservation.clone()
     };
     lost.settle(worker, dappleyard_decide::once::unknown_outcome());
 }
@@ -159,11 +164,11 @@
     tables.members.is_gone(node, incarnation)
 }
 
-impl Holder {
-    fn new(worker: &OnlineWorker, incoming: &Incoming) -> Holder {
+impl KeyReservation {
+    fn new(worker: &OnlineWorker, incoming: &Incoming) -> KeyReservation {
         let identity = &worker.tables.identity;
         let unique = uuid::Uuid::new_v4().simple();
-        Holder {
+        KeyReservation {
             tenant: incoming.request.tenant.clone(),
             key: incoming.request.idempotency_key.clone(),
             request_id: incoming.request.request_id.clone(),
@@ -188,25 +193,25 @@
         let slot = worker.shared.count_stream();
         actix_rt::spawn(async move {
             let _slot = slot;
-            repeat_until_done(async || send_settlement(&worker, &settlement).await).await;
+            retry_until_done(async || send_settlement(&worker, &settlement).await).await;
         });
     }
 }
 
 /// Releases a key whose create was not confirmed.
-fn give_up(worker: &Rc<OnlineWorker>, begin: RecordBegin) {
+fn release_key(worker: &Rc<OnlineWorker>, begin: RecordBegin) {
     let worker = worker.clone();
     actix_rt::spawn(async move {
-        repeat_until_done(async || worker.recorder.give_up(begin.clone()).await).await;
+        retry_until_done(async || worker.recorder.release_key(begin.clone()).await).await;
     });
 }
 
 /// Retries a write with exponential backoff until it succeeds.
-async fn repeat_until_done(write: impl AsyncFn() -> Result<(), Failure>) {
-    let mut pause = FIRST_WRITE_PAUSE;
+async fn retry_until_done(write: impl AsyncFn() -> Result<(), Failure>) {
+    let mut backoff = INITIAL_WRITE_BACKOFF;
     while write().await.is_err() {
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_WRITE_PAUSE);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAXIMUM_WRITE_BACKOFF);
     }
 }
 
@@ -214,7 +219,7 @@
 ///
 /// The recorder's budget equals the time that this node waits for it, so that it does not reserve the key
 /// for a caller that no longer waits.
-async fn ask(
+async fn reserve_key(
     worker: &Rc<OnlineWorker>,
     begin: RecordBegin,
     deadline: Instant,
@@ -222,13 +227,13 @@
     let recorder = recorder_node(worker, &begin.tenant, &begin.idempotency_key);
     let mut unanswered = false;
     if let Some(address) = recorder {
-        let left = deadline.saturating_duration_since(Instant::now());
-        let patience = left.min(RECORDER_PATIENCE);
-        let mut call = call_of(call::Method::RecordBegin(begin.clone()));
-        call.budget_ms = u32::try_from(patience.as_millis()).unwrap_or(u32::MAX);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let call_timeout = remaining.min(RECORDER_TIMEOUT);
+        let mut call = new_call(call::Method::RecordBegin(begin.clone()));
+        call.budget_ms = u32::try_from(call_timeout.as_millis()).unwrap_or(u32::MAX);
         let sent = worker
             .links
-            .call(&address.link_address, call, patience)
+            .call(&address.link_address, call, call_timeout)
             .await;
         unanswered = matches!(sent, Err(CallError::NoReply { .. }));
         match sent {
@@ -267,10 +272,10 @@
 ) -> Result<(), Failure> {
     let recorder = recorder_node(worker, &settlement.tenant, &settlement.idempotency_key);
     if let Some(address) = recorder {
-        let call = call_of(call::Method::RecordSettle(settlement.clone()));
+        let call = new_call(call::Method::RecordSettle(settlement.clone()));
         let sent = worker
             .links
-            .call(&address.link_address, call, RECORDER_PATIENCE)
+            .call(&address.link_address, call, RECORDER_TIMEOUT)
             .await;
         if sent.is_ok() {
             return Ok(());
@@ -300,7 +305,7 @@
     hash_bytes(text.as_bytes())
 }
 
-fn call_of(method: call::Method) -> Call {
+fn new_call(method: call::Method) -> Call {
     Call {
         budget_ms: 0,
         method: Some(method),
--- a/crates/online/src/ingress/ask.rs
+++ b/crates/online/src/ingress/attempt.rs
@@ -8,50 +8,50 @@
 use dappleyard_wire::{Failure, Ran};
 
 use super::IngressRun;
-use crate::caller::Gone;
+use crate::caller::Disconnect;
 use crate::owner_link::OwnerLink;
 use crate::place::Target;
 use crate::receive::EarlierRun;
 
 /// Result of an attempt at one target.
-pub(super) enum Tried {
+pub(super) enum TargetOutcome {
     Finished(Finish),
     Refused(Failure),
     /// The request was not sent.
     NotSent(String),
     /// The target was lost after the request was sent.
     Lost,
-    CallerGone,
+    CallerDisconnected,
     Deadline,
 }
 
 impl IngressRun {
-    pub(super) async fn ask(&mut self, target: &Target) -> Tried {
+    pub(super) async fn try_target(&mut self, target: &Target) -> TargetOutcome {
         let submit = self.submission(target);
         let opened = OwnerLink::open(&self.worker, target, submit);
         let mut link = match dappleyard_clock::timeout_at(self.incoming.deadline, opened).await {
             Ok(Ok(link)) => link,
-            Ok(Err(not_sent)) => return Tried::NotSent(not_sent.0),
-            Err(_) => return Tried::Deadline,
+            Ok(Err(not_sent)) => return TargetOutcome::NotSent(not_sent.0),
+            Err(_) => return TargetOutcome::Deadline,
         };
         loop {
-            let until = self.waits_until();
+            let until = self.wait_deadline();
             tokio::select! {
                 biased;
-                gone = self.caller.gone() => {
-                    if !self.keeps_on(gone) {
-                        self.give_up(&link, "the caller went away");
-                        return Tried::CallerGone;
+                disconnected = self.caller.disconnected() => {
+                    if !self.continues_without_caller(disconnected) {
+                        self.cancel_at_owner(&link, "the caller went away");
+                        return TargetOutcome::CallerDisconnected;
                     }
                 }
                 () = dappleyard_clock::sleep_until(until) => {
-                    self.give_up(&link, "nobody waits any more");
+                    self.cancel_at_owner(&link, "the deadline or the grace period has passed");
                     let passed = self.deadline_passed();
-                    return if passed { Tried::Deadline } else { Tried::CallerGone };
+                    return if passed { TargetOutcome::Deadline } else { TargetOutcome::CallerDisconnected };
                 }
                 frame = link.receive() => match frame {
-                    Ok(body) => if let Some(tried) = self.absorb(body) {
-                        return tried;
+                    Ok(body) => if let Some(outcome) = self.handle_frame(body) {
+                        return outcome;
                     },
                     Err(_) => return self.lost(),
                 },
@@ -60,18 +60,18 @@
     }
 
     /// Cancels at the owner, which may already have dispatched the request.
-    fn give_up(&mut self, link: &OwnerLink, reason: &str) {
+    fn cancel_at_owner(&mut self, link: &OwnerLink, reason: &str) {
         link.send(cancel(reason));
         self.ran = join_ran(self.ran, Ran::Maybe);
     }
 
-    fn lost(&mut self) -> Tried {
+    fn lost(&mut self) -> TargetOutcome {
         self.worker.refresh_view();
-        Tried::Lost
+        TargetOutcome::Lost
     }
 
     /// Handles a frame of the owner; `Some` if the attempt has ended.
-    fn absorb(&mut self, body: frame::Body) -> Option<Tried> {
+    fn handle_frame(&mut self, body: frame::Body) -> Option<TargetOutcome> {
         match body {
             frame::Body::Accepted(accepted) => {
                 self.ran = join_ran(self.ran, Ran::Maybe);
@@ -83,24 +83,24 @@
                 self.caller.send(frame::Body::Accepted(accepted));
                 None
             }
-            frame::Body::Chunk(chunk) => self.absorb_chunk(chunk),
+            frame::Body::Chunk(chunk) => self.handle_chunk(chunk),
             frame::Body::Finish(finish) => {
                 let whole = finish.total_tokens as usize == self.pieces.len();
                 Some(if whole {
-                    Tried::Finished(finish)
+                    TargetOutcome::Finished(finish)
                 } else {
-                    Tried::Lost
+                    TargetOutcome::Lost
                 })
             }
-            frame::Body::Refused(refused) => Some(self.absorb_refusal(refused)),
+            frame::Body::Refused(refused) => Some(self.handle_refusal(refused)),
             _ => None,
         }
     }
 
-    pub(super) fn absorb_chunk(&mut self, chunk: Chunk) -> Option<Tried> {
+    pub(super) fn handle_chunk(&mut self, chunk: Chunk) -> Option<TargetOutcome> {
         let offset = chunk.offset as usize;
         if offset > self.pieces.len() {
-            return Some(Tried::Lost);
+            return Some(TargetOutcome::Lost);
         }
         self.ran = join_ran(self.ran, Ran::Yes);
         let known = self.pieces.len() - offset;
@@ -124,7 +124,7 @@
 
     /// Handles a refusal. The owner no longer has a stream of this request; its current load is stored for
     /// the next placement.
-    fn absorb_refusal(&mut self, refused: Refused) -> Tried {
+    fn handle_refusal(&mut self, refused: Refused) -> TargetOutcome {
         let failure = Failure::from_refused(&refused);
         if let Some(load) = refused.load {
             let tables = &self.worker.tables;
@@ -132,22 +132,22 @@
             self.worker.refresh_view();
         }
         self.earlier.engine_stream.clear();
-        Tried::Refused(failure)
+        TargetOutcome::Refused(failure)
     }
 
     /// Whether the request continues after its caller disconnected. An at-most-once request runs to its
     /// end, so that a retry gets the recorded answer. Other requests continue for the grace period after a
     /// lost link, in case the caller resumes through another node.
-    fn keeps_on(&mut self, gone: Gone) -> bool {
-        if self.incoming.never_repeats() {
+    fn continues_without_caller(&mut self, disconnected: Disconnect) -> bool {
+        if self.incoming.is_at_most_once() {
             return true;
         }
         let grace = Duration::from_millis(self.worker.settings.detach_grace_ms);
         self.detached_until = Some(Instant::now() + grace);
-        gone == Gone::LinkLost
+        disconnected == Disconnect::LinkLost
     }
 
-    fn waits_until(&self) -> Instant {
+    fn wait_deadline(&self) -> Instant {
         let deadline = self.incoming.deadline;
         self.detached_until
             .map_or(deadline, |until| until.min(deadline))
--- a/crates/online/src/ingress/mod.rs
+++ b/crates/online/src/ingress/mod.rs
@@ -1,7 +1,7 @@
 //! The ingress stage: admits a request, reserves its idempotency key, tries owners in order and relays
 //! the answer.
 
-mod ask;
+mod attempt;
 mod targets;
 
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 
 use crate::admit;
 use crate::caller::Caller;
-use crate::once::{self, Begun, Holder};
+use crate::idempotency::{self, BeginOutcome, KeyReservation};
 use crate::receive::{EarlierRun, Incoming};
 use crate::settle;
 use crate::worker::OnlineWorker;
-use ask::Tried;
+use attempt::TargetOutcome;
 
 /// Minimum retry delay suggested when no target is left, milliseconds.
 const EXHAUSTED_RETRY_AFTER_MS: u32 = 200;
@@ -35,10 +35,10 @@
     pieces: Vec<String>,
     /// Where the request ran last.
     earlier: EarlierRun,
-    holder: Option<Holder>,
+    reservation: Option<KeyReservation>,
     submissions: u32,
     retries: u32,
-    owners_asked: usize,
+    owners_tried: usize,
     spills: usize,
     tried: Vec<String>,
     /// End of the grace period for a disconnected caller.
@@ -55,10 +55,10 @@
             pieces: incoming.pieces.clone(),
             earlier: incoming.earlier.clone(),
             incoming,
-            holder: None,
+            reservation: None,
             submissions: 0,
             retries: 0,
-            owners_asked: 0,
+            owners_tried: 0,
             spills: 0,
             tried: Vec::new(),
             detached_until: None,
@@ -76,30 +76,30 @@
 
     async fn serve(&mut self) -> Result<Finish, Failure> {
         if self.incoming.stage == Stage::Cell {
-            return self.ask_until_done().await;
+            return self.try_targets().await;
         }
         let _tenant = admit::admit(&self.worker, &self.incoming)?;
         if self.incoming.attempt == 1 {
             self.worker.shared.first_attempt();
         }
-        if self.incoming.never_repeats() {
-            match once::begin(&self.worker, &self.incoming).await? {
-                Begun::Fresh(holder) => {
+        if self.incoming.is_at_most_once() {
+            match idempotency::begin(&self.worker, &self.incoming).await? {
+                BeginOutcome::Acquired(reservation) => {
                     self.ran = Ran::No;
-                    self.holder = Some(holder);
+                    self.reservation = Some(reservation);
                 }
-                Begun::Attach(holder) => {
+                BeginOutcome::Attach(reservation) => {
                     self.ran = join_ran(self.ran, Ran::Maybe);
-                    self.holder = Some(holder);
+                    self.reservation = Some(reservation);
                 }
-                Begun::Replay(outcome) => return Ok(self.replay(outcome)),
+                BeginOutcome::Replay(outcome) => return Ok(self.replay(outcome)),
             }
         }
-        self.ask_until_done().await
+        self.try_targets().await
     }
 
     /// Tries targets in order until one completes the answer or none is left.
-    async fn ask_until_done(&mut self) -> Result<Finish, Failure> {
+    async fn try_targets(&mut self) -> Result<Finish, Failure> {
         let mut last = None;
         loop {
             if self.deadline_passed() {
@@ -108,22 +108,24 @@
             let Some(target) = self.next_target() else {
                 return Err(self.exhausted(last));
             };
-            let failure = match self.ask(&target).await {
-                Tried::Finished(finish) => return Ok(finish),
-                Tried::CallerGone => return Err(settle::cancelled(self.ran)),
-                Tried::Deadline => return Err(settle::deadline(self.ran)),
-                Tried::NotSent(reason) => Failure::not_run(ErrorKind::NodeLost, reason),
-                Tried::Refused(failure) => failure,
-                Tried::Lost => Failure::maybe_ran(ErrorKind::NodeLost, "the owner was lost"),
+            let failure = match self.try_target(&target).await {
+                TargetOutcome::Finished(finish) => return Ok(finish),
+                TargetOutcome::CallerDisconnected => return Err(settle::cancelled(self.ran)),
+                TargetOutcome::Deadline => return Err(settle::deadline(self.ran)),
+                TargetOutcome::NotSent(reason) => Failure::not_run(ErrorKind::NodeLost, reason),
+                TargetOutcome::Refused(failure) => failure,
+                TargetOutcome::Lost => {
+                    Failure::maybe_ran(ErrorKind::NodeLost, "the connection to the owner was lost")
+                }
             };
             self.ran = join_ran(self.ran, failure.ran);
-            self.follow(&failure).await?;
+            self.prepare_retry(&failure).await?;
             last = Some(failure);
         }
     }
 
     /// Decides whether another target may be tried after a failure, and waits for the retry delay.
-    async fn follow(&mut self, failure: &Failure) -> Result<(), Failure> {
+    async fn prepare_retry(&mut self, failure: &Failure) -> Result<(), Failure> {
         if !failure.kind.answer().retryable {
             return Err(failure.clone());
         }
@@ -133,7 +135,7 @@
         let cause = failure.kind.answer().code;
         let again = &self.worker.shared.metrics.placed_again;
         again.with_label_values(&[cause]).inc();
-        settle::explain_again(&self.worker, &self.incoming, cause, self.ran);
+        settle::record_retry(&self.worker, &self.incoming, cause, self.ran);
         if failure.ran == Ran::No {
             return Ok(());
         }
@@ -141,10 +143,10 @@
         if !self.worker.shared.take_retry() {
             return Err(failure.clone().retry_after(EXHAUSTED_RETRY_AFTER_MS));
         }
-        let left_ms = u64::from(self.incoming.left_ms());
-        let pause = pause_ms(self.retries, rand::random(), left_ms);
+        let remaining_ms = u64::from(self.incoming.remaining_ms());
+        let pause = pause_ms(self.retries, rand::random(), remaining_ms);
         let pause = pause.ok_or_else(|| settle::deadline(self.ran))?;
-        self.owners_asked = 0;
+        self.owners_tried = 0;
         tokio::time::sleep(Duration::from_millis(pause)).await;
         Ok(())
     }
@@ -155,17 +157,14 @@
 
     /// Failure reported when no target is left.
     fn exhausted(&self, last: Option<Failure>) -> Failure {
-        if self.incoming.never_repeats() && self.ran != Ran::No {
+        if self.incoming.is_at_most_once() && self.ran != Ran::No {
             return settle::outcome_unknown();
         }
         if self.incoming.stage == Stage::Cell {
             return bounced(last);
         }
         let last = last.unwrap_or_else(|| {
-            Failure::not_run(
-                ErrorKind::NoServer,
-                "no node carries the service at present",
-            )
+            Failure::not_run(ErrorKind::NoServer, "no node currently offers the service")
         });
         let pinned = !self.earlier.version.is_empty() && !self.pieces.is_empty();
         let kind = match last.kind {
@@ -181,7 +180,7 @@
     fn replay(&mut self, outcome: OnceOutcome) -> Finish {
         self.worker.shared.metrics.replayed.inc();
         let total_tokens = u32::try_from(outcome.pieces.len()).unwrap_or(u32::MAX);
-        self.absorb_chunk(Chunk {
+        self.handle_chunk(Chunk {
             offset: 0,
             pieces: outcome.pieces,
         });
@@ -198,7 +197,7 @@
 
     fn finish(self, finish: Finish) {
         self.worker.shared.metrics.finished.inc();
-        if let Some(holder) = &self.holder {
+        if let Some(reservation) = &self.reservation {
             let outcome = OnceOutcome {
                 pieces: self.pieces,
                 reason: finish.reason.clone(),
@@ -207,15 +206,15 @@
                 kind: 0,
                 ran: Ran::Yes as i32,
             };
-            holder.settle(&self.worker, outcome);
+            reservation.settle(&self.worker, outcome);
         }
         self.caller.send(frame::Body::Finish(finish));
     }
 
     fn refuse(self, failure: Failure) {
         let failure = failure.after(self.ran);
-        if let Some(holder) = &self.holder {
-            holder.settle(&self.worker, settle::failed_outcome(&failure));
+        if let Some(reservation) = &self.reservation {
+            reservation.settle(&self.worker, settle::failed_outcome(&failure));
         }
         let failure = failure.after(self.incoming.ran_before);
         let metrics = &self.worker.shared.metrics;
@@ -224,7 +223,7 @@
             let elapsed = self.incoming.received.elapsed().as_secs_f64();
             metrics.refusal_time.observe(elapsed);
         }
-        settle::explain_refusal(&self.worker, &self.incoming, &failure);
+        settle::record_refusal(&self.worker, &self.incoming, &failure);
         let (request, attempt) = (&self.incoming.id, self.incoming.attempt);
         tracing::debug!(%request, attempt, %failure, "refused");
         self.caller.send(frame::Body::Refused(failure.to_refused()));
@@ -234,6 +233,9 @@
 /// Refusal of a cell that could not place the request. The sender tries another target.
 fn bounced(last: Option<Failure>) -> Failure {
     last.unwrap_or_else(|| {
-        Failure::not_run(ErrorKind::Bounced, "no owner of this cell can take it")
+        Failure::not_run(
+            ErrorKind::Bounced,
+            "no owner in this cell can accept the request",
+        )
     })
 }
--- a/crates/online/src/ingress/targets.rs
+++ b/crates/online/src/ingress/targets.rs
@@ -5,8 +5,8 @@
 use dappleyard_wire::messages::{Stage, Submit};
 
 use super::IngressRun;
-use crate::place::{self, Target, Wanted};
-use crate::receive::ATTEMPTS_A_STAGE;
+use crate::place::{self, PlacementQuery, Target};
+use crate::receive::ATTEMPTS_PER_STAGE;
 use crate::view;
 
 /// Maximum number of entry nodes of other cells tried per submission.
@@ -22,18 +22,18 @@
             return None;
         }
         let may_spill = self.incoming.stage == Stage::Ingress && self.spills < MAXIMUM_SPILLS;
-        let owners_left = self.owners_asked < self.worker.settings.owner_candidates;
+        let owners_left = self.owners_tried < self.worker.settings.owner_candidates;
         if !owners_left && !may_spill {
             return None;
         }
         let view = self.worker.view();
-        let wanted = Wanted {
+        let query = PlacementQuery {
             request: &self.incoming.request,
             version: &self.earlier.version,
             bound_percent: self.worker.settings.affinity_bound_percent,
             tried: &self.tried,
         };
-        let target = place::next_target(&view, &wanted, owners_left, may_spill)?;
+        let target = place::next_target(&view, &query, owners_left, may_spill)?;
         self.count_target(&target);
         Some(target)
     }
@@ -48,7 +48,7 @@
         if place == "cell" {
             self.spills += 1;
         } else {
-            self.owners_asked += 1;
+            self.owners_tried += 1;
         }
         self.tried.push(node);
         let placed = &self.worker.shared.metrics.placed;
@@ -82,12 +82,12 @@
             Target::Local => Stage::Owner,
             Target::Node(_, stage) => *stage,
         };
-        let attempt = self.incoming.attempt.saturating_mul(ATTEMPTS_A_STAGE);
+        let attempt = self.incoming.attempt.saturating_mul(ATTEMPTS_PER_STAGE);
         Submit {
             request: Some(self.incoming.request.clone()),
             attempt: attempt.saturating_add(self.submissions),
             stage: stage as i32,
-            budget_ms: self.incoming.left_ms(),
+            budget_ms: self.incoming.remaining_ms(),
             resume_offset: u32::try_from(self.pieces.len()).unwrap_or(u32::MAX),
             resumed_pieces: self.pieces.clone(),
             version: self.earlier.version.clone(),
--- a/crates/online/src/lib.rs
+++ b/crates/online/src/lib.rs
@@ -13,10 +13,10 @@
 mod admit;
 mod caller;
 mod dispatch;
+mod idempotency;
 mod ingress;
 mod load;
 mod metrics;
-mod once;
 mod owner;
 mod owner_link;
 mod place;
--- a/crates/online/src/load.rs
+++ b/crates/online/src/load.rs
@@ -13,7 +13,7 @@
 const DEFAULT_STEP_MS: f64 = 4.0;
 
 /// Size of a typical request, for the expected wait in a summary, tokens.
-const USUAL_TOKENS: u32 = 512;
+const TYPICAL_TOKENS: u32 = 512;
 
 /// Current load of this node.
 pub fn summary(tables: &NodeTables) -> NodeLoad {
@@ -94,7 +94,7 @@
 impl ServiceSummary {
     fn add(&mut self, state: &OwnedServer) {
         let room = room(state);
-        let wait_ms = expected_wait_ms(&room, USUAL_TOKENS);
+        let wait_ms = expected_wait_ms(&room, TYPICAL_TOKENS);
         self.servers += 1;
         self.online += room.online;
         self.free += room.maximum_sequences.saturating_sub(room.online);
--- a/crates/online/src/metrics.rs
+++ b/crates/online/src/metrics.rs
@@ -20,7 +20,7 @@
     /// Retries refused by the retry budget.
     pub budget_refused: IntCounter,
     /// Decisions not recorded because of the rate limit.
-    pub unexplained: IntCounter,
+    pub unrecorded_decisions: IntCounter,
     /// Completed answers.
     pub finished: IntCounter,
     /// Streams cancelled at an engine, by cause.
@@ -44,19 +44,23 @@
 impl OnlineMetrics {
     pub fn new(registry: &Registry) -> OnlineMetrics {
         OnlineMetrics {
-            requests: family(registry, "requests_total", "Submissions.", &["stage"]),
-            refused: family(registry, "refused_total", "Refusals.", &["kind", "ran"]),
-            placed: family(registry, "placed_total", "Placements.", &["where"]),
-            placed_again: family(registry, "placed_again_total", "Placed again.", &["cause"]),
+            requests: counter_vec(registry, "requests_total", "Submissions.", &["stage"]),
+            refused: counter_vec(registry, "refused_total", "Refusals.", &["kind", "ran"]),
+            placed: counter_vec(registry, "placed_total", "Placements.", &["where"]),
+            placed_again: counter_vec(registry, "placed_again_total", "Placed again.", &["cause"]),
             budget_refused: counter(registry, "retry_budget_refused_total", "Retries refused."),
-            unexplained: counter(registry, "unexplained_total", "Decisions without a record."),
+            unrecorded_decisions: counter(
+                registry,
+                "unexplained_total",
+                "Decisions without a record.",
+            ),
             finished: counter(registry, "finished_total", "Whole answers."),
-            cancelled: family(registry, "cancelled_total", "Engine cancels.", &["cause"]),
+            cancelled: counter_vec(registry, "cancelled_total", "Engine cancels.", &["cause"]),
             streams: gauge(registry, "streams", "Streams in progress."),
             first_token: histogram(registry, "first_token_seconds", "Time to first token."),
             refusal_time: histogram(registry, "refusal_seconds", "Time to a refusal."),
             status_asked: counter(registry, "status_asked_total", "Engines asked for status."),
-            record_writes: family(registry, "record_writes_total", "Records.", &["result"]),
+            record_writes: counter_vec(registry, "record_writes_total", "Records.", &["result"]),
             record_transactions: counter(registry, "record_transactions_total", "Transactions."),
             replayed: counter(registry, "replayed_total", "Recorded answers replayed."),
         }
@@ -70,27 +74,27 @@
     }
 }
 
-fn name(rest: &str) -> String {
+fn metric_name(rest: &str) -> String {
     format!("dappleyard_online_{rest}")
 }
 
-fn family(registry: &Registry, rest: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-    let family = IntCounterVec::new(Opts::new(name(rest), help), labels);
-    register(registry, family.expect("a valid name and labels"))
+fn counter_vec(registry: &Registry, rest: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+    let counter_vec = IntCounterVec::new(Opts::new(metric_name(rest), help), labels);
+    register(registry, counter_vec.expect("a valid name and labels"))
 }
 
 fn counter(registry: &Registry, rest: &str, help: &str) -> IntCounter {
-    let counter = IntCounter::new(name(rest), help);
+    let counter = IntCounter::new(metric_name(rest), help);
     register(registry, counter.expect("a valid name"))
 }
 
 fn gauge(registry: &Registry, rest: &str, help: &str) -> IntGauge {
-    let gauge = IntGauge::new(name(rest), help);
+    let gauge = IntGauge::new(metric_name(rest), help);
     register(registry, gauge.expect("a valid name"))
 }
 
 fn histogram(registry: &Registry, rest: &str, help: &str) -> Histogram {
-    let options = HistogramOpts::new(name(rest), help).buckets(TIME_BUCKETS.to_vec());
+    let options = HistogramOpts::new(metric_name(rest), help).buckets(TIME_BUCKETS.to_vec());
     register(
         registry,
         Histogram::with_opts(options).expect("valid buckets"),
--- a/crates/online/src/owner/crashes.rs
+++ b/crates/online/src/owner/crashes.rs
@@ -5,11 +5,11 @@
 use dappleyard_crashes::{Fingerprint, Permit, RequestParts};
 use dappleyard_engine::EngineError;
 
-use super::{End, Next, OwnerRun};
-use crate::dispatch::Chosen;
+use super::{End, NextStep, OwnerRun};
+use crate::dispatch::SelectedServer;
 
 /// Interval between checks whether a concurrent run has ended.
-const WAIT: Duration = Duration::from_millis(20);
+const OTHER_RUN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl OwnerRun {
     /// Whether the request may run. Attaching to a running stream does not count as a run.
@@ -21,36 +21,39 @@
     }
 
     pub(super) async fn wait_for_other_runs(&self) {
-        let left = self.incoming.left_ms();
-        tokio::time::sleep(WAIT.min(Duration::from_millis(u64::from(left)))).await;
+        let remaining = self.incoming.remaining_ms();
+        tokio::time::sleep(
+            OTHER_RUN_POLL_INTERVAL.min(Duration::from_millis(u64::from(remaining))),
+        )
+        .await;
     }
 
     /// Registers a run. Returns `false` if concurrent runs have used up the permits.
-    pub(super) fn begin_run(&mut self, chosen: &Chosen, attaching: bool) -> bool {
+    pub(super) fn begin_run(&mut self, selected: &SelectedServer, attaching: bool) -> bool {
         if attaching && self.run.is_some() {
             return true;
         }
         let crashes = &self.worker.tables.crashes;
-        self.run = crashes.begin(self.fingerprint(), &chosen.server).ok();
+        self.run = crashes.begin(self.fingerprint(), &selected.server).ok();
         attaching || self.run.is_some()
     }
 
     /// Updates the crash accounting after a call. A stream may outlive a lost connection, so its run counts
     /// as active unless the engine is unreachable.
-    pub(super) async fn end_run(&mut self, chosen: &Chosen, next: &Next) {
+    pub(super) async fn end_run(&mut self, selected: &SelectedServer, next: &NextStep) {
         let Some(run) = &self.run else {
             return;
         };
-        if matches!(next, Next::End(End::Finished(_))) {
+        if matches!(next, NextStep::End(End::Finished(_))) {
             run.note_served();
         }
-        if self.lost {
-            let answered = self.worker.engine.status(&chosen.base_url).await;
+        if self.connection_lost {
+            let answered = self.worker.engine.status(&selected.base_url).await;
             if let Err(EngineError::Unreachable { reason }) = answered {
                 let clock = &self.worker.tables.clock;
                 let ended = run.note_ended(clock.now(), clock.unix_ms());
-                tracing::info!(request = %self.incoming.id, server = %chosen.server, reason,
-                    ended, "an engine ended while it ran the request");
+                tracing::info!(request = %self.incoming.id, server = %selected.server, reason,
+                    ended, "engine crashed while running a request");
                 self.run = None;
             }
         }
--- a/crates/online/src/owner/mod.rs
+++ b/crates/online/src/owner/mod.rs
@@ -18,10 +18,10 @@
 use dappleyard_wire::{ErrorKind, Failure, Ran};
 use futures::Future;
 
-use crate::caller::{Caller, Gone};
-use crate::dispatch::{self, Chosen, FlightGuard};
+use crate::caller::{Caller, Disconnect};
+use crate::dispatch::{self, InFlightGuard, SelectedServer};
 use crate::load;
-use crate::receive::{ATTEMPTS_A_STAGE, EarlierRun, Incoming};
+use crate::receive::{ATTEMPTS_PER_STAGE, EarlierRun, Incoming};
 use crate::relay::{self, RelayEnd};
 use crate::reports;
 use crate::settle;
@@ -31,7 +31,7 @@
 /// Maximum number of engine calls per submission.
 const MAXIMUM_DISPATCHES: u32 = 4;
 
-type Generating = Pin<Box<dyn Future<Output = Result<EventStream, EngineError>>>>;
+type PendingStream = Pin<Box<dyn Future<Output = Result<EventStream, EngineError>>>>;
 
 /// One submission at the owner stage.
 pub(crate) struct OwnerRun {
@@ -39,7 +39,7 @@
     pub caller: Caller,
     incoming: Incoming,
     /// Offset of the next token to relay.
-    pub next: u32,
+    pub next_offset: u32,
     /// Whether the request may have run.
     pub ran: Ran,
     /// Whether this submission has received a token.
@@ -50,7 +50,7 @@
     excluded: Vec<ServerId>,
     dispatches: u32,
     /// Whether the connection of the last call was lost.
-    lost: bool,
+    connection_lost: bool,
     /// The active run at an engine.
     run: Option<RunAtEngine>,
     /// End of the grace period for a disconnected caller.
@@ -64,9 +64,9 @@
 }
 
 /// Next step after a call to an engine.
-enum Next {
+enum NextStep {
     End(End),
-    Again,
+    Retry,
 }
 
 impl OwnerRun {
@@ -74,7 +74,7 @@
         OwnerRun {
             worker,
             caller,
-            next: u32::try_from(incoming.pieces.len()).unwrap_or(u32::MAX),
+            next_offset: u32::try_from(incoming.pieces.len()).unwrap_or(u32::MAX),
             ran: incoming.ran_before,
             has_token: false,
             earlier: incoming.earlier.clone(),
@@ -82,7 +82,7 @@
             reader: None,
             excluded: Vec::new(),
             dispatches: 0,
-            lost: false,
+            connection_lost: false,
             run: None,
             detached_until: None,
         }
@@ -115,27 +115,27 @@
                 }
                 Permit::Refused => return End::Refused(settle::servers_ended(self.ran)),
             }
-            let chosen = match self.next_server(attaching).await {
-                Ok(chosen) => chosen,
+            let selected = match self.next_server(attaching).await {
+                Ok(selected) => selected,
                 Err(failure) => return End::Refused(failure),
             };
-            if !self.begin_run(&chosen, attaching) {
+            if !self.begin_run(&selected, attaching) {
                 continue;
             }
-            let next = self.call(&chosen, attaching).await;
-            self.end_run(&chosen, &next).await;
+            let next = self.call(&selected, attaching).await;
+            self.end_run(&selected, &next).await;
             match next {
-                Next::End(end) => return end,
-                Next::Again => {}
+                NextStep::End(end) => return end,
+                NextStep::Retry => {}
             }
         }
     }
 
     /// The server of the running stream, otherwise the best server that accepts work.
-    async fn next_server(&mut self, attaching: bool) -> Result<Chosen, Failure> {
+    async fn next_server(&mut self, attaching: bool) -> Result<SelectedServer, Failure> {
         if attaching {
-            if let Some(chosen) = self.holder() {
-                return Ok(chosen);
+            if let Some(selected) = self.stream_server() {
+                return Ok(selected);
             }
             self.earlier.engine_stream.clear();
         }
@@ -144,19 +144,20 @@
         }
         loop {
             let version = &self.earlier.version;
-            let chosen = dispatch::choose(&self.worker, &self.incoming, version, &self.excluded)?;
-            if dispatch::still_accepts(&self.worker, &chosen).await {
-                return Ok(chosen);
+            let selected =
+                dispatch::select_server(&self.worker, &self.incoming, version, &self.excluded)?;
+            if dispatch::still_accepts(&self.worker, &selected).await {
+                return Ok(selected);
             }
-            self.excluded.push(chosen.server);
+            self.excluded.push(selected.server);
         }
     }
 
     /// Server of the earlier run. It need not be owned by this node, since any node may call any engine.
-    fn holder(&self) -> Option<Chosen> {
+    fn stream_server(&self) -> Option<SelectedServer> {
         let server = ServerId::from(&self.earlier.server);
         let entry = self.worker.tables.directory.get(&server)?;
-        Some(Chosen {
+        Some(SelectedServer {
             server,
             base_url: entry.base_url,
             version: self.earlier.version.clone(),
@@ -165,87 +166,104 @@
 
     /// Whether the request may only attach: an at-most-once request that may have run is never restarted.
     fn attach_only(&self) -> bool {
-        self.incoming.never_repeats() && self.ran != Ran::No
+        self.incoming.is_at_most_once() && self.ran != Ran::No
     }
 
-    async fn call(&mut self, chosen: &Chosen, attach: bool) -> Next {
+    async fn call(&mut self, selected: &SelectedServer, attach: bool) -> NextStep {
         self.dispatches += 1;
-        self.lost = false;
+        self.connection_lost = false;
         self.reader = None;
         let attempt = self
             .incoming
             .attempt
-            .saturating_mul(ATTEMPTS_A_STAGE)
+            .saturating_mul(ATTEMPTS_PER_STAGE)
             .saturating_add(self.dispatches);
-        let call = dispatch::engine_call(&self.incoming, attempt, self.next, &self.earlier, attach);
+        let call = dispatch::engine_call(
+            &self.incoming,
+            attempt,
+            self.next_offset,
+            &self.earlier,
+            attach,
+        );
         let tables = &self.worker.tables;
-        let flight = FlightGuard::begin(tables, &chosen.server, &self.incoming, attempt, self.next);
+        let flight = InFlightGuard::begin(
+            tables,
+            &selected.server,
+            &self.incoming,
+            attempt,
+            self.next_offset,
+        );
         let engine = self.worker.engine.clone();
-        let base = chosen.base_url.clone();
-        let generating: Generating = Box::pin(async move { engine.generate(&base, call).await });
-        let mut events = match self.open(generating, chosen).await {
+        let base = selected.base_url.clone();
+        let pending: PendingStream = Box::pin(async move { engine.generate(&base, call).await });
+        let mut events = match self.open(pending, selected).await {
             Ok(events) => events,
             Err(next) => return next,
         };
-        let end = relay::relay(self, &mut events, chosen, &flight).await;
-        self.after_relay(end, events, chosen)
+        let end = relay::relay(self, &mut events, selected, &flight).await;
+        self.after_relay(end, events, selected)
     }
 
     /// Waits for the engine to accept the call.
     async fn open(
         &mut self,
-        mut generating: Generating,
-        chosen: &Chosen,
-    ) -> Result<EventStream, Next> {
+        mut pending: PendingStream,
+        selected: &SelectedServer,
+    ) -> Result<EventStream, NextStep> {
         loop {
-            let until = self.waits_until();
+            let until = self.wait_deadline();
             tokio::select! {
                 biased;
-                gone = self.caller.gone() => match self.caller_gone(gone) {
-                    Gone::Cancelled => {
-                        self.cancel_later(generating, chosen, "caller");
-                        return Err(Next::End(End::Refused(settle::cancelled(Ran::Maybe))));
+                disconnected = self.caller.disconnected() => match self.on_disconnect(disconnected) {
+                    Disconnect::Cancelled => {
+                        self.cancel_when_opened(pending, selected, "caller");
+                        return Err(NextStep::End(End::Refused(settle::cancelled(Ran::Maybe))));
                     }
-                    Gone::LinkLost => {}
+                    Disconnect::LinkLost => {}
                 },
                 () = dappleyard_clock::sleep_until(until) => {
-                    self.cancel_later(generating, chosen, "deadline");
-                    return Err(Next::End(self.out_of_time(Ran::Maybe)));
+                    self.cancel_when_opened(pending, selected, "deadline");
+                    return Err(NextStep::End(self.timed_out(Ran::Maybe)));
                 }
-                result = &mut generating => {
-                    return result.map_err(|error| self.engine_failed(error, chosen));
+                result = &mut pending => {
+                    return result.map_err(|error| self.handle_engine_error(error, selected));
                 }
             }
         }
     }
 
-    fn after_relay(&mut self, end: RelayEnd, events: EventStream, chosen: &Chosen) -> Next {
+    fn after_relay(
+        &mut self,
+        end: RelayEnd,
+        events: EventStream,
+        selected: &SelectedServer,
+    ) -> NextStep {
         match end {
             RelayEnd::Finished {
                 reason,
                 cached_tokens,
-            } => Next::End(End::Finished(Finish {
-                total_tokens: self.next,
+            } => NextStep::End(End::Finished(Finish {
+                total_tokens: self.next_offset,
                 prompt_tokens: self.incoming.request.prompt_tokens,
                 cached_tokens,
                 reason,
                 version: self.earlier.version.clone(),
-                server: chosen.server.to_string(),
+                server: selected.server.to_string(),
                 replayed: false,
             })),
-            RelayEnd::Engine(error) => self.engine_failed(error, chosen),
-            RelayEnd::CallerGone => {
-                self.cancel(events, chosen, "caller");
-                Next::End(End::Refused(settle::cancelled(self.ran)))
+            RelayEnd::Engine(error) => self.handle_engine_error(error, selected),
+            RelayEnd::CallerDisconnected => {
+                self.cancel(events, selected, "caller");
+                NextStep::End(End::Refused(settle::cancelled(self.ran)))
             }
             RelayEnd::Deadline => {
-                self.cancel(events, chosen, "deadline");
-                Next::End(self.out_of_time(self.ran))
+                self.cancel(events, selected, "deadline");
+                NextStep::End(self.timed_out(self.ran))
             }
         }
     }
 
-    fn out_of_time(&self, ran: Ran) -> End {
+    fn timed_out(&self, ran: Ran) -> End {
         if self.deadline_passed() {
             End::Refused(settle::deadline(ran))
         } else {
@@ -256,70 +274,70 @@
     /// Handles an engine error and decides whether to retry. There is no retry once the caller has
     /// disconnected: the engine closes a connection when another node attaches to its stream, and
     /// attaching again would disconnect that node.
-    fn engine_failed(&mut self, error: EngineError, chosen: &Chosen) -> Next {
-        if self.is_superseded() || self.caller.is_gone() {
-            return Next::End(End::Refused(self.superseded()));
+    fn handle_engine_error(&mut self, error: EngineError, selected: &SelectedServer) -> NextStep {
+        if self.is_superseded() || self.caller.is_disconnected() {
+            return NextStep::End(End::Refused(self.superseded_failure()));
         }
-        let lost = matches!(error, EngineError::Lost { .. });
-        self.lost = lost;
-        if lost {
+        let connection_lost = matches!(error, EngineError::Lost { .. });
+        self.connection_lost = connection_lost;
+        if connection_lost {
             self.ran = join_ran(self.ran, Ran::Maybe);
         }
-        self.note_failure(&error, chosen);
-        self.set_aside(lost, chosen);
+        self.record_failure(&error, selected);
+        self.exclude_server(connection_lost, selected);
         if !may_follow(self.ran, self.incoming.request.repeat()) && !self.earlier.has_stream() {
-            return Next::End(End::Refused(settle::outcome_unknown()));
+            return NextStep::End(End::Refused(settle::outcome_unknown()));
         }
-        let again =
-            self.dispatches < MAXIMUM_DISPATCHES && (!lost || self.worker.shared.take_retry());
+        let again = self.dispatches < MAXIMUM_DISPATCHES
+            && (!connection_lost || self.worker.shared.take_retry());
         if again {
-            return Next::Again;
+            return NextStep::Retry;
         }
-        let message = format!("server {}: {error}", chosen.server);
+        let message = format!("server {}: {error}", selected.server);
         let failure = Failure::not_run(ErrorKind::EngineLost, message);
-        Next::End(End::Refused(failure.after(self.ran)))
+        NextStep::End(End::Refused(failure.after(self.ran)))
     }
 
     /// Updates the server's state. A refusal to attach is ignored, since it depends only on the stream.
-    fn note_failure(&self, error: &EngineError, chosen: &Chosen) {
+    fn record_failure(&self, error: &EngineError, selected: &SelectedServer) {
         let tables = &self.worker.tables;
         match error {
             EngineError::Refused { status, .. } if !self.earlier.has_stream() => {
-                reports::note_refusal(tables, &chosen.server, *status);
+                reports::record_refusal(tables, &selected.server, *status);
             }
             EngineError::Refused { .. } => {}
-            _ => reports::note_failure(tables, &chosen.server, &error.to_string()),
+            _ => reports::record_failure(tables, &selected.server, &error.to_string()),
         }
     }
 
     /// Excludes a failed server from this submission. After a lost connection to a stream the server is kept,
     /// so that the next call can attach to the stream, except before the last permitted call.
-    fn set_aside(&mut self, lost: bool, chosen: &Chosen) {
+    fn exclude_server(&mut self, connection_lost: bool, selected: &SelectedServer) {
         let holds_stream =
-            self.earlier.has_stream() && self.earlier.server == chosen.server.as_str();
-        if lost && holds_stream && self.dispatches < MAXIMUM_DISPATCHES - 1 {
+            self.earlier.has_stream() && self.earlier.server == selected.server.as_str();
+        if connection_lost && holds_stream && self.dispatches < MAXIMUM_DISPATCHES - 1 {
             return;
         }
         if holds_stream {
             self.earlier.engine_stream.clear();
         }
-        self.excluded.push(chosen.server.clone());
+        self.excluded.push(selected.server.clone());
     }
 
     /// Handles a disconnected caller. After a lost link the run continues for the grace period, or until the
     /// deadline if the request is at-most-once.
-    pub fn caller_gone(&mut self, gone: Gone) -> Gone {
-        if gone == Gone::LinkLost {
+    pub fn on_disconnect(&mut self, disconnected: Disconnect) -> Disconnect {
+        if disconnected == Disconnect::LinkLost {
             let grace = Duration::from_millis(self.worker.settings.detach_grace_ms);
             let until = Instant::now() + grace;
-            let keeps_on = self.incoming.never_repeats();
-            self.detached_until = (!keeps_on).then_some(until);
+            let runs_to_end = self.incoming.is_at_most_once();
+            self.detached_until = (!runs_to_end).then_some(until);
         }
-        gone
+        disconnected
     }
 
     /// The deadline or the end of the grace period, whichever is earlier.
-    pub fn waits_until(&self) -> Instant {
+    pub fn wait_deadline(&self) -> Instant {
         let deadline = self.incoming.deadline;
         self.detached_until
             .map_or(deadline, |until| until.min(deadline))
@@ -330,21 +348,21 @@
     }
 
     /// Registers this run as the reader of an engine stream.
-    pub fn reads(&mut self, server: &ServerId, stream: &str) {
+    pub fn start_reading(&mut self, server: &ServerId, stream: &str) {
         let shared = &self.worker.shared;
-        self.reader = Some(shared.read_stream(server.as_str(), stream));
+        self.reader = Some(shared.claim_stream(server.as_str(), stream));
     }
 
     /// Sends tokens to the caller and advances the offset.
     pub fn send_chunk(&mut self, chunk: Chunk) {
         let count = u32::try_from(chunk.pieces.len()).unwrap_or(u32::MAX);
-        self.next = self.next.saturating_add(count);
+        self.next_offset = self.next_offset.saturating_add(count);
         self.caller.send(frame::Body::Chunk(chunk));
     }
 
     /// Failure of a run whose stream a later attempt may continue; the outcome is not known here.
-    fn superseded(&self) -> Failure {
-        if self.incoming.never_repeats() {
+    fn superseded_failure(&self) -> Failure {
+        if self.incoming.is_at_most_once() {
             settle::outcome_unknown()
         } else {
             settle::cancelled(self.ran)
--- a/crates/online/src/place.rs
+++ b/crates/online/src/place.rs
@@ -35,7 +35,7 @@
 }
 
 /// Requirements of a request on its target, and the nodes tried so far.
-pub(crate) struct Wanted<'a> {
+pub(crate) struct PlacementQuery<'a> {
     pub request: &'a GenerateRequest,
     /// Version required to continue the request; empty for any.
     pub version: &'a str,
@@ -47,24 +47,24 @@
 /// Best untried owner in this cell, otherwise the best untried entry node of another cell.
 pub(crate) fn next_target(
     view: &PlacementView,
-    wanted: &Wanted<'_>,
+    query: &PlacementQuery<'_>,
     may_ask_owner: bool,
     may_spill: bool,
 ) -> Option<Target> {
-    let owner = may_ask_owner.then(|| best_owner(view, wanted)).flatten();
-    owner.or_else(|| may_spill.then(|| best_entry(view, wanted)).flatten())
+    let owner = may_ask_owner.then(|| best_owner(view, query)).flatten();
+    owner.or_else(|| may_spill.then(|| best_entry(view, query)).flatten())
 }
 
-fn best_owner(view: &PlacementView, wanted: &Wanted<'_>) -> Option<Target> {
-    let (key, has_key) = affinity_key(wanted.request);
+fn best_owner(view: &PlacementView, query: &PlacementQuery<'_>) -> Option<Target> {
+    let (key, has_key) = affinity_key(query.request);
     let mut owners = Vec::with_capacity(view.owners.len());
     let mut candidates = Vec::with_capacity(view.owners.len());
     for owner in &view.owners {
         let node = &owner.address.node;
-        let Some(load) = owner.service(&wanted.request.service) else {
+        let Some(load) = owner.service(&query.request.service) else {
             continue;
         };
-        if wanted.tried.contains(node) || !serves(load.servers, load.versions, wanted.version) {
+        if query.tried.contains(node) || !can_serve(load.servers, load.versions, query.version) {
             continue;
         }
         owners.push(owner);
@@ -78,7 +78,7 @@
     let mut best = [0];
     if rank(
         &candidates,
-        affinity(has_key, wanted.bound_percent),
+        affinity(has_key, query.bound_percent),
         &mut best,
     ) == 0
     {
@@ -94,20 +94,20 @@
 }
 
 /// Selects the nearest cell, then the shortest wait, then the entry node by rendezvous hashing.
-fn best_entry(view: &PlacementView, wanted: &Wanted<'_>) -> Option<Target> {
-    let (key, _) = affinity_key(wanted.request);
+fn best_entry(view: &PlacementView, query: &PlacementQuery<'_>) -> Option<Target> {
+    let (key, _) = affinity_key(query.request);
     let wait = |cell: &CellView| {
         let services = cell.services.iter();
-        let found = services.filter(|load| load.service == wanted.request.service);
+        let found = services.filter(|load| load.service == query.request.service);
         found
-            .filter(|load| serves(load.servers, &load.versions, wanted.version))
+            .filter(|load| can_serve(load.servers, &load.versions, query.version))
             .map(|load| load.wait_ms)
             .min()
     };
     let entry = |cell: &CellView| {
         let entries = cell.entries.iter();
         entries
-            .filter(|entry| !wanted.tried.contains(&entry.node))
+            .filter(|entry| !query.tried.contains(&entry.node))
             .max_by_key(|entry| rendezvous_weight(key, &entry.node))
             .cloned()
     };
@@ -118,6 +118,6 @@
         .map(|(_, _, entry)| Target::Node(entry, Stage::Cell))
 }
 
-fn serves(servers: u32, versions: &[String], version: &str) -> bool {
+fn can_serve(servers: u32, versions: &[String], version: &str) -> bool {
     servers > 0 && (version.is_empty() || versions.iter().any(|one| one == version))
 }
--- a/crates/online/src/receive.rs
+++ b/crates/online/src/receive.rs
@@ -11,7 +11,7 @@
 const MAXIMUM_KEY_BYTES: usize = 256;
 
 /// Attempt numbers reserved at each stage for one attempt of the preceding stage.
-pub(crate) const ATTEMPTS_A_STAGE: u32 = 64;
+pub(crate) const ATTEMPTS_PER_STAGE: u32 = 64;
 
 /// A validated submission.
 #[derive(Debug, Clone)]
@@ -54,10 +54,10 @@
         let ran_before = Ran::try_from(submit.ran_before).unwrap_or(Ran::Maybe);
         let request = submit
             .request
-            .ok_or_else(|| invalid("the submission holds no request"))?;
+            .ok_or_else(|| invalid("the submission contains no request"))?;
         check(&request).map_err(|failure| failure.after(ran_before))?;
         if submit.resume_offset as usize != submit.resumed_pieces.len() {
-            let failure = invalid("the tokens to resume after do not match the offset");
+            let failure = invalid("the number of resumed tokens does not match the resume offset");
             return Err(failure.after(ran_before));
         }
         let received = Instant::now();
@@ -79,7 +79,7 @@
     }
 
     /// Whether the request must run at most once.
-    pub fn never_repeats(&self) -> bool {
+    pub fn is_at_most_once(&self) -> bool {
         self.request.repeat() == Repeat::Never
     }
 
@@ -90,9 +90,9 @@
     }
 
     /// Time until the deadline, milliseconds.
-    pub fn left_ms(&self) -> u32 {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
+    pub fn remaining_ms(&self) -> u32 {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
     }
 }
 
@@ -101,10 +101,10 @@
         return Err(invalid("the request id is empty or too long"));
     }
     if request.service.is_empty() {
-        return Err(invalid("the request names no model service"));
+        return Err(invalid("the request has no model service"));
     }
     if request.max_tokens == 0 {
-        return Err(invalid("the request allows no output token"));
+        return Err(invalid("the maximum number of output tokens must not be 0"));
     }
     let key = &request.idempotency_key;
     if request.repeat() == Repeat::Never && (key.is_empty() || key.len() > MAXIMUM_KEY_BYTES) {
--- a/crates/online/src/recorder.rs
+++ b/crates/online/src/recorder.rs
@@ -21,10 +21,10 @@
 use crate::shared::OnlineShared;
 
 /// Maximum number of keys in one transaction.
-const MAXIMUM_GROUP: usize = 64;
+const MAXIMUM_GROUP_KEYS: usize = 64;
 
 /// Attempts to read or write a record after conflicts, ambiguous results or store errors.
-const MAXIMUM_READS: u32 = 6;
+const MAXIMUM_ATTEMPTS: u32 = 6;
 
 /// Delay between attempts to read back a record.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(30);
@@ -50,7 +50,7 @@
 }
 
 /// A record and its revision; `None` if there is none.
-type Read = Option<(OnceRow, u64)>;
+type StoredRecord = Option<(OnceRow, u64)>;
 
 /// The recorder of one worker thread.
 pub(crate) struct Recorder {
@@ -77,13 +77,17 @@
     ///
     /// No create is queued after `deadline`: the caller no longer waits by then, and the key would stay in
     /// progress forever.
-    pub async fn begin(&self, begin: RecordBegin, until: Instant) -> Result<RecordState, Failure> {
+    pub async fn begin(
+        &self,
+        begin: RecordBegin,
+        deadline: Instant,
+    ) -> Result<RecordState, Failure> {
         let key = keys::once(&begin.tenant, &begin.idempotency_key);
         let attempt = self.attempt_of(&begin);
-        let mut read: Read = None;
+        let mut read: StoredRecord = None;
         let mut unconfirmed = false;
-        for _ in 0..MAXIMUM_READS {
-            if Instant::now() >= until {
+        for _ in 0..MAXIMUM_ATTEMPTS {
+            if Instant::now() >= deadline {
                 break;
             }
             let row = read.as_ref().map(|(row, _)| row);
@@ -121,7 +125,7 @@
         let key = keys::once(&settle.tenant, &settle.idempotency_key);
         let outcome = settle.outcome.unwrap_or_else(once::unknown_outcome);
         let (id, writer) = (settle.request_id, settle.writer);
-        for _ in 0..MAXIMUM_READS {
+        for _ in 0..MAXIMUM_ATTEMPTS {
             let read = self.read_back(&key).await?;
             let Some((row, revision)) = read else {
                 return Ok(());
@@ -140,15 +144,15 @@
                 Written::Unavailable(error) => return Err(unavailable(&error)),
             }
         }
-        Err(undecided())
+        Err(write_contention())
     }
 
     /// Releases the key of an attempt that was refused. An absent record is written as released, so that
     /// a delayed create of this attempt cannot take effect later.
-    pub async fn give_up(&self, begin: RecordBegin) -> Result<(), Failure> {
+    pub async fn release_key(&self, begin: RecordBegin) -> Result<(), Failure> {
         let key = keys::once(&begin.tenant, &begin.idempotency_key);
         let attempt = self.attempt_of(&begin);
-        for _ in 0..MAXIMUM_READS {
+        for _ in 0..MAXIMUM_ATTEMPTS {
             let read = self.read_back(&key).await?;
             let Some(released) = once::give_up(read.as_ref().map(|(row, _)| row), &attempt) else {
                 return Ok(());
@@ -160,14 +164,14 @@
                 Written::Unavailable(error) => return Err(unavailable(&error)),
             }
         }
-        Err(undecided())
+        Err(write_contention())
     }
 
-    async fn read_back(&self, key: &str) -> Result<Read, Failure> {
+    async fn read_back(&self, key: &str) -> Result<StoredRecord, Failure> {
         let mut last = StoreError::Unavailable {
-            reason: "not asked yet".to_owned(),
+            reason: "the store was not read".to_owned(),
         };
-        for _ in 0..MAXIMUM_READS {
+        for _ in 0..MAXIMUM_ATTEMPTS {
             match self.writer.tables.get(key).await {
                 Ok(row) => return decode(row),
                 Err(error) => last = error,
@@ -187,7 +191,7 @@
     }
 }
 
-fn expectation(read: &Read) -> Expect {
+fn expectation(read: &StoredRecord) -> Expect {
     match read {
         None => Expect::Absent,
         Some((_, revision)) => Expect::Revision(*revision),
@@ -201,7 +205,7 @@
     }
 }
 
-fn decode(row: Option<Row>) -> Result<Read, Failure> {
+fn decode(row: Option<Row>) -> Result<StoredRecord, Failure> {
     row.map(|row| {
         let decoded = OnceRow::decode(row.value);
         decoded
@@ -209,7 +213,7 @@
             .map_err(|error| {
                 Failure::not_run(
                     ErrorKind::Internal,
-                    format!("a record does not decode: {error}"),
+                    format!("failed to decode a record: {error}"),
                 )
             })
     })
@@ -224,10 +228,10 @@
     Failure::not_run(ErrorKind::StoreUnavailable, error.to_string()).retry_after(wait_ms)
 }
 
-fn undecided() -> Failure {
+fn write_contention() -> Failure {
     Failure::not_run(
         ErrorKind::StoreUnavailable,
-        "the record changed under each attempt to write it",
+        "the record was modified concurrently at each attempt to write it",
     )
     .retry_after(STORE_RETRY_AFTER_MS)
 }
@@ -235,7 +239,7 @@
 fn unresolved() -> Failure {
     Failure::not_run(
         ErrorKind::OutcomeUnknown,
-        "the fate of the record's create could not be read back",
+        "the result of creating the record could not be read back",
     )
 }
 
@@ -281,7 +285,7 @@
         let mut rest = Vec::new();
         for write in queue.drain(..) {
             let taken = group.iter().any(|other| other.key == write.key);
-            if taken || group.len() == MAXIMUM_GROUP {
+            if taken || group.len() == MAXIMUM_GROUP_KEYS {
                 rest.push(write);
             } else {
                 group.push(write);
@@ -296,22 +300,22 @@
         while !group.is_empty() {
             self.shared.metrics.record_transactions.inc();
             match self.tables.transact(transaction(&group)).await {
-                Ok(_) => return self.answer(group, &Written::Done),
+                Ok(_) => return self.finish(group, &Written::Done),
                 Err(StoreError::Conflict { key, .. }) => {
                     let conflicting = group.iter().position(|write| write.key == key);
                     let Some(position) = conflicting else {
-                        return self.answer(group, &Written::ReadBack);
+                        return self.finish(group, &Written::ReadBack);
                     };
                     let write = group.swap_remove(position);
-                    self.answer(vec![write], &Written::ReadBack);
+                    self.finish(vec![write], &Written::ReadBack);
                 }
-                Err(StoreError::Ambiguous { .. }) => return self.answer(group, &Written::ReadBack),
-                Err(error) => return self.answer(group, &Written::Unavailable(error)),
+                Err(StoreError::Ambiguous { .. }) => return self.finish(group, &Written::ReadBack),
+                Err(error) => return self.finish(group, &Written::Unavailable(error)),
             }
         }
     }
 
-    fn answer(&self, group: Vec<PendingWrite>, written: &Written) {
+    fn finish(&self, group: Vec<PendingWrite>, written: &Written) {
         let label = match written {
             Written::Done => "written",
             Written::ReadBack => "read_back",
--- a/crates/online/src/relay.rs
+++ b/crates/online/src/relay.rs
@@ -11,8 +11,8 @@
 use dappleyard_wire::messages::{Accepted, Chunk, frame};
 use futures::StreamExt;
 
-use crate::caller::Gone;
-use crate::dispatch::{Chosen, FlightGuard};
+use crate::caller::Disconnect;
+use crate::dispatch::{InFlightGuard, SelectedServer};
 use crate::owner::OwnerRun;
 
 /// Tokens per step time sample.
@@ -33,7 +33,7 @@
     /// The engine failed or its connection was lost.
     Engine(EngineError),
     /// The caller cancelled, or disconnected and did not resume within the grace period.
-    CallerGone,
+    CallerDisconnected,
     Deadline,
 }
 
@@ -41,63 +41,65 @@
 pub(crate) async fn relay(
     run: &mut OwnerRun,
     events: &mut EventStream,
-    chosen: &Chosen,
-    flight: &FlightGuard,
+    selected: &SelectedServer,
+    flight: &InFlightGuard,
 ) -> RelayEnd {
     let mut meter = StepMeter::default();
     loop {
-        let until = run.waits_until();
+        let until = run.wait_deadline();
         tokio::select! {
             biased;
-            gone = run.caller.gone() => match run.caller_gone(gone) {
-                Gone::Cancelled => return RelayEnd::CallerGone,
-                Gone::LinkLost => {}
+            disconnected = run.caller.disconnected() => match run.on_disconnect(disconnected) {
+                Disconnect::Cancelled => return RelayEnd::CallerDisconnected,
+                Disconnect::LinkLost => {}
             },
             () = dappleyard_clock::sleep_until(until) => {
-                return if run.deadline_passed() { RelayEnd::Deadline } else { RelayEnd::CallerGone };
+                return if run.deadline_passed() { RelayEnd::Deadline } else { RelayEnd::CallerDisconnected };
             }
             event = events.next() => match event {
                 Some(Ok(event)) => {
-                    if let Some(end) = absorb(run, event, chosen, flight, &mut meter) {
+                    if let Some(end) = handle_event(run, event, selected, flight, &mut meter) {
                         return end;
                     }
                 }
                 Some(Err(error)) => return RelayEnd::Engine(error),
-                None => return RelayEnd::Engine(lost("the stream ended in the middle")),
+                None => return RelayEnd::Engine(lost_error("the stream ended before its final event")),
             },
         }
     }
 }
 
-fn absorb(
+fn handle_event(
     run: &mut OwnerRun,
     event: EngineEvent,
-    chosen: &Chosen,
-    flight: &FlightGuard,
+    selected: &SelectedServer,
+    flight: &InFlightGuard,
     meter: &mut StepMeter,
 ) -> Option<RelayEnd> {
     match event {
         EngineEvent::Accepted { stream, version } => {
-            accepted(run, stream, version, chosen);
+            accepted(run, stream, version, selected);
             None
         }
         EngineEvent::Tokens { offset, pieces } => {
             let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-            if offset > run.next {
-                return Some(RelayEnd::Engine(lost("tokens are missing in the stream")));
+            if offset > run.next_offset {
+                return Some(RelayEnd::Engine(lost_error(
+                    "tokens are missing in the stream",
+                )));
             }
             run.ran = join_ran(run.ran, Ran::Yes);
-            let known = run.next - offset;
+            let known = run.next_offset - offset;
             if count > known {
                 if !run.has_token {
                     run.has_token = true;
                     flight.started();
                 }
                 run.send_chunk(Chunk {
-                    offset: run.next,
+                    offset: run.next_offset,
                     pieces: pieces.into_iter().skip(known as usize).collect(),
                 });
-                meter.count(&run.worker.tables, &chosen.server, count - known);
+                meter.count(&run.worker.tables, &selected.server, count - known);
             }
             None
         }
@@ -115,14 +117,14 @@
     }
 }
 
-fn accepted(run: &mut OwnerRun, stream: String, version: String, chosen: &Chosen) {
+fn accepted(run: &mut OwnerRun, stream: String, version: String, selected: &SelectedServer) {
     run.ran = join_ran(run.ran, Ran::Maybe);
-    run.reads(&chosen.server, &stream);
+    run.start_reading(&selected.server, &stream);
     run.earlier.version.clone_from(&version);
     run.earlier.engine_stream.clone_from(&stream);
-    run.earlier.server = chosen.server.to_string();
+    run.earlier.server = selected.server.to_string();
     run.caller.send(frame::Body::Accepted(Accepted {
-        server: chosen.server.to_string(),
+        server: selected.server.to_string(),
         version,
         engine_stream: stream,
         node: run.worker.tables.identity.node.to_string(),
@@ -131,10 +133,14 @@
 
 fn finished(run: &OwnerRun, reason: String, total_tokens: u32, cached_tokens: u32) -> RelayEnd {
     if reason == "cancelled" {
-        return RelayEnd::Engine(lost("the engine cancelled the stream by itself"));
+        return RelayEnd::Engine(lost_error(
+            "the engine cancelled the stream without a cancel request",
+        ));
     }
-    if total_tokens != run.next {
-        return RelayEnd::Engine(lost("the stream ended before all its tokens came"));
+    if total_tokens != run.next_offset {
+        return RelayEnd::Engine(lost_error(
+            "the stream ended before all tokens were received",
+        ));
     }
     RelayEnd::Finished {
         reason,
@@ -142,7 +148,7 @@
     }
 }
 
-fn lost(reason: &str) -> EngineError {
+fn lost_error(reason: &str) -> EngineError {
     EngineError::Lost {
         reason: reason.to_owned(),
     }
--- a/crates/online/src/reports.rs
+++ b/crates/online/src/reports.rs
@@ -20,13 +20,13 @@
 use crate::load;
 
 /// Consecutive failed calls after which a server is withdrawn.
-const FAILURES_TO_WITHDRAW: u32 = 2;
+const FAILURES_BEFORE_WITHDRAWAL: u32 = 2;
 
 /// HTTP status returned by an engine that accepts no new work.
-const STATUS_LEAVING: u16 = 503;
+const DRAINING_STATUS: u16 = 503;
 
 /// Own sequence counts kept per server, one per poll. They must cover the lag of the reports.
-const OWN_COUNTS: usize = 10;
+const OWN_COUNT_SAMPLES: usize = 10;
 
 /// Starts a task on the current arbiter that polls the engines of the servers owned by this node and
 /// publishes the node's load. The task never ends.
@@ -34,9 +34,9 @@
     let poller = Rc::new(Poller {
         tables,
         engine,
-        patience: Duration::from_millis(settings.engine_connect_timeout_ms),
-        asked: RefCell::default(),
-        own_counts: RefCell::default(),
+        call_timeout: Duration::from_millis(settings.engine_connect_timeout_ms),
+        polling: RefCell::default(),
+        own_count_samples: RefCell::default(),
     });
     actix_rt::spawn(async move {
         let period = Duration::from_millis(settings.report_interval_ms.max(1));
@@ -57,11 +57,11 @@
 struct Poller {
     tables: Arc<NodeTables>,
     engine: Rc<dyn Engine>,
-    patience: Duration,
+    call_timeout: Duration,
     /// Servers with a poll in progress.
-    asked: RefCell<BTreeSet<ServerId>>,
+    polling: RefCell<BTreeSet<ServerId>>,
     /// Number of this node's own sequences on each server at recent polls.
-    own_counts: RefCell<BTreeMap<ServerId, VecDeque<u32>>>,
+    own_count_samples: RefCell<BTreeMap<ServerId, VecDeque<u32>>>,
 }
 
 impl Poller {
@@ -75,26 +75,26 @@
                 })
                 .collect::<Vec<_>>()
         });
-        self.own_counts
+        self.own_count_samples
             .borrow_mut()
             .retain(|id, _| targets.iter().any(|(target, ..)| target == id));
         for (server, base, first, own) in targets {
-            self.count_own(&server, own);
-            if !self.asked.borrow_mut().insert(server.clone()) {
+            self.sample_own_count(&server, own);
+            if !self.polling.borrow_mut().insert(server.clone()) {
                 continue;
             }
             let poller = self.clone();
             actix_rt::spawn(async move {
                 poller.poll(&server, &base, first).await;
-                poller.asked.borrow_mut().remove(&server);
+                poller.polling.borrow_mut().remove(&server);
             });
         }
     }
 
-    fn count_own(&self, server: &ServerId, own: usize) {
-        let mut counts = self.own_counts.borrow_mut();
+    fn sample_own_count(&self, server: &ServerId, own: usize) {
+        let mut counts = self.own_count_samples.borrow_mut();
         let counts = counts.entry(server.clone()).or_default();
-        if counts.len() == OWN_COUNTS {
+        if counts.len() == OWN_COUNT_SAMPLES {
             counts.pop_front();
         }
         counts.push_back(u32::try_from(own).unwrap_or(u32::MAX));
@@ -110,10 +110,10 @@
                 self.engine.report(base).await
             }
         };
-        match tokio::time::timeout(self.patience, asking).await {
+        match tokio::time::timeout(self.call_timeout, asking).await {
             Ok(Ok(report)) => {
                 let own = self
-                    .own_counts
+                    .own_count_samples
                     .borrow()
                     .get(server)
                     .and_then(|c| c.iter().max().copied());
@@ -124,8 +124,8 @@
                     .servers
                     .with(server, |state| state.foreign_online = foreign);
             }
-            Ok(Err(error)) => note_failure(&self.tables, server, &error.to_string()),
-            Err(_) => note_failure(&self.tables, server, "no report in time"),
+            Ok(Err(error)) => record_failure(&self.tables, server, &error.to_string()),
+            Err(_) => record_failure(&self.tables, server, "the report request timed out"),
         }
     }
 }
@@ -138,26 +138,26 @@
     asked: Millis,
 ) {
     let now = tables.clock.now();
-    let said_at = freshness::said_at(asked, u64::from(report.age_ms));
+    let reported_at = freshness::said_at(asked, u64::from(report.age_ms));
     let change = tables.servers.with(server, |state| {
         state.failures = 0;
-        if said_at < state.accepting_known_at {
+        if reported_at < state.accepting_known_at {
             return None;
         }
-        let change = accepting_change(state, report.accepting, said_at, now);
-        state.accepting_known_at = said_at;
+        let change = accepting_change(state, report.accepting, reported_at, now);
+        state.accepting_known_at = reported_at;
         state.report = Some((report, now));
         change
     });
     if let Some(Some(cause)) = change {
-        explain(tables, server, cause, "as the engine says");
+        record_decision(tables, server, cause, "reported by the engine");
     }
 }
 
 fn accepting_change(
     state: &mut OwnedServer,
     accepting: bool,
-    said_at: Millis,
+    reported_at: Millis,
     now: Millis,
 ) -> Option<&'static str> {
     match (&state.withdrawn, accepting) {
@@ -165,7 +165,7 @@
             state.withdrawn = Some(("the engine takes no new work".to_owned(), now));
             Some("takes no new work")
         }
-        (Some((_, since)), true) if *since <= said_at => {
+        (Some((_, since)), true) if *since <= reported_at => {
             state.withdrawn = None;
             Some("takes new work again")
         }
@@ -175,41 +175,49 @@
 
 /// Counts a failed call. After [`FAILURES_BEFORE_WITHDRAWAL`] consecutive failures the server is
 /// withdrawn until its engine answers again.
-pub(crate) fn note_failure(tables: &NodeTables, server: &ServerId, reason: &str) {
+pub(crate) fn record_failure(tables: &NodeTables, server: &ServerId, reason: &str) {
     let now = tables.clock.now();
     let withdrawn = tables.servers.with(server, |state| {
         state.failures += 1;
-        let newly = state.failures >= FAILURES_TO_WITHDRAW && state.withdrawn.is_none();
+        let newly = state.failures >= FAILURES_BEFORE_WITHDRAWAL && state.withdrawn.is_none();
         if newly {
             state.withdrawn = Some((format!("the engine does not answer: {reason}"), now));
         }
         newly
     });
     if withdrawn == Some(true) {
-        explain(tables, server, "does not answer", reason);
+        record_decision(tables, server, "does not answer", reason);
     }
 }
 
 /// Handles a refused call. A draining engine is withdrawn until a later report says otherwise; after any
 /// other refusal the engine's status is requested before the next dispatch.
-pub(crate) fn note_refusal(tables: &NodeTables, server: &ServerId, status: u16) {
+pub(crate) fn record_refusal(tables: &NodeTables, server: &ServerId, status: u16) {
     let now = tables.clock.now();
     let withdrawn = tables.servers.with(server, |state| {
-        if status != STATUS_LEAVING {
+        if status != DRAINING_STATUS {
             state.accepting_known_at = Millis(0);
             return false;
         }
         let newly = state.withdrawn.is_none();
-        state.withdrawn = Some(("the engine refused a call: it leaves".to_owned(), now));
+        state.withdrawn = Some((
+            "the engine refused a call because it is draining".to_owned(),
+            now,
+        ));
         newly
     });
     if withdrawn == Some(true) {
-        explain(tables, server, "takes no new work", "it refused a call");
+        record_decision(
+            tables,
+            server,
+            "takes no new work",
+            "the engine refused a call",
+        );
     }
 }
 
-fn explain(tables: &NodeTables, server: &ServerId, cause: &str, input: &str) {
-    tracing::info!(%server, cause, input, "a server changed");
+fn record_decision(tables: &NodeTables, server: &ServerId, cause: &str, input: &str) {
+    tracing::info!(%server, cause, input, "server state changed");
     tables.decisions.record(Decision {
         unix_ms: tables.clock.unix_ms(),
         node: tables.identity.node.to_string(),
@@ -217,6 +225,6 @@
         subjects: vec![Subject::Server(server.to_string())],
         cause: cause.to_owned(),
         inputs: vec![("engine".to_owned(), input.to_owned())],
-        outcome: "new work goes accordingly".to_owned(),
+        outcome: "placement of new work updated".to_owned(),
     });
 }
--- a/crates/online/src/settle.rs
+++ b/crates/online/src/settle.rs
@@ -18,7 +18,7 @@
 pub(crate) fn not_ready() -> Failure {
     Failure::not_run(
         ErrorKind::NotReady,
-        "the node takes no new work at present; use another node",
+        "the node accepts no new work; use another node",
     )
     .retry_after(OTHER_NODE_RETRY_AFTER_MS)
 }
@@ -70,7 +70,7 @@
 }
 
 /// Records a refusal as a decision. Refusals by tenant limits are frequent and only counted in metrics.
-pub(crate) fn explain_refusal(worker: &OnlineWorker, incoming: &Incoming, failure: &Failure) {
+pub(crate) fn record_refusal(worker: &OnlineWorker, incoming: &Incoming, failure: &Failure) {
     if matches!(
         failure.kind,
         ErrorKind::TenantRate | ErrorKind::TenantConcurrency
@@ -80,7 +80,7 @@
     let inputs = vec![
         ("ran".to_owned(), ran_name(failure.ran).to_owned()),
         ("attempt".to_owned(), incoming.attempt.to_string()),
-        ("left_ms".to_owned(), incoming.left_ms().to_string()),
+        ("left_ms".to_owned(), incoming.remaining_ms().to_string()),
     ];
     let code = failure.kind.answer().code;
     let kind = DecisionKind::Refused;
@@ -88,7 +88,7 @@
 }
 
 /// Records a repeated placement as a decision.
-pub(crate) fn explain_again(worker: &OnlineWorker, incoming: &Incoming, cause: &str, ran: Ran) {
+pub(crate) fn record_retry(worker: &OnlineWorker, incoming: &Incoming, cause: &str, ran: Ran) {
     let inputs = vec![("ran".to_owned(), ran_name(ran).to_owned())];
     let kind = DecisionKind::PlacedAgain;
     record(worker, incoming, kind, cause, inputs, "placed again");
@@ -104,7 +104,7 @@
     outcome: &str,
 ) {
     let tables = &worker.tables;
-    if !worker.shared.may_explain(tables.clock.now()) {
+    if !worker.shared.may_record_decision(tables.clock.now()) {
         return;
     }
     tables.decisions.record(Decision {
--- a/crates/online/src/shared.rs
+++ b/crates/online/src/shared.rs
@@ -19,8 +19,8 @@
 const CONCURRENCY_RETRY_AFTER_MS: u32 = 250;
 
 /// Rate limit and burst of decision records about requests. Decisions beyond it are only counted.
-const EXPLAINED_PER_S: f64 = 5.0;
-const EXPLAINED_BURST: f64 = 100.0;
+const DECISIONS_PER_S: f64 = 5.0;
+const DECISION_BURST: f64 = 100.0;
 
 /// Admission state, retry budget and stream counts of a node.
 pub struct OnlineShared {
@@ -33,7 +33,7 @@
 struct SharedState {
     tenants: BTreeMap<String, TenantState>,
     budget: RetryBudget,
-    explained: TokenBucket,
+    decision_bucket: TokenBucket,
     /// Number of the current reader of each engine stream. A later reader supersedes an earlier one.
     readers: BTreeMap<String, u64>,
     next_reader: u64,
@@ -50,7 +50,7 @@
         let state = SharedState {
             tenants: BTreeMap::new(),
             budget: RetryBudget::new(settings.retry_budget_percent),
-            explained: TokenBucket::full(EXPLAINED_BURST, tables.clock.now()),
+            decision_bucket: TokenBucket::full(DECISION_BURST, tables.clock.now()),
             readers: BTreeMap::new(),
             next_reader: 1,
         };
@@ -85,7 +85,7 @@
     }
 
     /// Charges a request of `tokens` tokens to the tenant's limits.
-    pub(crate) fn take_tenant(
+    pub(crate) fn acquire_tenant_slot(
         self: &Arc<Self>,
         tenant: &str,
         limits: NodeLimits,
@@ -133,18 +133,20 @@
     }
 
     /// Whether the rate limit permits another decision record.
-    pub(crate) fn may_explain(&self, now: Millis) -> bool {
+    pub(crate) fn may_record_decision(&self, now: Millis) -> bool {
         let mut state = self.state.lock();
-        let taken = state.explained.take(EXPLAINED_PER_S, EXPLAINED_BURST, now);
+        let taken = state
+            .decision_bucket
+            .take(DECISIONS_PER_S, DECISION_BURST, now);
         if taken.is_err() {
-            self.metrics.unexplained.inc();
+            self.metrics.unrecorded_decisions.inc();
         }
         taken.is_ok()
     }
 
     /// Registers a reader of an engine stream. The previous reader is superseded and ends without
     /// cancelling the stream.
-    pub(crate) fn read_stream(self: &Arc<Self>, server: &str, stream: &str) -> ReaderSlot {
+    pub(crate) fn claim_stream(self: &Arc<Self>, server: &str, stream: &str) -> ReaderSlot {
         let key = format!("{server}/{stream}");
         let mut state = self.state.lock();
         let number = state.next_reader;
@@ -161,7 +163,9 @@
 fn concurrency_refusal(tenant: &str, maximum: u64) -> Failure {
     Failure::not_run(
         ErrorKind::TenantConcurrency,
-        format!("tenant {tenant} has its {maximum} tokens at this node in progress; wait for one"),
+        format!(
+            "tenant {tenant} has reached its limit of {maximum} concurrent tokens at this node"
+        ),
     )
     .retry_after(CONCURRENCY_RETRY_AFTER_MS)
 }
@@ -169,7 +173,9 @@
 fn rate_refusal(tenant: &str, rate: f64, wait_ms: u32) -> Failure {
     Failure::not_run(
         ErrorKind::TenantRate,
-        format!("tenant {tenant} has used its {rate:.1} requests per second at this node"),
+        format!(
+            "tenant {tenant} has exceeded its limit of {rate:.1} requests per second at this node"
+        ),
     )
     .retry_after(wait_ms)
 }
--- a/crates/online/src/view.rs
+++ b/crates/online/src/view.rs
@@ -13,10 +13,10 @@
 use crate::load;
 
 /// Age at which a view is rebuilt, milliseconds.
-const VIEW_AGE_MS: u64 = 50;
+const MAXIMUM_VIEW_AGE_MS: u64 = 50;
 
 /// Wait added to an owner whose membership state is suspect, milliseconds.
-const SUSPECT_WAIT_MS: u32 = 500;
+const SUSPECT_PENALTY_MS: u32 = 500;
 
 /// Id and link address of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     pub fn service(&self, service: &str) -> Option<OwnerLoad<'_>> {
         let services = self.load.services.iter();
         let load = services.into_iter().find(|one| one.service == service)?;
-        let added_wait_ms = if self.suspect { SUSPECT_WAIT_MS } else { 0 };
+        let added_wait_ms = if self.suspect { SUSPECT_PENALTY_MS } else { 0 };
         Some(OwnerLoad {
             servers: load.servers,
             sequences: load.online_sequences.saturating_add(self.sent.get()),
@@ -73,9 +73,9 @@
 /// Distance to another cell, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
-    Zone,
-    Region,
-    Far,
+    SameZone,
+    SameRegion,
+    OtherRegion,
 }
 
 /// Another cell.
@@ -127,7 +127,7 @@
         let now = tables.clock.now();
         if self
             .built
-            .is_none_or(|built| now.since(built) >= VIEW_AGE_MS)
+            .is_none_or(|built| now.since(built) >= MAXIMUM_VIEW_AGE_MS)
         {
             self.view = Rc::new(build(tables, &self.view));
             self.built = Some(now);
@@ -141,7 +141,7 @@
     }
 }
 
-fn build(tables: &NodeTables, before: &PlacementView) -> PlacementView {
+fn build(tables: &NodeTables, previous: &PlacementView) -> PlacementView {
     let members: BTreeMap<String, Member> = tables
         .members
         .all()
@@ -173,7 +173,7 @@
         if load.node == own || load.draining || !is_usable(member) || is_drained(&load.node) {
             continue;
         }
-        owners.push(owner_view(member, load, before));
+        owners.push(owner_view(member, load, previous));
     }
     owners.retain(|owner| !is_drained(&owner.address.node));
     PlacementView {
@@ -183,8 +183,8 @@
     }
 }
 
-fn owner_view(member: &Member, load: NodeLoad, before: &PlacementView) -> OwnerView {
-    let known = before
+fn owner_view(member: &Member, load: NodeLoad, previous: &PlacementView) -> OwnerView {
+    let known = previous
         .owners
         .iter()
         .find(|owner| owner.address.node == load.node);
@@ -219,11 +219,11 @@
 ) -> CellView {
     let identity = &tables.identity;
     let distance = if aggregate.zone == identity.zone.as_str() {
-        Distance::Zone
+        Distance::SameZone
     } else if aggregate.region == identity.region.as_str() {
-        Distance::Region
+        Distance::SameRegion
     } else {
-        Distance::Far
+        Distance::OtherRegion
     };
     let entries = aggregate
         .entry_nodes
@@ -254,8 +254,8 @@
 /// Whether new work may be sent to a member.
 pub(crate) fn is_usable(member: &Member) -> bool {
     let state = member.state();
-    let believed = matches!(state, MemberState::MemberAlive | MemberState::MemberSuspect);
-    believed && !member.draining
+    let is_live = matches!(state, MemberState::MemberAlive | MemberState::MemberSuspect);
+    is_live && !member.draining
 }
 
 /// Address of a usable member; `None` if it is unknown, dead or draining.
--- a/crates/online/src/worker.rs
+++ b/crates/online/src/worker.rs
@@ -112,9 +112,9 @@
     /// Handles `RecordBegin` and `RecordSettle` calls sent to this node as recorder of a key.
     pub async fn record_call(&self, call: Call) -> Result<Reply, Failure> {
         let budget = Duration::from_millis(u64::from(call.budget_ms));
-        let until = Instant::now() + budget;
+        let deadline = Instant::now() + budget;
         let state = match call.method {
-            Some(call::Method::RecordBegin(begin)) => self.recorder.begin(begin, until).await?,
+            Some(call::Method::RecordBegin(begin)) => self.recorder.begin(begin, deadline).await?,
             Some(call::Method::RecordSettle(settle)) => {
                 self.recorder.settle(settle).await?;
                 RecordState::default()
@@ -122,7 +122,7 @@
             _ => {
                 return Err(Failure::not_run(
                     ErrorKind::InvalidRequest,
-                    "the call is none of a recorder's",
+                    "the call is not supported by the recorder",
                 ));
             }
         };
@@ -150,7 +150,7 @@
         let slot = self.shared.open_stream().ok_or_else(|| {
             Failure::not_run(
                 ErrorKind::Overloaded,
-                "the node has as many streams as it may have",
+                "the node has reached its limit of concurrent streams",
             )
             .retry_after(FULL_RETRY_AFTER_MS)
             .after(ran_before)
--- a/crates/online/tests/admission.rs
+++ b/crates/online/tests/admission.rs
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn a_node_that_is_not_ready_refuses_but_finishes_what_it_has() {
+fn a_draining_node_refuses_new_requests_but_finishes_running_ones() {
     run(async {
         let node = Node::new(1);
         let mut running = node.submit(request("r1"));
@@ -25,12 +25,12 @@
         node.tables.lifecycle.send_replace(Lifecycle::Draining);
         let refused = node
             .submit(request("r2"))
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
         expect_not_run(&refused, ErrorKind::NotReady);
-        expect_that!(running.whole().await.finish.is_some(), is_true());
+        expect_that!(running.full_answer().await.finish.is_some(), is_true());
     });
 }
 
@@ -42,20 +42,25 @@
         unknown.request.as_mut().expect("a request").service = "nobody".to_owned();
         let refused = node
             .submit(unknown)
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
         expect_not_run(&refused, ErrorKind::UnknownModel);
         let mut late = request("r2");
         late.budget_ms = 0;
-        let refused = node.submit(late).whole().await.refused.expect("a refusal");
+        let refused = node
+            .submit(late)
+            .full_answer()
+            .await
+            .refused
+            .expect("a refusal");
         expect_not_run(&refused, ErrorKind::DeadlineExceeded);
     });
 }
 
 #[gtest]
-fn tenant_limits_say_when_to_come_back() {
+fn tenant_rate_refusals_suggest_a_retry_delay() {
     run(async {
         let node = Node::new(1);
         let row = TenantRow {
@@ -66,12 +71,15 @@
         };
         node.configure(vec![tenant_row(row)]);
         for index in 0..2 {
-            let answer = node.submit(request(&format!("r{index}"))).whole().await;
+            let answer = node
+                .submit(request(&format!("r{index}")))
+                .full_answer()
+                .await;
             expect_that!(answer.finish.is_some(), is_true());
         }
         let refused = node
             .submit(request("r3"))
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
@@ -81,7 +89,7 @@
 }
 
 #[gtest]
-fn concurrent_tokens_are_given_back() {
+fn concurrent_tokens_are_released() {
     run(async {
         let node = Node::new(1);
         let row = TenantRow {
@@ -94,20 +102,20 @@
         first.read_tokens(1).await;
         let refused = node
             .submit(request("r2"))
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
         expect_not_run(&refused, ErrorKind::TenantConcurrency);
-        first.whole().await;
+        first.full_answer().await;
         tokio::task::yield_now().await;
-        let answer = node.submit(request("r3")).whole().await;
+        let answer = node.submit(request("r3")).full_answer().await;
         expect_that!(answer.finish.is_some(), is_true());
     });
 }
 
 #[gtest]
-fn a_full_node_and_a_long_queue_refuse_at_once() {
+fn a_node_at_its_stream_limit_refuses_requests() {
     run(async {
         let settings = OnlineSettings {
             maximum_streams: 1,
@@ -118,7 +126,7 @@
         first.read_tokens(1).await;
         let refused = node
             .submit(request("r2"))
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
@@ -128,7 +136,7 @@
 }
 
 #[gtest]
-fn a_long_queue_refuses_before_anything_is_asked() {
+fn a_long_queue_refuses_before_dispatch() {
     run(async {
         let node = Node::new(1);
         node.tables
@@ -136,7 +144,7 @@
             .with(&"s0".into(), |state| state.foreign_online = 2_000);
         let refused = node
             .submit(request("r1"))
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
@@ -153,9 +161,9 @@
 }
 
 #[gtest]
-fn each_sign_of_leaving_keeps_new_work_away() {
+fn draining_servers_get_no_new_work() {
     run(async {
-        for sign in [
+        for reason in [
             "machine list",
             "report",
             "server drain",
@@ -163,7 +171,7 @@
             "zone drain",
         ] {
             let node = Node::new(1);
-            match sign {
+            match reason {
                 "machine list" => {
                     node.tables
                         .servers
@@ -180,16 +188,16 @@
                 "hall drain" => node.configure(vec![drain_row("hall", "hall-a")]),
                 _ => node.configure(vec![drain_row("zone", "zone-a")]),
             }
-            let refused = node.submit(request("r1")).whole().await.refused;
+            let refused = node.submit(request("r1")).full_answer().await.refused;
             let refused = refused.expect("a refusal");
-            expect_that!(refused.ran(), eq(Ran::No), "with {sign}");
-            expect_that!(*node.engine.calls.borrow(), is_empty(), "with {sign}");
+            expect_that!(refused.ran(), eq(Ran::No), "with {reason}");
+            expect_that!(*node.engine.calls.borrow(), is_empty(), "with {reason}");
         }
     });
 }
 
 #[gtest]
-fn an_engine_is_asked_before_dispatch_when_its_last_word_is_old() {
+fn stale_engine_status_is_refreshed_before_dispatch() {
     run(async {
         let node = Node::new(2);
         for server in ["s0", "s1"] {
@@ -197,36 +205,41 @@
                 .servers
                 .with(&server.into(), |state| state.accepting_known_at.0 -= 2_500);
         }
-        let home = {
-            let answer = node.submit(request("r1")).whole().await;
+        let preferred = {
+            let answer = node.submit(request("r1")).full_answer().await;
             answer.accepted[0].server.clone()
         };
         expect_that!(node.engine.statuses.get(), eq(1));
-        node.tables.servers.with(&home.as_str().into(), |state| {
-            state.accepting_known_at.0 -= 2_500
-        });
-        node.engine.leaving.borrow_mut().push(home.clone());
-        let answer = node.submit(request("r2")).whole().await;
-        expect_that!(answer.accepted[0].server, not(eq(&home)));
-        expect_that!(answer.text(), eq(&whole_text()));
+        node.tables
+            .servers
+            .with(&preferred.as_str().into(), |state| {
+                state.accepting_known_at.0 -= 2_500
+            });
+        node.engine.draining.borrow_mut().push(preferred.clone());
+        let answer = node.submit(request("r2")).full_answer().await;
+        expect_that!(answer.accepted[0].server, not(eq(&preferred)));
+        expect_that!(answer.text(), eq(&full_text()));
     });
 }
 
 #[gtest]
-fn an_engine_that_refuses_because_it_leaves_gets_nothing_more() {
+fn a_draining_engine_gets_no_calls_after_its_refusal() {
     run(async {
         let node = Node::new(2);
-        let home = node.submit(request("r0")).whole().await.accepted[0]
+        let preferred = node.submit(request("r0")).full_answer().await.accepted[0]
             .server
             .clone();
-        node.engine.script(&home, [Script::Refuse(503)]);
+        node.engine.script(&preferred, [Script::Refuse(503)]);
         for index in 1..4 {
-            let answer = node.submit(request(&format!("r{index}"))).whole().await;
-            expect_that!(answer.text(), eq(&whole_text()));
+            let answer = node
+                .submit(request(&format!("r{index}")))
+                .full_answer()
+                .await;
+            expect_that!(answer.text(), eq(&full_text()));
         }
         let called = node.engine.servers_called();
         expect_that!(
-            called.iter().filter(|server| **server == home).count(),
+            called.iter().filter(|server| **server == preferred).count(),
             eq(2)
         );
     });
--- a/crates/online/tests/crashes.rs
+++ b/crates/online/tests/crashes.rs
@@ -9,7 +9,7 @@
 use support::*;
 
 /// Number of engines that one request may crash.
-const MOST_ENDED: usize = 3;
+const MAXIMUM_CRASHED_SERVERS: usize = 3;
 const SERVERS: usize = 8;
 
 fn other_request(id: &str) -> Submit {
@@ -19,21 +19,24 @@
 }
 
 #[gtest]
-fn tries_of_one_request() {
+fn retries_of_a_crashing_request_are_limited() {
     run(async {
         let node = Node::new(SERVERS);
         for server in 0..SERVERS {
             node.engine.script(&format!("s{server}"), [Script::Crash]);
         }
         let mut last = None;
-        for try_number in 0..4 {
+        for attempt in 0..4 {
             let answer = node
-                .submit(request(&format!("r{try_number}")))
-                .whole()
+                .submit(request(&format!("r{attempt}")))
+                .full_answer()
                 .await;
             last = answer.refused;
         }
-        expect_that!(node.engine.ended.borrow().len(), eq(MOST_ENDED));
+        expect_that!(
+            node.engine.crashed.borrow().len(),
+            eq(MAXIMUM_CRASHED_SERVERS)
+        );
         let refused = last.expect("a refusal");
         expect_that!(refused.kind, eq(ErrorKind::ServersEnded as u32));
         expect_that!(refused.retry_after_ms, eq(0));
@@ -41,23 +44,28 @@
 }
 
 #[gtest]
-fn orders_that_must_not_repeat() {
+fn at_most_once_requests_share_the_crash_limit() {
     run(async {
         let node = Node::new(SERVERS);
         for server in 0..SERVERS {
             node.engine.script(&format!("s{server}"), [Script::Crash]);
         }
         // Each submission has a new key, so the caller requests another run.
-        for try_number in 0..5 {
-            let id = format!("r{try_number}");
-            node.submit(once_request(&id, &id)).whole().await;
+        for attempt in 0..5 {
+            let id = format!("r{attempt}");
+            node.submit(at_most_once_request(&id, &id))
+                .full_answer()
+                .await;
         }
-        expect_that!(node.engine.ended.borrow().len(), eq(MOST_ENDED));
+        expect_that!(
+            node.engine.crashed.borrow().len(),
+            eq(MAXIMUM_CRASHED_SERVERS)
+        );
     });
 }
 
 #[gtest]
-fn others_are_served() {
+fn unrelated_crashes_do_not_refuse_requests() {
     run(async {
         let node = Node::new(SERVERS);
         // Two engines crash for unrelated reasons while running the same request.
@@ -70,7 +78,7 @@
                 0 => request(&id),
                 _ => other_request(&id),
             };
-            let answer = node.submit(submit).whole().await;
+            let answer = node.submit(submit).full_answer().await;
             expect_that!(answer.finish.is_some(), eq(true), "{id}");
         }
     });
--- a/crates/online/tests/once.rs
+++ b/crates/online/tests/idempotency.rs
@@ -13,30 +13,36 @@
 use support::*;
 
 #[gtest]
-fn a_resend_gets_the_recorded_answer_and_nothing_runs_twice() {
+fn a_resend_gets_the_recorded_answer_without_a_second_run() {
     run(async {
         let node = Node::new(1);
-        let first = node.submit(once_request("r1", "key-1")).whole().await;
-        expect_that!(first.text(), eq(&whole_text()));
+        let first = node
+            .submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
+            .await;
+        expect_that!(first.text(), eq(&full_text()));
         tokio::time::sleep(Duration::from_millis(10)).await;
-        let second = node.submit(once_request("r2", "key-1")).whole().await;
-        expect_that!(second.text(), eq(&whole_text()));
+        let second = node
+            .submit(at_most_once_request("r2", "key-1"))
+            .full_answer()
+            .await;
+        expect_that!(second.text(), eq(&full_text()));
         expect_that!(second.finish.expect("a finish").replayed, is_true());
         expect_that!(node.engine.calls.borrow().len(), eq(1));
     });
 }
 
 #[gtest]
-fn a_resend_while_it_runs_is_told_to_come_back() {
+fn a_resend_during_the_run_is_refused_with_a_retry_delay() {
     run(async {
         let node = Node::new(1);
-        let slow = vec![Step::Accept, Step::Tokens(2), Step::Hang];
-        node.engine.script("s0", [Script::Steps(slow)]);
-        let mut first = node.submit(once_request("r1", "key-1"));
+        let stalled = vec![Step::Accept, Step::Tokens(2), Step::Hang];
+        node.engine.script("s0", [Script::Steps(stalled)]);
+        let mut first = node.submit(at_most_once_request("r1", "key-1"));
         first.read_tokens(2).await;
         let refused = node
-            .submit(once_request("r2", "key-1"))
-            .whole()
+            .submit(at_most_once_request("r2", "key-1"))
+            .full_answer()
             .await
             .refused;
         let refused = refused.expect("a refusal");
@@ -51,27 +57,34 @@
 fn a_key_used_for_another_request_is_refused() {
     run(async {
         let node = Node::new(1);
-        node.submit(once_request("r1", "key-1")).whole().await;
+        node.submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
+            .await;
         tokio::time::sleep(Duration::from_millis(10)).await;
-        let mut other = once_request("r2", "key-1");
+        let mut other = at_most_once_request("r2", "key-1");
         other.request.as_mut().expect("a request").prompt = "another prompt".to_owned();
-        let refused = node.submit(other).whole().await.refused.expect("a refusal");
+        let refused = node
+            .submit(other)
+            .full_answer()
+            .await
+            .refused
+            .expect("a refusal");
         expect_that!(refused.kind, eq(ErrorKind::KeyReused as u32));
         expect_that!(refused.ran(), eq(Ran::No));
     });
 }
 
 #[gtest]
-fn an_engine_lost_after_it_accepted_is_attached_to_but_never_run_again() {
+fn a_lost_call_is_reattached_after_acceptance_but_never_run_again() {
     run(async {
         let node = Node::new(3);
-        let cut = || Script::Steps(vec![Step::Accept, Step::Tokens(1), Step::Lose]);
+        let broken = || Script::Steps(vec![Step::Accept, Step::Tokens(1), Step::Lose]);
         for server in ["s0", "s1", "s2"] {
-            node.engine.script(server, [cut(), Script::Unreachable]);
+            node.engine.script(server, [broken(), Script::Unreachable]);
         }
         let refused = node
-            .submit(once_request("r1", "key-1"))
-            .whole()
+            .submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
             .await
             .refused;
         let refused = refused.expect("a refusal");
@@ -84,8 +97,8 @@
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
         let again = node
-            .submit(once_request("r2", "key-1"))
-            .whole()
+            .submit(at_most_once_request("r2", "key-1"))
+            .full_answer()
             .await
             .refused;
         expect_that!(
@@ -97,15 +110,15 @@
 }
 
 #[gtest]
-fn a_call_lost_before_it_was_answered_is_never_sent_again() {
+fn a_call_lost_before_its_response_is_not_repeated() {
     run(async {
         let node = Node::new(2);
         for server in ["s0", "s1"] {
             node.engine.script(server, [Script::LostAtCall]);
         }
         let refused = node
-            .submit(once_request("r1", "key-1"))
-            .whole()
+            .submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
             .await
             .refused;
         let refused = refused.expect("a refusal");
@@ -121,40 +134,46 @@
         let node = Node::new(1);
         node.engine.script("s0", [Script::Refuse(429)]);
         let refused = node
-            .submit(once_request("r1", "key-1"))
-            .whole()
+            .submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
             .await
             .refused;
         expect_that!(refused.expect("a refusal").ran(), eq(Ran::No));
         tokio::time::sleep(Duration::from_millis(10)).await;
         let record = node.record("key-1").expect("a record");
         expect_that!(record.phase(), eq(OncePhase::OnceReleased));
-        let answer = node.submit(once_request("r2", "key-1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node
+            .submit(at_most_once_request("r2", "key-1"))
+            .full_answer()
+            .await;
+        expect_that!(answer.text(), eq(&full_text()));
     });
 }
 
 #[gtest]
-fn a_lost_answer_of_the_store_is_read_back() {
+fn an_ambiguous_store_write_is_read_back() {
     for fault in [Fault::LostAfterEffect, Fault::LostBeforeEffect] {
         run(async move {
             let node = Node::new(1);
             node.platform.fail_transactions([Some(fault)]);
-            let answer = node.submit(once_request("r1", "key-1")).whole().await;
-            expect_that!(answer.text(), eq(&whole_text()), "after {fault:?}");
+            let answer = node
+                .submit(at_most_once_request("r1", "key-1"))
+                .full_answer()
+                .await;
+            expect_that!(answer.text(), eq(&full_text()), "after {fault:?}");
             expect_that!(node.engine.calls.borrow().len(), eq(1));
         });
     }
 }
 
 #[gtest]
-fn a_store_that_is_away_refuses_before_anything_ran() {
+fn an_unavailable_store_refuses_before_dispatch() {
     run(async {
         let node = Node::new(1);
         node.platform.set_down(true);
         let refused = node
-            .submit(once_request("r1", "key-1"))
-            .whole()
+            .submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
             .await
             .refused;
         let refused = refused.expect("a refusal");
@@ -162,13 +181,16 @@
         expect_that!(refused.ran(), eq(Ran::No));
         expect_that!(*node.engine.calls.borrow(), is_empty());
         node.platform.set_down(false);
-        let answer = node.submit(once_request("r1", "key-1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node
+            .submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
+            .await;
+        expect_that!(answer.text(), eq(&full_text()));
     });
 }
 
 #[gtest]
-fn a_create_whose_fate_cannot_be_read_back_is_given_up_and_the_key_freed() {
+fn an_unconfirmed_create_is_released() {
     run(async {
         let node = Node::new(1);
         node.platform
@@ -181,8 +203,8 @@
             platform.set_down(false);
         });
         let refused = node
-            .submit(once_request("r1", "key-1"))
-            .whole()
+            .submit(at_most_once_request("r1", "key-1"))
+            .full_answer()
             .await
             .refused;
         if let Some(refused) = refused {
@@ -192,8 +214,11 @@
         }
         tokio::time::sleep(Duration::from_secs(8)).await;
         let runs_before = node.engine.calls.borrow().len();
-        let answer = node.submit(once_request("r2", "key-1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node
+            .submit(at_most_once_request("r2", "key-1"))
+            .full_answer()
+            .await;
+        expect_that!(answer.text(), eq(&full_text()));
         expect_that!(
             node.engine.calls.borrow().len() + runs_before,
             le(1 + 2 * runs_before)
@@ -202,15 +227,15 @@
 }
 
 #[gtest]
-fn a_settlement_waits_for_the_store_and_a_stop_waits_for_it() {
+fn a_pending_settlement_counts_as_an_active_stream() {
     run(async {
         let node = Node::new(1);
-        let slow = vec![Step::Accept, Step::Tokens(TOKENS), Step::Finish];
-        node.engine.script("s0", [Script::Steps(slow)]);
-        let mut client = node.submit(once_request("r1", "key-1"));
+        let stalled = vec![Step::Accept, Step::Tokens(TOKENS), Step::Finish];
+        node.engine.script("s0", [Script::Steps(stalled)]);
+        let mut client = node.submit(at_most_once_request("r1", "key-1"));
         client.read_tokens(2).await;
         node.platform.set_down(true);
-        let answer = client.whole().await;
+        let answer = client.full_answer().await;
         expect_that!(answer.finish.is_some(), is_true());
         tokio::time::sleep(Duration::from_secs(5)).await;
         expect_that!(node.shared.active_streams(), eq(1));
@@ -223,11 +248,14 @@
 }
 
 #[gtest]
-fn a_record_of_a_node_that_is_gone_settles_as_unknown_and_never_runs() {
+fn a_record_of_a_dead_node_settles_as_unknown_and_never_runs() {
     run(async {
         let platform = MemoryPlatform::default();
         let node = Node::with(1, OnlineSettings::default(), platform.clone());
-        let answer = node.submit(once_request("r0", "key-0")).whole().await;
+        let answer = node
+            .submit(at_most_once_request("r0", "key-0"))
+            .full_answer()
+            .await;
         expect_that!(answer.finish.is_some(), is_true());
         tokio::time::sleep(Duration::from_millis(10)).await;
         let mut lost: OnceRow = node.record("key-0").expect("a record");
@@ -240,8 +268,8 @@
         platform.transact(write).await.expect("a write");
         for _ in 0..2 {
             let refused = node
-                .submit(once_request("r2", "key-1"))
-                .whole()
+                .submit(at_most_once_request("r2", "key-1"))
+                .full_answer()
                 .await
                 .refused;
             let refused = refused.expect("a refusal");
@@ -256,16 +284,19 @@
 }
 
 #[gtest]
-fn a_request_whose_caller_goes_away_runs_to_its_end_and_is_recorded() {
+fn a_request_completes_and_is_recorded_after_its_caller_disconnects() {
     run(async {
         let node = Node::new(1);
-        let mut client = node.submit(once_request("r1", "key-1"));
+        let mut client = node.submit(at_most_once_request("r1", "key-1"));
         client.read_tokens(1).await;
         client.send(frame::Body::Cancel(Default::default()));
         drop(client);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let answer = node.submit(once_request("r2", "key-1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node
+            .submit(at_most_once_request("r2", "key-1"))
+            .full_answer()
+            .await;
+        expect_that!(answer.text(), eq(&full_text()));
         expect_that!(node.engine.calls.borrow().len(), eq(1));
     });
 }
@@ -275,10 +306,15 @@
     run(async {
         let node = Node::new(4);
         let mut clients: Vec<Client> = (0..40)
-            .map(|index| node.submit(once_request(&format!("r{index}"), &format!("key-{index}"))))
+            .map(|index| {
+                node.submit(at_most_once_request(
+                    &format!("r{index}"),
+                    &format!("key-{index}"),
+                ))
+            })
             .collect();
         for client in &mut clients {
-            expect_that!(client.whole().await.text(), eq(&whole_text()));
+            expect_that!(client.full_answer().await.text(), eq(&full_text()));
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         expect_that!(node.platform.rows("once/").len(), eq(40));
@@ -288,7 +324,10 @@
 
 /// Stores a started record written by another node.
 async fn put_running(node: &Node, key: &str, writer: &str, age_ms: u64) {
-    let answer = node.submit(once_request("r0", "key-0")).whole().await;
+    let answer = node
+        .submit(at_most_once_request("r0", "key-0"))
+        .full_answer()
+        .await;
     assert!(answer.finish.is_some());
     tokio::time::sleep(Duration::from_millis(10)).await;
     let mut row: OnceRow = node.record("key-0").expect("a record");
@@ -301,7 +340,7 @@
 }
 
 #[gtest]
-fn a_record_of_a_node_that_started_just_now_is_not_taken_for_lost() {
+fn a_record_of_a_newly_started_node_is_in_progress() {
     run(async {
         let node = Node::new(1);
         let before = Member {
@@ -315,7 +354,11 @@
         put_running(&node, "key-1", &restarted, 60_000).await;
         put_running(&node, "key-2", "n8|65536|token", 100).await;
         for key in ["key-1", "key-2"] {
-            let refused = node.submit(once_request("r1", key)).whole().await.refused;
+            let refused = node
+                .submit(at_most_once_request("r1", key))
+                .full_answer()
+                .await
+                .refused;
             let refused = refused.expect("a refusal");
             expect_that!(refused.kind, eq(ErrorKind::InProgress as u32));
         }
--- a/crates/online/tests/chaos.rs
+++ b/crates/online/tests/random_faults.rs
@@ -30,7 +30,7 @@
         5 => Script::Steps(vec![Step::Accept, Step::Tokens(tokens), Step::Lose]),
         6 => Script::Steps(vec![Step::Accept, Step::Tokens(tokens), Step::Hang]),
         7 => Script::Steps(vec![Step::Lose]),
-        _ => Script::whole(),
+        _ => Script::full_answer(),
     }
 }
 
@@ -45,16 +45,16 @@
 }
 
 /// Reads the answer of a request; the caller may cancel or disconnect before the end.
-async fn call(mut client: Client, leave_after: Option<Duration>, cancels: bool) -> Answer {
-    let Some(leave_after) = leave_after else {
-        return client.whole().await;
+async fn call(mut client: Client, disconnect_after: Option<Duration>, cancels: bool) -> Answer {
+    let Some(disconnect_after) = disconnect_after else {
+        return client.full_answer().await;
     };
-    if let Ok(answer) = tokio::time::timeout(leave_after, client.whole()).await {
+    if let Ok(answer) = tokio::time::timeout(disconnect_after, client.full_answer()).await {
         return answer;
     }
     if cancels {
         client.send(frame::Body::Cancel(Default::default()));
-        return client.whole().await;
+        return client.full_answer().await;
     }
     Answer::default()
 }
@@ -72,22 +72,22 @@
     let mut keys = BTreeMap::new();
     for index in 0..REQUESTS {
         let id = format!("r{index}");
-        let once = generator.random_bool(0.6);
+        let at_most_once = generator.random_bool(0.6);
         let key = format!("key-{}", generator.random_range(0..KEYS));
-        let mut submit = if once {
-            once_request(&id, &key)
+        let mut submit = if at_most_once {
+            at_most_once_request(&id, &key)
         } else {
             request(&id)
         };
         submit.budget_ms = generator.random_range(50..2_000);
-        if once {
+        if at_most_once {
             keys.insert(id.clone(), key);
         }
-        let leaves = generator.random_bool(0.3);
-        let leave_after = Duration::from_millis(generator.random_range(0..60));
+        let disconnects = generator.random_bool(0.3);
+        let disconnect_after = Duration::from_millis(generator.random_range(0..60));
         let cancels = generator.random_bool(0.5);
         let client = node.submit(submit);
-        let task = call(client, leaves.then_some(leave_after), cancels);
+        let task = call(client, disconnects.then_some(disconnect_after), cancels);
         tasks.push((id, tokio::task::spawn_local(task)));
         tokio::time::sleep(Duration::from_millis(generator.random_range(0..80))).await;
         for server in 0..SERVERS {
@@ -119,17 +119,17 @@
     }
     for (id, answer) in answers {
         if answer.finish.is_some() {
-            expect_that!(answer.text(), eq(&whole_text()), "{id} of seed {seed}");
+            expect_that!(answer.text(), eq(&full_text()), "{id} of seed {seed}");
         }
         let Some(refused) = &answer.refused else {
             continue;
         };
-        let truly = !runs.contains(id);
+        let did_not_run = !runs.contains(id);
         if refused.ran() == Ran::No {
             expect_that!(
-                truly,
+                did_not_run,
                 is_true(),
-                "{id} of seed {seed} was said not to have run"
+                "{id} of seed {seed} was reported as not run"
             );
         }
         expect_that!(refused.kind, not(eq(ErrorKind::Internal as u32)));
@@ -147,7 +147,7 @@
 }
 
 #[gtest]
-fn refusals_are_true_and_no_key_runs_twice_under_random_faults() {
+fn refusals_are_accurate_and_no_key_runs_twice_under_random_faults() {
     for seed in 0..SEEDS {
         run(run_seed(seed));
     }
--- a/crates/online/tests/relay.rs
+++ b/crates/online/tests/relay.rs
@@ -14,11 +14,11 @@
 }
 
 #[gtest]
-fn a_request_gets_its_whole_answer() {
+fn a_request_gets_its_complete_answer() {
     run(async {
         let node = Node::new(2);
-        let answer = node.submit(request("r1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node.submit(request("r1")).full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         let finish = answer.finish.expect("a finish");
         expect_that!(finish.total_tokens, eq(TOKENS));
         expect_that!(finish.replayed, is_false());
@@ -29,11 +29,13 @@
 }
 
 #[gtest]
-fn requests_of_one_session_meet_one_server() {
+fn requests_of_one_session_use_one_server() {
     run(async {
         let node = Node::new(8);
         for index in 0..10 {
-            node.submit(request(&format!("r{index}"))).whole().await;
+            node.submit(request(&format!("r{index}")))
+                .full_answer()
+                .await;
         }
         let mut servers = node.engine.servers_called();
         servers.dedup();
@@ -42,13 +44,13 @@
 }
 
 #[gtest]
-fn a_stream_whose_connection_is_lost_is_attached_to_again() {
+fn a_stream_is_reattached_after_a_lost_connection() {
     run(async {
         let node = Node::new(1);
-        let cut = vec![Step::Accept, Step::Tokens(2), Step::Lose];
-        node.engine.script("s0", [Script::Steps(cut)]);
-        let answer = node.submit(request("r1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let broken = vec![Step::Accept, Step::Tokens(2), Step::Lose];
+        node.engine.script("s0", [Script::Steps(broken)]);
+        let answer = node.submit(request("r1")).full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         let calls = node.engine.calls.borrow();
         expect_that!(calls[1].1.attach_stream, eq("e1"));
         expect_that!(calls[1].1.resume_offset, eq(2));
@@ -56,30 +58,30 @@
 }
 
 #[gtest]
-fn an_engine_lost_in_the_middle_is_followed_by_another_of_the_same_version() {
+fn a_lost_engine_is_replaced_by_one_of_the_same_version() {
     run(async {
         let node = Node::new(3);
         node.report("s2", "v2");
         for server in ["s0", "s1"] {
-            let cut = vec![Step::Accept, Step::Tokens(3), Step::Lose];
+            let broken = vec![Step::Accept, Step::Tokens(3), Step::Lose];
             node.engine
-                .script(server, [Script::Steps(cut), Script::Unreachable]);
+                .script(server, [Script::Steps(broken), Script::Unreachable]);
         }
         for server in ["s0", "s1"] {
-            node.engine.script(server, [Script::whole()]);
+            node.engine.script(server, [Script::full_answer()]);
         }
         node.tables
             .servers
             .with(&"s2".into(), |state| state.withdrawn = None);
         let mut submit = request("r1");
         submit.version = VERSION.to_owned();
-        let answer = node.submit(submit).whole().await;
+        let answer = node.submit(submit).full_answer().await;
         let called = node.engine.servers_called();
         expect_that!(called, not(contains(eq("s2"))));
         expect_that!(called, contains(eq("s0")));
         expect_that!(called, contains(eq("s1")));
         if answer.finish.is_some() {
-            expect_that!(answer.text(), eq(&whole_text()));
+            expect_that!(answer.text(), eq(&full_text()));
         } else {
             let refused = answer.refused.expect("a refusal");
             expect_that!(refused.ran(), eq(Ran::Yes));
@@ -89,30 +91,30 @@
 }
 
 #[gtest]
-fn an_engine_that_was_not_reached_costs_nothing_but_another_choice() {
+fn unreachable_engines_are_reported_as_not_run() {
     run(async {
         let node = Node::new(2);
         node.engine.script("s0", [Script::Unreachable]);
         node.engine.script("s1", [Script::Unreachable]);
-        let answer = node.submit(request("r1")).whole().await;
+        let answer = node.submit(request("r1")).full_answer().await;
         let refused = answer.refused.expect("a refusal");
         expect_that!(refused.ran(), eq(Ran::No));
         expect_that!(node.engine.calls.borrow().len(), eq(2));
-        let answer = node.submit(request("r2")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node.submit(request("r2")).full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
     });
 }
 
 #[gtest]
-fn a_cancel_reaches_the_engine_at_once() {
+fn a_cancel_is_forwarded_to_the_engine() {
     run(async {
         let node = Node::new(1);
-        let slow = vec![Step::Accept, Step::Tokens(2), Step::Hang];
-        node.engine.script("s0", [Script::Steps(slow)]);
+        let stalled = vec![Step::Accept, Step::Tokens(2), Step::Hang];
+        node.engine.script("s0", [Script::Steps(stalled)]);
         let mut client = node.submit(request("r1"));
         client.read_tokens(2).await;
         client.send(cancel());
-        let refused = client.whole().await.refused.expect("a refusal");
+        let refused = client.full_answer().await.refused.expect("a refusal");
         expect_that!(refused.kind, eq(ErrorKind::Cancelled as u32));
         expect_that!(refused.ran(), eq(Ran::Yes));
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -122,25 +124,25 @@
 }
 
 #[gtest]
-fn a_caller_that_comes_back_in_time_goes_on_with_the_same_stream() {
+fn a_caller_resumes_its_stream_within_the_grace_period() {
     run(async {
         let node = Node::new(1);
-        let slow = vec![Step::Accept, Step::Tokens(2), Step::Hang];
-        node.engine.script("s0", [Script::Steps(slow)]);
+        let stalled = vec![Step::Accept, Step::Tokens(2), Step::Hang];
+        node.engine.script("s0", [Script::Steps(stalled)]);
         let mut first = node.submit(request("r1"));
-        let begun = first.read_tokens(2).await;
+        let partial = first.read_tokens(2).await;
         drop(first);
         tokio::time::sleep(Duration::from_millis(500)).await;
         let mut again = request("r1");
         again.attempt = 2;
         again.resume_offset = 2;
-        again.resumed_pieces = begun.pieces.clone();
+        again.resumed_pieces = partial.pieces.clone();
         again.version = VERSION.to_owned();
-        again.engine_stream = begun.accepted[0].engine_stream.clone();
-        again.server = begun.accepted[0].server.clone();
+        again.engine_stream = partial.accepted[0].engine_stream.clone();
+        again.server = partial.accepted[0].server.clone();
         again.ran_before = Ran::Yes as i32;
-        let answer = node.submit(again).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node.submit(again).full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         tokio::time::sleep(Duration::from_secs(10)).await;
         expect_that!(*node.engine.cancels.borrow(), is_empty());
         expect_that!(node.shared.active_streams(), eq(0));
@@ -148,11 +150,11 @@
 }
 
 #[gtest]
-fn a_caller_that_does_not_come_back_is_given_up_after_the_grace() {
+fn a_stream_is_cancelled_after_the_grace_period() {
     run(async {
         let node = Node::new(1);
-        let slow = vec![Step::Accept, Step::Tokens(2), Step::Hang];
-        node.engine.script("s0", [Script::Steps(slow)]);
+        let stalled = vec![Step::Accept, Step::Tokens(2), Step::Hang];
+        node.engine.script("s0", [Script::Steps(stalled)]);
         let mut client = node.submit(request("r1"));
         client.read_tokens(2).await;
         drop(client);
@@ -165,7 +167,7 @@
 }
 
 #[gtest]
-fn a_passed_deadline_gets_its_final_answer_at_once_and_cancels_the_engine() {
+fn an_exceeded_deadline_refuses_promptly_and_cancels_the_stream() {
     run(async {
         let node = Node::new(1);
         node.engine
@@ -175,7 +177,7 @@
         let started = dappleyard_clock::Instant::now();
         let refused = node
             .submit(submit)
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
@@ -188,7 +190,7 @@
 }
 
 #[gtest]
-fn a_deadline_that_passes_while_the_engine_is_silent_says_maybe() {
+fn a_deadline_exceeded_before_the_engine_responds_reports_maybe_ran() {
     run(async {
         let node = Node::new(1);
         node.engine.script("s0", [Script::SilentAtCall]);
@@ -196,7 +198,7 @@
         submit.budget_ms = 300;
         let refused = node
             .submit(submit)
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
@@ -205,26 +207,26 @@
 }
 
 #[gtest]
-fn an_answer_with_missing_tokens_is_not_finished() {
+fn an_answer_with_missing_tokens_is_retried() {
     run(async {
         let node = Node::new(1);
         let short = vec![Step::Accept, Step::Tokens(TOKENS - 1), Step::Finish];
         node.engine.script("s0", [Script::Steps(short)]);
-        let answer = node.submit(request("r1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = node.submit(request("r1")).full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         expect_that!(node.engine.calls.borrow().len(), eq(2));
     });
 }
 
 #[gtest]
-fn the_owner_stage_alone_refuses_what_it_does_not_own() {
+fn the_owner_stage_bounces_requests_without_an_owned_server() {
     run(async {
         let node = Node::new(0);
         let mut submit = request("r1");
         submit.stage = Stage::Owner as i32;
         let refused = node
             .submit(submit)
-            .whole()
+            .full_answer()
             .await
             .refused
             .expect("a refusal");
--- a/crates/online/tests/remote.rs
+++ b/crates/online/tests/remote.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 /// Runs a test without virtual time, since it uses sockets.
-fn run_real<F: Future>(test: F) -> F::Output {
+fn run_in_real_time<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -96,7 +96,7 @@
     }
 
     /// Registers the peer with a node as an owner in its cell.
-    fn introduce(&self, to: &Node) {
+    fn announce_to(&self, to: &Node) {
         to.tables.members.put(self.member());
         let now = to.tables.clock.now();
         to.tables.loads.put_node(summary(&self.node.tables), now);
@@ -107,30 +107,30 @@
 }
 
 #[gtest]
-fn an_owner_of_the_cell_serves_what_enters_elsewhere() {
-    run_real(async {
+fn a_request_is_served_by_an_owner_on_another_node() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
         let owner = Peer::start("n1", 2, &ingress).await;
-        owner.introduce(&ingress);
-        let answer = ingress.submit(request("r1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        owner.announce_to(&ingress);
+        let answer = ingress.submit(request("r1")).full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         expect_that!(answer.accepted[0].node, eq("n1"));
     });
 }
 
 #[gtest]
-fn an_owner_lost_in_the_middle_is_replaced_by_attaching_to_its_stream() {
-    run_real(async {
+fn a_stream_is_resumed_after_its_owner_is_lost() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
         let owner = Peer::start("n1", 1, &ingress).await;
-        owner.introduce(&ingress);
-        let slow = vec![Step::Accept, Step::Tokens(2), Step::Hang];
-        ingress.engine.script("s0", [Script::Steps(slow)]);
+        owner.announce_to(&ingress);
+        let stalled = vec![Step::Accept, Step::Tokens(2), Step::Hang];
+        ingress.engine.script("s0", [Script::Steps(stalled)]);
         let mut client = ingress.submit(request("r1"));
         client.read_tokens(2).await;
         owner.serving.abort();
-        let answer = client.whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = client.full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         let calls = ingress.engine.calls.borrow();
         expect_that!(calls.len(), eq(2));
         expect_that!(calls[1].1.attach_stream, eq("e1"));
@@ -140,18 +140,18 @@
 }
 
 #[gtest]
-fn an_owner_lost_under_a_request_that_must_not_repeat_is_replaced_without_a_second_run() {
-    run_real(async {
+fn an_at_most_once_request_is_resumed_without_a_second_run_after_its_owner_is_lost() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
         let owner = Peer::start("n1", 1, &ingress).await;
-        owner.introduce(&ingress);
-        let slow = vec![Step::Accept, Step::Tokens(2), Step::Hang];
-        ingress.engine.script("s0", [Script::Steps(slow)]);
-        let mut client = ingress.submit(once_request("r1", "key-1"));
+        owner.announce_to(&ingress);
+        let stalled = vec![Step::Accept, Step::Tokens(2), Step::Hang];
+        ingress.engine.script("s0", [Script::Steps(stalled)]);
+        let mut client = ingress.submit(at_most_once_request("r1", "key-1"));
         client.read_tokens(2).await;
         owner.serving.abort();
-        let answer = client.whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = client.full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         let calls = ingress.engine.calls.borrow();
         let started = calls.iter().filter(|(_, call)| !call.attach_only);
         expect_that!(started.count(), eq(1));
@@ -159,18 +159,18 @@
 }
 
 #[gtest]
-fn a_silent_owner_of_a_request_that_must_not_repeat_leaves_its_outcome_unknown() {
-    run_real(async {
+fn an_at_most_once_request_has_an_unknown_outcome_when_its_silent_owner_is_lost() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
         let owner = Peer::start("n1", 1, &ingress).await;
-        owner.introduce(&ingress);
+        owner.announce_to(&ingress);
         ingress.engine.script("s0", [Script::SilentAtCall]);
-        let mut client = ingress.submit(once_request("r1", "key-1"));
+        let mut client = ingress.submit(at_most_once_request("r1", "key-1"));
         while ingress.engine.calls.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         owner.serving.abort();
-        let refused = client.whole().await.refused.expect("a refusal");
+        let refused = client.full_answer().await.refused.expect("a refusal");
         expect_that!(refused.kind, eq(ErrorKind::OutcomeUnknown as u32));
         expect_that!(refused.ran(), eq(Ran::Maybe));
         expect_that!(ingress.engine.calls.borrow().len(), eq(1));
@@ -178,14 +178,14 @@
 }
 
 #[gtest]
-fn an_owner_that_cannot_be_reached_costs_a_choice_and_nothing_ran() {
-    run_real(async {
+fn an_unreachable_owner_is_reported_as_not_run() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
         let owner = Peer::start("n1", 1, &ingress).await;
-        owner.introduce(&ingress);
+        owner.announce_to(&ingress);
         owner.serving.abort();
         let _ = owner.serving.await;
-        let refused = ingress.submit(request("r1")).whole().await.refused;
+        let refused = ingress.submit(request("r1")).full_answer().await.refused;
         let refused = refused.expect("a refusal");
         expect_that!(refused.kind, eq(ErrorKind::NodeLost as u32));
         expect_that!(refused.ran(), eq(Ran::No));
@@ -194,13 +194,13 @@
 }
 
 #[gtest]
-fn an_owner_that_bounces_is_followed_by_the_next() {
-    run_real(async {
+fn another_owner_is_tried_after_a_bounce() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
         let first = Peer::start("n1", 1, &ingress).await;
         let second = Peer::start("n2", 1, &ingress).await;
         for peer in [&first, &second] {
-            peer.introduce(&ingress);
+            peer.announce_to(&ingress);
         }
         first
             .node
@@ -208,21 +208,24 @@
             .lifecycle
             .send_replace(Lifecycle::Withdrawn);
         for index in 0..4 {
-            let answer = ingress.submit(request(&format!("r{index}"))).whole().await;
+            let answer = ingress
+                .submit(request(&format!("r{index}")))
+                .full_answer()
+                .await;
             expect_that!(answer.accepted[0].node, eq("n2"));
         }
     });
 }
 
 #[gtest]
-fn the_advice_of_a_full_owner_reaches_the_caller() {
-    run_real(async {
+fn the_retry_delay_of_an_overloaded_owner_reaches_the_caller() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
         let owner = Peer::start("n1", 1, &ingress).await;
-        owner.introduce(&ingress);
+        owner.announce_to(&ingress);
         let servers = &owner.node.tables.servers;
         servers.with(&"s0".into(), |state| state.foreign_online = 2_000);
-        let refused = ingress.submit(request("r1")).whole().await.refused;
+        let refused = ingress.submit(request("r1")).full_answer().await.refused;
         let refused = refused.expect("a refusal");
         expect_that!(refused.kind, eq(ErrorKind::Overloaded as u32));
         expect_that!(refused.ran(), eq(Ran::No));
@@ -231,12 +234,12 @@
 }
 
 #[gtest]
-fn work_that_the_cell_cannot_place_spills_to_another_cell() {
-    run_real(async {
+fn a_request_spills_to_another_cell_without_local_servers() {
+    run_in_real_time(async {
         let ingress = Node::new(0);
-        let far = Peer::start("n9", 1, &ingress).await;
-        ingress.tables.members.put(far.member());
-        let load = summary(&far.node.tables);
+        let other_cell = Peer::start("n9", 1, &ingress).await;
+        ingress.tables.members.put(other_cell.member());
+        let load = summary(&other_cell.node.tables);
         let aggregate = CellAggregate {
             cell: "zone-b/0".to_owned(),
             zone: "zone-b".to_owned(),
@@ -247,15 +250,15 @@
         };
         let now = ingress.tables.clock.now();
         ingress.tables.loads.put_cell(aggregate, now);
-        let answer = ingress.submit(request("r1")).whole().await;
-        expect_that!(answer.text(), eq(&whole_text()));
+        let answer = ingress.submit(request("r1")).full_answer().await;
+        expect_that!(answer.text(), eq(&full_text()));
         expect_that!(answer.accepted[0].node, eq("n9"));
     });
 }
 
 #[gtest]
-fn a_lost_recorder_is_replaced_by_writing_directly() {
-    run_real(async {
+fn records_are_written_directly_when_the_recorder_is_lost() {
+    run_in_real_time(async {
         let ingress = Node::with(1, OnlineSettings::default(), MemoryPlatform::default());
         let recorder = Peer::start("n1", 0, &ingress).await;
         ingress.tables.members.put(recorder.member());
@@ -267,8 +270,11 @@
                 recorder.serving.abort();
             }
             let (id, key) = (format!("r{index}"), format!("key-{index}"));
-            let answer = ingress.submit(once_request(&id, &key)).whole().await;
-            expect_that!(answer.text(), eq(&whole_text()));
+            let answer = ingress
+                .submit(at_most_once_request(&id, &key))
+                .full_answer()
+                .await;
+            expect_that!(answer.text(), eq(&full_text()));
         }
         expect_that!(ingress.platform.rows("once/").len(), eq(8));
     });
--- a/crates/online/tests/support/engine.rs
+++ b/crates/online/tests/support/engine.rs
@@ -48,7 +48,7 @@
         !matches!(self, Script::Unreachable | Script::Refuse(_))
     }
 
-    pub fn whole() -> Script {
+    pub fn full_answer() -> Script {
         Script::Steps(vec![Step::Accept, Step::Tokens(TOKENS), Step::Finish])
     }
 }
@@ -95,16 +95,16 @@
     /// Ids of cancelled streams.
     pub cancels: RefCell<Vec<String>>,
     /// Base URLs of crashed engines.
-    pub ended: RefCell<Vec<String>>,
+    pub crashed: RefCell<Vec<String>>,
     /// Servers whose status reports that they accept no new work.
-    pub leaving: RefCell<Vec<String>>,
+    pub draining: RefCell<Vec<String>>,
     /// Number of status and report calls.
     pub statuses: Cell<u32>,
     next_stream: Cell<u32>,
     /// Streams that can be attached to.
-    pub living: RefCell<Vec<String>>,
+    pub live_streams: RefCell<Vec<String>>,
     /// Length of answers returned without delay; 0 to follow the scripts.
-    at_once: Cell<u32>,
+    immediate_tokens: Cell<u32>,
 }
 
 impl FakeEngine {
@@ -116,15 +116,15 @@
     }
 
     /// Makes every call return an answer of `tokens` tokens without delay.
-    pub fn answer_at_once(&self, tokens: u32) {
-        self.at_once.set(tokens);
+    pub fn answer_immediately(&self, tokens: u32) {
+        self.immediate_tokens.set(tokens);
     }
 
     /// Clears the recorded calls, runs and streams, which would grow without bound in a benchmark.
-    pub fn forget(&self) {
+    pub fn clear_calls(&self) {
         self.calls.borrow_mut().clear();
         self.runs.borrow_mut().clear();
-        self.living.borrow_mut().clear();
+        self.live_streams.borrow_mut().clear();
     }
 
     pub fn servers_called(&self) -> Vec<String> {
@@ -140,7 +140,7 @@
         let queue = scripts.get_mut(base);
         queue
             .and_then(VecDeque::pop_front)
-            .unwrap_or_else(Script::whole)
+            .unwrap_or_else(Script::full_answer)
     }
 
     fn open(&self, call: &GenerateCall, steps: Vec<Step>) -> EventStream {
@@ -151,7 +151,7 @@
             self.next_stream.set(self.next_stream.get() + 1);
             format!("e{}", self.next_stream.get())
         };
-        self.living.borrow_mut().push(id.clone());
+        self.live_streams.borrow_mut().push(id.clone());
         Box::pin(events(id, call.resume_offset, steps))
     }
 }
@@ -191,7 +191,7 @@
     })
 }
 
-fn whole_at_once(tokens: u32) -> EventStream {
+fn immediate_answer(tokens: u32) -> EventStream {
     let accepted = EngineEvent::Accepted {
         stream: "e0".to_owned(),
         version: VERSION.to_owned(),
@@ -225,17 +225,17 @@
         self.calls
             .borrow_mut()
             .push((base.to_owned(), call.clone()));
-        if self.at_once.get() > 0 {
-            return Ok(whole_at_once(self.at_once.get()));
+        if self.immediate_tokens.get() > 0 {
+            return Ok(immediate_answer(self.immediate_tokens.get()));
         }
-        if self.ended.borrow().iter().any(|ended| ended == base) {
+        if self.crashed.borrow().iter().any(|crashed| crashed == base) {
             return Err(EngineError::Unreachable {
                 reason: "connection refused".to_owned(),
             });
         }
         let script = self.next_script(base);
-        let lives = self.living.borrow().contains(&call.attach_stream);
-        if call.attach_only && !lives {
+        let is_live = self.live_streams.borrow().contains(&call.attach_stream);
+        if call.attach_only && !is_live {
             return Err(EngineError::Refused {
                 status: 404,
                 reason: "no such stream".to_owned(),
@@ -258,7 +258,7 @@
             }),
             Script::SilentAtCall => std::future::pending().await,
             Script::Crash => {
-                self.ended.borrow_mut().push(base.to_owned());
+                self.crashed.borrow_mut().push(base.to_owned());
                 Err(EngineError::Lost {
                     reason: "connection reset".to_owned(),
                 })
@@ -277,14 +277,14 @@
 
     async fn status(&self, base: &str) -> Result<EngineReport, EngineError> {
         self.statuses.set(self.statuses.get() + 1);
-        if self.ended.borrow().iter().any(|ended| ended == base) {
+        if self.crashed.borrow().iter().any(|crashed| crashed == base) {
             return Err(EngineError::Unreachable {
                 reason: "connection refused".to_owned(),
             });
         }
         let server = base.replace("http://", "");
         let mut report = report(&server, VERSION);
-        report.accepting = !self.leaving.borrow().contains(&server);
+        report.accepting = !self.draining.borrow().contains(&server);
         Ok(report)
     }
 
--- a/crates/online/tests/support/mod.rs
+++ b/crates/online/tests/support/mod.rs
@@ -203,7 +203,7 @@
 }
 
 /// The same request, at most once under `key`.
-pub fn once_request(id: &str, key: &str) -> Submit {
+pub fn at_most_once_request(id: &str, key: &str) -> Submit {
     let mut submit = request(id);
     let inner = submit.request.as_mut().expect("a request");
     inner.set_repeat(Repeat::Never);
@@ -245,7 +245,7 @@
     }
 
     /// Reads to the final frame and returns everything received, including frames read earlier.
-    pub async fn whole(&mut self) -> Answer {
+    pub async fn full_answer(&mut self) -> Answer {
         while self.answer.finish.is_none() && self.answer.refused.is_none() {
             let Some(body) = self.next().await else { break };
             self.answer.take(body);
@@ -259,7 +259,11 @@
         match body {
             frame::Body::Accepted(accepted) => self.accepted.push(accepted),
             frame::Body::Chunk(chunk) => {
-                assert_eq!(chunk.offset as usize, self.pieces.len(), "offsets follow");
+                assert_eq!(
+                    chunk.offset as usize,
+                    self.pieces.len(),
+                    "offsets must be contiguous"
+                );
                 self.pieces.extend(chunk.pieces);
             }
             frame::Body::Finish(finish) => self.finish = Some(finish),
@@ -274,6 +278,6 @@
 }
 
 /// Complete answer to a request for [`TOKENS`] tokens.
-pub fn whole_text() -> String {
+pub fn full_text() -> String {
     (0..TOKENS).map(piece).collect()
 }
