--- a/crates/online/src/dispatch.rs
+++ b/crates/online/src/dispatch.rs
@@ -122,12 +122,12 @@
     }
     worker.shared.metrics.status_asked.inc();
     let call_timeout = Duration::from_millis(worker.settings.engine_connect_timeout_ms);
-    let asking = worker.engine.status(&selected.base_url);
-    match tokio::time::timeout(call_timeout, asking).await {
+    let status_call = worker.engine.status(&selected.base_url);
+    match tokio::time::timeout(call_timeout, status_call).await {
         Ok(Ok(report)) => {
-            let takes = report.accepting && report.model.is_some();
+            let accepts = report.accepting && report.model.is_some();
             reports::apply_report(&worker.tables, &selected.server, report, now);
-            takes
+            accepts
         }
         Ok(Err(error)) => {
             reports::record_failure(&worker.tables, &selected.server, &error.to_string());
--- a/crates/online/src/idempotency.rs
+++ b/crates/online/src/idempotency.rs
@@ -66,8 +66,8 @@
         fingerprint: fingerprint(incoming),
         writer: reservation.writer.clone(),
     };
-    let asked = reserve_key(worker, begin.clone(), incoming.deadline);
-    match dappleyard_clock::timeout_at(incoming.deadline, asked).await {
+    let reserving = reserve_key(worker, begin.clone(), incoming.deadline);
+    match dappleyard_clock::timeout_at(incoming.deadline, reserving).await {
         Ok(Ok(state)) if state.fresh => Ok(BeginOutcome::Acquired(reservation)),
         Ok(Ok(state)) => {
             resolve_existing(worker, incoming, reservation, state.row.unwrap_or_default())
@@ -254,8 +254,8 @@
             Err(CallError::NotSent(_) | CallError::NoReply { .. }) => {}
         }
     }
-    let begun = worker.recorder.begin(begin, deadline).await;
-    begun.map_err(|failure| Failure {
+    let reserved = worker.recorder.begin(begin, deadline).await;
+    reserved.map_err(|failure| Failure {
         kind: if unanswered {
             // The recorder's create may still take effect, so the key must be released.
             ErrorKind::OutcomeUnknown
--- a/crates/online/src/ingress/attempt.rs
+++ b/crates/online/src/ingress/attempt.rs
@@ -85,8 +85,8 @@
             }
             frame::Body::Chunk(chunk) => self.handle_chunk(chunk),
             frame::Body::Finish(finish) => {
-                let whole = finish.total_tokens as usize == self.pieces.len();
-                Some(if whole {
+                let is_complete = finish.total_tokens as usize == self.pieces.len();
+                Some(if is_complete {
                     TargetOutcome::Finished(finish)
                 } else {
                     TargetOutcome::Lost
@@ -103,9 +103,9 @@
             return Some(TargetOutcome::Lost);
         }
         self.ran = join_ran(self.ran, Ran::Yes);
-        let known = self.pieces.len() - offset;
-        let fresh: Vec<String> = chunk.pieces.into_iter().skip(known).collect();
-        if fresh.is_empty() {
+        let overlap = self.pieces.len() - offset;
+        let new_pieces: Vec<String> = chunk.pieces.into_iter().skip(overlap).collect();
+        if new_pieces.is_empty() {
             return None;
         }
         if !self.has_token {
@@ -114,10 +114,10 @@
             self.worker.shared.metrics.first_token.observe(elapsed);
         }
         let offset = u32::try_from(self.pieces.len()).unwrap_or(u32::MAX);
-        self.pieces.extend(fresh.iter().cloned());
+        self.pieces.extend(new_pieces.iter().cloned());
         self.caller.send(frame::Body::Chunk(Chunk {
             offset,
-            pieces: fresh,
+            pieces: new_pieces,
         }));
         None
     }
--- a/crates/online/src/ingress/mod.rs
+++ b/crates/online/src/ingress/mod.rs
@@ -133,8 +133,8 @@
             return Err(settle::outcome_unknown());
         }
         let cause = failure.kind.answer().code;
-        let again = &self.worker.shared.metrics.placed_again;
-        again.with_label_values(&[cause]).inc();
+        let counter = &self.worker.shared.metrics.placed_again;
+        counter.with_label_values(&[cause]).inc();
         settle::record_retry(&self.worker, &self.incoming, cause, self.ran);
         if failure.ran == Ran::No {
             return Ok(());
--- a/crates/online/src/lib.rs
+++ b/crates/online/src/lib.rs
@@ -29,7 +29,7 @@
 mod view;
 mod worker;
 
-pub use load::summary;
+pub use load::node_load;
 pub use reports::start_reports;
 pub use shared::OnlineShared;
 pub use worker::{LocalStream, OnlineContext, OnlineWorker};
--- a/crates/online/src/load.rs
+++ b/crates/online/src/load.rs
@@ -16,7 +16,7 @@
 const TYPICAL_TOKENS: u32 = 512;
 
 /// Current load of this node.
-pub fn summary(tables: &NodeTables) -> NodeLoad {
+pub fn node_load(tables: &NodeTables) -> NodeLoad {
     let configuration = tables.configuration.current();
     let services = tables.servers.read(|servers| {
         let mut services: BTreeMap<&str, ServiceSummary> = BTreeMap::new();
--- a/crates/online/src/owner/crashes.rs
+++ b/crates/online/src/owner/crashes.rs
@@ -53,7 +53,7 @@
                 let clock = &self.worker.tables.clock;
                 let ended = run.note_ended(clock.now(), clock.unix_ms());
                 tracing::info!(request = %self.incoming.id, server = %selected.server, reason,
-                    ended, "engine crashed while running a request");
+                    ended, "engine became unreachable while running a request");
                 self.run = None;
             }
         }
--- a/crates/online/src/owner/mod.rs
+++ b/crates/online/src/owner/mod.rs
@@ -95,7 +95,7 @@
             End::Finished(finish) => self.caller.send(frame::Body::Finish(finish)),
             End::Refused(failure) => {
                 let mut refused = failure.after(self.ran).to_refused();
-                refused.load = Some(load::summary(&self.worker.tables));
+                refused.load = Some(load::node_load(&self.worker.tables));
                 self.caller.send(frame::Body::Refused(refused));
             }
         }
@@ -288,9 +288,9 @@
         if !may_follow(self.ran, self.incoming.request.repeat()) && !self.earlier.has_stream() {
             return NextStep::End(End::Refused(settle::outcome_unknown()));
         }
-        let again = self.dispatches < MAXIMUM_DISPATCHES
+        let retry = self.dispatches < MAXIMUM_DISPATCHES
             && (!connection_lost || self.worker.shared.take_retry());
-        if again {
+        if retry {
             return NextStep::Retry;
         }
         let message = format!("server {}: {error}", selected.server);
--- a/crates/online/src/recorder.rs
+++ b/crates/online/src/recorder.rs
@@ -284,8 +284,8 @@
         let mut group: Vec<PendingWrite> = Vec::new();
         let mut rest = Vec::new();
         for write in queue.drain(..) {
-            let taken = group.iter().any(|other| other.key == write.key);
-            if taken || group.len() == MAXIMUM_GROUP_KEYS {
+            let has_key = group.iter().any(|other| other.key == write.key);
+            if has_key || group.len() == MAXIMUM_GROUP_KEYS {
                 rest.push(write);
             } else {
                 group.push(write);
--- a/crates/online/src/relay.rs
+++ b/crates/online/src/relay.rs
@@ -89,17 +89,17 @@
                 )));
             }
             run.ran = join_ran(run.ran, Ran::Yes);
-            let known = run.next_offset - offset;
-            if count > known {
+            let overlap = run.next_offset - offset;
+            if count > overlap {
                 if !run.has_token {
                     run.has_token = true;
                     flight.started();
                 }
                 run.send_chunk(Chunk {
                     offset: run.next_offset,
-                    pieces: pieces.into_iter().skip(known as usize).collect(),
+                    pieces: pieces.into_iter().skip(overlap as usize).collect(),
                 });
-                meter.count(&run.worker.tables, &selected.server, count - known);
+                meter.count(&run.worker.tables, &selected.server, count - overlap);
             }
             None
         }
--- a/crates/online/src/reports.rs
+++ b/crates/online/src/reports.rs
@@ -49,7 +49,7 @@
             poller
                 .tables
                 .loads
-                .put_node(load::summary(&poller.tables), now);
+                .put_node(load::node_load(&poller.tables), now);
         }
     });
 }
@@ -103,14 +103,14 @@
     /// Requests the current status of a server without a report, and the published report of any other.
     async fn poll(&self, server: &ServerId, base: &str, first: bool) {
         let asked = self.tables.clock.now();
-        let asking = async {
+        let report_call = async {
             if first {
                 self.engine.status(base).await
             } else {
                 self.engine.report(base).await
             }
         };
-        match tokio::time::timeout(self.call_timeout, asking).await {
+        match tokio::time::timeout(self.call_timeout, report_call).await {
             Ok(Ok(report)) => {
                 let own = self
                     .own_count_samples
--- a/crates/online/src/view.rs
+++ b/crates/online/src/view.rs
@@ -101,16 +101,16 @@
 impl PlacementView {
     /// Shortest expected wait for a service in any cell, milliseconds; `None` if no server offers it.
     pub fn shortest_wait_ms(&self, service: &str) -> Option<u32> {
-        let near = self
+        let local = self
             .owners
             .iter()
             .filter_map(|owner| owner.service(service));
-        let near = near
+        let local = local
             .filter(|load| load.servers > 0)
             .map(|load| load.wait_ms);
-        let far = self.cells.iter().flat_map(|cell| &cell.services);
-        let far = far.filter(|load| load.servers > 0 && load.service == service);
-        near.chain(far.map(|load| load.wait_ms)).min()
+        let remote = self.cells.iter().flat_map(|cell| &cell.services);
+        let remote = remote.filter(|load| load.servers > 0 && load.service == service);
+        local.chain(remote.map(|load| load.wait_ms)).min()
     }
 }
 
@@ -161,7 +161,7 @@
             link_address: String::new(),
         },
         is_self: true,
-        load: load::summary(tables),
+        load: load::node_load(tables),
         suspect: false,
         sent: Cell::new(0),
     }];
--- a/crates/online/tests/remote.rs
+++ b/crates/online/tests/remote.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dappleyard_online::summary;
+use dappleyard_online::node_load;
 use dappleyard_settings::OnlineSettings;
 use dappleyard_store::MemoryPlatform;
 use dappleyard_tables::Lifecycle;
@@ -99,7 +99,7 @@
     fn announce_to(&self, to: &Node) {
         to.tables.members.put(self.member());
         let now = to.tables.clock.now();
-        to.tables.loads.put_node(summary(&self.node.tables), now);
+        to.tables.loads.put_node(node_load(&self.node.tables), now);
         to.tables
             .directory
             .replace(self.node.tables.directory.all());
@@ -239,7 +239,7 @@
         let ingress = Node::new(0);
         let other_cell = Peer::start("n9", 1, &ingress).await;
         ingress.tables.members.put(other_cell.member());
-        let load = summary(&other_cell.node.tables);
+        let load = node_load(&other_cell.node.tables);
         let aggregate = CellAggregate {
             cell: "zone-b/0".to_owned(),
             zone: "zone-b".to_owned(),
@@ -263,7 +263,7 @@
         let recorder = Peer::start("n1", 0, &ingress).await;
         ingress.tables.members.put(recorder.member());
         let now = ingress.tables.clock.now();
-        let load = summary(&recorder.node.tables);
+        let load = node_load(&recorder.node.tables);
         ingress.tables.loads.put_node(load, now);
         for index in 0..8 {
             if index == 4 {
