--- a/crates/online/src/recorder.rs
+++ b/crates/online/src/recorder.rs
@@ -72,8 +72,8 @@
     }
 
     /// Reserves a key. `fresh` means that the caller's attempt now holds the key and may run. Fails with
-    /// `StoreUnavailable` if nothing was written, and with `OutcomeUnknown` if a create was sent whose
-    /// result could not be read back; the caller must then release the key.
+    /// `StoreUnavailable` if nothing was written, and with `OutcomeUnknown` if the result of a create could
+    /// not be read back or if the attempts or the time ran out; the caller must then release the key.
     ///
     /// No create is queued after `deadline`: the caller no longer waits by then, and the key would stay in
     /// progress forever.
@@ -119,8 +119,8 @@
         Err(unresolved())
     }
 
-    /// Stores the outcome of a key. Settling is idempotent; `once::may_settle` decides which outcome may
-    /// replace an earlier one.
+    /// Stores the outcome of a key. Settling is idempotent and ignores a missing record;
+    /// `once::may_settle` decides which outcome may replace an earlier one.
     pub async fn settle(&self, settle: RecordSettle) -> Result<(), Failure> {
         let key = keys::once(&settle.tenant, &settle.idempotency_key);
         let outcome = settle.outcome.unwrap_or_else(once::unknown_outcome);
