--- a/crates/online/benches/relay.rs
+++ b/crates/online/benches/relay.rs
@@ -1,6 +1,6 @@
-//! Processor time of the online path of one node, from a submission to its last frame: admission, both
-//! placements, dispatch and relay of 120 tokens, with engines that answer at once. What remains of a
-//! request is the links and the engine's HTTP.
+//! CPU time of the online path on one node, from submission to the last frame: admission, placement at
+//! the ingress and owner stages, dispatch and relay of 120 tokens. Engines answer immediately; links and
+//! engine HTTP are not included.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -27,7 +27,7 @@
         .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     let node = local.block_on(&runtime, async { Node::new(SERVERS) });
-    node.engine.answer_at_once(TOKENS);
+    node.engine.answer_immediately(TOKENS);
     let mut group = criterion.benchmark_group("relay");
     group.throughput(Throughput::Elements(u64::from(TOKENS)));
     let mut number = 0_u64;
@@ -51,7 +51,7 @@
                 }
                 assert_eq!(tokens, TOKENS as usize);
             });
-            node.engine.forget();
+            node.engine.clear_calls();
         });
     });
     group.finish();
--- a/crates/online/src/caller.rs
+++ b/crates/online/src/caller.rs
@@ -1,16 +1,16 @@
-//! The end of a stream towards whoever submitted the request.
+//! Connection to the submitter of a request.
 
 use dappleyard_transport::link::ServerStreamSender;
 use dappleyard_transport::{ServerStream, StreamReceiver};
 use dappleyard_wire::messages::frame;
 use tokio::sync::mpsc;
 
-/// How the submitter went away.
+/// How the submitter disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Gone {
-    /// It said that it does not want the answer any more.
+pub(crate) enum Disconnect {
+    /// It cancelled the request.
     Cancelled,
-    /// Its link was lost: it may come back through another node.
+    /// Its link was lost; it may resume through another node.
     LinkLost,
 }
 
@@ -23,16 +23,16 @@
 pub(crate) struct Caller {
     sink: FrameSink,
     receiver: StreamReceiver,
-    gone: Option<Gone>,
+    disconnected: Option<Disconnect>,
 }
 
 impl Caller {
-    /// The submitter behind a link.
+    /// A submitter connected by a link.
     pub fn from_stream(stream: ServerStream) -> Caller {
         Caller {
             sink: FrameSink::Link(stream.sender()),
             receiver: stream.receiver,
-            gone: None,
+            disconnected: None,
         }
     }
 
@@ -41,11 +41,11 @@
         Caller {
             sink: FrameSink::Local(sink),
             receiver,
-            gone: None,
+            disconnected: None,
         }
     }
 
-    /// Sends a frame. A lost link shows in [`Caller::gone`], so a failure to send is no error.
+    /// Sends a frame. Send errors are ignored, since [`Caller::disconnected`] reports a lost link.
     pub fn send(&self, body: frame::Body) {
         match &self.sink {
             FrameSink::Link(sender) => drop(sender.send(body)),
@@ -53,24 +53,24 @@
         }
     }
 
-    /// Whether the submitter was seen to go away.
-    pub fn is_gone(&self) -> bool {
-        self.gone.is_some()
+    /// Whether [`Caller::disconnected`] has resolved.
+    pub fn is_disconnected(&self) -> bool {
+        self.disconnected.is_some()
     }
 
-    /// Resolves once, when the submitter goes away; afterwards never.
-    pub async fn gone(&mut self) -> Gone {
-        if self.gone.is_some() {
+    /// Resolves when the submitter cancels or its link is lost; never resolves again afterwards.
+    pub async fn disconnected(&mut self) -> Disconnect {
+        if self.disconnected.is_some() {
             return std::future::pending().await;
         }
-        let gone = loop {
+        let disconnected = loop {
             match self.receiver.recv().await {
-                Some(frame::Body::Cancel(_)) => break Gone::Cancelled,
+                Some(frame::Body::Cancel(_)) => break Disconnect::Cancelled,
                 Some(_) => {}
-                None => break Gone::LinkLost,
+                None => break Disconnect::LinkLost,
             }
         };
-        self.gone = Some(gone);
-        gone
+        self.disconnected = Some(disconnected);
+        disconnected
     }
 }
--- a/crates/online/src/once.rs
+++ b/crates/online/src/idempotency.rs
@@ -1,4 +1,5 @@
-//! The ingress node's side of at-most-once records: takes a key before dispatch, settles it after.
+//! At-most-once execution at the ingress node: reserves the idempotency key before dispatch and records
+//! the outcome afterwards.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,64 +19,66 @@
 use crate::view::NodeAddress;
 use crate::worker::OnlineWorker;
 
-/// How long the recorder of the cell is waited for before the record is written directly.
-const RECORDER_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Time to wait for the cell's recorder before writing the record directly.
+const RECORDER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Advice while the request with this key still runs, milliseconds.
+/// Retry delay suggested while the request with this key is still running, milliseconds.
 const IN_PROGRESS_RETRY_AFTER_MS: u32 = 250;
 
-/// Age up to which a record of a node that is not known is taken as running, milliseconds.
+/// Age up to which a record written by an unknown node is considered running, milliseconds.
 const UNKNOWN_WRITER_GRACE_MS: u64 = 10_000;
 
-/// Pauses between attempts to write a record while the store is away.
-const FIRST_WRITE_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_WRITE_PAUSE: Duration = Duration::from_secs(2);
+/// Bounds of the backoff between attempts to write a record.
+const INITIAL_WRITE_BACKOFF: Duration = Duration::from_millis(100);
+const MAXIMUM_WRITE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What a request that must not be repeated may do.
+/// Result of reserving the key of an at-most-once request.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Begun {
-    /// It holds the key: it may run, once.
-    Fresh(Holder),
-    /// An earlier attempt of the same request holds the key: its stream may be attached to.
-    Attach(Holder),
-    /// The recorded answer.
+pub(crate) enum BeginOutcome {
+    /// The request holds the key and may run once.
+    Acquired(KeyReservation),
+    /// An earlier attempt of the same request holds the key; the request may only attach to its stream.
+    Attach(KeyReservation),
+    /// The request has completed; this is its recorded answer.
     Replay(OnceOutcome),
 }
 
-/// The hold of a request on its record.
+/// A request's reservation of its idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Holder {
+pub(crate) struct KeyReservation {
     tenant: String,
     key: String,
     request_id: String,
-    /// Token of the attempt that created the record; empty for one that only attaches.
+    /// Token of the attempt that created the record; empty for an attempt that only attaches.
     writer: String,
 }
 
-/// Takes the record of a request.
+/// Reserves the idempotency key of a request.
 pub(crate) async fn begin(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
-) -> Result<Begun, Failure> {
-    let holder = Holder::new(worker, incoming);
+) -> Result<BeginOutcome, Failure> {
+    let reservation = KeyReservation::new(worker, incoming);
     let begin = RecordBegin {
-        tenant: holder.tenant.clone(),
-        idempotency_key: holder.key.clone(),
-        request_id: holder.request_id.clone(),
+        tenant: reservation.tenant.clone(),
+        idempotency_key: reservation.key.clone(),
+        request_id: reservation.request_id.clone(),
         fingerprint: fingerprint(incoming),
-        writer: holder.writer.clone(),
+        writer: reservation.writer.clone(),
     };
-    let asked = ask(worker, begin.clone(), incoming.deadline);
-    match dappleyard_clock::timeout_at(incoming.deadline, asked).await {
-        Ok(Ok(state)) if state.fresh => Ok(Begun::Fresh(holder)),
-        Ok(Ok(state)) => judge(worker, incoming, holder, state.row.unwrap_or_default()),
+    let reserving = reserve_key(worker, begin.clone(), incoming.deadline);
+    match dappleyard_clock::timeout_at(incoming.deadline, reserving).await {
+        Ok(Ok(state)) if state.fresh => Ok(BeginOutcome::Acquired(reservation)),
+        Ok(Ok(state)) => {
+            resolve_existing(worker, incoming, reservation, state.row.unwrap_or_default())
+        }
         Ok(Err(failure)) if failure.kind == ErrorKind::OutcomeUnknown => {
-            give_up(worker, begin);
+            release_key(worker, begin);
             Err(store_unavailable(&failure.message))
         }
         Ok(Err(failure)) => Err(failure),
         Err(_) => {
-            give_up(worker, begin);
+            release_key(worker, begin);
             Err(store_unavailable(
                 "the record could not be written before the deadline",
             ))
@@ -87,13 +90,13 @@
     Failure::not_run(ErrorKind::StoreUnavailable, message).retry_after(STORE_RETRY_AFTER_MS)
 }
 
-/// Judges a record that another attempt holds.
-fn judge(
+/// Determines the result for a key that another attempt holds.
+fn resolve_existing(
     worker: &Rc<OnlineWorker>,
     incoming: &Incoming,
-    holder: Holder,
+    reservation: KeyReservation,
     row: OnceRow,
-) -> Result<Begun, Failure> {
+) -> Result<BeginOutcome, Failure> {
     if row.fingerprint != fingerprint(incoming) {
         return Err(Failure::not_run(
             ErrorKind::KeyReused,
@@ -103,44 +106,47 @@
     if row.phase() == OncePhase::OnceSettled {
         let outcome = row.outcome.unwrap_or_default();
         return if outcome.kind == 0 {
-            Ok(Begun::Replay(outcome))
+            Ok(BeginOutcome::Replay(outcome))
         } else {
             Err(recorded_failure(&outcome))
         };
     }
-    if row.request_id == holder.request_id && incoming.earlier.has_stream() {
+    if row.request_id == reservation.request_id && incoming.earlier.has_stream() {
         let writer = String::new();
-        return Ok(Begun::Attach(Holder { writer, ..holder }));
+        return Ok(BeginOutcome::Attach(KeyReservation {
+            writer,
+            ..reservation
+        }));
     }
     if writer_is_gone(worker, &row) {
-        settle_unknown(worker, &holder, &row);
+        settle_unknown(worker, &reservation, &row);
         return Err(outcome_unknown());
     }
     let failure = Failure::maybe_ran(
         ErrorKind::InProgress,
-        "a request with this idempotency key is running; ask again for its answer",
+        "a request with this idempotency key is running; retry to get its answer",
     );
     Err(failure.retry_after(IN_PROGRESS_RETRY_AFTER_MS))
 }
 
-/// The node that ran the request is gone: its outcome is unknown for good, and the key stays used.
-fn settle_unknown(worker: &Rc<OnlineWorker>, holder: &Holder, row: &OnceRow) {
+/// Settles a record whose node is gone as unknown. The key cannot be used again.
+fn settle_unknown(worker: &Rc<OnlineWorker>, reservation: &KeyReservation, row: &OnceRow) {
     tracing::info!(
-        key = holder.key,
+        key = reservation.key,
         writer = row.writer,
-        "a record is settled as unknown: the node that ran the request is gone"
+        "settling a record as unknown: the node that ran the request is gone"
     );
-    let lost = Holder {
+    let lost = KeyReservation {
         request_id: row.request_id.clone(),
         writer: row.writer.clone(),
-        ..holder.clone()
+        ..reservation.clone()
     };
     lost.settle(worker, dappleyard_decide::once::unknown_outcome());
 }
 
-/// Whether the node that created a record is dead, left or restarted. A token that does not read
-/// counts as gone; so does a node that is not known, unless the record is so young that the node may
-/// have started just now.
+/// Whether the node that created a record is dead, has left or has restarted. An invalid token counts
+/// as gone. So does an unknown node, unless the record is recent: membership may not have announced a
+/// newly started node yet.
 fn writer_is_gone(worker: &OnlineWorker, row: &OnceRow) -> bool {
     let mut parts = row.writer.split('|');
     let (Some(node), Some(Ok(incarnation))) = (parts.next(), parts.next().map(str::parse::<u64>))
@@ -158,11 +164,11 @@
     tables.members.is_gone(node, incarnation)
 }
 
-impl Holder {
-    fn new(worker: &OnlineWorker, incoming: &Incoming) -> Holder {
+impl KeyReservation {
+    fn new(worker: &OnlineWorker, incoming: &Incoming) -> KeyReservation {
         let identity = &worker.tables.identity;
         let unique = uuid::Uuid::new_v4().simple();
-        Holder {
+        KeyReservation {
             tenant: incoming.request.tenant.clone(),
             key: incoming.request.idempotency_key.clone(),
             request_id: incoming.request.request_id.clone(),
@@ -180,38 +186,40 @@
         }
     }
 
-    /// Records the outcome, in a task that goes on until the store has it. A planned stop waits.
+    /// Records the outcome in a task that retries until the store has accepted it. A graceful shutdown
+    /// waits for the task.
     pub fn settle(&self, worker: &Rc<OnlineWorker>, outcome: OnceOutcome) {
         let (worker, settlement) = (worker.clone(), self.settlement(outcome));
         let slot = worker.shared.count_stream();
         actix_rt::spawn(async move {
             let _slot = slot;
-            repeat_until_done(async || send_settlement(&worker, &settlement).await).await;
+            retry_until_done(async || send_settlement(&worker, &settlement).await).await;
         });
     }
 }
 
-/// Makes sure that a create which was not confirmed holds the key no more.
-fn give_up(worker: &Rc<OnlineWorker>, begin: RecordBegin) {
+/// Releases a key whose create was not confirmed.
+fn release_key(worker: &Rc<OnlineWorker>, begin: RecordBegin) {
     let worker = worker.clone();
     actix_rt::spawn(async move {
-        repeat_until_done(async || worker.recorder.give_up(begin.clone()).await).await;
+        retry_until_done(async || worker.recorder.release_key(begin.clone()).await).await;
     });
 }
 
-/// Repeats a write, with growing pauses, until the store has taken it.
-async fn repeat_until_done(write: impl AsyncFn() -> Result<(), Failure>) {
-    let mut pause = FIRST_WRITE_PAUSE;
+/// Retries a write with exponential backoff until it succeeds.
+async fn retry_until_done(write: impl AsyncFn() -> Result<(), Failure>) {
+    let mut backoff = INITIAL_WRITE_BACKOFF;
     while write().await.is_err() {
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_WRITE_PAUSE);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAXIMUM_WRITE_BACKOFF);
     }
 }
 
-/// Asks the recorder of the cell; when it is lost, writes the record directly.
+/// Reserves the key through the cell's recorder, or directly if the recorder is unreachable.
 ///
-/// The recorder gets no more time than it is waited for, so that it takes the key for nobody else.
-async fn ask(
+/// The recorder's budget equals the time that this node waits for it, so that it does not reserve the key
+/// for a caller that no longer waits.
+async fn reserve_key(
     worker: &Rc<OnlineWorker>,
     begin: RecordBegin,
     deadline: Instant,
@@ -219,13 +227,13 @@
     let recorder = recorder_node(worker, &begin.tenant, &begin.idempotency_key);
     let mut unanswered = false;
     if let Some(address) = recorder {
-        let left = deadline.saturating_duration_since(Instant::now());
-        let patience = left.min(RECORDER_PATIENCE);
-        let mut call = call_of(call::Method::RecordBegin(begin.clone()));
-        call.budget_ms = u32::try_from(patience.as_millis()).unwrap_or(u32::MAX);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let call_timeout = remaining.min(RECORDER_TIMEOUT);
+        let mut call = new_call(call::Method::RecordBegin(begin.clone()));
+        call.budget_ms = u32::try_from(call_timeout.as_millis()).unwrap_or(u32::MAX);
         let sent = worker
             .links
-            .call(&address.link_address, call, patience)
+            .call(&address.link_address, call, call_timeout)
             .await;
         unanswered = matches!(sent, Err(CallError::NoReply { .. }));
         match sent {
@@ -246,10 +254,10 @@
             Err(CallError::NotSent(_) | CallError::NoReply { .. }) => {}
         }
     }
-    let begun = worker.recorder.begin(begin, deadline).await;
-    begun.map_err(|failure| Failure {
+    let reserved = worker.recorder.begin(begin, deadline).await;
+    reserved.map_err(|failure| Failure {
         kind: if unanswered {
-            // The recorder's create may still take effect: the key must be given up.
+            // The recorder's create may still take effect, so the key must be released.
             ErrorKind::OutcomeUnknown
         } else {
             failure.kind
@@ -264,10 +272,10 @@
 ) -> Result<(), Failure> {
     let recorder = recorder_node(worker, &settlement.tenant, &settlement.idempotency_key);
     if let Some(address) = recorder {
-        let call = call_of(call::Method::RecordSettle(settlement.clone()));
+        let call = new_call(call::Method::RecordSettle(settlement.clone()));
         let sent = worker
             .links
-            .call(&address.link_address, call, RECORDER_PATIENCE)
+            .call(&address.link_address, call, RECORDER_TIMEOUT)
             .await;
         if sent.is_ok() {
             return Ok(());
@@ -276,7 +284,7 @@
     worker.recorder.settle(settlement.clone()).await
 }
 
-/// The node of this cell that records the key; `None` when it is this one.
+/// Node of this cell that records the key; `None` if it is this node.
 fn recorder_node(worker: &OnlineWorker, tenant: &str, key: &str) -> Option<NodeAddress> {
     let hash = hash_bytes(keys::once(tenant, key).as_bytes());
     let view = worker.view();
@@ -287,7 +295,7 @@
     (!preferred.is_self).then(|| preferred.address.clone())
 }
 
-/// Fingerprint of what is asked: two requests under one key must be the same.
+/// Hash of the request content, which detects reuse of a key for a different request.
 fn fingerprint(incoming: &Incoming) -> u64 {
     let request = &incoming.request;
     let text = format!(
@@ -297,7 +305,7 @@
     hash_bytes(text.as_bytes())
 }
 
-fn call_of(method: call::Method) -> Call {
+fn new_call(method: call::Method) -> Call {
     Call {
         budget_ms: 0,
         method: Some(method),
--- a/crates/online/src/place.rs
+++ b/crates/online/src/place.rs
@@ -1,4 +1,4 @@
-//! The placement filter of the ingress stage: orders the nodes that may be asked.
+//! Placement at the ingress stage: ranks the nodes that a request can be sent to.
 
 use dappleyard_decide::placement::{Affinity, Candidate, rank};
 use dappleyard_wire::hash::{hash_bytes, rendezvous_weight};
@@ -6,18 +6,18 @@
 
 use crate::view::{CellView, NodeAddress, PlacementView};
 
-/// Where a request is sent next.
+/// Destination of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Target {
     /// The owner stage of this node.
     Local,
-    /// Another node, which is to do this stage.
+    /// Another node, which runs the given stage.
     Node(NodeAddress, Stage),
 }
 
-/// Key by which requests meet the same prefix cache, and whether it is one at all: without a prefix
-/// or session the request's own id spreads requests evenly. The sidecar chooses the ingress node by
-/// the same key, so that this is often the home owner.
+/// Affinity key of a request, and whether it stands for a shared prefix or session. Without either, the
+/// request id spreads requests evenly. The sidecar selects the ingress node by the same key, so the
+/// ingress node is often the preferred owner as well.
 pub(crate) fn affinity_key(request: &GenerateRequest) -> (u64, bool) {
     if request.prefix_hash != 0 {
         return (request.prefix_hash, true);
@@ -28,46 +28,43 @@
     (hash_bytes(request.request_id.as_bytes()), false)
 }
 
-/// How far affinity goes for a request.
 pub(crate) fn affinity(has_key: bool, bound_percent: u32) -> Affinity {
     Affinity {
         bound_percent: has_key.then_some(bound_percent),
     }
 }
 
-/// What a node must be able to do, and which were asked already.
-pub(crate) struct Wanted<'a> {
-    /// The request.
+/// Requirements of a request on its target, and the nodes tried so far.
+pub(crate) struct PlacementQuery<'a> {
     pub request: &'a GenerateRequest,
-    /// Version that must go on with it; empty for any.
+    /// Version required to continue the request; empty for any.
     pub version: &'a str,
-    /// Load up to which affinity wins, percent of the mean.
+    /// Load up to which affinity is preferred, percent of the mean.
     pub bound_percent: u32,
-    /// Nodes that were asked already.
     pub tried: &'a [String],
 }
 
-/// The best owner of this cell that was not asked yet, else the best entry node of another cell.
+/// Best untried owner in this cell, otherwise the best untried entry node of another cell.
 pub(crate) fn next_target(
     view: &PlacementView,
-    wanted: &Wanted<'_>,
+    query: &PlacementQuery<'_>,
     may_ask_owner: bool,
     may_spill: bool,
 ) -> Option<Target> {
-    let owner = may_ask_owner.then(|| best_owner(view, wanted)).flatten();
-    owner.or_else(|| may_spill.then(|| best_entry(view, wanted)).flatten())
+    let owner = may_ask_owner.then(|| best_owner(view, query)).flatten();
+    owner.or_else(|| may_spill.then(|| best_entry(view, query)).flatten())
 }
 
-fn best_owner(view: &PlacementView, wanted: &Wanted<'_>) -> Option<Target> {
-    let (key, has_key) = affinity_key(wanted.request);
+fn best_owner(view: &PlacementView, query: &PlacementQuery<'_>) -> Option<Target> {
+    let (key, has_key) = affinity_key(query.request);
     let mut owners = Vec::with_capacity(view.owners.len());
     let mut candidates = Vec::with_capacity(view.owners.len());
     for owner in &view.owners {
         let node = &owner.address.node;
-        let Some(load) = owner.service(&wanted.request.service) else {
+        let Some(load) = owner.service(&query.request.service) else {
             continue;
         };
-        if wanted.tried.contains(node) || !serves(load.servers, load.versions, wanted.version) {
+        if query.tried.contains(node) || !can_serve(load.servers, load.versions, query.version) {
             continue;
         }
         owners.push(owner);
@@ -81,7 +78,7 @@
     let mut best = [0];
     if rank(
         &candidates,
-        affinity(has_key, wanted.bound_percent),
+        affinity(has_key, query.bound_percent),
         &mut best,
     ) == 0
     {
@@ -96,21 +93,21 @@
     })
 }
 
-/// Nearest cell first, then the shortest wait; within a cell the entry node that the key prefers.
-fn best_entry(view: &PlacementView, wanted: &Wanted<'_>) -> Option<Target> {
-    let (key, _) = affinity_key(wanted.request);
+/// Selects the nearest cell, then the shortest wait, then the entry node by rendezvous hashing.
+fn best_entry(view: &PlacementView, query: &PlacementQuery<'_>) -> Option<Target> {
+    let (key, _) = affinity_key(query.request);
     let wait = |cell: &CellView| {
         let services = cell.services.iter();
-        let found = services.filter(|load| load.service == wanted.request.service);
+        let found = services.filter(|load| load.service == query.request.service);
         found
-            .filter(|load| serves(load.servers, &load.versions, wanted.version))
+            .filter(|load| can_serve(load.servers, &load.versions, query.version))
             .map(|load| load.wait_ms)
             .min()
     };
     let entry = |cell: &CellView| {
         let entries = cell.entries.iter();
         entries
-            .filter(|entry| !wanted.tried.contains(&entry.node))
+            .filter(|entry| !query.tried.contains(&entry.node))
             .max_by_key(|entry| rendezvous_weight(key, &entry.node))
             .cloned()
     };
@@ -121,6 +118,6 @@
         .map(|(_, _, entry)| Target::Node(entry, Stage::Cell))
 }
 
-fn serves(servers: u32, versions: &[String], version: &str) -> bool {
+fn can_serve(servers: u32, versions: &[String], version: &str) -> bool {
     servers > 0 && (version.is_empty() || versions.iter().any(|one| one == version))
 }
--- a/crates/online/src/receive.rs
+++ b/crates/online/src/receive.rs
@@ -1,4 +1,4 @@
-//! The first filter: turns a submission into checked, typed form.
+//! Validates a submission and converts it to [`Incoming`].
 
 use std::time::Duration;
 
@@ -7,43 +7,37 @@
 use dappleyard_wire::messages::{GenerateRequest, Stage, Submit};
 use dappleyard_wire::{ErrorKind, Failure, Ran, Repeat};
 
-/// Longest request id and idempotency key, bytes.
+/// Maximum length of a request id or idempotency key, bytes.
 const MAXIMUM_KEY_BYTES: usize = 256;
 
-/// Attempts that a stage may make below each attempt of the stage above it.
-pub(crate) const ATTEMPTS_A_STAGE: u32 = 64;
+/// Attempt numbers reserved at each stage for one attempt of the preceding stage.
+pub(crate) const ATTEMPTS_PER_STAGE: u32 = 64;
 
-/// A checked submission.
+/// A validated submission.
 #[derive(Debug, Clone)]
 pub(crate) struct Incoming {
-    /// What is to be answered.
     pub request: GenerateRequest,
-    /// Its id.
     pub id: RequestId,
-    /// Attempt number.
     pub attempt: u32,
-    /// What this node is to do with it.
+    /// Stage that this node executes.
     pub stage: Stage,
-    /// When it came.
     pub received: Instant,
-    /// When the caller gives up.
     pub deadline: Instant,
-    /// What is known of earlier attempts.
+    /// Whether an earlier attempt ran.
     pub ran_before: Ran,
     /// Tokens received by earlier attempts.
     pub pieces: Vec<String>,
-    /// Where an earlier attempt ran.
     pub earlier: EarlierRun,
 }
 
-/// Where an earlier attempt of a request ran; empty strings where nothing is known.
+/// Where an earlier attempt of a request ran. Unknown fields are empty.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct EarlierRun {
-    /// Version that produced the tokens received.
+    /// Model version that produced the received tokens.
     pub version: String,
-    /// Engine stream that may still live.
+    /// Engine stream that may still be running.
     pub engine_stream: String,
-    /// Server that holds it.
+    /// Server of the stream.
     pub server: String,
 }
 
@@ -55,16 +49,15 @@
 }
 
 impl Incoming {
-    /// Checks a submission.
     pub fn read(submit: Submit) -> Result<Incoming, Failure> {
         let stage = submit.stage();
         let ran_before = Ran::try_from(submit.ran_before).unwrap_or(Ran::Maybe);
         let request = submit
             .request
-            .ok_or_else(|| invalid("the submission holds no request"))?;
+            .ok_or_else(|| invalid("the submission contains no request"))?;
         check(&request).map_err(|failure| failure.after(ran_before))?;
         if submit.resume_offset as usize != submit.resumed_pieces.len() {
-            let failure = invalid("the tokens to resume after do not match the offset");
+            let failure = invalid("the number of resumed tokens does not match the resume offset");
             return Err(failure.after(ran_before));
         }
         let received = Instant::now();
@@ -86,20 +79,20 @@
     }
 
     /// Whether the request must run at most once.
-    pub fn never_repeats(&self) -> bool {
+    pub fn is_at_most_once(&self) -> bool {
         self.request.repeat() == Repeat::Never
     }
 
-    /// KV tokens that the request may come to hold.
+    /// Maximum number of KV tokens that the request can hold.
     pub fn tokens(&self) -> u32 {
         let request = &self.request;
         request.prompt_tokens.saturating_add(request.max_tokens)
     }
 
-    /// Time left, milliseconds.
-    pub fn left_ms(&self) -> u32 {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
+    /// Time until the deadline, milliseconds.
+    pub fn remaining_ms(&self) -> u32 {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
     }
 }
 
@@ -108,10 +101,10 @@
         return Err(invalid("the request id is empty or too long"));
     }
     if request.service.is_empty() {
-        return Err(invalid("the request names no model service"));
+        return Err(invalid("the request has no model service"));
     }
     if request.max_tokens == 0 {
-        return Err(invalid("the request allows no output token"));
+        return Err(invalid("the maximum number of output tokens must not be 0"));
     }
     let key = &request.idempotency_key;
     if request.repeat() == Repeat::Never && (key.is_empty() || key.len() > MAXIMUM_KEY_BYTES) {
--- a/crates/online/src/recorder.rs
+++ b/crates/online/src/recorder.rs
@@ -1,7 +1,8 @@
-//! The recorder of at-most-once records: many keys in one transaction, ambiguous writes read back.
+//! Writes at-most-once records. Writes of several keys share a transaction, and the result of an
+//! ambiguous write is read back.
 //!
-//! Safety lies in the compare-and-swap on each row, not in who writes: any node may write a record
-//! when the recorder of its cell is lost.
+//! Safety depends only on the compare-and-swap on each row. Any node may therefore write a record when
+//! the cell's recorder is unreachable.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,23 +20,23 @@
 
 use crate::shared::OnlineShared;
 
-/// Most keys in one transaction.
-const MAXIMUM_GROUP: usize = 64;
+/// Maximum number of keys in one transaction.
+const MAXIMUM_GROUP_KEYS: usize = 64;
 
-/// Times that a record is read again after a conflict or an ambiguous answer.
-const MAXIMUM_READS: u32 = 6;
+/// Attempts to read or write a record after conflicts, ambiguous results or store errors.
+const MAXIMUM_ATTEMPTS: u32 = 6;
 
-/// Pause before a record is read back again.
+/// Delay between attempts to read back a record.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(30);
 
-/// Advice when the store is unavailable, milliseconds.
+/// Retry delay suggested when the store is unavailable, milliseconds.
 pub(crate) const STORE_RETRY_AFTER_MS: u32 = 500;
 
-/// What became of one write.
+/// Result of one write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Written {
     Done,
-    /// The row was not as expected, or the answer was lost: read it.
+    /// The write conflicted or its result is ambiguous: the row must be read.
     ReadBack,
     /// Nothing was written.
     Unavailable(StoreError),
@@ -48,8 +49,8 @@
     done: oneshot::Sender<Written>,
 }
 
-/// A record as read: its row and revision.
-type Read = Option<(OnceRow, u64)>;
+/// A record and its revision; `None` if there is none.
+type StoredRecord = Option<(OnceRow, u64)>;
 
 /// The recorder of one worker thread.
 pub(crate) struct Recorder {
@@ -58,7 +59,6 @@
 }
 
 impl Recorder {
-    /// A recorder over a table service.
     pub fn new(tables: Rc<dyn TableStore>, shared: Arc<OnlineShared>, clock: Clock) -> Recorder {
         Recorder {
             clock,
@@ -71,19 +71,23 @@
         }
     }
 
-    /// Reserves a key: `fresh` when the caller's attempt holds it now and may run. Fails with
-    /// `StoreUnavailable` when nothing was written, and with `OutcomeUnknown` when a create was sent
-    /// whose fate could not be read back: the caller must then give the key up.
+    /// Reserves a key. `fresh` means that the caller's attempt now holds the key and may run. Fails with
+    /// `StoreUnavailable` if nothing was written, and with `OutcomeUnknown` if the result of a create could
+    /// not be read back or if the attempts or the time ran out; the caller must then release the key.
     ///
-    /// No create is sent that rests on a read after `until`: the asker then no longer listens, and a
-    /// key taken for nobody would stay in progress for good.
-    pub async fn begin(&self, begin: RecordBegin, until: Instant) -> Result<RecordState, Failure> {
+    /// No create is queued after `deadline`: the caller no longer waits by then, and the key would stay in
+    /// progress forever.
+    pub async fn begin(
+        &self,
+        begin: RecordBegin,
+        deadline: Instant,
+    ) -> Result<RecordState, Failure> {
         let key = keys::once(&begin.tenant, &begin.idempotency_key);
         let attempt = self.attempt_of(&begin);
-        let mut read: Read = None;
+        let mut read: StoredRecord = None;
         let mut unconfirmed = false;
-        for _ in 0..MAXIMUM_READS {
-            if Instant::now() >= until {
+        for _ in 0..MAXIMUM_ATTEMPTS {
+            if Instant::now() >= deadline {
                 break;
             }
             let row = read.as_ref().map(|(row, _)| row);
@@ -115,13 +119,13 @@
         Err(unresolved())
     }
 
-    /// Stores the outcome under a key. Settling twice is no error; a whole answer replaces an
-    /// outcome that is none.
+    /// Stores the outcome of a key. Settling is idempotent and ignores a missing record;
+    /// `once::may_settle` decides which outcome may replace an earlier one.
     pub async fn settle(&self, settle: RecordSettle) -> Result<(), Failure> {
         let key = keys::once(&settle.tenant, &settle.idempotency_key);
         let outcome = settle.outcome.unwrap_or_else(once::unknown_outcome);
         let (id, writer) = (settle.request_id, settle.writer);
-        for _ in 0..MAXIMUM_READS {
+        for _ in 0..MAXIMUM_ATTEMPTS {
             let read = self.read_back(&key).await?;
             let Some((row, revision)) = read else {
                 return Ok(());
@@ -140,15 +144,15 @@
                 Written::Unavailable(error) => return Err(unavailable(&error)),
             }
         }
-        Err(undecided())
+        Err(write_contention())
     }
 
-    /// Makes sure that an attempt which was told that it may not run holds the key no more, even if
-    /// its create takes effect later: an absent record is written as released.
-    pub async fn give_up(&self, begin: RecordBegin) -> Result<(), Failure> {
+    /// Releases the key of an attempt that was refused. An absent record is written as released, so that
+    /// a delayed create of this attempt cannot take effect later.
+    pub async fn release_key(&self, begin: RecordBegin) -> Result<(), Failure> {
         let key = keys::once(&begin.tenant, &begin.idempotency_key);
         let attempt = self.attempt_of(&begin);
-        for _ in 0..MAXIMUM_READS {
+        for _ in 0..MAXIMUM_ATTEMPTS {
             let read = self.read_back(&key).await?;
             let Some(released) = once::give_up(read.as_ref().map(|(row, _)| row), &attempt) else {
                 return Ok(());
@@ -160,14 +164,14 @@
                 Written::Unavailable(error) => return Err(unavailable(&error)),
             }
         }
-        Err(undecided())
+        Err(write_contention())
     }
 
-    async fn read_back(&self, key: &str) -> Result<Read, Failure> {
+    async fn read_back(&self, key: &str) -> Result<StoredRecord, Failure> {
         let mut last = StoreError::Unavailable {
-            reason: "not asked yet".to_owned(),
+            reason: "the store was not read".to_owned(),
         };
-        for _ in 0..MAXIMUM_READS {
+        for _ in 0..MAXIMUM_ATTEMPTS {
             match self.writer.tables.get(key).await {
                 Ok(row) => return decode(row),
                 Err(error) => last = error,
@@ -187,7 +191,7 @@
     }
 }
 
-fn expectation(read: &Read) -> Expect {
+fn expectation(read: &StoredRecord) -> Expect {
     match read {
         None => Expect::Absent,
         Some((_, revision)) => Expect::Revision(*revision),
@@ -201,7 +205,7 @@
     }
 }
 
-fn decode(row: Option<Row>) -> Result<Read, Failure> {
+fn decode(row: Option<Row>) -> Result<StoredRecord, Failure> {
     row.map(|row| {
         let decoded = OnceRow::decode(row.value);
         decoded
@@ -209,7 +213,7 @@
             .map_err(|error| {
                 Failure::not_run(
                     ErrorKind::Internal,
-                    format!("a record does not decode: {error}"),
+                    format!("failed to decode a record: {error}"),
                 )
             })
     })
@@ -224,10 +228,10 @@
     Failure::not_run(ErrorKind::StoreUnavailable, error.to_string()).retry_after(wait_ms)
 }
 
-fn undecided() -> Failure {
+fn write_contention() -> Failure {
     Failure::not_run(
         ErrorKind::StoreUnavailable,
-        "the record changed under each attempt to write it",
+        "the record was modified concurrently at each attempt to write it",
     )
     .retry_after(STORE_RETRY_AFTER_MS)
 }
@@ -235,11 +239,11 @@
 fn unresolved() -> Failure {
     Failure::not_run(
         ErrorKind::OutcomeUnknown,
-        "the fate of the record's create could not be read back",
+        "the result of creating the record could not be read back",
     )
 }
 
-/// Writes rows of many keys in one transaction: while one is under way, others gather for the next.
+/// Group commit: writes that arrive while a transaction is in progress share the next one.
 struct GroupWriter {
     tables: Rc<dyn TableStore>,
     shared: Arc<OnlineShared>,
@@ -274,14 +278,14 @@
         }
     }
 
-    /// Writes that wait, each key once: a second write of a key waits for the next group.
+    /// Takes pending writes with distinct keys; a second write of a key stays queued for the next group.
     fn next_group(&self) -> Vec<PendingWrite> {
         let mut queue = self.queue.borrow_mut();
         let mut group: Vec<PendingWrite> = Vec::new();
         let mut rest = Vec::new();
         for write in queue.drain(..) {
-            let taken = group.iter().any(|other| other.key == write.key);
-            if taken || group.len() == MAXIMUM_GROUP {
+            let has_key = group.iter().any(|other| other.key == write.key);
+            if has_key || group.len() == MAXIMUM_GROUP_KEYS {
                 rest.push(write);
             } else {
                 group.push(write);
@@ -291,27 +295,27 @@
         group
     }
 
-    /// Writes a group; a row that is not as expected is taken out and the others are tried again.
+    /// Writes a group. A conflicting write is removed and the rest is retried.
     async fn write_group(&self, mut group: Vec<PendingWrite>) {
         while !group.is_empty() {
             self.shared.metrics.record_transactions.inc();
             match self.tables.transact(transaction(&group)).await {
-                Ok(_) => return self.answer(group, &Written::Done),
+                Ok(_) => return self.finish(group, &Written::Done),
                 Err(StoreError::Conflict { key, .. }) => {
                     let conflicting = group.iter().position(|write| write.key == key);
                     let Some(position) = conflicting else {
-                        return self.answer(group, &Written::ReadBack);
+                        return self.finish(group, &Written::ReadBack);
                     };
                     let write = group.swap_remove(position);
-                    self.answer(vec![write], &Written::ReadBack);
+                    self.finish(vec![write], &Written::ReadBack);
                 }
-                Err(StoreError::Ambiguous { .. }) => return self.answer(group, &Written::ReadBack),
-                Err(error) => return self.answer(group, &Written::Unavailable(error)),
+                Err(StoreError::Ambiguous { .. }) => return self.finish(group, &Written::ReadBack),
+                Err(error) => return self.finish(group, &Written::Unavailable(error)),
             }
         }
     }
 
-    fn answer(&self, group: Vec<PendingWrite>, written: &Written) {
+    fn finish(&self, group: Vec<PendingWrite>, written: &Written) {
         let label = match written {
             Written::Done => "written",
             Written::ReadBack => "read_back",
--- a/crates/online/src/relay.rs
+++ b/crates/online/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay filter of the owner stage: engine events become frames.
+//! Converts engine events to frames for the caller at the owner stage.
 
 use std::time::Duration;
 
@@ -11,95 +11,95 @@
 use dappleyard_wire::messages::{Accepted, Chunk, frame};
 use futures::StreamExt;
 
-use crate::caller::Gone;
-use crate::dispatch::{Chosen, FlightGuard};
+use crate::caller::Disconnect;
+use crate::dispatch::{InFlightGuard, SelectedServer};
 use crate::owner::OwnerRun;
 
-/// Tokens over which one step time is taken.
+/// Tokens per step time sample.
 const STEP_SAMPLE_TOKENS: u32 = 4;
 
-/// Weight of a new sample in the smoothed step time.
+/// Weight of a new sample in the moving average of the step time.
 const STEP_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How reading a stream ended.
+/// Why relaying a stream ended.
 #[derive(Debug, PartialEq)]
 pub(crate) enum RelayEnd {
-    /// The whole answer was relayed.
+    /// The complete answer was relayed.
     Finished {
-        /// Why it ended.
         reason: String,
-        /// Prompt tokens from the cache.
+        /// Prompt tokens served from the prefix cache.
         cached_tokens: u32,
     },
-    /// The engine failed or was lost.
+    /// The engine failed or its connection was lost.
     Engine(EngineError),
-    /// The caller went away and nobody came back for the stream.
-    CallerGone,
-    /// The deadline passed.
+    /// The caller cancelled, or disconnected and did not resume within the grace period.
+    CallerDisconnected,
     Deadline,
 }
 
-/// Relays events until the stream ends, the caller is gone for good or the deadline passes.
+/// Relays events until the stream ends, the caller is gone or the deadline passes.
 pub(crate) async fn relay(
     run: &mut OwnerRun,
     events: &mut EventStream,
-    chosen: &Chosen,
-    flight: &FlightGuard,
+    selected: &SelectedServer,
+    flight: &InFlightGuard,
 ) -> RelayEnd {
     let mut meter = StepMeter::default();
     loop {
-        let until = run.waits_until();
+        let until = run.wait_deadline();
         tokio::select! {
             biased;
-            gone = run.caller.gone() => match run.caller_gone(gone) {
-                Gone::Cancelled => return RelayEnd::CallerGone,
-                Gone::LinkLost => {}
+            disconnected = run.caller.disconnected() => match run.on_disconnect(disconnected) {
+                Disconnect::Cancelled => return RelayEnd::CallerDisconnected,
+                Disconnect::LinkLost => {}
             },
             () = dappleyard_clock::sleep_until(until) => {
-                return if run.deadline_passed() { RelayEnd::Deadline } else { RelayEnd::CallerGone };
+                return if run.deadline_passed() { RelayEnd::Deadline } else { RelayEnd::CallerDisconnected };
             }
             event = events.next() => match event {
                 Some(Ok(event)) => {
-                    if let Some(end) = absorb(run, event, chosen, flight, &mut meter) {
+                    if let Some(end) = handle_event(run, event, selected, flight, &mut meter) {
                         return end;
                     }
                 }
                 Some(Err(error)) => return RelayEnd::Engine(error),
-                None => return RelayEnd::Engine(lost("the stream ended in the middle")),
+                None => return RelayEnd::Engine(lost_error("the stream ended before its final event")),
             },
         }
     }
 }
 
-fn absorb(
+fn handle_event(
     run: &mut OwnerRun,
     event: EngineEvent,
-    chosen: &Chosen,
-    flight: &FlightGuard,
+    selected: &SelectedServer,
+    flight: &InFlightGuard,
     meter: &mut StepMeter,
 ) -> Option<RelayEnd> {
     match event {
         EngineEvent::Accepted { stream, version } => {
-            accepted(run, stream, version, chosen);
+            accepted(run, stream, version, selected);
             None
         }
         EngineEvent::Tokens { offset, pieces } => {
             let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-            if offset > run.next {
-                return Some(RelayEnd::Engine(lost("tokens are missing in the stream")));
+            if offset > run.next_offset {
+                return Some(RelayEnd::Engine(lost_error(
+                    "tokens are missing in the stream",
+                )));
             }
             run.ran = join_ran(run.ran, Ran::Yes);
-            let known = run.next - offset;
-            if count > known {
+            let overlap = run.next_offset - offset;
+            if count > overlap {
                 if !run.has_token {
                     run.has_token = true;
                     flight.started();
                 }
                 run.send_chunk(Chunk {
-                    offset: run.next,
-                    pieces: pieces.into_iter().skip(known as usize).collect(),
+                    offset: run.next_offset,
+                    pieces: pieces.into_iter().skip(overlap as usize).collect(),
                 });
-                meter.count(&run.worker.tables, &chosen.server, count - known);
+                meter.count(&run.worker.tables, &selected.server, count - overlap);
             }
             None
         }
@@ -117,14 +117,14 @@
     }
 }
 
-fn accepted(run: &mut OwnerRun, stream: String, version: String, chosen: &Chosen) {
+fn accepted(run: &mut OwnerRun, stream: String, version: String, selected: &SelectedServer) {
     run.ran = join_ran(run.ran, Ran::Maybe);
-    run.reads(&chosen.server, &stream);
+    run.start_reading(&selected.server, &stream);
     run.earlier.version.clone_from(&version);
     run.earlier.engine_stream.clone_from(&stream);
-    run.earlier.server = chosen.server.to_string();
+    run.earlier.server = selected.server.to_string();
     run.caller.send(frame::Body::Accepted(Accepted {
-        server: chosen.server.to_string(),
+        server: selected.server.to_string(),
         version,
         engine_stream: stream,
         node: run.worker.tables.identity.node.to_string(),
@@ -133,10 +133,14 @@
 
 fn finished(run: &OwnerRun, reason: String, total_tokens: u32, cached_tokens: u32) -> RelayEnd {
     if reason == "cancelled" {
-        return RelayEnd::Engine(lost("the engine cancelled the stream by itself"));
+        return RelayEnd::Engine(lost_error(
+            "the engine cancelled the stream without a cancel request",
+        ));
     }
-    if total_tokens != run.next {
-        return RelayEnd::Engine(lost("the stream ended before all its tokens came"));
+    if total_tokens != run.next_offset {
+        return RelayEnd::Engine(lost_error(
+            "the stream ended before all tokens were received",
+        ));
     }
     RelayEnd::Finished {
         reason,
@@ -144,13 +148,13 @@
     }
 }
 
-fn lost(reason: &str) -> EngineError {
+fn lost_error(reason: &str) -> EngineError {
     EngineError::Lost {
         reason: reason.to_owned(),
     }
 }
 
-/// Measures the time between tokens and keeps the server's smoothed step time.
+/// Measures the time between tokens and updates the server's smoothed step time.
 #[derive(Default)]
 struct StepMeter {
     since: Option<Instant>,
--- a/crates/online/tests/support/engine.rs
+++ b/crates/online/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that does what its script says. Streams whose connection was lost live on.
+//! A scripted fake engine. Its streams survive a lost connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -14,47 +14,46 @@
 
 use super::{SERVICE, TOKENS, VERSION};
 
-/// Time of one token.
 pub const TOKEN_TIME: Duration = Duration::from_millis(4);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     Accept,
-    /// Tokens, one event each.
+    /// Sends tokens, one event each.
     Tokens(u32),
     Finish,
-    /// The connection is lost.
+    /// Loses the connection.
     Lose,
-    /// Nothing more comes.
+    /// Sends nothing more.
     Hang,
 }
 
-/// What becomes of one call.
+/// Behaviour of one call.
 #[derive(Debug, Clone)]
 pub enum Script {
     Steps(Vec<Step>),
     Unreachable,
     Refuse(u16),
-    /// Lost before an answer to the call came.
+    /// The connection is lost before the response.
     LostAtCall,
-    /// No answer to the call, ever.
+    /// The call never gets a response.
     SilentAtCall,
-    /// The engine ends while it runs the request, and is not back before the test is over.
+    /// The engine crashes while it runs the request and stays down for the rest of the test.
     Crash,
 }
 
 impl Script {
-    /// Whether an engine that does this may have run the request.
+    /// Whether the request may have run.
     fn may_run(&self) -> bool {
         !matches!(self, Script::Unreachable | Script::Refuse(_))
     }
 
-    pub fn whole() -> Script {
+    pub fn full_answer() -> Script {
         Script::Steps(vec![Step::Accept, Step::Tokens(TOKENS), Step::Finish])
     }
 }
 
-/// Text of the token at an offset, whichever server makes it.
+/// Text of the token at an offset, the same on all servers.
 pub fn piece(offset: u32) -> String {
     format!(" t{offset}")
 }
@@ -89,43 +88,43 @@
 #[derive(Default)]
 pub struct FakeEngine {
     scripts: RefCell<BTreeMap<String, VecDeque<Script>>>,
-    /// Calls to generate, with the base URL of each.
+    /// Base URL and body of each call to `generate`.
     pub calls: RefCell<Vec<(String, GenerateCall)>>,
     /// Request ids of calls that may have started a run.
     pub runs: RefCell<Vec<String>>,
-    /// Streams cancelled.
+    /// Ids of cancelled streams.
     pub cancels: RefCell<Vec<String>>,
-    /// Engines that have ended.
-    pub ended: RefCell<Vec<String>>,
-    /// Servers whose status says that they take no new work.
-    pub leaving: RefCell<Vec<String>>,
-    /// Statuses asked for.
+    /// Base URLs of crashed engines.
+    pub crashed: RefCell<Vec<String>>,
+    /// Servers whose status reports that they accept no new work.
+    pub draining: RefCell<Vec<String>>,
+    /// Number of status and report calls.
     pub statuses: Cell<u32>,
     next_stream: Cell<u32>,
     /// Streams that can be attached to.
-    pub living: RefCell<Vec<String>>,
-    /// Tokens of answers that come at once; 0 for answers in time.
-    at_once: Cell<u32>,
+    pub live_streams: RefCell<Vec<String>>,
+    /// Length of answers returned without delay; 0 to follow the scripts.
+    immediate_tokens: Cell<u32>,
 }
 
 impl FakeEngine {
-    /// What becomes of the next calls to a server; later ones give whole answers.
+    /// Sets the behaviour of the next calls to a server; later calls give complete answers.
     pub fn script(&self, server: &str, scripts: impl IntoIterator<Item = Script>) {
         let mut all = self.scripts.borrow_mut();
         let queue = all.entry(format!("http://{server}")).or_default();
         queue.extend(scripts);
     }
 
-    /// Makes all answers come at once, with this many tokens.
-    pub fn answer_at_once(&self, tokens: u32) {
-        self.at_once.set(tokens);
+    /// Makes every call return an answer of `tokens` tokens without delay.
+    pub fn answer_immediately(&self, tokens: u32) {
+        self.immediate_tokens.set(tokens);
     }
 
-    /// Forgets what was called, for long measurements.
-    pub fn forget(&self) {
+    /// Clears the recorded calls, runs and streams, which would grow without bound in a benchmark.
+    pub fn clear_calls(&self) {
         self.calls.borrow_mut().clear();
         self.runs.borrow_mut().clear();
-        self.living.borrow_mut().clear();
+        self.live_streams.borrow_mut().clear();
     }
 
     pub fn servers_called(&self) -> Vec<String> {
@@ -141,7 +140,7 @@
         let queue = scripts.get_mut(base);
         queue
             .and_then(VecDeque::pop_front)
-            .unwrap_or_else(Script::whole)
+            .unwrap_or_else(Script::full_answer)
     }
 
     fn open(&self, call: &GenerateCall, steps: Vec<Step>) -> EventStream {
@@ -152,7 +151,7 @@
             self.next_stream.set(self.next_stream.get() + 1);
             format!("e{}", self.next_stream.get())
         };
-        self.living.borrow_mut().push(id.clone());
+        self.live_streams.borrow_mut().push(id.clone());
         Box::pin(events(id, call.resume_offset, steps))
     }
 }
@@ -192,7 +191,7 @@
     })
 }
 
-fn whole_at_once(tokens: u32) -> EventStream {
+fn immediate_answer(tokens: u32) -> EventStream {
     let accepted = EngineEvent::Accepted {
         stream: "e0".to_owned(),
         version: VERSION.to_owned(),
@@ -226,17 +225,17 @@
         self.calls
             .borrow_mut()
             .push((base.to_owned(), call.clone()));
-        if self.at_once.get() > 0 {
-            return Ok(whole_at_once(self.at_once.get()));
+        if self.immediate_tokens.get() > 0 {
+            return Ok(immediate_answer(self.immediate_tokens.get()));
         }
-        if self.ended.borrow().iter().any(|ended| ended == base) {
+        if self.crashed.borrow().iter().any(|crashed| crashed == base) {
             return Err(EngineError::Unreachable {
                 reason: "connection refused".to_owned(),
             });
         }
         let script = self.next_script(base);
-        let lives = self.living.borrow().contains(&call.attach_stream);
-        if call.attach_only && !lives {
+        let is_live = self.live_streams.borrow().contains(&call.attach_stream);
+        if call.attach_only && !is_live {
             return Err(EngineError::Refused {
                 status: 404,
                 reason: "no such stream".to_owned(),
@@ -259,7 +258,7 @@
             }),
             Script::SilentAtCall => std::future::pending().await,
             Script::Crash => {
-                self.ended.borrow_mut().push(base.to_owned());
+                self.crashed.borrow_mut().push(base.to_owned());
                 Err(EngineError::Lost {
                     reason: "connection reset".to_owned(),
                 })
@@ -278,14 +277,14 @@
 
     async fn status(&self, base: &str) -> Result<EngineReport, EngineError> {
         self.statuses.set(self.statuses.get() + 1);
-        if self.ended.borrow().iter().any(|ended| ended == base) {
+        if self.crashed.borrow().iter().any(|crashed| crashed == base) {
             return Err(EngineError::Unreachable {
                 reason: "connection refused".to_owned(),
             });
         }
         let server = base.replace("http://", "");
         let mut report = report(&server, VERSION);
-        report.accepting = !self.leaving.borrow().contains(&server);
+        report.accepting = !self.draining.borrow().contains(&server);
         Ok(report)
     }
 
@@ -298,5 +297,4 @@
     }
 }
 
-/// Shared between the tests and the worker.
 pub type SharedEngine = Rc<FakeEngine>;
