--- a/crates/batch/src/runner/claim.rs
+++ b/crates/batch/src/runner/claim.rs
@@ -93,7 +93,7 @@
     let mut state = runner.state.borrow_mut();
     let RunnerState { jobs, shares, .. } = &mut *state;
     let of_service = jobs.values().filter(|job| job.row.service == service);
-    shares.set_waiting(&of_service.map(|job| job.row.tenant.as_str()).collect());
+    shares.set_active_tenants(&of_service.map(|job| job.row.tenant.as_str()).collect());
     let mut candidates: Vec<Candidate> = jobs
         .values()
         .filter(|job| job.row.service == service && !job.row.cancelled)
--- a/crates/dappleyard/src/flags.rs
+++ b/crates/dappleyard/src/flags.rs
@@ -4,8 +4,8 @@
 
 use clap::{Arg, ArgAction, ArgMatches};
 use dappleyard_settings::{
-    NodeSettings, SettingsError, SidecarSettings, load_node, load_sidecar, recheck_node,
-    recheck_sidecar,
+    NodeSettings, SettingsError, SidecarSettings, load_node, load_sidecar, validate_node,
+    validate_sidecar,
 };
 
 fn text(name: &'static str, value: &'static str, help: &'static str) -> Arg {
@@ -88,7 +88,7 @@
         settings.platform.objects_url = format!("{base}/objects");
         settings.platform.machines_url = format!("{base}/machines");
     }
-    recheck_node(&settings)?;
+    validate_node(&settings)?;
     Ok(settings)
 }
 
@@ -103,7 +103,7 @@
     set(arguments, "region", &mut settings.place.region);
     set(arguments, "listen", &mut settings.listen);
     set_all(arguments, "node", &mut settings.nodes);
-    recheck_sidecar(&settings)?;
+    validate_sidecar(&settings)?;
     Ok(settings)
 }
 
--- a/crates/decide/examples/disruption_budgets.rs
+++ b/crates/decide/examples/disruption_budgets.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 use dappleyard_decide::disruption::{
-    Budget, InFlight, Replica, ReplicaState, Situation, Verdict, may_disrupt,
+    Budget, BudgetContext, DisruptionDecision, InFlight, Replica, ReplicaState, may_disrupt,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -129,13 +129,13 @@
             } else {
                 self.in_flight[round_start..].to_vec()
             };
-            let situation = Situation {
+            let context = BudgetContext {
                 replicas: &replicas,
                 in_flight: &in_flight,
                 timeout_ms: IN_FLIGHT_TIMEOUT_S * 1_000,
                 now_ms: now * 1_000,
             };
-            if may_disrupt_by_policy(policy, &replicas[server], situation) {
+            if may_disrupt_by_policy(policy, &replicas[server], context) {
                 self.servers[server] = Server::OutUntil(now + OUT_S);
                 self.in_flight.push(InFlight {
                     server: server.to_string(),
@@ -175,15 +175,18 @@
     }
 }
 
-fn may_disrupt_by_policy(policy: Policy, candidate: &Replica, situation: Situation<'_>) -> bool {
+fn may_disrupt_by_policy(policy: Policy, candidate: &Replica, context: BudgetContext<'_>) -> bool {
     let mut candidate = candidate.clone();
     match policy.unhealthy {
         UnhealthyRule::Always if candidate.state == ReplicaState::Unhealthy => return true,
         UnhealthyRule::Never => candidate.state = ReplicaState::Healthy,
         _ => {}
     }
-    let verdict = may_disrupt(&candidate, situation, Budget::of_row(1, 0));
-    matches!(verdict, Verdict::Allowed | Verdict::AllowedUnhealthy)
+    let decision = may_disrupt(&candidate, context, Budget::of_row(1, 0));
+    matches!(
+        decision,
+        DisruptionDecision::Allowed | DisruptionDecision::AllowedUnhealthy
+    )
 }
 
 fn main() {
--- a/crates/decide/src/configuration.rs
+++ b/crates/decide/src/configuration.rs
@@ -128,7 +128,7 @@
 
 /// Groups rows of the change feed, sorted by revision, into changes. `previous` is the revision of
 /// the change before the first row.
-pub fn changes_of_feed(rows: &[FeedRow], previous: u64) -> Vec<Vec<ConfigurationEntry>> {
+pub fn changes_from_feed(rows: &[FeedRow], previous: u64) -> Vec<Vec<ConfigurationEntry>> {
     let mut previous = previous;
     let mut changes = Vec::new();
     for group in rows.chunk_by(|left, right| left.revision == right.revision) {
--- a/crates/decide/src/disruption.rs
+++ b/crates/decide/src/disruption.rs
@@ -57,7 +57,7 @@
 
 /// Result of [`may_disrupt`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum DisruptionDecision {
     /// Within the budget.
     Allowed,
     /// The server is unhealthy, and enough others are healthy.
@@ -65,12 +65,12 @@
     /// The server is already being disrupted or was removed.
     AlreadyInFlight,
     /// Not allowed now: the budget is exhausted.
-    Held(Shortage),
+    Denied(ExhaustedLimit),
 }
 
 /// Budget limit that prevents a disruption.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Shortage {
+pub struct ExhaustedLimit {
     /// Zone of the limit; `None` for the total limit.
     pub zone: Option<String>,
     pub unavailable: u32,
@@ -78,9 +78,9 @@
     pub limit: u32,
 }
 
-impl Shortage {
+impl ExhaustedLimit {
     /// Message for operators.
-    pub fn words(&self) -> String {
+    pub fn description(&self) -> String {
         let place = self.zone.as_deref().map_or_else(
             || "in all zones".to_owned(),
             |zone| format!("in zone {zone}"),
@@ -94,7 +94,7 @@
 
 /// Replicas and in-flight disruptions that a budget is checked against.
 #[derive(Debug, Clone, Copy)]
-pub struct Situation<'a> {
+pub struct BudgetContext<'a> {
     /// Observed replicas.
     pub replicas: &'a [Replica],
     /// Decided disruptions, whether observed or not.
@@ -105,7 +105,7 @@
     pub now_ms: u64,
 }
 
-impl Situation<'_> {
+impl BudgetContext<'_> {
     /// In-flight disruptions that have not timed out.
     fn counted_in_flight(&self) -> impl Iterator<Item = &InFlight> {
         let now = self.now_ms;
@@ -140,9 +140,9 @@
         self.unavailable(zone) <= limit
     }
 
-    fn shortage(&self, zone: Option<&str>, limit: u32) -> Option<Shortage> {
+    fn exhausted(&self, zone: Option<&str>, limit: u32) -> Option<ExhaustedLimit> {
         let unavailable = self.unavailable(zone);
-        (unavailable >= limit).then(|| Shortage {
+        (unavailable >= limit).then(|| ExhaustedLimit {
             zone: zone.map(str::to_owned),
             unavailable,
             limit,
@@ -151,30 +151,34 @@
 }
 
 /// Decides whether `candidate` may be disrupted now.
-pub fn may_disrupt(candidate: &Replica, situation: Situation<'_>, budget: Budget) -> Verdict {
-    let already_in_flight = situation
+pub fn may_disrupt(
+    candidate: &Replica,
+    context: BudgetContext<'_>,
+    budget: Budget,
+) -> DisruptionDecision {
+    let already_in_flight = context
         .counted_in_flight()
         .any(|flight| flight.server == candidate.server);
     if already_in_flight || candidate.state == ReplicaState::Removed {
-        return Verdict::AlreadyInFlight;
+        return DisruptionDecision::AlreadyInFlight;
     }
     let zone = Some(candidate.zone.as_str());
     let unhealthy = candidate.state == ReplicaState::Unhealthy;
     if unhealthy
-        && situation.enough_available(zone, budget.zone)
-        && situation.enough_available(None, budget.total)
+        && context.enough_available(zone, budget.zone)
+        && context.enough_available(None, budget.total)
     {
-        return Verdict::AllowedUnhealthy;
+        return DisruptionDecision::AllowedUnhealthy;
     }
-    let zone_shortage = situation.shortage(zone, budget.zone);
-    match zone_shortage.or_else(|| situation.shortage(None, budget.total)) {
-        Some(shortage) => Verdict::Held(shortage),
-        None => Verdict::Allowed,
+    let zone_exhausted = context.exhausted(zone, budget.zone);
+    match zone_exhausted.or_else(|| context.exhausted(None, budget.total)) {
+        Some(exhausted) => DisruptionDecision::Denied(exhausted),
+        None => DisruptionDecision::Allowed,
     }
 }
 
 /// Disruptions that are neither in `observed` nor timed out.
-pub fn remembered<'a>(
+pub fn unfinished_disruptions<'a>(
     in_flight: &'a [InFlight],
     observed: &BTreeSet<String>,
     timeout_ms: u64,
--- a/crates/decide/src/fairness.rs
+++ b/crates/decide/src/fairness.rs
@@ -26,7 +26,7 @@
 impl TenantShares {
     /// Sets the tenants with pending work. A new tenant starts at the lowest virtual time; tenants
     /// not listed are removed.
-    pub fn set_waiting(&mut self, tenants: &BTreeSet<&str>) {
+    pub fn set_active_tenants(&mut self, tenants: &BTreeSet<&str>) {
         self.virtual_time
             .retain(|tenant, _| tenants.contains(tenant.as_str()));
         let floor = self.lowest();
--- a/crates/decide/src/membership.rs
+++ b/crates/decide/src/membership.rs
@@ -8,7 +8,7 @@
 //!
 //! Extensions to SWIM:
 //! - A node that detects a gap between its ticks was paused. It drops its pending probes, extends
-//!   all suspicions by the gap, and is not [`Standing::Vouched`] until a later probe is
+//!   all suspicions by the gap, and is not [`MembershipStatus::Current`] until a later probe is
 //!   acknowledged.
 //! - A node that learns it was declared dead refutes this and also needs a new acknowledgement.
 //! - Only a node that sees at least half of the fleet or of its zone, or that reaches the store,
@@ -19,11 +19,11 @@
 mod entry;
 mod gossip;
 mod probing;
-mod standing;
+mod status;
 mod suspects;
 
-pub use entry::{Entry, REFUTATION_BITS, Suspicion, is_present, start_of, supersedes};
-pub use standing::Standing;
+pub use entry::{Entry, REFUTATION_BITS, Suspicion, is_present, start_number, supersedes};
+pub use status::MembershipStatus;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
         /// Previous state; `None` for a new member.
         before: Option<MemberState>,
         /// Detected by this node's own probes.
-        own_finding: bool,
+        detected_locally: bool,
         /// Time from suspicion to death, in milliseconds; set only if this node declared the death.
         detected_after_ms: Option<u64>,
     },
@@ -69,7 +69,7 @@
     /// This node refuted an update that it was suspect or dead.
     Refuted {
         /// State claimed by the update.
-        accused: MemberState,
+        claimed_state: MemberState,
     },
 }
 
@@ -100,7 +100,7 @@
     rounds: u64,
     differing_digests: u32,
     full_sync_peer: Option<String>,
-    standing: standing::Evidence,
+    status: status::Evidence,
 }
 
 impl Membership {
@@ -122,7 +122,7 @@
             rounds: 0,
             differing_digests: 0,
             full_sync_peer: None,
-            standing: standing::Evidence::new(now),
+            status: status::Evidence::new(now),
         };
         membership.announce_self();
         membership
--- a/crates/decide/src/membership/entry.rs
+++ b/crates/decide/src/membership/entry.rs
@@ -10,7 +10,7 @@
 pub const REFUTATION_BITS: u32 = 16;
 
 /// Start number of an incarnation; it increases with each restart of the node.
-pub const fn start_of(incarnation: u64) -> u64 {
+pub const fn start_number(incarnation: u64) -> u64 {
     incarnation >> REFUTATION_BITS
 }
 
--- a/crates/decide/src/membership/gossip.rs
+++ b/crates/decide/src/membership/gossip.rs
@@ -8,7 +8,7 @@
 use prost::Message;
 use rand::Rng;
 
-use super::entry::{Entry, start_of, supersedes};
+use super::entry::{Entry, start_number, supersedes};
 use super::{Action, Membership};
 use crate::broadcast::retransmits;
 use crate::time::Millis;
@@ -36,7 +36,7 @@
             return actions;
         }
         if datagram.from == self.own.node {
-            if start_of(datagram.incarnation) > start_of(self.own.incarnation) {
+            if start_number(datagram.incarnation) > start_number(self.own.incarnation) {
                 self.supersede();
             }
             return actions;
@@ -112,13 +112,13 @@
 
     /// Takes the peer to request a full member list from, if digests differed repeatedly or a peer
     /// knows many more members.
-    pub fn take_differing(&mut self) -> Option<String> {
+    pub fn take_full_sync_peer(&mut self) -> Option<String> {
         self.differing_digests = 0;
         self.full_sync_peer.take()
     }
 
     /// Merges a full member list. The updates are not gossiped further.
-    pub fn learn_all(&mut self, members: &[Member], now: Millis) -> Vec<Action> {
+    pub fn merge_member_list(&mut self, members: &[Member], now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         let waiting = self.updates.clone();
         let incarnation = self.own.incarnation;
@@ -153,7 +153,7 @@
     }
 
     fn handle_own_update(&mut self, incoming: &Member, now: Millis, actions: &mut Vec<Action>) {
-        if start_of(incoming.incarnation) > start_of(self.own.incarnation) {
+        if start_number(incoming.incarnation) > start_number(self.own.incarnation) {
             self.supersede();
             return;
         }
@@ -168,7 +168,7 @@
             self.invalidate_contacts(now);
         }
         actions.push(Action::Refuted {
-            accused: incoming.state(),
+            claimed_state: incoming.state(),
         });
     }
 
@@ -177,12 +177,12 @@
         &mut self,
         member: Member,
         now: Millis,
-        own_finding: bool,
+        detected_locally: bool,
         detected_after_ms: Option<u64>,
         actions: &mut Vec<Action>,
     ) {
         let suspicion = (member.state() == MemberState::MemberSuspect)
-            .then(|| self.new_suspicion(now, own_finding));
+            .then(|| self.new_suspicion(now, detected_locally));
         let known = self.members.get(&member.node);
         let before = known.map(|entry| entry.member.state());
         let mut entry = Entry::new(member, now);
@@ -190,7 +190,7 @@
         if let Some(known) = known {
             let revision = known.member.configuration_revision;
             let same_start =
-                start_of(known.member.incarnation) == start_of(entry.member.incarnation);
+                start_number(known.member.incarnation) == start_number(entry.member.incarnation);
             if same_start && entry.member.configuration_revision < revision {
                 entry.member.configuration_revision = revision;
             }
@@ -201,7 +201,7 @@
         actions.push(Action::Changed {
             member,
             before,
-            own_finding,
+            detected_locally,
             detected_after_ms,
         });
     }
--- a/crates/decide/src/membership/probing.rs
+++ b/crates/decide/src/membership/probing.rs
@@ -270,7 +270,7 @@
             actions.push(Action::Changed {
                 member: entry.member.clone(),
                 before: Some(MemberState::MemberSuspect),
-                own_finding: true,
+                detected_locally: true,
                 detected_after_ms: None,
             });
         }
--- a/crates/decide/src/membership/standing.rs
+++ b/crates/decide/src/membership/status.rs
@@ -14,13 +14,13 @@
 
 /// Whether a node's membership view is current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum MembershipStatus {
     /// A member or the store responded recently, and after the last pause or death claim.
-    Vouched,
+    Current,
     /// No member and no store response within `vouch_ms`.
     Isolated,
     /// No response since the node was paused or was declared dead by others.
-    Doubted,
+    Unconfirmed,
     /// A later start of the same node id exists; this process must stop acting.
     Superseded,
 }
@@ -56,15 +56,15 @@
 
 impl Membership {
     /// Records that the store responded to a call sent at this time.
-    pub fn note_store(&mut self, sent: Millis) {
-        self.standing.store = self.standing.store.max(Some(sent));
+    pub fn record_store_response(&mut self, sent: Millis) {
+        self.status.store = self.status.store.max(Some(sent));
     }
 
     /// Whether this node's membership view is current.
-    pub fn standing(&self, now: Millis) -> Standing {
-        let evidence = &self.standing;
+    pub fn status(&self, now: Millis) -> MembershipStatus {
+        let evidence = &self.status;
         if evidence.superseded {
-            return Standing::Superseded;
+            return MembershipStatus::Superseded;
         }
         let last_contact = evidence.acknowledged.max(evidence.store);
         let alone = self.members.values().all(has_left);
@@ -72,20 +72,20 @@
             && !alone
             && last_contact.is_none_or(|contact| contact < invalidated)
         {
-            return Standing::Doubted;
+            return MembershipStatus::Unconfirmed;
         }
         let contact = last_contact.unwrap_or(evidence.started);
         if !alone && now.since(contact) > self.settings.vouch_ms {
-            return Standing::Isolated;
+            return MembershipStatus::Isolated;
         }
-        Standing::Vouched
+        MembershipStatus::Current
     }
 
     /// Whether this node may declare a member of `zone` dead that was suspected at `suspected`. It
     /// needs a recent store response, or an acknowledgement since then together with at least half
     /// of the fleet (or of its own zone, for a member of that zone) alive.
     pub(super) fn may_declare_dead(&self, zone: &str, suspected: Millis, now: Millis) -> bool {
-        let evidence = &self.standing;
+        let evidence = &self.status;
         let store_answers = evidence
             .store
             .is_some_and(|sent| now.since(sent) <= self.settings.vouch_ms);
@@ -148,7 +148,7 @@
         if gap < self.settings.suspicion_ms / 2 {
             return;
         }
-        self.standing.invalidated_at = Some(now);
+        self.status.invalidated_at = Some(now);
         self.probes.clear();
         self.next_probe = now;
         for entry in self.members.values_mut() {
@@ -159,15 +159,15 @@
     }
 
     pub(super) fn record_ack(&mut self, sent: Millis) {
-        self.standing.acknowledged = self.standing.acknowledged.max(Some(sent));
+        self.status.acknowledged = self.status.acknowledged.max(Some(sent));
     }
 
     pub(super) fn invalidate_contacts(&mut self, now: Millis) {
-        self.standing.invalidated_at = Some(now);
+        self.status.invalidated_at = Some(now);
         self.next_probe = now;
     }
 
     pub(super) fn supersede(&mut self) {
-        self.standing.superseded = true;
+        self.status.superseded = true;
     }
 }
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -107,7 +107,7 @@
 
 /// Load and capacity of a server, as known to its owner node.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServerRoom {
+pub struct ServerCapacity {
     /// Online sequences, including those of other owners.
     pub online: u32,
     /// Prompt tokens waiting for prefill.
@@ -134,7 +134,7 @@
 
 /// Expected time until the first step of a request of `tokens` KV cache tokens, in milliseconds.
 /// Batch sequences do not count because the engine preempts them for online work.
-pub fn expected_wait_ms(server: &ServerRoom, tokens: u32) -> u32 {
+pub fn expected_wait_ms(server: &ServerCapacity, tokens: u32) -> u32 {
     let prefill_steps = f64::from(server.prefill_tokens) / f64::from(PREFILL_TOKENS_PER_STEP);
     let ahead = f64::from(sequences_ahead(server, tokens));
     let slots = f64::from(server.maximum_sequences.max(1));
@@ -143,7 +143,7 @@
 }
 
 /// Sequences that must finish before this one can start, by sequence slots or by KV cache memory.
-fn sequences_ahead(server: &ServerRoom, tokens: u32) -> u32 {
+fn sequences_ahead(server: &ServerCapacity, tokens: u32) -> u32 {
     let by_slots = (server.online + 1).saturating_sub(server.maximum_sequences);
     let excess = (server.online_tokens.saturating_add(tokens)).saturating_sub(server.total_tokens);
     let mean_tokens = server.online_tokens / server.online.max(1);
--- a/crates/decide/src/reassembly.rs
+++ b/crates/decide/src/reassembly.rs
@@ -15,7 +15,7 @@
     /// Maximum pieces of the response.
     pub pieces: u32,
     /// Maximum pieces buffered after a gap.
-    pub behind_gap: usize,
+    pub after_gap: usize,
 }
 
 /// Error for pieces that were rejected.
@@ -37,7 +37,7 @@
     Bound { bound: usize },
     /// A piece is at or past the announced end.
     #[display("piece {offset} is past the end at {total}")]
-    BehindEnd {
+    PastEnd {
         offset: u32,
         /// Announced number of pieces.
         total: u32,
@@ -50,7 +50,7 @@
     bounds: AssemblyBounds,
     version: Option<String>,
     pieces: Vec<String>,
-    behind_gap: BTreeMap<u32, String>,
+    after_gap: BTreeMap<u32, String>,
     total: Option<u32>,
     released: usize,
 }
@@ -61,7 +61,7 @@
             bounds,
             version: None,
             pieces: Vec::new(),
-            behind_gap: BTreeMap::new(),
+            after_gap: BTreeMap::new(),
             total: None,
             released: 0,
         }
@@ -70,13 +70,13 @@
     /// Begins an attempt that resumes at [`Assembly::offset`]. Pieces after a gap and the length
     /// announced by the previous attempt are discarded.
     pub fn begin_attempt(&mut self) {
-        self.behind_gap.clear();
+        self.after_gap.clear();
         self.total = None;
     }
 
     /// Sets the model version that accepted the attempt. It may change until a piece is received.
-    pub fn accepted(&mut self, version: &str) -> Result<(), AssemblyError> {
-        let no_pieces = self.pieces.is_empty() && self.behind_gap.is_empty();
+    pub fn set_version(&mut self, version: &str) -> Result<(), AssemblyError> {
+        let no_pieces = self.pieces.is_empty() && self.after_gap.is_empty();
         match &self.version {
             Some(held) if held != version && !no_pieces => Err(AssemblyError::VersionChanged {
                 held: held.clone(),
@@ -97,10 +97,10 @@
             if position == self.offset() {
                 self.pieces.push(piece);
             } else if position > self.offset() {
-                self.behind_gap.insert(position, piece);
+                self.after_gap.insert(position, piece);
             }
         }
-        while let Some(next) = self.behind_gap.remove(&self.offset()) {
+        while let Some(next) = self.after_gap.remove(&self.offset()) {
             self.pieces.push(next);
         }
         Ok(())
@@ -114,7 +114,7 @@
             });
         }
         if let Some(total) = self.total.filter(|total| end > u64::from(*total)) {
-            return Err(AssemblyError::BehindEnd { offset, total });
+            return Err(AssemblyError::PastEnd { offset, total });
         }
         for (position, piece) in (offset..).zip(pieces) {
             if self.piece_at(position).is_some_and(|held| held != piece) {
@@ -124,10 +124,10 @@
         let new = (offset..)
             .zip(pieces)
             .filter(|(at, _)| self.piece_at(*at).is_none());
-        let behind_gap = self.behind_gap.len() + new.count();
-        if offset > self.offset() && behind_gap > self.bounds.behind_gap {
+        let after_gap = self.after_gap.len() + new.count();
+        if offset > self.offset() && after_gap > self.bounds.after_gap {
             return Err(AssemblyError::Bound {
-                bound: self.bounds.behind_gap,
+                bound: self.bounds.after_gap,
             });
         }
         Ok(())
@@ -136,18 +136,18 @@
     fn piece_at(&self, offset: u32) -> Option<&String> {
         self.pieces
             .get(offset as usize)
-            .or_else(|| self.behind_gap.get(&offset))
+            .or_else(|| self.after_gap.get(&offset))
     }
 
     /// Sets the length of the response, as announced by the sender.
     pub fn finish(&mut self, total: u32) -> Result<(), AssemblyError> {
         let held = self
-            .behind_gap
+            .after_gap
             .last_key_value()
             .map_or(self.offset(), |(last, _)| last + 1);
         if held > total {
             let offset = held - 1;
-            return Err(AssemblyError::BehindEnd { offset, total });
+            return Err(AssemblyError::PastEnd { offset, total });
         }
         self.total = Some(total);
         Ok(())
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -48,14 +48,14 @@
 
 /// Whether a failed attempt may be retried. A non-repeatable request is retried only if it is known
 /// not to have run.
-pub fn may_follow(ran: Ran, repeat: Repeat) -> bool {
+pub fn may_retry(ran: Ran, repeat: Repeat) -> bool {
     ran == Ran::No || repeat == Repeat::Allowed
 }
 
 /// Exponential backoff with full jitter before retry number `retry`, counted from 1, in
 /// milliseconds. `unit` is a random number in 0..1. Returns `None` if the delay would reach the
 /// deadline.
-pub fn pause_ms(retry: u32, unit: f64, left_ms: u64) -> Option<u64> {
+pub fn retry_delay_ms(retry: u32, unit: f64, left_ms: u64) -> Option<u64> {
     let doubled = INITIAL_BACKOFF_MS.saturating_mul(1 << retry.saturating_sub(1).min(10));
     let maximum = doubled.min(MAX_BACKOFF_MS);
     let delay = (f64::from(maximum) * unit.clamp(0.0, 1.0)) as u64;
--- a/crates/decide/src/rollout.rs
+++ b/crates/decide/src/rollout.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use crate::disruption::{Budget, InFlight, Replica, ReplicaState, Situation, Verdict, may_disrupt};
+use crate::disruption::{
+    Budget, BudgetContext, DisruptionDecision, InFlight, Replica, ReplicaState, may_disrupt,
+};
 
 /// Desired state from a service row.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,10 +36,10 @@
     pub load_failure: String,
     /// Smoothed step time in milliseconds; 0 if unknown.
     pub step_ms: f64,
-    /// Observations with failing requests or calls, out of `looks`.
-    pub failed_looks: u32,
+    /// Observations with failing requests or calls, out of `observations`.
+    pub failed_observations: u32,
     /// Observations since it loaded its current version.
-    pub looks: u32,
+    pub observations: u32,
 }
 
 impl ServerView {
@@ -162,13 +164,13 @@
         let held = if available == 0 {
             Some(format!("{} loads are already running", bounds.concurrency))
         } else {
-            let situation = Situation {
+            let context = BudgetContext {
                 replicas: &replicas,
                 in_flight: &in_flight,
                 timeout_ms: bounds.timeout_ms,
                 now_ms: bounds.now_ms,
             };
-            load_blocked_reason(view, situation, &bounds)
+            load_blocked_reason(view, context, &bounds)
         };
         if let Some(reason) = held {
             plan.held.get_or_insert((assignment.clone(), reason));
@@ -219,7 +221,7 @@
 /// Reason why a load may not start now. Only servers in service count against the budget.
 fn load_blocked_reason(
     view: &ServerView,
-    situation: Situation<'_>,
+    context: BudgetContext<'_>,
     bounds: &LoadBounds<'_>,
 ) -> Option<String> {
     if !view.serves() {
@@ -228,10 +230,12 @@
     if let Some(reason) = bounds.frozen {
         return Some(reason.to_owned());
     }
-    match may_disrupt(&view.replica(), situation, bounds.budget) {
-        Verdict::Allowed | Verdict::AllowedUnhealthy => None,
-        Verdict::AlreadyInFlight => Some("its previous disruption is still in progress".to_owned()),
-        Verdict::Held(shortage) => Some(shortage.words()),
+    match may_disrupt(&view.replica(), context, bounds.budget) {
+        DisruptionDecision::Allowed | DisruptionDecision::AllowedUnhealthy => None,
+        DisruptionDecision::AlreadyInFlight => {
+            Some("its previous disruption is still in progress".to_owned())
+        }
+        DisruptionDecision::Denied(exhausted) => Some(exhausted.description()),
     }
 }
 
@@ -320,7 +324,7 @@
 fn high_error_rate(target: &Target, servers: &[ServerView], percent: u32) -> Option<String> {
     let on_canary = servers.iter().filter(|view| view.version == target.canary);
     let (failed, looks) = on_canary.fold((0, 0), |(failed, looks), view| {
-        (failed + view.failed_looks, looks + view.looks)
+        (failed + view.failed_observations, looks + view.observations)
     });
     let too_many = looks >= MIN_OBSERVATIONS && failed * 100 > looks * percent;
     too_many.then(|| {
@@ -341,7 +345,7 @@
     let stable_ms = median(stable.map(|view| view.step_ms))?;
     let judged = canaries
         .iter()
-        .filter(|view| view.version == target.canary && view.looks >= MIN_OBSERVATIONS);
+        .filter(|view| view.version == target.canary && view.observations >= MIN_OBSERVATIONS);
     let canary_ms = median(judged.map(|view| view.step_ms))?;
     (canary_ms * 100.0 > stable_ms * f64::from(percent)).then(|| {
         format!(
--- a/crates/decide/tests/batch.rs
+++ b/crates/decide/tests/batch.rs
@@ -109,7 +109,7 @@
 #[gtest]
 fn tenants_are_served_in_proportion_to_their_weights() {
     let mut shares = TenantShares::default();
-    shares.set_waiting(&BTreeSet::from(["heavy", "light"]));
+    shares.set_active_tenants(&BTreeSet::from(["heavy", "light"]));
     let mut served = [0, 0];
     for _ in 0..300 {
         let mut jobs = [
@@ -150,9 +150,9 @@
 #[gtest]
 fn new_tenant_starts_at_the_lowest_virtual_time() {
     let mut shares = TenantShares::default();
-    shares.set_waiting(&BTreeSet::from(["old"]));
+    shares.set_active_tenants(&BTreeSet::from(["old"]));
     shares.charge("old", 1_000.0, 1);
-    shares.set_waiting(&BTreeSet::from(["old", "new"]));
+    shares.set_active_tenants(&BTreeSet::from(["old", "new"]));
     shares.charge("new", 1.0, 1);
     let mut jobs = [candidate("a", "old", 9_000), candidate("b", "new", 9_000)];
     // The new tenant started at the virtual time of the old one, so it is now ahead by one.
--- a/crates/decide/tests/configuration.rs
+++ b/crates/decide/tests/configuration.rs
@@ -4,7 +4,7 @@
 
 use dappleyard_decide::broadcast::{Broadcasts, retransmits};
 use dappleyard_decide::configuration::{
-    Applied, ConfigurationState, FeedRow, MAXIMUM_DELETIONS, PendingChanges, changes_of_feed,
+    Applied, ConfigurationState, FeedRow, MAXIMUM_DELETIONS, PendingChanges, changes_from_feed,
 };
 use dappleyard_wire::messages::ConfigurationEntry;
 use googletest::prelude::*;
@@ -84,7 +84,7 @@
 
 /// One round: node 0 reads the feed, and each node gossips to a random other and may sync from it.
 fn round(nodes: &mut [Node], store: &Store, loss: f64, random: &mut ChaCha8Rng) {
-    let changes = changes_of_feed(
+    let changes = changes_from_feed(
         &store.after(nodes[0].state.revision),
         nodes[0].state.revision,
     );
@@ -162,7 +162,7 @@
             value: None,
         })
         .collect();
-    for change in changes_of_feed(&rows, 0) {
+    for change in changes_from_feed(&rows, 0) {
         expect_that!(state.apply(&change), eq(Applied::Yes));
     }
     expect_that!(state.entries.len(), le(MAXIMUM_DELETIONS));
--- a/crates/decide/tests/disruption.rs
+++ b/crates/decide/tests/disruption.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dappleyard_decide::disruption::{
-    Budget, InFlight, Replica, ReplicaState, Situation, Verdict, may_disrupt,
+    Budget, BudgetContext, DisruptionDecision, InFlight, Replica, ReplicaState, may_disrupt,
 };
 use dappleyard_decide::plans::{AfterWave, PlannedServer, WaveBounds, waves};
 use dappleyard_decide::rollout::{
@@ -21,8 +21,13 @@
     }
 }
 
-fn verdict(candidate: &str, replicas: &[Replica], in_flight: &[InFlight], zone: u32) -> Verdict {
-    let situation = Situation {
+fn decision(
+    candidate: &str,
+    replicas: &[Replica],
+    in_flight: &[InFlight],
+    zone: u32,
+) -> DisruptionDecision {
+    let context = BudgetContext {
         replicas,
         in_flight,
         timeout_ms: 1_000,
@@ -30,7 +35,7 @@
     };
     let candidate = replicas.iter().find(|one| one.server == candidate);
     let candidate = candidate.expect("a known replica");
-    may_disrupt(candidate, situation, Budget::of_row(zone, 0))
+    may_disrupt(candidate, context, Budget::of_row(zone, 0))
 }
 
 fn flight(server: &str, since_ms: u64) -> InFlight {
@@ -44,15 +49,24 @@
 #[gtest]
 fn in_flight_disruption_counts_until_its_timeout() {
     let replicas = ["a", "b", "c"].map(|name| replica(name, ReplicaState::Healthy));
-    expect_that!(verdict("b", &replicas, &[], 1), eq(&Verdict::Allowed));
+    expect_that!(
+        decision("b", &replicas, &[], 1),
+        eq(&DisruptionDecision::Allowed)
+    );
     let recent = [flight("a", 9_500)];
-    expect_that!(verdict("b", &replicas, &recent, 1), pat!(Verdict::Held(_)));
     expect_that!(
-        verdict("a", &replicas, &recent, 1),
-        eq(&Verdict::AlreadyInFlight)
+        decision("b", &replicas, &recent, 1),
+        pat!(DisruptionDecision::Denied(_))
+    );
+    expect_that!(
+        decision("a", &replicas, &recent, 1),
+        eq(&DisruptionDecision::AlreadyInFlight)
     );
     let old = [flight("a", 8_000)];
-    expect_that!(verdict("b", &replicas, &old, 1), eq(&Verdict::Allowed));
+    expect_that!(
+        decision("b", &replicas, &old, 1),
+        eq(&DisruptionDecision::Allowed)
+    );
 }
 
 #[gtest]
@@ -60,19 +74,28 @@
     let mut replicas = ["a", "b", "c"].map(|name| replica(name, ReplicaState::Healthy));
     replicas[0].state = ReplicaState::Unhealthy;
     expect_that!(
-        verdict("a", &replicas, &[], 1),
-        eq(&Verdict::AllowedUnhealthy)
+        decision("a", &replicas, &[], 1),
+        eq(&DisruptionDecision::AllowedUnhealthy)
+    );
+    expect_that!(
+        decision("b", &replicas, &[], 1),
+        pat!(DisruptionDecision::Denied(_))
     );
-    expect_that!(verdict("b", &replicas, &[], 1), pat!(Verdict::Held(_)));
     replicas[1].state = ReplicaState::Unhealthy;
-    expect_that!(verdict("a", &replicas, &[], 1), pat!(Verdict::Held(_)));
+    expect_that!(
+        decision("a", &replicas, &[], 1),
+        pat!(DisruptionDecision::Denied(_))
+    );
 }
 
 #[gtest]
 fn removed_replicas_are_not_expected_to_serve() {
     let mut replicas = ["a", "b", "c"].map(|name| replica(name, ReplicaState::Healthy));
     replicas[0].state = ReplicaState::Removed;
-    expect_that!(verdict("b", &replicas, &[], 1), eq(&Verdict::Allowed));
+    expect_that!(
+        decision("b", &replicas, &[], 1),
+        eq(&DisruptionDecision::Allowed)
+    );
 }
 
 fn view(server: &str, version: &str) -> ServerView {
@@ -85,8 +108,8 @@
         loading: String::new(),
         load_failure: String::new(),
         step_ms: 3.0,
-        failed_looks: 0,
-        looks: 10,
+        failed_observations: 0,
+        observations: 10,
     }
 }
 
@@ -147,7 +170,7 @@
     expect_that!(judge(&healthy, Some(500)), pat!(Gate::Wait(_)));
     expect_that!(judge(&healthy, Some(1_000)), pat!(Gate::Promote(_)));
     let mut failing = healthy.clone();
-    failing[0].failed_looks = 2;
+    failing[0].failed_observations = 2;
     expect_that!(
         judge(&failing, Some(1_000)),
         pat!(Gate::RollBack(contains_substring("2 of 10")))
--- a/crates/decide/tests/membership.rs
+++ b/crates/decide/tests/membership.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dappleyard_decide::membership::Standing;
+use dappleyard_decide::membership::MembershipStatus;
 use dappleyard_wire::messages::MemberState;
 use googletest::prelude::*;
 use support::Network;
@@ -87,7 +87,7 @@
         );
         // Members of the partitioned zone still respond to each other.
         for index in (0..30).filter(|index| of_zone(*index)) {
-            expect_that!(network.standing(index), eq(Standing::Vouched));
+            expect_that!(network.status(index), eq(MembershipStatus::Current));
         }
         network.cut_zones.clear();
         let took = network.run_until(60 * SECOND, Network::views_match);
@@ -114,7 +114,7 @@
     let mut network = converged(12, 12, 1);
     network.cut_zones.insert("zone-4".to_owned());
     network.run(30 * SECOND);
-    expect_that!(network.standing(4), eq(Standing::Isolated));
+    expect_that!(network.status(4), eq(MembershipStatus::Isolated));
     let by_it = network.deaths.iter().filter(|(by, _)| *by == 4);
     expect_that!(by_it.count(), eq(0));
     network.cut_zones.clear();
@@ -122,7 +122,7 @@
         network.run_until(60 * SECOND, Network::views_match),
         some(anything())
     );
-    expect_that!(network.standing(4), eq(Standing::Vouched));
+    expect_that!(network.status(4), eq(MembershipStatus::Current));
 }
 
 #[gtest]
@@ -138,10 +138,10 @@
         let mut unconfirmed = false;
         for _ in 0..2 * support::TICK_MS {
             network.run(1);
-            unconfirmed |= network.standing(7) == Standing::Doubted;
+            unconfirmed |= network.status(7) == MembershipStatus::Unconfirmed;
         }
         expect_that!(unconfirmed, eq(true), "seed {seed}");
-        let current = network.run_until(10 * SECOND, |n| n.standing(7) == Standing::Vouched);
+        let current = network.run_until(10 * SECOND, |n| n.status(7) == MembershipStatus::Current);
         expect_that!(current, some(anything()));
         expect_that!(
             network.run_until(30 * SECOND, Network::views_match),
@@ -191,8 +191,8 @@
         .expect("known")
         .member
         .clone();
-    let _ = old.learn_all(&[news], network.now);
-    expect_that!(old.standing(network.now), eq(Standing::Superseded));
+    let _ = old.merge_member_list(&[news], network.now);
+    expect_that!(old.status(network.now), eq(MembershipStatus::Superseded));
 }
 
 #[gtest]
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing with bounded load, and expected waits.
 
 use dappleyard_decide::placement::{
-    AFFINITY_FLOOR_SEQUENCES, Affinity, Candidate, ServerRoom, expected_wait_ms, rank,
+    AFFINITY_FLOOR_SEQUENCES, Affinity, Candidate, ServerCapacity, expected_wait_ms, rank,
 };
 use dappleyard_wire::hash::rendezvous_weight;
 use googletest::prelude::*;
@@ -134,8 +134,8 @@
     }
 }
 
-fn server() -> ServerRoom {
-    ServerRoom {
+fn server() -> ServerCapacity {
+    ServerCapacity {
         online: 10,
         prefill_tokens: 0,
         online_tokens: 5_000,
@@ -152,19 +152,19 @@
 
 #[gtest]
 fn wait_grows_with_prefill_slots_and_memory() {
-    let prefill = ServerRoom {
+    let prefill = ServerCapacity {
         prefill_tokens: 5_120,
         ..server()
     };
     expect_that!(expected_wait_ms(&prefill, 500), eq(40));
     let mut last = 0;
     for online in [130, 160, 256, 512] {
-        let full = ServerRoom { online, ..server() };
+        let full = ServerCapacity { online, ..server() };
         let wait_ms = expected_wait_ms(&full, 500);
         expect_that!(wait_ms, gt(last));
         last = wait_ms;
     }
-    let memory = ServerRoom {
+    let memory = ServerCapacity {
         online_tokens: 60_000,
         online: 100,
         ..server()
--- a/crates/decide/tests/reassembly.rs
+++ b/crates/decide/tests/reassembly.rs
@@ -6,7 +6,7 @@
 
 const BOUNDS: AssemblyBounds = AssemblyBounds {
     pieces: 1_000,
-    behind_gap: 64,
+    after_gap: 64,
 };
 
 fn piece(version: &str, offset: u32) -> String {
@@ -24,7 +24,7 @@
 #[gtest]
 fn pieces_after_a_gap_are_not_released() {
     let mut assembly = Assembly::new(BOUNDS);
-    assembly.accepted("a").unwrap();
+    assembly.set_version("a").unwrap();
     assembly.take(2, run("a", 2, 4)).unwrap();
     assembly.finish(4).unwrap();
     expect_that!(assembly.release(), eq(""));
@@ -47,12 +47,12 @@
 #[gtest]
 fn another_version_cannot_continue_a_response() {
     let mut assembly = Assembly::new(BOUNDS);
-    assembly.accepted("a").unwrap();
+    assembly.set_version("a").unwrap();
     assembly.take(0, run("a", 0, 3)).unwrap();
     assembly.begin_attempt();
-    expect_that!(assembly.accepted("b"), err(anything()));
+    expect_that!(assembly.set_version("b"), err(anything()));
     expect_that!(assembly.restart(), eq(true));
-    assembly.accepted("b").unwrap();
+    assembly.set_version("b").unwrap();
     assembly.take(0, run("b", 0, 2)).unwrap();
     expect_that!(assembly.release(), eq(&text("b", 2)));
     expect_that!(assembly.restart(), eq(false));
@@ -93,7 +93,7 @@
         finish_at in 0..120_usize,
     ) {
         let mut assembly = Assembly::new(BOUNDS);
-        assembly.accepted("a").unwrap();
+        assembly.set_version("a").unwrap();
         let whole = text("a", total);
         let mut seen = String::new();
         let mut covered = vec![false; total as usize];
@@ -123,7 +123,7 @@
         let mut seen = String::new();
         for (delivered, skipped) in losses {
             assembly.begin_attempt();
-            assembly.accepted("a").unwrap();
+            assembly.set_version("a").unwrap();
             let from = assembly.offset();
             let to = (from + delivered).min(total);
             assembly.take(from, run("a", from, to)).unwrap();
@@ -132,7 +132,7 @@
             seen.push_str(&assembly.release());
         }
         assembly.begin_attempt();
-        assembly.accepted("a").unwrap();
+        assembly.set_version("a").unwrap();
         let from = assembly.offset();
         assembly.take(from, run("a", from, total)).unwrap();
         assembly.finish(total).unwrap();
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,6 +1,8 @@
 //! Retry budgets, retry conditions and backoff.
 
-use dappleyard_decide::retry::{BUDGET_BURST, MAX_BACKOFF_MS, RetryBudget, may_follow, pause_ms};
+use dappleyard_decide::retry::{
+    BUDGET_BURST, MAX_BACKOFF_MS, RetryBudget, may_retry, retry_delay_ms,
+};
 use dappleyard_wire::{Ran, Repeat};
 use googletest::prelude::*;
 
@@ -29,8 +31,8 @@
 #[gtest]
 fn non_repeatable_request_is_retried_only_if_it_did_not_run() {
     for ran in [Ran::No, Ran::Maybe, Ran::Yes] {
-        expect_that!(may_follow(ran, Repeat::Allowed), is_true());
-        expect_that!(may_follow(ran, Repeat::Never), eq(ran == Ran::No));
+        expect_that!(may_retry(ran, Repeat::Allowed), is_true());
+        expect_that!(may_retry(ran, Repeat::Never), eq(ran == Ran::No));
     }
 }
 
@@ -39,13 +41,13 @@
     for retry in 0..100 {
         for unit in [0.0, 0.3, 0.999, 1.0, 7.0] {
             for left_ms in [0, 1, 10, 100, 10_000] {
-                if let Some(pause) = pause_ms(retry, unit, left_ms) {
+                if let Some(pause) = retry_delay_ms(retry, unit, left_ms) {
                     expect_that!(pause, lt(left_ms));
                     expect_that!(pause, le(u64::from(MAX_BACKOFF_MS)));
                 }
             }
         }
     }
-    expect_that!(pause_ms(1, 0.5, 1_000), some(eq(5)));
-    expect_that!(pause_ms(3, 0.5, 1_000), some(eq(20)));
+    expect_that!(retry_delay_ms(1, 0.5, 1_000), some(eq(5)));
+    expect_that!(retry_delay_ms(3, 0.5, 1_000), some(eq(20)));
 }
--- a/crates/decide/tests/support/mod.rs
+++ b/crates/decide/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use dappleyard_decide::membership::{
-    Action, Membership, MembershipSettings, REFUTATION_BITS, Standing,
+    Action, Membership, MembershipSettings, MembershipStatus, REFUTATION_BITS,
 };
 use dappleyard_decide::time::Millis;
 use dappleyard_wire::MAXIMUM_DATAGRAM_BYTES;
@@ -179,7 +179,7 @@
 
     /// Merges the full member list of a peer over a reliable link.
     fn full_sync(&mut self, index: usize) {
-        let Some(peer) = self.nodes[index].membership.take_differing() else {
+        let Some(peer) = self.nodes[index].membership.take_full_sync_peer() else {
             return;
         };
         let Some(peer) = (0..self.nodes.len()).find(|other| name(*other) == peer) else {
@@ -192,7 +192,9 @@
         let list = &self.nodes[peer].membership;
         let mut members: Vec<Member> = list.members().map(|e| e.member.clone()).collect();
         members.push(list.own().clone());
-        let actions = self.nodes[index].membership.learn_all(&members, self.now);
+        let actions = self.nodes[index]
+            .membership
+            .merge_member_list(&members, self.now);
         self.perform(index, actions);
     }
 
@@ -265,7 +267,7 @@
         })
     }
 
-    pub fn standing(&self, index: usize) -> Standing {
-        self.nodes[index].membership.standing(self.now)
+    pub fn status(&self, index: usize) -> MembershipStatus {
+        self.nodes[index].membership.status(self.now)
     }
 }
--- a/crates/engine/src/client/mod.rs
+++ b/crates/engine/src/client/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::port::{
     CacheEvent, Engine, EngineError, EngineEvent, EngineOrder, EngineReport, EventStream,
-    GenerateCall, KvQuery, KvState,
+    GenerateCall, KvExportRequest, KvState,
 };
 use line_buffer::LineBuffer;
 
@@ -144,7 +144,7 @@
         self.post(format!("{base}/v1/orders"), &order).await
     }
 
-    async fn export_kv(&self, base: &str, query: KvQuery) -> Result<KvState, EngineError> {
+    async fn export_kv(&self, base: &str, query: KvExportRequest) -> Result<KvState, EngineError> {
         self.post(format!("{base}/v1/kv/export"), &query).await
     }
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -9,5 +9,5 @@
 pub use client::HttpEngine;
 pub use port::{
     CacheEvent, Engine, EngineError, EngineEvent, EngineOrder, EngineReport, EventStream,
-    GenerateCall, KvQuery, KvState, LoadedModel, OrderKind, Priority,
+    GenerateCall, KvExportRequest, KvState, LoadedModel, OrderKind, Priority,
 };
--- a/crates/engine/src/port.rs
+++ b/crates/engine/src/port.rs
@@ -165,7 +165,7 @@
 
 /// Body of `POST {base}/v1/kv/export`: identifies the state to export.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KvQuery {
+pub struct KvExportRequest {
     /// Canonical prompt text of a running or ended sequence.
     pub prompt: String,
     /// Hash of the shared prefix of the prompt.
@@ -241,7 +241,11 @@
     async fn order(&self, base: &str, order: EngineOrder) -> Result<(), EngineError>;
 
     /// Exports the KV state of a sequence. An engine without support answers 501.
-    async fn export_kv(&self, _base: &str, _query: KvQuery) -> Result<KvState, EngineError> {
+    async fn export_kv(
+        &self,
+        _base: &str,
+        _query: KvExportRequest,
+    ) -> Result<KvState, EngineError> {
         Err(kv_transfer_unsupported())
     }
 
--- a/crates/fleet/src/actor.rs
+++ b/crates/fleet/src/actor.rs
@@ -223,7 +223,7 @@
     fn update_lifecycle(&mut self, now: Millis) {
         let inputs = Inputs {
             synced: self.synced,
-            standing: self.membership.standing(now),
+            standing: self.membership.status(now),
             highest_heard: self.highest_heard,
             revision: self.tables.configuration.revision(),
         };
--- a/crates/fleet/src/actor/calls.rs
+++ b/crates/fleet/src/actor/calls.rs
@@ -73,13 +73,13 @@
         self.metrics.count_call("changes", &read);
         match read {
             Ok(FeedRead::Changes(changes)) => {
-                self.membership.note_store(sent);
+                self.membership.record_store_response(sent);
                 for change in changes {
                     self.spread.offer(&change, Source::Feed, &self.metrics);
                 }
             }
             Ok(FeedRead::Snapshot(snapshot)) => {
-                self.membership.note_store(sent);
+                self.membership.record_store_response(sent);
                 self.take_snapshot(snapshot);
             }
             Err(error) => tracing::debug!(%error, "the change feed cannot be read"),
@@ -145,7 +145,7 @@
     /// the store when no peer answers.
     fn start_sync(&mut self, now: Millis, context: &mut Context<Self>) {
         let wanted = self.snapshot_from.take();
-        let wanted = wanted.or_else(|| self.membership.take_differing());
+        let wanted = wanted.or_else(|| self.membership.take_full_sync_peer());
         if self.synced && wanted.is_none() {
             return;
         }
@@ -198,7 +198,7 @@
         let vouched = answer.ready;
         let (state, members) = sync::parts(answer);
         let now = self.now();
-        let actions = self.membership.learn_all(&members, now);
+        let actions = self.membership.merge_member_list(&members, now);
         self.perform(actions);
         if vouched {
             self.spread.replace(state, &self.metrics);
@@ -214,7 +214,7 @@
             actor.metrics.count_call("snapshot", &read);
             match read {
                 Ok(snapshot) => {
-                    actor.membership.note_store(now);
+                    actor.membership.record_store_response(now);
                     actor.take_snapshot(snapshot);
                     actor.finish_sync();
                 }
--- a/crates/fleet/src/actor/changes.rs
+++ b/crates/fleet/src/actor/changes.rs
@@ -1,6 +1,6 @@
 //! What the actor does when a member has changed: tables, metrics, decision records.
 
-use dappleyard_decide::membership::{Action, start_of};
+use dappleyard_decide::membership::{Action, start_number};
 use dappleyard_decide::time::Millis;
 use dappleyard_tables::decisions::{Decision, DecisionKind, Subject};
 use dappleyard_wire::ids::NodeId;
@@ -23,10 +23,10 @@
             Action::Changed {
                 member,
                 before,
-                own_finding,
+                detected_locally,
                 detected_after_ms,
             } => {
-                if own_finding && member.state() == MemberState::MemberSuspect {
+                if detected_locally && member.state() == MemberState::MemberSuspect {
                     self.metrics.own_suspicions.inc();
                 }
                 self.member_changed(member, before, detected_after_ms);
@@ -35,11 +35,11 @@
                 self.tables.members.remove(&NodeId::from(node));
                 self.dirty = true;
             }
-            Action::Refuted { accused } => {
+            Action::Refuted { claimed_state } => {
                 self.metrics.refutations.inc();
                 self.dirty = true;
                 let own = self.membership.own().clone();
-                let cause = format!("others believed this node {}", state_name(accused));
+                let cause = format!("others believed this node {}", state_name(claimed_state));
                 self.record_member(&own, cause, "refuted with a greater incarnation");
             }
         }
@@ -53,9 +53,9 @@
     ) {
         let node = NodeId::from(&member.node);
         let known = self.tables.members.get(&node);
-        let restarted = known
-            .as_ref()
-            .is_some_and(|known| start_of(known.incarnation) != start_of(member.incarnation));
+        let restarted = known.as_ref().is_some_and(|known| {
+            start_number(known.incarnation) != start_number(member.incarnation)
+        });
         let gone = !dappleyard_decide::membership::is_present(&member);
         if restarted || gone {
             self.tables.loads.remove_node(&member.node);
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use dappleyard_decide::membership::Standing;
+use dappleyard_decide::membership::MembershipStatus;
 use dappleyard_decide::time::Millis;
 use dappleyard_tables::decisions::{Decision, DecisionKind, Subject};
 use dappleyard_tables::{Lifecycle, NodeTables};
@@ -14,7 +14,7 @@
     /// The node has learnt members and configuration since it started.
     pub synced: bool,
     /// Whether it can vouch for what it knows.
-    pub standing: Standing,
+    pub standing: MembershipStatus,
     /// Highest configuration revision that others have shown.
     pub highest_heard: u64,
     /// Revision in force here.
@@ -49,21 +49,21 @@
             );
         }
         match inputs.standing {
-            Standing::Superseded => {
+            MembershipStatus::Superseded => {
                 return (Lifecycle::Withdrawn, "a later start of this node is alive");
             }
-            Standing::Doubted => {
+            MembershipStatus::Unconfirmed => {
                 self.recovering = true;
                 return (
                     Lifecycle::Withdrawn,
                     "the node was paused or declared dead, and no member has answered since",
                 );
             }
-            Standing::Isolated => {
+            MembershipStatus::Isolated => {
                 self.recovering = true;
                 return (Lifecycle::Withdrawn, "neither members nor the store answer");
             }
-            Standing::Vouched => {}
+            MembershipStatus::Current => {}
         }
         let lags_long = self
             .behind_since
--- a/crates/fleet/src/lifecycle/tests.rs
+++ b/crates/fleet/src/lifecycle/tests.rs
@@ -1,6 +1,6 @@
 //! When a node serves.
 
-use dappleyard_decide::membership::Standing;
+use dappleyard_decide::membership::MembershipStatus;
 use dappleyard_decide::time::Millis;
 use dappleyard_tables::Lifecycle;
 use googletest::prelude::*;
@@ -9,7 +9,7 @@
 
 const VOUCH_MS: u64 = 8_000;
 
-fn inputs(standing: Standing, revision: u64, highest_heard: u64) -> Inputs {
+fn inputs(standing: MembershipStatus, revision: u64, highest_heard: u64) -> Inputs {
     Inputs {
         synced: true,
         standing,
@@ -27,24 +27,24 @@
     let mut guard = LifecycleGuard::default();
     let unsynced = Inputs {
         synced: false,
-        ..inputs(Standing::Vouched, 0, 0)
+        ..inputs(MembershipStatus::Current, 0, 0)
     };
     expect_that!(decide(&mut guard, unsynced, 0), eq(Lifecycle::Starting));
-    let synced = inputs(Standing::Vouched, 4, 4);
+    let synced = inputs(MembershipStatus::Current, 4, 4);
     expect_that!(decide(&mut guard, synced, 1), eq(Lifecycle::Ready));
 }
 
 #[gtest]
 fn a_lag_that_gossip_will_close_does_not_withdraw_a_node_but_a_long_one_does() {
     let mut guard = LifecycleGuard::default();
-    let lagging = inputs(Standing::Vouched, 4, 5);
+    let lagging = inputs(MembershipStatus::Current, 4, 5);
     expect_that!(decide(&mut guard, lagging, 0), eq(Lifecycle::Ready));
     expect_that!(decide(&mut guard, lagging, VOUCH_MS), eq(Lifecycle::Ready));
     expect_that!(
         decide(&mut guard, lagging, VOUCH_MS + 1),
         eq(Lifecycle::Withdrawn)
     );
-    let caught_up = inputs(Standing::Vouched, 5, 5);
+    let caught_up = inputs(MembershipStatus::Current, 5, 5);
     expect_that!(
         decide(&mut guard, caught_up, VOUCH_MS + 2),
         eq(Lifecycle::Ready)
@@ -54,18 +54,18 @@
 #[gtest]
 fn after_a_doubt_the_revision_of_the_peers_comes_first() {
     let mut guard = LifecycleGuard::default();
-    let doubted = inputs(Standing::Doubted, 4, 4);
+    let doubted = inputs(MembershipStatus::Unconfirmed, 4, 4);
     expect_that!(decide(&mut guard, doubted, 0), eq(Lifecycle::Withdrawn));
-    let behind = inputs(Standing::Vouched, 4, 9);
+    let behind = inputs(MembershipStatus::Current, 4, 9);
     expect_that!(decide(&mut guard, behind, 1), eq(Lifecycle::Withdrawn));
-    let caught_up = inputs(Standing::Vouched, 9, 9);
+    let caught_up = inputs(MembershipStatus::Current, 9, 9);
     expect_that!(decide(&mut guard, caught_up, 2), eq(Lifecycle::Ready));
 }
 
 #[gtest]
 fn isolated_and_superseded_nodes_do_not_serve() {
     let mut guard = LifecycleGuard::default();
-    for standing in [Standing::Isolated, Standing::Superseded] {
+    for standing in [MembershipStatus::Isolated, MembershipStatus::Superseded] {
         let inputs = inputs(standing, 4, 4);
         expect_that!(decide(&mut guard, inputs, 0), eq(Lifecycle::Withdrawn));
     }
--- a/crates/fleet/src/watcher.rs
+++ b/crates/fleet/src/watcher.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use dappleyard_decide::configuration::{ConfigurationState, FeedRow, changes_of_feed};
+use dappleyard_decide::configuration::{ConfigurationState, FeedRow, changes_from_feed};
 use dappleyard_store::{StoreError, TableStore};
 use dappleyard_wire::keys::{CONFIGURATION_HEAD, CONFIGURATION_PREFIX};
 use dappleyard_wire::messages::ConfigurationEntry;
@@ -43,7 +43,7 @@
         return Ok(FeedRead::Snapshot(snapshot));
     }
     let rows: Vec<FeedRow> = changes.rows.into_iter().map(feed_row).collect();
-    Ok(FeedRead::Changes(changes_of_feed(&rows, applied)))
+    Ok(FeedRead::Changes(changes_from_feed(&rows, applied)))
 }
 
 fn feed_row((key, revision, value): (String, u64, Option<bytes::Bytes>)) -> FeedRow {
@@ -62,7 +62,7 @@
     }
     let mut state = ConfigurationState::default();
     let rows: Vec<FeedRow> = changes.rows.into_iter().map(feed_row).collect();
-    for change in changes_of_feed(&rows, 0) {
+    for change in changes_from_feed(&rows, 0) {
         state.apply(&change);
     }
     Ok(Snapshot {
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the processes and the first configuration, from the scenario.
 
 use dappleyard_settings::{
-    BatchSettings, FleetSettings, NodeSettings, Place, PlatformSettings, SidecarSettings,
+    BatchSettings, FleetSettings, Location, NodeSettings, PlatformSettings, SidecarSettings,
 };
 use dappleyard_store::Transaction;
 use dappleyard_wire::keys;
@@ -111,8 +111,8 @@
     }
 }
 
-fn place(placed: &Placed) -> Place {
-    Place {
+fn place(placed: &Placed) -> Location {
+    Location {
         zone: placed.spot.zone.clone(),
         region: placed.spot.region.clone(),
     }
--- a/crates/lab/src/replay/machine.rs
+++ b/crates/lab/src/replay/machine.rs
@@ -13,7 +13,7 @@
 /// Bounds of a replayed answer.
 const BOUNDS: AssemblyBounds = AssemblyBounds {
     pieces: 4096,
-    behind_gap: 256,
+    after_gap: 256,
 };
 
 /// All state of a replay.
@@ -72,7 +72,7 @@
                 if *new_attempt {
                     self.assembly.begin_attempt();
                 }
-                self.assembly.accepted(version)
+                self.assembly.set_version(version)
             }
             Input::Pieces { offset, pieces } => self.assembly.take(*offset, pieces.clone()),
             Input::Finish { total } => self.assembly.finish(*total),
--- a/crates/lab/src/replay/rows.rs
+++ b/crates/lab/src/replay/rows.rs
@@ -7,7 +7,7 @@
 use dappleyard_decide::chunks::{
     ChunkResult, ClaimDecision, Claimant, CommitDecision, claim, commit, reopen,
 };
-use dappleyard_decide::configuration::{Applied, ConfigurationState, FeedRow, changes_of_feed};
+use dappleyard_decide::configuration::{Applied, ConfigurationState, FeedRow, changes_from_feed};
 use dappleyard_decide::once::{OnceAttempt, OnceDecision, decide, give_up, may_settle, settle};
 use dappleyard_wire::keys::{CHUNK_PREFIX, CONFIGURATION_PREFIX, EPOCH_PREFIX, JOB_PREFIX};
 use dappleyard_wire::messages::{ChunkPhase, ChunkRow, EpochRow, JobRow, OnceRow};
@@ -59,7 +59,7 @@
 
     fn configuration(&mut self, rows: &[FeedRow]) -> Option<String> {
         let previous = self.configuration.revision;
-        let changes = changes_of_feed(rows, previous);
+        let changes = changes_from_feed(rows, previous);
         let applied = changes
             .iter()
             .map(|change| self.configuration.apply(change))
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -42,7 +42,7 @@
             }
             Some(Method::ListModels(_)) => Ok(self.models()),
             Some(Method::RecordBegin(_) | Method::RecordSettle(_)) => {
-                self.online.record_call(call).await
+                self.online.handle_record_call(call).await
             }
             Some(_) if self.refuses_calls() => Err(Failure::not_run(
                 ErrorKind::NotReady,
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -83,7 +83,7 @@
         policy,
         link_settings: (&settings.link).into(),
     });
-    dappleyard_online::start_reports(tables.clone(), settings.online.clone(), engine.clone());
+    dappleyard_online::start_report_poller(tables.clone(), settings.online.clone(), engine.clone());
     let operate = dappleyard_operate::start(OperateContext {
         tables: tables.clone(),
         settings: settings.operate.clone(),
--- a/crates/online/src/dispatch.rs
+++ b/crates/online/src/dispatch.rs
@@ -115,7 +115,7 @@
     let now = worker.tables.clock.now();
     let bound = worker.settings.leaving_bound_ms;
     let known = worker.tables.servers.with(&selected.server, |state| {
-        freshness::still_holds(state.accepting_known_at, now, bound)
+        freshness::is_fresh(state.accepting_known_at, now, bound)
     });
     if known == Some(true) {
         return true;
--- a/crates/online/src/ingress/mod.rs
+++ b/crates/online/src/ingress/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_decide::retry::{may_follow, pause_ms};
+use dappleyard_decide::retry::{may_retry, retry_delay_ms};
 use dappleyard_wire::error::join_ran;
 use dappleyard_wire::messages::{Chunk, Finish, OnceOutcome, Stage, frame};
 use dappleyard_wire::{ErrorKind, Failure, Ran};
@@ -129,7 +129,7 @@
         if !failure.kind.answer().retryable {
             return Err(failure.clone());
         }
-        if !may_follow(self.ran, self.incoming.request.repeat()) && !self.earlier.has_stream() {
+        if !may_retry(self.ran, self.incoming.request.repeat()) && !self.earlier.has_stream() {
             return Err(settle::outcome_unknown());
         }
         let cause = failure.kind.answer().code;
@@ -144,7 +144,7 @@
             return Err(failure.clone().retry_after(EXHAUSTED_RETRY_AFTER_MS));
         }
         let remaining_ms = u64::from(self.incoming.remaining_ms());
-        let pause = pause_ms(self.retries, rand::random(), remaining_ms);
+        let pause = retry_delay_ms(self.retries, rand::random(), remaining_ms);
         let pause = pause.ok_or_else(|| settle::deadline(self.ran))?;
         self.owners_tried = 0;
         tokio::time::sleep(Duration::from_millis(pause)).await;
--- a/crates/online/src/ingress/targets.rs
+++ b/crates/online/src/ingress/targets.rs
@@ -1,6 +1,6 @@
 //! Selection of the next target and construction of its submission.
 
-use dappleyard_decide::retry::may_follow;
+use dappleyard_decide::retry::may_retry;
 use dappleyard_wire::ids::{NodeId, ServerId};
 use dappleyard_wire::messages::{Stage, Submit};
 
@@ -18,7 +18,7 @@
         if self.earlier.has_stream() {
             return Some(self.resume_target());
         }
-        if !may_follow(self.ran, self.incoming.request.repeat()) {
+        if !may_retry(self.ran, self.incoming.request.repeat()) {
             return None;
         }
         let may_spill = self.incoming.stage == Stage::Ingress && self.spills < MAXIMUM_SPILLS;
--- a/crates/online/src/lib.rs
+++ b/crates/online/src/lib.rs
@@ -30,6 +30,6 @@
 mod worker;
 
 pub use load::node_load;
-pub use reports::start_reports;
+pub use reports::start_report_poller;
 pub use shared::OnlineShared;
 pub use worker::{LocalStream, OnlineContext, OnlineWorker};
--- a/crates/online/src/load.rs
+++ b/crates/online/src/load.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dappleyard_decide::placement::{ServerRoom, expected_tokens, expected_wait_ms};
+use dappleyard_decide::placement::{ServerCapacity, expected_tokens, expected_wait_ms};
 use dappleyard_tables::servers::{InFlight, OwnedServer};
 use dappleyard_tables::{Lifecycle, NodeTables};
 use dappleyard_wire::messages::{NodeLoad, ServiceLoad};
@@ -51,11 +51,11 @@
 
 /// Capacity of a server for another online sequence. Online sequences are counted by this owner, since
 /// the report lags.
-pub(crate) fn room(state: &OwnedServer) -> ServerRoom {
+pub(crate) fn room(state: &OwnedServer) -> ServerCapacity {
     let report = state.report.as_ref().map(|(report, _)| report);
     let unstarted = state.online.values().filter(|flight| !flight.started);
     let own = u32::try_from(state.online.len()).unwrap_or(u32::MAX);
-    ServerRoom {
+    ServerCapacity {
         online: own + state.foreign_online,
         prefill_tokens: unstarted.map(|flight| flight.prefill_tokens).sum(),
         online_tokens: state.online.values().map(held_tokens).sum(),
--- a/crates/online/src/owner/mod.rs
+++ b/crates/online/src/owner/mod.rs
@@ -9,7 +9,7 @@
 
 use dappleyard_clock::Instant;
 use dappleyard_crashes::Permit;
-use dappleyard_decide::retry::may_follow;
+use dappleyard_decide::retry::may_retry;
 use dappleyard_engine::{EngineError, EventStream};
 use dappleyard_tables::crashes::EngineRunGuard;
 use dappleyard_wire::error::join_ran;
@@ -52,7 +52,7 @@
     /// Whether the connection of the last call was lost.
     connection_lost: bool,
     /// The active run at an engine.
-    run: Option<RunAtEngine>,
+    run: Option<EngineRunGuard>,
     /// End of the grace period for a disconnected caller.
     detached_until: Option<Instant>,
 }
@@ -285,7 +285,7 @@
         }
         self.record_failure(&error, selected);
         self.exclude_server(connection_lost, selected);
-        if !may_follow(self.ran, self.incoming.request.repeat()) && !self.earlier.has_stream() {
+        if !may_retry(self.ran, self.incoming.request.repeat()) && !self.earlier.has_stream() {
             return NextStep::End(End::Refused(settle::outcome_unknown()));
         }
         let retry = self.dispatches < MAXIMUM_DISPATCHES
--- a/crates/online/src/reports.rs
+++ b/crates/online/src/reports.rs
@@ -30,7 +30,11 @@
 
 /// Starts a task on the current arbiter that polls the engines of the servers owned by this node and
 /// publishes the node's load. The task never ends.
-pub fn start_reports(tables: Arc<NodeTables>, settings: OnlineSettings, engine: Rc<dyn Engine>) {
+pub fn start_report_poller(
+    tables: Arc<NodeTables>,
+    settings: OnlineSettings,
+    engine: Rc<dyn Engine>,
+) {
     let poller = Rc::new(Poller {
         tables,
         engine,
@@ -138,7 +142,7 @@
     asked: Millis,
 ) {
     let now = tables.clock.now();
-    let reported_at = freshness::said_at(asked, u64::from(report.age_ms));
+    let reported_at = freshness::valid_at(asked, u64::from(report.age_ms));
     let change = tables.servers.with(server, |state| {
         state.failures = 0;
         if reported_at < state.accepting_known_at {
--- a/crates/online/src/worker.rs
+++ b/crates/online/src/worker.rs
@@ -110,7 +110,7 @@
     }
 
     /// Handles `RecordBegin` and `RecordSettle` calls sent to this node as recorder of a key.
-    pub async fn record_call(&self, call: Call) -> Result<Reply, Failure> {
+    pub async fn handle_record_call(&self, call: Call) -> Result<Reply, Failure> {
         let budget = Duration::from_millis(u64::from(call.budget_ms));
         let deadline = Instant::now() + budget;
         let state = match call.method {
--- a/crates/online/tests/remote.rs
+++ b/crates/online/tests/remote.rs
@@ -64,7 +64,7 @@
             frame::Body::Call(call) => {
                 let worker = worker.clone();
                 tokio::task::spawn_local(async move {
-                    let body = match worker.record_call(call).await {
+                    let body = match worker.handle_record_call(call).await {
                         Ok(reply) => frame::Body::Reply(reply),
                         Err(failure) => frame::Body::Refused(failure.to_refused()),
                     };
--- a/crates/operate/src/controller/observe.rs
+++ b/crates/operate/src/controller/observe.rs
@@ -48,8 +48,8 @@
                 loading: String::new(),
                 load_failure: String::new(),
                 step_ms: 0.0,
-                failed_looks: 0,
-                looks: 0,
+                failed_observations: 0,
+                observations: 0,
             },
             entry,
             adapters: Vec::new(),
@@ -63,16 +63,16 @@
         let version = report.model.as_ref().map_or("", |model| &model.version);
         if version != self.view.version {
             self.view.version = version.to_owned();
-            self.view.looks = 0;
-            self.view.failed_looks = 0;
+            self.view.observations = 0;
+            self.view.failed_observations = 0;
             self.version_since = now;
         }
         self.view.reachable = true;
         self.view.loading = report.loading;
         self.view.load_failure = report.load_failure;
         self.view.step_ms = report.step_ms;
-        self.view.looks += 1;
-        self.view.failed_looks += u32::from(failing);
+        self.view.observations += 1;
+        self.view.failed_observations += u32::from(failing);
         self.adapters = report.model.map_or_else(Vec::new, |model| model.adapters);
         self.accepting = report.accepting;
         self.looked_at = Some(now);
@@ -80,8 +80,8 @@
 
     fn miss(&mut self, now: Millis) {
         self.view.reachable = false;
-        self.view.looks += 1;
-        self.view.failed_looks += 1;
+        self.view.observations += 1;
+        self.view.failed_observations += 1;
         self.looked_at = Some(now);
     }
 }
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dappleyard_decide::disruption::{
-    Budget, Replica, ReplicaState, Situation, Verdict, may_disrupt,
+    Budget, BudgetContext, DisruptionDecision, Replica, ReplicaState, may_disrupt,
 };
 use dappleyard_settings::OperateSettings;
 use dappleyard_store::{Expect, StoreError, TableStore, Transaction};
@@ -200,21 +200,21 @@
             .collect();
         for server in self.waiting(service) {
             let in_flight = ledger.in_flight();
-            let situation = Situation {
+            let context = BudgetContext {
                 replicas: &replicas,
                 in_flight: &in_flight,
                 timeout_ms: self.view.settings.disruption_timeout_ms,
                 now_ms: self.view.unix_ms,
             };
-            match may_disrupt(&self.replica(server), situation, budget) {
-                Verdict::Allowed | Verdict::AllowedUnhealthy => {
+            match may_disrupt(&self.replica(server), context, budget) {
+                DisruptionDecision::Allowed | DisruptionDecision::AllowedUnhealthy => {
                     ledger.add(&server.server, &server.zone, plan, self.view.unix_ms);
                     self.going.push(server.server.clone());
                 }
-                Verdict::AlreadyInFlight => {
+                DisruptionDecision::AlreadyInFlight => {
                     self.held = format!("server {} is being changed already", server.server);
                 }
-                Verdict::Held(shortage) => self.held = shortage.words(),
+                DisruptionDecision::Denied(exhausted) => self.held = exhausted.description(),
             }
         }
     }
--- a/crates/operate/src/plans/ledger.rs
+++ b/crates/operate/src/plans/ledger.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use dappleyard_decide::disruption::{InFlight, remembered};
+use dappleyard_decide::disruption::{InFlight, unfinished_disruptions};
 use dappleyard_store::{Expect, TableStore, Transaction};
 use dappleyard_wire::Failure;
 use dappleyard_wire::keys;
@@ -51,10 +51,11 @@
     /// Forgets disruptions that were observed as done, or that timed out.
     pub fn forget(&mut self, observed: &BTreeSet<String>, timeout_ms: u64, now_unix_ms: u64) {
         let flights = self.in_flight();
-        let kept: BTreeSet<&str> = remembered(&flights, observed, timeout_ms, now_unix_ms)
-            .into_iter()
-            .map(|flight| flight.server.as_str())
-            .collect();
+        let kept: BTreeSet<&str> =
+            unfinished_disruptions(&flights, observed, timeout_ms, now_unix_ms)
+                .into_iter()
+                .map(|flight| flight.server.as_str())
+                .collect();
         let before = self.row.disruptions.len();
         self.row
             .disruptions
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,10 +16,10 @@
 pub use batch::{BatchPolicy, BatchSettings};
 pub use fleet::FleetSettings;
 pub use load::{
-    SettingsError, load_node, load_sidecar, parse_node, parse_sidecar, recheck_node,
-    recheck_sidecar,
+    SettingsError, load_node, load_sidecar, parse_node, parse_sidecar, validate_node,
+    validate_sidecar,
 };
-pub use node::{LinkBounds, NodeSettings, Place};
+pub use node::{LinkBounds, Location, NodeSettings};
 pub use online::OnlineSettings;
 pub use operate::OperateSettings;
 pub use platform::PlatformSettings;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -44,13 +44,13 @@
 }
 
 /// Validates settings changed after parsing, for example by command-line flags.
-pub fn recheck_node(settings: &NodeSettings) -> Result<(), SettingsError> {
-    recheck(settings, NODE_RULES)
+pub fn validate_node(settings: &NodeSettings) -> Result<(), SettingsError> {
+    validate(settings, NODE_RULES)
 }
 
 /// Validates settings changed after parsing, for example by command-line flags.
-pub fn recheck_sidecar(settings: &SidecarSettings) -> Result<(), SettingsError> {
-    recheck(settings, SIDECAR_RULES)
+pub fn validate_sidecar(settings: &SidecarSettings) -> Result<(), SettingsError> {
+    validate(settings, SIDECAR_RULES)
 }
 
 fn read(path: &Path) -> Result<String, SettingsError> {
@@ -88,7 +88,7 @@
     })
 }
 
-fn recheck<T: Serialize>(settings: &T, rules: &[Rule]) -> Result<(), SettingsError> {
+fn validate<T: Serialize>(settings: &T, rules: &[Rule]) -> Result<(), SettingsError> {
     let table = as_table(settings);
     let problems: Vec<String> = rules
         .iter()
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -11,12 +11,12 @@
 /// Location of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Place {
+pub struct Location {
     pub zone: String,
     pub region: String,
 }
 
-impl Default for Place {
+impl Default for Location {
     fn default() -> Self {
         Self {
             zone: "zone-1".to_owned(),
@@ -67,7 +67,7 @@
 pub struct NodeSettings {
     /// Node id, unique in the fleet.
     pub id: String,
-    pub place: Place,
+    pub place: Location,
     /// TCP listen address for links from sidecars and nodes; port 0 selects a free port.
     pub link_listen: String,
     /// UDP listen address for gossip.
@@ -90,7 +90,7 @@
     fn default() -> Self {
         Self {
             id: "node-1".to_owned(),
-            place: Place::default(),
+            place: Location::default(),
             link_listen: "127.0.0.1:7700".to_owned(),
             gossip_listen: "127.0.0.1:7701".to_owned(),
             admin_listen: "127.0.0.1:7702".to_owned(),
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::node::{LinkBounds, Place};
+use crate::node::{LinkBounds, Location};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SidecarSettings {
     /// Name of this process in logs and links.
     pub id: String,
-    pub place: Place,
+    pub place: Location,
     /// HTTP listen address for clients; loopback only.
     pub listen: String,
     /// Link addresses (host:port) of nodes to contact at startup, from which others are discovered.
@@ -53,7 +53,7 @@
     fn default() -> Self {
         Self {
             id: "sidecar".to_owned(),
-            place: Place::default(),
+            place: Location::default(),
             listen: "127.0.0.1:8080".to_owned(),
             nodes: vec!["127.0.0.1:7700".to_owned()],
             links: 3,
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -1,6 +1,6 @@
 //! Defaults, validation and error messages of settings files.
 
-use dappleyard_settings::{NodeSettings, parse_node, parse_sidecar, recheck_node};
+use dappleyard_settings::{NodeSettings, parse_node, parse_sidecar, validate_node};
 use googletest::prelude::*;
 
 #[gtest]
@@ -10,7 +10,7 @@
 
 #[gtest]
 fn defaults_are_valid() {
-    expect_that!(recheck_node(&NodeSettings::default()), ok(anything()));
+    expect_that!(validate_node(&NodeSettings::default()), ok(anything()));
 }
 
 #[gtest]
@@ -68,7 +68,7 @@
         workers: 0,
         ..NodeSettings::default()
     };
-    let problems = recheck_node(&settings).unwrap_err().problems;
+    let problems = validate_node(&settings).unwrap_err().problems;
     expect_that!(
         problems,
         elements_are![starts_with("workers: must be from 1 to 64")]
--- a/crates/sidecar/src/calls.rs
+++ b/crates/sidecar/src/calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_decide::retry::pause_ms;
+use dappleyard_decide::retry::retry_delay_ms;
 use dappleyard_transport::Link;
 use dappleyard_wire::messages::{Call, call, frame, reply};
 use dappleyard_wire::{ErrorKind, Failure};
@@ -47,7 +47,7 @@
             && attempt < worker.settings().maximum_attempts
             && worker.shared.retries.lock().take();
         let left = deadline.saturating_duration_since(Instant::now());
-        let pause = pause_ms(attempt, rand::rng().random(), left.as_millis() as u64);
+        let pause = retry_delay_ms(attempt, rand::rng().random(), left.as_millis() as u64);
         let Some(pause) = pause.filter(|_| may_retry) else {
             return Err(failure);
         };
--- a/crates/sidecar/src/choose.rs
+++ b/crates/sidecar/src/choose.rs
@@ -6,7 +6,7 @@
 
 use std::cmp::Reverse;
 
-use dappleyard_settings::Place;
+use dappleyard_settings::Location;
 use dappleyard_wire::hash::rendezvous_weight;
 
 /// Nodes that a key picks and whose load is compared.
@@ -28,7 +28,7 @@
 }
 
 /// Distance from a place: 0 in the same zone, 1 in the same region, 2 elsewhere.
-pub fn distance(from: &Place, zone: &str, region: &str) -> u8 {
+pub fn distance(from: &Location, zone: &str, region: &str) -> u8 {
     if region != from.region {
         2
     } else {
@@ -47,7 +47,7 @@
 
 /// Index of the chosen candidate. Nodes in `avoid` are taken only when there is no other.
 pub fn choose(
-    from: &Place,
+    from: &Location,
     key: u64,
     pick: Pick,
     candidates: &[Candidate],
--- a/crates/sidecar/src/forward/mod.rs
+++ b/crates/sidecar/src/forward/mod.rs
@@ -53,7 +53,7 @@
     pub fn new(worker: Rc<Worker>, stamped: &Stamped) -> Forward {
         let bounds = AssemblyBounds {
             pieces: stamped.request.max_tokens,
-            behind_gap: worker.settings().maximum_gap_pieces,
+            after_gap: worker.settings().maximum_gap_pieces,
         };
         Forward {
             request: stamped.request.clone(),
--- a/crates/sidecar/src/forward/receive.rs
+++ b/crates/sidecar/src/forward/receive.rs
@@ -88,7 +88,7 @@
         let Some(accepted) = accepted else {
             return Ok(());
         };
-        if let Err(error) = self.assembly.accepted(&accepted.version) {
+        if let Err(error) = self.assembly.set_version(&accepted.version) {
             return self.does_not_fit(&error).await;
         }
         self.accepted = Some(accepted);
@@ -117,7 +117,7 @@
         }
         let fits = self
             .assembly
-            .accepted(&finish.version)
+            .set_version(&finish.version)
             .and_then(|()| self.assembly.finish(finish.total_tokens));
         if let Err(error) = fits {
             return self.does_not_fit(&error).await;
@@ -141,7 +141,7 @@
             AssemblyError::VersionChanged { .. } => (ErrorKind::VersionGone, "version"),
             AssemblyError::Conflict { .. } => (ErrorKind::EngineLost, "conflict"),
             AssemblyError::Bound { .. } => (ErrorKind::EngineLost, "bound"),
-            AssemblyError::BehindEnd { .. } => (ErrorKind::EngineLost, "behind_end"),
+            AssemblyError::PastEnd { .. } => (ErrorKind::EngineLost, "behind_end"),
         };
         self.count_bad_frame(cause);
         self.fail(0, Failure::maybe_ran(kind, error.to_string()))
--- a/crates/sidecar/src/forward/retry.rs
+++ b/crates/sidecar/src/forward/retry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_decide::retry::pause_ms;
+use dappleyard_decide::retry::retry_delay_ms;
 use dappleyard_transport::{Link, LinkError};
 use dappleyard_wire::error::join_ran;
 use dappleyard_wire::messages::{Stage, Submit, frame};
@@ -182,7 +182,7 @@
             return Ok(());
         }
         let left_ms = u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX);
-        match pause_ms(retry, rand::rng().random(), left_ms) {
+        match retry_delay_ms(retry, rand::rng().random(), left_ms) {
             Some(pause) => {
                 tokio::time::sleep(Duration::from_millis(pause)).await;
                 Ok(())
--- a/crates/sidecar/src/known.rs
+++ b/crates/sidecar/src/known.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dappleyard_clock::Instant;
-use dappleyard_settings::Place;
+use dappleyard_settings::Location;
 use dappleyard_transport::Link;
 use dappleyard_wire::messages::PeerNode;
 use rand::Rng;
@@ -18,7 +18,7 @@
 /// A node that may be dialled.
 pub(crate) struct Known {
     /// Where it is; `None` before it is known.
-    pub place: Option<Place>,
+    pub place: Option<Location>,
     /// It takes nothing new and will leave.
     pub draining: bool,
     /// Named by the settings: never forgotten.
@@ -79,7 +79,7 @@
     }
 
     /// Distance, with a node of unknown place counted as near, so that its place is learnt.
-    pub fn distance_from(&self, place: &Place) -> u8 {
+    pub fn distance_from(&self, place: &Location) -> u8 {
         self.place
             .as_ref()
             .map_or(0, |its| distance(place, &its.zone, &its.region))
@@ -97,7 +97,7 @@
 
     /// A link to it is up.
     pub fn linked(&mut self, link: &Link) {
-        self.place = Some(Place {
+        self.place = Some(Location {
             zone: link.peer().zone.clone(),
             region: link.peer().region.clone(),
         });
@@ -110,9 +110,9 @@
         let said_before = self.told_at == look && self.draining;
         self.draining = peer.draining || said_before;
         self.told_at = look;
-        let same = |place: &Place| place.zone == peer.zone && place.region == peer.region;
+        let same = |place: &Location| place.zone == peer.zone && place.region == peer.region;
         if !self.place.as_ref().is_some_and(same) {
-            self.place = Some(Place {
+            self.place = Some(Location {
                 zone: peer.zone.clone(),
                 region: peer.region.clone(),
             });
--- a/crates/sidecar/tests/rules.rs
+++ b/crates/sidecar/tests/rules.rs
@@ -1,6 +1,6 @@
 //! The pure tables: what follows a failed attempt, which node is chosen, the canonical prompt.
 
-use dappleyard_settings::Place;
+use dappleyard_settings::Location;
 use dappleyard_sidecar::choose::{Candidate, Pick, choose};
 use dappleyard_sidecar::forward::rule::{Next, Situation, next};
 use dappleyard_sidecar::prompt::{PromptMessage, canonical, canonical_completion};
@@ -114,7 +114,7 @@
 
 #[gtest]
 fn the_same_zone_goes_first_and_a_failed_node_last() {
-    let here = Place::default();
+    let here = Location::default();
     let nodes = [node("far", "zone-2", 0), node("near", "zone-1", 900)];
     expect_that!(choose(&here, 1, Pick::LessLoaded, &nodes, &[]), some(eq(1)));
     expect_that!(
@@ -131,7 +131,7 @@
 
 #[gtest]
 fn a_key_prefers_two_nodes_and_takes_the_less_loaded() {
-    let here = Place::default();
+    let here = Location::default();
     let mut nodes: Vec<Candidate> = (0..8)
         .map(|index| node(&format!("n{index}"), "zone-1", 10))
         .collect();
--- a/crates/spec/src/configuration/state.rs
+++ b/crates/spec/src/configuration/state.rs
@@ -5,7 +5,7 @@
 use std::sync::LazyLock;
 
 use dappleyard_decide::configuration::{
-    Applied, ConfigurationState, FeedRow, PendingChanges, changes_of_feed,
+    Applied, ConfigurationState, FeedRow, PendingChanges, changes_from_feed,
 };
 use dappleyard_wire::messages::ConfigurationEntry;
 use derive_more::Display;
@@ -127,7 +127,7 @@
         row("b", 20, Some(b"2")),
         row("b", 30, None),
     ];
-    changes_of_feed(&rows, 0)
+    changes_from_feed(&rows, 0)
 }
 
 pub(super) fn truth() -> BTreeMap<u64, Rows> {
--- a/crates/spec/src/leaving.rs
+++ b/crates/spec/src/leaving.rs
@@ -4,7 +4,7 @@
 //! Time goes in ticks. A node may be paused between any two steps, in particular between an answer of
 //! the engine and its reading.
 
-use dappleyard_decide::freshness::{said_at, still_holds};
+use dappleyard_decide::freshness::{is_fresh, valid_at};
 use dappleyard_decide::time::Millis;
 use derive_more::Display;
 
@@ -102,7 +102,7 @@
             Some(Mutant::TimeOfReading) => state.now,
             _ => asked,
         };
-        let said = said_at(Millis(basis), word.age).0;
+        let said = valid_at(Millis(basis), word.age).0;
         if this.known.is_none_or(|(_, known)| said >= known) {
             this.known = Some((word.accepting, said));
         }
@@ -114,7 +114,7 @@
             return false;
         };
         let checked = self.mutant != Some(Mutant::AgeNotLookedAt);
-        !checked || still_holds(Millis(said), Millis(state.now), BOUND)
+        !checked || is_fresh(Millis(said), Millis(state.now), BOUND)
     }
 
     fn steps_of_node(&self, state: &State, node: usize, steps: &mut Vec<(Action, State)>) {
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -7,7 +7,7 @@
 use actix_web::http::StatusCode;
 use actix_web::{HttpResponse, web};
 use bytes::Bytes;
-use dappleyard_engine::{EngineEvent, EngineOrder, GenerateCall, KvQuery, KvState};
+use dappleyard_engine::{EngineEvent, EngineOrder, GenerateCall, KvExportRequest, KvState};
 use derive_more::{Display, Error};
 use parking_lot::RwLock;
 use serde::Deserialize;
@@ -136,7 +136,7 @@
 async fn export_kv(
     slots: web::Data<SlotsByName>,
     server: web::Path<String>,
-    query: web::Json<KvQuery>,
+    query: web::Json<KvExportRequest>,
 ) -> HttpResponse {
     let exported = call_engine(&slots, &server, |slot| {
         let state = slot.export_kv(&query)?;
--- a/crates/standin/src/engine/model/kv.rs
+++ b/crates/standin/src/engine/model/kv.rs
@@ -1,13 +1,13 @@
 //! Export and import of KV state.
 
-use dappleyard_engine::{KvQuery, KvState};
+use dappleyard_engine::{KvExportRequest, KvState};
 
 use super::{EngineModel, Refusal};
 use crate::text::TextSource;
 
 impl EngineModel {
     /// State of a sequence that runs, or that ended and is still cached.
-    pub fn export_kv(&mut self, now_us: u64, query: &KvQuery) -> Result<KvState, Refusal> {
+    pub fn export_kv(&mut self, now_us: u64, query: &KvExportRequest) -> Result<KvState, Refusal> {
         self.catch_up(now_us);
         let key = TextSource::new(&self.version, &query.prompt).key();
         let block = self.settings.block_tokens;
--- a/crates/standin/src/engine/slot.rs
+++ b/crates/standin/src/engine/slot.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use dappleyard_engine::{CacheEvent, EngineOrder, EngineReport, GenerateCall, KvQuery, KvState};
+use dappleyard_engine::{
+    CacheEvent, EngineOrder, EngineReport, GenerateCall, KvExportRequest, KvState,
+};
 use parking_lot::Mutex;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -200,7 +202,7 @@
         self.with_model(|model, now_us| model.cache_events(now_us, after))
     }
 
-    pub(super) fn export_kv(&self, query: &KvQuery) -> Result<KvState, CallError> {
+    pub(super) fn export_kv(&self, query: &KvExportRequest) -> Result<KvState, CallError> {
         let exported = self.with_model(|model, now_us| model.export_kv(now_us, query))?;
         exported.map_err(CallError::Refused)
     }
--- a/crates/standin/tests/standin/histories.rs
+++ b/crates/standin/tests/standin/histories.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dappleyard_engine::{GenerateCall, KvQuery, Priority};
+use dappleyard_engine::{GenerateCall, KvExportRequest, Priority};
 use dappleyard_standin::engine::{Effect, EngineModel, EngineModelSettings, EngineSpec, Output};
 use googletest::prelude::*;
 use rand::seq::IndexedRandom;
@@ -157,7 +157,7 @@
     }
 
     fn move_state(&mut self) {
-        let query = KvQuery {
+        let query = KvExportRequest {
             prompt: format!("prompt {}", self.rng.random_range(0..30)),
             prefix_hash: self.rng.random_range(0..4),
         };
--- a/crates/standin/tests/standin/memory.rs
+++ b/crates/standin/tests/standin/memory.rs
@@ -1,6 +1,6 @@
 //! KV memory: preemption, prefix cache, resumption, moved state.
 
-use dappleyard_engine::{KvQuery, Priority};
+use dappleyard_engine::{KvExportRequest, Priority};
 use dappleyard_standin::engine::{EngineModelSettings, Output};
 use googletest::prelude::*;
 
@@ -124,7 +124,7 @@
     let mut moved = with_prefix(call("batch", 800, 300, Priority::BATCH), 9, 320);
     let stream = from.start(&moved).stream;
     from.steps(100);
-    let query = KvQuery {
+    let query = KvExportRequest {
         prompt: moved.prompt.clone(),
         prefix_hash: 9,
     };
