--- a/crates/fleet/src/actor.rs
+++ b/crates/fleet/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the fleet part's timers, its socket and its state machines.
+//! The actor that owns the timers, socket and state machines of the fleet part.
 
 mod calls;
 mod changes;
@@ -24,33 +24,34 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::cancelled::CancelledJobs;
-use crate::crashes::CrashSpread;
+use crate::cancelled_job_gossip::CancelledJobGossip;
+use crate::configuration_gossip::ConfigurationGossip;
+use crate::crash_gossip::CrashGossip;
 use crate::directory::Directory;
 use crate::lifecycle::{Inputs, LifecycleGuard};
 use crate::loads::Loads;
 use crate::machines::Machines;
 use crate::metrics::Metrics;
-use crate::spread::Spread;
-use crate::sync::Dialler;
+use crate::sync::SnapshotClient;
 use crate::{lifecycle, loads};
 
-/// Time between two ticks, milliseconds.
+/// Tick interval, milliseconds.
 const TICK_MS: u64 = 100;
-/// Time after which dead and left members are forgotten, milliseconds.
+/// Time after which dead and departed members are removed, milliseconds.
 const FORGET_MS: u64 = 60_000;
-/// Shortest mean time between two load reports to single members, milliseconds: a large cell hears
-/// less often, so that the traffic of a node stays within its budget.
+/// Minimum load report interval per receiver, milliseconds. The interval grows with the cell, which
+/// bounds the traffic of a node.
 const LOAD_SPACING_MS: u64 = 45;
-/// Time over which nodes spread their readings after a large change of the list, milliseconds.
-const REREAD_SPREAD_MS: u64 = 5_000;
-/// Times that a leaving node says so, and the pause between, milliseconds.
+/// Range over which nodes jitter their reads after a large change of the machine list, milliseconds.
+const REREAD_JITTER_MS: u64 = 5_000;
+/// Number of departure announcements.
 const LEAVE_REPEATS: u32 = 3;
-const LEAVE_PAUSE_MS: u64 = 30;
+/// Delay after each departure announcement, milliseconds.
+const LEAVE_INTERVAL_MS: u64 = 30;
 
-/// Timers besides probing.
+/// Deadlines of the timers other than probing.
 #[derive(Debug, Default)]
-struct Due {
+struct Deadlines {
     load: Millis,
     aggregate: Millis,
     digest: Millis,
@@ -61,55 +62,55 @@
     publish: Millis,
 }
 
-/// Calls that are under way.
+/// Calls in progress.
 #[derive(Debug, Default)]
-struct Running {
+struct CallsInFlight {
     watch: bool,
     machines: bool,
     region: bool,
     sync: bool,
 }
 
-/// The fleet part of a node.
+/// Actor of the fleet part of a node.
 pub struct FleetActor {
     tables: Arc<NodeTables>,
     settings: FleetSettings,
     platform: Platform,
     socket: Rc<DatagramSocket>,
-    dialler: Dialler,
+    snapshot_client: SnapshotClient,
     random: ChaCha8Rng,
     metrics: Metrics,
     membership: Membership,
-    spread: Spread,
+    configuration_gossip: ConfigurationGossip,
     directory: Directory,
     loads: Loads,
-    cancelled: CancelledJobs,
-    crashes: CrashSpread,
+    cancelled: CancelledJobGossip,
+    crashes: CrashGossip,
     guard: LifecycleGuard,
-    due: Due,
-    running: Running,
+    deadlines: Deadlines,
+    in_flight: CallsInFlight,
     started: Millis,
-    /// Members or machines have changed since the directory was written.
+    /// Members or machines have changed since the directory was last published.
     dirty: bool,
     servers_changed: bool,
-    /// Member changes since the directory was written.
+    /// Member changes since the directory was last published.
     member_changes: u64,
     machines: Machines,
-    /// A peer that has more than fits a datagram.
-    snapshot_from: Option<String>,
+    /// Peer to fetch a snapshot from, because its changes did not fit a datagram.
+    snapshot_peer: Option<String>,
     synced: bool,
     sync_attempts: u32,
     sync_pause_ms: u64,
     feed_from: u64,
-    highest_heard: u64,
-    /// A member that has shown a greater revision, to be asked for what is missing.
-    ahead: Option<SocketAddr>,
+    highest_remote_revision: u64,
+    /// Member with a greater configuration revision, to be asked for the missing changes.
+    newer_peer: Option<SocketAddr>,
     lost_zones: std::collections::BTreeSet<String>,
     seeds: Vec<SocketAddr>,
 }
 
 impl FleetActor {
-    /// The actor, not started yet.
+    /// Creates the actor without starting it.
     pub fn new(
         tables: Arc<NodeTables>,
         settings: FleetSettings,
@@ -117,7 +118,7 @@
         socket: Rc<DatagramSocket>,
         link_address: String,
         admin_address: String,
-        dialler: Dialler,
+        snapshot_client: SnapshotClient,
     ) -> FleetActor {
         let now = tables.clock.now();
         let gossip_address = socket.local_address();
@@ -130,7 +131,7 @@
             admin_address,
             incarnation: tables.identity.incarnation,
             state: MemberState::MemberAlive as i32,
-            // Takes no work until it is ready.
+            // Others give this node no work until it is ready.
             draining: true,
             configuration_revision: 0,
         };
@@ -142,27 +143,27 @@
             .collect();
         FleetActor {
             metrics: Metrics::new(&tables.metrics),
-            spread: Spread::new(tables.clone()),
+            configuration_gossip: ConfigurationGossip::new(tables.clone()),
             random: ChaCha8Rng::from_os_rng(),
             directory: Directory::default(),
             loads: Loads::default(),
-            cancelled: CancelledJobs::default(),
-            crashes: CrashSpread::default(),
+            cancelled: CancelledJobGossip::default(),
+            crashes: CrashGossip::default(),
             guard: LifecycleGuard::default(),
-            due: Due::default(),
-            running: Running::default(),
+            deadlines: Deadlines::default(),
+            in_flight: CallsInFlight::default(),
             started: now,
             dirty: true,
             servers_changed: false,
             member_changes: 0,
             machines: Machines::default(),
-            snapshot_from: None,
+            snapshot_peer: None,
             synced: false,
             sync_attempts: 0,
             sync_pause_ms: calls::SYNC_RETRY_MS,
             feed_from: 0,
-            highest_heard: 0,
-            ahead: None,
+            highest_remote_revision: 0,
+            newer_peer: None,
             lost_zones: std::collections::BTreeSet::new(),
             membership,
             seeds,
@@ -170,7 +171,7 @@
             settings,
             platform,
             socket,
-            dialler,
+            snapshot_client,
         }
     }
 
@@ -185,36 +186,36 @@
         let actions = self.membership.tick(now, &mut self.random);
         self.perform(actions);
         self.update_lifecycle(now);
-        // Worker threads that wake from a pause before this actor does see that its time is up.
+        // After a pause of the process, worker threads may run before this actor: they see the expired deadline.
         let grace = self.settings.suspicion_ms / 2;
         self.tables.set_vouched_until(now.plus(grace));
         self.cancelled.collect(&self.tables, now);
         self.crashes.collect(&self.tables, now);
         self.publish(now);
-        self.push_fresh();
+        self.push_new_updates();
         self.ask_for_missing();
-        if now >= self.due.load {
+        if now >= self.deadlines.load {
             let receivers = self.send_load() as u64;
             let interval = self
                 .settings
                 .load_interval_ms
                 .max(receivers * LOAD_SPACING_MS);
-            self.due.load = now.plus(interval);
+            self.deadlines.load = now.plus(interval);
         }
-        if now >= self.due.aggregate {
-            self.due.aggregate = self.later(self.settings.aggregate_interval_ms);
+        if now >= self.deadlines.aggregate {
+            self.deadlines.aggregate = self.jittered_deadline(self.settings.aggregate_interval_ms);
             self.send_aggregate(now);
         }
-        if now >= self.due.digest {
-            self.due.digest = self.later(self.settings.digest_interval_ms);
+        if now >= self.deadlines.digest {
+            self.deadlines.digest = self.jittered_deadline(self.settings.digest_interval_ms);
             let actions = self.membership.send_digest(&mut self.random);
             self.perform(actions);
         }
         self.start_calls(now, context);
     }
 
-    /// The time of the next round of a jittered timer.
-    fn later(&mut self, interval_ms: u64) -> Millis {
+    /// The next deadline of a timer, with jitter of an eighth of the interval either way.
+    fn jittered_deadline(&mut self, interval_ms: u64) -> Millis {
         use rand::Rng;
         let jitter = self.random.random_range(0..=interval_ms / 4);
         self.now().plus(interval_ms - interval_ms / 8 + jitter)
@@ -224,11 +225,11 @@
         let inputs = Inputs {
             synced: self.synced,
             standing: self.membership.standing(now),
-            highest_heard: self.highest_heard,
+            highest_remote_revision: self.highest_remote_revision,
             revision: self.tables.configuration.revision(),
         };
         let (next, cause) = self.guard.decide(inputs, self.settings.vouch_ms, now);
-        if lifecycle::enter(&self.tables, next, cause) && next == Lifecycle::Withdrawn {
+        if lifecycle::transition(&self.tables, next, cause) && next == Lifecycle::Withdrawn {
             self.metrics.withdrawals.inc();
         }
         let ready = *self.tables.lifecycle.borrow() == Lifecycle::Ready;
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Whether this node is among the `count` that a hash prefers for a task within a group.
+    /// Whether this node is among the `count` members of a group that hashing selects for a task.
     fn is_preferred(&self, task: &str, count: usize, group: impl Fn(&Member) -> bool) -> bool {
         let own = self.membership.own();
         let others = self.membership.members().map(|entry| &entry.member);
@@ -261,41 +262,46 @@
             return;
         }
         if !datagram.configuration.is_empty() {
-            self.take_configuration(&datagram);
+            self.apply_configuration(&datagram);
         }
         self.cancelled
-            .learn(&datagram.cancelled_jobs, &self.tables, now);
-        self.crashes.learn(&datagram.crashes, &self.tables);
-        self.take_servers(&datagram);
+            .merge_updates(&datagram.cancelled_jobs, &self.tables, now);
+        self.crashes.merge_updates(&datagram.crashes, &self.tables);
+        self.apply_server_updates(&datagram);
         match datagram.body {
-            Some(Body::Ack(ack)) => self.hear_revision(from, ack.configuration_revision),
+            Some(Body::Ack(ack)) => self.note_remote_revision(from, ack.configuration_revision),
             Some(Body::Load(report)) => {
-                self.hear_revision(from, report.configuration_revision);
-                loads::take_report(&self.tables, &datagram.from, report, now);
+                self.note_remote_revision(from, report.configuration_revision);
+                loads::apply_report(&self.tables, &datagram.from, report, now);
             }
             Some(Body::Digest(digest)) => self.answer_digest(from, &digest),
-            Some(Body::Entries(answer)) => self.take_entries(&datagram.from, &answer),
-            Some(Body::Aggregate(aggregate)) => self.take_aggregate(&datagram.from, aggregate, now),
+            Some(Body::Entries(answer)) => self.apply_sync_entries(&datagram.from, &answer),
+            Some(Body::Aggregate(aggregate)) => {
+                self.receive_aggregate(&datagram.from, aggregate, now)
+            }
             _ => {}
         }
     }
 
-    fn take_configuration(&mut self, datagram: &Datagram) {
+    fn apply_configuration(&mut self, datagram: &Datagram) {
         if self.synced {
-            let source = crate::spread::Source::Gossip;
-            self.spread
+            let source = crate::configuration_gossip::Source::Gossip;
+            self.configuration_gossip
                 .offer(&datagram.configuration, source, &self.metrics);
         }
     }
 
-    /// Takes changes of the machine list that others have seen.
-    fn take_servers(&mut self, datagram: &Datagram) {
+    /// Applies changes of the machine list that other nodes have observed.
+    fn apply_server_updates(&mut self, datagram: &Datagram) {
         if !datagram.servers.is_empty() {
-            let change = self.machines.learn(&datagram.servers);
+            let change = self.machines.merge_updates(&datagram.servers);
             self.change_directory(change);
         }
-        if self.machines.hear_reread(datagram.reread_machines_unix_ms) {
-            self.due.machines = self.later(REREAD_SPREAD_MS);
+        if self
+            .machines
+            .note_reread_request(datagram.reread_machines_unix_ms)
+        {
+            self.deadlines.machines = self.jittered_deadline(REREAD_JITTER_MS);
         }
     }
 
@@ -308,10 +314,10 @@
         }
     }
 
-    fn hear_revision(&mut self, from: SocketAddr, revision: u64) {
-        self.highest_heard = self.highest_heard.max(revision);
+    fn note_remote_revision(&mut self, from: SocketAddr, revision: u64) {
+        self.highest_remote_revision = self.highest_remote_revision.max(revision);
         if revision > self.tables.configuration.revision() {
-            self.ahead = Some(from);
+            self.newer_peer = Some(from);
         }
     }
 }
@@ -357,7 +363,7 @@
     }
 }
 
-/// Asks the actor to announce that the node has left, and to stop.
+/// Asks the actor to announce the node's departure and to stop.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Leave;
@@ -369,22 +375,22 @@
         Box::pin(
             async {}
                 .into_actor(self)
-                .then(|(), actor, _| actor.say_left(LEAVE_REPEATS))
+                .then(|(), actor, _| actor.announce_departure(LEAVE_REPEATS))
                 .map(|(), _, context: &mut Context<Self>| context.stop()),
         )
     }
 }
 
 impl FleetActor {
-    /// Says that the node has left, several times.
-    fn say_left(&mut self, repeats: u32) -> ResponseActFuture<Self, ()> {
+    /// Announces the node's departure `repeats` times.
+    fn announce_departure(&mut self, repeats: u32) -> ResponseActFuture<Self, ()> {
         let actions = self.membership.leave(&mut self.random);
         self.perform(actions);
-        let pause = tokio::time::sleep(Duration::from_millis(LEAVE_PAUSE_MS));
+        let pause = tokio::time::sleep(Duration::from_millis(LEAVE_INTERVAL_MS));
         let paused = pause.into_actor(self);
         if repeats <= 1 {
             return Box::pin(paused);
         }
-        Box::pin(paused.then(move |(), actor: &mut Self, _| actor.say_left(repeats - 1)))
+        Box::pin(paused.then(move |(), actor: &mut Self, _| actor.announce_departure(repeats - 1)))
     }
 }
--- a/crates/fleet/src/actor/calls.rs
+++ b/crates/fleet/src/actor/calls.rs
@@ -1,5 +1,4 @@
-//! Calls that the actor makes: the change feed, the machine list, the region's row, and the snapshot
-//! of a starting node.
+//! Asynchronous calls of the actor: change feed, machine list, region row and snapshots.
 
 use actix::{ActorFutureExt, AsyncContext, Context, WrapFuture};
 use dappleyard_decide::time::Millis;
@@ -9,42 +8,42 @@
 use rand::seq::IteratorRandom;
 
 use super::FleetActor;
-use crate::spread::Source;
+use crate::configuration_gossip::Source;
 use crate::watcher::{self, FeedRead, Snapshot};
 use crate::{regions, sync};
 
-/// Pause between two attempts to learn the snapshot, milliseconds.
+/// Delay between two attempts to get the first snapshot, milliseconds.
 pub(super) const SYNC_RETRY_MS: u64 = 300;
-/// Shortest time between two snapshots of a node that has started, milliseconds.
-const SYNC_PAUSE_MS: u64 = 4_000;
-/// The same, when the store has failed several times, milliseconds.
-const LONGEST_SYNC_RETRY_MS: u64 = 5_000;
-/// Peers asked in vain before the store is read.
-const PEERS_ASKED: u32 = 3;
+/// Interval between snapshots once the node has synchronized, milliseconds.
+const SYNC_INTERVAL_MS: u64 = 4_000;
+/// Upper bound of the delay between attempts to read the snapshot from the store, milliseconds.
+const MAXIMUM_SYNC_RETRY_MS: u64 = 5_000;
+/// Attempts with peers before the store is read.
+const MAXIMUM_PEER_ATTEMPTS: u32 = 3;
 
 impl FleetActor {
     /// Starts the calls that are due.
     pub(super) fn start_calls(&mut self, now: Millis, context: &mut Context<Self>) {
-        if !self.running.machines && now >= self.due.machines {
+        if !self.in_flight.machines && now >= self.deadlines.machines {
             self.read_machines(context);
         }
-        if !self.running.sync && now >= self.due.sync {
+        if !self.in_flight.sync && now >= self.deadlines.sync {
             self.start_sync(now, context);
         }
         if !self.synced {
             return;
         }
-        if !self.running.watch && now >= self.due.watch {
-            self.due.watch = self.later(self.settings.watch_interval_ms);
+        if !self.in_flight.watch && now >= self.deadlines.watch {
+            self.deadlines.watch = self.jittered_deadline(self.settings.watch_interval_ms);
             if self.is_watcher() {
-                // A node that has just become a watcher does not wait for its next rare reading.
+                // A new watcher must not wait out the long interval of other nodes.
                 let latest = now.plus(self.settings.machine_list_interval_ms);
-                self.due.machines = self.due.machines.min(latest);
+                self.deadlines.machines = self.deadlines.machines.min(latest);
                 self.watch(now, context);
             }
         }
-        if !self.running.region && now >= self.due.region {
-            self.due.region = self.later(regions::REFRESH_MS);
+        if !self.in_flight.region && now >= self.deadlines.region {
+            self.deadlines.region = self.jittered_deadline(regions::REFRESH_MS);
             self.refresh_region(context);
         }
     }
@@ -58,60 +57,62 @@
     }
 
     fn watch(&mut self, now: Millis, context: &mut Context<Self>) {
-        self.running.watch = true;
+        self.in_flight.watch = true;
         let applied = self.tables.configuration.revision();
         let store = self.platform.tables.clone();
         let reading = watcher::read_feed(store, applied, self.feed_from);
         let done = reading.into_actor(self).map(move |read, actor, _| {
-            actor.running.watch = false;
-            actor.take_feed(read, now);
+            actor.in_flight.watch = false;
+            actor.apply_feed(read, now);
         });
         context.spawn(done);
     }
 
-    fn take_feed(&mut self, read: Result<FeedRead, StoreError>, sent: Millis) {
+    fn apply_feed(&mut self, read: Result<FeedRead, StoreError>, sent: Millis) {
         self.metrics.count_call("changes", &read);
         match read {
             Ok(FeedRead::Changes(changes)) => {
                 self.membership.note_store(sent);
                 for change in changes {
-                    self.spread.offer(&change, Source::Feed, &self.metrics);
+                    self.configuration_gossip
+                        .offer(&change, Source::Feed, &self.metrics);
                 }
             }
             Ok(FeedRead::Snapshot(snapshot)) => {
                 self.membership.note_store(sent);
-                self.take_snapshot(snapshot);
+                self.apply_snapshot(snapshot);
             }
             Err(error) => tracing::debug!(%error, "the change feed cannot be read"),
         }
     }
 
-    fn take_snapshot(&mut self, snapshot: Snapshot) {
+    fn apply_snapshot(&mut self, snapshot: Snapshot) {
         self.feed_from = self.feed_from.max(snapshot.feed_from);
-        self.spread.replace(snapshot.state, &self.metrics);
+        self.configuration_gossip
+            .replace(snapshot.state, &self.metrics);
     }
 
     fn read_machines(&mut self, context: &mut Context<Self>) {
-        self.running.machines = true;
+        self.in_flight.machines = true;
         let list = self.platform.machines.clone();
         let reading = async move { list.machines().await };
         let done = reading.into_actor(self).map(|read, actor, _| {
-            actor.running.machines = false;
-            let often = read.is_err() || actor.is_watcher();
-            actor.take_machines(read);
+            actor.in_flight.machines = false;
+            let frequent = read.is_err() || actor.is_watcher();
+            actor.apply_machine_list(read);
             let interval = actor.settings.machine_list_interval_ms;
-            let interval = actor.machines.reading_interval_ms(interval, often);
-            actor.due.machines = actor.later(interval);
+            let interval = actor.machines.read_interval_ms(interval, frequent);
+            actor.deadlines.machines = actor.jittered_deadline(interval);
         });
         context.spawn(done);
     }
 
-    fn take_machines(&mut self, read: Result<Vec<Machine>, StoreError>) {
+    fn apply_machine_list(&mut self, read: Result<Vec<Machine>, StoreError>) {
         self.metrics.count_call("machines", &read);
         match read {
             Ok(machines) => {
                 let unix_ms = self.tables.clock.unix_ms();
-                let change = self.machines.read(&machines, unix_ms);
+                let change = self.machines.apply_list(&machines, unix_ms);
                 self.change_directory(change);
             }
             Err(error) => tracing::debug!(%error, "the machine list cannot be read"),
@@ -125,34 +126,35 @@
         let region = self.membership.own().region.clone();
         let task = format!("region/{region}");
         let ready = *self.tables.lifecycle.borrow() == Lifecycle::Ready;
-        let mine = ready && self.is_preferred(&task, 1, |m| m.region == region && !m.draining);
-        if !mine {
+        let is_responsible =
+            ready && self.is_preferred(&task, 1, |m| m.region == region && !m.draining);
+        if !is_responsible {
             return;
         }
-        self.running.region = true;
+        self.in_flight.region = true;
         let revision = self.tables.configuration.revision();
         let holder = self.membership.own().node.clone();
         let unix_ms = self.tables.clock.unix_ms();
         let writing = regions::refresh(region, holder, revision, unix_ms, self.platform.clone());
         let done = writing.into_actor(self).map(|written, actor, _| {
-            actor.running.region = false;
+            actor.in_flight.region = false;
             actor.metrics.count_call("region", &written);
         });
         context.spawn(done);
     }
 
-    /// Learns the snapshot on start, or when a repair did not fit a datagram: from a peer, or from
-    /// the store when no peer answers.
+    /// Fetches a snapshot on start, when a repair did not fit a datagram, or when a member differs:
+    /// from a peer, or on start from the store when no peer answers.
     fn start_sync(&mut self, now: Millis, context: &mut Context<Self>) {
-        let wanted = self.snapshot_from.take();
-        let wanted = wanted.or_else(|| self.membership.take_differing());
-        if self.synced && wanted.is_none() {
+        let requested = self.snapshot_peer.take();
+        let requested = requested.or_else(|| self.membership.take_differing());
+        if self.synced && requested.is_none() {
             return;
         }
-        let peer = wanted.or_else(|| self.random_peer());
+        let peer = requested.or_else(|| self.random_peer());
         let joining = now.since(self.started) < self.settings.probe_interval_ms;
         match peer {
-            Some(node) if self.synced || self.sync_attempts < PEERS_ASKED => {
+            Some(node) if self.synced || self.sync_attempts < MAXIMUM_PEER_ATTEMPTS => {
                 self.sync_from_peer(&node, context);
             }
             None if joining => {}
@@ -174,56 +176,56 @@
         };
         let address = entry.member.link_address.clone();
         let identity = self.tables.identity.clone();
-        let dialler = self.dialler.clone();
-        self.running.sync = true;
+        let snapshot_client = self.snapshot_client.clone();
+        self.in_flight.sync = true;
         self.sync_attempts += 1;
-        let asking = async move { dialler.cell_sync(&identity, &address).await };
+        let asking = async move { snapshot_client.cell_sync(&identity, &address).await };
         let done = asking.into_actor(self).map(|answer, actor, _| {
-            actor.running.sync = false;
+            actor.in_flight.sync = false;
             let pause = if actor.synced {
-                SYNC_PAUSE_MS
+                SYNC_INTERVAL_MS
             } else {
                 SYNC_RETRY_MS
             };
-            actor.due.sync = actor.later(pause);
-            actor.take_peer_snapshot(answer);
+            actor.deadlines.sync = actor.jittered_deadline(pause);
+            actor.apply_peer_snapshot(answer);
         });
         context.spawn(done);
     }
 
-    fn take_peer_snapshot(&mut self, answer: Option<CellSyncAnswer>) {
+    fn apply_peer_snapshot(&mut self, answer: Option<CellSyncAnswer>) {
         self.metrics
             .count_call("cell_sync", &answer.as_ref().ok_or(()));
         let Some(answer) = answer else { return };
-        let vouched = answer.ready;
-        let (state, members) = sync::parts(answer);
+        let peer_ready = answer.ready;
+        let (state, members) = sync::split_answer(answer);
         let now = self.now();
         let actions = self.membership.learn_all(&members, now);
         self.perform(actions);
-        if vouched {
-            self.spread.replace(state, &self.metrics);
+        if peer_ready {
+            self.configuration_gossip.replace(state, &self.metrics);
             self.finish_sync();
         }
     }
 
     fn sync_from_store(&mut self, now: Millis, context: &mut Context<Self>) {
-        self.running.sync = true;
-        let reading = watcher::read_whole(self.platform.tables.clone());
+        self.in_flight.sync = true;
+        let reading = watcher::read_configuration(self.platform.tables.clone());
         let done = reading.into_actor(self).map(move |read, actor, _| {
-            actor.running.sync = false;
+            actor.in_flight.sync = false;
             actor.metrics.count_call("snapshot", &read);
             match read {
                 Ok(snapshot) => {
                     actor.membership.note_store(now);
-                    actor.take_snapshot(snapshot);
+                    actor.apply_snapshot(snapshot);
                     actor.finish_sync();
                 }
                 Err(_) => {
                     actor.sync_attempts = 0;
-                    actor.sync_pause_ms = (actor.sync_pause_ms * 2).min(LONGEST_SYNC_RETRY_MS);
+                    actor.sync_pause_ms = (actor.sync_pause_ms * 2).min(MAXIMUM_SYNC_RETRY_MS);
                 }
             }
-            actor.due.sync = actor.later(actor.sync_pause_ms);
+            actor.deadlines.sync = actor.jittered_deadline(actor.sync_pause_ms);
         });
         context.spawn(done);
     }
--- a/crates/fleet/src/actor/changes.rs
+++ b/crates/fleet/src/actor/changes.rs
@@ -1,4 +1,4 @@
-//! What the actor does when a member has changed: tables, metrics, decision records.
+//! Handles membership changes: updates tables, metrics and decision records.
 
 use dappleyard_decide::membership::{Action, start_of};
 use dappleyard_decide::time::Millis;
@@ -8,16 +8,16 @@
 
 use super::FleetActor;
 
-/// Shortest time between two writings of the directory, milliseconds.
-const PUBLISH_PAUSE_MS: u64 = 250;
-/// After many member changes at once the pause is up to this many times as long.
-const MOST_PAUSES: u64 = 8;
-/// Fewest members of a zone whose common loss is recorded as one event.
+/// Minimum interval between publications of the directory, milliseconds.
+const PUBLISH_INTERVAL_MS: u64 = 250;
+/// Largest factor by which member changes since the last publication extend the interval.
+const MAXIMUM_INTERVAL_FACTOR: u64 = 8;
+/// Smallest zone, in members, whose loss is recorded as one event.
 const ZONE_LOSS_MINIMUM: usize = 3;
 
 impl FleetActor {
-    /// Takes up a change that the membership state machine reports.
-    pub(super) fn note_change(&mut self, action: Action) {
+    /// Handles a change reported by the membership state machine.
+    pub(super) fn handle_change(&mut self, action: Action) {
         match action {
             Action::Send { .. } => {}
             Action::Changed {
@@ -92,7 +92,8 @@
             .set(i64::try_from(present).unwrap_or(i64::MAX));
     }
 
-    /// Records changes of the own zone and own findings; the loss of a whole zone is one record.
+    /// Records changes in this node's zone and those it detected itself. The loss of a zone is one
+    /// record.
     fn record_change(
         &mut self,
         member: &Member,
@@ -106,9 +107,9 @@
         if member.state() == MemberState::MemberAlive {
             self.lost_zones.remove(&member.zone);
         }
-        let near = member.zone == self.membership.own().zone;
+        let same_zone = member.zone == self.membership.own().zone;
         let unchanged = before == Some(member.state()) && !restarted;
-        if unchanged || (!near && detected_after_ms.is_none()) {
+        if unchanged || (!same_zone && detected_after_ms.is_none()) {
             return;
         }
         let before = before.map_or("unknown", state_name);
@@ -120,7 +121,7 @@
         self.record_member(member, cause, &outcome);
     }
 
-    /// Whether at least half of a zone is gone; the first time, one record says so.
+    /// Whether at least half of a zone's members are gone. Records and logs the loss once.
     fn is_zone_loss(&mut self, zone: &str) -> bool {
         let of_zone = self
             .membership
@@ -172,15 +173,15 @@
         });
     }
 
-    /// Writes members' effects: cells, directory, owned servers, this node's own entry.
-    /// Changes that come close together are written together.
+    /// Publishes the effects of member changes: cells, directory, owned servers and this node's own
+    /// entry. Changes in quick succession are batched.
     pub(super) fn publish(&mut self, now: Millis) {
-        if !self.dirty || now < self.due.publish {
+        if !self.dirty || now < self.deadlines.publish {
             return;
         }
         self.dirty = false;
-        let changes = std::mem::take(&mut self.member_changes).clamp(1, MOST_PAUSES);
-        self.due.publish = now.plus(PUBLISH_PAUSE_MS * changes);
+        let changes = std::mem::take(&mut self.member_changes).clamp(1, MAXIMUM_INTERVAL_FACTOR);
+        self.deadlines.publish = now.plus(PUBLISH_INTERVAL_MS * changes);
         let own = self.membership.own().clone();
         self.tables.members.put(own);
         let members_changed = self
--- a/crates/fleet/src/actor/outgoing.rs
+++ b/crates/fleet/src/actor/outgoing.rs
@@ -1,4 +1,4 @@
-//! What the actor sends besides probes: load reports, aggregates, digests and their answers.
+//! Datagrams other than probes: load reports, aggregates, digests and their answers.
 
 use std::net::SocketAddr;
 
@@ -12,32 +12,32 @@
 use super::FleetActor;
 use crate::loads;
 
-/// Members to which a change is pushed as soon as it is applied.
+/// Number of members to which updates are pushed at once.
 const PUSH_FANOUT: usize = 2;
 
 impl FleetActor {
-    /// Does what the membership state machine decided.
+    /// Performs the actions of the membership state machine.
     pub(super) fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, datagram } => self.send_with_updates(to, datagram),
-                other => self.note_change(other),
+                other => self.handle_change(other),
             }
         }
     }
 
-    /// Sends a datagram with as much of what waits to be spread as fits.
+    /// Sends a datagram with as many queued updates as fit.
     fn send_with_updates(&mut self, to: SocketAddr, mut datagram: Datagram) {
         use prost::Message;
         let limit = retransmits(self.membership.present() + 1);
         let free = MAXIMUM_DATAGRAM_BYTES.saturating_sub(datagram.encoded_len());
-        datagram.configuration = self.spread.take(free, limit);
+        datagram.configuration = self.configuration_gossip.next_updates(free, limit);
         let free = MAXIMUM_DATAGRAM_BYTES.saturating_sub(datagram.encoded_len());
-        datagram.cancelled_jobs = self.cancelled.take(free, limit);
+        datagram.cancelled_jobs = self.cancelled.next_updates(free, limit);
         let free = MAXIMUM_DATAGRAM_BYTES.saturating_sub(datagram.encoded_len());
-        datagram.crashes = self.crashes.take(free, limit);
+        datagram.crashes = self.crashes.next_updates(free, limit);
         let free = MAXIMUM_DATAGRAM_BYTES.saturating_sub(datagram.encoded_len());
-        datagram.servers = self.machines.take(free, limit);
+        datagram.servers = self.machines.next_updates(free, limit);
         datagram.reread_machines_unix_ms = self.machines.reread_unix_ms();
         self.send(to, &datagram);
     }
@@ -54,10 +54,10 @@
         self.send(to, &datagram);
     }
 
-    /// Pushes what is new, a change that was just applied or a request that ends engines, to a few members, without waiting for a probe.
-    pub(super) fn push_fresh(&mut self) {
-        let changed = self.spread.take_fresh();
-        if !self.crashes.take_fresh() && !changed {
+    /// Pushes newly applied changes and new crash records to a few members without waiting for a probe.
+    pub(super) fn push_new_updates(&mut self) {
+        let changed = self.configuration_gossip.take_has_new();
+        if !self.crashes.take_has_new() && !changed {
             return;
         }
         for to in self
@@ -69,10 +69,10 @@
         }
     }
 
-    /// Asks a member that has shown a greater revision for what is missing here.
+    /// Asks a member with a greater configuration revision for the missing changes.
     pub(super) fn ask_for_missing(&mut self) {
-        let lags = self.tables.configuration.revision() < self.highest_heard;
-        if let Some(to) = self.ahead.take()
+        let lags = self.tables.configuration.revision() < self.highest_remote_revision;
+        if let Some(to) = self.newer_peer.take()
             && lags
             && self.synced
         {
@@ -81,30 +81,32 @@
         }
     }
 
-    /// Answers a digest with what the sender lacks; asks back when this node lacks something.
+    /// Answers a digest with the changes that the sender is missing, and notes the sender's revision.
     pub(super) fn answer_digest(&mut self, from: SocketAddr, digest: &SyncDigest) {
         if self.synced
-            && let Some(answer) = self.spread.answer_digest(digest.configuration_revision)
+            && let Some(answer) = self
+                .configuration_gossip
+                .answer_digest(digest.configuration_revision)
         {
             self.send_body(from, Body::Entries(answer));
         }
-        self.hear_revision(from, digest.configuration_revision);
+        self.note_remote_revision(from, digest.configuration_revision);
     }
 
-    /// Takes the answer to a digest; fetches the snapshot when it did not fit a datagram.
-    pub(super) fn take_entries(&mut self, from: &str, answer: &SyncEntries) {
+    /// Applies the answer to a digest; requests a snapshot when the peer sent no entries.
+    pub(super) fn apply_sync_entries(&mut self, from: &str, answer: &SyncEntries) {
         if !self.synced {
             return;
         }
         if answer.entries.is_empty() && answer.up_to > self.tables.configuration.revision() {
-            self.snapshot_from = Some(from.to_owned());
+            self.snapshot_peer = Some(from.to_owned());
             return;
         }
-        self.spread.merge(answer, &self.metrics);
+        self.configuration_gossip.merge(answer, &self.metrics);
     }
 
-    /// Reports this node's load to its cell.
-    /// Returns the number of receivers.
+    /// Reports this node's load to its cell. Returns the number of members in it, also when the
+    /// report is unchanged and not sent.
     pub(super) fn send_load(&mut self) -> usize {
         let receivers = self.cell_addresses();
         if let Some(report) = self.loads.report(&self.tables) {
@@ -128,7 +130,7 @@
             .collect()
     }
 
-    /// The reporter of the cell tells some other cells of it, in turn.
+    /// Sends the aggregate of this node's cell to some other cells, if this node is its reporter.
     pub(super) fn send_aggregate(&mut self, now: Millis) {
         let own = self.membership.own().node.clone();
         let Some(cell) = self.directory.cell_of(&own) else {
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Takes another cell's aggregate; one from outside goes on to the members of this cell.
-    pub(super) fn take_aggregate(&mut self, from: &str, aggregate: CellAggregate, now: Millis) {
+    /// Stores an aggregate; forwards it within this cell when it came from another cell.
+    pub(super) fn receive_aggregate(&mut self, from: &str, aggregate: CellAggregate, now: Millis) {
         let own = self.directory.cell_of(&self.membership.own().node);
         let from_outside = own.is_some_and(|cell| cell.nodes.iter().all(|n| n.node != from));
         self.tables.loads.put_cell(aggregate.clone(), now);
--- a/crates/fleet/src/cancelled.rs
+++ b/crates/fleet/src/cancelled_job_gossip.rs
@@ -1,4 +1,4 @@
-//! Cancelled jobs: from the table to gossip, and from gossip to the table.
+//! Gossip of cancelled job ids.
 
 use std::collections::BTreeMap;
 
@@ -6,39 +6,39 @@
 use dappleyard_decide::time::Millis;
 use dappleyard_tables::NodeTables;
 
-/// How long a cancelled job is remembered, milliseconds. The job row remembers it for good; gossip
-/// only stops running items early.
+/// Time for which a cancelled job is kept, milliseconds. The job's row keeps the cancellation
+/// permanently; gossip only stops running items earlier.
 const RETENTION_MS: u64 = 600_000;
-/// How long an id is sent again and again. Each sending rides on a few datagrams to whoever is probed
-/// or answered next, which may be the same node each time.
-const REPEATED_FOR_MS: u64 = 60_000;
-/// Time between two sendings.
-const REPEAT_MS: u64 = 1_000;
-/// Most cancelled jobs remembered; the oldest go first.
+/// Time for which an id is queued repeatedly, milliseconds. Each time it goes out with a few datagrams
+/// to the next probed or answered nodes, which may all be the same node.
+const RESEND_WINDOW_MS: u64 = 60_000;
+/// Interval at which ids are queued again, milliseconds.
+const RESEND_INTERVAL_MS: u64 = 1_000;
+/// Most cancelled jobs kept; the oldest are dropped first.
 const MAXIMUM_JOBS: usize = 4096;
-/// Bytes that the tag and length of one id take.
+/// Encoded size of the tag and length of one id.
 const OVERHEAD_BYTES: usize = 3;
 
-/// Spread of cancelled job ids.
+/// Cancelled job gossip of one node.
 #[derive(Default)]
-pub struct CancelledJobs {
+pub struct CancelledJobGossip {
     known: BTreeMap<String, Millis>,
-    waiting: Broadcasts<String>,
-    repeated: Millis,
+    queue: Broadcasts<String>,
+    resent_at: Millis,
 }
 
-impl CancelledJobs {
-    /// Takes up ids that the batch path put into the table, and forgets old ones.
+impl CancelledJobGossip {
+    /// Queues new ids of the table for gossip, and removes expired ones.
     pub fn collect(&mut self, tables: &NodeTables, now: Millis) {
         let mut jobs = tables.cancelled_jobs.lock();
         for job in jobs.iter() {
             if !self.known.contains_key(job) {
                 self.known.insert(job.clone(), now);
-                self.waiting
+                self.queue
                     .push(job, job.clone(), job.len() + OVERHEAD_BYTES);
             }
         }
-        self.repeat(now);
+        self.resend(now);
         self.known.retain(|job, at| {
             let kept = now.since(*at) < RETENTION_MS;
             if !kept {
@@ -56,34 +56,34 @@
         }
     }
 
-    /// Sends the ids of the last minute again, so that no node misses one for good.
-    fn repeat(&mut self, now: Millis) {
-        if now.since(self.repeated) < REPEAT_MS {
+    /// Queues recent ids again, so that every node receives them.
+    fn resend(&mut self, now: Millis) {
+        if now.since(self.resent_at) < RESEND_INTERVAL_MS {
             return;
         }
-        self.repeated = now;
+        self.resent_at = now;
         for (job, at) in &self.known {
-            if now.since(*at) < REPEATED_FOR_MS {
+            if now.since(*at) < RESEND_WINDOW_MS {
                 let bytes = job.len() + OVERHEAD_BYTES;
-                self.waiting.push(job, job.clone(), bytes);
+                self.queue.push(job, job.clone(), bytes);
             }
         }
     }
 
-    /// Takes ids that came by gossip; those that are new go on to others.
-    pub fn learn(&mut self, ids: &[String], tables: &NodeTables, now: Millis) {
+    /// Stores ids received by gossip, and forwards new ones.
+    pub fn merge_updates(&mut self, ids: &[String], tables: &NodeTables, now: Millis) {
         for job in ids.iter().filter(|job| !job.is_empty()) {
             if !self.known.contains_key(job) {
                 self.known.insert(job.clone(), now);
-                self.waiting
+                self.queue
                     .push(job, job.clone(), job.len() + OVERHEAD_BYTES);
                 tables.cancelled_jobs.lock().insert(job.clone());
             }
         }
     }
 
-    /// Ids for one datagram.
-    pub fn take(&mut self, budget: usize, retransmits: u32) -> Vec<String> {
-        self.waiting.take(budget, retransmits)
+    /// The ids to send in the next datagram, within `budget` bytes.
+    pub fn next_updates(&mut self, budget: usize, retransmits: u32) -> Vec<String> {
+        self.queue.take(budget, retransmits)
     }
 }
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/configuration_gossip.rs
@@ -1,4 +1,4 @@
-//! Spread of configuration: applying changes in order and passing them on.
+//! Configuration gossip: applies changes in order of revision and forwards them.
 
 use std::sync::Arc;
 
@@ -12,23 +12,23 @@
 
 use crate::metrics::Metrics;
 
-/// Largest change that rides on datagrams, bytes; larger ones are fetched over links.
+/// Largest change sent in datagrams, bytes; larger ones are fetched over links.
 const MAXIMUM_DELTA_BYTES: usize = 450;
-/// Bytes that the tag and length of one entry take.
+/// Encoded size of the tag and length of one entry.
 const ENTRY_OVERHEAD_BYTES: usize = 4;
-/// Bytes of a datagram kept free around the entries of a repair.
+/// Bytes reserved for the rest of a datagram that carries repair entries.
 const HEADER_BYTES: usize = 200;
 
-/// How a change came to this node.
+/// How a change reached this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// From the store's change feed.
     Feed,
-    /// By gossip, in order.
+    /// By gossip, as a single change.
     Gossip,
-    /// From a peer, on a digest.
+    /// From a peer, in answer to a digest.
     Repair,
-    /// As a whole snapshot.
+    /// As part of a whole snapshot.
     Snapshot,
 }
 
@@ -43,26 +43,26 @@
     }
 }
 
-/// Spread of configuration on one node.
-pub struct Spread {
+/// Configuration gossip of one node.
+pub struct ConfigurationGossip {
     tables: Arc<NodeTables>,
     pending: PendingChanges,
-    waiting: Broadcasts<Vec<ConfigurationEntry>>,
-    fresh: bool,
+    queue: Broadcasts<Vec<ConfigurationEntry>>,
+    has_new: bool,
 }
 
-impl Spread {
-    /// Nothing to spread yet.
-    pub fn new(tables: Arc<NodeTables>) -> Spread {
-        Spread {
+impl ConfigurationGossip {
+    /// Starts with nothing to send.
+    pub fn new(tables: Arc<NodeTables>) -> ConfigurationGossip {
+        ConfigurationGossip {
             tables,
             pending: PendingChanges::default(),
-            waiting: Broadcasts::default(),
-            fresh: false,
+            queue: Broadcasts::default(),
+            has_new: false,
         }
     }
 
-    /// Takes entries that came by gossip or from the feed; applies whatever is in order.
+    /// Queues entries from gossip or the feed, and applies those that are next in order.
     pub fn offer(&mut self, entries: &[ConfigurationEntry], source: Source, metrics: &Metrics) {
         let applied = self.tables.configuration.revision();
         for entry in entries.iter().filter(|entry| entry.revision > applied) {
@@ -72,38 +72,39 @@
             if self.tables.configuration.apply(&change) != Applied::Yes {
                 break;
             }
-            self.applied(source, metrics);
-            self.pass_on(change);
+            self.record_applied(source, metrics);
+            self.enqueue(change);
         }
     }
 
-    /// Takes the answer to a digest.
+    /// Applies the answer to a digest.
     pub fn merge(&mut self, answer: &SyncEntries, metrics: &Metrics) {
         let table = &self.tables.configuration;
         if table.merge(answer.after, &answer.entries, answer.up_to) == Applied::Yes {
-            self.applied(Source::Repair, metrics);
+            self.record_applied(Source::Repair, metrics);
             self.offer(&[], Source::Gossip, metrics);
         }
     }
 
-    /// Takes a whole snapshot.
+    /// Applies a whole snapshot.
     pub fn replace(&mut self, snapshot: ConfigurationState, metrics: &Metrics) {
         if self.tables.configuration.replace(snapshot) == Applied::Yes {
-            self.applied(Source::Snapshot, metrics);
+            self.record_applied(Source::Snapshot, metrics);
         }
     }
 
-    /// Whether a change has been applied since the last call, so that it should be pushed at once.
-    pub fn take_fresh(&mut self) -> bool {
-        std::mem::take(&mut self.fresh)
+    /// Whether a change to be pushed at once has been applied since the last call.
+    pub fn take_has_new(&mut self) -> bool {
+        std::mem::take(&mut self.has_new)
     }
 
-    /// Entries for one datagram.
-    pub fn take(&mut self, budget: usize, retransmits: u32) -> Vec<ConfigurationEntry> {
-        self.waiting.take(budget, retransmits).concat()
+    /// The entries to send in the next datagram, within `budget` bytes.
+    pub fn next_updates(&mut self, budget: usize, retransmits: u32) -> Vec<ConfigurationEntry> {
+        self.queue.take(budget, retransmits).concat()
     }
 
-    /// What a peer at `revision` lacks; `None` when it lacks nothing.
+    /// The changes that a peer at `revision` is missing, without entries when the peer needs a snapshot
+    /// instead; `None` when the peer is up to date.
     pub fn answer_digest(&self, revision: u64) -> Option<SyncEntries> {
         let (up_to, entries) = self.tables.configuration.entries_after(revision);
         if up_to <= revision {
@@ -124,25 +125,25 @@
         Some(fits.unwrap_or(snapshot_only))
     }
 
-    fn pass_on(&mut self, change: Vec<ConfigurationEntry>) {
+    fn enqueue(&mut self, change: Vec<ConfigurationEntry>) {
         let bytes = change
             .iter()
             .map(|entry| entry.encoded_len() + ENTRY_OVERHEAD_BYTES)
             .sum();
-        self.fresh = true;
+        self.has_new = true;
         if bytes <= MAXIMUM_DELTA_BYTES {
             let key = change.first().map_or(0, |entry| entry.revision).to_string();
-            self.waiting.push(&key, change, bytes);
+            self.queue.push(&key, change, bytes);
         }
     }
 
-    fn applied(&self, source: Source, metrics: &Metrics) {
+    fn record_applied(&self, source: Source, metrics: &Metrics) {
         let revision = self.tables.configuration.revision();
         metrics.applied.with_label_values(&[source.name()]).inc();
         metrics
             .revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
-        // Changes that come by gossip are the usual course and are only counted.
+        // Changes by gossip are routine: they are counted but not recorded as decisions.
         if source == Source::Gossip {
             return;
         }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,7 +1,7 @@
-//! The directory of servers: cells of the members, and the owner of each server.
+//! Assignment of servers to owners, and of members to cells.
 //!
-//! Entries live in the node's table only; here are the keys of the servers of each zone, in the
-//! order in which they are placed. A change of members recomputes the zones whose cells it touches.
+//! Directory entries are kept in the node's shared table; this module keeps the server keys of each
+//! zone in assignment order. A member change recomputes only the zones whose cells it affects.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 pub struct Directory {
     zones: BTreeMap<(String, String), Zone>,
     cells: Cells,
-    /// Of the members for which `cells` was made.
+    /// Hash of the members for which `cells` was computed.
     fingerprint: u64,
 }
 
@@ -43,13 +43,14 @@
         self.cells.of_node(node)
     }
 
-    /// Takes the members; `true` when cells or eligible nodes have changed.
+    /// Recomputes the cells; `true` when nodes or their eligibility have changed.
     pub fn set_members(&mut self, membership: &Membership, cell_size: usize) -> bool {
         let members = || {
             let others = membership.members().map(|entry| &entry.member);
             others.chain(std::iter::once(membership.own()))
         };
-        let fingerprint = members().fold(0_u64, |sum, member| sum.wrapping_add(weight(member)));
+        let fingerprint =
+            members().fold(0_u64, |sum, member| sum.wrapping_add(member_hash(member)));
         if self.fingerprint == fingerprint {
             return false;
         }
@@ -60,7 +61,7 @@
         true
     }
 
-    /// The cell of each member by name.
+    /// The name of each member's cell.
     pub fn cell_names(&self) -> BTreeMap<NodeId, String> {
         let cells = self.cells.all().iter();
         cells
@@ -71,7 +72,7 @@
             .collect()
     }
 
-    /// Takes entries that the machine list shows anew or otherwise, and those that it lost.
+    /// Applies new, changed and removed servers.
     pub fn change_servers(
         &mut self,
         tables: &NodeTables,
@@ -80,7 +81,7 @@
     ) {
         let moved = put.iter().map(|entry| &entry.server).chain(removed);
         for server in moved {
-            self.forget(server);
+            self.remove_server(server);
         }
         for entry in &put {
             let place = (entry.region.to_string(), entry.zone.to_string());
@@ -92,7 +93,7 @@
         tables.directory.change(put, removed);
     }
 
-    fn forget(&mut self, server: &ServerId) {
+    fn remove_server(&mut self, server: &ServerId) {
         let key = server_key(server.as_str());
         for zone in self.zones.values_mut() {
             if zone.servers.remove(&key).is_some() {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Writes owners that have changed, and the owned servers. Returns the number of owned servers.
+    /// Publishes changed owners and this node's owned servers. Returns the number of owned servers.
     pub fn publish(&mut self, tables: &NodeTables) -> usize {
         let mut changes = Vec::new();
         for ((region, place), zone) in &mut self.zones {
@@ -123,7 +124,8 @@
 }
 
 impl Zone {
-    /// Computes the owners and adds those that differ from the last ones to `changes`.
+    /// Computes the owners and adds those to be written to `changes`: the ones that differ, or all of
+    /// them when the servers of the zone have changed.
     fn assign(&mut self, candidates: &[&Cell], changes: &mut Vec<(ServerId, Option<NodeId>)>) {
         let keys: Vec<u64> = self.servers.keys().copied().collect();
         let mut ids: BTreeMap<&str, NodeId> = BTreeMap::new();
@@ -140,8 +142,8 @@
     }
 }
 
-/// Hash of what ownership sees of a member.
-fn weight(member: &Member) -> u64 {
+/// Hash of the member properties that ownership depends on.
+fn member_hash(member: &Member) -> u64 {
     let key = hash_bytes(member.node.as_bytes());
     let eligible = u64::from(is_present(member) && !member.draining);
     key.rotate_left(1).wrapping_mul(2 * eligible + 3)
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,26 +1,26 @@
-//! Membership, ownership of servers, spread of configuration, and load reports.
+//! Cluster membership, server ownership, configuration gossip and load reports.
 //!
-//! [`start`] runs one actor on the calling arbiter. It owns the timers and the gossip socket, asks
-//! the pure state machines of `dappleyard-decide` what to do, and writes the node's shared tables:
-//! members, directory, owned servers, configuration, loads, cancelled jobs and the life cycle from
-//! starting to ready, withdrawn and back. It never touches a life cycle that is draining or stopped.
+//! [`start`] runs one actor on the calling arbiter. It owns the timers and the gossip socket, drives
+//! the I/O-free state machines of `dappleyard-decide`, and writes the node's shared tables: members,
+//! directory, owned servers, configuration, loads, cancelled jobs, and the life cycle between
+//! starting, ready and withdrawn. It does not change a life cycle that is draining or stopped.
 
 mod actor;
-pub mod cancelled;
-pub mod crashes;
+pub mod cancelled_job_gossip;
+mod configuration_gossip;
+pub mod crash_gossip;
 mod directory;
 mod lifecycle;
 mod loads;
 mod machines;
 mod metrics;
 mod regions;
-mod spread;
 mod status;
 mod sync;
 mod watcher;
 
-pub use regions::{StaleRegion, regions_fresh};
-pub use status::{InForce, in_force};
+pub use regions::{StaleRegion, read_stale_regions};
+pub use status::{ConfigurationStatus, configuration_status};
 pub use sync::cell_sync;
 
 use std::rc::Rc;
@@ -35,13 +35,13 @@
 
 use crate::actor::{FleetActor, Leave};
 
-/// What the fleet part of a node needs.
+/// Inputs of the fleet part of a node.
 pub struct FleetContext {
     /// Shared tables of the node.
     pub tables: Arc<NodeTables>,
-    /// Settings.
+    /// Settings of the fleet part.
     pub settings: FleetSettings,
-    /// Platform.
+    /// Clients of the platform.
     pub platform: Platform,
     /// Bound gossip socket.
     pub socket: DatagramSocket,
@@ -49,20 +49,20 @@
     pub link_address: String,
     /// `host:port` of the node's admin HTTP listener.
     pub admin_address: String,
-    /// Shaping of traffic.
+    /// Traffic policy.
     pub policy: SharedPolicy,
-    /// Bounds of links.
+    /// Limits and timeouts of links.
     pub link_settings: LinkSettings,
 }
 
-/// The running fleet part.
+/// Handle of the running fleet part.
 #[derive(Clone)]
 pub struct FleetHandle {
     actor: Addr<FleetActor>,
 }
 
 impl FleetHandle {
-    /// Announces that the node has left, and stops gossip. Resolves when that has been sent.
+    /// Announces the node's departure and stops gossip. Resolves once the announcements are sent.
     pub async fn leave(&self) {
         let _ = self.actor.send(Leave).await;
     }
@@ -78,7 +78,7 @@
         socket,
         context.link_address,
         context.admin_address,
-        sync::Dialler {
+        sync::SnapshotClient {
             policy: context.policy,
             settings: context.link_settings,
         },
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The node's life cycle as far as the fleet part decides it: starting, ready, withdrawn.
+//! Life cycle states that the fleet part decides: starting, ready and withdrawn.
 
 #[cfg(test)]
 mod tests;
@@ -8,39 +8,39 @@
 use dappleyard_tables::decisions::{Decision, DecisionKind, Subject};
 use dappleyard_tables::{Lifecycle, NodeTables};
 
-/// What decides whether the node serves.
+/// Inputs to the decision whether the node serves.
 #[derive(Debug, Clone, Copy)]
 pub struct Inputs {
-    /// The node has learnt members and configuration since it started.
+    /// The node has received members and configuration since it started.
     pub synced: bool,
-    /// Whether it can vouch for what it knows.
+    /// Whether the node's view of the cluster is confirmed by members or the store.
     pub standing: Standing,
-    /// Highest configuration revision that others have shown.
-    pub highest_heard: u64,
-    /// Revision in force here.
+    /// Highest configuration revision seen from other nodes.
+    pub highest_remote_revision: u64,
+    /// Configuration revision applied on this node.
     pub revision: u64,
 }
 
-/// Decides the life cycle from the inputs, and remembers since when the node lags.
+/// Decides the life cycle, and tracks how long the configuration has lagged.
 #[derive(Debug, Default)]
 pub struct LifecycleGuard {
-    behind_since: Option<Millis>,
+    lagging_since: Option<Millis>,
     recovering: bool,
 }
 
 impl LifecycleGuard {
-    /// The life cycle and its cause.
+    /// The next life cycle state and its cause.
     pub fn decide(
         &mut self,
         inputs: Inputs,
         vouch_ms: u64,
         now: Millis,
     ) -> (Lifecycle, &'static str) {
-        let behind = inputs.revision < inputs.highest_heard;
-        if !behind {
-            self.behind_since = None;
-        } else if self.behind_since.is_none() {
-            self.behind_since = Some(now);
+        let lagging = inputs.revision < inputs.highest_remote_revision;
+        if !lagging {
+            self.lagging_since = None;
+        } else if self.lagging_since.is_none() {
+            self.lagging_since = Some(now);
         }
         if !inputs.synced {
             return (
@@ -66,9 +66,9 @@
             Standing::Vouched => {}
         }
         let lags_long = self
-            .behind_since
+            .lagging_since
             .is_some_and(|since| now.since(since) > vouch_ms);
-        if behind && (self.recovering || lags_long) {
+        if lagging && (self.recovering || lags_long) {
             return (
                 Lifecycle::Withdrawn,
                 "the configuration is older than that of other members",
@@ -82,8 +82,8 @@
     }
 }
 
-/// Puts the node into `next` unless it drains or has stopped. Returns whether it has changed.
-pub fn enter(tables: &NodeTables, next: Lifecycle, cause: &str) -> bool {
+/// Moves the node to `next` unless it is draining or stopped. Returns whether the state has changed.
+pub fn transition(tables: &NodeTables, next: Lifecycle, cause: &str) -> bool {
     let mut before = next;
     let changed = tables.lifecycle.send_if_modified(|current| {
         before = *current;
--- a/crates/fleet/src/lifecycle/tests.rs
+++ b/crates/fleet/src/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! When a node serves.
+//! Conditions under which a node serves.
 
 use dappleyard_decide::membership::Standing;
 use dappleyard_decide::time::Millis;
@@ -9,11 +9,11 @@
 
 const VOUCH_MS: u64 = 8_000;
 
-fn inputs(standing: Standing, revision: u64, highest_heard: u64) -> Inputs {
+fn inputs(standing: Standing, revision: u64, highest_remote_revision: u64) -> Inputs {
     Inputs {
         synced: true,
         standing,
-        highest_heard,
+        highest_remote_revision,
         revision,
     }
 }
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn a_lag_that_gossip_will_close_does_not_withdraw_a_node_but_a_long_one_does() {
+fn only_a_long_configuration_lag_withdraws_a_node() {
     let mut guard = LifecycleGuard::default();
     let lagging = inputs(Standing::Vouched, 4, 5);
     expect_that!(decide(&mut guard, lagging, 0), eq(Lifecycle::Ready));
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn after_a_doubt_the_revision_of_the_peers_comes_first() {
+fn a_recovering_node_waits_for_the_revision_of_its_peers() {
     let mut guard = LifecycleGuard::default();
     let doubted = inputs(Standing::Doubted, 4, 4);
     expect_that!(decide(&mut guard, doubted, 0), eq(Lifecycle::Withdrawn));
--- a/crates/fleet/src/loads.rs
+++ b/crates/fleet/src/loads.rs
@@ -1,4 +1,4 @@
-//! Load reports within the cell, and aggregates between cells.
+//! Load reports within a cell, and aggregates between cells.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
     CellAggregate, LoadReport, Member, MemberState, NodeLoad, ServiceLoad,
 };
 
-/// An unchanged report is still sent every so many intervals.
-const INTERVALS_BETWEEN_UNCHANGED: u32 = 4;
-/// Loads older than this are left out of aggregates, milliseconds.
+/// Number of intervals after which an unchanged report is sent again.
+const UNCHANGED_REPORT_INTERVALS: u32 = 4;
+/// Age above which loads are left out of aggregates, milliseconds.
 const STALE_LOAD_MS: u64 = 5_000;
-/// Nodes named in an aggregate as entries for spilled work.
-const ENTRY_NODES: usize = 4;
-/// Lagging nodes named in an aggregate.
-const LAGGING_NODES: usize = 4;
-/// Other cells told in one interval, whatever the number of cells.
+/// Most nodes named in an aggregate as entry points for spilled work.
+const MAXIMUM_ENTRY_NODES: usize = 4;
+/// Most lagging nodes named in an aggregate.
+const MAXIMUM_LAGGING_NODES: usize = 4;
+/// Most other cells that receive an aggregate in one interval.
 const CELLS_PER_INTERVAL: usize = 4;
 
-/// Load reports and aggregates of one node.
+/// Sending state of one node's load reports and aggregates.
 #[derive(Default)]
 pub struct Loads {
     last_sent: Option<NodeLoad>,
@@ -30,13 +30,13 @@
 }
 
 impl Loads {
-    /// The report to send to the cell now; `None` while nothing has changed.
+    /// The report to send to the cell now; `None` when an unchanged report is not due yet.
     pub fn report(&mut self, tables: &NodeTables) -> Option<LoadReport> {
         let node = tables.identity.node.as_str();
         let nodes = tables.loads.nodes();
         let own = nodes.into_iter().find(|load| load.value.node == node);
         let mut load = own.map(|own| own.value).unwrap_or_default();
-        // The receivers take the name from the datagram.
+        // Receivers restore the name from the datagram's sender.
         load.node.clear();
         let unchanged = self.last_sent.as_ref().is_some_and(|last| {
             let sequence = last.sequence;
@@ -53,7 +53,7 @@
         if unchanged
             && !self
                 .intervals_unchanged
-                .is_multiple_of(INTERVALS_BETWEEN_UNCHANGED)
+                .is_multiple_of(UNCHANGED_REPORT_INTERVALS)
         {
             return None;
         }
@@ -64,7 +64,7 @@
         })
     }
 
-    /// The cells to which the next aggregate goes, in turn over all others.
+    /// The cells that receive the next aggregate, round-robin over all other cells.
     pub fn next_cells<'a>(&mut self, cells: &'a Cells, own: &str) -> Vec<&'a Cell> {
         let others: Vec<&Cell> = cells
             .all()
@@ -80,8 +80,8 @@
     }
 }
 
-/// Takes a report of another node.
-pub fn take_report(tables: &NodeTables, from: &str, report: LoadReport, now: Millis) {
+/// Applies a report of another node.
+pub fn apply_report(tables: &NodeTables, from: &str, report: LoadReport, now: Millis) {
     tables
         .members
         .note_revision(&from.into(), report.configuration_revision);
@@ -91,14 +91,14 @@
     }
 }
 
-/// The node that reports for a cell.
+/// The node that sends the aggregates of a cell.
 pub fn reporter(cell: &Cell) -> Option<&str> {
     let able = cell.nodes.iter().filter(|node| node.eligible);
     let chosen = preferred(&cell.name, able.map(|node| node.node.as_str()), 1);
     chosen.first().copied()
 }
 
-/// The aggregate of a cell as this node, one of its members, sees it.
+/// Computes the aggregate of a cell from this node's tables. This node must be in the cell.
 pub fn aggregate(tables: &NodeTables, cell: &Cell, now: Millis) -> CellAggregate {
     let in_cell = |node: &str| cell.nodes.iter().any(|member| member.node == node);
     let loads: Vec<Stamped<NodeLoad>> = tables
@@ -131,7 +131,7 @@
         highest_revision: highest,
         lagging_nodes: lagging
             .iter()
-            .take(LAGGING_NODES)
+            .take(MAXIMUM_LAGGING_NODES)
             .map(|member| member.node.clone())
             .collect(),
         nodes_lagging: count(lagging.len()),
@@ -142,7 +142,7 @@
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
-/// Sums of the services over the nodes; the wait is the shortest that any node offers.
+/// Sums the services over all nodes; the wait is the shortest of any node.
 fn sum_services(loads: &[Stamped<NodeLoad>]) -> Vec<ServiceLoad> {
     let mut sums: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
     let services = loads
@@ -169,7 +169,7 @@
     sums.into_values().collect()
 }
 
-/// The nodes with the most room, which may be entered for spilled work.
+/// The nodes with the most free sequences, as entry points for spilled work.
 fn entry_nodes(loads: &[Stamped<NodeLoad>]) -> Vec<String> {
     let mut nodes: Vec<(u32, &str)> = loads
         .iter()
@@ -186,7 +186,7 @@
     nodes.sort_by_key(|(free, node)| (std::cmp::Reverse(*free), *node));
     nodes
         .into_iter()
-        .take(ENTRY_NODES)
+        .take(MAXIMUM_ENTRY_NODES)
         .map(|(_, node)| node.to_owned())
         .collect()
 }
--- a/crates/fleet/src/machines.rs
+++ b/crates/fleet/src/machines.rs
@@ -1,11 +1,9 @@
-//! The machine list: read by all nodes while it is small, by the watchers of each zone when it is
-//! large; what they see change rides on gossip.
+//! The machine list. All nodes read a small list; only the watchers of each zone read a large one
+//! frequent, and gossip the changes to the others.
 //!
-//! A list of 7,900 servers is more than a megabyte: if each node read it every two seconds, that
-//! alone would cost a hundred times the whole budget of a node. A watcher compares each reading with
-//! its last one and passes on what differs; the later observation wins, and a reading that does not
-//! differ from the reader's last one does not undo what others have seen meanwhile, since the list
-//! lags by a different time for each reader.
+//! A watcher compares each read with its previous one. The latest observation wins, and an unchanged
+//! read does not revert changes that other nodes have observed since, because the list may be stale
+//! by a different time for each reader.
 
 #[cfg(test)]
 mod tests;
@@ -21,40 +19,41 @@
 use dappleyard_wire::messages::ServerUpdate;
 use prost::Message;
 
-/// Longest list that every node reads for itself, entries.
+/// Longest list that every node polls itself, entries.
 const SMALL_LIST: usize = 256;
-/// Most changes of one reading that ride on gossip; after more, all nodes read the list.
+/// Most changes of one read that are sent by gossip; after more, all nodes read the list.
 const MAXIMUM_UPDATES: usize = 64;
-/// Time after which a reading overrules what others saw before, milliseconds.
-const OVERRULE_MS: u64 = 60_000;
-/// Time between readings of a large list by nodes that are no watchers, milliseconds.
-const RARE_READING_MS: u64 = 1_800_000;
-/// Bytes that the tag and length of one update take.
+/// Age of an observation above which a read overrides it, milliseconds. Removed servers are kept for
+/// the same time.
+const OVERRIDE_AGE_MS: u64 = 60_000;
+/// Read interval of a large list on nodes that are not watchers, milliseconds.
+const LARGE_LIST_INTERVAL_MS: u64 = 1_800_000;
+/// Encoded size of the tag and length of one update.
 const UPDATE_OVERHEAD_BYTES: usize = 3;
 
-/// What this node knows of one server in the list.
-struct Known {
-    /// Hash of the content in force; `None` when the server is gone.
+/// State of one server of the list.
+struct ServerState {
+    /// Hash of the current content; `None` when the server is removed.
     current: Option<u64>,
-    /// Hash of the content at this node's last reading.
+    /// Hash of the content in this node's last read.
     read: Option<u64>,
-    /// When the content in force was observed.
+    /// When the current content was observed.
     observed_unix_ms: u64,
-    /// Last reading that showed the server, or its absence.
-    reading: u32,
+    /// This node's read count when the state was last updated.
+    read_count: u32,
 }
 
-/// What has to change in the directory.
+/// Changes to make in the directory.
 #[derive(Default)]
 pub struct DirectoryChange {
-    /// New entries, or new contents.
+    /// New or changed entries.
     pub put: Vec<ServerEntry>,
-    /// Servers that are gone.
+    /// Removed servers.
     pub removed: Vec<ServerId>,
 }
 
 impl DirectoryChange {
-    /// Whether nothing has to change.
+    /// Whether there is nothing to change.
     pub fn is_empty(&self) -> bool {
         self.put.is_empty() && self.removed.is_empty()
     }
@@ -63,54 +62,54 @@
 /// The machine list as this node knows it.
 #[derive(Default)]
 pub struct Machines {
-    known: BTreeMap<ServerId, Known>,
+    known: BTreeMap<ServerId, ServerState>,
     nodes: Vec<SocketAddr>,
     entries: usize,
-    reading: u32,
-    waiting: Broadcasts<ServerUpdate>,
-    /// Ids that many entries share, kept once.
+    read_count: u32,
+    queue: Broadcasts<ServerUpdate>,
+    /// Interned ids of services, zones and regions.
     services: BTreeMap<String, ServiceId>,
     zones: BTreeMap<String, ZoneId>,
     regions: BTreeMap<String, RegionId>,
-    read_once: bool,
+    has_read: bool,
     reread_unix_ms: u64,
 }
 
 impl Machines {
-    /// Gossip addresses of the nodes that the list shows.
+    /// Gossip addresses of the nodes in the list.
     pub fn node_addresses(&self) -> &[SocketAddr] {
         &self.nodes
     }
 
-    /// Time until this node reads the list again, milliseconds. `often` says that it is a watcher, or
-    /// that the last reading failed.
-    pub fn reading_interval_ms(&self, interval_ms: u64, often: bool) -> u64 {
-        if often || !self.read_once || self.entries <= SMALL_LIST {
+    /// Time until this node reads the list again, milliseconds. `frequent` is set for watchers and
+    /// after a failed read.
+    pub fn read_interval_ms(&self, interval_ms: u64, frequent: bool) -> u64 {
+        if frequent || !self.has_read || self.entries <= SMALL_LIST {
             interval_ms
         } else {
-            RARE_READING_MS
+            LARGE_LIST_INTERVAL_MS
         }
     }
 
-    /// Updates for one datagram.
-    pub fn take(&mut self, budget: usize, retransmits: u32) -> Vec<ServerUpdate> {
-        self.waiting.take(budget, retransmits)
+    /// The updates to send in the next datagram, within `budget` bytes.
+    pub fn next_updates(&mut self, budget: usize, retransmits: u32) -> Vec<ServerUpdate> {
+        self.queue.take(budget, retransmits)
     }
 
-    /// When the list was last seen to change too much for updates.
+    /// When the list last changed too much to send updates.
     pub fn reread_unix_ms(&self) -> u64 {
         self.reread_unix_ms
     }
 
-    /// Takes another node's statement that the list is to be read again; `true` when it is news.
-    pub fn hear_reread(&mut self, unix_ms: u64) -> bool {
-        let news = unix_ms > self.reread_unix_ms;
+    /// Notes another node's request to read the list again; `true` when it is newer than the last one.
+    pub fn note_reread_request(&mut self, unix_ms: u64) -> bool {
+        let is_newer = unix_ms > self.reread_unix_ms;
         self.reread_unix_ms = self.reread_unix_ms.max(unix_ms);
-        news
+        is_newer
     }
 
-    /// Takes a reading of the list.
-    pub fn read(&mut self, machines: &[Machine], unix_ms: u64) -> DirectoryChange {
+    /// Applies a read of the list.
+    pub fn apply_list(&mut self, machines: &[Machine], unix_ms: u64) -> DirectoryChange {
         self.entries = machines.len();
         self.nodes = machines
             .iter()
@@ -122,10 +121,10 @@
         let servers = machines
             .iter()
             .filter(|machine| machine.role == MachineRole::Server);
-        self.reading += 1;
+        self.read_count += 1;
         for machine in servers {
             let hash = content_hash(machine);
-            if self.take_reading(machine.name.as_str(), Some(hash), unix_ms) {
+            if self.note_server(machine.name.as_str(), Some(hash), unix_ms) {
                 change.put.push(self.entry_of(machine));
                 updates.push(update_of(machine, unix_ms));
             }
@@ -133,40 +132,40 @@
         let missing: Vec<ServerId> = self
             .known
             .iter()
-            .filter(|(_, known)| known.reading != self.reading)
+            .filter(|(_, known)| known.read_count != self.read_count)
             .map(|(server, _)| server.clone())
             .collect();
         for server in missing {
-            if self.take_reading(server.as_str(), None, unix_ms) {
+            if self.note_server(server.as_str(), None, unix_ms) {
                 updates.push(removal_of(&server, unix_ms));
                 change.removed.push(server);
             }
         }
-        self.forget_gone(unix_ms);
-        if self.read_once {
-            self.pass_on(updates, unix_ms);
+        self.drop_removed(unix_ms);
+        if self.has_read {
+            self.enqueue_updates(updates, unix_ms);
         }
-        self.read_once = true;
+        self.has_read = true;
         change
     }
 
-    /// Notes what the reading shows of one server; `true` when it comes into force.
-    fn take_reading(&mut self, server: &str, hash: Option<u64>, unix_ms: u64) -> bool {
+    /// Notes the content of one server in a read; `true` when it becomes the current content.
+    fn note_server(&mut self, server: &str, hash: Option<u64>, unix_ms: u64) -> bool {
         let Some(known) = self.known.get_mut(&ServerId::from(server)) else {
-            let fresh = Known {
+            let added = ServerState {
                 current: hash,
                 read: hash,
                 observed_unix_ms: unix_ms,
-                reading: self.reading,
+                read_count: self.read_count,
             };
-            self.known.insert(server.into(), fresh);
+            self.known.insert(server.into(), added);
             return true;
         };
-        known.reading = self.reading;
+        known.read_count = self.read_count;
         let differs_from_last = known.read != hash;
         known.read = hash;
-        let overrules = unix_ms.saturating_sub(known.observed_unix_ms) >= OVERRULE_MS;
-        if known.current == hash || !(differs_from_last || overrules) {
+        let outdated = unix_ms.saturating_sub(known.observed_unix_ms) >= OVERRIDE_AGE_MS;
+        if known.current == hash || !(differs_from_last || outdated) {
             return false;
         }
         known.current = hash;
@@ -174,7 +173,7 @@
         true
     }
 
-    fn pass_on(&mut self, updates: Vec<ServerUpdate>, unix_ms: u64) {
+    fn enqueue_updates(&mut self, updates: Vec<ServerUpdate>, unix_ms: u64) {
         if self.entries <= SMALL_LIST {
             return;
         }
@@ -190,28 +189,28 @@
     fn push(&mut self, update: ServerUpdate) {
         let bytes = update.encoded_len() + UPDATE_OVERHEAD_BYTES;
         let server = update.server.clone();
-        self.waiting.push(&server, update, bytes);
+        self.queue.push(&server, update, bytes);
     }
 
-    /// Takes updates that came by gossip; those that are news go on to others.
-    pub fn learn(&mut self, updates: &[ServerUpdate]) -> DirectoryChange {
+    /// Applies updates received by gossip, and forwards those that are new.
+    pub fn merge_updates(&mut self, updates: &[ServerUpdate]) -> DirectoryChange {
         let mut change = DirectoryChange::default();
         for update in updates.iter().filter(|update| !update.server.is_empty()) {
             let machine = machine_of(update);
             let hash = (!update.removed).then(|| content_hash(&machine));
             let known = self.known.get(&ServerId::from(&update.server));
-            let news = known.is_none_or(|known| {
+            let is_newer = known.is_none_or(|known| {
                 known.observed_unix_ms < update.observed_unix_ms && known.current != hash
             });
-            if !news {
+            if !is_newer {
                 continue;
             }
             let read = known.and_then(|known| known.read);
-            let next = Known {
+            let next = ServerState {
                 current: hash,
                 read,
                 observed_unix_ms: update.observed_unix_ms,
-                reading: self.reading,
+                read_count: self.read_count,
             };
             self.known.insert(update.server.as_str().into(), next);
             match update.removed {
@@ -223,21 +222,21 @@
         change
     }
 
-    /// Forgets servers that are gone from the list and from the directory for long.
-    fn forget_gone(&mut self, unix_ms: u64) {
+    /// Drops servers that were removed long ago.
+    fn drop_removed(&mut self, unix_ms: u64) {
         self.known.retain(|_, known| {
             let gone = known.current.is_none() && known.read.is_none();
-            !gone || unix_ms.saturating_sub(known.observed_unix_ms) < OVERRULE_MS
+            !gone || unix_ms.saturating_sub(known.observed_unix_ms) < OVERRIDE_AGE_MS
         });
     }
 
-    /// The directory entry; ids that many entries share are kept once.
+    /// The directory entry of a machine, with interned ids.
     fn entry_of(&mut self, machine: &Machine) -> ServerEntry {
         ServerEntry {
             server: machine.name.as_str().into(),
-            service: shared(&mut self.services, machine.service.as_str()),
-            region: shared(&mut self.regions, machine.region.as_str()),
-            zone: shared(&mut self.zones, machine.zone.as_str()),
+            service: intern(&mut self.services, machine.service.as_str()),
+            region: intern(&mut self.regions, machine.region.as_str()),
+            zone: intern(&mut self.zones, machine.zone.as_str()),
             hall: machine.hall.clone(),
             base_url: machine.address.clone(),
             leaving: machine.leaving,
@@ -246,16 +245,16 @@
     }
 }
 
-fn shared<I: Clone + for<'a> From<&'a str>>(ids: &mut BTreeMap<String, I>, id: &str) -> I {
+fn intern<I: Clone + for<'a> From<&'a str>>(ids: &mut BTreeMap<String, I>, id: &str) -> I {
     if let Some(known) = ids.get(id) {
         return known.clone();
     }
-    let made = I::from(id);
-    ids.insert(id.to_owned(), made.clone());
-    made
+    let interned = I::from(id);
+    ids.insert(id.to_owned(), interned.clone());
+    interned
 }
 
-/// Hash of all that the directory keeps of a server.
+/// Hash of the server properties that the directory keeps.
 fn content_hash(machine: &Machine) -> u64 {
     let fields = [
         machine.service.as_str(),
--- a/crates/fleet/src/metrics.rs
+++ b/crates/fleet/src/metrics.rs
@@ -3,42 +3,42 @@
 use dappleyard_wire::messages::datagram::Body;
 use prometheus::{Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
-/// Metrics of the fleet part.
+/// Registered metrics of the fleet part.
 pub struct Metrics {
     /// Bytes of datagrams, by direction.
     pub bytes: IntCounterVec,
     /// Datagrams, by direction and kind.
     pub datagrams: IntCounterVec,
-    /// Datagrams that could not be read.
+    /// Datagrams that could not be decoded.
     pub malformed: IntCounter,
-    /// Members suspected, by own probes or by hearsay.
+    /// Members suspected, by own probes or by gossip.
     pub suspicions: IntCounter,
     /// Members suspected by own probes.
     pub own_suspicions: IntCounter,
     /// Suspicions that turned out false.
     pub false_suspicions: IntCounter,
-    /// Members believed dead that turned out alive under the same start.
+    /// Members declared dead that were alive without a restart.
     pub false_deaths: IntCounter,
-    /// Statements about this node that it refuted.
+    /// Suspicions and deaths of this node that it refuted.
     pub refutations: IntCounter,
     /// Time from suspicion to death, for deaths that this node declared, seconds.
     pub detection: Histogram,
-    /// Members believed alive or suspected, this node included.
+    /// Alive or suspected members, this node included.
     pub members: IntGauge,
-    /// Configuration revision in force.
+    /// Configuration revision applied on this node.
     pub revision: IntGauge,
-    /// Configuration changes applied, by the way they came.
+    /// Configuration changes applied, by source.
     pub applied: IntCounterVec,
-    /// Servers owned.
+    /// Servers owned by this node.
     pub owned_servers: IntGauge,
-    /// Times that the node withdrew.
+    /// Transitions of the node to the withdrawn state.
     pub withdrawals: IntCounter,
     /// Calls to the store and the machine list, by call and result.
     pub calls: IntCounterVec,
 }
 
 impl Metrics {
-    /// Metrics registered in `registry`. A name that is registered already is left as it is.
+    /// Creates and registers the metrics. Those whose names are already registered are not exported.
     pub fn new(registry: &Registry) -> Metrics {
         let vector = |name: &str, help: &str, labels: &[&str]| {
             let made = IntCounterVec::new(Opts::new(name, help), labels).expect("a valid name");
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Counts a datagram.
+    /// Counts a datagram by direction and kind.
     pub fn count_datagram(&self, direction: &str, body: Option<&Body>, bytes: usize) {
         self.bytes
             .with_label_values(&[direction])
@@ -128,7 +128,7 @@
             .inc();
     }
 
-    /// Counts a call to the platform.
+    /// Counts a call by its result.
     pub fn count_call<T, E>(&self, call: &str, result: &Result<T, E>) {
         let result = if result.is_ok() { "ok" } else { "error" };
         self.calls.with_label_values(&[call, result]).inc();
--- a/crates/fleet/src/regions.rs
+++ b/crates/fleet/src/regions.rs
@@ -1,5 +1,5 @@
-//! Freshness of regions: one node of each region keeps a row fresh in the store, so that a change
-//! that could not be in force everywhere is refused.
+//! Region heartbeats: one node of each region refreshes a row in the store, so that configuration
+//! changes can be refused while a region is cut off.
 
 use std::collections::BTreeSet;
 
@@ -9,25 +9,25 @@
 use dappleyard_wire::messages::{MemberState, RegionRow};
 use prost::Message;
 
-/// Time between two writes of a region's row, milliseconds.
+/// Interval between writes of a region's row, milliseconds.
 pub const REFRESH_MS: u64 = 3_000;
-/// Age at which a region counts as cut off, milliseconds.
+/// Age of a region's row above which the region counts as cut off, milliseconds.
 pub const STALE_MS: u64 = 10_000;
-/// Most regions read.
+/// Most region rows read.
 const MAXIMUM_REGIONS: usize = 64;
 
-/// A region that has not shown life for too long.
+/// A region without a recent heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StaleRegion {
-    /// Region.
+    /// Region id.
     pub region: String,
     /// Time since its row was refreshed, milliseconds; `None` when it has no row.
     pub age_ms: Option<u64>,
 }
 
-/// Regions that are cut off from the store, of all those that have a row or a server or member in
-/// this node's tables. A configuration change must be refused while there is one.
-pub async fn regions_fresh(
+/// Regions that are cut off from the store, among those with a row in the store or a member in this
+/// node's tables that has not left. A configuration change must be refused while there is one.
+pub async fn read_stale_regions(
     tables: &NodeTables,
     platform: &Platform,
 ) -> Result<Vec<StaleRegion>, StoreError> {
@@ -46,7 +46,7 @@
     ))
 }
 
-/// Which of the known regions, and of those with a row, are stale at this wall-clock time.
+/// The stale ones among the known regions and those with a row, at this wall-clock time.
 pub fn stale_regions(
     rows: &[RegionRow],
     known: &BTreeSet<String>,
@@ -67,7 +67,7 @@
         .collect()
 }
 
-/// Regions in which there are members that have not left.
+/// Regions with members that have not left.
 fn known_regions(tables: &NodeTables) -> BTreeSet<String> {
     let members = tables.members.all();
     members
@@ -77,7 +77,7 @@
         .collect()
 }
 
-/// Writes the row of this node's region.
+/// Writes a region's row. Returns the revision of the write.
 pub async fn refresh(
     region: String,
     holder: String,
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,4 +1,4 @@
-//! Where the configuration is in force, answered by any node from its own tables.
+//! Rollout status of the configuration, computed from a node's own tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,29 +7,29 @@
 use dappleyard_wire::ids::NodeId;
 use dappleyard_wire::messages::{CellAggregate, Member, MemberState};
 
-/// Aggregates older than this say nothing of a cell any more, milliseconds.
+/// Age above which aggregates are ignored, milliseconds.
 const STALE_AGGREGATE_MS: u64 = 60_000;
-/// Lagging nodes named.
-const MAXIMUM_LAGGARDS: usize = 32;
+/// Most lagging nodes listed.
+const MAXIMUM_NODES_BEHIND: usize = 32;
 
-/// "Revision R is in force on N of M nodes".
+/// Which nodes have applied the latest known configuration revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct InForce {
-    /// Highest revision known to be in force anywhere.
+pub struct ConfigurationStatus {
+    /// Highest revision known to be applied on any node.
     pub revision: u64,
-    /// Nodes believed alive.
+    /// Number of nodes considered alive.
     pub nodes: usize,
-    /// Nodes known to have applied `revision`.
-    pub nodes_in_force: usize,
-    /// Nodes known to lag, a few of them.
-    pub laggards: Vec<String>,
-    /// Regions of which no member answers.
-    pub cut_off_regions: Vec<String>,
+    /// Number of nodes known to have applied `revision`.
+    pub nodes_up_to_date: usize,
+    /// Live nodes not known to have applied `revision`, up to a limit.
+    pub nodes_behind: Vec<String>,
+    /// Regions without a live member.
+    pub unreachable_regions: Vec<String>,
 }
 
-/// Where the configuration is in force as this node knows it. Other cells are seen by their
-/// aggregates, so the answer lags by some seconds.
-pub fn in_force(tables: &NodeTables) -> InForce {
+/// The rollout status as this node knows it. Other cells are known by their aggregates, so the status
+/// lags by some seconds.
+pub fn configuration_status(tables: &NodeTables) -> ConfigurationStatus {
     let now = tables.clock.now();
     let members = tables.members.all();
     let aggregates = fresh_aggregates(tables, now);
@@ -38,16 +38,20 @@
         .filter(|m| m.state() == MemberState::MemberAlive)
         .collect();
     let own = tables.configuration.revision();
-    let shown = aggregates
+    let aggregate_revisions = aggregates
         .values()
         .map(|aggregate| aggregate.highest_revision);
-    let by_members = alive.iter().map(|member| member.configuration_revision);
-    let revision = shown.chain(by_members).chain([own]).max().unwrap_or(own);
-    let mut answer = InForce {
+    let member_revisions = alive.iter().map(|member| member.configuration_revision);
+    let revision = aggregate_revisions
+        .chain(member_revisions)
+        .chain([own])
+        .max()
+        .unwrap_or(own);
+    let mut answer = ConfigurationStatus {
         revision,
         nodes: alive.len(),
-        cut_off_regions: cut_off_regions(&members, tables),
-        ..InForce::default()
+        unreachable_regions: unreachable_regions(&members, tables),
+        ..ConfigurationStatus::default()
     };
     let cells = tables.members.cells();
     for member in alive {
@@ -56,35 +60,35 @@
         let applied = if is_own {
             own
         } else {
-            applied(member, cell, &aggregates)
+            applied_revision(member, cell, &aggregates)
         };
         if applied >= revision {
-            answer.nodes_in_force += 1;
-        } else if answer.laggards.len() < MAXIMUM_LAGGARDS {
-            answer.laggards.push(member.node.clone());
+            answer.nodes_up_to_date += 1;
+        } else if answer.nodes_behind.len() < MAXIMUM_NODES_BEHIND {
+            answer.nodes_behind.push(member.node.clone());
         }
     }
     answer
 }
 
-/// Revision that a member is known to have applied: what it said itself, within this node's cell, or
-/// what the aggregate of its own cell says of it.
-fn applied(
+/// Revision that a member is known to have applied: the greater of the one it reported itself and the
+/// one that the aggregate of its cell shows.
+fn applied_revision(
     member: &Member,
     cell: Option<&String>,
     aggregates: &BTreeMap<String, CellAggregate>,
 ) -> u64 {
-    let by_cell = cell
+    let from_aggregate = cell
         .and_then(|cell| aggregates.get(cell))
-        .map(|aggregate| shown_by(aggregate, &member.node));
+        .map(|aggregate| revision_from_aggregate(aggregate, &member.node));
     member
         .configuration_revision
-        .max(by_cell.unwrap_or_default())
+        .max(from_aggregate.unwrap_or_default())
 }
 
-/// Revision that an aggregate shows for one of its members. When it does not name all that lag, any
-/// of them may.
-fn shown_by(aggregate: &CellAggregate, node: &str) -> u64 {
+/// Revision that an aggregate shows for a member of its cell. When the aggregate does not name all
+/// lagging nodes, any member may be lagging.
+fn revision_from_aggregate(aggregate: &CellAggregate, node: &str) -> u64 {
     let names_all = aggregate.nodes_lagging as usize == aggregate.lagging_nodes.len();
     let lags = aggregate.lagging_nodes.iter().any(|name| name == node);
     if names_all && !lags {
@@ -102,25 +106,24 @@
         .collect()
 }
 
-/// Regions other than this node's in which there are servers or members that have not left, while no
-/// member there is believed alive.
-fn cut_off_regions(members: &[Member], tables: &NodeTables) -> Vec<String> {
+/// Regions other than this node's that have servers or members that have not left, but no live member.
+fn unreachable_regions(members: &[Member], tables: &NodeTables) -> Vec<String> {
     let mut known: BTreeSet<String> = tables.directory.read(|servers| {
         let regions: BTreeSet<&str> = servers.values().map(|s| s.region.as_str()).collect();
         regions.into_iter().map(str::to_owned).collect()
     });
-    let mut answering = BTreeSet::from([tables.identity.region.as_str()]);
+    let mut reachable = BTreeSet::from([tables.identity.region.as_str()]);
     for member in members {
         match member.state() {
             MemberState::MemberLeft => {}
             MemberState::MemberAlive => {
-                answering.insert(&member.region);
+                reachable.insert(&member.region);
             }
             _ => {
                 known.insert(member.region.clone());
             }
         }
     }
-    known.retain(|region| !answering.contains(region.as_str()));
+    known.retain(|region| !reachable.contains(region.as_str()));
     known.into_iter().collect()
 }
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -1,4 +1,4 @@
-//! Snapshot of configuration and members from a peer, over a link.
+//! Transfer of configuration and member snapshots between peers, over a link.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
     Call, CellSync, CellSyncAnswer, Hello, Member, call, frame, reply,
 };
 
-/// Longest time for a snapshot to arrive, milliseconds.
+/// Timeout of a snapshot request, milliseconds.
 const SNAPSHOT_TIMEOUT_MS: u32 = 3_000;
 
-/// What is needed to dial a peer.
+/// Client that requests snapshots from peers.
 #[derive(Clone)]
-pub struct Dialler {
-    /// Shaping of traffic.
+pub struct SnapshotClient {
+    /// Traffic policy.
     pub policy: SharedPolicy,
-    /// Bounds of links.
+    /// Limits and timeouts of links.
     pub settings: LinkSettings,
 }
 
-impl Dialler {
-    /// Asks the node at `address` for its snapshot. `None` when it cannot be had.
+impl SnapshotClient {
+    /// Requests the snapshot of the node at `address`. `None` on any failure.
     pub async fn cell_sync(&self, identity: &Identity, address: &str) -> Option<CellSyncAnswer> {
         let hello = Hello {
             protocol: PROTOCOL_VERSION,
@@ -37,13 +37,13 @@
         let link = Link::connect(address, hello, &self.settings, self.policy.clone())
             .await
             .ok()?;
-        let answer = ask(&link, identity).await;
+        let answer = request_snapshot(&link, identity).await;
         link.close();
         answer
     }
 }
 
-async fn ask(link: &Link, identity: &Identity) -> Option<CellSyncAnswer> {
+async fn request_snapshot(link: &Link, identity: &Identity) -> Option<CellSyncAnswer> {
     let call = Call {
         budget_ms: SNAPSHOT_TIMEOUT_MS,
         method: Some(call::Method::CellSync(CellSync {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Answers a peer's call for a snapshot.
+/// The answer to a peer's request for a snapshot.
 pub fn cell_sync(tables: &NodeTables) -> CellSyncAnswer {
     let state = tables.configuration.snapshot();
     let entries = state.entries.into_values().filter(|entry| !entry.deleted);
@@ -77,8 +77,8 @@
     }
 }
 
-/// Takes an answer apart: the configuration, and the members.
-pub fn parts(answer: CellSyncAnswer) -> (ConfigurationState, Vec<Member>) {
+/// Splits an answer into the configuration and the members.
+pub fn split_answer(answer: CellSyncAnswer) -> (ConfigurationState, Vec<Member>) {
     let revision = answer.configuration_revision;
     let entries = answer
         .entries
--- a/crates/fleet/src/watcher.rs
+++ b/crates/fleet/src/watcher.rs
@@ -1,5 +1,5 @@
-//! Reading configuration from the store: the change feed, and the whole range on start or after the
-//! feed was compacted.
+//! Reads configuration from the store: the change feed, or all rows on start and after the feed was
+//! compacted.
 
 use std::rc::Rc;
 
@@ -11,26 +11,26 @@
 /// Rows read by one call.
 const PAGE_ROWS: usize = 500;
 
-/// What a watcher has read.
+/// Result of a read of the change feed.
 #[derive(Debug)]
 pub enum FeedRead {
-    /// Changes in order; none when nothing has changed.
+    /// Changes in order of revision; empty when nothing has changed.
     Changes(Vec<Vec<ConfigurationEntry>>),
-    /// The feed no longer reaches back: the whole state.
+    /// The whole state, because the feed was compacted past the requested revision.
     Snapshot(Snapshot),
 }
 
-/// The whole configuration as read from the store.
+/// The whole configuration, read from the store.
 #[derive(Debug)]
 pub struct Snapshot {
     /// Configuration.
     pub state: ConfigurationState,
-    /// Revision of the store from which the feed may be read on.
+    /// Store revision after which the feed can be read.
     pub feed_from: u64,
 }
 
-/// Reads what changed after `applied`, the last configuration revision known. `feed_from` is where
-/// the feed may be read from at the earliest.
+/// Reads the changes after `applied`, the last known configuration revision. `feed_from` is the
+/// earliest store revision after which the feed can be read.
 pub async fn read_feed(
     store: Rc<dyn TableStore>,
     applied: u64,
@@ -54,8 +54,8 @@
     }
 }
 
-/// Reads the whole configuration. For a node that starts with no peer to ask.
-pub async fn read_whole(store: Rc<dyn TableStore>) -> Result<Snapshot, StoreError> {
+/// Reads the whole configuration, for a starting node that gets no snapshot from a peer.
+pub async fn read_configuration(store: Rc<dyn TableStore>) -> Result<Snapshot, StoreError> {
     let changes = store.changes(CONFIGURATION_PREFIX, 0, 0).await?;
     if changes.compacted {
         return read_snapshot(store, changes.up_to).await;
@@ -71,8 +71,8 @@
     })
 }
 
-/// Reads all rows, then what changed meanwhile. `up_to` is a revision of the store at or before
-/// which the reading begins.
+/// Reads all rows, then the changes made during the read. `up_to` is a store revision no later than
+/// the start of the read.
 async fn read_snapshot(store: Rc<dyn TableStore>, up_to: u64) -> Result<Snapshot, StoreError> {
     let mut state = ConfigurationState::default();
     let mut after = String::new();
@@ -85,7 +85,7 @@
             state.entries.insert(row.key.clone(), entry_of(row));
         }
     }
-    // The last change may have been a deletion, of which no row tells; the head row does.
+    // The last change may have been a deletion, which leaves no row; the head row has its revision.
     if let Some(head) = store.get(CONFIGURATION_HEAD).await? {
         state.revision = state.revision.max(head.revision);
     }
--- a/crates/fleet/tests/cancelled.rs
+++ b/crates/fleet/tests/cancelled.rs
@@ -1,7 +1,7 @@
-//! How long the ids of cancelled jobs are told.
+//! Ids of cancelled jobs are sent repeatedly for a limited time.
 
 use dappleyard_decide::time::Millis;
-use dappleyard_fleet::cancelled::CancelledJobs;
+use dappleyard_fleet::cancelled_job_gossip::CancelledJobGossip;
 use dappleyard_tables::{Identity, NodeTables};
 use googletest::prelude::*;
 
@@ -9,7 +9,7 @@
 const RETRANSMITS: u32 = 3;
 
 #[gtest]
-fn told_again() {
+fn ids_are_resent_until_the_window_ends() {
     let tables = NodeTables::new(Identity {
         node: "node-a".into(),
         zone: "zone-1".into(),
@@ -17,20 +17,20 @@
         incarnation: 1,
     });
     tables.cancelled_jobs.lock().insert("job-1".to_owned());
-    let mut cancelled = CancelledJobs::default();
+    let mut cancelled = CancelledJobGossip::default();
     cancelled.collect(&tables, Millis(10_000));
     for _ in 0..RETRANSMITS {
-        expect_that!(cancelled.take(BUDGET, RETRANSMITS).len(), eq(1));
+        expect_that!(cancelled.next_updates(BUDGET, RETRANSMITS).len(), eq(1));
     }
-    // All of these may have gone to one node.
-    expect_that!(cancelled.take(BUDGET, RETRANSMITS).len(), eq(0));
+    // All of these may have gone to the same node.
+    expect_that!(cancelled.next_updates(BUDGET, RETRANSMITS).len(), eq(0));
     cancelled.collect(&tables, Millis(11_100));
     expect_that!(
-        cancelled.take(BUDGET, RETRANSMITS),
+        cancelled.next_updates(BUDGET, RETRANSMITS),
         elements_are![eq("job-1")]
     );
-    // An old cancellation stands in the job's row, where everybody looks before a commit.
-    while !cancelled.take(BUDGET, RETRANSMITS).is_empty() {}
+    // Ids are no longer sent after the window; the job's row keeps the cancellation.
+    while !cancelled.next_updates(BUDGET, RETRANSMITS).is_empty() {}
     cancelled.collect(&tables, Millis(90_000));
-    expect_that!(cancelled.take(BUDGET, RETRANSMITS).len(), eq(0));
+    expect_that!(cancelled.next_updates(BUDGET, RETRANSMITS).len(), eq(0));
 }
--- a/crates/fleet/tests/cluster.rs
+++ b/crates/fleet/tests/cluster.rs
@@ -1,10 +1,10 @@
-//! Nodes that find each other over real sockets on loopback.
+//! Clusters of nodes over loopback sockets.
 
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use dappleyard_fleet::{FleetContext, FleetHandle, in_force, regions_fresh};
+use dappleyard_fleet::{FleetContext, FleetHandle, configuration_status, read_stale_regions};
 use dappleyard_settings::FleetSettings;
 use dappleyard_store::memory::MemoryPlatform;
 use dappleyard_store::{Machine, MachineRole, TableStore, Transaction};
@@ -62,7 +62,7 @@
     Node { tables, handle }
 }
 
-/// Answers calls for a snapshot, as the node's request path does.
+/// Answers snapshot calls as the node's request workers do.
 async fn serve_links(name: &str, tables: Arc<NodeTables>) -> String {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -96,8 +96,7 @@
     address
 }
 
-/// Waits until a condition holds; the test's own time limit is the only deadline.
-/// Waits until something holds; what never comes fails the test instead of holding it for good.
+/// Waits until a condition holds; panics after about a minute.
 async fn eventually(mut holds: impl FnMut() -> bool) {
     for _ in 0..3_000 {
         if holds() {
@@ -105,7 +104,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("what was waited for did not come within a minute");
+    panic!("the condition did not hold within a minute");
 }
 
 fn is_ready(node: &Node) -> bool {
@@ -149,7 +148,7 @@
     platform.transact(transaction).await.expect("a write");
 }
 
-/// Three nodes, all of them found over the first one.
+/// Three nodes that discover each other through the first one.
 async fn three_nodes(platform: &MemoryPlatform) -> Vec<Node> {
     let first = start_node("node-a", "zone-1", platform, Vec::new()).await;
     eventually(|| is_ready(&first)).await;
@@ -168,7 +167,7 @@
     platform.set_machines(servers("zone-1", 12));
     let nodes = three_nodes(&platform).await;
     let owned = |node: &Node| node.tables.servers.all().len();
-    // Before the others are ready the first node owns all of them, so the sum alone proves nothing.
+    // The first node alone owns all servers until the others are ready, so check every node's count.
     eventually(|| {
         let counts: Vec<usize> = nodes.iter().map(owned).collect();
         counts.iter().sum::<usize>() == 12 && counts.iter().all(|count| *count >= 1)
@@ -196,8 +195,8 @@
         .map(|row| row.revision);
     eventually(|| {
         nodes.iter().all(|node| {
-            let status = in_force(&node.tables);
-            Some(status.revision) == revision && status.nodes_in_force == 3
+            let status = configuration_status(&node.tables);
+            Some(status.revision) == revision && status.nodes_up_to_date == 3
         })
     })
     .await;
@@ -207,7 +206,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_compacted_feed_is_replaced_by_the_range() {
+async fn a_compacted_feed_falls_back_to_a_full_read() {
     let platform = MemoryPlatform::default();
     put_tenant(&platform, "first").await;
     platform.compact();
@@ -242,6 +241,6 @@
     let platform = MemoryPlatform::default();
     let node = start_node("node-a", "zone-1", &platform, Vec::new()).await;
     eventually(|| platform.row("region/region-1").is_some()).await;
-    let stale = regions_fresh(&node.tables, &platform.platform()).await;
+    let stale = read_stale_regions(&node.tables, &platform.platform()).await;
     expect_that!(stale, ok(is_empty()));
 }
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -1,8 +1,8 @@
-//! Requests under which engines ended, from node to node.
+//! Gossip of crash records between nodes.
 
 use dappleyard_crashes::{Fingerprint, MOST_ENDED, Permit, RequestParts};
 use dappleyard_decide::time::Millis;
-use dappleyard_fleet::crashes::CrashSpread;
+use dappleyard_fleet::crash_gossip::CrashGossip;
 use dappleyard_tables::{Identity, NodeTables};
 use googletest::prelude::*;
 
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn told_from_node_to_node() {
+fn records_are_forwarded_by_gossip() {
     let request = Fingerprint::of(&RequestParts {
         caller: "tenant-a",
         method: "",
@@ -29,28 +29,28 @@
     });
     let (first, second, third) = (tables("node-a"), tables("node-b"), tables("node-c"));
     let run = |at: u64| {
-        // One engine that is back each time: three ends all the same.
+        // The same engine restarts each time; every crash counts.
         let begun = first.crashes.begin(request, &"server-1".into());
         let ended = begun.map(|run| run.note_ended(Millis(10_000 + 2_000 * at), at));
         expect_that!(ended.ok(), some(eq(at as usize + 1)));
     };
     (0..MOST_ENDED as u64).for_each(run);
-    let mut spreads = [CrashSpread::default(), CrashSpread::default()];
-    spreads[0].collect(&first, Millis(20_000));
-    expect_that!(spreads[0].take_fresh(), eq(true));
-    let told = spreads[0].take(BUDGET, RETRANSMITS);
-    spreads[1].learn(&told, &second);
+    let mut nodes = [CrashGossip::default(), CrashGossip::default()];
+    nodes[0].collect(&first, Millis(20_000));
+    expect_that!(nodes[0].take_has_new(), eq(true));
+    let sent = nodes[0].next_updates(BUDGET, RETRANSMITS);
+    nodes[1].merge_updates(&sent, &second);
     expect_that!(second.crashes.permit(&request), eq(Permit::Refused));
-    // What came by gossip goes on by gossip; what cannot be read is passed over.
-    spreads[1].collect(&second, Millis(20_000));
-    let mut passed_on = spreads[1].take(BUDGET, RETRANSMITS);
-    passed_on.push(vec![0xff; 9]);
-    CrashSpread::default().learn(&passed_on, &third);
+    // Received records are forwarded; records that cannot be decoded are skipped.
+    nodes[1].collect(&second, Millis(20_000));
+    let mut forwarded = nodes[1].next_updates(BUDGET, RETRANSMITS);
+    forwarded.push(vec![0xff; 9]);
+    CrashGossip::default().merge_updates(&forwarded, &third);
     expect_that!(third.crashes.permit(&request), eq(Permit::Refused));
 }
 
 #[gtest]
-fn one_end_under_two_requests() {
+fn a_crash_under_two_copies_counts_once() {
     let tables = tables("node-a");
     let request = Fingerprint::of(&RequestParts {
         caller: "tenant-a",
@@ -59,7 +59,7 @@
         target: "",
         body: b"a prompt",
     });
-    // Two copies of a request run at an engine when it ends.
+    // Two copies of a request run on an engine when it crashes.
     let copies = [1, 2].map(|_| tables.crashes.begin(request, &"server-1".into()).ok());
     let counted = copies.map(|run| run.map(|run| run.note_ended(Millis(10_000), 1)));
     expect_that!(counted, eq([Some(1), Some(1)]));
--- a/crates/fleet/tests/status.rs
+++ b/crates/fleet/tests/status.rs
@@ -1,15 +1,14 @@
-//! What a node says of where a revision is in force.
+//! Rollout status of a configuration revision.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use dappleyard_fleet::in_force;
+use dappleyard_fleet::configuration_status;
 use dappleyard_tables::{Identity, NodeTables};
 use dappleyard_wire::messages::{CellAggregate, Member};
 use googletest::prelude::*;
 
-/// Nodes a and b in cell `zone-1/0` (a is this node), c and d in cell `zone-1/1`; their own statements
-/// of the revision as given.
+/// Tables of node a with four members, given as node, cell and the revision that the node reports.
 fn tables(revisions: [(&str, &str, u64); 4]) -> Arc<NodeTables> {
     let tables = NodeTables::new(Identity {
         node: "a".into(),
@@ -48,7 +47,7 @@
 }
 
 #[gtest]
-fn another_cell_of_the_zone_says_nothing_of_this_one() {
+fn an_aggregate_of_another_cell_does_not_count_for_this_cell() {
     let tables = tables([
         ("a", "zone-1/0", 7),
         ("b", "zone-1/0", 5),
@@ -57,15 +56,18 @@
     ]);
     let now = tables.clock.now();
     tables.loads.put_cell(aggregate("zone-1/1", 7, 7, &[]), now);
-    let status = in_force(&tables);
+    let status = configuration_status(&tables);
     expect_that!(status.revision, eq(7));
-    // This node has applied nothing yet; what it says of itself comes from its own table.
-    expect_that!(status.laggards, unordered_elements_are![eq("a"), eq("b")]);
-    expect_that!(status.nodes_in_force, eq(2));
+    // Node a is this node: its revision comes from its own configuration table, which is empty.
+    expect_that!(
+        status.nodes_behind,
+        unordered_elements_are![eq("a"), eq("b")]
+    );
+    expect_that!(status.nodes_up_to_date, eq(2));
 }
 
 #[gtest]
-fn nodes_of_a_cell_that_was_not_heard_of_are_not_claimed() {
+fn nodes_without_an_aggregate_are_not_counted_as_up_to_date() {
     let tables = tables([
         ("a", "zone-1/0", 0),
         ("b", "zone-1/0", 7),
@@ -76,9 +78,9 @@
     tables
         .loads
         .put_cell(aggregate("zone-1/1", 4, 7, &["c"]), now);
-    let status = in_force(&tables);
+    let status = configuration_status(&tables);
     expect_that!(
-        status.laggards,
+        status.nodes_behind,
         unordered_elements_are![eq("a"), eq("c"), eq("d")]
     );
     expect_that!(status.nodes, eq(4));
