--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -45,7 +45,7 @@
         if !inputs.synced {
             return (
                 Lifecycle::Starting,
-                "members and configuration are not known yet",
+                "members and configuration have not been received yet",
             );
         }
         match inputs.standing {
@@ -75,10 +75,7 @@
             );
         }
         self.recovering = false;
-        (
-            Lifecycle::Ready,
-            "members and configuration are vouched for",
-        )
+        (Lifecycle::Ready, "members and configuration are confirmed")
     }
 }
 
