--- a/crates/dappleyard/src/summary.rs
+++ b/crates/dappleyard/src/summary.rs
@@ -1,7 +1,7 @@
 //! Counts requests and item runs by outcome and cause, from the nodes' decision records. Does no I/O.
 //!
-//! Each caller attempt is counted once. Its cause is the first error after its arrival, or else its
-//! longest wait.
+//! Each caller attempt is counted once. Its cause is the first recorded error. A late attempt without
+//! an error is attributed to the node's queue or to the server, see [`QUEUE_SHARE_OF_TARGET`].
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/dappleyard/tests/explain_summary.rs
+++ b/crates/dappleyard/tests/explain_summary.rs
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn late_requests_are_attributed_to_their_longest_wait() {
+fn late_requests_are_attributed_to_queue_or_server() {
     let records = [
         placed("a", 1),
         finished("a", 40),
--- a/crates/fleet/src/metrics.rs
+++ b/crates/fleet/src/metrics.rs
@@ -29,7 +29,7 @@
     pub owned_servers: IntGauge,
     /// Transitions of the node to the withdrawn state.
     pub withdrawals: IntCounter,
-    /// Calls to the store and the machine list, by call and result.
+    /// Calls to the platform and snapshot requests to peers, by call and result.
     pub calls: IntCounterVec,
 }
 
