--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -20,24 +20,16 @@
 use crate::calls::CallHandler;
 use crate::engine;
 
-/// What each request worker is given.
 #[derive(Clone)]
 pub struct RequestContext {
-    /// Settings of the node.
     pub settings: NodeSettings,
-    /// Shared tables.
     pub tables: Arc<NodeTables>,
-    /// State shared by the workers of the online path.
+    /// State that the workers share for online requests.
     pub shared: Arc<OnlineShared>,
-    /// Makes this worker's platform clients.
     pub platform: PlatformFactory,
-    /// Shaping of links.
     pub policy: SharedPolicy,
-    /// What is announced on links.
     pub announcement: watch::Receiver<Announcement>,
-    /// Hello of this node.
     pub hello: Hello,
-    /// Where the links of all workers are counted.
     pub link_metrics: Arc<LinkMetrics>,
 }
 
