--- a/crates/dappleyard/src/explain.rs
+++ b/crates/dappleyard/src/explain.rs
@@ -13,7 +13,7 @@
 /// Record fields that identify its subject.
 const SUBJECT_FIELDS: [&str; 4] = ["request", "job", "item", "zone"];
 /// Record fields that are not printed as details.
-const ENVELOPE_FIELDS: [&str; 3] = [AT, "uptime_ms", "event"];
+const ENVELOPE_FIELDS: [&str; 3] = [TIME_FIELD, "uptime_ms", "event"];
 
 struct HistoryEntry {
     at_ms: u64,
@@ -120,7 +120,7 @@
         .map(|(name, value)| format!("{} {}", name.replace('_', " "), format_value(value)))
         .collect();
     Some(HistoryEntry {
-        at_ms: record.get(AT).and_then(Value::as_u64).unwrap_or(0),
+        at_ms: record.get(TIME_FIELD).and_then(Value::as_u64).unwrap_or(0),
         prefix: prefix.to_owned(),
         description: format!("{}: {}", description(&event), facts.join(", ")),
     })
--- a/crates/dappleyard/src/serve/assembly.rs
+++ b/crates/dappleyard/src/serve/assembly.rs
@@ -209,7 +209,9 @@
         let registered = registration::register(node.clone(), store.clone());
         // Nodes that start together see each other; a slow or unavailable store only delays by the timeout.
         let registered = dappleyard_clock::timeout(REGISTRATION_TIMEOUT, registered).await;
-        access.survey(store.as_ref(), node.peers.as_ref()).await;
+        access
+            .discover_nodes(store.as_ref(), node.peers.as_ref())
+            .await;
         if registered.is_err() {
             registration::register(node, store).await;
         }
@@ -259,7 +261,7 @@
         let mut watch = EvacuationLogger::default();
         loop {
             tokio::time::sleep(ZONE_CHECK_INTERVAL).await;
-            watch.look(&node);
+            watch.log_empty_zones(&node);
         }
     });
 }
--- a/crates/dappleyard/src/serve/stopping.rs
+++ b/crates/dappleyard/src/serve/stopping.rs
@@ -74,7 +74,7 @@
     let drain_limit = grace.saturating_sub(GRACE_MARGIN);
     while started.elapsed() < drain_limit {
         tokio::time::sleep(POLL_INTERVAL).await;
-        let idle = node.under_way.load(Ordering::Relaxed) == 0 && job_handover.is_finished();
+        let idle = node.in_flight.load(Ordering::Relaxed) == 0 && job_handover.is_finished();
         let quiet = node.last_request.lock().elapsed() > QUIET_PERIOD;
         if idle && quiet && started.elapsed() > MINIMUM_DRAIN_TIME {
             break;
@@ -83,9 +83,9 @@
     let call = registration::unregister(node, running.store.as_ref());
     // A row left behind is harmless: peers notice the missing heartbeats.
     let _ = dappleyard_clock::timeout(UNREGISTER_TIMEOUT, call).await;
-    close(&running.server, &node.under_way, started + drain_limit).await;
+    finish_requests(&running.server, &node.in_flight, started + drain_limit).await;
     node.log.write("stop", || {
-        serde_json::json!({"under_way": node.under_way.load(Ordering::Relaxed),
+        serde_json::json!({"under_way": node.in_flight.load(Ordering::Relaxed),
             "jobs_handed_back": job_handover.is_finished(),
             "took_ms": started.elapsed().as_millis() as u64})
     });
--- a/crates/fleet/src/actor.rs
+++ b/crates/fleet/src/actor.rs
@@ -219,7 +219,7 @@
     fn update_lifecycle(&mut self, now: Millis) {
         let inputs = Inputs {
             synced: self.synced,
-            standing: self.membership.standing(now),
+            standing: self.membership.status(now),
             highest_remote_revision: self.highest_remote_revision,
             revision: self.tables.configuration.revision(),
         };
--- a/crates/fleet/src/actor/calls.rs
+++ b/crates/fleet/src/actor/calls.rs
@@ -78,7 +78,7 @@
                 }
             }
             Ok(FeedRead::Snapshot(snapshot)) => {
-                self.membership.note_store(sent);
+                self.membership.record_store_response(sent);
                 self.apply_snapshot(snapshot);
             }
             Err(error) => tracing::debug!(%error, "the change feed cannot be read"),
@@ -146,7 +146,7 @@
     /// from a peer, or on start from the store when no peer answers.
     fn start_sync(&mut self, now: Millis, context: &mut Context<Self>) {
         let requested = self.snapshot_peer.take();
-        let requested = requested.or_else(|| self.membership.take_differing());
+        let requested = requested.or_else(|| self.membership.take_full_sync_peer());
         if self.synced && requested.is_none() {
             return;
         }
@@ -215,7 +215,7 @@
             actor.metrics.count_call("snapshot", &read);
             match read {
                 Ok(snapshot) => {
-                    actor.membership.note_store(now);
+                    actor.membership.record_store_response(now);
                     actor.apply_snapshot(snapshot);
                     actor.finish_sync();
                 }
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -13,7 +13,7 @@
     /// The node has received members and configuration since it started.
     pub synced: bool,
     /// Whether the node's view of the cluster is confirmed by members or the store.
-    pub standing: Standing,
+    pub standing: MembershipStatus,
     pub highest_remote_revision: u64,
     /// Configuration revision applied on this node.
     pub revision: u64,
--- a/crates/fleet/src/lifecycle/tests.rs
+++ b/crates/fleet/src/lifecycle/tests.rs
@@ -9,7 +9,7 @@
 
 const VOUCH_MS: u64 = 8_000;
 
-fn inputs(standing: Standing, revision: u64, highest_remote_revision: u64) -> Inputs {
+fn inputs(standing: MembershipStatus, revision: u64, highest_remote_revision: u64) -> Inputs {
     Inputs {
         synced: true,
         standing,
--- a/crates/fleet/src/loads.rs
+++ b/crates/fleet/src/loads.rs
@@ -141,7 +141,7 @@
 }
 
 /// Sums the services over all nodes; the wait is the shortest of any node.
-fn sum_services(loads: &[Stamped<NodeLoad>]) -> Vec<ServiceLoad> {
+fn sum_services(loads: &[Timestamped<NodeLoad>]) -> Vec<ServiceLoad> {
     let mut sums: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
     let services = loads
         .iter()
@@ -168,7 +168,7 @@
 }
 
 /// The nodes with the most free sequences, as entry points for spilled work.
-fn entry_nodes(loads: &[Stamped<NodeLoad>]) -> Vec<String> {
+fn entry_nodes(loads: &[Timestamped<NodeLoad>]) -> Vec<String> {
     let mut nodes: Vec<(u32, &str)> = loads
         .iter()
         .filter(|load| !load.value.draining)
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -34,7 +34,7 @@
         let ended = begun.map(|run| run.note_ended(Millis(10_000 + 2_000 * at), at));
         expect_that!(ended.ok(), some(eq(at as usize + 1)));
     };
-    (0..MOST_ENDED as u64).for_each(run);
+    (0..MAX_ENDED_SERVERS as u64).for_each(run);
     let mut nodes = [CrashGossip::default(), CrashGossip::default()];
     nodes[0].collect(&first, Millis(20_000));
     expect_that!(nodes[0].take_push_pending(), eq(true));
