--- a/crates/dappleyard/src/serve/assembly.rs
+++ b/crates/dappleyard/src/serve/assembly.rs
@@ -19,7 +19,7 @@
 };
 use dappleyard_jobs::{BODY_TABLES, JOB_TABLES, JobService, JobTable, Runner};
 use dappleyard_model::{Dialect, EventLog, NodeSettings, Row, RowStore};
-use dappleyard_platform::{HttpRows, PlatformDialect, describe};
+use dappleyard_platform::{HttpRowStore, PlatformDialect, describe};
 use dappleyard_relay::{
     Access, Histories, RelayService, RelayedRows, Replica, follow_directly, mirror,
 };
@@ -102,7 +102,7 @@
         settings,
     });
     let table = Arc::new(JobTable::default());
-    let direct: Rc<dyn RowStore> = Rc::new(HttpRows::new(node.settings.store.clone()));
+    let direct: Rc<dyn RowStore> = Rc::new(HttpRowStore::new(node.settings.store.clone()));
     let store: Rc<dyn RowStore> = Rc::new(RelayedRows::new(direct.clone(), access.clone()));
     let sinks: [Rc<dyn TableSink>; 4] = [
         Rc::new(ConfigurationSink {
@@ -275,7 +275,7 @@
     let listen = node.settings.listen.clone();
     let peer_address = (node.settings.ip, node.settings.peer_port);
     let factory = move || {
-        let direct: Rc<dyn RowStore> = Rc::new(HttpRows::new(node.settings.store.clone()));
+        let direct: Rc<dyn RowStore> = Rc::new(HttpRowStore::new(node.settings.store.clone()));
         let store = Rc::new(RelayedRows::new(direct.clone(), access.clone()));
         let jobs = JobService::new(node.clone(), table.clone(), store);
         let relay = RelayService::new(direct, access.clone(), histories.clone(), node_tables());
