--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use awc::http::Method;
-use dappleyard_operate::api::answers::{ErrorBody, ErrorDetail};
+use dappleyard_operate::api::bodies::{ErrorBody, ErrorDetail};
 use derive_more::{Display, Error};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 /// Largest answer read, bytes.
-const LARGEST_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a command did not succeed. Each says what to do next.
 #[derive(Debug, Display, Error)]
@@ -33,7 +33,7 @@
     #[display(
         "{address} gave an answer that is not understood: {cause}. Use a ctl of the fleet's version."
     )]
-    BadAnswer {
+    InvalidResponse {
         /// Address.
         address: String,
         /// Cause.
@@ -109,10 +109,11 @@
                 Err(error) => attempts.push(format!("  {address}: {error}")),
                 Ok(mut response) => {
                     let success = response.status().is_success();
-                    let bytes = response.body().limit(LARGEST_ANSWER).await;
-                    let bytes = bytes.map_err(|error| bad(address, &error))?;
+                    let bytes = response.body().limit(MAX_RESPONSE_BYTES).await;
+                    let bytes = bytes.map_err(|error| invalid_response(address, &error))?;
                     return if success {
-                        serde_json::from_slice(&bytes).map_err(|error| bad(address, &error))
+                        serde_json::from_slice(&bytes)
+                            .map_err(|error| invalid_response(address, &error))
                     } else {
                         Err(refusal(address, &bytes))
                     };
@@ -123,8 +124,8 @@
     }
 }
 
-fn bad(address: &str, cause: &impl ToString) -> CtlError {
-    CtlError::BadAnswer {
+fn invalid_response(address: &str, cause: &impl ToString) -> CtlError {
+    CtlError::InvalidResponse {
         address: address.to_owned(),
         cause: cause.to_string(),
     }
@@ -135,6 +136,6 @@
         Ok(body) => CtlError::Refused {
             detail: Box::new(body.error),
         },
-        Err(error) => bad(address, &error),
+        Err(error) => invalid_response(address, &error),
     }
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -44,7 +44,7 @@
         .subcommand(get())
         .subcommand(explain())
         .subcommand(
-            drain_like(
+            drain_command(
                 "drain",
                 "Plan a drain; with --confirm also confirm and follow it",
             )
@@ -141,8 +141,8 @@
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(rollout())
-        .subcommand(drain_like("drain", "Take servers or a node out of service"))
-        .subcommand(drain_like("undrain", "Take drained servers or a node back"))
+        .subcommand(drain_command("drain", "Take servers or a node out of service"))
+        .subcommand(drain_command("undrain", "Take drained servers or a node back"))
         .subcommand(tenant())
         .subcommand(window())
         .subcommand(
@@ -174,7 +174,7 @@
         )
 }
 
-fn drain_like(name: &'static str, about: &'static str) -> Command {
+fn drain_command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
         .arg(
--- a/crates/ctl/src/intents.rs
+++ b/crates/ctl/src/intents.rs
@@ -100,12 +100,12 @@
 }
 
 fn seconds_after_midnight(text: &str) -> Result<u32, CtlError> {
-    let wrong = || usage(format!("{text} is no time of day; write HH:MM, as 17:30"));
-    let (hours, minutes) = text.split_once(':').ok_or_else(wrong)?;
-    let hours: u32 = hours.parse().map_err(|_| wrong())?;
-    let minutes: u32 = minutes.parse().map_err(|_| wrong())?;
+    let invalid_time = || usage(format!("{text} is no time of day; write HH:MM, as 17:30"));
+    let (hours, minutes) = text.split_once(':').ok_or_else(invalid_time)?;
+    let hours: u32 = hours.parse().map_err(|_| invalid_time())?;
+    let minutes: u32 = minutes.parse().map_err(|_| invalid_time())?;
     if hours > 24 || minutes > 59 {
-        return Err(wrong());
+        return Err(invalid_time());
     }
     Ok(hours * 3600 + minutes * 60)
 }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -4,12 +4,12 @@
 use std::hash::{BuildHasher, Hasher};
 
 use clap::ArgMatches;
-use dappleyard_operate::api::answers::{ConfigurationAnswer, ConfirmBody, ProposeBody};
+use dappleyard_operate::api::bodies::{ConfigurationBody, ConfirmBody, ProposeBody};
 use dappleyard_operate::explain::Explanation;
 use dappleyard_operate::intent::Intent;
-use dappleyard_operate::jobs::JobLine;
+use dappleyard_operate::jobs::JobSummary;
 use dappleyard_operate::plans::PlanDocument;
-use dappleyard_operate::plans::store::PlanLine;
+use dappleyard_operate::plans::store::PlanSummary;
 use dappleyard_operate::status::{FleetStatus, ServerStatus};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -130,9 +130,9 @@
 }
 
 impl Context {
-    fn print<T: Serialize>(&self, value: &T, words: impl FnOnce(&T) -> String) {
+    fn print<T: Serialize>(&self, value: &T, render: impl FnOnce(&T) -> String) {
         match self.output {
-            Output::Table => println!("{}", words(value)),
+            Output::Table => println!("{}", render(value)),
             Output::Json => print_json(value),
         }
     }
@@ -149,10 +149,10 @@
 async fn show<T: Serialize + DeserializeOwned>(
     context: &Context,
     path: &str,
-    words: impl FnOnce(&T) -> String,
+    render: impl FnOnce(&T) -> String,
 ) -> Result<(), CtlError> {
     let value: T = context.client.get(path).await?;
-    context.print(&value, words);
+    context.print(&value, render);
     Ok(())
 }
 
@@ -238,7 +238,7 @@
 }
 
 async fn jobs(context: &Context) -> Result<(), CtlError> {
-    show(context, "/admin/v1/jobs", |jobs: &Vec<JobLine>| {
+    show(context, "/admin/v1/jobs", |jobs: &Vec<JobSummary>| {
         tables::jobs(jobs).to_string()
     })
     .await
@@ -247,7 +247,7 @@
 async fn get(context: &Context, arguments: &ArgMatches) -> Result<(), CtlError> {
     match arguments.subcommand() {
         Some(("plans", _)) => {
-            show(context, "/admin/v1/plans", |plans: &Vec<PlanLine>| {
+            show(context, "/admin/v1/plans", |plans: &Vec<PlanSummary>| {
                 tables::plans(plans).to_string()
             })
             .await
@@ -274,7 +274,7 @@
             show(
                 context,
                 "/admin/v1/configuration",
-                |answer: &ConfigurationAnswer| tables::configuration(answer),
+                |answer: &ConfigurationBody| tables::configuration(answer),
             )
             .await
         }
--- a/crates/ctl/src/tables.rs
+++ b/crates/ctl/src/tables.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use comfy_table::{ColumnConstraint, ContentArrangement, Table, TableComponent, presets};
-use dappleyard_operate::api::answers::ConfigurationAnswer;
+use dappleyard_operate::api::bodies::ConfigurationBody;
 use dappleyard_operate::explain::Explanation;
-use dappleyard_operate::jobs::JobLine;
+use dappleyard_operate::jobs::JobSummary;
 use dappleyard_operate::plans::PlanDocument;
 use dappleyard_operate::plans::body::{CapacityLeft, Step};
-use dappleyard_operate::plans::store::PlanLine;
+use dappleyard_operate::plans::store::PlanSummary;
 use dappleyard_operate::status::{FleetStatus, NodeStatus, ServerStatus};
 
 use crate::time::{duration, now_unix_ms, relative, time_of_day};
@@ -161,7 +161,7 @@
 }
 
 /// Plans, one line each.
-pub fn plans(plans: &[PlanLine]) -> Table {
+pub fn plans(plans: &[PlanSummary]) -> Table {
     let mut table = table(&["plan", "phase", "what", "last"]);
     for plan in plans {
         table.add_row([&plan.id, &plan.phase, &plan.summary, &plan.message]);
@@ -314,7 +314,7 @@
 }
 
 /// Configuration in force.
-pub fn configuration(answer: &ConfigurationAnswer) -> String {
+pub fn configuration(answer: &ConfigurationBody) -> String {
     let mut table = table(&["row", "what it says"]);
     for row in &answer.rows {
         table.add_row([&row.key, &row.words]);
@@ -323,7 +323,7 @@
 }
 
 /// Jobs.
-pub fn jobs(jobs: &[JobLine]) -> Table {
+pub fn jobs(jobs: &[JobSummary]) -> Table {
     let now = now_unix_ms();
     let mut table = table(&[
         "job", "tenant", "phase", "items", "settled", "deadline", "expected", "risk",
--- a/crates/ctl/src/watch.rs
+++ b/crates/ctl/src/watch.rs
@@ -9,11 +9,11 @@
 use crate::run::{Output, print_json};
 use crate::tables;
 
-/// Time between two looks at a plan that is followed, milliseconds.
+/// Time between two polls at a plan that is followed, milliseconds.
 const FOLLOW_INTERVAL_MS: u64 = 500;
 
-/// Whether a plan of this phase still moves.
-fn moves(phase: &str) -> bool {
+/// Whether a plan of this phase still is_active.
+fn is_active(phase: &str) -> bool {
     matches!(phase, "confirmed" | "running")
 }
 
@@ -33,7 +33,7 @@
         if plan.phase == "done" || plan.phase == "proposed" {
             return Ok(());
         }
-        if !moves(&plan.phase) {
+        if !is_active(&plan.phase) {
             return Err(CtlError::PlanNotDone {
                 plan: plan.id,
                 phase: plan.phase,
@@ -52,15 +52,15 @@
     output: Output,
 ) -> Result<(), CtlError> {
     const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
-    let mut looks = 0;
+    let mut polls = 0;
     loop {
         let status: FleetStatus = client.get("/admin/v1/status").await?;
         match output {
             Output::Table => println!("{CLEAR_SCREEN}{}", tables::status(&status)),
             Output::Json => print_json(&status),
         }
-        looks += 1;
-        if looks == count {
+        polls += 1;
+        if polls == count {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(interval_ms)).await;
--- a/crates/operate/src/api/answers.rs
+++ b/crates/operate/src/api/bodies.rs
@@ -7,9 +7,9 @@
 use dappleyard_wire::{ErrorKind, Failure};
 use serde::{Deserialize, Serialize};
 
-use crate::describe::row_words;
+use crate::describe::describe_row;
 use crate::intent::Intent;
-use crate::plans::confirm::{Changed, Refusal};
+use crate::plans::confirm::{ChangedRow, Refusal};
 
 /// Body of `POST /admin/v1/plans`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
     pub retry_after_ms: u32,
     /// Rows that changed under a plan.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub changed: Vec<Changed>,
+    pub changed: Vec<ChangedRow>,
 }
 
 /// A refusal as an answer.
@@ -98,7 +98,7 @@
 
 /// One configuration row, in words.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationLine {
+pub struct ConfigurationRow {
     /// Key of the row.
     pub key: String,
     /// What it says.
@@ -107,28 +107,28 @@
 
 /// Configuration in force on the node that answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationAnswer {
+pub struct ConfigurationBody {
     /// Revision in force.
     pub revision: u64,
     /// Rows.
-    pub rows: Vec<ConfigurationLine>,
+    pub rows: Vec<ConfigurationRow>,
 }
 
 /// Configuration rows in words.
-pub fn configuration_lines(
+pub fn configuration_rows(
     configuration: &dappleyard_tables::configuration::Configuration,
-) -> Vec<ConfigurationLine> {
+) -> Vec<ConfigurationRow> {
     use dappleyard_wire::keys;
     use prost::Message;
-    let line = |key: String, value: Vec<u8>| ConfigurationLine {
-        words: row_words(&key, Some(&value)),
+    let line = |key: String, value: Vec<u8>| ConfigurationRow {
+        words: describe_row(&key, Some(&value)),
         key,
     };
     let services = configuration.services.values();
     let tenants = configuration.tenants.values();
     let drains = configuration.drains.values();
     let windows = configuration.windows.values();
-    let mut lines: Vec<ConfigurationLine> = Vec::new();
+    let mut lines: Vec<ConfigurationRow> = Vec::new();
     lines.extend(
         services.map(|row: &ServiceRow| line(keys::service(&row.name), row.encode_to_vec())),
     );
--- a/crates/operate/src/api/explain.rs
+++ b/crates/operate/src/api/explain.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 
 use crate::api::OperateApi;
-use crate::api::answers::{Refused, invalid};
-use crate::explain::{Explanation, Question};
+use crate::api::bodies::{Refused, invalid};
+use crate::explain::{Explanation, SubjectRef};
 
 /// Query of `GET /admin/v1/decisions`.
 #[derive(Debug, Clone, Deserialize)]
@@ -29,8 +29,8 @@
     api: Data<OperateApi>,
     path: Path<(String, String)>,
 ) -> Result<Json<Vec<Decision>>, Refused> {
-    let question = question(path.into_inner())?;
-    Ok(Json(api.tables.decisions.about(&question.subject())))
+    let subject_ref = subject_ref(path.into_inner())?;
+    Ok(Json(api.tables.decisions.about(&subject_ref.subject())))
 }
 
 /// `GET /admin/v1/explain/{kind}/{id}`: what the fleet knows of a subject, in plain words.
@@ -38,13 +38,13 @@
     api: Data<OperateApi>,
     path: Path<(String, String)>,
 ) -> Result<Json<Explanation>, Refused> {
-    let question = question(path.into_inner())?;
-    let explanation = crate::explain::explain(&api.tables, &api.platform, &api.peers, &question);
+    let subject_ref = subject_ref(path.into_inner())?;
+    let explanation = crate::explain::explain(&api.tables, &api.platform, &api.peers, &subject_ref);
     Ok(Json(explanation.await))
 }
 
-fn question((kind, id): (String, String)) -> Result<Question, Refused> {
-    Question::parse(&kind, &id).ok_or_else(|| {
+fn subject_ref((kind, id): (String, String)) -> Result<SubjectRef, Refused> {
+    SubjectRef::parse(&kind, &id).ok_or_else(|| {
         invalid(format!(
             "{kind} cannot be explained; ask for a request, job, server, service, node or plan"
         ))
--- a/crates/operate/src/api/mod.rs
+++ b/crates/operate/src/api/mod.rs
@@ -1,6 +1,6 @@
 //! The operators' interface: JSON routes under `/admin/v1/` on a node's admin server.
 
-pub mod answers;
+pub mod bodies;
 mod explain;
 mod plans;
 mod views;
@@ -14,7 +14,7 @@
 use dappleyard_store::Platform;
 use dappleyard_tables::NodeTables;
 
-use crate::jobs::JobLine;
+use crate::jobs::JobSummary;
 use crate::peers::Peers;
 use crate::status::{self, FleetStatus};
 
@@ -53,9 +53,9 @@
     }
 
     /// The fleet, and the jobs that need capacity.
-    async fn status_and_jobs(&self) -> (FleetStatus, Vec<JobLine>) {
+    async fn status_and_jobs(&self) -> (FleetStatus, Vec<JobSummary>) {
         let mut status = status::gather(&self.tables, &self.peers).await;
-        let jobs = status::add_work(&mut status, &self.platform, &self.jobs).await;
+        let jobs = status::add_plans_and_jobs(&mut status, &self.platform, &self.jobs).await;
         (status, jobs)
     }
 }
--- a/crates/operate/src/api/plans.rs
+++ b/crates/operate/src/api/plans.rs
@@ -8,26 +8,26 @@
 use serde::de::DeserializeOwned;
 
 use crate::api::OperateApi;
-use crate::api::answers::{ConfirmBody, ProposeBody, Refused, invalid};
+use crate::api::bodies::{ConfirmBody, ProposeBody, Refused, invalid};
 use crate::describe::phase_name;
 use crate::intent::Intent;
-use crate::jobs::{JobLine, read_job};
+use crate::jobs::{JobSummary, read_job};
 use crate::plans::abort::abort as abort_plan;
 use crate::plans::body::PlanDocument;
 use crate::plans::confirm::{Confirmation, confirm as confirm_plan, has_steps};
-use crate::plans::propose::{Surroundings, propose as propose_plan};
+use crate::plans::propose::{ProposalInputs, propose as propose_plan};
 use crate::plans::runner::{RunView, advance};
-use crate::plans::store::{PlanLine, StoredPlan, list_plans, read_plan};
+use crate::plans::store::{PlanSummary, StoredPlan, list_plans, read_plan};
 use crate::record::record;
-use crate::status::{FleetStatus, gather, known_here};
+use crate::status::{FleetStatus, gather, local_status};
 
 /// Plans in one answer.
-const MOST_PLANS: usize = 200;
+const MAX_PLANS: usize = 200;
 
 /// `GET /admin/v1/plans`
-pub async fn list(api: Data<OperateApi>) -> Result<Json<Vec<PlanLine>>, Refused> {
+pub async fn list(api: Data<OperateApi>) -> Result<Json<Vec<PlanSummary>>, Refused> {
     let now = api.tables.clock.unix_ms();
-    let plans = list_plans(&*api.platform.tables, MOST_PLANS, now).await?;
+    let plans = list_plans(&*api.platform.tables, MAX_PLANS, now).await?;
     Ok(Json(plans))
 }
 
@@ -40,29 +40,29 @@
 /// `POST /admin/v1/plans`: makes a plan, and changes nothing else.
 pub async fn propose(api: Data<OperateApi>, body: Bytes) -> Result<Json<PlanDocument>, Refused> {
     let body: ProposeBody = parse(&body)?;
-    let (status, jobs) = seen_for(&api, &body.intent).await?;
-    let surroundings = Surroundings {
+    let (status, jobs) = planning_inputs(&api, &body.intent).await?;
+    let inputs = ProposalInputs {
         settings: &api.settings,
         status: &status,
         jobs: &jobs,
         operator: &body.operator,
         unix_ms: api.tables.clock.unix_ms(),
     };
-    let plan = propose_plan(&*api.platform.tables, &body.intent, &surroundings).await?;
-    note(
+    let plan = propose_plan(&*api.platform.tables, &body.intent, &inputs).await?;
+    record_plan(
         &api,
         &plan,
-        &format!("{} asked for it", name_of(&body.operator)),
+        &format!("{} asked for it", operator_label(&body.operator)),
     );
     Ok(Json(plan.document()?))
 }
 
 /// The fleet and the jobs as far as a plan for the intent states them. Changes that touch no server
 /// are planned without asking the other nodes.
-async fn seen_for(
+async fn planning_inputs(
     api: &OperateApi,
     intent: &Intent,
-) -> Result<(FleetStatus, Vec<JobLine>), Failure> {
+) -> Result<(FleetStatus, Vec<JobSummary>), Failure> {
     match intent {
         Intent::Rollout(_) | Intent::Drain(_) => Ok(api.status_and_jobs().await),
         Intent::BatchJob(job) => {
@@ -70,7 +70,7 @@
             jobs.push(read_job(&api.jobs, &job.tenant, &job.job).await?);
             Ok((status, jobs))
         }
-        _ => Ok((known_here(&api.tables), Vec::new())),
+        _ => Ok((local_status(&api.tables), Vec::new())),
     }
 }
 
@@ -108,7 +108,7 @@
             return Err(refusal.into());
         }
     };
-    note(
+    record_plan(
         &api,
         &plan,
         "it was confirmed and nothing that it rests on had changed",
@@ -137,11 +137,11 @@
 pub async fn abort(api: Data<OperateApi>, id: Path<String>) -> Result<Json<PlanDocument>, Refused> {
     let now = api.tables.clock.unix_ms();
     let plan = abort_plan(&*api.platform.tables, &id, now).await?;
-    note(&api, &plan, "an operator aborted it");
+    record_plan(&api, &plan, "an operator aborted it");
     Ok(Json(plan.document()?))
 }
 
-fn name_of(operator: &str) -> &str {
+fn operator_label(operator: &str) -> &str {
     match operator {
         "" => "an operator without a name",
         name => name,
@@ -149,7 +149,7 @@
 }
 
 /// Records what became of a plan.
-fn note(api: &OperateApi, plan: &StoredPlan, cause: &str) {
+fn record_plan(api: &OperateApi, plan: &StoredPlan, cause: &str) {
     let summary = plan.body().map(|body| body.summary).unwrap_or_default();
     record(&api.tables, DecisionKind::PlanStep, cause)
         .about(Subject::Plan(plan.row.id.clone()))
--- a/crates/operate/src/api/views.rs
+++ b/crates/operate/src/api/views.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::OperateApi;
-use crate::api::answers::{ConfigurationAnswer, Refused, configuration_lines, invalid};
-use crate::jobs::{JobLine, active_jobs, list_jobs};
+use crate::api::bodies::{ConfigurationBody, Refused, configuration_rows, invalid};
+use crate::jobs::{JobSummary, active_jobs, list_jobs};
 use crate::local::{LocalReport, local_report};
 use crate::status::{FleetStatus, ServerStatus, gather, member_name};
 
 /// A member as this node believes it to be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberLine {
+pub struct MemberSummary {
     /// Node id.
     pub node: String,
     /// Zone.
@@ -44,19 +44,19 @@
 }
 
 /// `GET /admin/v1/members`
-pub async fn members(api: Data<OperateApi>) -> Json<Vec<MemberLine>> {
+pub async fn members(api: Data<OperateApi>) -> Json<Vec<MemberSummary>> {
     Json(
         api.tables
             .members
             .all()
             .into_iter()
-            .map(member_line)
+            .map(member_summary)
             .collect(),
     )
 }
 
-fn member_line(member: Member) -> MemberLine {
-    MemberLine {
+fn member_summary(member: Member) -> MemberSummary {
+    MemberSummary {
         state: member_name(member.state()).to_owned(),
         node: member.node,
         zone: member.zone,
@@ -75,16 +75,16 @@
 }
 
 /// `GET /admin/v1/configuration`
-pub async fn configuration(api: Data<OperateApi>) -> Json<ConfigurationAnswer> {
+pub async fn configuration(api: Data<OperateApi>) -> Json<ConfigurationBody> {
     let current = api.tables.configuration.current();
-    Json(ConfigurationAnswer {
+    Json(ConfigurationBody {
         revision: current.revision,
-        rows: configuration_lines(&current),
+        rows: configuration_rows(&current),
     })
 }
 
 /// `GET /admin/v1/jobs`
-pub async fn jobs(api: Data<OperateApi>) -> Result<Json<Vec<JobLine>>, Refused> {
+pub async fn jobs(api: Data<OperateApi>) -> Result<Json<Vec<JobSummary>>, Refused> {
     let tables = &*api.platform.tables;
     let active = active_jobs(tables, &api.jobs).await?;
     let mut jobs = list_jobs(tables).await?;
--- a/crates/operate/src/controller/closing.rs
+++ b/crates/operate/src/controller/closing.rs
@@ -9,83 +9,87 @@
 use dappleyard_engine::OrderKind;
 use dappleyard_store::Transaction;
 
-use crate::controller::Tools;
-use crate::controller::service::{Given, Outcome, ServiceController};
-use crate::plans::ledger::Ledger;
+use crate::controller::ReconcilerDeps;
+use crate::controller::service::{OrderOutcome, RoundOutcome, ServiceController};
+use crate::plans::disruptions::ServiceDisruptions;
 
 impl ServiceController {
     /// Closes drained servers and opens those whose drain has ended.
-    pub(super) async fn close_and_open(&mut self, tools: Tools<'_>) -> Outcome {
-        let drained = self.drained(tools);
+    pub(super) async fn update_accepting(&mut self, deps: ReconcilerDeps<'_>) -> RoundOutcome {
+        let drained = self.drained(deps);
         if self.closed.as_ref() == Some(&drained) {
-            return self.repeat_closing(tools, &drained).await;
+            return self.reissue_closing(deps, &drained).await;
         }
-        let Ok(mut ledger) = Ledger::read(tools.store, &self.service).await else {
-            return Outcome::Held;
+        let Ok(mut disruptions) = ServiceDisruptions::read(deps.store, &self.service).await else {
+            return RoundOutcome::Held;
         };
-        let closed = ledger.closed();
+        let closed = disruptions.closed();
         let mut next = closed.clone();
         for server in drained.difference(&closed) {
             next.insert(server.clone());
         }
         for server in closed.difference(&drained) {
-            match self.open(tools, server).await {
-                Given::Fenced => return Outcome::Lost,
-                Given::Yes => {
+            match self.open(deps, server).await {
+                OrderOutcome::Fenced => return RoundOutcome::Lost,
+                OrderOutcome::Accepted => {
                     next.remove(server);
                 }
-                Given::No => {}
+                OrderOutcome::NotAccepted => {}
             }
         }
-        ledger.set_closed(&next);
-        if ledger.is_changed() {
-            let transaction = ledger.write(self.authority.guard(Transaction::default()));
-            match tools.store.transact(transaction).await {
+        disruptions.set_closed(&next);
+        if disruptions.is_changed() {
+            let transaction = disruptions.write(self.authority.guard(Transaction::default()));
+            match deps.store.transact(transaction).await {
                 Ok(_) => {}
-                Err(error) if self.authority.is_lost(&error) => return Outcome::Lost,
-                Err(_) => return Outcome::Held,
+                Err(error) if self.authority.is_lost(&error) => return RoundOutcome::Lost,
+                Err(_) => return RoundOutcome::Held,
             }
         }
         self.closed = Some(next);
-        self.repeat_closing(tools, &drained).await
+        self.reissue_closing(deps, &drained).await
     }
 
-    fn drained(&self, tools: Tools<'_>) -> BTreeSet<String> {
-        let configuration = tools.tables.configuration.current();
-        self.seen
+    fn drained(&self, deps: ReconcilerDeps<'_>) -> BTreeSet<String> {
+        let configuration = deps.tables.configuration.current();
+        self.observed
             .all()
-            .filter(|seen| {
-                let entry = &seen.entry;
+            .filter(|observed| {
+                let entry = &observed.entry;
                 configuration.is_draining(entry.server.as_str(), &entry.hall, entry.zone.as_str())
             })
-            .map(|seen| seen.view.server.clone())
+            .map(|observed| observed.view.server.clone())
             .collect()
     }
 
     /// Closes drained servers that still take new work by their own word.
-    async fn repeat_closing(&mut self, tools: Tools<'_>, drained: &BTreeSet<String>) -> Outcome {
+    async fn reissue_closing(
+        &mut self,
+        deps: ReconcilerDeps<'_>,
+        drained: &BTreeSet<String>,
+    ) -> RoundOutcome {
         let closed = self.closed.clone().unwrap_or_default();
         for server in drained.intersection(&closed) {
-            let open = self.seen.get(server).is_some_and(|seen| {
-                seen.looked_at.is_some() && seen.view.reachable && seen.accepting
+            let open = self.observed.get(server).is_some_and(|observed| {
+                observed.observed_at.is_some() && observed.view.reachable && observed.accepting
             });
             if !open {
                 continue;
             }
             let kind = OrderKind::SetAccepting { accepting: false };
-            if self.order(tools, server, kind, "a drain is in force").await == Given::Fenced {
-                return Outcome::Lost;
+            if self.order(deps, server, kind, "a drain is in force").await == OrderOutcome::Fenced {
+                return RoundOutcome::Lost;
             }
         }
-        Outcome::Held
+        RoundOutcome::Held
     }
 
-    async fn open(&mut self, tools: Tools<'_>, server: &str) -> Given {
-        if self.seen.get(server).is_none() {
+    async fn open(&mut self, deps: ReconcilerDeps<'_>, server: &str) -> OrderOutcome {
+        if self.observed.get(server).is_none() {
             // It has left the machine list: there is nothing to open.
-            return Given::Yes;
+            return OrderOutcome::Accepted;
         }
         let kind = OrderKind::SetAccepting { accepting: true };
-        self.order(tools, server, kind, "its drain has ended").await
+        self.order(deps, server, kind, "its drain has ended").await
     }
 }
--- a/crates/operate/src/controller/mod.rs
+++ b/crates/operate/src/controller/mod.rs
@@ -4,7 +4,7 @@
 //! A reconciler looks at its servers ([`observe`]), closes and opens drained ones ([`closing`]),
 //! judges canaries ([`rollout`]) and orders loads within the disruption budget ([`loads`]). All orders
 //! carry (epoch, sequence) and all writes compare the epoch row ([`authority`]), so that a controller
-//! which was paused beyond its takeover does no harm when it wakes.
+//! which was delayed beyond its takeover does no harm when it wakes.
 
 pub mod authority;
 pub mod closing;
@@ -27,18 +27,18 @@
 use rand::Rng;
 
 use crate::controller::authority::Authority;
-use crate::controller::service::{Outcome, ServiceController};
+use crate::controller::service::{RoundOutcome, ServiceController};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::preferred::is_preferred;
 use crate::record::record;
 
 /// Pause before a service is claimed again after its epoch was lost, milliseconds.
-const RECLAIM_PAUSE_MS: u64 = 5_000;
+const RECLAIM_DELAY_MS: u64 = 5_000;
 
 /// What reconcilers work with.
 #[derive(Clone, Copy)]
-pub struct Tools<'a> {
+pub struct ReconcilerDeps<'a> {
     /// The node's tables.
     pub tables: &'a NodeTables,
     /// The table service.
@@ -57,80 +57,78 @@
 #[derive(Default)]
 pub struct Controllers {
     services: BTreeMap<String, ServiceController>,
-    paused_until: BTreeMap<String, Millis>,
+    retry_at: BTreeMap<String, Millis>,
 }
 
 impl Controllers {
     /// One round: claims the services that are this node's to control, gives up the others, and
     /// reconciles each.
-    pub async fn round(&mut self, tools: Tools<'_>) {
-        let configuration = tools.tables.configuration.current();
-        let mine = |service: &str| is_preferred(tools.tables, &format!("service/{service}"));
-        self.services
-            .retain(|service, _| configuration.services.contains_key(service) && mine(service));
+    pub async fn round(&mut self, deps: ReconcilerDeps<'_>) {
+        let configuration = deps.tables.configuration.current();
+        let is_assigned = |service: &str| is_preferred(deps.tables, &format!("service/{service}"));
+        self.services.retain(|service, _| {
+            configuration.services.contains_key(service) && is_assigned(service)
+        });
         for service in configuration
             .services
             .keys()
-            .filter(|service| mine(service))
+            .filter(|service| is_assigned(service))
         {
-            self.ensure(service, tools).await;
+            self.claim_if_unclaimed(service, deps).await;
         }
         let rounds = self
             .services
             .iter_mut()
-            .map(|(service, controller)| async move { (service, controller.round(tools).await) });
-        let outcomes: Vec<(String, Outcome)> = futures::future::join_all(rounds)
+            .map(|(service, controller)| async move { (service, controller.round(deps).await) });
+        let outcomes: Vec<(String, RoundOutcome)> = futures::future::join_all(rounds)
             .await
             .into_iter()
             .map(|(service, outcome)| (service.clone(), outcome))
             .collect();
         for (service, outcome) in outcomes {
-            if outcome == Outcome::Lost {
-                self.give_up(&service, tools);
+            if outcome == RoundOutcome::Lost {
+                self.release(&service, deps);
             }
         }
-        tools.metrics.services.set(self.services.len() as i64);
+        deps.metrics.services.set(self.services.len() as i64);
     }
 
-    async fn ensure(&mut self, service: &str, tools: Tools<'_>) {
-        let now = tools.tables.clock.now();
-        let paused = self
-            .paused_until
-            .get(service)
-            .is_some_and(|until| *until > now);
-        if paused || self.services.contains_key(service) {
+    async fn claim_if_unclaimed(&mut self, service: &str, deps: ReconcilerDeps<'_>) {
+        let now = deps.tables.clock.now();
+        let delayed = self.retry_at.get(service).is_some_and(|until| *until > now);
+        if delayed || self.services.contains_key(service) {
             return;
         }
-        match Authority::claim(tools.store, service, &tools.tables.identity).await {
+        match Authority::claim(deps.store, service, &deps.tables.identity).await {
             Ok(authority) => {
-                tools.metrics.epochs.with_label_values(&["claimed"]).inc();
-                note_takeover(service, &authority, tools);
+                deps.metrics.epochs.with_label_values(&["claimed"]).inc();
+                record_takeover(service, &authority, deps);
                 let controller = ServiceController::new(service, authority);
                 self.services.insert(service.to_owned(), controller);
             }
-            Err(failure) => self.pause(service, &failure, tools),
+            Err(failure) => self.delay_claim(service, &failure, deps),
         }
     }
 
-    fn pause(&mut self, service: &str, failure: &Failure, tools: Tools<'_>) {
+    fn delay_claim(&mut self, service: &str, failure: &Failure, deps: ReconcilerDeps<'_>) {
         let outcome = if failure.kind == ErrorKind::Fenced {
             "held_by_another"
         } else {
             "failed"
         };
-        tools.metrics.epochs.with_label_values(&[outcome]).inc();
-        let pause_ms = rand::rng().random_range(RECLAIM_PAUSE_MS / 10..=RECLAIM_PAUSE_MS);
-        let until = tools.tables.clock.now().plus(pause_ms);
-        self.paused_until.insert(service.to_owned(), until);
+        deps.metrics.epochs.with_label_values(&[outcome]).inc();
+        let delay_ms = rand::rng().random_range(RECLAIM_DELAY_MS / 10..=RECLAIM_DELAY_MS);
+        let until = deps.tables.clock.now().plus(delay_ms);
+        self.retry_at.insert(service.to_owned(), until);
     }
 
-    fn give_up(&mut self, service: &str, tools: Tools<'_>) {
+    fn release(&mut self, service: &str, deps: ReconcilerDeps<'_>) {
         self.services.remove(service);
-        tools.metrics.epochs.with_label_values(&["lost"]).inc();
-        let until = tools.tables.clock.now().plus(RECLAIM_PAUSE_MS);
-        self.paused_until.insert(service.to_owned(), until);
+        deps.metrics.epochs.with_label_values(&["lost"]).inc();
+        let until = deps.tables.clock.now().plus(RECLAIM_DELAY_MS);
+        self.retry_at.insert(service.to_owned(), until);
         record(
-            tools.tables,
+            deps.tables,
             DecisionKind::Fenced,
             "another controller raised the service's epoch",
         )
@@ -139,13 +137,13 @@
     }
 }
 
-fn note_takeover(service: &str, authority: &Authority, tools: Tools<'_>) {
+fn record_takeover(service: &str, authority: &Authority, deps: ReconcilerDeps<'_>) {
     let predecessor = match authority.predecessor.as_str() {
         "" => "nobody",
         node => node,
     };
     record(
-        tools.tables,
+        deps.tables,
         DecisionKind::TakenOver,
         "the rendezvous hash prefers this node among the live members",
     )
@@ -172,7 +170,7 @@
             controllers = Controllers::default();
             continue;
         }
-        let tools = Tools {
+        let deps = ReconcilerDeps {
             tables: &context.tables,
             store: &*context.platform.tables,
             engine: &*context.engine,
@@ -180,6 +178,6 @@
             settings: &context.settings,
             metrics: &metrics,
         };
-        controllers.round(tools).await;
+        controllers.round(deps).await;
     }
 }
--- a/crates/operate/src/controller/observe.rs
+++ b/crates/operate/src/controller/observe.rs
@@ -11,17 +11,17 @@
 use futures::StreamExt;
 
 /// Looks at servers of interest in one round.
-const MOST_LOOKS: usize = 64;
-/// Looks at other servers in one round: all are seen in turn, at a bounded cost.
-const ROTATING_LOOKS: usize = 16;
+const MAX_PRIORITY_POLLS: usize = 64;
+/// Looks at other servers in one round: all are observed in turn, at a bounded cost.
+const MAX_ROTATING_POLLS: usize = 16;
 /// Looks that are open at once.
 const CONCURRENCY: usize = 16;
 /// Longest time for one look.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(1_000);
+const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// One server as last seen.
+/// One server as last observed.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ObservedServer {
     /// Where it is.
     pub entry: ServerEntry,
     /// Its view for decisions.
@@ -31,14 +31,14 @@
     /// The engine takes new work, by its own word.
     pub accepting: bool,
     /// When it was looked at; `None` before the first time.
-    pub looked_at: Option<Millis>,
+    pub observed_at: Option<Millis>,
     /// Since when it has carried its version.
     pub version_since: Millis,
 }
 
-impl Seen {
-    fn new(entry: ServerEntry, now: Millis) -> Seen {
-        Seen {
+impl ObservedServer {
+    fn new(entry: ServerEntry, now: Millis) -> ObservedServer {
+        ObservedServer {
             view: ServerView {
                 server: entry.server.to_string(),
                 zone: entry.zone.to_string(),
@@ -54,12 +54,12 @@
             entry,
             adapters: Vec::new(),
             accepting: true,
-            looked_at: None,
+            observed_at: None,
             version_since: now,
         }
     }
 
-    fn take(&mut self, report: EngineReport, failing: bool, now: Millis) {
+    fn apply_report(&mut self, report: EngineReport, failing: bool, now: Millis) {
         let version = report.model.as_ref().map_or("", |model| &model.version);
         if version != self.view.version {
             self.view.version = version.to_owned();
@@ -75,26 +75,26 @@
         self.view.failed_looks += u32::from(failing);
         self.adapters = report.model.map_or_else(Vec::new, |model| model.adapters);
         self.accepting = report.accepting;
-        self.looked_at = Some(now);
+        self.observed_at = Some(now);
     }
 
-    fn miss(&mut self, now: Millis) {
+    fn mark_unreachable(&mut self, now: Millis) {
         self.view.reachable = false;
         self.view.looks += 1;
         self.view.failed_looks += 1;
-        self.looked_at = Some(now);
+        self.observed_at = Some(now);
     }
 }
 
-/// All servers of a service, as last seen.
+/// All servers of a service, as last observed.
 #[derive(Debug, Default)]
 pub struct Observations {
-    seen: BTreeMap<String, Seen>,
+    observed: BTreeMap<String, ObservedServer>,
 }
 
 impl Observations {
     /// Takes over the directory: new servers come, lost ones go, drained ones are marked.
-    pub fn follow(&mut self, tables: &NodeTables, service: &str) {
+    pub fn update_servers(&mut self, tables: &NodeTables, service: &str) {
         let now = tables.clock.now();
         let configuration = tables.configuration.current();
         let entries = tables.directory.all();
@@ -104,98 +104,107 @@
             .filter(|entry| entry.service.as_str() == service)
         {
             let id = entry.server.to_string();
-            let known = self.seen.remove(&id);
-            let mut seen = match known {
-                Some(seen) if seen.entry.base_url == entry.base_url => seen,
-                _ => Seen::new(entry.clone(), now),
+            let known = self.observed.remove(&id);
+            let mut observed = match known {
+                Some(observed) if observed.entry.base_url == entry.base_url => observed,
+                _ => ObservedServer::new(entry.clone(), now),
             };
-            seen.view.leaving =
+            observed.view.leaving =
                 entry.leaving || configuration.is_draining(&id, &entry.hall, entry.zone.as_str());
-            seen.entry = entry;
-            next.insert(id, seen);
+            observed.entry = entry;
+            next.insert(id, observed);
         }
-        self.seen = next;
+        self.observed = next;
     }
 
-    /// Looks at the engines: all `of_interest`, and some of the others in turn. `failing` are servers
+    /// Looks at the engines: all `prioritized`, and some of the others in turn. `failing` are servers
     /// of which their owners say that calls fail.
-    pub async fn look(
+    pub async fn poll(
         &mut self,
         tables: &NodeTables,
         engine: &dyn Engine,
-        of_interest: &BTreeSet<String>,
+        prioritized: &BTreeSet<String>,
         failing: &BTreeSet<String>,
     ) {
-        let targets = self.targets(of_interest);
-        let looks = targets.into_iter().map(|(id, base)| async move {
-            let look = tokio::time::timeout(LOOK_TIMEOUT, engine.status(&base)).await;
-            (id, look)
+        let targets = self.targets(prioritized);
+        let polls = targets.into_iter().map(|(id, base)| async move {
+            let result = tokio::time::timeout(POLL_TIMEOUT, engine.status(&base)).await;
+            (id, result)
         });
-        let answers: Vec<_> = futures::stream::iter(looks)
+        let responses: Vec<_> = futures::stream::iter(polls)
             .buffer_unordered(CONCURRENCY)
             .collect()
             .await;
         let now = tables.clock.now();
-        for (id, answer) in answers {
+        for (id, answer) in responses {
             let is_failing = failing.contains(&id);
-            if let Some(seen) = self.seen.get_mut(&id) {
+            if let Some(observed) = self.observed.get_mut(&id) {
                 match answer {
-                    Ok(Ok(report)) => seen.take(report, is_failing, now),
-                    Ok(Err(_)) | Err(_) => seen.miss(now),
+                    Ok(Ok(report)) => observed.apply_report(report, is_failing, now),
+                    Ok(Err(_)) | Err(_) => observed.mark_unreachable(now),
                 }
             }
         }
     }
 
-    fn targets(&self, of_interest: &BTreeSet<String>) -> Vec<(String, String)> {
-        let mut interesting = Vec::new();
+    fn targets(&self, prioritized: &BTreeSet<String>) -> Vec<(String, String)> {
+        let mut priority = Vec::new();
         let mut others = Vec::new();
-        for (id, seen) in &self.seen {
-            let unsettled = seen.looked_at.is_none()
-                || !seen.view.reachable
-                || !seen.view.loading.is_empty()
-                || seen.view.version.is_empty();
-            let target = (seen.looked_at, id.clone(), seen.entry.base_url.clone());
-            if unsettled || of_interest.contains(id) {
-                interesting.push(target);
+        for (id, observed) in &self.observed {
+            let unsettled = observed.observed_at.is_none()
+                || !observed.view.reachable
+                || !observed.view.loading.is_empty()
+                || observed.view.version.is_empty();
+            let target = (
+                observed.observed_at,
+                id.clone(),
+                observed.entry.base_url.clone(),
+            );
+            if unsettled || prioritized.contains(id) {
+                priority.push(target);
             } else {
                 others.push(target);
             }
         }
-        interesting.sort();
+        priority.sort();
         others.sort();
-        let interesting = interesting.into_iter().take(MOST_LOOKS);
-        interesting
-            .chain(others.into_iter().take(ROTATING_LOOKS))
+        let priority = priority.into_iter().take(MAX_PRIORITY_POLLS);
+        priority
+            .chain(others.into_iter().take(MAX_ROTATING_POLLS))
             .map(|(_, id, base)| (id, base))
             .collect()
     }
 
     /// Views for decisions. Servers that were never looked at are left out.
     pub fn views(&self) -> Vec<ServerView> {
-        let seen = self.seen.values().filter(|seen| seen.looked_at.is_some());
-        seen.map(|seen| seen.view.clone()).collect()
+        let observed = self
+            .observed
+            .values()
+            .filter(|observed| observed.observed_at.is_some());
+        observed.map(|observed| observed.view.clone()).collect()
     }
 
     /// Whether every server was looked at.
     pub fn is_complete(&self) -> bool {
-        self.seen.values().all(|seen| seen.looked_at.is_some())
+        self.observed
+            .values()
+            .all(|observed| observed.observed_at.is_some())
     }
 
     /// One server.
-    pub fn get(&self, server: &str) -> Option<&Seen> {
-        self.seen.get(server)
+    pub fn get(&self, server: &str) -> Option<&ObservedServer> {
+        self.observed.get(server)
     }
 
     /// All servers.
-    pub fn all(&self) -> impl Iterator<Item = &Seen> {
-        self.seen.values()
+    pub fn all(&self) -> impl Iterator<Item = &ObservedServer> {
+        self.observed.values()
     }
 
     /// Notes that an order to load was given, before the engine shows it.
-    pub fn note_loading(&mut self, server: &str, version: &str) {
-        if let Some(seen) = self.seen.get_mut(server) {
-            seen.view.loading = version.to_owned();
+    pub fn mark_loading(&mut self, server: &str, version: &str) {
+        if let Some(observed) = self.observed.get_mut(server) {
+            observed.view.loading = version.to_owned();
         }
     }
 }
--- a/crates/operate/src/controller/rollout.rs
+++ b/crates/operate/src/controller/rollout.rs
@@ -8,8 +8,8 @@
 use dappleyard_wire::keys;
 use dappleyard_wire::messages::{PlanPhase, ServiceRow};
 
-use crate::controller::Tools;
-use crate::controller::service::{Outcome, ServiceController};
+use crate::controller::ReconcilerDeps;
+use crate::controller::service::{RoundOutcome, ServiceController};
 use crate::head::ConfigurationHead;
 use crate::intent::Intent;
 use crate::plans::store::{StoredPlan, encoded, read_plan, running_ids};
@@ -18,41 +18,50 @@
 
 impl ServiceController {
     /// Judges the canaries of a rollout, and ends its canary stage when they say so.
-    pub(super) async fn judge_canaries(&mut self, tools: Tools<'_>, target: &Target) -> Outcome {
+    pub(super) async fn evaluate_canaries(
+        &mut self,
+        deps: ReconcilerDeps<'_>,
+        target: &Target,
+    ) -> RoundOutcome {
         if target.canary.is_empty() {
             self.canaries_loaded_since = None;
-            return Outcome::Held;
+            return RoundOutcome::Held;
         }
         let bounds = GateBounds {
-            watch_ms: tools.settings.canary_watch_ms,
-            error_percent: tools.settings.canary_error_percent,
-            step_percent: tools.settings.canary_step_percent,
+            watch_ms: deps.settings.canary_watch_ms,
+            error_percent: deps.settings.canary_error_percent,
+            step_percent: deps.settings.canary_step_percent,
         };
-        let watched_ms = self.watched_ms(tools, target);
-        let (promoted, reason) = match gate(target, &self.seen.views(), watched_ms, bounds) {
-            Gate::Wait(_) => return Outcome::Held,
+        let watched_ms = self.watched_ms(deps, target);
+        let (promoted, reason) = match gate(target, &self.observed.views(), watched_ms, bounds) {
+            Gate::Wait(_) => return RoundOutcome::Held,
             Gate::Promote(reason) => (true, reason),
             Gate::RollBack(reason) => (false, reason),
         };
-        match self.end_canaries(tools, target, promoted, &reason).await {
-            Ok(Ended::Yes) => self.note_end(tools, target, promoted, &reason),
-            Ok(Ended::Lost) => return Outcome::Lost,
+        match self
+            .finish_canary_stage(deps, target, promoted, &reason)
+            .await
+        {
+            Ok(GateWrite::Written) => self.record_rollout_end(deps, target, promoted, &reason),
+            Ok(GateWrite::Lost) => return RoundOutcome::Lost,
             // The configuration in force here is older than the store's, or the store does not
             // answer: the next round sees which.
-            Ok(Ended::No) | Err(_) => {}
+            Ok(GateWrite::NotWritten) | Err(_) => {}
         }
-        Outcome::Held
+        RoundOutcome::Held
     }
 
     /// How long all canaries have carried the canary version, milliseconds.
-    fn watched_ms(&mut self, tools: Tools<'_>, target: &Target) -> Option<u64> {
-        let now = tools.tables.clock.now();
-        let all_loaded = assign(target, &self.seen.views())
+    fn watched_ms(&mut self, deps: ReconcilerDeps<'_>, target: &Target) -> Option<u64> {
+        let now = deps.tables.clock.now();
+        let all_loaded = assign(target, &self.observed.views())
             .iter()
             .filter(|assignment| assignment.version == target.canary)
             .all(|assignment| {
-                let seen = self.seen.get(&assignment.server);
-                seen.is_some_and(|seen| seen.view.serves() && seen.view.version == target.canary)
+                let observed = self.observed.get(&assignment.server);
+                observed.is_some_and(|observed| {
+                    observed.view.serves() && observed.view.version == target.canary
+                })
             });
         if all_loaded {
             let since = *self.canaries_loaded_since.get_or_insert(now);
@@ -63,44 +72,44 @@
         }
     }
 
-    async fn end_canaries(
+    async fn finish_canary_stage(
         &self,
-        tools: Tools<'_>,
+        deps: ReconcilerDeps<'_>,
         target: &Target,
         promoted: bool,
         reason: &str,
-    ) -> Result<Ended, Failure> {
+    ) -> Result<GateWrite, Failure> {
         let key = keys::service(&self.service);
-        let snapshot = Snapshot::read(tools.store, [key.clone()]).await?;
+        let snapshot = Snapshot::read(deps.store, [key.clone()]).await?;
         let Some(mut row) = snapshot.message::<ServiceRow>(&key)? else {
-            return Ok(Ended::No);
+            return Ok(GateWrite::NotWritten);
         };
         if row.canary != target.canary {
-            return Ok(Ended::No);
+            return Ok(GateWrite::NotWritten);
         }
         if promoted {
             row.version.clone_from(&target.canary);
         }
         row.canary.clear();
         row.canary_percent = 0;
-        let head = ConfigurationHead::read(tools.store)
+        let head = ConfigurationHead::read(deps.store)
             .await
             .map_err(|error| store_failure(&error))?;
         let guarded = self.authority.guard(snapshot.guard(Transaction::default()));
         let mut transaction = head.chain(guarded).put(key, encoded(&row));
-        if !promoted && let Some(plan) = self.plan_of(tools.store, target).await? {
-            let now = tools.tables.clock.unix_ms();
+        if !promoted && let Some(plan) = self.find_running_plan(deps.store, target).await? {
+            let now = deps.tables.clock.unix_ms();
             transaction = close_plan(transaction, &plan, reason, now);
         }
-        match tools.store.transact(transaction).await {
-            Ok(_) => Ok(Ended::Yes),
-            Err(error) if self.authority.is_lost(&error) => Ok(Ended::Lost),
+        match deps.store.transact(transaction).await {
+            Ok(_) => Ok(GateWrite::Written),
+            Err(error) if self.authority.is_lost(&error) => Ok(GateWrite::Lost),
             Err(error) => Err(store_failure(&error)),
         }
     }
 
     /// The running plan of this rollout.
-    async fn plan_of(
+    async fn find_running_plan(
         &self,
         store: &dyn TableStore,
         target: &Target,
@@ -118,9 +127,15 @@
         Ok(None)
     }
 
-    fn note_end(&mut self, tools: Tools<'_>, target: &Target, promoted: bool, reason: &str) {
+    fn record_rollout_end(
+        &mut self,
+        deps: ReconcilerDeps<'_>,
+        target: &Target,
+        promoted: bool,
+        reason: &str,
+    ) {
         self.canaries_loaded_since = None;
-        let (outcome, words) = if promoted {
+        let (outcome, description) = if promoted {
             ("promoted", format!("{} goes to all servers", target.canary))
         } else {
             (
@@ -128,13 +143,13 @@
                 format!("{} was taken back; {} stays", target.canary, target.version),
             )
         };
-        tools.metrics.rollouts.with_label_values(&[outcome]).inc();
-        record(tools.tables, DecisionKind::Rollout, reason)
+        deps.metrics.rollouts.with_label_values(&[outcome]).inc();
+        record(deps.tables, DecisionKind::Rollout, reason)
             .about(Subject::Service(self.service.clone()))
             .input("version", &target.version)
             .input("canary", &target.canary)
             .input("epoch", self.authority.epoch())
-            .outcome(words);
+            .outcome(description);
         tracing::info!(
             service = self.service,
             canary = target.canary,
@@ -145,9 +160,9 @@
     }
 }
 
-enum Ended {
-    Yes,
-    No,
+enum GateWrite {
+    Written,
+    NotWritten,
     Lost,
 }
 
--- a/crates/operate/src/controller/service.rs
+++ b/crates/operate/src/controller/service.rs
@@ -9,18 +9,18 @@
 use dappleyard_tables::decisions::{DecisionKind, Subject};
 use dappleyard_wire::messages::ServiceRow;
 
-use crate::controller::Tools;
+use crate::controller::ReconcilerDeps;
 use crate::controller::authority::Authority;
 use crate::controller::observe::Observations;
 use crate::local::{LocalReport, local_report};
 use crate::record::record;
 
 /// HTTP status with which an engine refuses an order of an old epoch.
-const OLD_ORDER: u16 = 409;
+const STALE_ORDER_STATUS: u16 = 409;
 
 /// What a round came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RoundOutcome {
     /// The service is still this controller's.
     Held,
     /// Another controller has the service now.
@@ -29,11 +29,11 @@
 
 /// What became of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Given {
+pub enum OrderOutcome {
     /// The engine took it.
-    Yes,
+    Accepted,
     /// The engine did not take it now.
-    No,
+    NotAccepted,
     /// The engine has orders of a later epoch.
     Fenced,
 }
@@ -42,7 +42,7 @@
 pub struct ServiceController {
     pub(super) service: String,
     pub(super) authority: Authority,
-    pub(super) seen: Observations,
+    pub(super) observed: Observations,
     /// Since when all canaries have carried the canary version.
     pub(super) canaries_loaded_since: Option<Millis>,
     /// When a server whose load failed may be tried again, and how often it failed.
@@ -59,7 +59,7 @@
         ServiceController {
             service: service.to_owned(),
             authority,
-            seen: Observations::default(),
+            observed: Observations::default(),
             canaries_loaded_since: None,
             load_retries: BTreeMap::new(),
             closed: None,
@@ -68,37 +68,37 @@
     }
 
     /// One round: look, then bring the servers closer to what the configuration says.
-    pub async fn round(&mut self, tools: Tools<'_>) -> Outcome {
-        let configuration = tools.tables.configuration.current();
+    pub async fn round(&mut self, deps: ReconcilerDeps<'_>) -> RoundOutcome {
+        let configuration = deps.tables.configuration.current();
         let Some(row) = configuration.services.get(&self.service) else {
-            return Outcome::Held;
+            return RoundOutcome::Held;
         };
-        let now_unix_s = tools.tables.clock.unix_ms() / 1000;
+        let now_unix_s = deps.tables.clock.unix_ms() / 1000;
         let window = service_state(configuration.windows.values(), &self.service, now_unix_s);
-        let target = target_of(row, window);
-        self.seen.follow(tools.tables, &self.service);
-        let interest = self.interest(&target);
-        let failing = self.failing(tools, &target).await;
-        self.seen
-            .look(tools.tables, tools.engine, &interest, &failing)
+        let target = rollout_target(row, window);
+        self.observed.update_servers(deps.tables, &self.service);
+        let priority_servers = self.priority_servers(&target);
+        let failing = self.failing(deps, &target).await;
+        self.observed
+            .poll(deps.tables, deps.engine, &priority_servers, &failing)
             .await;
-        if self.close_and_open(tools).await == Outcome::Lost {
-            return Outcome::Lost;
+        if self.update_accepting(deps).await == RoundOutcome::Lost {
+            return RoundOutcome::Lost;
         }
-        if self.judge_canaries(tools, &target).await == Outcome::Lost {
-            return Outcome::Lost;
+        if self.evaluate_canaries(deps, &target).await == RoundOutcome::Lost {
+            return RoundOutcome::Lost;
         }
-        let assignments = assign(&target, &self.seen.views());
-        if self.order_loads(tools, row, &assignments, window).await == Outcome::Lost {
-            return Outcome::Lost;
+        let assignments = assign(&target, &self.observed.views());
+        if self.order_loads(deps, row, &assignments, window).await == RoundOutcome::Lost {
+            return RoundOutcome::Lost;
         }
-        self.order_adapters(tools, row, &assignments).await
+        self.order_adapters(deps, row, &assignments).await
     }
 
     /// Servers that are looked at in every round: those that are to change, and the canaries.
-    fn interest(&self, target: &Target) -> BTreeSet<String> {
-        let assigned = assign(target, &self.seen.views());
-        let mut interest: BTreeSet<String> = assigned
+    fn priority_servers(&self, target: &Target) -> BTreeSet<String> {
+        let assigned = assign(target, &self.observed.views());
+        let mut priority_servers: BTreeSet<String> = assigned
             .iter()
             .filter(|assignment| {
                 let is_canary = !target.canary.is_empty() && assignment.version == target.canary;
@@ -106,29 +106,29 @@
             })
             .map(|assignment| assignment.server.clone())
             .collect();
-        let drained = self.seen.all().filter(|seen| seen.view.leaving);
-        interest.extend(drained.map(|seen| seen.view.server.clone()));
-        interest
+        let drained = self.observed.all().filter(|observed| observed.view.leaving);
+        priority_servers.extend(drained.map(|observed| observed.view.server.clone()));
+        priority_servers
     }
 
     /// Servers of which their owners say that calls fail, while there are canaries to be judged.
-    async fn failing(&self, tools: Tools<'_>, target: &Target) -> BTreeSet<String> {
+    async fn failing(&self, deps: ReconcilerDeps<'_>, target: &Target) -> BTreeSet<String> {
         if target.canary.is_empty() {
             return BTreeSet::new();
         }
         let owners: BTreeSet<&str> = self
-            .seen
+            .observed
             .all()
-            .filter(|seen| seen.view.version == target.canary)
-            .filter_map(|seen| seen.entry.owner.as_ref())
+            .filter(|observed| observed.view.version == target.canary)
+            .filter_map(|observed| observed.entry.owner.as_ref())
             .map(|owner| owner.as_str())
             .collect();
-        let answers = tools
+        let responses = deps
             .peers
-            .ask_those::<LocalReport>("/admin/v1/local", |node| owners.contains(node))
+            .query_where::<LocalReport>("/admin/v1/local", |node| owners.contains(node))
             .await;
-        let own = local_report(tools.tables);
-        let reports = answers.answers.into_iter().chain([own]);
+        let own = local_report(deps.tables);
+        let reports = responses.responses.into_iter().chain([own]);
         reports
             .flat_map(|report| report.servers)
             .filter(|server| server.failures > 0)
@@ -137,55 +137,57 @@
     }
 
     pub(super) fn version_of(&self, server: &str) -> &str {
-        self.seen.get(server).map_or("", |seen| &seen.view.version)
+        self.observed
+            .get(server)
+            .map_or("", |observed| &observed.view.version)
     }
 
     /// Loads adapters that the service row names on servers that carry the right version.
     async fn order_adapters(
         &mut self,
-        tools: Tools<'_>,
+        deps: ReconcilerDeps<'_>,
         row: &ServiceRow,
         assignments: &[Assignment],
-    ) -> Outcome {
+    ) -> RoundOutcome {
         let mut missing = Vec::new();
         for assignment in assignments {
-            let Some(seen) = self.seen.get(&assignment.server) else {
+            let Some(observed) = self.observed.get(&assignment.server) else {
                 continue;
             };
-            if seen.view.version != assignment.version || !seen.view.serves() {
+            if observed.view.version != assignment.version || !observed.view.serves() {
                 continue;
             }
             let wanted = row.adapters.iter();
             missing.extend(
                 wanted
-                    .filter(|adapter| !seen.adapters.contains(adapter))
+                    .filter(|adapter| !observed.adapters.contains(adapter))
                     .map(|adapter| (assignment.server.clone(), adapter.clone())),
             );
         }
-        for (server, adapter) in missing.into_iter().take(tools.settings.load_concurrency) {
+        for (server, adapter) in missing.into_iter().take(deps.settings.load_concurrency) {
             let kind = OrderKind::LoadAdapter { adapter };
             let cause = "the service row names the adapter";
-            if self.order(tools, &server, kind, cause).await == Given::Fenced {
-                return Outcome::Lost;
+            if self.order(deps, &server, kind, cause).await == OrderOutcome::Fenced {
+                return RoundOutcome::Lost;
             }
         }
-        Outcome::Held
+        RoundOutcome::Held
     }
 
     /// Gives an engine a fenced order, and records it.
     pub(super) async fn order(
         &mut self,
-        tools: Tools<'_>,
+        deps: ReconcilerDeps<'_>,
         server: &str,
         kind: OrderKind,
         cause: &str,
-    ) -> Given {
+    ) -> OrderOutcome {
         let Some(base) = self
-            .seen
+            .observed
             .get(server)
-            .map(|seen| seen.entry.base_url.clone())
+            .map(|observed| observed.entry.base_url.clone())
         else {
-            return Given::No;
+            return OrderOutcome::NotAccepted;
         };
         let position = self.authority.next_position();
         let order = EngineOrder {
@@ -193,40 +195,43 @@
             sequence: position.sequence,
             kind,
         };
-        let (name, words) = order_words(&order.kind);
-        let (given, outcome, said) = match tools.engine.order(&base, order).await {
-            Ok(()) => (Given::Yes, "given", "the engine took it".to_owned()),
-            Err(EngineError::Refused { status, reason }) if status == OLD_ORDER => (
-                Given::Fenced,
+        let (name, description) = describe_order(&order.kind);
+        let (order_outcome, outcome, outcome_text) = match deps.engine.order(&base, order).await {
+            Ok(()) => (
+                OrderOutcome::Accepted,
+                "given",
+                "the engine took it".to_owned(),
+            ),
+            Err(EngineError::Refused { status, reason }) if status == STALE_ORDER_STATUS => (
+                OrderOutcome::Fenced,
                 "fenced",
                 format!("the engine refused it as old: {reason}"),
             ),
             Err(EngineError::Refused { reason, .. }) => (
-                Given::No,
+                OrderOutcome::NotAccepted,
                 "refused",
                 format!("the engine refused it: {reason}"),
             ),
-            Err(error) => (Given::No, "unreachable", error.to_string()),
+            Err(error) => (OrderOutcome::NotAccepted, "unreachable", error.to_string()),
         };
-        tools
-            .metrics
+        deps.metrics
             .orders
             .with_label_values(&[name, outcome])
             .inc();
-        record(tools.tables, DecisionKind::Ordered, cause)
+        record(deps.tables, DecisionKind::Ordered, cause)
             .about(Subject::Server(server.to_owned()))
             .about(Subject::Service(self.service.clone()))
-            .input("order", words)
+            .input("order", description)
             .input("epoch", position.epoch)
             .input("sequence", position.sequence)
-            .outcome(said);
-        given
+            .outcome(outcome_text);
+        order_outcome
     }
 }
 
 /// What the service row asks for. While a demand window is open or near, all servers carry the
 /// service, whatever number the row names.
-fn target_of(row: &ServiceRow, window: WindowState) -> Target {
+fn rollout_target(row: &ServiceRow, window: WindowState) -> Target {
     Target {
         version: row.version.clone(),
         canary: row.canary.clone(),
@@ -239,7 +244,7 @@
     }
 }
 
-fn order_words(kind: &OrderKind) -> (&'static str, String) {
+fn describe_order(kind: &OrderKind) -> (&'static str, String) {
     match kind {
         OrderKind::LoadVersion { version, .. } => ("load_version", format!("load {version}")),
         OrderKind::LoadAdapter { adapter } => ("load_adapter", format!("load adapter {adapter}")),
--- a/crates/operate/src/describe.rs
+++ b/crates/operate/src/describe.rs
@@ -1,20 +1,20 @@
-//! Rows in plain words, for plans, conflicts and explanations.
+//! Rows in plain description, for plans, conflicts and explanations.
 
 use dappleyard_wire::messages::{
     DrainRow, JobRow, PlanGuardRow, PlanRow, ServiceRow, TenantRow, WindowRow,
 };
 use prost::Message;
 
-/// What a row says, in words. `None` is an absent row.
-pub fn row_words(key: &str, value: Option<&[u8]>) -> String {
+/// What a row says, in description. `None` is an absent row.
+pub fn describe_row(key: &str, value: Option<&[u8]>) -> String {
     let Some(value) = value else {
         return "absent".to_owned();
     };
     let path: Vec<&str> = key.split('/').collect();
-    let words = match path.as_slice() {
-        ["config", "service", _] => ServiceRow::decode(value).map(|row| service_words(&row)),
-        ["config", "tenant", _] => TenantRow::decode(value).map(|row| tenant_words(&row)),
-        ["config", "window", _] => WindowRow::decode(value).map(|row| window_words(&row)),
+    let description = match path.as_slice() {
+        ["config", "service", _] => ServiceRow::decode(value).map(|row| describe_service(&row)),
+        ["config", "tenant", _] => TenantRow::decode(value).map(|row| describe_tenant(&row)),
+        ["config", "window", _] => WindowRow::decode(value).map(|row| describe_window(&row)),
         ["config", "drain", ..] => {
             DrainRow::decode(value).map(|row| format!("drained by plan {}", row.plan_id))
         }
@@ -23,14 +23,14 @@
         ["plan", _] => PlanRow::decode(value).map(|row| phase_name(row.phase()).to_owned()),
         ["split-job", _] => return "to be split into chunks".to_owned(),
         ["active-job", _] => return "needs capacity".to_owned(),
-        ["job", ..] => JobRow::decode(value).map(|row| job_words(&row)),
+        ["job", ..] => JobRow::decode(value).map(|row| describe_job(&row)),
         _ => return format!("{} bytes", value.len()),
     };
-    words.unwrap_or_else(|_| "a row that this version cannot read".to_owned())
+    description.unwrap_or_else(|_| "a row that this version cannot read".to_owned())
 }
 
-/// What a key names, in words.
-pub fn key_words(key: &str) -> String {
+/// What a key names, in description.
+pub fn describe_key(key: &str) -> String {
     let path: Vec<&str> = key.splitn(4, '/').collect();
     match path.as_slice() {
         ["config", "drain", kind, name] => format!("drain of {kind} {name}"),
@@ -41,30 +41,30 @@
     }
 }
 
-fn service_words(row: &ServiceRow) -> String {
-    let mut words = vec![format!("version {}", row.version)];
+fn describe_service(row: &ServiceRow) -> String {
+    let mut description = vec![format!("version {}", row.version)];
     if !row.canary.is_empty() {
-        words.push(format!("canary {} on {} %", row.canary, row.canary_percent));
+        description.push(format!("canary {} on {} %", row.canary, row.canary_percent));
     }
     if !row.adapters.is_empty() {
-        words.push(format!("adapters {}", row.adapters.join(" ")));
+        description.push(format!("adapters {}", row.adapters.join(" ")));
     }
-    words.push(match row.replicas {
+    description.push(match row.replicas {
         0 => "all its servers".to_owned(),
         count => format!("{count} servers"),
     });
-    words.push(format!("online slowdown {} %", row.online_slowdown_percent));
-    words.push(format!(
+    description.push(format!("online slowdown {} %", row.online_slowdown_percent));
+    description.push(format!(
         "budget {} a zone, {} in all",
         or_default(row.max_unavailable_zone),
         or_default(row.max_unavailable_total)
     ));
-    words.push(format!(
+    description.push(format!(
         "prompts to {}, answers to {} tokens",
         or_default(row.max_prompt_tokens),
         or_default(row.max_output_tokens)
     ));
-    words.join(", ")
+    description.join(", ")
 }
 
 fn or_default(value: u32) -> String {
@@ -74,7 +74,7 @@
     }
 }
 
-fn tenant_words(row: &TenantRow) -> String {
+fn describe_tenant(row: &TenantRow) -> String {
     format!(
         "{} requests/s, burst {}, {} concurrent tokens, batch weight {}, jobs to {} items approved",
         row.requests_per_s,
@@ -85,7 +85,7 @@
     )
 }
 
-fn window_words(row: &WindowRow) -> String {
+fn describe_window(row: &WindowRow) -> String {
     let when = if row.starts_unix_s > 0 {
         format!(
             "once, {} to {} (Unix s)",
@@ -109,7 +109,7 @@
     format!("{:02}:{:02}", seconds / 3600, seconds / 60 % 60)
 }
 
-fn job_words(row: &JobRow) -> String {
+fn describe_job(row: &JobRow) -> String {
     let phase = row
         .state
         .as_ref()
--- a/crates/operate/src/explain.rs
+++ b/crates/operate/src/explain.rs
@@ -14,25 +14,25 @@
 
 use crate::journal;
 use crate::peers::Peers;
-use crate::subject_state::state_words;
+use crate::subject_state::describe_state;
 
 /// Most records in one explanation; the latest stay.
-const MOST_RECORDS: usize = 200;
+const MAX_RECORDS: usize = 200;
 
 /// Which subject is to be explained.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct SubjectRef {
     /// Kind: `request`, `job`, `server`, `service`, `node` or `plan`.
     pub kind: String,
     /// Identifier.
     pub id: String,
 }
 
-impl Question {
-    /// Reads a question; `None` for a kind that is not known.
-    pub fn parse(kind: &str, id: &str) -> Option<Question> {
+impl SubjectRef {
+    /// Reads a subject_ref; `None` for a kind that is not known.
+    pub fn parse(kind: &str, id: &str) -> Option<SubjectRef> {
         let known = ["request", "job", "server", "service", "node", "plan"].contains(&kind);
-        known.then(|| Question {
+        known.then(|| SubjectRef {
             kind: kind.to_owned(),
             id: id.to_owned(),
         })
@@ -87,23 +87,32 @@
     tables: &Arc<NodeTables>,
     platform: &Platform,
     peers: &Peers,
-    question: &Question,
+    subject_ref: &SubjectRef,
 ) -> Explanation {
-    let subject = question.subject();
+    let subject = subject_ref.subject();
     let mut unknown = Vec::new();
     let mut records = tables.decisions.about(&subject);
-    let path = format!("/admin/v1/decisions/{}/{}", question.kind, question.id);
-    let answers = peers.ask::<Vec<Decision>>(&path).await;
-    records.extend(answers.answers.into_iter().flatten());
-    let unanswered: BTreeSet<String> = answers
-        .silent
+    let path = format!(
+        "/admin/v1/decisions/{}/{}",
+        subject_ref.kind, subject_ref.id
+    );
+    let responses = peers.query::<Vec<Decision>>(&path).await;
+    records.extend(responses.responses.into_iter().flatten());
+    let failed_nodes: BTreeSet<String> = responses
+        .failed
         .iter()
         .map(|(node, _)| node.clone())
         .collect();
-    let silent = answers.silent.into_iter();
-    unknown.extend(silent.map(|(node, cause)| format!("node {node} did not answer: {cause}")));
+    let failed = responses.failed.into_iter();
+    unknown.extend(failed.map(|(node, cause)| format!("node {node} did not answer: {cause}")));
     let about = |record: &Decision| record.subjects.contains(&subject);
-    match journal::search(&*platform.objects, &answered(tables, &unanswered), about).await {
+    match journal::search(
+        &*platform.objects,
+        &responding_nodes(tables, &failed_nodes),
+        about,
+    )
+    .await
+    {
         Ok((found, partial)) => {
             records.extend(found);
             if partial {
@@ -112,43 +121,43 @@
         }
         Err(error) => unknown.push(format!("the journal: {error}")),
     }
-    let records = ordered(records);
-    let (state, missing) = state_words(tables, platform, question).await;
-    unknown.extend(missing);
+    let records = sorted_unique(records);
+    let (state, undetermined) = describe_state(tables, platform, subject_ref).await;
+    unknown.extend(undetermined);
     Explanation {
-        kind: question.kind.clone(),
-        id: question.id.clone(),
-        answer: answer(question, &records, &state, &unknown),
+        kind: subject_ref.kind.clone(),
+        id: subject_ref.id.clone(),
+        answer: answer(subject_ref, &records, &state, &unknown),
         state,
         events: records.iter().map(event).collect(),
         unknown,
     }
 }
 
-/// Nodes whose memory was asked: this one and the live members that answered.
-fn answered(tables: &NodeTables, unanswered: &BTreeSet<String>) -> BTreeSet<String> {
+/// Nodes whose memory was asked: this one and the live members that responding_nodes.
+fn responding_nodes(tables: &NodeTables, failed_nodes: &BTreeSet<String>) -> BTreeSet<String> {
     let members = tables.members.all().into_iter();
     members
         .filter(|member| member.state() == MemberState::MemberAlive)
         .map(|member| member.node)
         .chain([tables.identity.node.to_string()])
-        .filter(|node| !unanswered.contains(node))
+        .filter(|node| !failed_nodes.contains(node))
         .collect()
 }
 
 /// In order of time, each record once: a record may be both in memory and in the journal.
-fn ordered(records: Vec<Decision>) -> Vec<Decision> {
+fn sorted_unique(records: Vec<Decision>) -> Vec<Decision> {
     let mut unique = BTreeMap::new();
     for record in records {
         let content = serde_json::to_string(&record).unwrap_or_default();
         unique.entry((record.unix_ms, content)).or_insert(record);
     }
-    let surplus = unique.len().saturating_sub(MOST_RECORDS);
+    let surplus = unique.len().saturating_sub(MAX_RECORDS);
     unique.into_values().skip(surplus).collect()
 }
 
 /// What a kind of decision says, in words.
-pub const fn kind_words(kind: DecisionKind) -> &'static str {
+pub const fn describe_kind(kind: DecisionKind) -> &'static str {
     match kind {
         DecisionKind::Refused => "refused the request",
         DecisionKind::PlacedAgain => "placed the request again",
@@ -170,12 +179,12 @@
     Event {
         unix_ms: record.unix_ms,
         node: record.node.clone(),
-        words: record_words(record),
+        words: describe_record(record),
         inputs: record.inputs.clone(),
     }
 }
 
-fn record_words(record: &Decision) -> String {
+fn describe_record(record: &Decision) -> String {
     let outcome = if record.outcome.is_empty() {
         String::new()
     } else {
@@ -183,21 +192,21 @@
     };
     format!(
         "{} since {}{outcome}",
-        kind_words(record.kind),
+        describe_kind(record.kind),
         record.cause
     )
 }
 
 /// The last decision explains how the subject stands now.
 fn answer(
-    question: &Question,
+    subject_ref: &SubjectRef,
     records: &[Decision],
     state: &[String],
     unknown: &[String],
 ) -> String {
-    let name = format!("{} {}", question.kind, question.id);
+    let name = format!("{} {}", subject_ref.kind, subject_ref.id);
     match (records.last(), state.first()) {
-        (Some(last), _) => format!("{name}: node {} {}", last.node, record_words(last)),
+        (Some(last), _) => format!("{name}: node {} {}", last.node, describe_record(last)),
         (None, Some(state)) => format!("{name}: {state}; no decision about it is on record"),
         (None, None) if unknown.is_empty() => format!(
             "{name}: nothing is known of it; records are kept for a limited time, and undisturbed requests leave none"
--- a/crates/operate/src/jobs.rs
+++ b/crates/operate/src/jobs.rs
@@ -12,17 +12,17 @@
 use crate::snapshot::{decode, store_failure};
 
 /// Rows read in one call.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 /// Most pages read for one question.
-const MOST_PAGES: usize = 10;
+const MAX_PAGES: usize = 10;
 /// Active jobs whose progress is read for one question, those with the nearest deadlines.
-const MOST_ACTIVE: usize = 32;
+const MAX_ACTIVE_JOBS: usize = 32;
 /// Jobs whose progress is read at once.
 const CONCURRENCY: usize = 8;
 
 /// One job on one line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobLine {
+pub struct JobSummary {
     /// Tenant.
     pub tenant: String,
     /// Job id.
@@ -58,9 +58,12 @@
 
 /// Jobs that need capacity now, nearest deadline first, each with its progress. At most
 /// 32 of them.
-pub async fn active_jobs(tables: &dyn TableStore, jobs: &JobsApi) -> Result<Vec<JobLine>, Failure> {
+pub async fn active_jobs(
+    tables: &dyn TableStore,
+    jobs: &JobsApi,
+) -> Result<Vec<JobSummary>, Failure> {
     let rows = tables
-        .range(ACTIVE_JOB_PREFIX, "", PAGE)
+        .range(ACTIVE_JOB_PREFIX, "", PAGE_SIZE)
         .await
         .map_err(|error| store_failure(&error))?;
     let mut active = Vec::new();
@@ -68,7 +71,7 @@
         active.push(decode::<ActiveJobRow>(&row.key, &row.value)?);
     }
     active.sort_by_key(|job| job.deadline_unix_s);
-    active.truncate(MOST_ACTIVE);
+    active.truncate(MAX_ACTIVE_JOBS);
     let reads = active
         .into_iter()
         .map(|job| async move { read_job(jobs, &job.tenant, &job.job_id).await });
@@ -86,7 +89,7 @@
 }
 
 /// One job with its progress.
-pub async fn read_job(jobs: &JobsApi, tenant: &str, job: &str) -> Result<JobLine, Failure> {
+pub async fn read_job(jobs: &JobsApi, tenant: &str, job: &str) -> Result<JobSummary, Failure> {
     let get = JobGet {
         tenant: tenant.to_owned(),
         job_id: job.to_owned(),
@@ -96,7 +99,7 @@
         ..Call::default()
     };
     match jobs.call(call).await?.result {
-        Some(reply::Result::Job(state)) => Ok(job_line(&state)),
+        Some(reply::Result::Job(state)) => Ok(job_summary(&state)),
         _ => Err(Failure::not_run(
             ErrorKind::Internal,
             "no job in the answer",
@@ -105,20 +108,20 @@
 }
 
 /// Reads jobs of all phases, at most 5,000 of them; without the progress of running ones.
-pub async fn list_jobs(tables: &dyn TableStore) -> Result<Vec<JobLine>, Failure> {
+pub async fn list_jobs(tables: &dyn TableStore) -> Result<Vec<JobSummary>, Failure> {
     let mut jobs = Vec::new();
     let mut after = String::new();
-    for _ in 0..MOST_PAGES {
+    for _ in 0..MAX_PAGES {
         let page = tables
-            .range(JOB_PREFIX, &after, PAGE)
+            .range(JOB_PREFIX, &after, PAGE_SIZE)
             .await
             .map_err(|error| store_failure(&error))?;
         for row in &page {
             let job: JobRow = decode(&row.key, &row.value)?;
-            jobs.push(job_line(&job.state.unwrap_or_default()));
+            jobs.push(job_summary(&job.state.unwrap_or_default()));
         }
         match page.last() {
-            Some(last) if page.len() == PAGE => after.clone_from(&last.key),
+            Some(last) if page.len() == PAGE_SIZE => after.clone_from(&last.key),
             _ => break,
         }
     }
@@ -126,7 +129,7 @@
 }
 
 /// Unfinished jobs among these whose deadline is at risk, earliest deadline first.
-pub fn jobs_at_risk(jobs: &[JobLine], now_unix_s: u64) -> Vec<JobAtRisk> {
+pub fn jobs_at_risk(jobs: &[JobSummary], now_unix_s: u64) -> Vec<JobAtRisk> {
     let mut at_risk: Vec<JobAtRisk> = jobs
         .iter()
         .filter(|job| is_unfinished(&job.phase))
@@ -142,7 +145,7 @@
 }
 
 /// Whether a job's deadline is at risk when its remaining work takes `slowdown` times as long.
-pub fn risk(job: &JobLine, now_unix_s: u64, slowdown: f64) -> Option<JobAtRisk> {
+pub fn risk(job: &JobSummary, now_unix_s: u64, slowdown: f64) -> Option<JobAtRisk> {
     let remaining_s = job.expected_unix_s.saturating_sub(now_unix_s);
     let expected = now_unix_s.saturating_add((remaining_s as f64 * slowdown).ceil() as u64);
     let reason = if job.deadline_unix_s > 0 && now_unix_s > job.deadline_unix_s {
@@ -173,8 +176,8 @@
 }
 
 /// One job on one line.
-pub fn job_line(state: &JobState) -> JobLine {
-    JobLine {
+pub fn job_summary(state: &JobState) -> JobSummary {
+    JobSummary {
         tenant: state.tenant.clone(),
         job: state.job_id.clone(),
         phase: job_phase_name(state.phase()).to_owned(),
--- a/crates/operate/src/journal.rs
+++ b/crates/operate/src/journal.rs
@@ -14,49 +14,49 @@
 /// less often, so that the object store sees a constant rate.
 const NODES_AT_FULL_RATE: u64 = 32;
 /// Records that are written without waiting for the interval.
-const ENOUGH_RECORDS: usize = 1_024;
+const FLUSH_RECORDS: usize = 1_024;
 /// Largest journal object read, bytes.
-const LARGEST_OBJECT: u64 = 4 * 1024 * 1024;
+const MAX_OBJECT_BYTES: u64 = 4 * 1024 * 1024;
 /// Journal objects read for one question.
-const MOST_OBJECTS: usize = 200;
+const MAX_OBJECTS: usize = 200;
 /// Names listed in one call.
-const PAGE: usize = 1_000;
+const PAGE_SIZE: usize = 1_000;
 
 /// Writes this node's records.
 pub struct Journal {
     tables: Arc<NodeTables>,
-    kept: usize,
-    next: u64,
+    max_objects: usize,
+    next_number: u64,
     /// Names of own objects, oldest first; `None` before those of earlier starts were listed.
     written: Option<VecDeque<String>>,
     pending: Vec<Decision>,
-    last_ms: u64,
+    last_write_ms: u64,
 }
 
 impl Journal {
-    /// A journal of this node that keeps `kept` objects.
-    pub fn new(tables: Arc<NodeTables>, kept: usize) -> Journal {
+    /// A journal of this node that keeps `max_objects` objects.
+    pub fn new(tables: Arc<NodeTables>, max_objects: usize) -> Journal {
         Journal {
-            last_ms: tables.clock.now().0,
+            last_write_ms: tables.clock.now().0,
             tables,
-            kept: kept.max(1),
-            next: 0,
+            max_objects: max_objects.max(1),
+            next_number: 0,
             written: None,
             pending: Vec::new(),
         }
     }
 
     /// Writes the records that wait when it is time. Says whether it wrote.
-    pub async fn run(
+    pub async fn write_if_due(
         &mut self,
         objects: &dyn ObjectStore,
         interval_ms: u64,
     ) -> Result<bool, StoreError> {
-        self.take();
+        self.collect_pending();
         let nodes = self.tables.members.all().len() as u64;
         let interval_ms = interval_ms * nodes.div_ceil(NODES_AT_FULL_RATE).max(1);
-        let waited_ms = self.tables.clock.now().0.saturating_sub(self.last_ms);
-        let due = waited_ms >= interval_ms || self.pending.len() >= ENOUGH_RECORDS;
+        let waited_ms = self.tables.clock.now().0.saturating_sub(self.last_write_ms);
+        let due = waited_ms >= interval_ms || self.pending.len() >= FLUSH_RECORDS;
         if self.pending.is_empty() || !due {
             return Ok(false);
         }
@@ -65,14 +65,14 @@
 
     /// Writes the records that wait now, as at a planned stop.
     pub async fn flush(&mut self, objects: &dyn ObjectStore) -> Result<(), StoreError> {
-        self.take();
+        self.collect_pending();
         if self.pending.is_empty() {
             return Ok(());
         }
         self.write(objects).await
     }
 
-    fn take(&mut self) {
+    fn collect_pending(&mut self) {
         self.pending.extend(self.tables.decisions.take_unsaved());
         let surplus = self
             .pending
@@ -82,15 +82,15 @@
     }
 
     async fn write(&mut self, objects: &dyn ObjectStore) -> Result<(), StoreError> {
-        self.adopt(objects).await?;
-        self.last_ms = self.tables.clock.now().0;
-        let body = Bytes::from(lines(&self.pending));
+        self.list_earlier_objects(objects).await?;
+        self.last_write_ms = self.tables.clock.now().0;
+        let body = Bytes::from(encode_lines(&self.pending));
         let name = self.next_name();
         objects.create(&name, body).await?;
         self.pending.clear();
         let written = self.written.get_or_insert_default();
         written.push_back(name);
-        while written.len() > self.kept {
+        while written.len() > self.max_objects {
             if let Some(oldest) = written.pop_front() {
                 objects.delete(&oldest).await?;
             }
@@ -100,20 +100,20 @@
 
     /// After a lost answer the records are written again under another name.
     fn next_name(&mut self) -> String {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let node = self.tables.identity.node.as_str();
         keys::journal_object(node, self.tables.clock.unix_ms(), number)
     }
 
     /// Counts the objects of earlier starts of this node among its own, and goes on numbering after
     /// them, so that a start within the same millisecond takes no name that is taken.
-    async fn adopt(&mut self, objects: &dyn ObjectStore) -> Result<(), StoreError> {
+    async fn list_earlier_objects(&mut self, objects: &dyn ObjectStore) -> Result<(), StoreError> {
         if self.written.is_none() {
             let prefix = format!("{JOURNAL_PREFIX}{}/", self.tables.identity.node);
-            let known = objects.list(&prefix, "", PAGE).await?;
+            let known = objects.list(&prefix, "", PAGE_SIZE).await?;
             let numbers = known.iter().filter_map(|(name, _)| number(name));
-            self.next = numbers.max().map_or(self.next, |last| last + 1);
+            self.next_number = numbers.max().map_or(self.next_number, |last| last + 1);
             self.written = Some(known.into_iter().map(|(name, _)| name).collect());
         }
         Ok(())
@@ -125,7 +125,7 @@
     name.rsplit('-').next()?.parse().ok()
 }
 
-fn lines(records: &[Decision]) -> Vec<u8> {
+fn encode_lines(records: &[Decision]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for record in records {
         if let Ok(mut line) = serde_json::to_vec(record) {
@@ -136,31 +136,31 @@
     bytes
 }
 
-/// Records in the journal objects that `wanted` accepts. Objects of nodes that `answered` names come
+/// Records in the journal objects that `matches` accepts. Objects of nodes that `responding_nodes` names come
 /// last, since their memory was asked; the latest come first. Also says whether objects were left
 /// unread.
 pub async fn search(
     objects: &dyn ObjectStore,
-    answered: &BTreeSet<String>,
-    wanted: impl Fn(&Decision) -> bool,
+    responding_nodes: &BTreeSet<String>,
+    matches: impl Fn(&Decision) -> bool,
 ) -> Result<(Vec<Decision>, bool), StoreError> {
-    let mut names = names(objects).await?;
+    let mut names = list_names(objects).await?;
     names.sort_by_cached_key(|name| {
-        let (node, written_ms) = parts(name);
-        (answered.contains(node), Reverse(written_ms))
+        let (node, written_ms) = node_and_time(name);
+        (responding_nodes.contains(node), Reverse(written_ms))
     });
-    let partial = names.len() > MOST_OBJECTS;
-    names.truncate(MOST_OBJECTS);
+    let partial = names.len() > MAX_OBJECTS;
+    names.truncate(MAX_OBJECTS);
     let mut found = Vec::new();
     for name in names {
-        let Some(object) = objects.read(&name, 0, LARGEST_OBJECT).await? else {
+        let Some(object) = objects.read(&name, 0, MAX_OBJECT_BYTES).await? else {
             continue;
         };
         let records = object.bytes.split(|byte| *byte == b'\n');
         found.extend(
             records
                 .filter_map(|line| serde_json::from_slice::<Decision>(line).ok())
-                .filter(&wanted),
+                .filter(&matches),
         );
     }
     Ok((found, partial))
@@ -173,10 +173,10 @@
     before_unix_ms: u64,
     limit: usize,
 ) -> Result<usize, StoreError> {
-    let old = names(objects).await?.into_iter();
+    let old = list_names(objects).await?.into_iter();
     let old: Vec<String> = old
         .filter(|name| {
-            parts(name)
+            node_and_time(name)
                 .1
                 .is_some_and(|written| written < before_unix_ms)
         })
@@ -189,20 +189,20 @@
 }
 
 /// Node and time of writing, milliseconds since 1970, of a journal object.
-fn parts(name: &str) -> (&str, Option<u64>) {
+fn node_and_time(name: &str) -> (&str, Option<u64>) {
     let path = name.strip_prefix(JOURNAL_PREFIX).unwrap_or(name);
     let (node, file) = path.rsplit_once('/').unwrap_or((path, ""));
     let written = file.split('-').next().and_then(|text| text.parse().ok());
     (node, written)
 }
 
-async fn names(objects: &dyn ObjectStore) -> Result<Vec<String>, StoreError> {
-    const MOST_PAGES: usize = 30;
+async fn list_names(objects: &dyn ObjectStore) -> Result<Vec<String>, StoreError> {
+    const MAX_PAGES: usize = 30;
     let mut names = Vec::new();
     let mut after = String::new();
-    for _ in 0..MOST_PAGES {
-        let page = objects.list(JOURNAL_PREFIX, &after, PAGE).await?;
-        let full = page.len() == PAGE;
+    for _ in 0..MAX_PAGES {
+        let page = objects.list(JOURNAL_PREFIX, &after, PAGE_SIZE).await?;
+        let full = page.len() == PAGE_SIZE;
         names.extend(page.into_iter().map(|(name, _)| name));
         match names.last() {
             Some(last) if full => after.clone_from(last),
--- a/crates/operate/src/own_drain.rs
+++ b/crates/operate/src/own_drain.rs
@@ -9,7 +9,7 @@
 use crate::record::record;
 
 /// Makes this node drain while configuration says so, and lets it serve again afterwards.
-pub async fn follow_own_drain(tables: Arc<NodeTables>) {
+pub async fn watch_own_drain(tables: Arc<NodeTables>) {
     let mut configurations = tables.configuration.subscribe();
     let key = ("node".to_owned(), tables.identity.node.to_string());
     let mut drained = false;
@@ -23,7 +23,7 @@
             } else {
                 Lifecycle::Withdrawn
             };
-            enter(&tables, next);
+            set_lifecycle(&tables, next);
         }
         if configurations.changed().await.is_err() {
             return;
@@ -31,13 +31,13 @@
     }
 }
 
-fn enter(tables: &NodeTables, next: Lifecycle) {
+fn set_lifecycle(tables: &NodeTables, next: Lifecycle) {
     let changed = tables.lifecycle.send_if_modified(|current| {
-        let moves = *current != Lifecycle::Stopped && *current != next;
-        if moves {
+        let changes = *current != Lifecycle::Stopped && *current != next;
+        if changes {
             *current = next;
         }
-        moves
+        changes
     });
     if changed {
         let node = tables.identity.node.to_string();
--- a/crates/operate/src/peers.rs
+++ b/crates/operate/src/peers.rs
@@ -11,9 +11,9 @@
 /// Questions that are open at once.
 const CONCURRENCY: usize = 32;
 /// Largest answer read from a peer, bytes.
-const LARGEST_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The other nodes, as questions are put to them.
+/// The other nodes, as requests are put to them.
 #[derive(Clone)]
 pub struct Peers {
     tables: Arc<NodeTables>,
@@ -22,11 +22,11 @@
 
 /// Answers of the peers that answered, and the names of those that did not, with the cause.
 #[derive(Debug, Clone)]
-pub struct PeerAnswers<T> {
+pub struct PeerResponses<T> {
     /// Answers.
-    pub answers: Vec<T>,
+    pub responses: Vec<T>,
     /// Node and cause.
-    pub silent: Vec<(String, String)>,
+    pub failed: Vec<(String, String)>,
 }
 
 impl Peers {
@@ -40,40 +40,42 @@
     }
 
     /// Asks every live peer for `path`, a path of the operators' interface.
-    pub async fn ask<T: DeserializeOwned>(&self, path: &str) -> PeerAnswers<T> {
-        self.ask_those(path, |_| true).await
+    pub async fn query<T: DeserializeOwned>(&self, path: &str) -> PeerResponses<T> {
+        self.query_where(path, |_| true).await
     }
 
-    /// Asks the live peers that `wanted` names.
-    pub async fn ask_those<T: DeserializeOwned>(
+    /// Asks the live peers that `include` names.
+    pub async fn query_where<T: DeserializeOwned>(
         &self,
         path: &str,
-        wanted: impl Fn(&str) -> bool,
-    ) -> PeerAnswers<T> {
+        include: impl Fn(&str) -> bool,
+    ) -> PeerResponses<T> {
         let addresses = self.addresses().into_iter();
-        let questions =
+        let requests =
             addresses
-                .filter(|(node, _)| wanted(node))
+                .filter(|(node, _)| include(node))
                 .map(|(node, address)| async move {
-                    let answer = self.ask_one::<T>(&format!("http://{address}{path}")).await;
+                    let answer = self
+                        .query_one::<T>(&format!("http://{address}{path}"))
+                        .await;
                     (node, answer)
                 });
-        let mut results = futures::stream::iter(questions).buffer_unordered(CONCURRENCY);
-        let mut collected = PeerAnswers {
-            answers: Vec::new(),
-            silent: Vec::new(),
+        let mut results = futures::stream::iter(requests).buffer_unordered(CONCURRENCY);
+        let mut collected = PeerResponses {
+            responses: Vec::new(),
+            failed: Vec::new(),
         };
         while let Some((node, answer)) = results.next().await {
             match answer {
-                Ok(answer) => collected.answers.push(answer),
-                Err(cause) => collected.silent.push((node, cause)),
+                Ok(answer) => collected.responses.push(answer),
+                Err(cause) => collected.failed.push((node, cause)),
             }
         }
-        collected.silent.sort();
+        collected.failed.sort();
         collected
     }
 
-    async fn ask_one<T: DeserializeOwned>(&self, url: &str) -> Result<T, String> {
+    async fn query_one<T: DeserializeOwned>(&self, url: &str) -> Result<T, String> {
         let mut response = self
             .client
             .get(url)
@@ -83,16 +85,16 @@
         if !response.status().is_success() {
             return Err(format!("answered {}", response.status()));
         }
-        let answer = response.json().limit(LARGEST_ANSWER).await;
+        let answer = response.json().limit(MAX_RESPONSE_BYTES).await;
         answer.map_err(|error| error.to_string())
     }
 
     fn addresses(&self) -> Vec<(String, String)> {
-        let me = self.tables.identity.node.as_str();
+        let own_node = self.tables.identity.node.as_str();
         let members = self.tables.members.all();
         members
             .into_iter()
-            .filter(|member| member.node != me && !member.admin_address.is_empty())
+            .filter(|member| member.node != own_node && !member.admin_address.is_empty())
             .filter(|member| {
                 matches!(
                     member.state(),
--- a/crates/operate/src/plans/abort.rs
+++ b/crates/operate/src/plans/abort.rs
@@ -10,24 +10,24 @@
 use crate::describe::phase_name;
 use crate::head::ConfigurationHead;
 use crate::intent::{Intent, Rollout};
-use crate::plans::confirm::pause;
+use crate::plans::confirm::random_retry_delay;
 use crate::plans::store::{StoredPlan, encoded, read_plan};
 use crate::snapshot::{Snapshot, store_failure};
 
 /// Attempts at one abort, since the plan may move in between.
-const ATTEMPTS: u32 = 20;
+const MAX_ATTEMPTS: u32 = 20;
 
 /// Aborts a plan. Aborting an aborted plan does nothing.
 pub async fn abort(tables: &dyn TableStore, id: &str, unix_ms: u64) -> Result<StoredPlan, Failure> {
     let mut last = Failure::not_run(ErrorKind::Conflict, "the plan keeps moving; abort again");
-    for _ in 0..ATTEMPTS {
+    for _ in 0..MAX_ATTEMPTS {
         let plan = read_plan(tables, id).await?;
         match plan.row.phase() {
             PlanPhase::PlanAborted => return Ok(plan),
             PlanPhase::PlanProposed | PlanPhase::PlanConfirmed | PlanPhase::PlanRunning => {}
-            phase => return Err(over(id, phase)),
+            phase => return Err(not_abortable(id, phase)),
         }
-        let (transaction, next) = prepare(tables, &plan, unix_ms).await?;
+        let (transaction, next) = abort_transaction(tables, &plan, unix_ms).await?;
         match tables.transact(transaction).await {
             Ok(revision) => {
                 return Ok(StoredPlan {
@@ -40,19 +40,19 @@
             }
             Err(error) => last = store_failure(&error).after(last.ran),
         }
-        pause().await;
+        random_retry_delay().await;
     }
     Err(last)
 }
 
-fn over(id: &str, phase: PlanPhase) -> Failure {
+fn not_abortable(id: &str, phase: PlanPhase) -> Failure {
     Failure::not_run(
         ErrorKind::Conflict,
         format!("plan {id} is {} and cannot be aborted", phase_name(phase)),
     )
 }
 
-async fn prepare(
+async fn abort_transaction(
     tables: &dyn TableStore,
     plan: &StoredPlan,
     unix_ms: u64,
@@ -64,7 +64,7 @@
     let running = plan.row.phase() != PlanPhase::PlanProposed;
     let message = match plan.intent()? {
         Intent::Rollout(rollout) if running => {
-            let (next, message) = take_back(tables, transaction, &rollout).await?;
+            let (next, message) = remove_canary(tables, transaction, &rollout).await?;
             transaction = next;
             message
         }
@@ -81,7 +81,7 @@
 }
 
 /// Takes the canary out of the service row when the rollout has not gone past its canaries.
-async fn take_back(
+async fn remove_canary(
     tables: &dyn TableStore,
     transaction: Transaction,
     rollout: &Rollout,
--- a/crates/operate/src/plans/body.rs
+++ b/crates/operate/src/plans/body.rs
@@ -27,7 +27,7 @@
     /// What the operator should know before confirming.
     pub warnings: Vec<String>,
     /// Rows that the plan rests on, in words as they were.
-    pub basis: Vec<BasisWords>,
+    pub basis: Vec<BasisDescription>,
     /// Regions in which the change must be in force.
     pub regions: Vec<String>,
     /// Services whose capacity the plan takes or changes.
@@ -84,7 +84,7 @@
 
 /// A row that the plan rests on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BasisWords {
+pub struct BasisDescription {
     /// Key of the row.
     pub key: String,
     /// Its revision; 0 when it was absent.
--- a/crates/operate/src/plans/changes.rs
+++ b/crates/operate/src/plans/changes.rs
@@ -16,9 +16,9 @@
 use crate::status::{FleetStatus, ServerStatus};
 
 /// Largest share, percent.
-const WHOLE: u32 = 100;
+const MAX_PERCENT: u32 = 100;
 /// Seconds of a day.
-const DAY_S: u32 = 86_400;
+const SECONDS_PER_DAY: u32 = 86_400;
 
 /// Servers that a drain is for.
 pub fn drained_servers<'a>(
@@ -61,11 +61,11 @@
         Intent::Rollout(_) | Intent::ModelSet(_) => {}
         Intent::Drain(target) => {
             keys.push(drain_key(target));
-            keys.extend(guard_of_nodes(target, status));
+            keys.extend(node_drain_guard_key(target, status));
         }
         Intent::Undrain(target) => {
             keys.push(drain_key(target));
-            keys.extend(guard_of_nodes(target, status));
+            keys.extend(node_drain_guard_key(target, status));
             let servers = drained_servers(target, status).filter(|server| server.is_drained());
             keys.extend(servers.map(|server| keys::drain("server", &server.server)));
         }
@@ -81,7 +81,7 @@
 }
 
 /// Drains of nodes of one zone are ordered by a guard of their own.
-fn guard_of_nodes(target: &DrainTarget, status: &FleetStatus) -> Option<String> {
+fn node_drain_guard_key(target: &DrainTarget, status: &FleetStatus) -> Option<String> {
     if target.kind != DrainKind::Node {
         return None;
     }
@@ -141,7 +141,7 @@
     if rollout.version.is_empty() {
         return Err(invalid("name the version to roll out"));
     }
-    if !(1..=WHOLE).contains(&rollout.canary_percent) {
+    if !(1..=MAX_PERCENT).contains(&rollout.canary_percent) {
         return Err(invalid("canary_percent must be from 1 to 100"));
     }
     if !row.canary.is_empty() {
@@ -240,11 +240,11 @@
             return Err(invalid("rates must be 0 or more"));
         }
     }
-    set(&mut row.requests_per_s, limits.requests_per_s);
-    set(&mut row.requests_burst, limits.requests_burst);
-    set(&mut row.concurrent_tokens, limits.concurrent_tokens);
-    set(&mut row.batch_weight, limits.batch_weight);
-    set(&mut row.standing_batch_items, limits.standing_batch_items);
+    set_if_some(&mut row.requests_per_s, limits.requests_per_s);
+    set_if_some(&mut row.requests_burst, limits.requests_burst);
+    set_if_some(&mut row.concurrent_tokens, limits.concurrent_tokens);
+    set_if_some(&mut row.batch_weight, limits.batch_weight);
+    set_if_some(&mut row.standing_batch_items, limits.standing_batch_items);
     Ok(vec![PlannedWrite::put(key, &row)])
 }
 
@@ -255,13 +255,16 @@
     if once && window.ends_unix_s <= window.starts_unix_s {
         return Err(invalid("ends_unix_s must be after starts_unix_s"));
     }
-    if !once && (window.start_s >= DAY_S || window.end_s > DAY_S || window.start_s == window.end_s)
+    if !once
+        && (window.start_s >= SECONDS_PER_DAY
+            || window.end_s > SECONDS_PER_DAY
+            || window.start_s == window.end_s)
     {
         return Err(invalid(
             "start_s and end_s are seconds after midnight and must differ",
         ));
     }
-    if window.batch_percent > WHOLE {
+    if window.batch_percent > MAX_PERCENT {
         return Err(invalid("batch_percent must be from 0 to 100"));
     }
     let row = WindowRow {
@@ -278,14 +281,17 @@
     Ok(vec![PlannedWrite::put(keys::window(&window.name), &row)])
 }
 
-fn model_set_writes(set_up: &ModelSet, snapshot: &Snapshot) -> Result<Vec<PlannedWrite>, Failure> {
-    check_name("service", &set_up.service)?;
-    let key = keys::service(&set_up.service);
+fn model_set_writes(
+    model_set: &ModelSet,
+    snapshot: &Snapshot,
+) -> Result<Vec<PlannedWrite>, Failure> {
+    check_name("service", &model_set.service)?;
+    let key = keys::service(&model_set.service);
     let known = snapshot.message::<ServiceRow>(&key)?;
     let is_new = known.is_none();
     let mut row = known.unwrap_or_default();
-    row.name.clone_from(&set_up.service);
-    match &set_up.version {
+    row.name.clone_from(&model_set.service);
+    match &model_set.version {
         Some(version) if is_new => row.version.clone_from(version),
         Some(version) if *version != row.version => {
             return Err(conflict(format!(
@@ -296,18 +302,24 @@
         None if is_new => return Err(invalid("a new service needs a version")),
         _ => {}
     }
-    if let Some(adapters) = &set_up.adapters {
+    if let Some(adapters) = &model_set.adapters {
         row.adapters.clone_from(adapters);
     }
-    set(&mut row.replicas, set_up.replicas);
-    set(
+    set_if_some(&mut row.replicas, model_set.replicas);
+    set_if_some(
         &mut row.online_slowdown_percent,
-        set_up.online_slowdown_percent,
+        model_set.online_slowdown_percent,
+    );
+    set_if_some(
+        &mut row.max_unavailable_zone,
+        model_set.max_unavailable_zone,
+    );
+    set_if_some(
+        &mut row.max_unavailable_total,
+        model_set.max_unavailable_total,
     );
-    set(&mut row.max_unavailable_zone, set_up.max_unavailable_zone);
-    set(&mut row.max_unavailable_total, set_up.max_unavailable_total);
-    set(&mut row.max_prompt_tokens, set_up.max_prompt_tokens);
-    set(&mut row.max_output_tokens, set_up.max_output_tokens);
+    set_if_some(&mut row.max_prompt_tokens, model_set.max_prompt_tokens);
+    set_if_some(&mut row.max_output_tokens, model_set.max_output_tokens);
     Ok(vec![PlannedWrite::put(key, &row)])
 }
 
@@ -335,7 +347,7 @@
     ])
 }
 
-fn set<T>(field: &mut T, value: Option<T>) {
+fn set_if_some<T>(field: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *field = value;
     }
@@ -343,10 +355,10 @@
 
 /// Names become parts of keys.
 fn check_name(what: &str, name: &str) -> Result<(), Failure> {
-    const LONGEST: usize = 128;
-    if name.is_empty() || name.len() > LONGEST || name.contains('/') {
+    const MAX_NAME_LENGTH: usize = 128;
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH || name.contains('/') {
         return Err(invalid(&format!(
-            "a {what} name has 1 to {LONGEST} characters and no slash"
+            "a {what} name has 1 to {MAX_NAME_LENGTH} characters and no slash"
         )));
     }
     Ok(())
--- a/crates/operate/src/plans/confirm.rs
+++ b/crates/operate/src/plans/confirm.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::describe::{key_words, phase_name, row_words};
+use crate::describe::{describe_key, describe_row, phase_name};
 use crate::head::ConfigurationHead;
 use crate::intent::Intent;
 use crate::plans::body::PlanBody;
@@ -23,13 +23,13 @@
 use crate::snapshot::store_failure;
 
 /// Attempts at one confirmation, since other configuration changes may come in between.
-const ATTEMPTS: u32 = 20;
-/// Longest pause between two attempts, milliseconds; the pause is random.
-const LONGEST_PAUSE_MS: u64 = 60;
+const MAX_ATTEMPTS: u32 = 20;
+/// Longest random_retry_delay between two attempts, milliseconds; the random_retry_delay is random.
+const MAX_RETRY_DELAY_MS: u64 = 60;
 
 /// A row that is not as the plan found it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct ChangedRow {
     /// Key of the row.
     pub key: String,
     /// What it names, in words.
@@ -46,7 +46,7 @@
     /// The failure.
     pub failure: Failure,
     /// Rows that changed under the plan.
-    pub changed: Vec<Changed>,
+    pub changed: Vec<ChangedRow>,
 }
 
 impl From<Failure> for Refusal {
@@ -74,7 +74,7 @@
 /// What one attempt came to.
 enum Attempt {
     Accepted(StoredPlan),
-    Again(Failure),
+    Retry(Failure),
     Refused(Refusal),
 }
 
@@ -87,7 +87,7 @@
         ErrorKind::Conflict,
         "configuration keeps changing; try again",
     );
-    for _ in 0..ATTEMPTS {
+    for _ in 0..MAX_ATTEMPTS {
         match attempt(tables, confirmation).await {
             Attempt::Accepted(plan) => return Ok(plan),
             Attempt::Refused(refusal) => {
@@ -96,32 +96,32 @@
                     ..refusal
                 });
             }
-            Attempt::Again(failure) => last = failure.after(last.ran),
+            Attempt::Retry(failure) => last = failure.after(last.ran),
         }
-        pause().await;
+        random_retry_delay().await;
     }
     Err(last.into())
 }
 
 /// Waits a moment so that racing writers do not meet again at once.
-pub async fn pause() {
-    let pause_ms = rand::rng().random_range(1..=LONGEST_PAUSE_MS);
-    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+pub async fn random_retry_delay() {
+    let delay_ms = rand::rng().random_range(1..=MAX_RETRY_DELAY_MS);
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
 }
 
 async fn attempt(tables: &dyn TableStore, confirmation: &Confirmation) -> Attempt {
     match prepare(tables, confirmation).await {
-        Ok(Prepared::Already(plan)) => Attempt::Accepted(plan),
+        Ok(Prepared::AlreadyConfirmed(plan)) => Attempt::Accepted(plan),
         Ok(Prepared::Transaction(plan, next, transaction)) => {
             let answer = tables.transact(transaction).await;
-            judge(tables, &plan, next, answer).await
+            interpret_result(tables, &plan, next, answer).await
         }
         Err(refusal) => Attempt::Refused(refusal),
     }
 }
 
 enum Prepared {
-    Already(StoredPlan),
+    AlreadyConfirmed(StoredPlan),
     Transaction(StoredPlan, PlanRow, Transaction),
 }
 
@@ -131,7 +131,7 @@
 ) -> Result<Prepared, Refusal> {
     let plan = read_plan(tables, &confirmation.plan).await?;
     if !confirmation.token.is_empty() && plan.row.confirmation == confirmation.token {
-        return Ok(Prepared::Already(plan));
+        return Ok(Prepared::AlreadyConfirmed(plan));
     }
     if plan.row.phase() != PlanPhase::PlanProposed {
         return Err(not_proposed(&plan).into());
@@ -213,11 +213,11 @@
         };
         transaction = transaction.put(keys::active_plan(&id), encoded(&index));
     }
-    let configures = body
+    let changes_configuration = body
         .writes
         .iter()
         .any(|write| write.key.starts_with(CONFIGURATION_PREFIX));
-    if configures {
+    if changes_configuration {
         let head = ConfigurationHead::read(tables)
             .await
             .map_err(|error| store_failure(&error))?;
@@ -230,7 +230,7 @@
     key.starts_with("plan-guard/")
 }
 
-async fn judge(
+async fn interpret_result(
     tables: &dyn TableStore,
     plan: &StoredPlan,
     next: PlanRow,
@@ -243,28 +243,30 @@
             revision,
         }),
         Err(StoreError::Conflict { key, .. }) if key == CONFIGURATION_HEAD || key == plan_key => {
-            Attempt::Again(Failure::not_run(
+            Attempt::Retry(Failure::not_run(
                 ErrorKind::Conflict,
                 "other configuration changes keep coming first; confirm again",
             ))
         }
-        Err(StoreError::Conflict { .. }) => overtaken(tables, plan, next.changed_unix_ms).await,
+        Err(StoreError::Conflict { .. }) => {
+            close_overtaken(tables, plan, next.changed_unix_ms).await
+        }
         // The next attempt reads the plan row back: it carries the token when the change took effect.
         Err(error @ (StoreError::Ambiguous { .. } | StoreError::RateLimited { .. })) => {
-            Attempt::Again(store_failure(&error))
+            Attempt::Retry(store_failure(&error))
         }
         Err(error) => Attempt::Refused(store_failure(&error).into()),
     }
 }
 
 /// The plan rests on rows that have changed: says which, and closes the plan.
-async fn overtaken(tables: &dyn TableStore, plan: &StoredPlan, unix_ms: u64) -> Attempt {
+async fn close_overtaken(tables: &dyn TableStore, plan: &StoredPlan, unix_ms: u64) -> Attempt {
     let changed = match changed_rows(tables, plan).await {
         Ok(changed) => changed,
         Err(failure) => return Attempt::Refused(failure.into()),
     };
     if changed.is_empty() {
-        return Attempt::Again(Failure::not_run(
+        return Attempt::Retry(Failure::not_run(
             ErrorKind::Conflict,
             "a row changed and changed back; confirm again",
         ));
@@ -293,7 +295,10 @@
     Attempt::Refused(Refusal { failure, changed })
 }
 
-async fn changed_rows(tables: &dyn TableStore, plan: &StoredPlan) -> Result<Vec<Changed>, Failure> {
+async fn changed_rows(
+    tables: &dyn TableStore,
+    plan: &StoredPlan,
+) -> Result<Vec<ChangedRow>, Failure> {
     let body = plan.body()?;
     let mut changed = Vec::new();
     for basis in &plan.row.basis {
@@ -304,16 +309,16 @@
         if row.as_ref().map_or(0, |row| row.revision) == basis.revision {
             continue;
         }
-        let what = key_words(&basis.key);
+        let what = describe_key(&basis.key);
         let known = body.basis.iter().find(|words| words.key == basis.key);
         let before = known.map_or_else(String::new, |words| words.words.clone());
-        changed.push(Changed {
+        changed.push(ChangedRow {
             key: basis.key.clone(),
             before: before
                 .strip_prefix(&format!("{what}: "))
                 .unwrap_or(&before)
                 .to_owned(),
-            now: row_words(&basis.key, row.as_ref().map(|row| row.value.as_ref())),
+            now: describe_row(&basis.key, row.as_ref().map(|row| row.value.as_ref())),
             what,
         });
     }
--- a/crates/operate/src/plans/ledger.rs
+++ b/crates/operate/src/plans/disruptions.rs
@@ -1,4 +1,4 @@
-//! The row of a service's disruptions in flight: read, extended and cleaned in the same transaction
+//! The row of a service's disruptions in entry: read, extended and cleaned in the same transaction
 //! as the disruption itself, so that two controllers never spend the same budget.
 
 use std::collections::BTreeSet;
@@ -13,26 +13,29 @@
 use crate::snapshot::{decode, store_failure};
 
 /// Cause of a disruption by a controller's order to load.
-pub const LOAD: &str = "load";
+pub const LOAD_CAUSE: &str = "load";
 
-/// A service's disruptions in flight, as read.
+/// A service's disruptions in entry, as read.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ledger {
+pub struct ServiceDisruptions {
     service: String,
     row: DisruptionRow,
     revision: Option<u64>,
     changed: bool,
 }
 
-impl Ledger {
+impl ServiceDisruptions {
     /// Reads the row of a service.
-    pub async fn read(tables: &dyn TableStore, service: &str) -> Result<Ledger, Failure> {
+    pub async fn read(
+        tables: &dyn TableStore,
+        service: &str,
+    ) -> Result<ServiceDisruptions, Failure> {
         let key = keys::disruption(service);
         let row = tables
             .get(&key)
             .await
             .map_err(|error| store_failure(&error))?;
-        Ok(Ledger {
+        Ok(ServiceDisruptions {
             service: service.to_owned(),
             revision: row.as_ref().map(|row| row.revision),
             row: match row {
@@ -43,17 +46,22 @@
         })
     }
 
-    /// Disruptions in flight, for the budget.
+    /// Disruptions in entry, for the budget.
     pub fn in_flight(&self) -> Vec<InFlight> {
         self.row.disruptions.iter().map(in_flight).collect()
     }
 
     /// Forgets disruptions that were observed as done, or that timed out.
-    pub fn forget(&mut self, observed: &BTreeSet<String>, timeout_ms: u64, now_unix_ms: u64) {
-        let flights = self.in_flight();
-        let kept: BTreeSet<&str> = remembered(&flights, observed, timeout_ms, now_unix_ms)
+    pub fn remove_settled(
+        &mut self,
+        observed: &BTreeSet<String>,
+        timeout_ms: u64,
+        now_unix_ms: u64,
+    ) {
+        let current = self.in_flight();
+        let kept: BTreeSet<&str> = remembered(&current, observed, timeout_ms, now_unix_ms)
             .into_iter()
-            .map(|flight| flight.server.as_str())
+            .map(|entry| entry.server.as_str())
             .collect();
         let before = self.row.disruptions.len();
         self.row
@@ -87,9 +95,13 @@
 
     /// Servers put out by a controller's own loads, each with the time, milliseconds since 1970.
     pub fn loads(&self) -> Vec<(String, u64)> {
-        let loads = self.row.disruptions.iter().filter(|one| one.cause == LOAD);
+        let loads = self
+            .row
+            .disruptions
+            .iter()
+            .filter(|item| item.cause == LOAD_CAUSE);
         loads
-            .map(|one| (one.server.clone(), one.since_unix_ms))
+            .map(|item| (item.server.clone(), item.since_unix_ms))
             .collect()
     }
 
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -17,17 +17,17 @@
 use crate::intent::{DrainKind, DrainTarget};
 use crate::plans::body::Progress;
 use crate::plans::changes::{drain_row, drained_servers};
-use crate::plans::ledger::Ledger;
+use crate::plans::disruptions::ServiceDisruptions;
 use crate::plans::store::{StoredPlan, encoded};
 use crate::snapshot::{decode, store_failure};
 use crate::status::{FleetStatus, ServerStatus};
 
 /// Prefix of the drain rows of servers.
-const SERVER_DRAINS: &str = "config/drain/server/";
+const SERVER_DRAIN_PREFIX: &str = "config/drain/server/";
 /// Rows read in one call.
-const PAGE: usize = 1_000;
+const PAGE_SIZE: usize = 1_000;
 /// Time after which a drain counts as in force everywhere, milliseconds.
-const IN_FORCE_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 
 /// What a step of a drain is decided from.
 pub struct DrainView<'a> {
@@ -47,7 +47,7 @@
     let mut after = String::new();
     loop {
         let page = tables
-            .range(SERVER_DRAINS, &after, PAGE)
+            .range(SERVER_DRAIN_PREFIX, &after, PAGE_SIZE)
             .await
             .map_err(|error| store_failure(&error))?;
         for row in &page {
@@ -55,7 +55,7 @@
             drains.insert(drain.name.clone(), drain);
         }
         match page.last() {
-            Some(last) if page.len() == PAGE => after.clone_from(&last.key),
+            Some(last) if page.len() == PAGE_SIZE => after.clone_from(&last.key),
             _ => return Ok(drains),
         }
     }
@@ -63,13 +63,13 @@
 
 /// What a step came to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Stepped {
+pub enum StepOutcome {
     /// The plan moved: its row is now this one.
-    Moved(PlanRow),
+    Advanced(PlanRow),
     /// Nothing to write.
     Unchanged,
     /// Somebody else wrote first; look again.
-    Overtaken,
+    Contended,
 }
 
 /// Takes one step of a drain of servers.
@@ -78,23 +78,23 @@
     plan: &StoredPlan,
     target: &DrainTarget,
     view: &DrainView<'_>,
-) -> Result<Stepped, Failure> {
+) -> Result<StepOutcome, Failure> {
     let drains = server_drains(tables).await?;
     let mut next = DrainStep::new(target, view, &drains);
     let services = next.services();
-    let mut ledgers = Vec::new();
+    let mut service_disruptions = Vec::new();
     for service in services {
-        let mut ledger = Ledger::read(tables, &service).await?;
+        let mut disruptions = ServiceDisruptions::read(tables, &service).await?;
         let budget = budget(tables, &service).await?;
-        ledger.forget(
+        disruptions.remove_settled(
             &next.done,
             view.settings.disruption_timeout_ms,
             view.unix_ms,
         );
-        next.put_out(&service, budget, &mut ledger, &plan.row.id);
-        ledgers.push(ledger);
+        next.start_drains(&service, budget, &mut disruptions, &plan.row.id);
+        service_disruptions.push(disruptions);
     }
-    write(tables, plan, &next, &ledgers).await
+    write(tables, plan, &next, &service_disruptions).await
 }
 
 async fn budget(tables: &dyn TableStore, service: &str) -> Result<Budget, Failure> {
@@ -120,8 +120,8 @@
     drains: &'a BTreeMap<String, DrainRow>,
     servers: Vec<&'a ServerStatus>,
     done: BTreeSet<String>,
-    going: Vec<String>,
-    held: String,
+    starting: Vec<String>,
+    blocked_reason: String,
 }
 
 impl<'a> DrainStep<'a> {
@@ -137,8 +137,8 @@
             drains,
             servers,
             done: BTreeSet::new(),
-            going: Vec::new(),
-            held: String::new(),
+            starting: Vec::new(),
+            blocked_reason: String::new(),
         };
         next.done = next
             .view
@@ -157,7 +157,7 @@
             return false;
         };
         let age_ms = self.view.unix_ms.saturating_sub(drain.since_unix_ms);
-        age_ms >= IN_FORCE_MS && self.view.idle.contains(&server.server)
+        age_ms >= PROPAGATION_MS && self.view.idle.contains(&server.server)
     }
 
     fn services(&self) -> BTreeSet<String> {
@@ -165,7 +165,7 @@
         servers.map(|server| server.service.clone()).collect()
     }
 
-    fn waiting(&self, service: &str) -> Vec<&'a ServerStatus> {
+    fn not_drained(&self, service: &str) -> Vec<&'a ServerStatus> {
         let servers = self.servers.iter().copied();
         servers
             .filter(|server| server.service == service)
@@ -176,11 +176,11 @@
     /// A server that is out counts as unavailable until nothing runs there; then it is no longer
     /// expected to serve.
     fn replica(&self, server: &ServerStatus) -> Replica {
-        let has_own_row = self.drains.contains_key(&server.server);
-        let out_with_its_place = server.is_drained() && !has_own_row;
-        let state = if self.done.contains(&server.server) || out_with_its_place {
+        let has_drain_row = self.drains.contains_key(&server.server);
+        let drained_by_location = server.is_drained() && !has_drain_row;
+        let state = if self.done.contains(&server.server) || drained_by_location {
             ReplicaState::Removed
-        } else if server.serves() && !has_own_row {
+        } else if server.serves() && !has_drain_row {
             ReplicaState::Healthy
         } else {
             ReplicaState::Unhealthy
@@ -192,14 +192,20 @@
         }
     }
 
-    fn put_out(&mut self, service: &str, budget: Budget, ledger: &mut Ledger, plan: &str) {
+    fn start_drains(
+        &mut self,
+        service: &str,
+        budget: Budget,
+        disruptions: &mut ServiceDisruptions,
+        plan: &str,
+    ) {
         let all = self.view.status.servers.iter();
         let replicas: Vec<Replica> = all
             .filter(|server| server.service == service)
             .map(|server| self.replica(server))
             .collect();
-        for server in self.waiting(service) {
-            let in_flight = ledger.in_flight();
+        for server in self.not_drained(service) {
+            let in_flight = disruptions.in_flight();
             let situation = Situation {
                 replicas: &replicas,
                 in_flight: &in_flight,
@@ -208,13 +214,14 @@
             };
             match may_disrupt(&self.replica(server), situation, budget) {
                 Verdict::Allowed | Verdict::AllowedUnhealthy => {
-                    ledger.add(&server.server, &server.zone, plan, self.view.unix_ms);
-                    self.going.push(server.server.clone());
+                    disruptions.add(&server.server, &server.zone, plan, self.view.unix_ms);
+                    self.starting.push(server.server.clone());
                 }
                 Verdict::AlreadyInFlight => {
-                    self.held = format!("server {} is being changed already", server.server);
+                    self.blocked_reason =
+                        format!("server {} is being changed already", server.server);
                 }
-                Verdict::Held(shortage) => self.held = shortage.words(),
+                Verdict::Held(shortage) => self.blocked_reason = shortage.words(),
             }
         }
     }
@@ -225,38 +232,36 @@
     }
 
     fn progress(&self) -> Progress {
-        let on_their_way: Vec<&ServerStatus> = self
+        let draining: Vec<&ServerStatus> = self
             .servers
             .iter()
             .copied()
             .filter(|server| !self.done.contains(&server.server))
             .filter(|server| {
-                self.drains.contains_key(&server.server) || self.going.contains(&server.server)
+                self.drains.contains_key(&server.server) || self.starting.contains(&server.server)
             })
             .collect();
-        let live = on_their_way
-            .iter()
-            .filter_map(|server| server.live.as_ref());
+        let live = draining.iter().filter_map(|server| server.live.as_ref());
         let (online, batch) = live.fold((0, 0), |(online, batch), live| {
             (online + live.online, batch + live.batch)
         });
-        let own = |server: &&&ServerStatus| self.done.contains(&server.server);
+        let is_completed = |server: &&&ServerStatus| self.done.contains(&server.server);
         Progress {
             servers: self.servers.len(),
             done: self
                 .servers
                 .iter()
-                .filter(own)
+                .filter(is_completed)
                 .map(|server| server.server.clone())
                 .collect(),
-            in_progress: on_their_way
+            in_progress: draining
                 .iter()
                 .map(|server| server.server.clone())
                 .collect(),
             online,
             batch,
-            waiting_for: if self.going.is_empty() {
-                self.held.clone()
+            waiting_for: if self.starting.is_empty() {
+                self.blocked_reason.clone()
             } else {
                 String::new()
             },
@@ -264,7 +269,7 @@
     }
 
     /// A finished hall or zone gets one row, so that machines which come later are drained too.
-    fn closing(&self, mut transaction: Transaction, plan: &str) -> Transaction {
+    fn add_final_rows(&self, mut transaction: Transaction, plan: &str) -> Transaction {
         if self.target.kind == DrainKind::Server {
             return transaction;
         }
@@ -293,42 +298,50 @@
     tables: &dyn TableStore,
     plan: &StoredPlan,
     next: &DrainStep<'_>,
-    ledgers: &[Ledger],
-) -> Result<Stepped, Failure> {
+    service_disruptions: &[ServiceDisruptions],
+) -> Result<StepOutcome, Failure> {
     let finished = next.is_finished();
     let row = next_row(plan, next, finished);
-    let unchanged = next.going.is_empty()
+    let unchanged = next.starting.is_empty()
         && !finished
         && row.progress_json == plan.row.progress_json
-        && !ledgers.iter().any(Ledger::is_changed);
+        && !service_disruptions
+            .iter()
+            .any(ServiceDisruptions::is_changed);
     if unchanged {
-        return Ok(Stepped::Unchanged);
+        return Ok(StepOutcome::Unchanged);
     }
     let id = PlanId::from(&plan.row.id);
     let mut transaction = Transaction::default()
         .expect(keys::plan(&id), Expect::Revision(plan.revision))
         .put(keys::plan(&id), encoded(&row));
-    for ledger in ledgers.iter().filter(|ledger| ledger.is_changed()) {
-        transaction = ledger.write(transaction);
+    for disruptions in service_disruptions
+        .iter()
+        .filter(|disruptions| disruptions.is_changed())
+    {
+        transaction = disruptions.write(transaction);
     }
-    for server in &next.going {
+    for server in &next.starting {
         let drain = drain_row("server", server, &plan.row.id, next.view.unix_ms);
         transaction = transaction.put(keys::drain("server", server), encoded(&drain));
     }
     if finished {
-        transaction = next.closing(transaction.delete(keys::active_plan(&id)), &plan.row.id);
+        transaction = next.add_final_rows(transaction.delete(keys::active_plan(&id)), &plan.row.id);
     }
-    let configures = !next.going.is_empty() || finished && next.target.kind != DrainKind::Server;
-    if configures {
+    let changes_configuration =
+        !next.starting.is_empty() || finished && next.target.kind != DrainKind::Server;
+    if changes_configuration {
         let head = ConfigurationHead::read(tables)
             .await
             .map_err(|error| store_failure(&error))?;
         transaction = head.chain(transaction);
     }
     match tables.transact(transaction).await {
-        Ok(_) => Ok(Stepped::Moved(row)),
+        Ok(_) => Ok(StepOutcome::Advanced(row)),
         // An ambiguous answer is resolved by the next look, which reads the rows again.
-        Err(StoreError::Conflict { .. } | StoreError::Ambiguous { .. }) => Ok(Stepped::Overtaken),
+        Err(StoreError::Conflict { .. } | StoreError::Ambiguous { .. }) => {
+            Ok(StepOutcome::Contended)
+        }
         Err(error) => Err(store_failure(&error)),
     }
 }
--- a/crates/operate/src/plans/effects.rs
+++ b/crates/operate/src/plans/effects.rs
@@ -8,24 +8,24 @@
 use dappleyard_settings::OperateSettings;
 
 use crate::intent::{BatchJob, DrainKind, DrainTarget, Intent, Rollout};
-use crate::jobs::{JobAtRisk, JobLine, is_unfinished, risk};
+use crate::jobs::{JobAtRisk, JobSummary, is_unfinished, risk};
 use crate::plans::body::{CapacityLeft, RequestsAffected, Step};
 use crate::plans::changes::drained_servers;
 use crate::status::{FleetStatus, ServerStatus};
 
 /// Expected time for the requests of a drained server to end, milliseconds.
-const DRAIN_EXPECTED_MS: u64 = 15_000;
+const EXPECTED_DRAIN_MS: u64 = 15_000;
 /// Expected time for a configuration change to be in force everywhere, milliseconds.
-const IN_FORCE_EXPECTED_MS: u64 = 3_000;
+const EXPECTED_PROPAGATION_MS: u64 = 3_000;
 
 /// What planning knows besides the intent.
-pub struct Outlook<'a> {
+pub struct PlanningContext<'a> {
     /// The fleet.
     pub status: &'a FleetStatus,
     /// Budget of each service that the plan touches.
     pub budgets: BTreeMap<String, Budget>,
     /// Jobs.
-    pub jobs: &'a [JobLine],
+    pub jobs: &'a [JobSummary],
     /// Settings.
     pub settings: &'a OperateSettings,
     /// Wall-clock time, seconds since 1970.
@@ -48,16 +48,16 @@
 }
 
 /// Foresees the effects of an intent.
-pub fn foresee(intent: &Intent, outlook: &Outlook<'_>) -> Effects {
+pub fn estimate_effects(intent: &Intent, context: &PlanningContext<'_>) -> Effects {
     let mut effects = match intent {
-        Intent::Rollout(rollout) => rollout_effects(rollout, outlook),
-        Intent::Drain(target) => drain_effects(target, outlook),
-        Intent::BatchJob(job) => batch_job_effects(job, outlook),
+        Intent::Rollout(rollout) => rollout_effects(rollout, context),
+        Intent::Drain(target) => drain_effects(target, context),
+        Intent::BatchJob(job) => batch_job_effects(job, context),
         _ => single_step(intent),
     };
     effects.expected_ms = effects.steps.iter().map(|step| step.expected_ms).sum();
-    effects.deadlines = deadlines(intent, &effects, outlook);
-    effects.warnings.extend(warnings(intent, outlook));
+    effects.deadlines = deadlines(intent, &effects, context);
+    effects.warnings.extend(warnings(intent, context));
     effects
 }
 
@@ -65,35 +65,35 @@
     Effects {
         steps: vec![Step {
             what: format!("{}; in force on every node", intent.summary()),
-            expected_ms: IN_FORCE_EXPECTED_MS,
+            expected_ms: EXPECTED_PROPAGATION_MS,
             ..Step::default()
         }],
         ..Effects::default()
     }
 }
 
-/// What the job takes: its items, and a share of the idle capacity beside the jobs that run.
-fn batch_job_effects(job: &BatchJob, outlook: &Outlook<'_>) -> Effects {
-    let known = outlook.jobs.iter().find(|line| line.job == job.job);
-    let beside = outlook
+/// What the job takes: its items, and a share of the idle capacity competing the jobs that run.
+fn batch_job_effects(job: &BatchJob, context: &PlanningContext<'_>) -> Effects {
+    let known = context.jobs.iter().find(|line| line.job == job.job);
+    let competing = context
         .jobs
         .iter()
         .filter(|line| is_unfinished(&line.phase));
-    let servers = outlook
+    let servers = context
         .status
         .servers
         .iter()
         .filter(|server| server.serves());
     let items = known.map_or(0, |line| line.items);
     let due_s = known.map_or(0, |line| {
-        line.deadline_unix_s.saturating_sub(outlook.now_unix_s)
+        line.deadline_unix_s.saturating_sub(context.now_unix_s)
     });
     Effects {
         steps: vec![Step {
             what: format!(
                 "run {items} items, due in {due_s} s, in the idle capacity of {} servers, beside {} jobs",
                 servers.count(),
-                beside.count()
+                competing.count()
             ),
             ..Step::default()
         }],
@@ -102,7 +102,7 @@
     }
 }
 
-fn planned(server: &ServerStatus) -> PlannedServer {
+fn planned_server(server: &ServerStatus) -> PlannedServer {
     PlannedServer {
         server: server.server.clone(),
         service: server.service.clone(),
@@ -111,38 +111,41 @@
     }
 }
 
-fn all_servers(outlook: &Outlook<'_>) -> Vec<PlannedServer> {
-    outlook.status.servers.iter().map(planned).collect()
+fn all_servers(context: &PlanningContext<'_>) -> Vec<PlannedServer> {
+    context.status.servers.iter().map(planned_server).collect()
 }
 
-fn bounds(outlook: &Outlook<'_>, concurrency: usize) -> WaveBounds {
+fn bounds(context: &PlanningContext<'_>, concurrency: usize) -> WaveBounds {
     WaveBounds {
-        budgets: outlook.budgets.clone(),
+        budgets: context.budgets.clone(),
         concurrency,
     }
 }
 
-fn drain_effects(target: &DrainTarget, outlook: &Outlook<'_>) -> Effects {
+fn drain_effects(target: &DrainTarget, context: &PlanningContext<'_>) -> Effects {
     if target.kind == DrainKind::Node {
         return node_drain_effects(target);
     }
-    let touched: Vec<&ServerStatus> = drained_servers(target, outlook.status).collect();
-    let targets: Vec<PlannedServer> = touched.iter().map(|server| planned(server)).collect();
-    let bounds = bounds(outlook, usize::MAX);
-    let waves = waves(&targets, &all_servers(outlook), &bounds, AfterWave::StayOut);
+    let affected: Vec<&ServerStatus> = drained_servers(target, context.status).collect();
+    let targets: Vec<PlannedServer> = affected
+        .iter()
+        .map(|server| planned_server(server))
+        .collect();
+    let bounds = bounds(context, usize::MAX);
+    let waves = waves(&targets, &all_servers(context), &bounds, AfterWave::StayOut);
     let steps = waves
         .iter()
         .map(|wave| {
-            step_of(
+            step_from_wave(
                 wave,
                 "take out and wait until nothing runs there",
-                DRAIN_EXPECTED_MS,
+                EXPECTED_DRAIN_MS,
             )
         })
         .collect();
     Effects {
         steps,
-        requests: requests(&touched),
+        requests: requests(&affected),
         ..Effects::default()
     }
 }
@@ -154,40 +157,43 @@
                 "node {} takes nothing new, finishes what it has; its servers pass to other nodes",
                 target.name
             ),
-            expected_ms: DRAIN_EXPECTED_MS,
+            expected_ms: EXPECTED_DRAIN_MS,
             ..Step::default()
         }],
         ..Effects::default()
     }
 }
 
-fn rollout_effects(rollout: &Rollout, outlook: &Outlook<'_>) -> Effects {
-    let carriers: Vec<&ServerStatus> = outlook
+fn rollout_effects(rollout: &Rollout, context: &PlanningContext<'_>) -> Effects {
+    let service_servers: Vec<&ServerStatus> = context
         .status
         .servers
         .iter()
         .filter(|server| server.service == rollout.service)
         .filter(|server| !matches!(server.state.as_str(), "drained" | "leaving"))
         .collect();
-    let targets: Vec<PlannedServer> = carriers.iter().map(|server| planned(server)).collect();
+    let targets: Vec<PlannedServer> = service_servers
+        .iter()
+        .map(|server| planned_server(server))
+        .collect();
     let canaries = canary_count(targets.len(), rollout.canary_percent);
-    let all = all_servers(outlook);
-    let bounds = bounds(outlook, outlook.settings.load_concurrency);
-    let load_ms = outlook.settings.expected_load_ms;
+    let all = all_servers(context);
+    let bounds = bounds(context, context.settings.load_concurrency);
+    let load_ms = context.settings.expected_load_ms;
     let (first, rest) = targets.split_at(canaries.min(targets.len()));
     let mut steps = load_steps(first, &all, &bounds, "canary: load", rollout, load_ms);
     steps.push(Step {
         what: format!(
             "watch the canaries; roll back on a failed load, on more than {} % failures or on steps above {} % of the others'",
-            outlook.settings.canary_error_percent, outlook.settings.canary_step_percent
+            context.settings.canary_error_percent, context.settings.canary_step_percent
         ),
-        expected_ms: outlook.settings.canary_watch_ms,
+        expected_ms: context.settings.canary_watch_ms,
         ..Step::default()
     });
     steps.extend(load_steps(rest, &all, &bounds, "load", rollout, load_ms));
     Effects {
         steps,
-        requests: requests(&carriers),
+        requests: requests(&service_servers),
         ..Effects::default()
     }
 }
@@ -203,11 +209,11 @@
     let what = format!("{verb} {}", rollout.version);
     waves(targets, all, bounds, AfterWave::Return)
         .iter()
-        .map(|wave| step_of(wave, &what, load_ms))
+        .map(|wave| step_from_wave(wave, &what, load_ms))
         .collect()
 }
 
-fn step_of(wave: &Wave, what: &str, expected_ms: u64) -> Step {
+fn step_from_wave(wave: &Wave, what: &str, expected_ms: u64) -> Step {
     Step {
         what: what.to_owned(),
         servers: wave.servers.clone(),
@@ -237,25 +243,25 @@
 
 /// A plan that leaves a share of the serving capacity makes remaining batch work longer by that
 /// share, for as long as the capacity is away.
-fn deadlines(intent: &Intent, effects: &Effects, outlook: &Outlook<'_>) -> Vec<JobAtRisk> {
-    let slowdown = slowdown(intent, effects, outlook);
+fn deadlines(intent: &Intent, effects: &Effects, context: &PlanningContext<'_>) -> Vec<JobAtRisk> {
+    let slowdown = slowdown(intent, effects, context);
     if slowdown <= 1.0 {
         return Vec::new();
     }
-    let unfinished = outlook.jobs.iter().filter(|job| is_unfinished(&job.phase));
+    let unfinished = context.jobs.iter().filter(|job| is_unfinished(&job.phase));
     let mut at_risk: Vec<JobAtRisk> = unfinished
-        .filter_map(|job| risk(job, outlook.now_unix_s, slowdown))
+        .filter_map(|job| risk(job, context.now_unix_s, slowdown))
         .collect();
     at_risk.sort_by_key(|job| job.deadline_unix_s);
     at_risk
 }
 
 /// How much longer batch work takes at the narrowest step.
-fn slowdown(intent: &Intent, effects: &Effects, outlook: &Outlook<'_>) -> f64 {
+fn slowdown(intent: &Intent, effects: &Effects, context: &PlanningContext<'_>) -> f64 {
     if !matches!(intent, Intent::Rollout(_) | Intent::Drain(_)) {
         return 1.0;
     }
-    let all = outlook
+    let all = context
         .status
         .servers
         .iter()
@@ -280,10 +286,10 @@
     }
 }
 
-fn warnings(intent: &Intent, outlook: &Outlook<'_>) -> Vec<String> {
-    let mut warnings = outlook.status.unknown.clone();
+fn warnings(intent: &Intent, context: &PlanningContext<'_>) -> Vec<String> {
+    let mut warnings = context.status.unknown.clone();
     if let Intent::Drain(target) = intent {
-        warnings.extend(emptied_services(target, outlook.status));
+        warnings.extend(emptied_services(target, context.status));
     }
     warnings
 }
--- a/crates/operate/src/plans/propose.rs
+++ b/crates/operate/src/plans/propose.rs
@@ -11,26 +11,26 @@
 use dappleyard_wire::messages::{PlanPhase, PlanRow, ServiceRow};
 use uuid::Uuid;
 
-use crate::describe::{key_words, row_words};
+use crate::describe::{describe_key, describe_row};
 use crate::intent::Intent;
-use crate::jobs::JobLine;
-use crate::plans::body::{BasisWords, PlanBody, PlannedWrite, RowChange};
+use crate::jobs::JobSummary;
+use crate::plans::body::{BasisDescription, PlanBody, PlannedWrite, RowChange};
 use crate::plans::changes::{basis_keys, services, writes};
-use crate::plans::effects::{Outlook, foresee};
-use crate::plans::store::{StoredPlan, encoded, id_of_time, read_plan};
+use crate::plans::effects::{PlanningContext, estimate_effects};
+use crate::plans::store::{StoredPlan, encoded, id_prefix_at, read_plan};
 use crate::regions;
 use crate::snapshot::{Snapshot, store_failure};
 use crate::status::FleetStatus;
 
 /// What a plan is made from besides the rows that it rests on.
 #[derive(Debug, Clone, Copy)]
-pub struct Surroundings<'a> {
+pub struct ProposalInputs<'a> {
     /// Settings.
     pub settings: &'a OperateSettings,
     /// The fleet as gathered.
     pub status: &'a FleetStatus,
     /// Jobs that need capacity, and the one that the plan is for.
-    pub jobs: &'a [JobLine],
+    pub jobs: &'a [JobSummary],
     /// Operator's name, as given.
     pub operator: &'a str,
     /// Wall-clock time, milliseconds since 1970.
@@ -41,27 +41,27 @@
 pub async fn propose(
     tables: &dyn TableStore,
     intent: &Intent,
-    surroundings: &Surroundings<'_>,
+    inputs: &ProposalInputs<'_>,
 ) -> Result<StoredPlan, Failure> {
-    let Surroundings {
+    let ProposalInputs {
         settings,
         status,
         jobs,
         unix_ms,
         ..
-    } = *surroundings;
-    let touched = regions::touched(intent, status);
-    regions::check_fresh(tables, &touched, unix_ms, settings.region_fresh_ms).await?;
+    } = *inputs;
+    let affected_regions = regions::affected_regions(intent, status);
+    regions::check_fresh(tables, &affected_regions, unix_ms, settings.region_fresh_ms).await?;
     let snapshot = Snapshot::read(tables, basis_keys(intent, status)).await?;
     let writes = writes(intent, &snapshot, status)?;
-    let outlook = Outlook {
+    let context = PlanningContext {
         status,
         budgets: budgets(intent, status, &snapshot)?,
         jobs,
         settings,
         now_unix_s: unix_ms / 1000,
     };
-    let effects = foresee(intent, &outlook);
+    let effects = estimate_effects(intent, &context);
     let body = PlanBody {
         summary: intent.summary(),
         changes: row_changes(&writes, &snapshot)?,
@@ -70,12 +70,12 @@
         requests_affected: effects.requests,
         expected_ms: effects.expected_ms,
         warnings: effects.warnings,
-        basis: basis_words(&snapshot),
-        regions: touched,
+        basis: describe_basis(&snapshot),
+        regions: affected_regions,
         services: services(intent, status),
         writes,
     };
-    store(tables, plan_row(intent, &body, &snapshot, surroundings)).await
+    store(tables, plan_row(intent, &body, &snapshot, inputs)).await
 }
 
 fn budgets(
@@ -98,22 +98,22 @@
     for write in writes {
         changes.push(RowChange {
             key: write.key.clone(),
-            before: row_words(&write.key, snapshot.value(&write.key)),
-            after: row_words(&write.key, write.bytes()?.as_deref()),
+            before: describe_row(&write.key, snapshot.value(&write.key)),
+            after: describe_row(&write.key, write.bytes()?.as_deref()),
         });
     }
     Ok(changes)
 }
 
-fn basis_words(snapshot: &Snapshot) -> Vec<BasisWords> {
+fn describe_basis(snapshot: &Snapshot) -> Vec<BasisDescription> {
     let basis = snapshot.basis();
     basis
         .into_iter()
-        .map(|row| BasisWords {
+        .map(|row| BasisDescription {
             words: format!(
                 "{}: {}",
-                key_words(&row.key),
-                row_words(&row.key, snapshot.value(&row.key))
+                describe_key(&row.key),
+                describe_row(&row.key, snapshot.value(&row.key))
             ),
             key: row.key,
             revision: row.revision,
@@ -125,18 +125,18 @@
     intent: &Intent,
     body: &PlanBody,
     snapshot: &Snapshot,
-    surroundings: &Surroundings<'_>,
+    inputs: &ProposalInputs<'_>,
 ) -> PlanRow {
     let mut row = PlanRow {
-        id: new_id(surroundings.unix_ms),
+        id: new_id(inputs.unix_ms),
         kind: intent.kind().to_owned(),
         intent_json: serde_json::to_string(intent).unwrap_or_default(),
         body_json: serde_json::to_string(body).unwrap_or_default(),
         basis: snapshot.basis(),
-        created_unix_ms: surroundings.unix_ms,
-        created_by: surroundings.operator.to_owned(),
+        created_unix_ms: inputs.unix_ms,
+        created_by: inputs.operator.to_owned(),
         message: "waits for a confirmation".to_owned(),
-        changed_unix_ms: surroundings.unix_ms,
+        changed_unix_ms: inputs.unix_ms,
         ..PlanRow::default()
     };
     row.set_phase(PlanPhase::PlanProposed);
@@ -146,7 +146,7 @@
 /// An id that sorts by time: plans are listed and forgotten in the order in which they were made.
 fn new_id(unix_ms: u64) -> String {
     let random = Uuid::new_v4().simple().to_string();
-    format!("{}{}", id_of_time(unix_ms), &random[..4])
+    format!("{}{}", id_prefix_at(unix_ms), &random[..4])
 }
 
 /// Creates the row. A lost answer is resolved by reading back: nobody else knows the id.
--- a/crates/operate/src/plans/runner.rs
+++ b/crates/operate/src/plans/runner.rs
@@ -14,7 +14,7 @@
 use crate::intent::{DrainKind, DrainTarget, Intent, Rollout};
 use crate::plans::body::Progress;
 use crate::plans::changes::drain_row;
-use crate::plans::drain::{DrainView, Stepped, step};
+use crate::plans::drain::{DrainView, StepOutcome, step};
 use crate::plans::store::{StoredPlan, encoded, read_plan};
 use crate::snapshot::{decode, store_failure};
 use crate::status::FleetStatus;
@@ -36,10 +36,10 @@
     tables: &dyn TableStore,
     id: &str,
     view: &RunView<'_>,
-) -> Result<Stepped, Failure> {
+) -> Result<StepOutcome, Failure> {
     let plan = read_plan(tables, id).await?;
     if plan.row.phase() != PlanPhase::PlanRunning {
-        return forget(tables, &plan).await;
+        return remove_from_index(tables, &plan).await;
     }
     match plan.intent()? {
         Intent::Drain(target) if target.kind == DrainKind::Node => {
@@ -54,12 +54,12 @@
             };
             step(tables, &plan, &target, &drain_view).await
         }
-        Intent::Rollout(rollout) => follow_rollout(tables, &plan, &rollout, view).await,
+        Intent::Rollout(rollout) => track_rollout(tables, &plan, &rollout, view).await,
         _ => {
             write(
                 tables,
                 &plan,
-                done(&plan, "confirmed and written", view),
+                completed_row(&plan, "confirmed and written", view),
                 Transaction::default(),
             )
             .await
@@ -68,11 +68,14 @@
 }
 
 /// Takes a plan that is over out of the index of running plans.
-async fn forget(tables: &dyn TableStore, plan: &StoredPlan) -> Result<Stepped, Failure> {
+async fn remove_from_index(
+    tables: &dyn TableStore,
+    plan: &StoredPlan,
+) -> Result<StepOutcome, Failure> {
     let key = keys::active_plan(&PlanId::from(&plan.row.id));
     let transaction = Transaction::default().delete(key);
     match tables.transact(transaction).await {
-        Ok(_) => Ok(Stepped::Unchanged),
+        Ok(_) => Ok(StepOutcome::Unchanged),
         Err(error) => Err(store_failure(&error)),
     }
 }
@@ -83,7 +86,7 @@
     plan: &StoredPlan,
     target: &DrainTarget,
     view: &RunView<'_>,
-) -> Result<Stepped, Failure> {
+) -> Result<StepOutcome, Failure> {
     let key = keys::drain("node", &target.name);
     let known = tables
         .get(&key)
@@ -110,7 +113,7 @@
     let gone = node.is_none_or(|node| matches!(node.member.as_str(), "dead" | "left"));
     let empty = node.is_some_and(|node| node.lifecycle == "draining" && node.busy == 0);
     if gone || empty {
-        let next = done(plan, "the node runs nothing any more", view);
+        let next = completed_row(plan, "the node runs nothing any more", view);
         return write(tables, plan, next, Transaction::default()).await;
     }
     let busy = node.map_or(0, |node| node.busy);
@@ -123,12 +126,12 @@
 }
 
 /// The service's controller places versions and judges canaries; this follows and closes the plan.
-async fn follow_rollout(
+async fn track_rollout(
     tables: &dyn TableStore,
     plan: &StoredPlan,
     rollout: &Rollout,
     view: &RunView<'_>,
-) -> Result<Stepped, Failure> {
+) -> Result<StepOutcome, Failure> {
     let key = keys::service(&rollout.service);
     let row = tables
         .get(&key)
@@ -138,8 +141,8 @@
         Some(row) => decode(&key, &row.value)?,
         None => ServiceRow::default(),
     };
-    let at_canaries = row.canary == rollout.version;
-    if !at_canaries && row.version != rollout.version {
+    let in_canary_stage = row.canary == rollout.version;
+    if !in_canary_stage && row.version != rollout.version {
         let message = format!(
             "taken back: {} has version {}",
             rollout.service, row.version
@@ -147,33 +150,35 @@
         let next = plan.with_phase(PlanPhase::PlanFailed, &message, view.unix_ms);
         return write(tables, plan, next, Transaction::default()).await;
     }
-    let progress = rollout_progress(rollout, at_canaries, view.status);
-    let finished = !at_canaries && progress.done.len() == progress.servers;
+    let progress = rollout_progress(rollout, in_canary_stage, view.status);
+    let finished = !in_canary_stage && progress.done.len() == progress.servers;
     if finished {
         let message = format!("all {} servers carry {}", progress.servers, rollout.version);
-        let mut next = done(plan, &message, view);
+        let mut next = completed_row(plan, &message, view);
         next.progress_json = serde_json::to_string(&progress).unwrap_or_default();
         return write(tables, plan, next, Transaction::default()).await;
     }
     write_progress(tables, plan, progress, view).await
 }
 
-fn rollout_progress(rollout: &Rollout, at_canaries: bool, status: &FleetStatus) -> Progress {
-    let carriers: Vec<_> = status
+fn rollout_progress(rollout: &Rollout, in_canary_stage: bool, status: &FleetStatus) -> Progress {
+    let service_servers: Vec<_> = status
         .servers
         .iter()
         .filter(|server| server.service == rollout.service)
         .filter(|server| !matches!(server.state.as_str(), "drained" | "leaving" | "unknown"))
         .collect();
-    let done = carriers
+    let done = service_servers
         .iter()
         .filter(|server| server.version() == rollout.version);
-    let loading = carriers.iter().filter(|server| server.state == "loading");
+    let loading = service_servers
+        .iter()
+        .filter(|server| server.state == "loading");
     Progress {
-        servers: carriers.len(),
+        servers: service_servers.len(),
         done: done.map(|server| server.server.clone()).collect(),
         in_progress: loading.map(|server| server.server.clone()).collect(),
-        waiting_for: if at_canaries {
+        waiting_for: if in_canary_stage {
             "the canaries' health gate".to_owned()
         } else {
             String::new()
@@ -182,7 +187,7 @@
     }
 }
 
-fn done(plan: &StoredPlan, message: &str, view: &RunView<'_>) -> PlanRow {
+fn completed_row(plan: &StoredPlan, message: &str, view: &RunView<'_>) -> PlanRow {
     plan.with_phase(PlanPhase::PlanDone, message, view.unix_ms)
 }
 
@@ -191,10 +196,10 @@
     plan: &StoredPlan,
     progress: Progress,
     view: &RunView<'_>,
-) -> Result<Stepped, Failure> {
+) -> Result<StepOutcome, Failure> {
     let json = serde_json::to_string(&progress).unwrap_or_default();
     if json == plan.row.progress_json {
-        return Ok(Stepped::Unchanged);
+        return Ok(StepOutcome::Unchanged);
     }
     let message = if progress.waiting_for.is_empty() {
         format!(
@@ -216,7 +221,7 @@
     plan: &StoredPlan,
     row: PlanRow,
     step: Transaction,
-) -> Result<Stepped, Failure> {
+) -> Result<StepOutcome, Failure> {
     let id = PlanId::from(&plan.row.id);
     let mut transaction = step
         .expect(keys::plan(&id), Expect::Revision(plan.revision))
@@ -225,8 +230,10 @@
         transaction = transaction.delete(keys::active_plan(&id));
     }
     match tables.transact(transaction).await {
-        Ok(_) => Ok(Stepped::Moved(row)),
-        Err(StoreError::Conflict { .. } | StoreError::Ambiguous { .. }) => Ok(Stepped::Overtaken),
+        Ok(_) => Ok(StepOutcome::Advanced(row)),
+        Err(StoreError::Conflict { .. } | StoreError::Ambiguous { .. }) => {
+            Ok(StepOutcome::Contended)
+        }
         Err(error) => Err(store_failure(&error)),
     }
 }
--- a/crates/operate/src/plans/store.rs
+++ b/crates/operate/src/plans/store.rs
@@ -14,7 +14,7 @@
 use crate::snapshot::{decode, store_failure};
 
 /// Plans that may run at once.
-pub const MOST_RUNNING: usize = 500;
+pub const MAX_RUNNING_PLANS: usize = 500;
 
 /// A plan as read, with the revision of its row.
 #[derive(Debug, Clone, PartialEq)]
@@ -27,7 +27,7 @@
 
 /// One plan on one line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlanLine {
+pub struct PlanSummary {
     /// Plan id.
     pub id: String,
     /// Kind of its intent.
@@ -43,7 +43,7 @@
 }
 
 impl StoredPlan {
-    fn of(row: &Row) -> Result<StoredPlan, Failure> {
+    fn from_row(row: &Row) -> Result<StoredPlan, Failure> {
         Ok(StoredPlan {
             row: decode(&row.key, &row.value)?,
             revision: row.revision,
@@ -83,8 +83,8 @@
     }
 
     /// The plan on one line.
-    pub fn line(&self) -> PlanLine {
-        PlanLine {
+    pub fn line(&self) -> PlanSummary {
+        PlanSummary {
             id: self.row.id.clone(),
             kind: self.row.kind.clone(),
             phase: phase_name(self.row.phase()).to_owned(),
@@ -115,7 +115,7 @@
 pub async fn read_plan(tables: &dyn TableStore, id: &str) -> Result<StoredPlan, Failure> {
     let key = keys::plan(&PlanId::from(id));
     match tables.get(&key).await {
-        Ok(Some(row)) => StoredPlan::of(&row),
+        Ok(Some(row)) => StoredPlan::from_row(&row),
         Ok(None) => Err(Failure::not_run(
             ErrorKind::NotFound,
             format!("there is no plan {id}; `dappleyard ctl get plans` lists them"),
@@ -125,25 +125,25 @@
 }
 
 /// Beginning of the ids of plans made at a time, milliseconds since 1970.
-pub fn id_of_time(unix_ms: u64) -> String {
+pub fn id_prefix_at(unix_ms: u64) -> String {
     format!("plan-{unix_ms:011x}")
 }
 
 /// Rows read in one call.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 /// Most pages read for one list.
-const MOST_PAGES: usize = 20;
+const MAX_PAGES: usize = 20;
 /// Ages back to which a list looks until it has enough plans, milliseconds.
-const AGES_MS: [u64; 4] = [600_000, 3_600_000, 86_400_000, u64::MAX];
+const LIST_WINDOWS_MS: [u64; 4] = [600_000, 3_600_000, 86_400_000, u64::MAX];
 
 /// Plans, newest first, at most `limit`. Ids sort by time, so that only the latest rows are read.
 pub async fn list_plans(
     tables: &dyn TableStore,
     limit: usize,
     now_unix_ms: u64,
-) -> Result<Vec<PlanLine>, Failure> {
+) -> Result<Vec<PlanSummary>, Failure> {
     let mut plans = Vec::new();
-    for age_ms in AGES_MS {
+    for age_ms in LIST_WINDOWS_MS {
         plans = plans_since(tables, now_unix_ms.saturating_sub(age_ms)).await?;
         if plans.len() >= limit {
             break;
@@ -154,19 +154,19 @@
     Ok(plans)
 }
 
-async fn plans_since(tables: &dyn TableStore, unix_ms: u64) -> Result<Vec<PlanLine>, Failure> {
+async fn plans_since(tables: &dyn TableStore, unix_ms: u64) -> Result<Vec<PlanSummary>, Failure> {
     let mut plans = Vec::new();
-    let mut after = format!("{PLAN_PREFIX}{}", id_of_time(unix_ms));
-    for _ in 0..MOST_PAGES {
+    let mut after = format!("{PLAN_PREFIX}{}", id_prefix_at(unix_ms));
+    for _ in 0..MAX_PAGES {
         let page = tables
-            .range(PLAN_PREFIX, &after, PAGE)
+            .range(PLAN_PREFIX, &after, PAGE_SIZE)
             .await
             .map_err(|error| store_failure(&error))?;
         for row in &page {
-            plans.push(StoredPlan::of(row)?.line());
+            plans.push(StoredPlan::from_row(row)?.line());
         }
         match page.last() {
-            Some(last) if page.len() == PAGE => after.clone_from(&last.key),
+            Some(last) if page.len() == PAGE_SIZE => after.clone_from(&last.key),
             _ => break,
         }
     }
@@ -187,7 +187,7 @@
     let mut transaction = Transaction::default();
     let mut removed = 0;
     for row in &rows {
-        let plan = StoredPlan::of(row)?;
+        let plan = StoredPlan::from_row(row)?;
         let runs = matches!(
             plan.row.phase(),
             PlanPhase::PlanConfirmed | PlanPhase::PlanRunning
@@ -209,7 +209,7 @@
 /// Ids of the plans that run.
 pub async fn running_ids(tables: &dyn TableStore) -> Result<Vec<String>, Failure> {
     let rows = tables
-        .range(ACTIVE_PLAN_PREFIX, "", MOST_RUNNING)
+        .range(ACTIVE_PLAN_PREFIX, "", MAX_RUNNING_PLANS)
         .await
         .map_err(|error| store_failure(&error))?;
     Ok(rows
@@ -220,7 +220,7 @@
 }
 
 /// The plans that run.
-pub async fn running_plans(tables: &dyn TableStore) -> Result<Vec<PlanLine>, Failure> {
+pub async fn running_plans(tables: &dyn TableStore) -> Result<Vec<PlanSummary>, Failure> {
     let mut lines = Vec::new();
     for id in running_ids(tables).await? {
         lines.push(read_plan(tables, &id).await?.line());
--- a/crates/operate/src/preferred.rs
+++ b/crates/operate/src/preferred.rs
@@ -8,11 +8,11 @@
 /// Node that the rendezvous hash prefers for a resource among the live members that do not drain.
 pub fn preferred_node(tables: &NodeTables, resource: &str) -> Option<String> {
     let key = hash_bytes(resource.as_bytes());
-    let me = tables.identity.node.to_string();
-    let own = tables.takes_new_work().then_some(me.clone());
+    let own_node = tables.identity.node.to_string();
+    let own = tables.takes_new_work().then_some(own_node.clone());
     let members = tables.members.all().into_iter();
     let others = members
-        .filter(|member| member.node != me && !member.draining)
+        .filter(|member| member.node != own_node && !member.draining)
         .filter(|member| member.state() == MemberState::MemberAlive)
         .map(|member| member.node);
     others
--- a/crates/operate/src/regions.rs
+++ b/crates/operate/src/regions.rs
@@ -12,10 +12,10 @@
 use crate::status::FleetStatus;
 
 /// Most regions read.
-const MOST_REGIONS: usize = 100;
+const MAX_REGIONS: usize = 100;
 
 /// Regions that an intent touches. Services, tenants and windows are in force in every region.
-pub fn touched(intent: &Intent, status: &FleetStatus) -> Vec<String> {
+pub fn affected_regions(intent: &Intent, status: &FleetStatus) -> Vec<String> {
     let mut regions: Vec<String> = match intent {
         Intent::Drain(target) | Intent::Undrain(target) if target.kind == DrainKind::Node => status
             .nodes
@@ -49,7 +49,7 @@
     fresh_ms: u64,
 ) -> Result<(), Failure> {
     let rows = tables
-        .range(REGION_PREFIX, "", MOST_REGIONS)
+        .range(REGION_PREFIX, "", MAX_REGIONS)
         .await
         .map_err(|error| store_failure(&error))?;
     let mut ages = BTreeMap::new();
@@ -59,7 +59,7 @@
         ages.insert(region.region, age_ms);
     }
     // Before the first region has written its row, nobody can tell.
-    let some_are_followed = !ages.is_empty();
+    let any_region_reported = !ages.is_empty();
     for region in regions {
         match ages.get(region) {
             Some(age_ms) if *age_ms <= fresh_ms => {}
@@ -67,7 +67,7 @@
                 let seconds = *age_ms as f64 / 1000.0;
                 return Err(unreachable(region, &format!("for {seconds:.0} s")));
             }
-            None if some_are_followed => return Err(unreachable(region, "yet")),
+            None if any_region_reported => return Err(unreachable(region, "yet")),
             None => {}
         }
     }
--- a/crates/operate/src/snapshot.rs
+++ b/crates/operate/src/snapshot.rs
@@ -89,13 +89,13 @@
 
 /// What a failed store call means to an operator.
 pub fn store_failure(error: &StoreError) -> Failure {
-    const COME_BACK_MS: u32 = 1_000;
+    const RETRY_AFTER_MS: u32 = 1_000;
     match error {
         StoreError::Ambiguous { .. } => Failure::maybe_ran(
             ErrorKind::StoreUnavailable,
             format!("{error}; ask again to learn whether the change took effect"),
         )
-        .retry_after(COME_BACK_MS),
+        .retry_after(RETRY_AFTER_MS),
         StoreError::RateLimited { retry_after_ms } => {
             Failure::not_run(ErrorKind::StoreUnavailable, error.to_string())
                 .retry_after(*retry_after_ms)
@@ -104,7 +104,7 @@
             ErrorKind::StoreUnavailable,
             format!("{error}; try again when it is back"),
         )
-        .retry_after(COME_BACK_MS),
+        .retry_after(RETRY_AFTER_MS),
         StoreError::Conflict { .. } => Failure::not_run(ErrorKind::Conflict, error.to_string()),
         StoreError::Invalid { .. } => Failure::not_run(ErrorKind::Internal, error.to_string()),
     }
--- a/crates/operate/src/start.rs
+++ b/crates/operate/src/start.rs
@@ -18,9 +18,9 @@
 use crate::describe::phase_name;
 use crate::journal::{self, Journal};
 use crate::metrics::Metrics;
-use crate::own_drain::follow_own_drain;
+use crate::own_drain::watch_own_drain;
 use crate::peers::Peers;
-use crate::plans::drain::Stepped;
+use crate::plans::drain::StepOutcome;
 use crate::plans::runner::{RunView, advance};
 use crate::plans::store::{remove_older, running_ids};
 use crate::preferred::is_preferred;
@@ -68,8 +68,8 @@
     let tasks = vec![
         actix_rt::spawn(run_plans(context.clone(), metrics.clone())),
         actix_rt::spawn(controller::run(context.clone(), metrics.clone())),
-        actix_rt::spawn(follow_own_drain(context.tables.clone())),
-        actix_rt::spawn(forget_old(context.clone())),
+        actix_rt::spawn(watch_own_drain(context.tables.clone())),
+        actix_rt::spawn(remove_expired(context.clone())),
     ];
     let journal = actix_rt::spawn(run_journal(
         context,
@@ -86,22 +86,22 @@
 }
 
 /// Time between two rounds of forgetting.
-const FORGET_INTERVAL: Duration = Duration::from_secs(60);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 /// Most plans, and most journal objects, forgotten in one round.
-const FORGET_AT_ONCE: usize = 200;
+const CLEANUP_BATCH: usize = 200;
 
 /// Removes plans and journal objects that are older than the retention, on one node of the fleet.
-async fn forget_old(context: Rc<OperateContext>) {
+async fn remove_expired(context: Rc<OperateContext>) {
     loop {
-        tokio::time::sleep(FORGET_INTERVAL).await;
+        tokio::time::sleep(CLEANUP_INTERVAL).await;
         if !is_preferred(&context.tables, "plan-runner") {
             continue;
         }
         let retention_ms = context.settings.retention_s.saturating_mul(1_000);
         let before = context.tables.clock.unix_ms().saturating_sub(retention_ms);
         // What fails is tried again in the next round.
-        let _ = remove_older(&*context.platform.tables, before, FORGET_AT_ONCE).await;
-        let _ = journal::remove_older(&*context.platform.objects, before, FORGET_AT_ONCE).await;
+        let _ = remove_older(&*context.platform.tables, before, CLEANUP_BATCH).await;
+        let _ = journal::remove_older(&*context.platform.objects, before, CLEANUP_BATCH).await;
     }
 }
 
@@ -111,14 +111,14 @@
     loop {
         tokio::time::sleep(interval).await;
         if is_preferred(&context.tables, "plan-runner")
-            && let Err(failure) = look_at_plans(&context, &peers, &metrics).await
+            && let Err(failure) = advance_plans(&context, &peers, &metrics).await
         {
             tracing::debug!(%failure, "the plans could not be looked at");
         }
     }
 }
 
-async fn look_at_plans(
+async fn advance_plans(
     context: &OperateContext,
     peers: &Peers,
     metrics: &Metrics,
@@ -138,26 +138,26 @@
             settings: &context.settings,
             unix_ms: context.tables.clock.unix_ms(),
         };
-        let stepped = advance(tables, &id, &view).await;
-        note_step(context, metrics, &id, &stepped);
+        let result = advance(tables, &id, &view).await;
+        record_step(context, metrics, &id, &result);
     }
     Ok(())
 }
 
-fn note_step(
+fn record_step(
     context: &OperateContext,
     metrics: &Metrics,
     plan: &str,
-    stepped: &Result<Stepped, Failure>,
+    result: &Result<StepOutcome, Failure>,
 ) {
-    let outcome = match stepped {
-        Ok(Stepped::Moved(_)) => "moved",
-        Ok(Stepped::Unchanged) => "unchanged",
-        Ok(Stepped::Overtaken) => "overtaken",
+    let outcome = match result {
+        Ok(StepOutcome::Advanced(_)) => "moved",
+        Ok(StepOutcome::Unchanged) => "unchanged",
+        Ok(StepOutcome::Contended) => "overtaken",
         Err(_) => "failed",
     };
     metrics.plan_steps.with_label_values(&[outcome]).inc();
-    if let Ok(Stepped::Moved(row)) = stepped {
+    if let Ok(StepOutcome::Advanced(row)) = result {
         record(&context.tables, DecisionKind::PlanStep, row.message.clone())
             .about(Subject::Plan(plan.to_owned()))
             .input("servers done", row.step)
@@ -168,7 +168,7 @@
 /// Drained servers whose engine runs nothing, or is gone.
 async fn idle_servers(context: &OperateContext, status: &FleetStatus) -> BTreeSet<String> {
     let drained = status.servers.iter().filter(|server| server.is_drained());
-    let looks = drained.map(|server| async {
+    let checks = drained.map(|server| async {
         let id = server.server.as_str().into();
         let entry = context.tables.directory.get(&id)?;
         let busy = match context.engine.status(&entry.base_url).await {
@@ -182,8 +182,8 @@
         };
         (busy == 0).then(|| server.server.clone())
     });
-    let looked = futures::future::join_all(looks).await;
-    looked.into_iter().flatten().collect()
+    let results = futures::future::join_all(checks).await;
+    results.into_iter().flatten().collect()
 }
 
 async fn run_journal(
@@ -199,7 +199,7 @@
         let _ = tokio::time::timeout(interval, wake.notified()).await;
         // A failed write is tried again with the next one.
         let written = journal
-            .run(objects, context.settings.journal_interval_ms)
+            .write_if_due(objects, context.settings.journal_interval_ms)
             .await;
         let outcome = match written {
             Ok(false) => continue,
--- a/crates/operate/src/status.rs
+++ b/crates/operate/src/status.rs
@@ -9,10 +9,10 @@
 use dappleyard_wire::messages::{Member, MemberState};
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::{JobAtRisk, JobLine, active_jobs, jobs_at_risk};
+use crate::jobs::{JobAtRisk, JobSummary, active_jobs, jobs_at_risk};
 use crate::local::{LocalReport, LocalServer, local_report};
 use crate::peers::Peers;
-use crate::plans::store::{PlanLine, running_plans};
+use crate::plans::store::{PlanSummary, running_plans};
 
 /// The fleet as one node gathered it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
     /// Configuration in force.
     pub revision: RevisionInForce,
     /// Plans that run.
-    pub plans: Vec<PlanLine>,
+    pub plans: Vec<PlanSummary>,
     /// Jobs whose deadline is at risk.
     pub jobs_at_risk: Vec<JobAtRisk>,
     /// What could not be learnt, in words.
@@ -114,17 +114,17 @@
 /// Gathers nodes, servers and the revision in force. Peers that do not answer are named in
 /// `unknown`.
 pub async fn gather(tables: &Arc<NodeTables>, peers: &Peers) -> FleetStatus {
-    let answers = peers.ask::<LocalReport>("/admin/v1/local").await;
-    let silent = answers.silent.into_iter();
-    let unknown = silent.map(|(node, cause)| format!("node {node} did not answer: {cause}"));
+    let responses = peers.query::<LocalReport>("/admin/v1/local").await;
+    let failed = responses.failed.into_iter();
+    let unknown = failed.map(|(node, cause)| format!("node {node} did not answer: {cause}"));
     FleetStatus {
         unknown: unknown.collect(),
-        ..assemble(tables, answers.answers)
+        ..assemble(tables, responses.responses)
     }
 }
 
 /// What this node knows without asking anybody: members, the machine list and its own servers.
-pub fn known_here(tables: &NodeTables) -> FleetStatus {
+pub fn local_status(tables: &NodeTables) -> FleetStatus {
     assemble(tables, Vec::new())
 }
 
@@ -147,11 +147,11 @@
 }
 
 /// Adds plans that run and jobs at risk, from the table service. Gives the active jobs.
-pub async fn add_work(
+pub async fn add_plans_and_jobs(
     status: &mut FleetStatus,
     platform: &Platform,
     jobs: &JobsApi,
-) -> Vec<JobLine> {
+) -> Vec<JobSummary> {
     match running_plans(&*platform.tables).await {
         Ok(plans) => status.plans = plans,
         Err(failure) => status.unknown.push(format!("running plans: {failure}")),
@@ -168,7 +168,7 @@
     }
 }
 
-/// Name of a member's state in answers.
+/// Name of a member's state in responses.
 pub const fn member_name(state: MemberState) -> &'static str {
     match state {
         MemberState::MemberAlive => "alive",
@@ -184,9 +184,9 @@
         .iter()
         .map(|member| node_status(member, reports.get(&member.node)))
         .collect();
-    let me = tables.identity.node.as_str();
-    if let Some(report) = reports.get(me)
-        && !nodes.iter().any(|node| node.node == me)
+    let own_node = tables.identity.node.as_str();
+    if let Some(report) = reports.get(own_node)
+        && !nodes.iter().any(|node| node.node == own_node)
     {
         let member = Member {
             node: report.node.clone(),
--- a/crates/operate/src/subject_state.rs
+++ b/crates/operate/src/subject_state.rs
@@ -1,33 +1,33 @@
-//! How a subject of an explanation stands now, from rows and from this node's tables, in words.
+//! How a subject of an explanation stands now, from rows and from this node's tables, in description.
 
 use dappleyard_store::{Platform, StoreError};
 use dappleyard_tables::NodeTables;
 use dappleyard_wire::ids::{NodeId, PlanId, ServerId};
 use dappleyard_wire::keys;
 
-use crate::describe::row_words;
-use crate::explain::Question;
+use crate::describe::describe_row;
+use crate::explain::SubjectRef;
 use crate::jobs::list_jobs;
 use crate::plans::store::read_plan;
 use crate::status::member_name;
 
 /// Sentences about the subject's state, and what could not be learnt.
-pub async fn state_words(
+pub async fn describe_state(
     tables: &NodeTables,
     platform: &Platform,
-    question: &Question,
+    subject_ref: &SubjectRef,
 ) -> (Vec<String>, Vec<String>) {
-    match question.kind.as_str() {
-        "server" => (server_words(tables, &question.id), Vec::new()),
-        "node" => (node_words(tables, &question.id), Vec::new()),
-        "service" => row(platform, &keys::service(&question.id)).await,
-        "plan" => plan_words(platform, &question.id).await,
-        "job" => job_words(platform, &question.id).await,
+    match subject_ref.kind.as_str() {
+        "server" => (describe_server(tables, &subject_ref.id), Vec::new()),
+        "node" => (describe_node(tables, &subject_ref.id), Vec::new()),
+        "service" => describe_stored_row(platform, &keys::service(&subject_ref.id)).await,
+        "plan" => describe_plan(platform, &subject_ref.id).await,
+        "job" => describe_job(platform, &subject_ref.id).await,
         _ => (Vec::new(), Vec::new()),
     }
 }
 
-fn server_words(tables: &NodeTables, id: &str) -> Vec<String> {
+fn describe_server(tables: &NodeTables, id: &str) -> Vec<String> {
     let Some(entry) = tables.directory.get(&ServerId::from(id)) else {
         return vec!["it is not in the machine list".to_owned()];
     };
@@ -35,32 +35,32 @@
         .owner
         .as_ref()
         .map_or_else(|| "no node".to_owned(), |owner| format!("node {owner}"));
-    let mut words = vec![format!(
+    let mut description = vec![format!(
         "it serves {} in hall {} of zone {} and is owned by {owner}",
         entry.service, entry.hall, entry.zone
     )];
     if entry.leaving {
-        words.push("the machine list says that it is leaving".to_owned());
+        description.push("the machine list says that it is leaving".to_owned());
     }
     let configuration = tables.configuration.current();
-    let places = [
+    let locations = [
         ("server", id),
         ("hall", entry.hall.as_str()),
         ("zone", entry.zone.as_str()),
     ];
-    for (kind, name) in places {
+    for (kind, name) in locations {
         let key = (kind.to_owned(), name.to_owned());
         if let Some(drain) = configuration.drains.get(&key) {
-            words.push(format!(
+            description.push(format!(
                 "{kind} {name} is drained by plan {}",
                 drain.plan_id
             ));
         }
     }
-    words
+    description
 }
 
-fn node_words(tables: &NodeTables, id: &str) -> Vec<String> {
+fn describe_node(tables: &NodeTables, id: &str) -> Vec<String> {
     let Some(member) = tables.members.get(&NodeId::from(id)) else {
         return vec!["it is not a known member".to_owned()];
     };
@@ -74,33 +74,33 @@
     )]
 }
 
-async fn row(platform: &Platform, key: &str) -> (Vec<String>, Vec<String>) {
+async fn describe_stored_row(platform: &Platform, key: &str) -> (Vec<String>, Vec<String>) {
     match platform.tables.get(key).await {
         Ok(row) => {
             let value = row.as_ref().map(|row| row.value.as_ref());
-            (vec![row_words(key, value)], Vec::new())
+            (vec![describe_row(key, value)], Vec::new())
         }
-        Err(error) => (Vec::new(), vec![store_words(&error)]),
+        Err(error) => (Vec::new(), vec![describe_store_error(&error)]),
     }
 }
 
-async fn plan_words(platform: &Platform, id: &str) -> (Vec<String>, Vec<String>) {
+async fn describe_plan(platform: &Platform, id: &str) -> (Vec<String>, Vec<String>) {
     let key = keys::plan(&PlanId::from(id));
-    let (mut words, unknown) = row(platform, &key).await;
+    let (mut description, unknown) = describe_stored_row(platform, &key).await;
     if let Ok(plan) = read_plan(&*platform.tables, id).await {
-        words.push(plan.row.message.clone());
+        description.push(plan.row.message.clone());
         if let Ok(body) = plan.body() {
-            words.push(format!("it is to {}", body.summary));
+            description.push(format!("it is to {}", body.summary));
         }
     }
-    (words, unknown)
+    (description, unknown)
 }
 
-async fn job_words(platform: &Platform, id: &str) -> (Vec<String>, Vec<String>) {
+async fn describe_job(platform: &Platform, id: &str) -> (Vec<String>, Vec<String>) {
     match list_jobs(&*platform.tables).await {
         Ok(jobs) => {
             let known = jobs.into_iter().find(|job| job.job == id);
-            let words = known.map_or_else(
+            let description = known.map_or_else(
                 || "no job of this id was found".to_owned(),
                 |job| {
                     format!(
@@ -109,12 +109,12 @@
                     )
                 },
             );
-            (vec![words], Vec::new())
+            (vec![description], Vec::new())
         }
         Err(failure) => (Vec::new(), vec![failure.to_string()]),
     }
 }
 
-fn store_words(error: &StoreError) -> String {
+fn describe_store_error(error: &StoreError) -> String {
     format!("the table service: {error}")
 }
--- a/crates/operate/tests/confirm.rs
+++ b/crates/operate/tests/confirm.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dappleyard_operate::intent::{BatchJob, DrainKind, DrainTarget, Intent, TenantLimits};
-use dappleyard_operate::jobs::{JobLine, risk};
+use dappleyard_operate::jobs::{JobSummary, risk};
 use dappleyard_operate::plans::abort::abort;
 use dappleyard_operate::plans::confirm::{Confirmation, Refusal, confirm};
 use dappleyard_operate::plans::store::{StoredPlan, list_plans, read_plan, remove_older};
@@ -272,7 +272,7 @@
 
 #[gtest]
 fn a_job_is_at_risk_when_less_capacity_makes_it_late() {
-    let job = JobLine {
+    let job = JobSummary {
         tenant: "yard".to_owned(),
         job: "job-1".to_owned(),
         phase: "in_progress".to_owned(),
--- a/crates/operate/tests/controllers.rs
+++ b/crates/operate/tests/controllers.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use dappleyard_operate::controller::{Controllers, Tools};
+use dappleyard_operate::controller::{Controllers, ReconcilerDeps};
 use dappleyard_operate::metrics::Metrics;
 use dappleyard_operate::peers::Peers;
 use dappleyard_operate::plans::confirm::{Confirmation, confirm};
@@ -66,7 +66,7 @@
 
     /// A round under the configuration that this node knows already.
     async fn stale_round(&mut self, store: &MemoryPlatform, engines: &FakeEngines) {
-        let tools = Tools {
+        let deps = ReconcilerDeps {
             tables: &self.tables,
             store,
             engine: engines,
@@ -74,7 +74,7 @@
             settings: &self.settings,
             metrics: &self.metrics,
         };
-        self.controllers.round(tools).await;
+        self.controllers.round(deps).await;
     }
 
     async fn rounds(&mut self, count: usize, store: &MemoryPlatform, engines: &FakeEngines) {
--- a/crates/operate/tests/drains.rs
+++ b/crates/operate/tests/drains.rs
@@ -7,7 +7,7 @@
 use dappleyard_operate::intent::{DrainKind, DrainTarget, Intent};
 use dappleyard_operate::plans::abort::abort;
 use dappleyard_operate::plans::confirm::{Confirmation, confirm};
-use dappleyard_operate::plans::drain::Stepped;
+use dappleyard_operate::plans::drain::StepOutcome;
 use dappleyard_operate::plans::runner::{RunView, advance};
 use dappleyard_operate::plans::store::{StoredPlan, read_plan};
 use dappleyard_operate::status::{FleetStatus, NodeStatus};
@@ -49,7 +49,7 @@
         Ok(confirm(&self.store, &confirmation).await.expect("accepted"))
     }
 
-    async fn advance(&self, plan: &StoredPlan) -> Result<Stepped> {
+    async fn advance(&self, plan: &StoredPlan) -> Result<StepOutcome> {
         let settings = OperateSettings::default();
         let view = RunView {
             status: &self.status,
@@ -183,7 +183,7 @@
     fleet
         .store
         .fail_transactions([Some(Fault::LostAfterEffect)]);
-    expect_that!(fleet.advance(&plan).await?, eq(&Stepped::Overtaken));
+    expect_that!(fleet.advance(&plan).await?, eq(&StepOutcome::Contended));
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), len(eq(1)));
     Ok(())
--- a/crates/operate/tests/explanations.rs
+++ b/crates/operate/tests/explanations.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use actix_web::{App, test};
-use dappleyard_operate::api::answers::{ErrorBody, ProposeBody};
-use dappleyard_operate::explain::{Explanation, Question, explain};
+use dappleyard_operate::api::bodies::{ErrorBody, ProposeBody};
+use dappleyard_operate::explain::{Explanation, SubjectRef, explain};
 use dappleyard_operate::journal::{Journal, remove_older, search};
 use dappleyard_operate::peers::Peers;
 use dappleyard_operate::plans::PlanDocument;
@@ -105,8 +105,8 @@
     me.members.put(member("node-2", &server.address));
     me.members.put(member("node-4", "127.0.0.1:1"));
     let peers = Peers::new(me.clone(), 1_000);
-    let question = Question::parse("server", "s0").or_fail()?;
-    let explanation = explain(&me, &store.platform(), &peers, &question).await;
+    let subject_ref = SubjectRef::parse("server", "s0").or_fail()?;
+    let explanation = explain(&me, &store.platform(), &peers, &subject_ref).await;
     let causes: Vec<&str> = explanation
         .events
         .iter()
@@ -151,8 +151,8 @@
     let mut journal = Journal::new(tables.clone(), 8);
     journal.flush(&store).await.or_fail()?;
     let peers = Peers::new(tables.clone(), 1_000);
-    let question = Question::parse("service", "fittings-llm").or_fail()?;
-    let explanation = explain(&tables, &store.platform(), &peers, &question).await;
+    let subject_ref = SubjectRef::parse("service", "fittings-llm").or_fail()?;
+    let explanation = explain(&tables, &store.platform(), &peers, &subject_ref).await;
     expect_that!(explanation.events, len(eq(2)));
     Ok(())
 }
--- a/crates/operate/tests/support/mod.rs
+++ b/crates/operate/tests/support/mod.rs
@@ -13,7 +13,7 @@
     LoadedModel, OrderKind,
 };
 use dappleyard_operate::intent::{DrainKind, DrainTarget, Intent, Rollout};
-use dappleyard_operate::plans::propose::{Surroundings, propose};
+use dappleyard_operate::plans::propose::{ProposalInputs, propose};
 use dappleyard_operate::plans::store::StoredPlan;
 use dappleyard_operate::status::{FleetStatus, ServerStatus};
 use dappleyard_settings::OperateSettings;
@@ -126,14 +126,14 @@
     intent: &Intent,
 ) -> Result<StoredPlan, dappleyard_wire::Failure> {
     let settings = OperateSettings::default();
-    let surroundings = Surroundings {
+    let inputs = ProposalInputs {
         settings: &settings,
         status: fleet,
         jobs: &[],
         operator: "test",
         unix_ms: NOW_MS,
     };
-    propose(store, intent, &surroundings).await
+    propose(store, intent, &inputs).await
 }
 
 #[derive(Default)]
