--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the operators' interface: several addresses, tried in turn.
+//! HTTP client of the admin API that tries several addresses in turn.
 
 use std::time::Duration;
 
@@ -8,64 +8,50 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest answer read, bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a command did not succeed. Each says what to do next.
+/// Errors of commands. Most messages suggest what to do next.
 #[derive(Debug, Display, Error)]
 pub enum CtlError {
-    /// The arguments make no sense together.
+    /// Invalid arguments.
     #[display("{message}; see `dappleyard ctl --help`")]
-    Usage {
-        /// What is wrong.
-        message: String,
-    },
-    /// No node answered.
+    Usage { message: String },
+    /// No node could be reached.
     #[display(
         "no node answered:\n{}\nName a node's admin address with --admin HOST:PORT, or see whether the nodes run.",
         attempts.join("\n")
     )]
     Unreachable {
-        /// Address and cause, one line each.
+        /// One line per attempt, with address and error.
         attempts: Vec<String>,
     },
-    /// A node answered something that is not understood.
+    /// The response could not be decoded.
     #[display(
         "{address} gave an answer that is not understood: {cause}. Use a ctl of the fleet's version."
     )]
-    InvalidResponse {
-        /// Address.
-        address: String,
-        /// Cause.
-        cause: String,
-    },
-    /// A node refused.
+    InvalidResponse { address: String, cause: String },
+    /// The node returned an error response.
     #[display("refused ({}): {}", detail.code, detail.message)]
     Refused {
-        /// What the node said.
         #[error(not(source))]
         detail: Box<ErrorDetail>,
     },
-    /// The plan that was followed did not succeed.
+    /// The followed plan did not succeed.
     #[display("plan {plan} is {phase}: {message}. `dappleyard ctl explain plan {plan}` says more.")]
     PlanNotDone {
-        /// Plan id.
         plan: String,
-        /// Its phase.
         phase: String,
-        /// What happened to it last.
+        /// Description of its last state change.
         message: String,
     },
 }
 
-/// Client of the operators' interface.
 pub struct Client {
     addresses: Vec<String>,
     http: awc::Client,
 }
 
 impl Client {
-    /// A client that tries the addresses in turn.
     pub fn new(addresses: Vec<String>, timeout_ms: u64) -> Client {
         Client {
             addresses,
@@ -75,13 +61,12 @@
         }
     }
 
-    /// `GET path`.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         self.call(Method::GET, path, None::<&()>).await
     }
 
-    /// `POST path` with a JSON body. The call may be repeated at another node, so that its body must
-    /// mean the same there.
+    /// `POST path` with a JSON body. The request may be repeated at another node, so it must be valid at
+    /// any node.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,9 +1,8 @@
-//! The command line of `dappleyard ctl`.
+//! Command-line definition of `dappleyard ctl`.
 
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// Address tried when none is given.
 pub const DEFAULT_ADMIN: &str = "127.0.0.1:7702";
 
 const EXAMPLES: &str = "\
@@ -18,7 +17,7 @@
 
 Exit code: 0 done, 1 refused or failed, 2 wrong usage.";
 
-/// The command, to be mounted as `ctl`.
+/// Returns the `ctl` subcommand.
 pub fn command() -> Command {
     Command::new("ctl")
         .about("Look at the fleet, plan changes and confirm them")
--- a/crates/ctl/src/intents.rs
+++ b/crates/ctl/src/intents.rs
@@ -1,4 +1,4 @@
-//! From arguments to intents.
+//! Conversion of command-line arguments to intents.
 
 use clap::ArgMatches;
 use dappleyard_operate::intent::{
@@ -24,7 +24,7 @@
     matches.get_one::<u32>(name).copied()
 }
 
-/// The intent that `plan NAME ...` asks for.
+/// Intent of the `plan NAME ...` command.
 pub fn intent(name: &str, matches: &ArgMatches) -> Result<Intent, CtlError> {
     Ok(match name {
         "rollout" => Intent::Rollout(rollout(matches)),
@@ -43,7 +43,6 @@
     })
 }
 
-/// Arguments of a rollout.
 pub fn rollout(matches: &ArgMatches) -> Rollout {
     Rollout {
         service: text(matches, "service"),
@@ -52,7 +51,6 @@
     }
 }
 
-/// Arguments of a drain.
 pub fn drain_target(matches: &ArgMatches) -> Result<DrainTarget, CtlError> {
     let kind = match text(matches, "kind").as_str() {
         "server" => DrainKind::Server,
@@ -67,7 +65,6 @@
     })
 }
 
-/// Arguments that name a batch job.
 pub fn batch_job(matches: &ArgMatches) -> BatchJob {
     BatchJob {
         tenant: text(matches, "tenant"),
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! Client of the operators' interface: `dappleyard ctl`.
+//! Command-line client of the admin API: `dappleyard ctl`.
 //!
-//! [`command`] describes the command line; [`run`] carries out what was asked and gives the exit code:
-//! 0 done, 1 refused or failed, 2 wrong usage. Tables are for people, `--output json` for programs.
+//! [`command`] defines the command line; [`run`] executes it and returns the exit code: 0 for success,
+//! 1 for failure, 2 for invalid usage. The output is a table, or JSON with `--output json`.
 
 mod client;
 mod command;
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out a command.
+//! Executes commands.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -20,28 +20,25 @@
 use crate::tables;
 use crate::watch;
 
-/// Exit code of a refusal or failure.
+/// Exit code for errors other than invalid usage.
 const EXIT_REFUSED: u8 = 1;
-/// Exit code of wrong usage.
 const EXIT_USAGE: u8 = 2;
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// Tables for people.
     Table,
-    /// JSON for programs.
     Json,
 }
 
-/// What every command needs.
+/// Dependencies shared by all commands.
 struct Context {
     client: Client,
     output: Output,
     operator: String,
 }
 
-/// Carries out what the command line asks for and gives the exit code.
+/// Executes the command and returns the exit code.
 pub fn run(matches: &ArgMatches) -> u8 {
     match actix_rt::System::new().block_on(execute(matches)) {
         Ok(()) => 0,
@@ -138,7 +135,7 @@
     }
 }
 
-/// Prints a value as JSON on one line.
+/// Prints a value as single-line JSON.
 pub fn print_json(value: &impl Serialize) {
     match serde_json::to_string(value) {
         Ok(json) => println!("{json}"),
@@ -192,7 +189,7 @@
     Ok(())
 }
 
-/// A token that no other confirmation has, so that a repeat at another node is known as a repeat.
+/// Random idempotency token, by which a node recognizes a repeated confirmation.
 fn token() -> String {
     let part = || RandomState::new().build_hasher().finish();
     format!("{:016x}{:016x}", part(), part())
--- a/crates/ctl/src/tables.rs
+++ b/crates/ctl/src/tables.rs
@@ -1,4 +1,4 @@
-//! Tables for people, 100 columns wide.
+//! Text tables for terminal output.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,12 @@
 
 use crate::time::{duration, now_unix_ms, relative, time_of_day};
 
-/// Width of a terminal for which tables are made, columns.
+/// Table width in columns.
 pub const WIDTH: u16 = 100;
-/// Names listed before the rest is counted.
+/// Number of names listed before the rest is summarized as a count.
 const NAMES_SHOWN: usize = 6;
 
-/// A table with a line under its header only, whose first column is never broken.
+/// Table with a single rule under the header; the first column is never wrapped.
 fn table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table
@@ -48,7 +48,7 @@
     }
 }
 
-/// The fleet at a glance.
+/// Overview of the fleet.
 pub fn status(status: &FleetStatus) -> String {
     let revision = &status.revision;
     let mut parts = vec![format!(
@@ -160,7 +160,6 @@
     table
 }
 
-/// Plans, one line each.
 pub fn plans(plans: &[PlanSummary]) -> Table {
     let mut table = table(&["plan", "phase", "what", "last"]);
     for plan in plans {
@@ -169,7 +168,6 @@
     table
 }
 
-/// One plan in full.
 pub fn plan(plan: &PlanDocument) -> String {
     let body = &plan.body;
     let mut parts = vec![format!(
@@ -250,7 +248,7 @@
     lines.join("\n")
 }
 
-/// How far a plan has come, on one line.
+/// Progress of a plan on one line.
 pub fn progress(plan: &PlanDocument) -> String {
     let progress = &plan.progress;
     let mut line = format!(
@@ -272,7 +270,6 @@
     format!("{line}; {}", plan.message)
 }
 
-/// Servers.
 pub fn servers(servers: &[ServerStatus]) -> Table {
     let mut table = table(&[
         "server", "service", "zone", "state", "version", "owner", "online", "batch", "step",
@@ -294,7 +291,6 @@
     table
 }
 
-/// Nodes.
 pub fn nodes(nodes: &[NodeStatus]) -> Table {
     let mut table = table(&[
         "node", "zone", "member", "life", "revision", "servers", "admin",
@@ -313,7 +309,6 @@
     table
 }
 
-/// Configuration in force.
 pub fn configuration(answer: &ConfigurationBody) -> String {
     let mut table = table(&["row", "what it says"]);
     for row in &answer.rows {
@@ -322,7 +317,6 @@
     format!("revision {}\n{table}", answer.revision)
 }
 
-/// Jobs.
 pub fn jobs(jobs: &[JobSummary]) -> Table {
     let now = now_unix_ms();
     let mut table = table(&[
@@ -343,7 +337,6 @@
     table
 }
 
-/// An explanation.
 pub fn explanation(explanation: &Explanation) -> String {
     let mut parts = vec![explanation.answer.clone()];
     parts.extend(
--- a/crates/ctl/src/time.rs
+++ b/crates/ctl/src/time.rs
@@ -1,8 +1,7 @@
-//! Times as people read them.
+//! Human-readable times and durations.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since 1970.
 pub fn now_unix_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -10,7 +9,7 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Time of day in UTC with milliseconds.
+/// UTC time of day with milliseconds.
 pub fn time_of_day(unix_ms: u64) -> String {
     let seconds = unix_ms / 1000;
     format!(
@@ -22,7 +21,7 @@
     )
 }
 
-/// A length of time in the two greatest units.
+/// Formats a duration in its two largest units.
 pub fn duration(milliseconds: u64) -> String {
     let seconds = milliseconds / 1000;
     match seconds {
@@ -34,7 +33,7 @@
     }
 }
 
-/// How long ago, or in how long, a time is.
+/// Formats a time relative to now.
 pub fn relative(unix_s: u64, now_unix_ms: u64) -> String {
     let now = now_unix_ms / 1000;
     if unix_s == 0 {
--- a/crates/ctl/src/watch.rs
+++ b/crates/ctl/src/watch.rs
@@ -1,4 +1,4 @@
-//! Following the fleet or a plan.
+//! Follows the fleet or a plan.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use crate::run::{Output, print_json};
 use crate::tables;
 
-/// Time between two polls at a plan that is followed, milliseconds.
+/// Interval between polls of a followed plan.
 const FOLLOW_INTERVAL_MS: u64 = 500;
 
-/// Whether a plan of this phase still is_active.
+/// Whether a plan in this phase may still change.
 fn is_active(phase: &str) -> bool {
     matches!(phase, "confirmed" | "running")
 }
 
-/// Follows a plan until it is over, and says so line by line.
+/// Polls a plan until it ends and prints each change of its progress.
 pub async fn follow(client: &Client, id: &str, output: Output) -> Result<(), CtlError> {
     let mut last = String::new();
     loop {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Looks at the fleet again and again; `count` of 0 has no end.
+/// Prints the fleet status `count` times; 0 for no limit.
 pub async fn fleet(
     client: &Client,
     interval_ms: u64,
--- a/crates/ctl/tests/command.rs
+++ b/crates/ctl/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line: it is well formed, and arguments become the intents that they name.
+//! Command line: definition, conversion to intents, table layout, exit codes.
 
 use dappleyard_ctl::time::duration;
 use dappleyard_ctl::{command, intent, run, tables};
--- a/crates/operate/src/api/bodies.rs
+++ b/crates/operate/src/api/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' interface, shared with its client.
+//! Request and response bodies of the admin API, shared with its client.
 
 use actix_web::http::StatusCode;
 use actix_web::{HttpResponse, ResponseError};
@@ -15,46 +15,43 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProposeBody {
-    /// What the operator wants.
     pub intent: Intent,
-    /// Who asks.
+    /// Name of the operator.
     #[serde(default)]
     pub operator: String,
 }
 
-/// Body of `POST /admin/v1/plans/{id}/confirm`; may be left out.
+/// Body of `POST /admin/v1/plans/{id}/confirm`; optional.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfirmBody {
-    /// Chosen by the client: a repeat with the same token gets the same answer.
+    /// Idempotency token chosen by the client.
     #[serde(default)]
     pub token: String,
 }
 
-/// Body of every refusal.
+/// Body of every error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong.
     pub error: ErrorDetail,
 }
 
-/// What is wrong with a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
     /// Stable name of the error kind.
     pub code: String,
-    /// One sentence, with what to do next.
+    /// Explanation with a suggested action.
     pub message: String,
     /// Whether the change took effect: `no`, `maybe` or `yes`.
     pub ran: String,
-    /// When to come back, milliseconds; 0 for no advice.
+    /// Suggested delay before a retry; 0 for none.
     pub retry_after_ms: u32,
-    /// Rows that changed under a plan.
+    /// Rows that changed since the plan was made.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changed: Vec<ChangedRow>,
 }
 
-/// A refusal as an answer.
+/// A refusal as an HTTP error response.
 #[derive(Debug, Clone, derive_more::Display)]
 #[display("{}", _0.failure)]
 pub struct Refused(pub Refusal);
@@ -91,30 +88,27 @@
     }
 }
 
-/// A malformed call.
+/// Error for a malformed request.
 pub fn invalid(message: impl Into<String>) -> Refused {
     Failure::not_run(ErrorKind::InvalidRequest, message).into()
 }
 
-/// One configuration row, in words.
+/// Description of a configuration row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationRow {
-    /// Key of the row.
     pub key: String,
-    /// What it says.
+    /// Description of the value.
     pub words: String,
 }
 
-/// Configuration in force on the node that answers.
+/// Configuration in force on the responding node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationBody {
-    /// Revision in force.
     pub revision: u64,
-    /// Rows.
     pub rows: Vec<ConfigurationRow>,
 }
 
-/// Configuration rows in words.
+/// Describes all configuration rows.
 pub fn configuration_rows(
     configuration: &dappleyard_tables::configuration::Configuration,
 ) -> Vec<ConfigurationRow> {
--- a/crates/operate/src/api/explain.rs
+++ b/crates/operate/src/api/explain.rs
@@ -1,4 +1,4 @@
-//! Routes of explanations and decision records.
+//! Handlers for explanations and decision records.
 
 use actix_web::web::{Data, Json, Path, Query};
 use dappleyard_tables::decisions::Decision;
@@ -19,12 +19,12 @@
     100
 }
 
-/// `GET /admin/v1/decisions?limit=N`: the node's latest records.
+/// `GET /admin/v1/decisions?limit=N`: the latest records of this node.
 pub async fn recent(api: Data<OperateApi>, limit: Query<Limit>) -> Json<Vec<Decision>> {
     Json(api.tables.decisions.recent(limit.limit))
 }
 
-/// `GET /admin/v1/decisions/{kind}/{id}`: what this node alone knows of a subject.
+/// `GET /admin/v1/decisions/{kind}/{id}`: records of this node about a subject.
 pub async fn local(
     api: Data<OperateApi>,
     path: Path<(String, String)>,
@@ -33,7 +33,7 @@
     Ok(Json(api.tables.decisions.about(&subject_ref.subject())))
 }
 
-/// `GET /admin/v1/explain/{kind}/{id}`: what the fleet knows of a subject, in plain words.
+/// `GET /admin/v1/explain/{kind}/{id}`: records of the whole fleet about a subject, as text.
 pub async fn explain(
     api: Data<OperateApi>,
     path: Path<(String, String)>,
--- a/crates/operate/src/api/mod.rs
+++ b/crates/operate/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: JSON routes under `/admin/v1/` on a node's admin server.
+//! Admin API: JSON routes under `/admin/v1/` on a node's admin server.
 
 pub mod bodies;
 mod explain;
@@ -18,7 +18,7 @@
 use crate::peers::Peers;
 use crate::status::{self, FleetStatus};
 
-/// What the routes need; built once for each worker thread of the admin server.
+/// State of the request handlers, one per worker thread of the admin server.
 #[derive(Clone)]
 pub struct OperateApi {
     tables: Arc<NodeTables>,
@@ -29,14 +29,13 @@
 }
 
 impl OperateApi {
-    /// Builds the interface for the calling worker thread.
     pub fn new(
         tables: Arc<NodeTables>,
         settings: OperateSettings,
         platform: Platform,
     ) -> OperateApi {
         let peers = Peers::new(tables.clone(), settings.peer_timeout_ms);
-        // Only reads of job states go through it, which depend on no setting.
+        // Used only to read job states, which does not depend on the settings.
         let jobs = JobsApi::new(tables.clone(), BatchSettings::default(), platform.clone());
         OperateApi {
             tables,
@@ -47,12 +46,12 @@
         }
     }
 
-    /// The fleet as gathered from this node and its peers.
+    /// Collects the fleet status from this node and its peers.
     pub async fn status(&self) -> FleetStatus {
         self.status_and_jobs().await.0
     }
 
-    /// The fleet, and the jobs that need capacity.
+    /// Fleet status and the jobs that need capacity.
     async fn status_and_jobs(&self) -> (FleetStatus, Vec<JobSummary>) {
         let mut status = status::gather(&self.tables, &self.peers).await;
         let jobs = status::add_plans_and_jobs(&mut status, &self.platform, &self.jobs).await;
@@ -60,7 +59,6 @@
     }
 }
 
-/// Mounts the routes.
 pub fn configure(service: &mut web::ServiceConfig, api: OperateApi) {
     service.app_data(web::Data::new(api)).service(
         web::scope("/admin/v1")
--- a/crates/operate/src/api/plans.rs
+++ b/crates/operate/src/api/plans.rs
@@ -1,4 +1,4 @@
-//! Routes of plans.
+//! Handlers for plans.
 
 use std::collections::BTreeSet;
 
@@ -21,7 +21,6 @@
 use crate::record::record;
 use crate::status::{FleetStatus, gather, local_status};
 
-/// Plans in one answer.
 const MAX_PLANS: usize = 200;
 
 /// `GET /admin/v1/plans`
@@ -37,7 +36,7 @@
     Ok(Json(plan.document()?))
 }
 
-/// `POST /admin/v1/plans`: makes a plan, and changes nothing else.
+/// `POST /admin/v1/plans`: stores a plan without executing it.
 pub async fn propose(api: Data<OperateApi>, body: Bytes) -> Result<Json<PlanDocument>, Refused> {
     let body: ProposeBody = parse(&body)?;
     let (status, jobs) = planning_inputs(&api, &body.intent).await?;
@@ -57,8 +56,8 @@
     Ok(Json(plan.document()?))
 }
 
-/// The fleet and the jobs as far as a plan for the intent states them. Changes that touch no server
-/// are planned without asking the other nodes.
+/// Fleet status and jobs needed to plan the intent. Peers are queried only for rollouts, drains and
+/// batch jobs.
 async fn planning_inputs(
     api: &OperateApi,
     intent: &Intent,
@@ -116,7 +115,7 @@
     Ok(Json(first_step(&api, plan).await?.document()?))
 }
 
-/// Takes the first step at once. What fails here is taken up by the plan runner.
+/// Executes the first step at once. On failure the plan runner retries it.
 async fn first_step(api: &OperateApi, plan: StoredPlan) -> Result<StoredPlan, Refused> {
     if !has_steps(&plan.intent()?) {
         return Ok(plan);
@@ -148,7 +147,7 @@
     }
 }
 
-/// Records what became of a plan.
+/// Records a state change of a plan.
 fn record_plan(api: &OperateApi, plan: &StoredPlan, cause: &str) {
     let summary = plan.body().map(|body| body.summary).unwrap_or_default();
     record(&api.tables, DecisionKind::PlanStep, cause)
--- a/crates/operate/src/api/views.rs
+++ b/crates/operate/src/api/views.rs
@@ -1,4 +1,4 @@
-//! Routes that only look.
+//! Handlers of read-only routes.
 
 use actix_web::web::{Data, Json};
 use dappleyard_wire::messages::Member;
@@ -10,26 +10,21 @@
 use crate::local::{LocalReport, local_report};
 use crate::status::{FleetStatus, ServerStatus, gather, member_name};
 
-/// A member as this node believes it to be.
+/// A cluster member in this node's membership view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSummary {
-    /// Node id.
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Incarnation.
     pub incarnation: u64,
-    /// It takes no new work.
+    /// Whether it rejects new work.
     pub draining: bool,
-    /// Configuration revision in force on it.
     pub configuration_revision: u64,
-    /// Address of its links.
+    /// Address for links from other nodes.
     pub link_address: String,
-    /// Address of its operators' interface.
+    /// Address of its admin API.
     pub admin_address: String,
 }
 
@@ -96,7 +91,7 @@
     Ok(Json(jobs))
 }
 
-/// Any other path.
+/// Handles unknown paths.
 pub async fn unknown_route(request: actix_web::HttpRequest) -> Result<Json<()>, Refused> {
     Err(invalid(format!(
         "there is no {} {}; see docs/operate/plans.md for the routes",
--- a/crates/operate/src/controller/authority.rs
+++ b/crates/operate/src/controller/authority.rs
@@ -1,7 +1,7 @@
-//! Authority over a service: the epoch row, raised by compare-and-swap when a controller starts.
+//! Leadership of a service: an epoch row, incremented by compare-and-swap when a controller starts.
 //!
-//! No lease is renewed. A successor raises the epoch; from then on every order and every write of the
-//! predecessor fails, also when it was paused and wakes.
+//! There is no lease to renew. A successor increments the epoch, which fences every later order and
+//! write of its predecessor, even if that process was suspended.
 
 use dappleyard_decide::fence::OrderPosition;
 use dappleyard_store::{Expect, Row, StoreError, TableStore, Transaction};
@@ -13,19 +13,19 @@
 use crate::plans::store::encoded;
 use crate::snapshot::{decode, store_failure};
 
-/// Authority over one service, held until somebody raises the epoch.
+/// Leadership of one service, valid until another controller increments the epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Authority {
     key: String,
     epoch: u64,
     sequence: u64,
     revision: u64,
-    /// Who held it before; empty for nobody.
+    /// Previous holder; empty if there was none.
     pub predecessor: String,
 }
 
 impl Authority {
-    /// Raises the epoch of a service. [`ErrorKind::Fenced`] when somebody else raised it first.
+    /// Increments the epoch of a service. Fails with [`ErrorKind::Fenced`] if another node did so first.
     pub async fn claim(
         tables: &dyn TableStore,
         service: &str,
@@ -56,12 +56,11 @@
         })
     }
 
-    /// Epoch held.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Position of the next order.
+    /// Epoch and sequence number of the next order.
     pub fn next_position(&mut self) -> OrderPosition {
         self.sequence += 1;
         OrderPosition {
@@ -70,13 +69,13 @@
         }
     }
 
-    /// Adds the expectation that nobody has raised the epoch since.
+    /// Makes a transaction conditional on the epoch row being unchanged.
     #[must_use]
     pub fn guard(&self, transaction: Transaction) -> Transaction {
         transaction.expect(self.key.clone(), Expect::Revision(self.revision))
     }
 
-    /// Whether a conflict says that the epoch was raised by somebody else.
+    /// Whether a store error is a conflict on the epoch row.
     pub fn is_lost(&self, conflict: &StoreError) -> bool {
         matches!(conflict, StoreError::Conflict { key, .. } if *key == self.key)
     }
@@ -100,7 +99,7 @@
     }
 }
 
-/// After a lost answer: the row is this claim's when it names this start of this node and its epoch.
+/// Resolves an ambiguous write: it succeeded if the row has this epoch, node and incarnation.
 async fn read_back(tables: &dyn TableStore, key: &str, next: &EpochRow) -> Result<u64, Failure> {
     let row = tables
         .get(key)
--- a/crates/operate/src/controller/closing.rs
+++ b/crates/operate/src/controller/closing.rs
@@ -1,8 +1,8 @@
-//! Drained servers are ordered to take no new work, so that the engine itself refuses a node that has
-//! not heard of the drain; when the drain ends they are ordered to take it again.
+//! Orders drained servers to reject new work, so that the engine also refuses nodes with an older
+//! configuration, and to accept it again when the drain ends.
 //!
-//! Which servers were closed stands in the service's row of disruptions: an engine that takes no new
-//! work for a reason of its own is never opened.
+//! The service's disruption row lists the servers closed by these orders. An engine that rejects work
+//! for another reason is never opened.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 use crate::plans::disruptions::ServiceDisruptions;
 
 impl ServiceController {
-    /// Closes drained servers and opens those whose drain has ended.
+    /// Closes drained servers to new work and opens those whose drain has ended.
     pub(super) async fn update_accepting(&mut self, deps: ReconcilerDeps<'_>) -> RoundOutcome {
         let drained = self.drained(deps);
         if self.closed.as_ref() == Some(&drained) {
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// Closes drained servers that still take new work by their own word.
+    /// Repeats the order for drained servers that still report accepting new work.
     async fn reissue_closing(
         &mut self,
         deps: ReconcilerDeps<'_>,
@@ -86,7 +86,7 @@
 
     async fn open(&mut self, deps: ReconcilerDeps<'_>, server: &str) -> OrderOutcome {
         if self.observed.get(server).is_none() {
-            // It has left the machine list: there is nothing to open.
+            // The server is no longer in the machine list.
             return OrderOutcome::Accepted;
         }
         let kind = OrderKind::SetAccepting { accepting: true };
--- a/crates/operate/src/controller/loads.rs
+++ b/crates/operate/src/controller/loads.rs
@@ -1,5 +1,5 @@
-//! Loads of versions: planned within the disruption budget, written to the row of disruptions in
-//! flight, then ordered.
+//! Loads model versions: plans loads within the disruption budget, records them in the disruption row,
+//! then sends the orders.
 
 use std::collections::BTreeSet;
 
@@ -16,15 +16,14 @@
 use crate::plans::disruptions::{LOAD_CAUSE, ServiceDisruptions};
 use crate::record::record;
 
-/// First pause after a failed load, milliseconds; it doubles with each failure.
+/// Delay after the first load order to a server; it doubles with each further order.
 const MIN_RETRY_DELAY_MS: u64 = 2_000;
-/// Time after which an order to load shows at the engine or was never given, milliseconds.
+/// Time after which a load order that the engine does not report counts as not delivered.
 const ORDER_VISIBLE_MS: u64 = 3_000;
-/// Longest pause after a failed load, milliseconds.
 const MAX_RETRY_DELAY_MS: u64 = 60_000;
 
 impl ServiceController {
-    /// Orders the loads that may start now.
+    /// Sends the load orders that the disruption budget allows now.
     pub(super) async fn order_loads(
         &mut self,
         deps: ReconcilerDeps<'_>,
@@ -75,12 +74,12 @@
         match deps.store.transact(transaction).await {
             Ok(_) => self.issue_load_orders(deps, &plan.start).await,
             Err(error) if self.authority.is_lost(&error) => RoundOutcome::Lost,
-            // Somebody else spent the budget, or the store does not answer: look again.
+            // Another writer changed the row, or the store is unavailable; the next round retries.
             Err(_) => RoundOutcome::Held,
         }
     }
 
-    /// Why no serving server may be put out now.
+    /// Reason for not taking any serving server out of service now.
     fn frozen(&self, window: WindowState) -> Option<&'static str> {
         if window != WindowState::Closed {
             Some("a demand window is open or near")
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Assignments that are not loaded yet and whose last failure is long enough ago.
+    /// Assignments that are not loaded yet and whose retry delay is over.
     fn wanted_loads(
         &mut self,
         deps: ReconcilerDeps<'_>,
@@ -120,7 +119,7 @@
         wanted
     }
 
-    /// Own loads that ended, well or not.
+    /// Servers whose load order finished, failed or was not delivered.
     fn settled_loads(
         &self,
         disruptions: &ServiceDisruptions,
@@ -174,7 +173,7 @@
         }
     }
 
-    /// An order that does not lead to the version is repeated after a growing pause.
+    /// Sets the exponential delay before the next load order to the server.
     fn record_attempt(&mut self, deps: ReconcilerDeps<'_>, server: &str) {
         let now = deps.tables.clock.now();
         let known = self.load_retries.get(server);
--- a/crates/operate/src/controller/mod.rs
+++ b/crates/operate/src/controller/mod.rs
@@ -1,10 +1,10 @@
-//! Controllers: one reconciler for each service, on the node that the rendezvous hash prefers, under
-//! an epoch row.
+//! Controllers: one reconciler per service, on the node chosen by rendezvous hashing and fenced by an
+//! epoch row.
 //!
-//! A reconciler looks at its servers ([`observe`]), closes and opens drained ones ([`closing`]),
-//! judges canaries ([`rollout`]) and orders loads within the disruption budget ([`loads`]). All orders
-//! carry (epoch, sequence) and all writes compare the epoch row ([`authority`]), so that a controller
-//! which was delayed beyond its takeover does no harm when it wakes.
+//! A reconciler polls its servers ([`observe`]), closes and opens drained ones ([`closing`]), evaluates
+//! canaries ([`rollout`]) and loads versions within the disruption budget ([`loads`]). Orders carry
+//! (epoch, sequence) and writes compare the epoch row ([`authority`]), so that a controller which
+//! resumes after its takeover is rejected.
 
 pub mod authority;
 pub mod closing;
@@ -33,23 +33,18 @@
 use crate::preferred::is_preferred;
 use crate::record::record;
 
-/// Pause before a service is claimed again after its epoch was lost, milliseconds.
+/// Delay before a service is claimed again after its epoch was lost; also the upper bound of the random
+/// delay after a failed claim.
 const RECLAIM_DELAY_MS: u64 = 5_000;
 
-/// What reconcilers work with.
+/// Dependencies of a reconciler.
 #[derive(Clone, Copy)]
 pub struct ReconcilerDeps<'a> {
-    /// The node's tables.
     pub tables: &'a NodeTables,
-    /// The table service.
     pub store: &'a dyn TableStore,
-    /// Engines.
     pub engine: &'a dyn Engine,
-    /// The other nodes.
     pub peers: &'a Peers,
-    /// Settings.
     pub settings: &'a OperateSettings,
-    /// Metrics.
     pub metrics: &'a Metrics,
 }
 
@@ -61,8 +56,7 @@
 }
 
 impl Controllers {
-    /// One round: claims the services that are this node's to control, gives up the others, and
-    /// reconciles each.
+    /// Runs one round: claims the services assigned to this node, releases the others and reconciles each.
     pub async fn round(&mut self, deps: ReconcilerDeps<'_>) {
         let configuration = deps.tables.configuration.current();
         let is_assigned = |service: &str| is_preferred(deps.tables, &format!("service/{service}"));
@@ -159,7 +153,7 @@
     );
 }
 
-/// Runs the reconcilers for ever on the calling arbiter.
+/// Runs the reconcilers on the calling arbiter; never returns.
 pub(crate) async fn run(context: Rc<crate::start::OperateContext>, metrics: Metrics) {
     let interval = Duration::from_millis(context.settings.reconcile_interval_ms.max(10));
     let peers = Peers::new(context.tables.clone(), context.settings.peer_timeout_ms);
--- a/crates/operate/src/controller/observe.rs
+++ b/crates/operate/src/controller/observe.rs
@@ -1,4 +1,5 @@
-//! What a controller sees of its servers: bounded looks at the engines, those of interest first.
+//! Polls the engines of a service. The number of polls per round is bounded; servers that are changing
+//! come first.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,29 +11,27 @@
 use dappleyard_tables::directory::ServerEntry;
 use futures::StreamExt;
 
-/// Looks at servers of interest in one round.
+/// Limit on polls of prioritized servers per round.
 const MAX_PRIORITY_POLLS: usize = 64;
-/// Looks at other servers in one round: all are observed in turn, at a bounded cost.
+/// Limit on polls of the other servers per round; they take turns.
 const MAX_ROTATING_POLLS: usize = 16;
-/// Looks that are open at once.
+/// Concurrent polls.
 const CONCURRENCY: usize = 16;
-/// Longest time for one look.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// One server as last observed.
+/// Last observed state of a server.
 #[derive(Debug, Clone)]
 pub struct ObservedServer {
-    /// Where it is.
+    /// Entry in the machine directory.
     pub entry: ServerEntry,
-    /// Its view for decisions.
+    /// State used for rollout decisions.
     pub view: ServerView,
-    /// Adapters loaded.
     pub adapters: Vec<String>,
-    /// The engine takes new work, by its own word.
+    /// Whether the engine reports that it accepts new work.
     pub accepting: bool,
-    /// When it was looked at; `None` before the first time.
+    /// Time of the last poll.
     pub observed_at: Option<Millis>,
-    /// Since when it has carried its version.
+    /// Time at which the current version was first observed.
     pub version_since: Millis,
 }
 
@@ -86,14 +85,14 @@
     }
 }
 
-/// All servers of a service, as last observed.
+/// Last observed state of all servers of a service.
 #[derive(Debug, Default)]
 pub struct Observations {
     observed: BTreeMap<String, ObservedServer>,
 }
 
 impl Observations {
-    /// Takes over the directory: new servers come, lost ones go, drained ones are marked.
+    /// Synchronizes the set of servers with the directory and marks drained ones as leaving.
     pub fn update_servers(&mut self, tables: &NodeTables, service: &str) {
         let now = tables.clock.now();
         let configuration = tables.configuration.current();
@@ -117,8 +116,8 @@
         self.observed = next;
     }
 
-    /// Looks at the engines: all `prioritized`, and some of the others in turn. `failing` are servers
-    /// of which their owners say that calls fail.
+    /// Polls the prioritized engines first, then some of the others in turn. `failing` are servers whose
+    /// owners report failed calls.
     pub async fn poll(
         &mut self,
         tables: &NodeTables,
@@ -128,8 +127,8 @@
     ) {
         let targets = self.targets(prioritized);
         let polls = targets.into_iter().map(|(id, base)| async move {
-            let result = tokio::time::timeout(POLL_TIMEOUT, engine.status(&base)).await;
-            (id, result)
+            let poll = tokio::time::timeout(POLL_TIMEOUT, engine.status(&base)).await;
+            (id, poll)
         });
         let responses: Vec<_> = futures::stream::iter(polls)
             .buffer_unordered(CONCURRENCY)
@@ -175,7 +174,7 @@
             .collect()
     }
 
-    /// Views for decisions. Servers that were never looked at are left out.
+    /// State for rollout decisions, without servers that were never polled.
     pub fn views(&self) -> Vec<ServerView> {
         let observed = self
             .observed
@@ -184,24 +183,22 @@
         observed.map(|observed| observed.view.clone()).collect()
     }
 
-    /// Whether every server was looked at.
+    /// Whether every server was polled at least once.
     pub fn is_complete(&self) -> bool {
         self.observed
             .values()
             .all(|observed| observed.observed_at.is_some())
     }
 
-    /// One server.
     pub fn get(&self, server: &str) -> Option<&ObservedServer> {
         self.observed.get(server)
     }
 
-    /// All servers.
     pub fn all(&self) -> impl Iterator<Item = &ObservedServer> {
         self.observed.values()
     }
 
-    /// Notes that an order to load was given, before the engine shows it.
+    /// Marks a server as loading before the engine reports it.
     pub fn mark_loading(&mut self, server: &str, version: &str) {
         if let Some(observed) = self.observed.get_mut(server) {
             observed.view.loading = version.to_owned();
--- a/crates/operate/src/controller/rollout.rs
+++ b/crates/operate/src/controller/rollout.rs
@@ -1,4 +1,4 @@
-//! The canaries' health gate: promotes a version, or takes it back, by one transaction.
+//! Canary health gate: promotes a version or rolls it back in one transaction.
 
 use dappleyard_decide::rollout::{Gate, GateBounds, Target, assign, gate};
 use dappleyard_store::{Expect, TableStore, Transaction};
@@ -17,7 +17,7 @@
 use crate::snapshot::{Snapshot, store_failure};
 
 impl ServiceController {
-    /// Judges the canaries of a rollout, and ends its canary stage when they say so.
+    /// Evaluates the canaries of a rollout and ends the canary stage once the gate decides.
     pub(super) async fn evaluate_canaries(
         &mut self,
         deps: ReconcilerDeps<'_>,
@@ -44,14 +44,14 @@
         {
             Ok(GateWrite::Written) => self.record_rollout_end(deps, target, promoted, &reason),
             Ok(GateWrite::Lost) => return RoundOutcome::Lost,
-            // The configuration in force here is older than the store's, or the store does not
-            // answer: the next round sees which.
+            // The local configuration is outdated or the store is unavailable; the next round
+            // retries.
             Ok(GateWrite::NotWritten) | Err(_) => {}
         }
         RoundOutcome::Held
     }
 
-    /// How long all canaries have carried the canary version, milliseconds.
+    /// Time since all canaries serve the canary version; `None` if not all do.
     fn watched_ms(&mut self, deps: ReconcilerDeps<'_>, target: &Target) -> Option<u64> {
         let now = deps.tables.clock.now();
         let all_loaded = assign(target, &self.observed.views())
@@ -108,7 +108,6 @@
         }
     }
 
-    /// The running plan of this rollout.
     async fn find_running_plan(
         &self,
         store: &dyn TableStore,
--- a/crates/operate/src/controller/service.rs
+++ b/crates/operate/src/controller/service.rs
@@ -1,4 +1,4 @@
-//! The reconciler of one service.
+//! Reconciler of one service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,46 +15,43 @@
 use crate::local::{LocalReport, local_report};
 use crate::record::record;
 
-/// HTTP status with which an engine refuses an order of an old epoch.
+/// HTTP status with which an engine rejects an order of an old epoch.
 const STALE_ORDER_STATUS: u16 = 409;
 
-/// What a round came to.
+/// Whether the controller still holds the service after a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoundOutcome {
-    /// The service is still this controller's.
+    /// The controller still holds the epoch, as far as it knows.
     Held,
-    /// Another controller has the service now.
+    /// Another controller has raised the epoch.
     Lost,
 }
 
-/// What became of an order.
+/// Result of an order to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine took it.
     Accepted,
-    /// The engine did not take it now.
+    /// The engine refused the order or was unreachable.
     NotAccepted,
-    /// The engine has orders of a later epoch.
+    /// The engine has seen a later epoch.
     Fenced,
 }
 
-/// The reconciler of one service.
 pub struct ServiceController {
     pub(super) service: String,
     pub(super) authority: Authority,
     pub(super) observed: Observations,
-    /// Since when all canaries have carried the canary version.
+    /// Time since which all canaries serve the canary version.
     pub(super) canaries_loaded_since: Option<Millis>,
-    /// When a server whose load failed may be tried again, and how often it failed.
+    /// By server: time of the next load order, and orders sent since it last had the assigned version.
     pub(super) load_retries: BTreeMap<String, (Millis, u32)>,
-    /// Servers that were ordered to take no new work; `None` before it was read.
+    /// Servers that were ordered to reject new work; `None` before the row was read.
     pub(super) closed: Option<BTreeSet<String>>,
-    /// Last reason for which a load was held back, so that it is recorded once.
+    /// Last recorded reason for a blocked load, to avoid repeated records.
     pub(super) held: String,
 }
 
 impl ServiceController {
-    /// A reconciler that has just claimed the service's epoch.
     pub fn new(service: &str, authority: Authority) -> ServiceController {
         ServiceController {
             service: service.to_owned(),
@@ -67,7 +64,7 @@
         }
     }
 
-    /// One round: look, then bring the servers closer to what the configuration says.
+    /// Runs one round: polls the servers, then orders changes toward the configured state.
     pub async fn round(&mut self, deps: ReconcilerDeps<'_>) -> RoundOutcome {
         let configuration = deps.tables.configuration.current();
         let Some(row) = configuration.services.get(&self.service) else {
@@ -95,7 +92,7 @@
         self.order_adapters(deps, row, &assignments).await
     }
 
-    /// Servers that are looked at in every round: those that are to change, and the canaries.
+    /// Servers to poll in every round: canaries, leaving servers and those without their assigned version.
     fn priority_servers(&self, target: &Target) -> BTreeSet<String> {
         let assigned = assign(target, &self.observed.views());
         let mut priority_servers: BTreeSet<String> = assigned
@@ -111,7 +108,7 @@
         priority_servers
     }
 
-    /// Servers of which their owners say that calls fail, while there are canaries to be judged.
+    /// Servers whose owners report failed calls; only asked during a canary stage.
     async fn failing(&self, deps: ReconcilerDeps<'_>, target: &Target) -> BTreeSet<String> {
         if target.canary.is_empty() {
             return BTreeSet::new();
@@ -142,7 +139,7 @@
             .map_or("", |observed| &observed.view.version)
     }
 
-    /// Loads adapters that the service row names on servers that carry the right version.
+    /// Loads missing adapters on servers that serve their assigned version.
     async fn order_adapters(
         &mut self,
         deps: ReconcilerDeps<'_>,
@@ -174,7 +171,7 @@
         RoundOutcome::Held
     }
 
-    /// Gives an engine a fenced order, and records it.
+    /// Sends a fenced order to an engine and records the result.
     pub(super) async fn order(
         &mut self,
         deps: ReconcilerDeps<'_>,
@@ -229,8 +226,7 @@
     }
 }
 
-/// What the service row asks for. While a demand window is open or near, all servers carry the
-/// service, whatever number the row names.
+/// Target state of the service. While a demand window is open or near, the replica limit is lifted.
 fn rollout_target(row: &ServiceRow, window: WindowState) -> Target {
     Target {
         version: row.version.clone(),
--- a/crates/operate/src/describe.rs
+++ b/crates/operate/src/describe.rs
@@ -1,11 +1,11 @@
-//! Rows in plain description, for plans, conflicts and explanations.
+//! Human-readable descriptions of rows, for plans, conflicts and explanations.
 
 use dappleyard_wire::messages::{
     DrainRow, JobRow, PlanGuardRow, PlanRow, ServiceRow, TenantRow, WindowRow,
 };
 use prost::Message;
 
-/// What a row says, in description. `None` is an absent row.
+/// Describes a row's value; `None` is an absent row.
 pub fn describe_row(key: &str, value: Option<&[u8]>) -> String {
     let Some(value) = value else {
         return "absent".to_owned();
@@ -29,7 +29,7 @@
     description.unwrap_or_else(|_| "a row that this version cannot read".to_owned())
 }
 
-/// What a key names, in description.
+/// Describes what a row key refers to.
 pub fn describe_key(key: &str) -> String {
     let path: Vec<&str> = key.splitn(4, '/').collect();
     match path.as_slice() {
@@ -122,7 +122,6 @@
     )
 }
 
-/// Name of a job phase in answers.
 pub const fn job_phase_name(phase: dappleyard_wire::messages::JobPhase) -> &'static str {
     use dappleyard_wire::messages::JobPhase;
     match phase {
@@ -137,7 +136,6 @@
     }
 }
 
-/// Name of a plan phase in answers.
 pub const fn phase_name(phase: dappleyard_wire::messages::PlanPhase) -> &'static str {
     use dappleyard_wire::messages::PlanPhase;
     match phase {
--- a/crates/operate/src/explain.rs
+++ b/crates/operate/src/explain.rs
@@ -1,7 +1,7 @@
-//! Explanations: what the fleet decided about a subject, why and from which inputs.
+//! Explains decisions about a subject: what was decided, why and from which inputs.
 //!
-//! Records come from this node's memory, from the memories of its peers, and from the journal objects
-//! of nodes that are gone. The state of the subject as it stands comes from rows and tables.
+//! Decision records come from the memory of this node and its peers and from journal objects. The
+//! current state of the subject comes from stored rows and the node's tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,20 +16,19 @@
 use crate::peers::Peers;
 use crate::subject_state::describe_state;
 
-/// Most records in one explanation; the latest stay.
+/// Limit on records in an explanation; the oldest are dropped.
 const MAX_RECORDS: usize = 200;
 
-/// Which subject is to be explained.
+/// Kind and id of the subject to explain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubjectRef {
     /// Kind: `request`, `job`, `server`, `service`, `node` or `plan`.
     pub kind: String,
-    /// Identifier.
     pub id: String,
 }
 
 impl SubjectRef {
-    /// Reads a subject_ref; `None` for a kind that is not known.
+    /// Returns `None` if the kind is unknown.
     pub fn parse(kind: &str, id: &str) -> Option<SubjectRef> {
         let known = ["request", "job", "server", "service", "node", "plan"].contains(&kind);
         known.then(|| SubjectRef {
@@ -38,7 +37,7 @@
         })
     }
 
-    /// The subject that decision records name.
+    /// The subject as used in decision records.
     pub fn subject(&self) -> Subject {
         let id = self.id.clone();
         match self.kind.as_str() {
@@ -52,37 +51,32 @@
     }
 }
 
-/// An explanation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// Kind of the subject.
     pub kind: String,
-    /// Identifier.
     pub id: String,
-    /// How the subject stands now, one sentence each.
+    /// Current state of the subject, one sentence each.
     pub state: Vec<String>,
-    /// The answer in one sentence.
+    /// Summary in one sentence.
     pub answer: String,
-    /// What was decided, in order of time.
+    /// Decisions in chronological order.
     pub events: Vec<Event>,
-    /// What could not be learnt.
+    /// Information that could not be obtained.
     pub unknown: Vec<String>,
 }
 
-/// One decision, in plain words.
+/// Description of one decision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When, milliseconds since 1970.
     pub unix_ms: u64,
-    /// Node that decided.
     pub node: String,
-    /// What was decided, why and with what outcome.
+    /// Decision, cause and outcome.
     pub words: String,
-    /// Inputs by name.
+    /// Input names and values.
     pub inputs: Vec<(String, String)>,
 }
 
-/// Gathers and explains.
+/// Collects the records about a subject and summarizes them.
 pub async fn explain(
     tables: &Arc<NodeTables>,
     platform: &Platform,
@@ -134,7 +128,7 @@
     }
 }
 
-/// Nodes whose memory was asked: this one and the live members that responding_nodes.
+/// Nodes whose records were read from memory: this node and the members that responded.
 fn responding_nodes(tables: &NodeTables, failed_nodes: &BTreeSet<String>) -> BTreeSet<String> {
     let members = tables.members.all().into_iter();
     members
@@ -145,7 +139,7 @@
         .collect()
 }
 
-/// In order of time, each record once: a record may be both in memory and in the journal.
+/// Sorts by time and removes duplicates, since a record may be both in memory and in the journal.
 fn sorted_unique(records: Vec<Decision>) -> Vec<Decision> {
     let mut unique = BTreeMap::new();
     for record in records {
@@ -156,7 +150,6 @@
     unique.into_values().skip(surplus).collect()
 }
 
-/// What a kind of decision says, in words.
 pub const fn describe_kind(kind: DecisionKind) -> &'static str {
     match kind {
         DecisionKind::Refused => "refused the request",
@@ -197,7 +190,7 @@
     )
 }
 
-/// The last decision explains how the subject stands now.
+/// Summarizes the latest decision, or the state if there is no record.
 fn answer(
     subject_ref: &SubjectRef,
     records: &[Decision],
--- a/crates/operate/src/head.rs
+++ b/crates/operate/src/head.rs
@@ -1,17 +1,16 @@
-//! The head row of configuration: every transaction that changes configuration writes it, so that
-//! all changes form one chain.
+//! Head row of the configuration. Every transaction that changes configuration writes it, so that all
+//! changes form one chain.
 
 use dappleyard_store::{Expect, Row, StoreError, TableStore, Transaction};
 use dappleyard_wire::keys::CONFIGURATION_HEAD;
 
-/// The head row as read.
+/// The head row at the revision that was read.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigurationHead {
     row: Option<Row>,
 }
 
 impl ConfigurationHead {
-    /// Reads the head row.
     pub async fn read(tables: &dyn TableStore) -> Result<ConfigurationHead, StoreError> {
         Ok(ConfigurationHead {
             row: tables.get(CONFIGURATION_HEAD).await?,
@@ -23,8 +22,8 @@
         self.row.as_ref().map_or(0, |row| row.revision)
     }
 
-    /// Chains a transaction that changes configuration: it takes effect only when this head is still
-    /// the last change. The head's value names the change before.
+    /// Makes a transaction conditional on this head and writes the next head, whose value is the previous
+    /// revision.
     #[must_use]
     pub fn chain(&self, transaction: Transaction) -> Transaction {
         let expect = match &self.row {
--- a/crates/operate/src/intent.rs
+++ b/crates/operate/src/intent.rs
@@ -1,44 +1,42 @@
-//! Intents: what an operator wants, before the system has said what it would mean.
+//! Intents: changes requested by an operator.
 //!
 //! The JSON form is `{"intent": "rollout", "service": ..., "version": ...}`; unknown fields are
-//! refused. Nothing acts on an intent: it becomes a plan, and the plan acts once it is confirmed.
+//! rejected. An intent is turned into a plan, which takes effect once it is confirmed.
 
 use serde::{Deserialize, Serialize};
 
-/// Share of servers that get a new version first when the intent names none, percent.
+/// Default share of servers that load a new version first.
 pub const DEFAULT_CANARY_PERCENT: u32 = 10;
 
-/// What an operator wants.
+/// A requested change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "intent", rename_all = "snake_case")]
 pub enum Intent {
-    /// Bring a new version of a service's model to all its servers.
+    /// Deploy a new model version to all servers of a service.
     Rollout(Rollout),
     /// Take servers out of service.
     Drain(DrainTarget),
-    /// Take drained servers back into service.
+    /// Return drained servers to service.
     Undrain(DrainTarget),
     /// Set a tenant's limits and standing approvals.
     Tenant(TenantLimits),
     /// Declare a demand window.
     Window(DemandWindow),
-    /// Withdraw a demand window.
+    /// Remove a demand window.
     RemoveWindow(WindowName),
     /// Create or change a service: versions, adapters, replicas, budgets, limits.
     ModelSet(ModelSet),
-    /// Let a planned batch job run.
+    /// Approve a planned batch job.
     BatchJob(BatchJob),
 }
 
-/// Bring a new version to all servers of a service, canaries first.
+/// Deploys a new version to all servers of a service, canaries first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// Service.
     pub service: String,
-    /// New version.
     pub version: String,
-    /// Share of servers that get it first, percent.
+    /// Share of servers that load the version first.
     #[serde(default = "default_canary_percent")]
     pub canary_percent: u32,
 }
@@ -47,13 +45,12 @@
     DEFAULT_CANARY_PERCENT
 }
 
-/// What a drain is for.
+/// Kind of a drain target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainKind {
-    /// One server.
     Server,
-    /// One node of the system.
+    /// One node of the serving system.
     Node,
     /// All servers of a hall.
     Hall,
@@ -62,7 +59,7 @@
 }
 
 impl DrainKind {
-    /// Name in keys and on the command line.
+    /// Name in row keys and on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             DrainKind::Server => "server",
@@ -73,129 +70,117 @@
     }
 }
 
-/// Servers or a node, by name.
+/// Servers or a node to drain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainTarget {
-    /// Kind.
     pub kind: DrainKind,
-    /// Name.
     pub name: String,
 }
 
-/// A tenant's limits; fields that are left out keep their value.
+/// Limits of a tenant; omitted fields keep their value.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLimits {
-    /// Tenant.
     pub tenant: String,
-    /// Requests a second over the whole fleet; 0 lifts the limit.
+    /// Requests per second over the whole fleet; 0 for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_s: Option<f64>,
-    /// Requests at once above that rate.
+    /// Burst size.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_burst: Option<f64>,
-    /// Tokens of all requests in progress; 0 lifts the limit.
+    /// Tokens of all requests in progress; 0 for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub concurrent_tokens: Option<u64>,
-    /// Share of batch work relative to other tenants.
+    /// Weight in fair sharing of batch capacity.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub batch_weight: Option<u32>,
-    /// Batch jobs up to this many items run without a person's confirmation.
+    /// Batch jobs up to this many items need no confirmation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub standing_batch_items: Option<u32>,
 }
 
-/// A time of known demand: batch work shrinks, and models are warm before it.
+/// A period of expected demand: batch work is reduced and models are loaded in advance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DemandWindow {
-    /// Name.
     pub name: String,
-    /// Service.
     pub service: String,
-    /// Start each day, seconds after midnight UTC.
+    /// Daily start, seconds after midnight UTC.
     #[serde(default)]
     pub start_s: u32,
-    /// End each day, seconds after midnight UTC; before the start it is on the next day.
+    /// Daily end, seconds after midnight UTC; on the next day if before the start.
     #[serde(default)]
     pub end_s: u32,
-    /// Days as a bit set with Monday at bit 0.
+    /// Bit set of weekdays, Monday at bit 0.
     #[serde(default = "every_day")]
     pub days: u32,
-    /// Batch width during the window, percent of the usual.
+    /// Batch concurrency during the window, as a percentage of the normal value.
     #[serde(default)]
     pub batch_percent: u32,
-    /// How long before the start models are loaded, seconds.
+    /// Time before the start at which models are loaded.
     #[serde(default)]
     pub warm_before_s: u32,
-    /// Start of a window that comes once, seconds since 1970; 0 for a daily one.
+    /// Start of a one-time window; 0 for a daily window.
     #[serde(default)]
     pub starts_unix_s: u64,
-    /// End of a window that comes once, seconds since 1970; 0 for a daily one.
+    /// End of a one-time window; 0 for a daily window.
     #[serde(default)]
     pub ends_unix_s: u64,
 }
 
-/// Bit set of all seven days.
 pub const EVERY_DAY: u32 = 0b111_1111;
 
 fn every_day() -> u32 {
     EVERY_DAY
 }
 
-/// A demand window by name.
+/// Name of a demand window.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WindowName {
-    /// Name.
     pub name: String,
 }
 
-/// A service as it should be; fields that are left out keep their value.
+/// Settings of a service; omitted fields keep their value.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSet {
-    /// Service.
     pub service: String,
-    /// Version of its model; for a service that exists use a rollout instead.
+    /// Model version of a new service; an existing service is changed by a rollout.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<String>,
     /// Adapters that each server loads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapters: Option<Vec<String>>,
-    /// Servers that carry it; 0 for all.
+    /// Number of servers that load the service; 0 for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replicas: Option<u32>,
-    /// How much slower an online step may become through batch work, percent.
+    /// Allowed slowdown of online steps caused by batch work.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub online_slowdown_percent: Option<u32>,
-    /// Servers of each zone that may be unavailable at once.
+    /// Limit on unavailable servers per zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_unavailable_zone: Option<u32>,
-    /// Servers that may be unavailable at once.
+    /// Limit on unavailable servers in total.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_unavailable_total: Option<u32>,
-    /// Longest prompt, tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_prompt_tokens: Option<u32>,
-    /// Longest answer, tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_output_tokens: Option<u32>,
 }
 
-/// A batch job that waits for a confirmation.
+/// A batch job that needs confirmation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchJob {
-    /// Tenant.
     pub tenant: String,
-    /// Job id.
     pub job: String,
 }
 
 impl Intent {
-    /// Name of the intent's kind, as in its JSON form.
+    /// Value of the `intent` field in the JSON form.
     pub const fn kind(&self) -> &'static str {
         match self {
             Intent::Rollout(_) => "rollout",
@@ -209,7 +194,6 @@
         }
     }
 
-    /// The intent in one phrase.
     pub fn summary(&self) -> String {
         match self {
             Intent::Rollout(rollout) => format!(
--- a/crates/operate/src/jobs.rs
+++ b/crates/operate/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as operators look at them: state, and deadlines at risk.
+//! Batch job listings for operators, with deadlines at risk.
 
 use dappleyard_batch::JobsApi;
 use dappleyard_store::TableStore;
@@ -11,53 +11,42 @@
 use crate::describe::job_phase_name;
 use crate::snapshot::{decode, store_failure};
 
-/// Rows read in one call.
 const PAGE_SIZE: usize = 500;
-/// Most pages read for one question.
+/// Limit on pages read for a list.
 const MAX_PAGES: usize = 10;
-/// Active jobs whose progress is read for one question, those with the nearest deadlines.
+/// Limit on active jobs whose progress is read; those with the earliest deadlines are kept.
 const MAX_ACTIVE_JOBS: usize = 32;
-/// Jobs whose progress is read at once.
+/// Concurrent progress reads.
 const CONCURRENCY: usize = 8;
 
-/// One job on one line.
+/// Entry of a job list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSummary {
-    /// Tenant.
     pub tenant: String,
-    /// Job id.
     pub job: String,
-    /// Phase.
     pub phase: String,
-    /// Items of the job.
     pub items: u32,
-    /// Items completed or failed.
+    /// Number of items completed or failed.
     pub settled: u32,
-    /// Deadline, seconds since 1970.
     pub deadline_unix_s: u64,
-    /// Expected finish, seconds since 1970; 0 when unknown.
+    /// Expected completion; 0 if unknown.
     pub expected_unix_s: u64,
-    /// The deadline is at risk.
+    /// Whether the deadline is at risk.
     pub at_risk: bool,
-    /// Plan that must be confirmed for it to run; empty for none.
+    /// Plan that must be confirmed before the job runs; empty if none.
     pub plan: String,
 }
 
 /// A job whose deadline is at risk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobAtRisk {
-    /// Tenant.
     pub tenant: String,
-    /// Job id.
     pub job: String,
-    /// Deadline, seconds since 1970.
     pub deadline_unix_s: u64,
-    /// Why, in words.
     pub reason: String,
 }
 
-/// Jobs that need capacity now, nearest deadline first, each with its progress. At most
-/// 32 of them.
+/// Reads up to `MAX_ACTIVE_JOBS` jobs that need capacity, earliest deadline first, with progress.
 pub async fn active_jobs(
     tables: &dyn TableStore,
     jobs: &JobsApi,
@@ -80,7 +69,7 @@
     while let Some(read) = reads.next().await {
         match read {
             Ok(line) => lines.push(line),
-            // It ended, and its rows went, between the two readings.
+            // The job finished and its rows were removed between the two reads.
             Err(failure) if failure.kind == ErrorKind::NotFound => {}
             Err(failure) => return Err(failure),
         }
@@ -88,7 +77,7 @@
     Ok(lines)
 }
 
-/// One job with its progress.
+/// Reads a job with its progress.
 pub async fn read_job(jobs: &JobsApi, tenant: &str, job: &str) -> Result<JobSummary, Failure> {
     let get = JobGet {
         tenant: tenant.to_owned(),
@@ -107,7 +96,7 @@
     }
 }
 
-/// Reads jobs of all phases, at most 5,000 of them; without the progress of running ones.
+/// Reads up to 5,000 jobs of all phases, without the progress of running ones.
 pub async fn list_jobs(tables: &dyn TableStore) -> Result<Vec<JobSummary>, Failure> {
     let mut jobs = Vec::new();
     let mut after = String::new();
@@ -128,7 +117,7 @@
     Ok(jobs)
 }
 
-/// Unfinished jobs among these whose deadline is at risk, earliest deadline first.
+/// Unfinished jobs whose deadline is at risk, earliest deadline first.
 pub fn jobs_at_risk(jobs: &[JobSummary], now_unix_s: u64) -> Vec<JobAtRisk> {
     let mut at_risk: Vec<JobAtRisk> = jobs
         .iter()
@@ -139,12 +128,12 @@
     at_risk
 }
 
-/// Whether a job of this phase still needs capacity.
+/// Whether a job in this phase still needs capacity.
 pub fn is_unfinished(phase: &str) -> bool {
     matches!(phase, "validating" | "in_progress" | "finalizing")
 }
 
-/// Whether a job's deadline is at risk when its remaining work takes `slowdown` times as long.
+/// Returns the risk to a job's deadline if its remaining work takes `slowdown` times as long.
 pub fn risk(job: &JobSummary, now_unix_s: u64, slowdown: f64) -> Option<JobAtRisk> {
     let remaining_s = job.expected_unix_s.saturating_sub(now_unix_s);
     let expected = now_unix_s.saturating_add((remaining_s as f64 * slowdown).ceil() as u64);
@@ -175,7 +164,6 @@
     })
 }
 
-/// One job on one line.
 pub fn job_summary(state: &JobState) -> JobSummary {
     JobSummary {
         tenant: state.tenant.clone(),
--- a/crates/operate/src/journal.rs
+++ b/crates/operate/src/journal.rs
@@ -1,4 +1,4 @@
-//! Decision records in the object store: appended in batches, bounded for each node.
+//! Journal of decision records in the object store: written in batches, bounded per node.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
@@ -10,31 +10,30 @@
 use dappleyard_tables::decisions::Decision;
 use dappleyard_wire::keys::{self, JOURNAL_PREFIX};
 
-/// Nodes up to which each writes at the interval of the settings; in a larger fleet each node writes
-/// less often, so that the object store sees a constant rate.
+/// Fleet size above which nodes write less often than the configured interval, to bound the total
+/// write rate.
 const NODES_AT_FULL_RATE: u64 = 32;
-/// Records that are written without waiting for the interval.
+/// Number of pending records that triggers a write before the interval is over.
 const FLUSH_RECORDS: usize = 1_024;
-/// Largest journal object read, bytes.
+/// Bytes read of one journal object.
 const MAX_OBJECT_BYTES: u64 = 4 * 1024 * 1024;
-/// Journal objects read for one question.
+/// Limit on journal objects read by one search.
 const MAX_OBJECTS: usize = 200;
-/// Names listed in one call.
 const PAGE_SIZE: usize = 1_000;
 
-/// Writes this node's records.
+/// Writes the decision records of this node.
 pub struct Journal {
     tables: Arc<NodeTables>,
     max_objects: usize,
     next_number: u64,
-    /// Names of own objects, oldest first; `None` before those of earlier starts were listed.
+    /// Names of the objects of this node, oldest first; `None` until existing objects are listed.
     written: Option<VecDeque<String>>,
     pending: Vec<Decision>,
     last_write_ms: u64,
 }
 
 impl Journal {
-    /// A journal of this node that keeps `max_objects` objects.
+    /// Creates a journal that keeps the latest `max_objects` objects.
     pub fn new(tables: Arc<NodeTables>, max_objects: usize) -> Journal {
         Journal {
             last_write_ms: tables.clock.now().0,
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Writes the records that wait when it is time. Says whether it wrote.
+    /// Writes the pending records if the interval is over. Returns whether it wrote.
     pub async fn write_if_due(
         &mut self,
         objects: &dyn ObjectStore,
@@ -63,7 +62,7 @@
         self.write(objects).await.map(|()| true)
     }
 
-    /// Writes the records that wait now, as at a planned stop.
+    /// Writes the pending records now, as at shutdown.
     pub async fn flush(&mut self, objects: &dyn ObjectStore) -> Result<(), StoreError> {
         self.collect_pending();
         if self.pending.is_empty() {
@@ -98,7 +97,7 @@
         Ok(())
     }
 
-    /// After a lost answer the records are written again under another name.
+    /// Each attempt uses a new name, so a retry after an ambiguous write may duplicate records.
     fn next_name(&mut self) -> String {
         let number = self.next_number;
         self.next_number += 1;
@@ -106,8 +105,8 @@
         keys::journal_object(node, self.tables.clock.unix_ms(), number)
     }
 
-    /// Counts the objects of earlier starts of this node among its own, and goes on numbering after
-    /// them, so that a start within the same millisecond takes no name that is taken.
+    /// Lists the objects written before a restart and continues their numbering, so that a restart within
+    /// the same millisecond does not reuse a name.
     async fn list_earlier_objects(&mut self, objects: &dyn ObjectStore) -> Result<(), StoreError> {
         if self.written.is_none() {
             let prefix = format!("{JOURNAL_PREFIX}{}/", self.tables.identity.node);
@@ -120,7 +119,7 @@
     }
 }
 
-/// Number in the name of a journal object.
+/// Sequence number in the name of a journal object.
 fn number(name: &str) -> Option<u64> {
     name.rsplit('-').next()?.parse().ok()
 }
@@ -136,9 +135,8 @@
     bytes
 }
 
-/// Records in the journal objects that `matches` accepts. Objects of nodes that `responding_nodes` names come
-/// last, since their memory was asked; the latest come first. Also says whether objects were left
-/// unread.
+/// Searches the journal objects, newest first. Objects of `responding_nodes` come last because those
+/// nodes already reported their records. Also returns whether objects were left unread.
 pub async fn search(
     objects: &dyn ObjectStore,
     responding_nodes: &BTreeSet<String>,
@@ -166,8 +164,8 @@
     Ok((found, partial))
 }
 
-/// Removes objects that were written before a time, milliseconds since 1970, at most `limit` of them.
-/// Nodes remove their own surplus; this is for nodes that do not come back.
+/// Removes up to `limit` objects written before a time. Nodes remove their own surplus; this removes
+/// the objects of nodes that are gone for good.
 pub async fn remove_older(
     objects: &dyn ObjectStore,
     before_unix_ms: u64,
@@ -188,7 +186,7 @@
     Ok(old.len())
 }
 
-/// Node and time of writing, milliseconds since 1970, of a journal object.
+/// Node and Unix time in milliseconds from the name of a journal object.
 fn node_and_time(name: &str) -> (&str, Option<u64>) {
     let path = name.strip_prefix(JOURNAL_PREFIX).unwrap_or(name);
     let (node, file) = path.rsplit_once('/').unwrap_or((path, ""));
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -1,9 +1,9 @@
 //! Plans, controllers, drains, rollouts and explanations.
 //!
-//! Operators state intents; the system answers with plans ([`plans`]) and acts only on confirmed
-//! ones. Controllers ([`controller`]) bring each service's servers to what the configuration says,
-//! under an epoch row that fences a controller which was paused. Every decision leaves a record
-//! ([`journal`]), from which [`explain`] answers in plain words. [`api`] is the operators' interface.
+//! Operators submit intents, which become plans ([`plans`]); only confirmed plans are executed.
+//! Controllers ([`controller`]) reconcile the servers of each service with the configuration, fenced
+//! by an epoch row. Decisions are recorded ([`journal`]) and can be queried ([`explain`]). [`api`] is
+//! the admin API.
 
 pub mod api;
 pub mod controller;
--- a/crates/operate/src/local.rs
+++ b/crates/operate/src/local.rs
@@ -1,62 +1,56 @@
-//! What one node knows first-hand: itself and the servers that it owns.
+//! State of a node and of the servers it owns.
 
 use dappleyard_tables::servers::OwnedServer;
 use dappleyard_tables::{Lifecycle, NodeTables};
 use serde::{Deserialize, Serialize};
 
-/// A node's first-hand report, the answer of `GET /admin/v1/local`.
+/// Response of `GET /admin/v1/local`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LocalReport {
-    /// Node id.
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
-    /// Where the node is in its life: `starting`, `ready`, `withdrawn`, `draining` or `stopped`.
+    /// `starting`, `ready`, `withdrawn`, `draining` or `stopped`.
     pub lifecycle: String,
-    /// Configuration revision in force on it.
     pub configuration_revision: u64,
-    /// Servers that it owns.
+    /// Servers owned by the node.
     pub servers: Vec<LocalServer>,
 }
 
 impl LocalReport {
-    /// Sequences in flight from this node.
+    /// Number of sequences in flight from this node.
     pub fn busy(&self) -> usize {
         let servers = self.servers.iter();
         servers.map(|server| server.online + server.batch).sum()
     }
 }
 
-/// A server as its owner sees it.
+/// State of a server as observed by its owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LocalServer {
-    /// Server id.
     pub server: String,
-    /// Version loaded; empty for none.
+    /// Loaded version; empty if none.
     pub version: String,
-    /// Version being loaded; empty for none.
+    /// Version being loaded; empty if none.
     pub loading: String,
-    /// What failed at the last load; empty for nothing.
+    /// Error of the last load; empty if none.
     pub load_failure: String,
-    /// Why it takes no new work; `None` while it does.
+    /// Reason for not sending new work; `None` if the server is in use.
     pub withdrawn: Option<String>,
     /// Online sequences in flight from the owner.
     pub online: usize,
     /// Batch sequences in flight from the owner.
     pub batch: usize,
-    /// Most batch sequences at present.
+    /// Current limit on batch sequences.
     pub batch_width: u32,
-    /// Step time by the engine's report, milliseconds.
+    /// Step time reported by the engine.
     pub step_ms: f64,
-    /// Calls to the engine that failed in a row.
+    /// Consecutive failed calls to the engine.
     pub failures: u32,
-    /// Age of the engine's last report, milliseconds; `None` before the first.
+    /// Age of the engine's last report; `None` before the first.
     pub report_age_ms: Option<u64>,
 }
 
-/// Name of a life cycle state in answers.
 pub const fn lifecycle_name(lifecycle: Lifecycle) -> &'static str {
     match lifecycle {
         Lifecycle::Starting => "starting",
@@ -67,7 +61,6 @@
     }
 }
 
-/// Reports on this node.
 pub fn local_report(tables: &NodeTables) -> LocalReport {
     let now = tables.clock.now();
     let servers = tables.servers.all();
--- a/crates/operate/src/metrics.rs
+++ b/crates/operate/src/metrics.rs
@@ -3,34 +3,32 @@
 use dappleyard_tables::NodeTables;
 use prometheus::{IntCounterVec, IntGauge, Opts};
 
-/// Metrics of this crate, registered once for each node.
+/// Metrics of this crate, registered once per node.
 #[derive(Clone)]
 pub struct Metrics {
     /// Orders to engines, by kind and outcome (`given`, `refused`, `unreachable`, `fenced`).
     pub orders: IntCounterVec,
     /// Services whose epoch this node holds.
     pub services: IntGauge,
-    /// Epochs claimed, lost, or held by another, by outcome.
+    /// Epoch claims and losses by outcome (`claimed`, `lost`, `held_by_another`, `failed`).
     pub epochs: IntCounterVec,
-    /// Looks at running plans, by outcome (`moved`, `unchanged`, `overtaken`, `failed`).
+    /// Plan steps by outcome (`moved`, `unchanged`, `overtaken`, `failed`).
     pub plan_steps: IntCounterVec,
-    /// Plans that run.
     pub plans_running: IntGauge,
-    /// Rollouts by what the health gate said (`promoted`, `rolled_back`).
+    /// Rollouts by result of the health gate (`promoted`, `rolled_back`).
     pub rollouts: IntCounterVec,
-    /// Loads held back by the disruption budget, the load limit or a demand window.
+    /// Rounds in which a load was blocked by the disruption budget, the load limit or a demand window.
     pub loads_held: IntCounterVec,
     /// Writes of decision records to the object store, by outcome (`written`, `failed`).
     pub journal: IntCounterVec,
 }
 
 impl Metrics {
-    /// Registers the metrics in the node's registry.
     pub fn register(tables: &NodeTables) -> Metrics {
         let counters = |name: &str, help: &str, labels: &[&str]| {
             let counters = IntCounterVec::new(Opts::new(name, help), labels)
                 .expect("the names of metrics are valid");
-            // A second registration only happens when a test starts two controllers on one node.
+            // Fails only in tests that start two controllers on one node.
             let _ = tables.metrics.register(Box::new(counters.clone()));
             counters
         };
--- a/crates/operate/src/own_drain.rs
+++ b/crates/operate/src/own_drain.rs
@@ -1,4 +1,4 @@
-//! The drain of this node itself: it takes nothing new while configuration names it.
+//! Drains this node while the configuration has a drain row for it.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::local::lifecycle_name;
 use crate::record::record;
 
-/// Makes this node drain while configuration says so, and lets it serve again afterwards.
+/// Watches the configuration and sets the lifecycle of this node when its drain starts or ends.
 pub async fn watch_own_drain(tables: Arc<NodeTables>) {
     let mut configurations = tables.configuration.subscribe();
     let key = ("node".to_owned(), tables.identity.node.to_string());
@@ -17,7 +17,7 @@
         let wanted = configurations.borrow_and_update().drains.contains_key(&key);
         if wanted != drained {
             drained = wanted;
-            // Membership lifts a withdrawn node to ready once it vouches for its configuration.
+            // Membership moves a withdrawn node to ready once its configuration is current.
             let next = if wanted {
                 Lifecycle::Draining
             } else {
--- a/crates/operate/src/peers.rs
+++ b/crates/operate/src/peers.rs
@@ -1,4 +1,4 @@
-//! Questions to the other nodes' operators' interface: all at once, bounded, each with a timeout.
+//! Concurrent requests to the admin API of the other nodes, each with a timeout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,29 +8,26 @@
 use futures::StreamExt;
 use serde::de::DeserializeOwned;
 
-/// Questions that are open at once.
 const CONCURRENCY: usize = 32;
-/// Largest answer read from a peer, bytes.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The other nodes, as requests are put to them.
+/// Client for the admin API of the other nodes.
 #[derive(Clone)]
 pub struct Peers {
     tables: Arc<NodeTables>,
     client: awc::Client,
 }
 
-/// Answers of the peers that answered, and the names of those that did not, with the cause.
+/// Responses of the peers, and the peers that failed.
 #[derive(Debug, Clone)]
 pub struct PeerResponses<T> {
-    /// Answers.
     pub responses: Vec<T>,
-    /// Node and cause.
+    /// Node and error of each failed request.
     pub failed: Vec<(String, String)>,
 }
 
 impl Peers {
-    /// Peers of this node. Each question may take `timeout_ms`.
+    /// Creates a client with a timeout per request.
     pub fn new(tables: Arc<NodeTables>, timeout_ms: u64) -> Peers {
         let timeout = Duration::from_millis(timeout_ms.max(1));
         Peers {
@@ -39,12 +36,12 @@
         }
     }
 
-    /// Asks every live peer for `path`, a path of the operators' interface.
+    /// Sends `GET path` to every alive or suspect peer.
     pub async fn query<T: DeserializeOwned>(&self, path: &str) -> PeerResponses<T> {
         self.query_where(path, |_| true).await
     }
 
-    /// Asks the live peers that `include` names.
+    /// Sends `GET path` to the alive or suspect peers that `include` selects.
     pub async fn query_where<T: DeserializeOwned>(
         &self,
         path: &str,
--- a/crates/operate/src/plans/abort.rs
+++ b/crates/operate/src/plans/abort.rs
@@ -1,5 +1,5 @@
-//! Abort: a proposed plan is closed, a running one stops where it is; a rollout that is still at its
-//! canaries is taken back.
+//! Aborts plans: closes a proposed plan, stops a running one, and reverts a rollout that is still in
+//! its canary stage.
 
 use dappleyard_store::{Expect, StoreError, TableStore, Transaction};
 use dappleyard_wire::ids::PlanId;
@@ -14,7 +14,7 @@
 use crate::plans::store::{StoredPlan, encoded, read_plan};
 use crate::snapshot::{Snapshot, store_failure};
 
-/// Attempts at one abort, since the plan may move in between.
+/// Retries when the plan row changes between read and write.
 const MAX_ATTEMPTS: u32 = 20;
 
 /// Aborts a plan. Aborting an aborted plan does nothing.
@@ -80,7 +80,7 @@
     Ok((transaction, next))
 }
 
-/// Takes the canary out of the service row when the rollout has not gone past its canaries.
+/// Clears the canary in the service row if the rollout is still in its canary stage.
 async fn remove_canary(
     tables: &dyn TableStore,
     transaction: Transaction,
--- a/crates/operate/src/plans/body.rs
+++ b/crates/operate/src/plans/body.rs
@@ -1,4 +1,4 @@
-//! What a plan states, as JSON for programs and as the source of the operators' tables.
+//! JSON form of a plan: its stored body and the document returned to operators.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -9,101 +9,90 @@
 use crate::intent::Intent;
 use crate::jobs::JobAtRisk;
 
-/// What a plan states.
+/// Contents of a plan, stored as JSON in the plan row.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanBody {
-    /// The plan in one phrase.
+    /// One-line summary.
     pub summary: String,
-    /// Rows that change at confirmation, in words.
+    /// Descriptions of the rows that the confirmation changes.
     pub changes: Vec<RowChange>,
-    /// What happens, in order.
+    /// Steps in order of execution.
     pub steps: Vec<Step>,
-    /// Deadlines that the plan puts at risk.
+    /// Batch jobs that may miss their deadline because of the plan.
     pub deadlines_at_risk: Vec<JobAtRisk>,
-    /// Requests in progress on the servers that the plan touches.
+    /// Requests in progress on the affected servers.
     pub requests_affected: RequestsAffected,
-    /// Expected duration, milliseconds.
     pub expected_ms: u64,
-    /// What the operator should know before confirming.
+    /// Warnings to show before confirmation.
     pub warnings: Vec<String>,
-    /// Rows that the plan rests on, in words as they were.
+    /// Rows that the plan was computed from, as described at that time.
     pub basis: Vec<BasisDescription>,
-    /// Regions in which the change must be in force.
+    /// Regions that must apply the change.
     pub regions: Vec<String>,
-    /// Services whose capacity the plan takes or changes.
+    /// Services whose capacity the plan changes.
     pub services: Vec<String>,
-    /// Writes of the confirmation.
+    /// Rows that the confirmation writes.
     pub writes: Vec<PlannedWrite>,
 }
 
-/// A row before and after, in words.
+/// Description of a row before and after the confirmation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChange {
-    /// Key of the row.
     pub key: String,
-    /// Before.
     pub before: String,
-    /// After.
     pub after: String,
 }
 
 /// One step of a plan.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// What happens.
+    /// Description of the action.
     pub what: String,
-    /// Servers that it puts out, or brings back.
+    /// Servers that the step takes out of service or returns to it.
     pub servers: Vec<String>,
-    /// What serves meanwhile.
+    /// Serving capacity during the step.
     pub capacity: Vec<CapacityLeft>,
-    /// Expected duration, milliseconds.
     pub expected_ms: u64,
 }
 
-/// Servers of a service and zone that serve during a step.
+/// Number of servers of a service in a zone that keep serving during a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityLeft {
-    /// Service.
     pub service: String,
-    /// Zone.
     pub zone: String,
-    /// Servers that serve during the step.
     pub serving: u32,
-    /// Servers that serve before the plan.
+    /// Serving servers before the plan starts.
     pub before: u32,
 }
 
-/// Requests in progress on the servers that a plan touches. None of them is cut.
+/// Requests in progress on the affected servers. A plan interrupts none of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestsAffected {
-    /// Online requests that must end first.
+    /// Online requests that must finish first.
     pub online: usize,
-    /// Batch items that must end or move first.
+    /// Batch items that must finish or be moved first.
     pub batch: usize,
 }
 
-/// A row that the plan rests on.
+/// A row that the plan was computed from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BasisDescription {
-    /// Key of the row.
     pub key: String,
-    /// Its revision; 0 when it was absent.
+    /// Revision; 0 if the row did not exist.
     pub revision: u64,
-    /// What it said.
+    /// Description of its contents.
     pub words: String,
 }
 
-/// One write of the confirmation.
+/// A row written or deleted by the confirmation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedWrite {
-    /// Key of the row.
     pub key: String,
-    /// New value in base 64; `None` removes the row.
+    /// New value in base64; `None` deletes the row.
     pub value: Option<String>,
 }
 
 impl PlannedWrite {
-    /// A write of a message.
     pub fn put(key: String, message: &impl prost::Message) -> PlannedWrite {
         PlannedWrite {
             key,
@@ -111,12 +100,11 @@
         }
     }
 
-    /// The removal of a row.
     pub fn delete(key: String) -> PlannedWrite {
         PlannedWrite { key, value: None }
     }
 
-    /// New value; `None` removes the row.
+    /// Decoded value; `None` deletes the row.
     pub fn bytes(&self) -> Result<Option<Vec<u8>>, Failure> {
         let Some(text) = &self.value else {
             return Ok(None);
@@ -130,7 +118,6 @@
         Ok(Some(bytes))
     }
 
-    /// Adds the write to a transaction.
     pub fn add_to(&self, transaction: Transaction) -> Result<Transaction, Failure> {
         Ok(match self.bytes()? {
             Some(bytes) => transaction.put(self.key.clone(), bytes),
@@ -142,41 +129,35 @@
 /// Progress of a running plan.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Servers that the plan is for.
+    /// Number of servers in the plan.
     pub servers: usize,
-    /// Servers that are done.
+    /// Servers that are finished.
     pub done: Vec<String>,
-    /// Servers on their way.
+    /// Servers being drained or loaded.
     pub in_progress: Vec<String>,
-    /// Online requests that still run on servers on their way.
+    /// Online requests still running on the servers in progress.
     pub online: usize,
-    /// Batch items that still run there.
+    /// Batch items still running on the servers in progress.
     pub batch: usize,
-    /// What the plan waits for; empty for nothing.
+    /// Condition that blocks the plan; empty if none.
     pub waiting_for: String,
 }
 
-/// A plan as operators get it.
+/// A plan as returned by the admin API.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanDocument {
-    /// Plan id.
     pub id: String,
-    /// Kind of its intent.
     pub kind: String,
     /// `proposed`, `confirmed`, `running`, `done`, `aborted`, `failed` or `overtaken`.
     pub phase: String,
-    /// What the operator asked for.
+    /// Requested change.
     pub intent: Intent,
-    /// What the plan states.
     pub body: PlanBody,
-    /// How far it has come.
     pub progress: Progress,
-    /// What happened to it last, in words.
+    /// Description of the last state change.
     pub message: String,
-    /// Who asked for it.
+    /// Name of the operator.
     pub created_by: String,
-    /// When, milliseconds since 1970.
     pub created_unix_ms: u64,
-    /// When it changed last, milliseconds since 1970.
     pub changed_unix_ms: u64,
 }
--- a/crates/operate/src/plans/changes.rs
+++ b/crates/operate/src/plans/changes.rs
@@ -1,4 +1,4 @@
-//! From an intent to the rows that it rests on and the rows that its confirmation writes.
+//! Computes the rows that a plan depends on and the rows that its confirmation writes.
 
 use dappleyard_batch::jobs::approved_rows;
 use dappleyard_wire::ids::{JobId, TenantId};
@@ -15,12 +15,10 @@
 use crate::snapshot::Snapshot;
 use crate::status::{FleetStatus, ServerStatus};
 
-/// Largest share, percent.
 const MAX_PERCENT: u32 = 100;
-/// Seconds of a day.
 const SECONDS_PER_DAY: u32 = 86_400;
 
-/// Servers that a drain is for.
+/// Servers selected by a drain target; none for a node.
 pub fn drained_servers<'a>(
     target: &'a DrainTarget,
     status: &'a FleetStatus,
@@ -36,7 +34,7 @@
         })
 }
 
-/// Services whose capacity the intent takes or changes.
+/// Services whose capacity the intent changes.
 pub fn services(intent: &Intent, status: &FleetStatus) -> Vec<String> {
     let mut services: Vec<String> = match intent {
         Intent::Rollout(rollout) => vec![rollout.service.clone()],
@@ -51,7 +49,7 @@
     services
 }
 
-/// Keys of the rows that a plan for the intent rests on.
+/// Keys of the rows that the confirmation compares.
 pub fn basis_keys(intent: &Intent, status: &FleetStatus) -> Vec<String> {
     let mut keys: Vec<String> = services(intent, status)
         .iter()
@@ -80,7 +78,7 @@
     keys
 }
 
-/// Drains of nodes of one zone are ordered by a guard of their own.
+/// Guard row that makes concurrent node drains in the same zone conflict.
 fn node_drain_guard_key(target: &DrainTarget, status: &FleetStatus) -> Option<String> {
     if target.kind != DrainKind::Node {
         return None;
@@ -97,7 +95,8 @@
     keys::job(&TenantId::from(&job.tenant), &JobId::from(&job.job))
 }
 
-/// Rows that the confirmation writes, besides the plan's own. A drain writes none: its steps follow.
+/// Rows that the confirmation writes besides the plan row. A drain writes none here; its steps write
+/// the drain rows.
 pub fn writes(
     intent: &Intent,
     snapshot: &Snapshot,
@@ -190,7 +189,7 @@
     Ok(())
 }
 
-/// Takes the drain's own row away, and those of servers that were drained as part of it.
+/// Deletes the drain row of the target and the drain rows of the servers in it.
 fn undrain_writes(
     target: &DrainTarget,
     snapshot: &Snapshot,
@@ -217,7 +216,6 @@
     Ok(writes)
 }
 
-/// The row of a drain.
 pub fn drain_row(kind: &str, name: &str, plan: &str, unix_ms: u64) -> DrainRow {
     DrainRow {
         kind: kind.to_owned(),
@@ -353,7 +351,7 @@
     }
 }
 
-/// Names become parts of keys.
+/// Rejects names that cannot be part of a row key.
 fn check_name(what: &str, name: &str) -> Result<(), Failure> {
     const MAX_NAME_LENGTH: usize = 128;
     if name.is_empty() || name.len() > MAX_NAME_LENGTH || name.contains('/') {
--- a/crates/operate/src/plans/confirm.rs
+++ b/crates/operate/src/plans/confirm.rs
@@ -1,8 +1,8 @@
-//! Confirmation: one transaction that compares every row that the plan rests on.
+//! Confirms a plan in one transaction that compares every row the plan depends on.
 //!
-//! Of two plans that conflict exactly one is accepted, and the other is told which row changed, from
-//! what to what. An answer that is lost is resolved by reading back the plan row, which carries the
-//! token of the confirmation that was accepted.
+//! Of two conflicting plans exactly one is accepted; the other is refused with the rows that changed.
+//! If the response to the transaction is lost, the plan row is read again: it contains the token of
+//! the accepted confirmation.
 
 use std::time::Duration;
 
@@ -22,30 +22,28 @@
 use crate::regions;
 use crate::snapshot::store_failure;
 
-/// Attempts at one confirmation, since other configuration changes may come in between.
+/// Retries when other configuration changes commit first.
 const MAX_ATTEMPTS: u32 = 20;
-/// Longest random_retry_delay between two attempts, milliseconds; the random_retry_delay is random.
+/// Upper bound of the random delay between two attempts.
 const MAX_RETRY_DELAY_MS: u64 = 60;
 
-/// A row that is not as the plan found it.
+/// A row that changed after the plan was made.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangedRow {
-    /// Key of the row.
     pub key: String,
-    /// What it names, in words.
+    /// Description of the key.
     pub what: String,
-    /// What it said when the plan was made.
+    /// Description of the row when the plan was made.
     pub before: String,
-    /// What it says now.
+    /// Description of the current row.
     pub now: String,
 }
 
-/// A refused confirmation: the failure, and what changed when that is the cause.
+/// A refused confirmation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The failure.
     pub failure: Failure,
-    /// Rows that changed under the plan.
+    /// Rows that changed after the plan was made, if that is the cause.
     pub changed: Vec<ChangedRow>,
 }
 
@@ -58,27 +56,23 @@
     }
 }
 
-/// A wish to confirm a plan.
+/// A request to confirm a plan.
 #[derive(Debug, Clone)]
 pub struct Confirmation {
-    /// Plan id.
     pub plan: String,
-    /// Token of this confirmation; a repeat with the same token gets the same answer.
+    /// Idempotency token: a repeat with the same token gets the same response.
     pub token: String,
-    /// Wall-clock time, milliseconds since 1970.
     pub unix_ms: u64,
-    /// Age above which a region counts as cut off, milliseconds.
+    /// Age of a region's freshness row above which the region counts as unreachable.
     pub region_fresh_ms: u64,
 }
 
-/// What one attempt came to.
 enum Attempt {
     Accepted(StoredPlan),
     Retry(Failure),
     Refused(Refusal),
 }
 
-/// Confirms a plan.
 pub async fn confirm(
     tables: &dyn TableStore,
     confirmation: &Confirmation,
@@ -103,7 +97,7 @@
     Err(last.into())
 }
 
-/// Waits a moment so that racing writers do not meet again at once.
+/// Sleeps for a random delay so that competing writers do not conflict again at once.
 pub async fn random_retry_delay() {
     let delay_ms = rand::rng().random_range(1..=MAX_RETRY_DELAY_MS);
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
@@ -162,7 +156,7 @@
     )
 }
 
-/// Whether steps follow the confirmation.
+/// Whether the plan has steps to execute after the confirmation.
 pub fn has_steps(intent: &Intent) -> bool {
     matches!(intent, Intent::Rollout(_) | Intent::Drain(_))
 }
@@ -251,7 +245,7 @@
         Err(StoreError::Conflict { .. }) => {
             close_overtaken(tables, plan, next.changed_unix_ms).await
         }
-        // The next attempt reads the plan row back: it carries the token when the change took effect.
+        // The next attempt reads the plan row, which contains the token if the change took effect.
         Err(error @ (StoreError::Ambiguous { .. } | StoreError::RateLimited { .. })) => {
             Attempt::Retry(store_failure(&error))
         }
@@ -259,7 +253,7 @@
     }
 }
 
-/// The plan rests on rows that have changed: says which, and closes the plan.
+/// Finds the rows that changed since the plan was made and marks the plan as overtaken.
 async fn close_overtaken(tables: &dyn TableStore, plan: &StoredPlan, unix_ms: u64) -> Attempt {
     let changed = match changed_rows(tables, plan).await {
         Ok(changed) => changed,
@@ -286,7 +280,7 @@
     let close = Transaction::default()
         .expect(key.clone(), Expect::Revision(plan.revision))
         .put(key, encoded(&next));
-    // The plan can never be confirmed any more, whether or not this note of it is written.
+    // Best effort: the plan can no longer be confirmed even if this write fails.
     let _ = tables.transact(close).await;
     let failure = Failure::not_run(
         ErrorKind::Conflict,
--- a/crates/operate/src/plans/disruptions.rs
+++ b/crates/operate/src/plans/disruptions.rs
@@ -1,5 +1,5 @@
-//! The row of a service's disruptions in entry: read, extended and cleaned in the same transaction
-//! as the disruption itself, so that two controllers never spend the same budget.
+//! Row of a service's disruptions in flight. It is updated in the same transaction as the disruption
+//! itself, so that two controllers cannot use the same budget.
 
 use std::collections::BTreeSet;
 
@@ -12,10 +12,10 @@
 use crate::plans::store::encoded;
 use crate::snapshot::{decode, store_failure};
 
-/// Cause of a disruption by a controller's order to load.
+/// Cause recorded for a load order from a controller.
 pub const LOAD_CAUSE: &str = "load";
 
-/// A service's disruptions in entry, as read.
+/// Disruptions in flight of a service, with the revision that was read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceDisruptions {
     service: String,
@@ -25,7 +25,6 @@
 }
 
 impl ServiceDisruptions {
-    /// Reads the row of a service.
     pub async fn read(
         tables: &dyn TableStore,
         service: &str,
@@ -46,12 +45,11 @@
         })
     }
 
-    /// Disruptions in entry, for the budget.
     pub fn in_flight(&self) -> Vec<InFlight> {
         self.row.disruptions.iter().map(in_flight).collect()
     }
 
-    /// Forgets disruptions that were observed as done, or that timed out.
+    /// Removes disruptions that are finished or timed out.
     pub fn remove_settled(
         &mut self,
         observed: &BTreeSet<String>,
@@ -70,7 +68,6 @@
         self.changed |= self.row.disruptions.len() != before;
     }
 
-    /// Adds a disruption.
     pub fn add(&mut self, server: &str, zone: &str, cause: &str, now_unix_ms: u64) {
         self.row.disruptions.push(Disruption {
             server: server.to_owned(),
@@ -81,19 +78,19 @@
         self.changed = true;
     }
 
-    /// Servers that were ordered to take no new work.
+    /// Servers that were ordered to reject new work.
     pub fn closed(&self) -> BTreeSet<String> {
         self.row.closed.iter().cloned().collect()
     }
 
-    /// Replaces the servers that were ordered to take no new work.
+    /// Replaces the set of servers that were ordered to reject new work.
     pub fn set_closed(&mut self, closed: &BTreeSet<String>) {
         let next: Vec<String> = closed.iter().cloned().collect();
         self.changed |= next != self.row.closed;
         self.row.closed = next;
     }
 
-    /// Servers put out by a controller's own loads, each with the time, milliseconds since 1970.
+    /// Servers with a load order in flight, with its start time in Unix milliseconds.
     pub fn loads(&self) -> Vec<(String, u64)> {
         let loads = self
             .row
@@ -105,12 +102,11 @@
             .collect()
     }
 
-    /// Whether there is something to write.
     pub fn is_changed(&self) -> bool {
         self.changed
     }
 
-    /// Adds the row to a transaction that takes effect only when nobody else has changed it.
+    /// Adds the row to a transaction, on condition that it has not changed since it was read.
     #[must_use]
     pub fn write(&self, transaction: Transaction) -> Transaction {
         let key = keys::disruption(&self.service);
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -1,5 +1,5 @@
-//! One step of a confirmed drain: put out what the disruption budgets allow, follow what is on its
-//! way, and close the plan when nothing runs there any more.
+//! One step of a confirmed drain: starts draining the servers that the disruption budgets allow,
+//! updates the progress, and closes the plan once the servers are idle.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,26 +22,21 @@
 use crate::snapshot::{decode, store_failure};
 use crate::status::{FleetStatus, ServerStatus};
 
-/// Prefix of the drain rows of servers.
 const SERVER_DRAIN_PREFIX: &str = "config/drain/server/";
-/// Rows read in one call.
 const PAGE_SIZE: usize = 1_000;
-/// Time after which a drain counts as in force everywhere, milliseconds.
+/// Time after which all nodes are assumed to have applied a drain row.
 const PROPAGATION_MS: u64 = 3_000;
 
-/// What a step of a drain is decided from.
+/// Inputs of a drain step.
 pub struct DrainView<'a> {
-    /// The fleet as gathered.
     pub status: &'a FleetStatus,
-    /// Servers on which the engine says that nothing runs.
+    /// Servers whose engine reports no requests or is unreachable.
     pub idle: &'a BTreeSet<String>,
-    /// Settings.
     pub settings: &'a OperateSettings,
-    /// Wall-clock time, milliseconds since 1970.
     pub unix_ms: u64,
 }
 
-/// Drain rows of servers, by server.
+/// Reads the drain rows of individual servers, keyed by server.
 pub async fn server_drains(tables: &dyn TableStore) -> Result<BTreeMap<String, DrainRow>, Failure> {
     let mut drains = BTreeMap::new();
     let mut after = String::new();
@@ -61,18 +56,18 @@
     }
 }
 
-/// What a step came to.
+/// Result of a plan step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StepOutcome {
-    /// The plan moved: its row is now this one.
+    /// The plan row was updated to this value.
     Advanced(PlanRow),
     /// Nothing to write.
     Unchanged,
-    /// Somebody else wrote first; look again.
+    /// Another writer committed first; retry from the current rows.
     Contended,
 }
 
-/// Takes one step of a drain of servers.
+/// Executes one step of a server, hall or zone drain.
 pub async fn step(
     tables: &dyn TableStore,
     plan: &StoredPlan,
@@ -113,7 +108,7 @@
     ))
 }
 
-/// Where the servers of a drain stand, and which go out now.
+/// State of the servers of a drain, and the servers to drain in this step.
 struct DrainStep<'a> {
     target: &'a DrainTarget,
     view: &'a DrainView<'a>,
@@ -151,7 +146,7 @@
         next
     }
 
-    /// A drained server is done when the drain is in force and its engine runs nothing.
+    /// A server is done when its drain has propagated and its engine is idle.
     fn is_done(&self, server: &ServerStatus) -> bool {
         let Some(drain) = self.drains.get(&server.server) else {
             return false;
@@ -173,8 +168,8 @@
             .collect()
     }
 
-    /// A server that is out counts as unavailable until nothing runs there; then it is no longer
-    /// expected to serve.
+    /// Maps a server to its budget state: a draining server is unavailable until it is idle, and not
+    /// counted after that.
     fn replica(&self, server: &ServerStatus) -> Replica {
         let has_drain_row = self.drains.contains_key(&server.server);
         let drained_by_location = server.is_drained() && !has_drain_row;
@@ -268,7 +263,8 @@
         }
     }
 
-    /// A finished hall or zone gets one row, so that machines which come later are drained too.
+    /// Replaces the per-server rows of a finished hall or zone drain with one row, so that machines added
+    /// later are drained too.
     fn add_final_rows(&self, mut transaction: Transaction, plan: &str) -> Transaction {
         if self.target.kind == DrainKind::Server {
             return transaction;
@@ -338,7 +334,7 @@
     }
     match tables.transact(transaction).await {
         Ok(_) => Ok(StepOutcome::Advanced(row)),
-        // An ambiguous answer is resolved by the next look, which reads the rows again.
+        // The next step reads the rows again, which resolves an ambiguous result.
         Err(StoreError::Conflict { .. } | StoreError::Ambiguous { .. }) => {
             Ok(StepOutcome::Contended)
         }
--- a/crates/operate/src/plans/effects.rs
+++ b/crates/operate/src/plans/effects.rs
@@ -1,4 +1,4 @@
-//! What a plan does to capacity, requests in progress and deadlines, as far as it can be foreseen.
+//! Estimates the effects of a plan on capacity, requests in progress and batch deadlines.
 
 use std::collections::BTreeMap;
 
@@ -13,41 +13,33 @@
 use crate::plans::changes::drained_servers;
 use crate::status::{FleetStatus, ServerStatus};
 
-/// Expected time for the requests of a drained server to end, milliseconds.
+/// Expected time until a drained server is idle.
 const EXPECTED_DRAIN_MS: u64 = 15_000;
-/// Expected time for a configuration change to be in force everywhere, milliseconds.
+/// Expected time until all nodes have applied a configuration change.
 const EXPECTED_PROPAGATION_MS: u64 = 3_000;
 
-/// What planning knows besides the intent.
+/// Inputs of the estimate besides the intent.
 pub struct PlanningContext<'a> {
-    /// The fleet.
     pub status: &'a FleetStatus,
-    /// Budget of each service that the plan touches.
+    /// Disruption budget of each affected service.
     pub budgets: BTreeMap<String, Budget>,
-    /// Jobs.
     pub jobs: &'a [JobSummary],
-    /// Settings.
     pub settings: &'a OperateSettings,
-    /// Wall-clock time, seconds since 1970.
     pub now_unix_s: u64,
 }
 
-/// Foreseen effects of a plan.
+/// Estimated effects of a plan.
 #[derive(Debug, Clone, Default)]
 pub struct Effects {
-    /// Steps in order.
     pub steps: Vec<Step>,
-    /// Requests in progress on servers that it touches.
+    /// Requests in progress on the affected servers.
     pub requests: RequestsAffected,
-    /// Deadlines that it puts at risk.
+    /// Batch jobs that may miss their deadline.
     pub deadlines: Vec<JobAtRisk>,
-    /// Expected duration, milliseconds.
     pub expected_ms: u64,
-    /// What the operator should know.
     pub warnings: Vec<String>,
 }
 
-/// Foresees the effects of an intent.
 pub fn estimate_effects(intent: &Intent, context: &PlanningContext<'_>) -> Effects {
     let mut effects = match intent {
         Intent::Rollout(rollout) => rollout_effects(rollout, context),
@@ -72,7 +64,7 @@
     }
 }
 
-/// What the job takes: its items, and a share of the idle capacity competing the jobs that run.
+/// A batch job uses idle capacity only and shares it with the running jobs.
 fn batch_job_effects(job: &BatchJob, context: &PlanningContext<'_>) -> Effects {
     let known = context.jobs.iter().find(|line| line.job == job.job);
     let competing = context
@@ -241,8 +233,7 @@
     })
 }
 
-/// A plan that leaves a share of the serving capacity makes remaining batch work longer by that
-/// share, for as long as the capacity is away.
+/// Batch jobs that miss their deadline if all remaining work is slowed down by the lost capacity.
 fn deadlines(intent: &Intent, effects: &Effects, context: &PlanningContext<'_>) -> Vec<JobAtRisk> {
     let slowdown = slowdown(intent, effects, context);
     if slowdown <= 1.0 {
@@ -256,7 +247,7 @@
     at_risk
 }
 
-/// How much longer batch work takes at the narrowest step.
+/// Factor by which batch work slows down in the step with the least capacity.
 fn slowdown(intent: &Intent, effects: &Effects, context: &PlanningContext<'_>) -> f64 {
     if !matches!(intent, Intent::Rollout(_) | Intent::Drain(_)) {
         return 1.0;
@@ -294,7 +285,7 @@
     warnings
 }
 
-/// Services that have no server left after the drain.
+/// Warnings for services that have no serving server left after the drain.
 fn emptied_services(target: &DrainTarget, status: &FleetStatus) -> Vec<String> {
     let drained: Vec<&str> = drained_servers(target, status)
         .map(|server| server.server.as_str())
--- a/crates/operate/src/plans/mod.rs
+++ b/crates/operate/src/plans/mod.rs
@@ -1,8 +1,8 @@
-//! Plans: an intent becomes a plan that states what will happen; a confirmed plan acts.
+//! Plans: the proposed, confirmed and executed form of an intent.
 //!
-//! [`propose`] reads the rows that the plan rests on and states steps, capacity, deadlines at risk
+//! [`propose`] reads the rows that the plan depends on and computes steps, capacity, deadlines at risk
 //! and duration. [`confirm`] accepts it in one transaction that compares all those rows. [`runner`]
-//! carries out the steps that follow, within the disruption budgets.
+//! executes the steps within the disruption budgets.
 
 pub mod abort;
 pub mod body;
--- a/crates/operate/src/plans/propose.rs
+++ b/crates/operate/src/plans/propose.rs
@@ -1,4 +1,4 @@
-//! From an intent to a stored plan.
+//! Computes and stores a plan for an intent.
 
 use std::collections::BTreeMap;
 
@@ -22,22 +22,19 @@
 use crate::snapshot::{Snapshot, store_failure};
 use crate::status::FleetStatus;
 
-/// What a plan is made from besides the rows that it rests on.
+/// Inputs of a plan besides the rows that it depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct ProposalInputs<'a> {
-    /// Settings.
     pub settings: &'a OperateSettings,
-    /// The fleet as gathered.
     pub status: &'a FleetStatus,
-    /// Jobs that need capacity, and the one that the plan is for.
+    /// Jobs that need capacity, and the job that the plan is for.
     pub jobs: &'a [JobSummary],
-    /// Operator's name, as given.
+    /// Name given by the operator.
     pub operator: &'a str,
-    /// Wall-clock time, milliseconds since 1970.
     pub unix_ms: u64,
 }
 
-/// Makes a plan for an intent and stores it. Nothing else changes.
+/// Creates a plan for an intent and stores it. Writes no other row.
 pub async fn propose(
     tables: &dyn TableStore,
     intent: &Intent,
@@ -143,13 +140,13 @@
     row
 }
 
-/// An id that sorts by time: plans are listed and forgotten in the order in which they were made.
+/// Creates an id that sorts by creation time, which listing and cleanup rely on.
 fn new_id(unix_ms: u64) -> String {
     let random = Uuid::new_v4().simple().to_string();
     format!("{}{}", id_prefix_at(unix_ms), &random[..4])
 }
 
-/// Creates the row. A lost answer is resolved by reading back: nobody else knows the id.
+/// Creates the row. After any error the row is read back, and returned if it exists.
 async fn store(tables: &dyn TableStore, row: PlanRow) -> Result<StoredPlan, Failure> {
     let key = keys::plan(&PlanId::from(&row.id));
     let transaction = Transaction::default()
--- a/crates/operate/src/plans/runner.rs
+++ b/crates/operate/src/plans/runner.rs
@@ -1,5 +1,5 @@
-//! Carries out the steps of confirmed plans. One node of the fleet does it at a time; that two do it
-//! for a moment is harmless, since every step is one transaction that compares the plan's row.
+//! Executes the steps of confirmed plans. Usually one node does this; two at the same time are safe
+//! because every step is a transaction that compares the plan row.
 
 use std::collections::BTreeSet;
 
@@ -19,19 +19,16 @@
 use crate::snapshot::{decode, store_failure};
 use crate::status::FleetStatus;
 
-/// What a look at a plan is decided from.
+/// Inputs of a plan step.
 pub struct RunView<'a> {
-    /// The fleet as gathered.
     pub status: &'a FleetStatus,
-    /// Servers on which the engine says that nothing runs.
+    /// Servers whose engine reports no requests or is unreachable.
     pub idle: &'a BTreeSet<String>,
-    /// Settings.
     pub settings: &'a OperateSettings,
-    /// Wall-clock time, milliseconds since 1970.
     pub unix_ms: u64,
 }
 
-/// Looks at a running plan and takes its next step.
+/// Executes the next step of a running plan.
 pub async fn advance(
     tables: &dyn TableStore,
     id: &str,
@@ -67,7 +64,7 @@
     }
 }
 
-/// Takes a plan that is over out of the index of running plans.
+/// Removes a finished plan from the index of running plans.
 async fn remove_from_index(
     tables: &dyn TableStore,
     plan: &StoredPlan,
@@ -80,7 +77,7 @@
     }
 }
 
-/// A node's drain is one row; it is done when the node runs nothing or is gone.
+/// Writes the drain row of a node and waits until the node is idle or has left the cluster.
 async fn drain_node(
     tables: &dyn TableStore,
     plan: &StoredPlan,
@@ -125,7 +122,8 @@
     write_progress(tables, plan, progress, view).await
 }
 
-/// The service's controller places versions and judges canaries; this follows and closes the plan.
+/// Updates the progress of a rollout and closes its plan. The service's controller loads the versions
+/// and evaluates the canaries.
 async fn track_rollout(
     tables: &dyn TableStore,
     plan: &StoredPlan,
@@ -215,7 +213,7 @@
     write(tables, plan, row, Transaction::default()).await
 }
 
-/// Writes the plan's row, together with what the step changes.
+/// Writes the plan row together with the changes of the step.
 async fn write(
     tables: &dyn TableStore,
     plan: &StoredPlan,
--- a/crates/operate/src/plans/store.rs
+++ b/crates/operate/src/plans/store.rs
@@ -1,4 +1,4 @@
-//! Plan rows in the table service.
+//! Reads, lists and removes plan rows in the table store.
 
 use dappleyard_store::{Expect, Row, TableStore, Transaction};
 use dappleyard_wire::ids::PlanId;
@@ -13,32 +13,25 @@
 use crate::plans::body::{PlanBody, PlanDocument, Progress};
 use crate::snapshot::{decode, store_failure};
 
-/// Plans that may run at once.
+/// Limit on running plans read from the index.
 pub const MAX_RUNNING_PLANS: usize = 500;
 
-/// A plan as read, with the revision of its row.
+/// A plan row with its revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredPlan {
-    /// The row.
     pub row: PlanRow,
-    /// Its revision.
     pub revision: u64,
 }
 
-/// One plan on one line.
+/// Entry of a plan list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanSummary {
-    /// Plan id.
     pub id: String,
-    /// Kind of its intent.
     pub kind: String,
-    /// Phase.
     pub phase: String,
-    /// The plan in one phrase.
     pub summary: String,
-    /// What happened to it last.
+    /// Description of the last state change.
     pub message: String,
-    /// When it was made, milliseconds since 1970.
     pub created_unix_ms: u64,
 }
 
@@ -50,23 +43,23 @@
         })
     }
 
-    /// What the operator asked for.
+    /// Decodes the requested change.
     pub fn intent(&self) -> Result<Intent, Failure> {
         serde_json::from_str(&self.row.intent_json)
             .map_err(|error| unreadable(&self.row.id, &error))
     }
 
-    /// What the plan states.
+    /// Decodes the plan body.
     pub fn body(&self) -> Result<PlanBody, Failure> {
         serde_json::from_str(&self.row.body_json).map_err(|error| unreadable(&self.row.id, &error))
     }
 
-    /// How far it has come.
+    /// Decodes the progress; the default if there is none.
     pub fn progress(&self) -> Progress {
         serde_json::from_str(&self.row.progress_json).unwrap_or_default()
     }
 
-    /// The plan as operators get it.
+    /// The plan as returned by the admin API.
     pub fn document(&self) -> Result<PlanDocument, Failure> {
         Ok(PlanDocument {
             id: self.row.id.clone(),
@@ -82,7 +75,6 @@
         })
     }
 
-    /// The plan on one line.
     pub fn line(&self) -> PlanSummary {
         PlanSummary {
             id: self.row.id.clone(),
@@ -94,7 +86,7 @@
         }
     }
 
-    /// The row in another phase, with a message for operators.
+    /// Copy of the row with another phase and message.
     pub fn with_phase(&self, phase: PlanPhase, message: &str, unix_ms: u64) -> PlanRow {
         let mut row = self.row.clone();
         row.set_phase(phase);
@@ -111,7 +103,6 @@
     )
 }
 
-/// Reads a plan.
 pub async fn read_plan(tables: &dyn TableStore, id: &str) -> Result<StoredPlan, Failure> {
     let key = keys::plan(&PlanId::from(id));
     match tables.get(&key).await {
@@ -124,19 +115,17 @@
     }
 }
 
-/// Beginning of the ids of plans made at a time, milliseconds since 1970.
+/// Prefix of the ids of plans created at a Unix time in milliseconds.
 pub fn id_prefix_at(unix_ms: u64) -> String {
     format!("plan-{unix_ms:011x}")
 }
 
-/// Rows read in one call.
 const PAGE_SIZE: usize = 500;
-/// Most pages read for one list.
 const MAX_PAGES: usize = 20;
-/// Ages back to which a list looks until it has enough plans, milliseconds.
+/// Ages searched in turn until a list has enough plans.
 const LIST_WINDOWS_MS: [u64; 4] = [600_000, 3_600_000, 86_400_000, u64::MAX];
 
-/// Plans, newest first, at most `limit`. Ids sort by time, so that only the latest rows are read.
+/// Lists up to `limit` plans, newest first. Ids sort by time, so only recent rows are read.
 pub async fn list_plans(
     tables: &dyn TableStore,
     limit: usize,
@@ -173,8 +162,8 @@
     Ok(plans)
 }
 
-/// Removes plans that last changed before a time, milliseconds since 1970, and do not run; at most
-/// `limit` of them, oldest first. A plan that changes meanwhile stays.
+/// Removes plans that are not running and last changed before `before_unix_ms`. Considers the `limit`
+/// oldest plans; removes none of them if one changes concurrently.
 pub async fn remove_older(
     tables: &dyn TableStore,
     before_unix_ms: u64,
@@ -206,7 +195,6 @@
     Ok(removed)
 }
 
-/// Ids of the plans that run.
 pub async fn running_ids(tables: &dyn TableStore) -> Result<Vec<String>, Failure> {
     let rows = tables
         .range(ACTIVE_PLAN_PREFIX, "", MAX_RUNNING_PLANS)
@@ -219,7 +207,6 @@
         .collect())
 }
 
-/// The plans that run.
 pub async fn running_plans(tables: &dyn TableStore) -> Result<Vec<PlanSummary>, Failure> {
     let mut lines = Vec::new();
     for id in running_ids(tables).await? {
@@ -228,7 +215,6 @@
     Ok(lines)
 }
 
-/// A row's bytes.
 pub fn encoded(row: &impl Message) -> Vec<u8> {
     row.encode_to_vec()
 }
--- a/crates/operate/src/preferred.rs
+++ b/crates/operate/src/preferred.rs
@@ -1,11 +1,11 @@
-//! Which node does a thing that one node of the fleet should do. A preference, no authority: that two
-//! nodes think themselves preferred for a moment must be harmless.
+//! Chooses the node for work that one node of the fleet should do. This is not leader election: two
+//! nodes may both be preferred for a short time, which must be safe.
 
 use dappleyard_tables::NodeTables;
 use dappleyard_wire::hash::{hash_bytes, rendezvous_weight};
 use dappleyard_wire::messages::MemberState;
 
-/// Node that the rendezvous hash prefers for a resource among the live members that do not drain.
+/// Node chosen for a resource by rendezvous hashing among the alive members that are not draining.
 pub fn preferred_node(tables: &NodeTables, resource: &str) -> Option<String> {
     let key = hash_bytes(resource.as_bytes());
     let own_node = tables.identity.node.to_string();
@@ -20,7 +20,6 @@
         .max_by_key(|node| rendezvous_weight(key, node))
 }
 
-/// Whether this node is the preferred one for a resource.
 pub fn is_preferred(tables: &NodeTables, resource: &str) -> bool {
     preferred_node(tables, resource).is_some_and(|node| node == tables.identity.node.as_str())
 }
--- a/crates/operate/src/record.rs
+++ b/crates/operate/src/record.rs
@@ -1,15 +1,15 @@
-//! Decision records of this crate.
+//! Builder for decision records.
 
 use dappleyard_tables::NodeTables;
 use dappleyard_tables::decisions::{Decision, DecisionKind, Subject};
 
-/// A decision record in the making.
+/// Builder of a decision record.
 pub struct Record<'a> {
     tables: &'a NodeTables,
     decision: Decision,
 }
 
-/// Begins the record of a decision of this node.
+/// Starts a record of a decision made by this node.
 pub fn record(tables: &NodeTables, kind: DecisionKind, cause: impl Into<String>) -> Record<'_> {
     Record {
         decision: Decision {
@@ -26,14 +26,12 @@
 }
 
 impl Record<'_> {
-    /// Adds a subject.
     #[must_use]
     pub fn about(mut self, subject: Subject) -> Self {
         self.decision.subjects.push(subject);
         self
     }
 
-    /// Adds an input.
     #[must_use]
     pub fn input(mut self, name: &str, value: impl ToString) -> Self {
         self.decision
@@ -42,7 +40,7 @@
         self
     }
 
-    /// States the outcome and keeps the record.
+    /// Sets the outcome and stores the record.
     pub fn outcome(mut self, outcome: impl Into<String>) {
         self.decision.outcome = outcome.into();
         self.tables.decisions.record(self.decision);
--- a/crates/operate/src/regions.rs
+++ b/crates/operate/src/regions.rs
@@ -1,4 +1,5 @@
-//! Whether a change can be in force everywhere: regions tell in a freshness row that they follow.
+//! Checks that the affected regions can apply a change. Each region writes a freshness row while it
+//! follows the configuration.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +12,9 @@
 use crate::snapshot::{decode, store_failure};
 use crate::status::FleetStatus;
 
-/// Most regions read.
 const MAX_REGIONS: usize = 100;
 
-/// Regions that an intent touches. Services, tenants and windows are in force in every region.
+/// Regions affected by an intent. Changes to services, tenants and windows affect every region.
 pub fn affected_regions(intent: &Intent, status: &FleetStatus) -> Vec<String> {
     let mut regions: Vec<String> = match intent {
         Intent::Drain(target) | Intent::Undrain(target) if target.kind == DrainKind::Node => status
@@ -41,7 +41,7 @@
     regions
 }
 
-/// Refuses a change that touches a region whose freshness row is too old.
+/// Rejects a change that affects a region whose freshness row is too old or missing.
 pub async fn check_fresh(
     tables: &dyn TableStore,
     regions: &[String],
@@ -58,7 +58,7 @@
         let age_ms = now_unix_ms.saturating_sub(region.refreshed_unix_ms);
         ages.insert(region.region, age_ms);
     }
-    // Before the first region has written its row, nobody can tell.
+    // A missing row is accepted until the first region has written one.
     let any_region_reported = !ages.is_empty();
     for region in regions {
         match ages.get(region) {
--- a/crates/operate/src/snapshot.rs
+++ b/crates/operate/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Rows read from the table service for one decision, with the revisions that it rests on.
+//! Rows read from the table store for one decision, with their revisions.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use dappleyard_wire::{ErrorKind, Failure};
 use prost::Message;
 
-/// Rows as read, absent ones included.
+/// Rows that were read, including absent ones.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     rows: BTreeMap<String, Option<Row>>,
 }
 
 impl Snapshot {
-    /// Reads rows by key.
+    /// Reads rows by key, one at a time; not an atomic snapshot.
     pub async fn read(
         tables: &dyn TableStore,
         keys: impl IntoIterator<Item = String>,
@@ -41,7 +41,7 @@
         self.value(key).map(|value| decode(key, value)).transpose()
     }
 
-    /// What a transaction must expect for this snapshot to be still true.
+    /// Expectations under which this snapshot is still current.
     pub fn expectations(&self) -> impl Iterator<Item = (String, Expect)> {
         self.rows.iter().map(|(key, row)| {
             let expect = row
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The basis of a plan.
+    /// Keys and revisions as the basis of a plan.
     pub fn basis(&self) -> Vec<PlanBasis> {
         self.rows
             .iter()
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// Adds the expectation that nothing in this snapshot has changed.
+    /// Makes a transaction conditional on all rows being unchanged.
     pub fn guard(&self, transaction: Transaction) -> Transaction {
         self.expectations()
             .fold(transaction, |transaction, (key, expect)| {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reads a row's value as a message.
+/// Decodes a row's value as a message.
 pub fn decode<M: Message + Default>(key: &str, value: &[u8]) -> Result<M, Failure> {
     M::decode(value).map_err(|error| {
         Failure::not_run(
@@ -87,7 +87,7 @@
     })
 }
 
-/// What a failed store call means to an operator.
+/// Converts a store error to a failure with advice for the operator.
 pub fn store_failure(error: &StoreError) -> Failure {
     const RETRY_AFTER_MS: u32 = 1_000;
     match error {
--- a/crates/operate/src/start.rs
+++ b/crates/operate/src/start.rs
@@ -1,4 +1,4 @@
-//! The parts of this crate that run on a node's control arbiter.
+//! Background tasks of this crate on a node's control arbiter.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -27,19 +27,15 @@
 use crate::record::record;
 use crate::status::{FleetStatus, gather};
 
-/// What the controllers, the plan runner and the journal need.
+/// Dependencies of the controllers, the plan runner and the journal.
 pub struct OperateContext {
-    /// The node's tables.
     pub tables: Arc<NodeTables>,
-    /// Settings.
     pub settings: OperateSettings,
-    /// Platform, for the control arbiter.
     pub platform: Platform,
-    /// Engines, for the control arbiter.
     pub engine: Rc<dyn Engine>,
 }
 
-/// The running parts.
+/// Handle of the running tasks.
 pub struct OperateHandle {
     tasks: Vec<JoinHandle<()>>,
     journal: JoinHandle<()>,
@@ -48,7 +44,7 @@
 }
 
 impl OperateHandle {
-    /// Stops controllers and plan runner, and writes the last decision records.
+    /// Stops the tasks and writes the remaining decision records.
     pub async fn stop(self) {
         self.stopping.set(true);
         for task in &self.tasks {
@@ -85,12 +81,11 @@
     }
 }
 
-/// Time between two rounds of forgetting.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
-/// Most plans, and most journal objects, forgotten in one round.
+/// Limit on plans, and on journal objects, considered per cleanup round.
 const CLEANUP_BATCH: usize = 200;
 
-/// Removes plans and journal objects that are older than the retention, on one node of the fleet.
+/// Removes plans and journal objects older than the retention time, on the preferred node.
 async fn remove_expired(context: Rc<OperateContext>) {
     loop {
         tokio::time::sleep(CLEANUP_INTERVAL).await;
@@ -99,7 +94,7 @@
         }
         let retention_ms = context.settings.retention_s.saturating_mul(1_000);
         let before = context.tables.clock.unix_ms().saturating_sub(retention_ms);
-        // What fails is tried again in the next round.
+        // Errors are ignored; the next round retries.
         let _ = remove_older(&*context.platform.tables, before, CLEANUP_BATCH).await;
         let _ = journal::remove_older(&*context.platform.objects, before, CLEANUP_BATCH).await;
     }
@@ -165,7 +160,7 @@
     }
 }
 
-/// Drained servers whose engine runs nothing, or is gone.
+/// Drained servers whose engine reports no requests or is unreachable.
 async fn idle_servers(context: &OperateContext, status: &FleetStatus) -> BTreeSet<String> {
     let drained = status.servers.iter().filter(|server| server.is_drained());
     let checks = drained.map(|server| async {
@@ -197,7 +192,7 @@
     let objects = &*context.platform.objects;
     while !stopping.get() && *context.tables.lifecycle.borrow() != Lifecycle::Stopped {
         let _ = tokio::time::timeout(interval, wake.notified()).await;
-        // A failed write is tried again with the next one.
+        // A failed write is retried with the next one.
         let written = journal
             .write_if_due(objects, context.settings.journal_interval_ms)
             .await;
--- a/crates/operate/src/status.rs
+++ b/crates/operate/src/status.rs
@@ -1,4 +1,4 @@
-//! The fleet at a glance: nodes, servers, load, the revision in force, running plans, jobs at risk.
+//! Fleet status: nodes, servers, load, configuration revision, running plans and jobs at risk.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,104 +14,88 @@
 use crate::peers::Peers;
 use crate::plans::store::{PlanSummary, running_plans};
 
-/// The fleet as one node gathered it.
+/// Fleet status as collected by one node.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// Node that gathered it.
+    /// Node that collected the status.
     pub observed_by: String,
-    /// When, milliseconds since 1970.
     pub unix_ms: u64,
-    /// Nodes.
     pub nodes: Vec<NodeStatus>,
-    /// Servers.
     pub servers: Vec<ServerStatus>,
-    /// Configuration in force.
     pub revision: RevisionInForce,
-    /// Plans that run.
+    /// Running plans.
     pub plans: Vec<PlanSummary>,
-    /// Jobs whose deadline is at risk.
     pub jobs_at_risk: Vec<JobAtRisk>,
-    /// What could not be learnt, in words.
+    /// Information that could not be obtained.
     pub unknown: Vec<String>,
 }
 
-/// A node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Node id.
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
-    /// `alive`, `suspect`, `dead` or `left`, as membership has it.
+    /// Membership state: `alive`, `suspect`, `dead` or `left`.
     pub member: String,
-    /// Life cycle by its own word; empty when it did not answer.
+    /// Lifecycle reported by the node; empty if it did not respond.
     pub lifecycle: String,
-    /// Configuration revision in force on it.
+    /// Configuration revision in force on the node.
     pub revision: u64,
-    /// Servers that it owns.
+    /// Number of servers owned by the node.
     pub servers: usize,
-    /// Sequences in flight from it.
+    /// Number of sequences in flight from the node.
     pub busy: usize,
-    /// Address of its operators' interface.
+    /// Address of its admin API.
     pub admin_address: String,
 }
 
-/// A server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Server id.
     pub server: String,
-    /// Service.
     pub service: String,
-    /// Region.
     pub region: String,
-    /// Zone.
     pub zone: String,
-    /// Hall.
     pub hall: String,
-    /// Node that owns it; empty for none.
+    /// Node that owns the server; empty if none.
     pub owner: String,
     /// `serving`, `loading`, `empty`, `withdrawn`, `drained`, `leaving` or `unknown`.
     pub state: String,
-    /// Why it is in this state, where there is something to say.
+    /// Reason for the state; may be empty.
     pub reason: String,
-    /// What its owner reports; `None` when the owner did not answer.
+    /// Report of the owner; `None` if there is none.
     pub live: Option<LocalServer>,
 }
 
 impl ServerStatus {
-    /// Whether it takes new work, as far as is known.
     pub fn serves(&self) -> bool {
         self.state == "serving"
     }
 
-    /// Whether a drain names it, its hall or its zone.
+    /// Whether the server, its hall or its zone is drained.
     pub fn is_drained(&self) -> bool {
         self.state == "drained"
     }
 
-    /// Version loaded; empty when none is known.
+    /// Loaded version; empty if unknown.
     pub fn version(&self) -> &str {
         self.live.as_ref().map_or("", |live| live.version.as_str())
     }
 }
 
-/// How far the last configuration revision has come.
+/// Propagation of the latest configuration revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionInForce {
-    /// Greatest revision seen on a node.
+    /// Highest revision in force on any live node.
     pub revision: u64,
-    /// Live nodes that have it in force.
+    /// Number of live nodes with that revision.
     pub in_force: usize,
-    /// Live nodes.
+    /// Number of live nodes.
     pub nodes: usize,
-    /// Live nodes that are behind.
+    /// Live nodes with an older revision.
     pub lagging: Vec<String>,
 }
 
-/// Gathers nodes, servers and the revision in force. Peers that do not answer are named in
+/// Collects nodes, servers and the revision in force. Peers that do not respond are listed in
 /// `unknown`.
 pub async fn gather(tables: &Arc<NodeTables>, peers: &Peers) -> FleetStatus {
     let responses = peers.query::<LocalReport>("/admin/v1/local").await;
@@ -123,7 +107,7 @@
     }
 }
 
-/// What this node knows without asking anybody: members, the machine list and its own servers.
+/// Status from this node's tables alone: members, the machine list and its own servers.
 pub fn local_status(tables: &NodeTables) -> FleetStatus {
     assemble(tables, Vec::new())
 }
@@ -146,7 +130,7 @@
     }
 }
 
-/// Adds plans that run and jobs at risk, from the table service. Gives the active jobs.
+/// Adds running plans and jobs at risk from the table store. Returns the active jobs.
 pub async fn add_plans_and_jobs(
     status: &mut FleetStatus,
     platform: &Platform,
@@ -168,7 +152,6 @@
     }
 }
 
-/// Name of a member's state in responses.
 pub const fn member_name(state: MemberState) -> &'static str {
     match state {
         MemberState::MemberAlive => "alive",
--- a/crates/operate/src/subject_state.rs
+++ b/crates/operate/src/subject_state.rs
@@ -1,4 +1,4 @@
-//! How a subject of an explanation stands now, from rows and from this node's tables, in description.
+//! Describes the current state of an explained subject from stored rows and this node's tables.
 
 use dappleyard_store::{Platform, StoreError};
 use dappleyard_tables::NodeTables;
@@ -11,7 +11,7 @@
 use crate::plans::store::read_plan;
 use crate::status::member_name;
 
-/// Sentences about the subject's state, and what could not be learnt.
+/// Returns sentences about the state, and errors for what could not be read.
 pub async fn describe_state(
     tables: &NodeTables,
     platform: &Platform,
--- a/crates/operate/tests/confirm.rs
+++ b/crates/operate/tests/confirm.rs
@@ -1,4 +1,4 @@
-//! Plans and their confirmation: conflicts, lost answers, chains of configuration, regions.
+//! Plan confirmation: conflicts, lost responses, the configuration chain, regions.
 
 mod support;
 
@@ -142,7 +142,7 @@
         expect_that!(accepted.row.phase(), eq(PlanPhase::PlanDone));
         let tenant: TenantRow = row(&store, &keys::tenant("yard")).or_fail()?;
         expect_that!(tenant.requests_per_s, eq(5.0));
-        // Platform row, plan row, and one confirmation: it was not applied twice.
+        // Service row, plan row and one confirmation, which was not applied twice.
         expect_that!(store.transactions(), eq(3));
     }
     Ok(())
--- a/crates/operate/tests/controllers.rs
+++ b/crates/operate/tests/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: loads, canaries and roll back, fencing of a paused one, drains at the engine.
+//! Controllers: loads, canary promotion and rollback, fencing, drain orders to engines.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use googletest::prelude::*;
 use support::{FakeEngines, NOW_MS, SERVICE, entry, platform, proposed, put, rollout, row, status};
 
-/// One node's controllers over shared platform and engines.
+/// Controllers of one node; platform and engines are shared between nodes.
 struct Node {
     tables: Arc<NodeTables>,
     controllers: Controllers,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Puts the platform's configuration in force on this node, as the fleet part does.
+    /// Applies the stored configuration to this node, as the configuration watcher does.
     fn follow(&self, store: &MemoryPlatform) {
         let mut state = self.tables.configuration.snapshot();
         state.revision = store.revision();
@@ -64,7 +64,7 @@
         self.stale_round(store, engines).await;
     }
 
-    /// A round under the configuration that this node knows already.
+    /// Runs a round without updating the node's configuration.
     async fn stale_round(&mut self, store: &MemoryPlatform, engines: &FakeEngines) {
         let deps = ReconcilerDeps {
             tables: &self.tables,
@@ -130,7 +130,7 @@
         engines.finish_loads();
     }
     expect_that!(engines.versions(), each(eq("v2")));
-    // One server of each of two zones at once.
+    // The default budget allows one unavailable server in each of the two zones.
     expect_that!(most, le(2));
     let service: ServiceRow = row(&store, &keys::service(SERVICE)).or_fail()?;
     expect_that!(service.version, eq("v2"));
@@ -224,9 +224,9 @@
     paused.round(&store, &engines).await;
     engines.finish_loads();
     let mut successor = Node::new("node-2", 2);
-    // The pause was longer than any disruption in flight is remembered.
+    // Disruptions in flight of the suspended controller have timed out.
     successor.settings.disruption_timeout_ms = 0;
-    // The version changes while the first controller sleeps, and the second takes over.
+    // The version changes while the first controller is suspended and the second takes over.
     let mut next = support::service_row();
     next.version = "v3".to_owned();
     put(&store, keys::service(SERVICE), &next).await;
@@ -260,7 +260,7 @@
     let store = platform().await;
     let engines = FakeEngines::new(2, "v1");
     let mut node = Node::new("node-1", 2);
-    // Server 1 takes no new work for a reason of its own and must never be opened.
+    // Server 1 rejects new work for another reason and must never be opened.
     engines.with(1, |server| server.accepting = false);
     node.round(&store, &engines).await;
     let drain = DrainRow {
@@ -274,7 +274,7 @@
     store
         .transact_now(Transaction::default().delete(keys::drain("server", "s0")))
         .await;
-    // A new controller knows from the store which servers were closed.
+    // A new controller reads from the store which servers were closed.
     let mut successor = Node::new("node-2", 2);
     successor.rounds(3, &store, &engines).await;
     expect_that!(engines.with(0, |server| server.accepting), eq(true));
@@ -307,7 +307,6 @@
     );
 }
 
-/// A transaction that must succeed.
 trait TransactNow {
     async fn transact_now(&self, transaction: Transaction);
 }
--- a/crates/operate/tests/drains.rs
+++ b/crates/operate/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Confirmed drains: steps within the budget, in-flight disruptions, undrain, nodes.
+//! Confirmed drains: disruption budget, disruptions in flight, undrain, node drains.
 
 mod support;
 
@@ -18,7 +18,7 @@
 use googletest::prelude::*;
 use support::{NOW_MS, SERVICE, drain, platform, proposed, put, status};
 
-/// A fleet whose view follows the store, later than the store by as much as the test wants.
+/// A fleet whose status lags behind the store until [`Fleet::settle`].
 struct Fleet {
     store: MemoryPlatform,
     status: FleetStatus,
@@ -67,7 +67,7 @@
             .collect()
     }
 
-    /// The view catches up with the store, and drained servers run out of work.
+    /// Updates the status from the store and marks drained servers as idle.
     fn settle(&mut self) {
         self.unix_ms += 5_000;
         for server in &mut self.status.servers {
@@ -88,7 +88,7 @@
     expect_that!(plan.body()?.steps, len(eq(3)));
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
-    // The lagging view does not show the drain yet: the disruption in flight counts all the same.
+    // The status does not show the drain yet, but the disruption in flight counts.
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
     fleet.settle();
@@ -116,7 +116,7 @@
     fleet.advance(&plan).await?;
     fleet.settle();
     fleet.idle.clear();
-    // Longer than the timeout of disruptions in flight: the view shows it as unavailable by now.
+    // The disruption in flight has timed out, but the status shows the server as unavailable.
     fleet.unix_ms += 60_000;
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
@@ -156,7 +156,7 @@
     let plan = fleet.confirmed(&drain(DrainKind::Server, "s0")).await?;
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
-    // A healthy one of the same zone has to wait: the zone has one unavailable already.
+    // A healthy server of the same zone must wait: one is unavailable already.
     let other = fleet.confirmed(&drain(DrainKind::Server, "s2")).await?;
     fleet.advance(&other).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
--- a/crates/operate/tests/explanations.rs
+++ b/crates/operate/tests/explanations.rs
@@ -1,4 +1,4 @@
-//! Explanations, the journal, and the operators' interface over HTTP.
+//! Explanations, the journal and the admin API over HTTP.
 
 mod support;
 
@@ -33,12 +33,11 @@
     });
 }
 
-/// Admin server of a node; its address.
 fn serve(tables: &Arc<NodeTables>, store: &MemoryPlatform) -> actix_test_server::Server {
     actix_test_server::start(tables.clone(), store.clone())
 }
 
-/// An admin server on a free port, as the node mounts it.
+/// Admin server on a free port.
 mod actix_test_server {
     use super::*;
     use actix_web::HttpServer;
@@ -164,7 +163,7 @@
     let tables = support::tables("node-1", 7);
     let mut journal = Journal::new(tables.clone(), 2);
     for number in 0..4 {
-        // Every second one is a new start of the node, which takes over the objects of the last.
+        // Simulates a restart, after which the journal must adopt the existing objects.
         if number == 2 {
             journal = Journal::new(tables.clone(), 2);
         }
@@ -211,7 +210,7 @@
         contains_substring("canary v2 on 25 %")
     );
     expect_that!(plan.body.steps, not(is_empty()));
-    // The lost answer of the confirmation is resolved by the node.
+    // The node resolves the lost response of the confirmation.
     store.fail_transactions([Some(Fault::LostAfterEffect)]);
     let path = format!("/admin/v1/plans/{}/confirm", plan.id);
     let call = test::TestRequest::post().uri(&path);
--- a/crates/operate/tests/support/mod.rs
+++ b/crates/operate/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet in memory: tables, platform and engines, without sockets.
+//! In-memory fleet for tests: tables, platform and engines, without sockets.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -36,7 +36,7 @@
     })
 }
 
-/// Server `s{n}` of the zones `howrah` and `haldia` in turn.
+/// Server `s{n}`; even numbers are in zone `howrah`, odd ones in `haldia`.
 pub fn entry(number: usize) -> ServerEntry {
     let zone = if number.is_multiple_of(2) {
         "howrah"
@@ -93,7 +93,7 @@
         .expect("the memory platform writes");
 }
 
-/// A platform with the service's row.
+/// Platform that contains only the service row.
 pub async fn platform() -> MemoryPlatform {
     let store = MemoryPlatform::default();
     put(&store, keys::service(SERVICE), &service_row()).await;
@@ -148,11 +148,11 @@
     pub running: u32,
     pub adapters: Vec<String>,
     pub down: bool,
-    /// Version that is being loaded until `finish_loads`.
+    /// Version being loaded until `finish_loads`.
     pub loading: String,
 }
 
-/// Engines in memory; loads end when the test says so.
+/// In-memory engines; loads complete in `finish_loads`.
 #[derive(Clone, Default)]
 pub struct FakeEngines {
     servers: Rc<RefCell<BTreeMap<String, FakeServer>>>,
