--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -18,7 +18,7 @@
     Usage { message: String },
     /// No node could be reached.
     #[display(
-        "no node answered:\n{}\nName a node's admin address with --admin HOST:PORT, or see whether the nodes run.",
+        "no node answered:\n{}\nPass a node's admin address with --admin HOST:PORT, or check that the nodes are running.",
         attempts.join("\n")
     )]
     Unreachable {
@@ -27,7 +27,7 @@
     },
     /// The response could not be decoded.
     #[display(
-        "{address} gave an answer that is not understood: {cause}. Use a ctl of the fleet's version."
+        "{address} sent a response that cannot be decoded: {cause}. Use a ctl of the fleet's version."
     )]
     InvalidResponse { address: String, cause: String },
     /// The node returned an error response.
@@ -37,7 +37,9 @@
         detail: Box<ErrorDetail>,
     },
     /// The followed plan did not succeed.
-    #[display("plan {plan} is {phase}: {message}. `dappleyard ctl explain plan {plan}` says more.")]
+    #[display(
+        "plan {plan} is {phase}: {message}. `dappleyard ctl explain plan {plan}` shows details."
+    )]
     PlanNotDone {
         plan: String,
         phase: String,
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -20,24 +20,24 @@
 /// Returns the `ctl` subcommand.
 pub fn command() -> Command {
     Command::new("ctl")
-        .about("Look at the fleet, plan changes and confirm them")
+        .about("Inspect the fleet, plan changes and confirm them")
         .after_help(EXAMPLES)
         .subcommand_required(true)
         .arg_required_else_help(true)
         .args(global_arguments())
-        .subcommand(Command::new("status").about("The fleet at a glance"))
+        .subcommand(Command::new("status").about("Show the fleet status"))
         .subcommand(watch())
         .subcommand(plan())
         .subcommand(
             Command::new("confirm")
-                .about("Let a plan act")
+                .about("Confirm a plan")
                 .after_help("Example: dappleyard ctl confirm plan-1f0c2a9be4 --wait")
                 .arg(plan_id())
                 .arg(wait()),
         )
         .subcommand(
             Command::new("abort")
-                .about("Close a plan, or stop it where it is")
+                .about("Abort a proposed or running plan")
                 .arg(plan_id()),
         )
         .subcommand(get())
@@ -68,20 +68,20 @@
             .global(true)
             .value_parser(PossibleValuesParser::new(["table", "json"]))
             .default_value("table")
-            .help("Tables for people, JSON for programs"),
+            .help("Output format"),
         Arg::new("operator")
             .long("operator")
             .global(true)
             .value_name("NAME")
             .default_value("ctl")
-            .help("Name kept with the plans that you make"),
+            .help("Operator name recorded with the plans"),
         Arg::new("timeout-ms")
             .long("timeout-ms")
             .global(true)
             .value_name("MS")
             .value_parser(value_parser!(u64).range(1..))
             .default_value("10000")
-            .help("Longest wait for one answer, milliseconds"),
+            .help("Timeout of a request in milliseconds"),
     ]
 }
 
@@ -96,44 +96,44 @@
     Arg::new("wait")
         .long("wait")
         .action(ArgAction::SetTrue)
-        .help("Follow the plan until it is over")
+        .help("Follow the plan until it ends")
 }
 
 fn confirm_now() -> Arg {
     Arg::new("confirm")
         .long("confirm")
         .action(ArgAction::SetTrue)
-        .help("Confirm the plan at once, and follow it")
+        .help("Confirm the plan immediately and follow it")
 }
 
 fn watch() -> Command {
     Command::new("watch")
-        .about("Follow the fleet, or one plan until it is over")
+        .about("Follow the fleet, or one plan until it ends")
         .after_help("Examples:\n  dappleyard ctl watch\n  dappleyard ctl watch plan-1f0c2a9be4")
         .arg(
             Arg::new("plan")
                 .value_name("PLAN")
-                .help("Plan id; left out: the fleet"),
+                .help("Plan id; the fleet if omitted"),
         )
         .arg(
             Arg::new("interval-ms")
                 .long("interval-ms")
                 .value_parser(value_parser!(u64).range(100..))
                 .default_value("1000")
-                .help("Time between two looks, milliseconds"),
+                .help("Interval between updates in milliseconds"),
         )
         .arg(
             Arg::new("count")
                 .long("count")
                 .value_parser(value_parser!(u64))
                 .default_value("0")
-                .help("Looks before it ends; 0 for no end"),
+                .help("Number of updates; 0 for no limit"),
         )
 }
 
 fn plan() -> Command {
     Command::new("plan")
-        .about("Say what an intent would do; nothing acts before `confirm`")
+        .about("Plan a change; nothing is executed before `confirm`")
         .after_help(
             "Examples:\n  dappleyard ctl plan rollout fittings-llm v8\n  dappleyard ctl plan drain server howrah-hall-s3\n  dappleyard ctl plan tenant yard-counter --requests-per-s 50\n  dappleyard ctl plan window dispatch --service yard-assist --start 17:30 --end 20:00 --warm-before-s 600",
         )
@@ -141,16 +141,16 @@
         .arg_required_else_help(true)
         .subcommand(rollout())
         .subcommand(drain_command("drain", "Take servers or a node out of service"))
-        .subcommand(drain_command("undrain", "Take drained servers or a node back"))
+        .subcommand(drain_command("undrain", "Return drained servers or a node to service"))
         .subcommand(tenant())
         .subcommand(window())
         .subcommand(
             Command::new("remove-window")
-                .about("Withdraw a demand window")
+                .about("Remove a demand window")
                 .arg(Arg::new("name").required(true)),
         )
         .subcommand(model_set())
-        .subcommand(batch_job("batch-job", "Let a planned batch job run"))
+        .subcommand(batch_job("batch-job", "Approve a planned batch job"))
         .subcommand(
             Command::new("json")
                 .about("An intent as JSON, as documented in docs/operate/plans.md")
@@ -160,7 +160,7 @@
 
 fn rollout() -> Command {
     Command::new("rollout")
-        .about("Bring a new version to all servers of a service, canaries first")
+        .about("Roll out a new version to all servers of a service, canaries first")
         .after_help("Example: dappleyard ctl rollout fittings-llm v8 --canary-percent 20 --confirm")
         .arg(Arg::new("service").required(true).help("Service"))
         .arg(Arg::new("version").required(true).help("New version"))
@@ -169,7 +169,7 @@
                 .long("canary-percent")
                 .value_parser(value_parser!(u32).range(1..=100))
                 .default_value("10")
-                .help("Share of servers that get it first"),
+                .help("Percentage of servers that load it first"),
         )
 }
 
@@ -204,23 +204,23 @@
 
 fn tenant() -> Command {
     Command::new("tenant")
-        .about("Limits and standing approvals of a tenant; what is left out stays")
+        .about("Set limits and standing approvals of a tenant; omitted values are kept")
         .arg(Arg::new("name").required(true))
         .arg(rate(
             "requests-per-s",
-            "Requests a second in the whole fleet; 0 lifts the limit",
+            "Requests per second in the whole fleet; 0 for no limit",
         ))
-        .arg(rate("requests-burst", "Requests at once above that rate"))
+        .arg(rate("requests-burst", "Burst size"))
         .arg(
             Arg::new("concurrent-tokens")
                 .long("concurrent-tokens")
                 .value_name("N")
                 .value_parser(value_parser!(u64))
-                .help("Tokens of all requests in progress; 0 lifts the limit"),
+                .help("Tokens of all requests in progress; 0 for no limit"),
         )
         .arg(number(
             "batch-weight",
-            "Share of batch work relative to other tenants",
+            "Weight in fair sharing of batch capacity",
         ))
         .arg(number(
             "standing-batch-items",
@@ -230,7 +230,7 @@
 
 fn window() -> Command {
     Command::new("window")
-        .about("Declare a demand window: batch shrinks, models are warm before it")
+        .about("Declare a demand window: batch work is reduced, models are loaded in advance")
         .arg(Arg::new("name").required(true))
         .arg(Arg::new("service").long("service").required(true))
         .arg(
@@ -255,17 +255,17 @@
         )
         .arg(number(
             "batch-percent",
-            "Batch width during the window, percent [default: 0]",
+            "Batch concurrency during the window, percent of normal [default: 0]",
         ))
         .arg(number(
             "warm-before-s",
-            "Load models this long before, seconds [default: 0]",
+            "Time before the start at which models are loaded, seconds [default: 0]",
         ))
 }
 
 fn model_set() -> Command {
     Command::new("model-set")
-        .about("Create or change a service; what is left out stays")
+        .about("Create or change a service; omitted values are kept")
         .arg(Arg::new("service").required(true))
         .arg(
             Arg::new("version")
@@ -278,21 +278,30 @@
                 .action(ArgAction::Append)
                 .help("Adapter that each server loads; may be repeated"),
         )
-        .arg(number("replicas", "Servers that carry it; 0 for all"))
+        .arg(number(
+            "replicas",
+            "Number of servers that load it; 0 for all",
+        ))
         .arg(number(
             "online-slowdown-percent",
-            "How much slower online steps may become",
+            "Allowed slowdown of online steps, percent",
         ))
         .arg(number(
             "max-unavailable-zone",
-            "Servers of a zone that may be out at once",
+            "Limit on unavailable servers per zone",
         ))
         .arg(number(
             "max-unavailable-total",
-            "Servers that may be out at once",
+            "Limit on unavailable servers in total",
+        ))
+        .arg(number(
+            "max-prompt-tokens",
+            "Maximum prompt length in tokens",
+        ))
+        .arg(number(
+            "max-output-tokens",
+            "Maximum output length in tokens",
         ))
-        .arg(number("max-prompt-tokens", "Longest prompt"))
-        .arg(number("max-output-tokens", "Longest answer"))
 }
 
 fn batch_job(name: &'static str, about: &'static str) -> Command {
@@ -311,15 +320,15 @@
         .subcommand(Command::new("list").about("All jobs"))
         .subcommand(
             Command::new("explain")
-                .about("What was decided about a job, and why")
+                .about("Explain the decisions about a job")
                 .arg(Arg::new("job").required(true)),
         )
-        .subcommand(batch_job("plan", "Plan to let a job run that waits for a confirmation"))
+        .subcommand(batch_job("plan", "Plan the approval of a job that needs confirmation"))
 }
 
 fn get() -> Command {
     Command::new("get")
-        .about("Rows as they are")
+        .about("Show current state")
         .after_help(
             "Examples:\n  dappleyard ctl get plans\n  dappleyard ctl get plan plan-1f0c2a9be4",
         )
@@ -328,15 +337,17 @@
         .subcommand(Command::new("plans").about("Plans, newest first"))
         .subcommand(Command::new("plan").about("One plan").arg(plan_id()))
         .subcommand(Command::new("servers").about("Servers"))
-        .subcommand(Command::new("nodes").about("Nodes as the asked one believes them to be"))
-        .subcommand(Command::new("configuration").about("Configuration in force on the asked node"))
+        .subcommand(Command::new("nodes").about("Nodes known to the queried node"))
+        .subcommand(
+            Command::new("configuration").about("Configuration in force on the queried node"),
+        )
         .subcommand(Command::new("jobs").about("Batch jobs"))
-        .subcommand(Command::new("decisions").about("Latest decision records of the asked node"))
+        .subcommand(Command::new("decisions").about("Latest decision records of the queried node"))
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("What was decided about a subject, why, and from which inputs")
+        .about("Explain the decisions about a subject, with causes and inputs")
         .after_help("Examples:\n  dappleyard ctl explain server howrah-hall-s3\n  dappleyard ctl explain request 5f0c...")
         .arg(
             Arg::new("kind")
--- a/crates/ctl/src/intents.rs
+++ b/crates/ctl/src/intents.rs
@@ -38,8 +38,8 @@
         "model-set" => Intent::ModelSet(model_set(matches)),
         "batch-job" => Intent::BatchJob(batch_job(matches)),
         "json" => serde_json::from_str(&text(matches, "intent"))
-            .map_err(|error| usage(format!("the intent is not as expected: {error}")))?,
-        other => return Err(usage(format!("there is no intent {other}"))),
+            .map_err(|error| usage(format!("invalid intent: {error}")))?,
+        other => return Err(usage(format!("unknown intent {other}"))),
     })
 }
 
@@ -97,7 +97,11 @@
 }
 
 fn seconds_after_midnight(text: &str) -> Result<u32, CtlError> {
-    let invalid_time = || usage(format!("{text} is no time of day; write HH:MM, as 17:30"));
+    let invalid_time = || {
+        usage(format!(
+            "{text} is not a time of day; expected HH:MM, such as 17:30"
+        ))
+    };
     let (hours, minutes) = text.split_once(':').ok_or_else(invalid_time)?;
     let hours: u32 = hours.parse().map_err(|_| invalid_time())?;
     let minutes: u32 = minutes.parse().map_err(|_| invalid_time())?;
@@ -111,7 +115,7 @@
     let mut bits = 0;
     for name in text.split(',') {
         let day = DAYS.iter().position(|day| *day == name.trim());
-        let day = day.ok_or_else(|| usage(format!("{name} is no day; write mon,tue,...")))?;
+        let day = day.ok_or_else(|| usage(format!("{name} is not a day; expected mon,tue,...")))?;
         bits |= 1 << day;
     }
     Ok(bits)
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -122,7 +122,7 @@
 
 fn no_command() -> CtlError {
     CtlError::Usage {
-        message: "name a command".to_owned(),
+        message: "missing command".to_owned(),
     }
 }
 
@@ -139,7 +139,7 @@
 pub fn print_json(value: &impl Serialize) {
     match serde_json::to_string(value) {
         Ok(json) => println!("{json}"),
-        Err(error) => eprintln!("the answer cannot be shown as JSON: {error}"),
+        Err(error) => eprintln!("cannot encode the response as JSON: {error}"),
     }
 }
 
@@ -206,7 +206,7 @@
     } else if arguments.get_flag("wait") {
         return Err(CtlError::Usage {
             message: format!(
-                "the plan waits for `dappleyard ctl confirm {}`; --wait needs --confirm",
+                "the plan is not confirmed: run `dappleyard ctl confirm {}`; --wait requires --confirm",
                 plan.id
             ),
         });
--- a/crates/ctl/src/tables.rs
+++ b/crates/ctl/src/tables.rs
@@ -65,7 +65,7 @@
     parts.push(zones(status).to_string());
     parts.push(services(status).to_string());
     if !status.plans.is_empty() {
-        parts.push(format!("plans that run\n{}", plans(&status.plans)));
+        parts.push(format!("running plans\n{}", plans(&status.plans)));
     }
     if !status.jobs_at_risk.is_empty() {
         parts.push(format!("jobs at risk\n{}", jobs_at_risk(status)));
@@ -77,7 +77,7 @@
             .map(|cause| format!("unknown: {cause}")),
     );
     parts.push(format!(
-        "seen by {} at {} UTC",
+        "collected by {} at {} UTC",
         status.observed_by,
         time_of_day(status.unix_ms)
     ));
@@ -207,9 +207,9 @@
             .iter()
             .map(|warning| format!("warning: {warning}")),
     );
-    parts.push(format!("rests on {} rows", body.basis.len()));
+    parts.push(format!("depends on {} rows", body.basis.len()));
     if plan.phase == "proposed" {
-        parts.push(format!("to let it act: dappleyard ctl confirm {}", plan.id));
+        parts.push(format!("to execute it: dappleyard ctl confirm {}", plan.id));
     } else {
         parts.push(progress(plan));
     }
@@ -293,7 +293,13 @@
 
 pub fn nodes(nodes: &[NodeStatus]) -> Table {
     let mut table = table(&[
-        "node", "zone", "member", "life", "revision", "servers", "admin",
+        "node",
+        "zone",
+        "member",
+        "lifecycle",
+        "revision",
+        "servers",
+        "admin",
     ]);
     for node in nodes {
         table.add_row([
@@ -310,7 +316,7 @@
 }
 
 pub fn configuration(answer: &ConfigurationBody) -> String {
-    let mut table = table(&["row", "what it says"]);
+    let mut table = table(&["row", "value"]);
     for row in &answer.rows {
         table.add_row([&row.key, &row.words]);
     }
@@ -346,7 +352,7 @@
             .map(|words| format!("  now: {words}")),
     );
     if !explanation.events.is_empty() {
-        let mut table = table(&["time (UTC)", "node", "what and why", "inputs"]);
+        let mut table = table(&["time (UTC)", "node", "decision", "inputs"]);
         for event in &explanation.events {
             let inputs: Vec<String> = event
                 .inputs
--- a/crates/operate/src/controller/mod.rs
+++ b/crates/operate/src/controller/mod.rs
@@ -124,16 +124,16 @@
         record(
             deps.tables,
             DecisionKind::Fenced,
-            "another controller raised the service's epoch",
+            "another controller incremented the service's epoch",
         )
         .about(Subject::Service(service.to_owned()))
-        .outcome("this controller gave the service up; its orders and writes were refused");
+        .outcome("this controller released the service; its orders and writes were rejected");
     }
 }
 
 fn record_takeover(service: &str, authority: &Authority, deps: ReconcilerDeps<'_>) {
     let predecessor = match authority.predecessor.as_str() {
-        "" => "nobody",
+        "" => "none",
         node => node,
     };
     record(
--- a/crates/operate/src/controller/rollout.rs
+++ b/crates/operate/src/controller/rollout.rs
@@ -154,7 +154,7 @@
             canary = target.canary,
             outcome,
             reason,
-            "rollout"
+            "canary stage ended"
         );
     }
 }
--- a/crates/operate/src/controller/service.rs
+++ b/crates/operate/src/controller/service.rs
@@ -202,12 +202,12 @@
             Err(EngineError::Refused { status, reason }) if status == STALE_ORDER_STATUS => (
                 OrderOutcome::Fenced,
                 "fenced",
-                format!("the engine refused it as old: {reason}"),
+                format!("the engine rejected it as outdated: {reason}"),
             ),
             Err(EngineError::Refused { reason, .. }) => (
                 OrderOutcome::NotAccepted,
                 "refused",
-                format!("the engine refused it: {reason}"),
+                format!("the engine rejected it: {reason}"),
             ),
             Err(error) => (OrderOutcome::NotAccepted, "unreachable", error.to_string()),
         };
@@ -245,10 +245,10 @@
         OrderKind::LoadVersion { version, .. } => ("load_version", format!("load {version}")),
         OrderKind::LoadAdapter { adapter } => ("load_adapter", format!("load adapter {adapter}")),
         OrderKind::SetAccepting { accepting: true } => {
-            ("set_accepting", "take new work again".to_owned())
+            ("set_accepting", "accept new work again".to_owned())
         }
         OrderKind::SetAccepting { accepting: false } => {
-            ("set_accepting", "take no new work".to_owned())
+            ("set_accepting", "accept no new work".to_owned())
         }
     }
 }
--- a/crates/operate/src/own_drain.rs
+++ b/crates/operate/src/own_drain.rs
@@ -48,6 +48,6 @@
         record(tables, DecisionKind::Withdrawn, cause)
             .about(Subject::Node(node))
             .outcome(format!("the node is {}", lifecycle_name(next)));
-        tracing::info!(?next, "drain of this node");
+        tracing::info!(?next, "lifecycle changed by a drain of this node");
     }
 }
--- a/crates/operate/src/plans/abort.rs
+++ b/crates/operate/src/plans/abort.rs
@@ -19,7 +19,10 @@
 
 /// Aborts a plan. Aborting an aborted plan does nothing.
 pub async fn abort(tables: &dyn TableStore, id: &str, unix_ms: u64) -> Result<StoredPlan, Failure> {
-    let mut last = Failure::not_run(ErrorKind::Conflict, "the plan keeps moving; abort again");
+    let mut last = Failure::not_run(
+        ErrorKind::Conflict,
+        "the plan keeps changing; retry the abort",
+    );
     for _ in 0..MAX_ATTEMPTS {
         let plan = read_plan(tables, id).await?;
         match plan.row.phase() {
@@ -69,7 +72,7 @@
             message
         }
         Intent::Drain(target) if running => format!(
-            "aborted; servers that are out stay out: `dappleyard ctl plan undrain {} {}` takes them back",
+            "aborted; drained servers stay drained: `dappleyard ctl plan undrain {} {}` returns them to service",
             target.kind.name(),
             target.name
         ),
@@ -97,13 +100,13 @@
                 .await
                 .map_err(|error| store_failure(&error))?;
             let transaction = snapshot.guard(transaction).put(key, encoded(&row));
-            let message = format!("aborted; the canaries go back to {}", row.version);
+            let message = format!("aborted; the canaries are reverted to {}", row.version);
             Ok((head.chain(transaction), message))
         }
         Some(row) if row.version == rollout.version => Ok((
             transaction,
             format!(
-                "no longer followed; {} is the version of all servers already: plan a rollout of the earlier version to go back",
+                "aborted; {} is already the version of all servers: to revert, plan a rollout of the previous version",
                 row.version
             ),
         )),
--- a/crates/operate/src/plans/effects.rs
+++ b/crates/operate/src/plans/effects.rs
@@ -83,13 +83,15 @@
     Effects {
         steps: vec![Step {
             what: format!(
-                "run {items} items, due in {due_s} s, in the idle capacity of {} servers, beside {} jobs",
+                "run {items} items, due in {due_s} s, in the idle capacity of {} servers, alongside {} jobs",
                 servers.count(),
                 competing.count()
             ),
             ..Step::default()
         }],
-        warnings: vec!["its finish is foreseen once its first chunks are done".to_owned()],
+        warnings: vec![
+            "its completion time is estimated once its first chunks are done".to_owned(),
+        ],
         ..Effects::default()
     }
 }
@@ -127,13 +129,7 @@
     let waves = waves(&targets, &all_servers(context), &bounds, AfterWave::StayOut);
     let steps = waves
         .iter()
-        .map(|wave| {
-            step_from_wave(
-                wave,
-                "take out and wait until nothing runs there",
-                EXPECTED_DRAIN_MS,
-            )
-        })
+        .map(|wave| step_from_wave(wave, "drain and wait until idle", EXPECTED_DRAIN_MS))
         .collect();
     Effects {
         steps,
@@ -146,7 +142,7 @@
     Effects {
         steps: vec![Step {
             what: format!(
-                "node {} takes nothing new, finishes what it has; its servers pass to other nodes",
+                "node {} accepts no new work and finishes its requests in progress; its servers move to other nodes",
                 target.name
             ),
             expected_ms: EXPECTED_DRAIN_MS,
@@ -176,7 +172,7 @@
     let mut steps = load_steps(first, &all, &bounds, "canary: load", rollout, load_ms);
     steps.push(Step {
         what: format!(
-            "watch the canaries; roll back on a failed load, on more than {} % failures or on steps above {} % of the others'",
+            "watch the canaries; roll back on a failed load, on more than {} % failures or on step times above {} % of the other servers'",
             context.settings.canary_error_percent, context.settings.canary_step_percent
         ),
         expected_ms: context.settings.canary_watch_ms,
--- a/crates/operate/src/start.rs
+++ b/crates/operate/src/start.rs
@@ -108,7 +108,7 @@
         if is_preferred(&context.tables, "plan-runner")
             && let Err(failure) = advance_plans(&context, &peers, &metrics).await
         {
-            tracing::debug!(%failure, "the plans could not be looked at");
+            tracing::debug!(%failure, "failed to advance the running plans");
         }
     }
 }
