--- a/crates/ctl/src/tables.rs
+++ b/crates/ctl/src/tables.rs
@@ -15,7 +15,7 @@
 
 /// Table width in columns.
 pub const WIDTH: u16 = 100;
-/// Number of names listed before the rest is summarized as a count.
+/// Number of names listed before the list is truncated.
 const NAMES_SHOWN: usize = 6;
 
 /// Table with a single rule under the header; the first column is never wrapped.
@@ -229,8 +229,8 @@
         ]);
     }
     if steps.len() > STEPS_SHOWN {
-        let rest = format!("and {} more steps", steps.len() - STEPS_SHOWN);
-        table.add_row(["", rest.as_str(), "", "", ""]);
+        let truncated = format!("and {} more steps", steps.len() - STEPS_SHOWN);
+        table.add_row(["", truncated.as_str(), "", "", ""]);
     }
     table
 }
--- a/crates/operate/src/controller/loads.rs
+++ b/crates/operate/src/controller/loads.rs
@@ -33,7 +33,7 @@
     ) -> RoundOutcome {
         let wanted = self.wanted_loads(deps, assignments);
         if wanted.is_empty() {
-            self.held.clear();
+            self.last_held_reason.clear();
             return RoundOutcome::Held;
         }
         let mut disruptions = match ServiceDisruptions::read(deps.store, &self.service).await {
@@ -187,15 +187,15 @@
 
     fn record_held_load(&mut self, deps: ReconcilerDeps<'_>, plan: &LoadPlan) {
         let Some((load, reason)) = &plan.held else {
-            self.held.clear();
+            self.last_held_reason.clear();
             return;
         };
         let held = deps.metrics.loads_held.with_label_values(&[&self.service]);
         held.inc();
-        if *reason == self.held {
+        if *reason == self.last_held_reason {
             return;
         }
-        self.held.clone_from(reason);
+        self.last_held_reason.clone_from(reason);
         record(deps.tables, DecisionKind::PlanStep, reason.clone())
             .about(Subject::Server(load.server.clone()))
             .about(Subject::Service(self.service.clone()))
--- a/crates/operate/src/controller/mod.rs
+++ b/crates/operate/src/controller/mod.rs
@@ -133,7 +133,7 @@
 
 fn record_takeover(service: &str, authority: &Authority, deps: ReconcilerDeps<'_>) {
     let predecessor = match authority.predecessor.as_str() {
-        "" => "none",
+        "" => "nobody",
         node => node,
     };
     record(
--- a/crates/operate/src/controller/service.rs
+++ b/crates/operate/src/controller/service.rs
@@ -48,7 +48,7 @@
     /// Servers that were ordered to reject new work; `None` before the row was read.
     pub(super) closed: Option<BTreeSet<String>>,
     /// Last recorded reason for a blocked load, to avoid repeated records.
-    pub(super) held: String,
+    pub(super) last_held_reason: String,
 }
 
 impl ServiceController {
@@ -60,7 +60,7 @@
             canaries_loaded_since: None,
             load_retries: BTreeMap::new(),
             closed: None,
-            held: String::new(),
+            last_held_reason: String::new(),
         }
     }
 
@@ -245,10 +245,10 @@
         OrderKind::LoadVersion { version, .. } => ("load_version", format!("load {version}")),
         OrderKind::LoadAdapter { adapter } => ("load_adapter", format!("load adapter {adapter}")),
         OrderKind::SetAccepting { accepting: true } => {
-            ("set_accepting", "accept new work again".to_owned())
+            ("set_accepting", "take new work again".to_owned())
         }
         OrderKind::SetAccepting { accepting: false } => {
-            ("set_accepting", "accept no new work".to_owned())
+            ("set_accepting", "take no new work".to_owned())
         }
     }
 }
--- a/crates/operate/src/own_drain.rs
+++ b/crates/operate/src/own_drain.rs
@@ -12,13 +12,13 @@
 pub async fn watch_own_drain(tables: Arc<NodeTables>) {
     let mut configurations = tables.configuration.subscribe();
     let key = ("node".to_owned(), tables.identity.node.to_string());
-    let mut drained = false;
+    let mut draining = false;
     loop {
-        let wanted = configurations.borrow_and_update().drains.contains_key(&key);
-        if wanted != drained {
-            drained = wanted;
+        let should_drain = configurations.borrow_and_update().drains.contains_key(&key);
+        if should_drain != draining {
+            draining = should_drain;
             // Membership moves a withdrawn node to ready once its configuration is current.
-            let next = if wanted {
+            let next = if should_drain {
                 Lifecycle::Draining
             } else {
                 Lifecycle::Withdrawn
--- a/crates/operate/src/plans/abort.rs
+++ b/crates/operate/src/plans/abort.rs
@@ -19,7 +19,7 @@
 
 /// Aborts a plan. Aborting an aborted plan does nothing.
 pub async fn abort(tables: &dyn TableStore, id: &str, unix_ms: u64) -> Result<StoredPlan, Failure> {
-    let mut last = Failure::not_run(
+    let mut last_failure = Failure::not_run(
         ErrorKind::Conflict,
         "the plan keeps changing; retry the abort",
     );
@@ -39,13 +39,15 @@
                 });
             }
             Err(StoreError::Unavailable { reason }) => {
-                return Err(store_failure(&StoreError::Unavailable { reason }).after(last.ran));
+                return Err(
+                    store_failure(&StoreError::Unavailable { reason }).after(last_failure.ran)
+                );
             }
-            Err(error) => last = store_failure(&error).after(last.ran),
+            Err(error) => last_failure = store_failure(&error).after(last_failure.ran),
         }
         random_retry_delay().await;
     }
-    Err(last)
+    Err(last_failure)
 }
 
 fn not_abortable(id: &str, phase: PlanPhase) -> Failure {
--- a/crates/operate/src/plans/confirm.rs
+++ b/crates/operate/src/plans/confirm.rs
@@ -77,7 +77,7 @@
     tables: &dyn TableStore,
     confirmation: &Confirmation,
 ) -> Result<StoredPlan, Refusal> {
-    let mut last = Failure::not_run(
+    let mut last_failure = Failure::not_run(
         ErrorKind::Conflict,
         "configuration keeps changing; try again",
     );
@@ -86,15 +86,15 @@
             Attempt::Accepted(plan) => return Ok(plan),
             Attempt::Refused(refusal) => {
                 return Err(Refusal {
-                    failure: refusal.failure.after(last.ran),
+                    failure: refusal.failure.after(last_failure.ran),
                     ..refusal
                 });
             }
-            Attempt::Retry(failure) => last = failure.after(last.ran),
+            Attempt::Retry(failure) => last_failure = failure.after(last_failure.ran),
         }
         random_retry_delay().await;
     }
-    Err(last.into())
+    Err(last_failure.into())
 }
 
 /// Sleeps for a random delay so that competing writers do not conflict again at once.
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -279,11 +279,12 @@
             keys::drain(self.target.kind.name(), &self.target.name),
             encoded(&row),
         );
-        let own = self
+        let own_drains = self
             .servers
             .iter()
             .filter_map(|server| self.drains.get(&server.server));
-        own.filter(|drain| drain.plan_id == plan)
+        own_drains
+            .filter(|drain| drain.plan_id == plan)
             .fold(transaction, |transaction, drain| {
                 transaction.delete(keys::drain("server", &drain.name))
             })
--- a/crates/operate/src/plans/runner.rs
+++ b/crates/operate/src/plans/runner.rs
@@ -111,9 +111,9 @@
         .nodes
         .iter()
         .find(|node| node.node == target.name);
-    let gone = node.is_none_or(|node| matches!(node.member.as_str(), "dead" | "left"));
+    let has_left = node.is_none_or(|node| matches!(node.member.as_str(), "dead" | "left"));
     let empty = node.is_some_and(|node| node.lifecycle == "draining" && node.busy == 0);
-    if gone || empty {
+    if has_left || empty {
         let next = completed_row(plan, "the node is idle", view);
         return write(tables, plan, next, Transaction::default()).await;
     }
--- a/crates/operate/tests/confirm.rs
+++ b/crates/operate/tests/confirm.rs
@@ -14,9 +14,9 @@
 };
 use dappleyard_wire::{ErrorKind, Ran};
 use googletest::prelude::*;
-use support::{NOW_MS, SERVICE, drain, platform, proposed, put, rollout, row, status};
+use support::{NOW_MS, SERVICE, drain, platform, propose_plan, put, rollout, row, status};
 
-async fn confirmed(
+async fn confirm_plan(
     store: &MemoryPlatform,
     plan: &StoredPlan,
     token: &str,
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn a_proposed_plan_changes_nothing_but_its_own_row() -> Result<()> {
     let store = platform().await;
-    let plan = proposed(&store, &status(4), &rollout("v2"))
+    let plan = propose_plan(&store, &status(4), &rollout("v2"))
         .await
         .or_fail()?;
     let service: ServiceRow = row(&store, &keys::service(SERVICE)).or_fail()?;
@@ -57,16 +57,16 @@
 async fn of_two_conflicting_plans_one_is_accepted_and_the_other_is_told_what_changed() -> Result<()>
 {
     let store = platform().await;
-    let first = proposed(&store, &status(4), &rollout("v2"))
+    let first = propose_plan(&store, &status(4), &rollout("v2"))
         .await
         .or_fail()?;
-    let second = proposed(&store, &status(4), &rollout("v3"))
+    let second = propose_plan(&store, &status(4), &rollout("v3"))
         .await
         .or_fail()?;
-    confirmed(&store, &first, "a")
+    confirm_plan(&store, &first, "a")
         .await
         .expect("the first is accepted");
-    let refusal = confirmed(&store, &second, "b")
+    let refusal = confirm_plan(&store, &second, "b")
         .await
         .expect_err("the second is refused");
     expect_that!(refusal.failure.kind, eq(ErrorKind::Conflict));
@@ -90,16 +90,16 @@
 async fn two_drains_of_one_service_made_from_the_same_view_conflict() -> Result<()> {
     let store = platform().await;
     let fleet = status(4);
-    let zone = proposed(&store, &fleet, &drain(DrainKind::Zone, "howrah"))
+    let zone = propose_plan(&store, &fleet, &drain(DrainKind::Zone, "howrah"))
         .await
         .or_fail()?;
-    let other = proposed(&store, &fleet, &drain(DrainKind::Zone, "haldia"))
+    let other = propose_plan(&store, &fleet, &drain(DrainKind::Zone, "haldia"))
         .await
         .or_fail()?;
-    confirmed(&store, &zone, "a")
+    confirm_plan(&store, &zone, "a")
         .await
         .expect("the first is accepted");
-    let refusal = confirmed(&store, &other, "b")
+    let refusal = confirm_plan(&store, &other, "b")
         .await
         .expect_err("the second is refused");
     expect_that!(
@@ -117,14 +117,16 @@
 #[tokio::test]
 async fn plans_that_touch_different_rows_are_both_accepted_in_one_chain() -> Result<()> {
     let store = platform().await;
-    let limits = proposed(&store, &status(4), &tenant(5.0)).await.or_fail()?;
-    let version = proposed(&store, &status(4), &rollout("v2"))
+    let limits = propose_plan(&store, &status(4), &tenant(5.0))
         .await
         .or_fail()?;
-    let first = confirmed(&store, &limits, "a").await.expect("accepted");
+    let version = propose_plan(&store, &status(4), &rollout("v2"))
+        .await
+        .or_fail()?;
+    let first = confirm_plan(&store, &limits, "a").await.expect("accepted");
     let head = store.row(CONFIGURATION_HEAD).or_fail()?;
     expect_that!(head.revision, eq(first.revision));
-    let second = confirmed(&store, &version, "b").await.expect("accepted");
+    let second = confirm_plan(&store, &version, "b").await.expect("accepted");
     let next = store.row(CONFIGURATION_HEAD).or_fail()?;
     expect_that!(next.revision, eq(second.revision));
     expect_that!(next.value, eq(&head.revision.to_string().into_bytes()));
@@ -133,12 +135,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_lost_answer_is_resolved_by_reading_back() -> Result<()> {
+async fn a_lost_response_is_resolved_by_reading_the_plan_row() -> Result<()> {
     for fault in [Fault::LostBeforeEffect, Fault::LostAfterEffect] {
         let store = platform().await;
-        let plan = proposed(&store, &status(4), &tenant(5.0)).await.or_fail()?;
+        let plan = propose_plan(&store, &status(4), &tenant(5.0))
+            .await
+            .or_fail()?;
         store.fail_transactions([Some(fault)]);
-        let accepted = confirmed(&store, &plan, "a").await.expect("accepted");
+        let accepted = confirm_plan(&store, &plan, "a").await.expect("accepted");
         expect_that!(accepted.row.phase(), eq(PlanPhase::PlanDone));
         let tenant: TenantRow = row(&store, &keys::tenant("yard")).or_fail()?;
         expect_that!(tenant.requests_per_s, eq(5.0));
@@ -150,11 +154,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_store_that_goes_down_after_a_lost_answer_leaves_a_maybe() -> Result<()> {
+async fn an_outage_after_a_lost_response_is_reported_as_maybe_ran() -> Result<()> {
     let store = platform().await;
-    let plan = proposed(&store, &status(4), &tenant(5.0)).await.or_fail()?;
+    let plan = propose_plan(&store, &status(4), &tenant(5.0))
+        .await
+        .or_fail()?;
     store.fail_transactions([Some(Fault::LostBeforeEffect), Some(Fault::Unavailable)]);
-    let refusal = confirmed(&store, &plan, "a").await.expect_err("refused");
+    let refusal = confirm_plan(&store, &plan, "a").await.expect_err("refused");
     expect_that!(refusal.failure.kind, eq(ErrorKind::StoreUnavailable));
     expect_that!(refusal.failure.ran, eq(Ran::Maybe));
     Ok(())
@@ -162,12 +168,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn the_same_token_gets_the_same_answer_and_another_one_a_conflict() -> Result<()> {
+async fn a_repeated_token_is_idempotent_and_another_token_conflicts() -> Result<()> {
     let store = platform().await;
-    let plan = proposed(&store, &status(4), &tenant(5.0)).await.or_fail()?;
-    confirmed(&store, &plan, "a").await.expect("accepted");
-    expect_that!(confirmed(&store, &plan, "a").await, ok(anything()));
-    let refusal = confirmed(&store, &plan, "b").await.expect_err("refused");
+    let plan = propose_plan(&store, &status(4), &tenant(5.0))
+        .await
+        .or_fail()?;
+    confirm_plan(&store, &plan, "a").await.expect("accepted");
+    expect_that!(confirm_plan(&store, &plan, "a").await, ok(anything()));
+    let refusal = confirm_plan(&store, &plan, "b").await.expect_err("refused");
     expect_that!(
         refusal.failure.message,
         contains_substring("can no longer be confirmed")
@@ -177,7 +185,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_change_that_touches_a_cut_off_region_is_refused_with_the_reason() -> Result<()> {
+async fn a_change_in_an_unreachable_region_is_refused_with_the_reason() -> Result<()> {
     let store = platform().await;
     let mut fleet = status(4);
     fleet.servers[0].region = "delta".to_owned();
@@ -189,24 +197,24 @@
         };
         put(&store, keys::region(&region.into()), &freshness).await;
     }
-    let cut_off = proposed(&store, &fleet, &drain(DrainKind::Server, "s0")).await;
+    let cut_off = propose_plan(&store, &fleet, &drain(DrainKind::Server, "s0")).await;
     let failure = cut_off.expect_err("refused");
     expect_that!(failure.kind, eq(ErrorKind::RegionUnreachable));
     expect_that!(failure.message, contains_substring("region delta"));
     expect_that!(failure.message, contains_substring("60 s"));
-    let reachable = proposed(&store, &fleet, &drain(DrainKind::Server, "s1")).await;
+    let reachable = propose_plan(&store, &fleet, &drain(DrainKind::Server, "s1")).await;
     expect_that!(reachable, ok(anything()));
     Ok(())
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_aborted_rollout_takes_its_canary_back() -> Result<()> {
+async fn an_aborted_rollout_clears_its_canary() -> Result<()> {
     let store = platform().await;
-    let plan = proposed(&store, &status(4), &rollout("v2"))
+    let plan = propose_plan(&store, &status(4), &rollout("v2"))
         .await
         .or_fail()?;
-    confirmed(&store, &plan, "a").await.expect("accepted");
+    confirm_plan(&store, &plan, "a").await.expect("accepted");
     abort(&store, &plan.row.id, NOW_MS).await.or_fail()?;
     let service: ServiceRow = row(&store, &keys::service(SERVICE)).or_fail()?;
     expect_that!(service.canary, eq(""));
@@ -217,13 +225,15 @@
 
 #[gtest]
 #[tokio::test]
-async fn plans_are_listed_newest_first_and_forgotten_when_they_are_old_and_over() -> Result<()> {
+async fn plans_are_listed_newest_first_and_removed_when_old_and_finished() -> Result<()> {
     let store = platform().await;
-    let old = proposed(&store, &status(4), &tenant(5.0)).await.or_fail()?;
-    let running = proposed(&store, &status(4), &rollout("v2"))
+    let old = propose_plan(&store, &status(4), &tenant(5.0))
         .await
         .or_fail()?;
-    confirmed(&store, &running, "a").await.expect("accepted");
+    let running = propose_plan(&store, &status(4), &rollout("v2"))
+        .await
+        .or_fail()?;
+    confirm_plan(&store, &running, "a").await.expect("accepted");
     let lines = list_plans(&store, 1, NOW_MS).await.or_fail()?;
     let newest = old.row.id.clone().max(running.row.id.clone());
     expect_that!(
@@ -258,15 +268,18 @@
         tenant: "yard".to_owned(),
         job: "job-1".to_owned(),
     });
-    let plan = proposed(&store, &status(4), &intent).await.or_fail()?;
+    let plan = propose_plan(&store, &status(4), &intent).await.or_fail()?;
     expect_that!(store.rows("active-job/"), is_empty());
-    confirmed(&store, &plan, "a").await.expect("accepted");
+    confirm_plan(&store, &plan, "a").await.expect("accepted");
     let job: JobRow = row(&store, &key).or_fail()?;
     expect_that!(job.approved, eq(true));
     expect_that!(store.rows("active-job/"), len(eq(1)));
     expect_that!(store.rows("split-job/"), len(eq(1)));
-    let again = proposed(&store, &status(4), &intent).await;
-    expect_that!(again.expect_err("refused").kind, eq(ErrorKind::Conflict));
+    let second_proposal = propose_plan(&store, &status(4), &intent).await;
+    expect_that!(
+        second_proposal.expect_err("refused").kind,
+        eq(ErrorKind::Conflict)
+    );
     Ok(())
 }
 
@@ -284,15 +297,21 @@
         plan: String::new(),
     };
     expect_that!(risk(&job, 900, 1.0), none());
-    let late = risk(&job, 900, 3.0).expect("at risk");
-    expect_that!(late.reason, contains_substring("50 of 100 items are left"));
-    expect_that!(late.reason, contains_substring("50 s after the deadline"));
+    let at_risk_job = risk(&job, 900, 3.0).expect("at risk");
+    expect_that!(
+        at_risk_job.reason,
+        contains_substring("50 of 100 items are left")
+    );
+    expect_that!(
+        at_risk_job.reason,
+        contains_substring("50 s after the deadline")
+    );
     expect_that!(risk(&job, 900, f64::INFINITY), some(anything()));
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_intent_that_makes_no_sense_is_refused_with_what_to_do() -> Result<()> {
+async fn an_invalid_intent_is_refused_with_its_error_kind() -> Result<()> {
     let store = platform().await;
     let fleet = status(4);
     let undrain = Intent::Undrain(DrainTarget {
@@ -306,7 +325,7 @@
         (tenant(-1.0), ErrorKind::InvalidRequest),
     ];
     for (intent, kind) in cases {
-        let failure = proposed(&store, &fleet, &intent)
+        let failure = propose_plan(&store, &fleet, &intent)
             .await
             .expect_err("refused");
         expect_that!(failure.kind, eq(kind), "{intent:?}");
--- a/crates/operate/tests/controllers.rs
+++ b/crates/operate/tests/controllers.rs
@@ -15,7 +15,9 @@
 use dappleyard_wire::keys;
 use dappleyard_wire::messages::{ConfigurationEntry, DrainRow, PlanPhase, ServiceRow, WindowRow};
 use googletest::prelude::*;
-use support::{FakeEngines, NOW_MS, SERVICE, entry, platform, proposed, put, rollout, row, status};
+use support::{
+    FakeEngines, NOW_MS, SERVICE, entry, platform, propose_plan, put, rollout, row, status,
+};
 
 /// Controllers of one node; platform and engines are shared between nodes.
 struct Node {
@@ -44,7 +46,7 @@
     }
 
     /// Applies the stored configuration to this node, as the configuration watcher does.
-    fn follow(&self, store: &MemoryPlatform) {
+    fn apply_configuration(&self, store: &MemoryPlatform) {
         let mut state = self.tables.configuration.snapshot();
         state.revision = store.revision();
         state.entries.clear();
@@ -60,7 +62,7 @@
     }
 
     async fn round(&mut self, store: &MemoryPlatform, engines: &FakeEngines) {
-        self.follow(store);
+        self.apply_configuration(store);
         self.stale_round(store, engines).await;
     }
 
@@ -85,8 +87,8 @@
     }
 }
 
-async fn confirmed_rollout(store: &MemoryPlatform, servers: usize) -> Result<String> {
-    let plan = proposed(store, &status(servers), &rollout("v2"))
+async fn confirm_rollout(store: &MemoryPlatform, servers: usize) -> Result<String> {
+    let plan = propose_plan(store, &status(servers), &rollout("v2"))
         .await
         .or_fail()?;
     let confirmation = Confirmation {
@@ -101,37 +103,37 @@
 
 #[gtest]
 #[tokio::test]
-async fn empty_servers_are_loaded_a_few_at_a_time() {
+async fn empty_servers_are_loaded_up_to_the_concurrency_limit() {
     let store = platform().await;
     let engines = FakeEngines::new(6, "");
     let mut node = Node::new("node-1", 6);
-    let mut most = 0;
+    let mut max_loading = 0;
     for _ in 0..6 {
         node.round(&store, &engines).await;
-        most = most.max(engines.loading());
+        max_loading = max_loading.max(engines.loading());
         engines.finish_loads();
     }
-    expect_that!(most, eq(node.settings.load_concurrency));
+    expect_that!(max_loading, eq(node.settings.load_concurrency));
     expect_that!(engines.versions(), each(eq("v1")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_healthy_canary_brings_the_version_to_all_servers_within_the_budget() -> Result<()> {
+async fn a_healthy_canary_is_promoted_to_all_servers_within_the_budget() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(8, "v1");
     let mut node = Node::new("node-1", 8);
     node.round(&store, &engines).await;
-    confirmed_rollout(&store, 8).await?;
-    let mut most = 0;
+    confirm_rollout(&store, 8).await?;
+    let mut max_loading = 0;
     for _ in 0..20 {
         node.round(&store, &engines).await;
-        most = most.max(engines.loading());
+        max_loading = max_loading.max(engines.loading());
         engines.finish_loads();
     }
     expect_that!(engines.versions(), each(eq("v2")));
     // The default budget allows one unavailable server in each of the two zones.
-    expect_that!(most, le(2));
+    expect_that!(max_loading, le(2));
     let service: ServiceRow = row(&store, &keys::service(SERVICE)).or_fail()?;
     expect_that!(service.version, eq("v2"));
     expect_that!(service.canary, eq(""));
@@ -140,7 +142,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_canary_that_fails_to_load_is_taken_back_and_the_plan_says_why() -> Result<()> {
+async fn a_canary_that_fails_to_load_is_rolled_back_with_the_reason_in_the_plan() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     for number in 0..4 {
@@ -150,7 +152,7 @@
     }
     let mut node = Node::new("node-1", 4);
     node.round(&store, &engines).await;
-    let id = confirmed_rollout(&store, 4).await?;
+    let id = confirm_rollout(&store, 4).await?;
     node.rounds(6, &store, &engines).await;
     let service: ServiceRow = row(&store, &keys::service(SERVICE)).or_fail()?;
     expect_that!(service.version, eq("v1"));
@@ -167,13 +169,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_canary_with_slow_steps_is_taken_back() -> Result<()> {
+async fn a_canary_with_slow_steps_is_rolled_back() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     let mut node = Node::new("node-1", 4);
     node.settings.canary_watch_ms = 60_000;
     node.round(&store, &engines).await;
-    confirmed_rollout(&store, 4).await?;
+    confirm_rollout(&store, 4).await?;
     node.rounds(3, &store, &engines).await;
     for number in 0..4 {
         engines.with(number, |server| {
@@ -191,14 +193,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_canary_on_which_calls_fail_is_taken_back() -> Result<()> {
+async fn a_canary_with_failed_calls_is_rolled_back() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     let mut node = Node::new("node-1", 4);
     node.settings.canary_watch_ms = 60_000;
     node.tables.servers.set_owned((0..4).map(entry).collect());
     node.round(&store, &engines).await;
-    confirmed_rollout(&store, 4).await?;
+    confirm_rollout(&store, 4).await?;
     node.rounds(3, &store, &engines).await;
     for number in 0..4 {
         if engines.with(number, |server| server.version == "v2") {
@@ -217,11 +219,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_controller_that_was_paused_beyond_its_takeover_does_no_harm() -> Result<()> {
+async fn a_suspended_controller_is_fenced_after_its_takeover() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(2, "");
-    let mut paused = Node::new("node-1", 2);
-    paused.round(&store, &engines).await;
+    let mut suspended = Node::new("node-1", 2);
+    suspended.round(&store, &engines).await;
     engines.finish_loads();
     let mut successor = Node::new("node-2", 2);
     // Disruptions in flight of the suspended controller have timed out.
@@ -233,8 +235,8 @@
     successor.rounds(6, &store, &engines).await;
     expect_that!(engines.versions(), each(eq("v3")));
     let orders = engines.with(0, |server| server.orders.len());
-    paused.stale_round(&store, &engines).await;
-    paused.stale_round(&store, &engines).await;
+    suspended.stale_round(&store, &engines).await;
+    suspended.stale_round(&store, &engines).await;
     expect_that!(engines.versions(), each(eq("v3")));
     expect_that!(engines.loading(), eq(0));
     expect_that!(engines.with(0, |server| server.orders.len()), eq(orders));
@@ -243,14 +245,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_controller_that_starts_again_is_not_refused_by_its_engines() {
+async fn a_restarted_controller_is_not_fenced_by_its_engines() {
     let store = platform().await;
     let engines = FakeEngines::new(2, "");
     let mut node = Node::new("node-1", 2);
     node.rounds(3, &store, &engines).await;
     engines.with(0, |server| server.version.clear());
-    let mut again = Node::new("node-1", 2);
-    again.rounds(3, &store, &engines).await;
+    let mut restarted = Node::new("node-1", 2);
+    restarted.rounds(3, &store, &engines).await;
     expect_that!(engines.versions(), each(eq("v1")));
 }
 
@@ -284,7 +286,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn no_serving_server_is_put_out_while_a_demand_window_is_open() {
+async fn no_serving_server_is_reloaded_while_a_demand_window_is_open() {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     let mut node = Node::new("node-1", 4);
--- a/crates/operate/tests/drains.rs
+++ b/crates/operate/tests/drains.rs
@@ -16,7 +16,7 @@
 use dappleyard_wire::keys;
 use dappleyard_wire::messages::{Disruption, DisruptionRow, PlanPhase};
 use googletest::prelude::*;
-use support::{NOW_MS, SERVICE, drain, platform, proposed, put, status};
+use support::{NOW_MS, SERVICE, drain, platform, propose_plan, put, status};
 
 /// A fleet whose status lags behind the store until [`Fleet::settle`].
 struct Fleet {
@@ -36,8 +36,8 @@
         }
     }
 
-    async fn confirmed(&self, intent: &Intent) -> Result<StoredPlan> {
-        let plan = proposed(&self.store, &self.status, intent)
+    async fn confirm_plan(&self, intent: &Intent) -> Result<StoredPlan> {
+        let plan = propose_plan(&self.store, &self.status, intent)
             .await
             .or_fail()?;
         let confirmation = Confirmation {
@@ -82,9 +82,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_zone_is_drained_one_server_at_a_time_and_closed_with_one_row() -> Result<()> {
+async fn a_zone_is_drained_one_server_at_a_time_and_ends_with_one_row() -> Result<()> {
     let mut fleet = Fleet::new(6).await;
-    let plan = fleet.confirmed(&drain(DrainKind::Zone, "howrah")).await?;
+    let plan = fleet
+        .confirm_plan(&drain(DrainKind::Zone, "howrah"))
+        .await?;
     expect_that!(plan.body()?.steps, len(eq(3)));
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
@@ -112,7 +114,9 @@
 #[tokio::test]
 async fn a_server_that_still_runs_requests_holds_the_next_step_back() -> Result<()> {
     let mut fleet = Fleet::new(4).await;
-    let plan = fleet.confirmed(&drain(DrainKind::Zone, "howrah")).await?;
+    let plan = fleet
+        .confirm_plan(&drain(DrainKind::Zone, "howrah"))
+        .await?;
     fleet.advance(&plan).await?;
     fleet.settle();
     fleet.idle.clear();
@@ -130,7 +134,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_load_in_flight_by_a_controller_holds_a_drain_back() -> Result<()> {
+async fn a_load_in_flight_delays_a_drain() -> Result<()> {
     let fleet = Fleet::new(4).await;
     let in_flight = DisruptionRow {
         disruptions: vec![Disruption {
@@ -142,7 +146,7 @@
         ..DisruptionRow::default()
     };
     put(&fleet.store, keys::disruption(SERVICE), &in_flight).await;
-    let plan = fleet.confirmed(&drain(DrainKind::Server, "s0")).await?;
+    let plan = fleet.confirm_plan(&drain(DrainKind::Server, "s0")).await?;
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), is_empty());
     Ok(())
@@ -150,14 +154,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_unhealthy_server_may_go_while_enough_healthy_ones_remain() -> Result<()> {
+async fn an_unhealthy_server_may_be_drained_while_enough_healthy_ones_remain() -> Result<()> {
     let mut fleet = Fleet::new(4).await;
     fleet.status.servers[0].state = "withdrawn".to_owned();
-    let plan = fleet.confirmed(&drain(DrainKind::Server, "s0")).await?;
+    let plan = fleet.confirm_plan(&drain(DrainKind::Server, "s0")).await?;
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
     // A healthy server of the same zone must wait: one is unavailable already.
-    let other = fleet.confirmed(&drain(DrainKind::Server, "s2")).await?;
+    let other = fleet.confirm_plan(&drain(DrainKind::Server, "s2")).await?;
     fleet.advance(&other).await?;
     expect_that!(fleet.drained(), elements_are![eq("server/s0")]);
     Ok(())
@@ -165,9 +169,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn two_runners_at_once_put_out_no_more_than_the_budget() -> Result<()> {
+async fn two_concurrent_runners_stay_within_the_budget() -> Result<()> {
     let fleet = Fleet::new(8).await;
-    let plan = fleet.confirmed(&drain(DrainKind::Zone, "howrah")).await?;
+    let plan = fleet
+        .confirm_plan(&drain(DrainKind::Zone, "howrah"))
+        .await?;
     let (first, second) = tokio::join!(fleet.advance(&plan), fleet.advance(&plan));
     first?;
     second?;
@@ -177,9 +183,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_step_whose_answer_is_lost_is_not_taken_twice() -> Result<()> {
+async fn a_step_with_a_lost_response_is_not_repeated() -> Result<()> {
     let fleet = Fleet::new(8).await;
-    let plan = fleet.confirmed(&drain(DrainKind::Zone, "howrah")).await?;
+    let plan = fleet
+        .confirm_plan(&drain(DrainKind::Zone, "howrah"))
+        .await?;
     fleet
         .store
         .fail_transactions([Some(Fault::LostAfterEffect)]);
@@ -191,9 +199,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_aborted_drain_goes_no_further_and_can_be_taken_back() -> Result<()> {
+async fn an_aborted_drain_stops_and_can_be_undrained() -> Result<()> {
     let mut fleet = Fleet::new(6).await;
-    let plan = fleet.confirmed(&drain(DrainKind::Zone, "howrah")).await?;
+    let plan = fleet
+        .confirm_plan(&drain(DrainKind::Zone, "howrah"))
+        .await?;
     fleet.advance(&plan).await?;
     abort(&fleet.store, &plan.row.id, NOW_MS).await.or_fail()?;
     fleet.settle();
@@ -203,14 +213,14 @@
         kind: DrainKind::Zone,
         name: "howrah".to_owned(),
     });
-    fleet.confirmed(&back).await?;
+    fleet.confirm_plan(&back).await?;
     expect_that!(fleet.drained(), is_empty());
     Ok(())
 }
 
 #[gtest]
 #[tokio::test]
-async fn the_drain_of_a_node_is_done_when_it_runs_nothing() -> Result<()> {
+async fn a_node_drain_is_done_when_the_node_is_idle() -> Result<()> {
     let mut fleet = Fleet::new(2).await;
     fleet.status.nodes = vec![NodeStatus {
         node: "node-1".to_owned(),
@@ -223,7 +233,9 @@
         busy: 3,
         admin_address: String::new(),
     }];
-    let plan = fleet.confirmed(&drain(DrainKind::Node, "node-1")).await?;
+    let plan = fleet
+        .confirm_plan(&drain(DrainKind::Node, "node-1"))
+        .await?;
     fleet.advance(&plan).await?;
     expect_that!(fleet.drained(), elements_are![eq("node/node-1")]);
     fleet.advance(&plan).await?;
--- a/crates/operate/tests/explanations.rs
+++ b/crates/operate/tests/explanations.rs
@@ -21,7 +21,7 @@
 use googletest::prelude::*;
 use support::{drain, entry, platform, rollout};
 
-fn decide(tables: &NodeTables, unix_ms: u64, cause: &str) {
+fn record_decision(tables: &NodeTables, unix_ms: u64, cause: &str) {
     tables.decisions.record(Decision {
         unix_ms,
         node: tables.identity.node.to_string(),
@@ -33,12 +33,12 @@
     });
 }
 
-fn serve(tables: &Arc<NodeTables>, store: &MemoryPlatform) -> actix_test_server::Server {
-    actix_test_server::start(tables.clone(), store.clone())
+fn serve(tables: &Arc<NodeTables>, store: &MemoryPlatform) -> admin_server::Server {
+    admin_server::start(tables.clone(), store.clone())
 }
 
 /// Admin server on a free port.
-mod actix_test_server {
+mod admin_server {
     use super::*;
     use actix_web::HttpServer;
 
@@ -90,22 +90,22 @@
 
 #[gtest]
 #[actix_web::test]
-async fn an_explanation_gathers_own_memory_peers_and_the_journal_of_lost_nodes() -> Result<()> {
+async fn an_explanation_combines_local_peer_and_journal_records() -> Result<()> {
     let store = platform().await;
     let lost = support::tables("node-3", 1);
-    decide(&lost, 1_000, "the owner before saw it fail");
+    record_decision(&lost, 1_000, "the owner before saw it fail");
     let mut journal = Journal::new(lost, 8);
     journal.flush(&store).await.or_fail()?;
     let peer = support::tables("node-2", 1);
-    decide(&peer, 2_000, "the engine does not answer");
+    record_decision(&peer, 2_000, "the engine does not answer");
     let server = serve(&peer, &store);
-    let me = support::tables("node-1", 1);
-    decide(&me, 3_000, "a drain is in force");
-    me.members.put(member("node-2", &server.address));
-    me.members.put(member("node-4", "127.0.0.1:1"));
-    let peers = Peers::new(me.clone(), 1_000);
+    let own_tables = support::tables("node-1", 1);
+    record_decision(&own_tables, 3_000, "a drain is in force");
+    own_tables.members.put(member("node-2", &server.address));
+    own_tables.members.put(member("node-4", "127.0.0.1:1"));
+    let peers = Peers::new(own_tables.clone(), 1_000);
     let subject_ref = SubjectRef::parse("server", "s0").or_fail()?;
-    let explanation = explain(&me, &store.platform(), &peers, &subject_ref).await;
+    let explanation = explain(&own_tables, &store.platform(), &peers, &subject_ref).await;
     let causes: Vec<&str> = explanation
         .events
         .iter()
@@ -133,7 +133,7 @@
 
 #[gtest]
 #[actix_web::test]
-async fn decisions_that_differ_only_in_their_inputs_are_all_told_and_each_once() -> Result<()> {
+async fn decisions_that_differ_only_in_inputs_are_listed_once_each() -> Result<()> {
     let store = MemoryPlatform::default();
     let tables = support::tables("node-1", 1);
     for input in ["1", "2"] {
@@ -158,7 +158,7 @@
 
 #[gtest]
 #[actix_web::test]
-async fn the_journal_is_bounded_and_loses_nothing_through_a_store_that_is_down() -> Result<()> {
+async fn the_journal_is_bounded_and_keeps_records_through_a_store_outage() -> Result<()> {
     let store = MemoryPlatform::default();
     let tables = support::tables("node-1", 7);
     let mut journal = Journal::new(tables.clone(), 2);
@@ -167,11 +167,11 @@
         if number == 2 {
             journal = Journal::new(tables.clone(), 2);
         }
-        decide(&tables, number, "cause");
+        record_decision(&tables, number, "cause");
         journal.flush(&store).await.or_fail()?;
     }
     expect_that!(store.object_names(), len(eq(2)));
-    decide(&tables, 10, "while the store was down");
+    record_decision(&tables, 10, "while the store was down");
     store.set_down(true);
     expect_that!(journal.flush(&store).await, err(anything()));
     store.set_down(false);
@@ -190,7 +190,7 @@
 
 #[gtest]
 #[actix_web::test]
-async fn an_operator_plans_confirms_and_follows_over_http() -> Result<()> {
+async fn a_plan_is_proposed_confirmed_and_explained_over_http() -> Result<()> {
     let store = platform().await;
     let tables = support::tables("node-1", 1);
     tables.directory.replace((0..4).map(entry).collect());
@@ -232,7 +232,7 @@
 
 #[gtest]
 #[actix_web::test]
-async fn wrong_calls_get_an_error_that_says_what_to_do() -> Result<()> {
+async fn invalid_requests_get_an_error_with_advice() -> Result<()> {
     let store = platform().await;
     let tables = support::tables("node-1", 1);
     let api = OperateApi::new(tables, OperateSettings::default(), store.platform());
@@ -271,11 +271,11 @@
             "ctl status",
         ),
     ];
-    for (call, status, words) in cases {
+    for (call, status, expected) in cases {
         let response = test::call_service(&app, call.to_request()).await;
         expect_that!(response.status().as_u16(), eq(status));
         let body: ErrorBody = test::read_body_json(response).await;
-        expect_that!(body.error.message, contains_substring(words));
+        expect_that!(body.error.message, contains_substring(expected));
     }
     Ok(())
 }
--- a/crates/operate/tests/support/mod.rs
+++ b/crates/operate/tests/support/mod.rs
@@ -120,7 +120,7 @@
     })
 }
 
-pub async fn proposed(
+pub async fn propose_plan(
     store: &MemoryPlatform,
     fleet: &FleetStatus,
     intent: &Intent,
