--- a/crates/operate/src/journal.rs
+++ b/crates/operate/src/journal.rs
@@ -97,7 +97,8 @@
         Ok(())
     }
 
-    /// Each attempt uses a new name, so a retry after an ambiguous write may duplicate records.
+    /// Name of the next object. Every attempt uses a new one, so a retry after an ambiguous write may
+    /// duplicate records.
     fn next_name(&mut self) -> String {
         let number = self.next_number;
         self.next_number += 1;
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -279,12 +279,11 @@
             keys::drain(self.target.kind.name(), &self.target.name),
             encoded(&row),
         );
-        let own_drains = self
+        let own = self
             .servers
             .iter()
             .filter_map(|server| self.drains.get(&server.server));
-        own_drains
-            .filter(|drain| drain.plan_id == plan)
+        own.filter(|drain| drain.plan_id == plan)
             .fold(transaction, |transaction, drain| {
                 transaction.delete(keys::drain("server", &drain.name))
             })
