--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -67,8 +67,8 @@
         self.call(Method::GET, path, None::<&()>).await
     }
 
-    /// `POST path` with a JSON body. The request may be repeated at another node, so it must be valid at
-    /// any node.
+    /// `POST path` with a JSON body. The request may be repeated at another node, so it must be
+    /// valid at any node.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,8 @@
 //! Command-line client of the admin API: `dappleyard ctl`.
 //!
-//! [`command`] defines the command line; [`run`] executes it and returns the exit code: 0 for success,
-//! 1 for failure, 2 for invalid usage. The output is a table, or JSON with `--output json`.
+//! [`command`] defines the command line; [`run`] executes it and returns the exit code: 0 for
+//! success, 1 for failure, 2 for invalid usage. The output is a table, or JSON with `--output
+//! json`.
 
 mod client;
 mod command;
--- a/crates/operate/src/controller/authority.rs
+++ b/crates/operate/src/controller/authority.rs
@@ -25,7 +25,8 @@
 }
 
 impl Authority {
-    /// Increments the epoch of a service. Fails with [`ErrorKind::Fenced`] if another node did so first.
+    /// Increments the epoch of a service. Fails with [`ErrorKind::Fenced`] if another node did so
+    /// first.
     pub async fn claim(
         tables: &dyn TableStore,
         service: &str,
--- a/crates/operate/src/controller/closing.rs
+++ b/crates/operate/src/controller/closing.rs
@@ -1,8 +1,8 @@
 //! Orders drained servers to reject new work, so that the engine also refuses nodes with an older
 //! configuration, and to accept it again when the drain ends.
 //!
-//! The service's disruption row lists the servers closed by these orders. An engine that rejects work
-//! for another reason is never opened.
+//! The service's disruption row lists the servers closed by these orders. An engine that rejects
+//! work for another reason is never opened.
 
 use std::collections::BTreeSet;
 
--- a/crates/operate/src/controller/loads.rs
+++ b/crates/operate/src/controller/loads.rs
@@ -1,5 +1,5 @@
-//! Loads model versions: plans loads within the disruption budget, records them in the disruption row,
-//! then sends the orders.
+//! Loads model versions: plans loads within the disruption budget, records them in the disruption
+//! row, then sends the orders.
 
 use std::collections::BTreeSet;
 
--- a/crates/operate/src/controller/mod.rs
+++ b/crates/operate/src/controller/mod.rs
@@ -1,10 +1,10 @@
-//! Controllers: one reconciler per service, on the node chosen by rendezvous hashing and fenced by an
-//! epoch row.
+//! Controllers: one reconciler per service, on the node chosen by rendezvous hashing and fenced by
+//! an epoch row.
 //!
-//! A reconciler polls its servers ([`observe`]), closes and opens drained ones ([`closing`]), evaluates
-//! canaries ([`rollout`]) and loads versions within the disruption budget ([`loads`]). Orders carry
-//! (epoch, sequence) and writes compare the epoch row ([`authority`]), so that a controller which
-//! resumes after its takeover is rejected.
+//! A reconciler polls its servers ([`observe`]), closes and opens drained ones ([`closing`]),
+//! evaluates canaries ([`rollout`]) and loads versions within the disruption budget ([`loads`]).
+//! Orders carry (epoch, sequence) and writes compare the epoch row ([`authority`]), so that a
+//! controller which resumes after its takeover is rejected.
 
 pub mod authority;
 pub mod closing;
@@ -33,8 +33,8 @@
 use crate::preferred::is_preferred;
 use crate::record::record;
 
-/// Delay before a service is claimed again after its epoch was lost; also the upper bound of the random
-/// delay after a failed claim.
+/// Delay before a service is claimed again after its epoch was lost; also the upper bound of the
+/// random delay after a failed claim.
 const RECLAIM_DELAY_MS: u64 = 5_000;
 
 /// Dependencies of a reconciler.
@@ -56,7 +56,8 @@
 }
 
 impl Controllers {
-    /// Runs one round: claims the services assigned to this node, releases the others and reconciles each.
+    /// Runs one round: claims the services assigned to this node, releases the others and
+    /// reconciles each.
     pub async fn round(&mut self, deps: ReconcilerDeps<'_>) {
         let configuration = deps.tables.configuration.current();
         let is_assigned = |service: &str| is_preferred(deps.tables, &format!("service/{service}"));
--- a/crates/operate/src/controller/observe.rs
+++ b/crates/operate/src/controller/observe.rs
@@ -1,5 +1,5 @@
-//! Polls the engines of a service. The number of polls per round is bounded; servers that are changing
-//! come first.
+//! Polls the engines of a service. The number of polls per round is bounded; servers that are
+//! changing come first.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -116,8 +116,8 @@
         self.observed = next;
     }
 
-    /// Polls the prioritized engines first, then some of the others in turn. `failing` are servers whose
-    /// owners report failed calls.
+    /// Polls the prioritized engines first, then some of the others in turn. `failing` are servers
+    /// whose owners report failed calls.
     pub async fn poll(
         &mut self,
         tables: &NodeTables,
--- a/crates/operate/src/controller/service.rs
+++ b/crates/operate/src/controller/service.rs
@@ -43,7 +43,8 @@
     pub(super) observed: Observations,
     /// Time since which all canaries serve the canary version.
     pub(super) canaries_loaded_since: Option<Millis>,
-    /// By server: time of the next load order, and orders sent since it last had the assigned version.
+    /// By server: time of the next load order, and orders sent since it last had the assigned
+    /// version.
     pub(super) load_retries: BTreeMap<String, (Millis, u32)>,
     /// Servers that were ordered to reject new work; `None` before the row was read.
     pub(super) closed: Option<BTreeSet<String>>,
@@ -92,7 +93,8 @@
         self.order_adapters(deps, row, &assignments).await
     }
 
-    /// Servers to poll in every round: canaries, leaving servers and those without their assigned version.
+    /// Servers to poll in every round: canaries, leaving servers and those without their assigned
+    /// version.
     fn priority_servers(&self, target: &Target) -> BTreeSet<String> {
         let assigned = assign(target, &self.observed.views());
         let mut priority_servers: BTreeSet<String> = assigned
--- a/crates/operate/src/head.rs
+++ b/crates/operate/src/head.rs
@@ -1,5 +1,5 @@
-//! Head row of the configuration. Every transaction that changes configuration writes it, so that all
-//! changes form one chain.
+//! Head row of the configuration. Every transaction that changes configuration writes it, so that
+//! all changes form one chain.
 
 use dappleyard_store::{Expect, Row, StoreError, TableStore, Transaction};
 use dappleyard_wire::keys::CONFIGURATION_HEAD;
@@ -22,8 +22,8 @@
         self.row.as_ref().map_or(0, |row| row.revision)
     }
 
-    /// Makes a transaction conditional on this head and writes the next head, whose value is the previous
-    /// revision.
+    /// Makes a transaction conditional on this head and writes the next head, whose value is the
+    /// previous revision.
     #[must_use]
     pub fn chain(&self, transaction: Transaction) -> Transaction {
         let expect = match &self.row {
--- a/crates/operate/src/journal.rs
+++ b/crates/operate/src/journal.rs
@@ -97,8 +97,8 @@
         Ok(())
     }
 
-    /// Name of the next object. Every attempt uses a new one, so a retry after an ambiguous write may
-    /// duplicate records.
+    /// Name of the next object. Every attempt uses a new one, so a retry after an ambiguous write
+    /// may duplicate records.
     fn next_name(&mut self) -> String {
         let number = self.next_number;
         self.next_number += 1;
@@ -106,8 +106,8 @@
         keys::journal_object(node, self.tables.clock.unix_ms(), number)
     }
 
-    /// Lists the objects written before a restart and continues their numbering, so that a restart within
-    /// the same millisecond does not reuse a name.
+    /// Lists the objects written before a restart and continues their numbering, so that a restart
+    /// within the same millisecond does not reuse a name.
     async fn list_earlier_objects(&mut self, objects: &dyn ObjectStore) -> Result<(), StoreError> {
         if self.written.is_none() {
             let prefix = format!("{JOURNAL_PREFIX}{}/", self.tables.identity.node);
@@ -136,8 +136,8 @@
     bytes
 }
 
-/// Searches the journal objects, newest first. Objects of `responding_nodes` come last because those
-/// nodes already reported their records. Also returns whether objects were left unread.
+/// Searches the journal objects, newest first. Objects of `responding_nodes` come last because
+/// those nodes already reported their records. Also returns whether objects were left unread.
 pub async fn search(
     objects: &dyn ObjectStore,
     responding_nodes: &BTreeSet<String>,
@@ -165,8 +165,8 @@
     Ok((found, partial))
 }
 
-/// Removes up to `limit` objects written before a time. Nodes remove their own surplus; this removes
-/// the objects of nodes that are gone for good.
+/// Removes up to `limit` objects written before a time. Nodes remove their own surplus; this
+/// removes the objects of nodes that are gone for good.
 pub async fn remove_older(
     objects: &dyn ObjectStore,
     before_unix_ms: u64,
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -1,9 +1,9 @@
 //! Plans, controllers, drains, rollouts and explanations.
 //!
 //! Operators submit intents, which become plans ([`plans`]); only confirmed plans are executed.
-//! Controllers ([`controller`]) reconcile the servers of each service with the configuration, fenced
-//! by an epoch row. Decisions are recorded ([`journal`]) and can be queried ([`explain`]). [`api`] is
-//! the admin API.
+//! Controllers ([`controller`]) reconcile the servers of each service with the configuration,
+//! fenced by an epoch row. Decisions are recorded ([`journal`]) and can be queried ([`explain`]).
+//! [`api`] is the admin API.
 
 pub mod api;
 pub mod controller;
--- a/crates/operate/src/metrics.rs
+++ b/crates/operate/src/metrics.rs
@@ -17,7 +17,8 @@
     pub plans_running: IntGauge,
     /// Rollouts by result of the health gate (`promoted`, `rolled_back`).
     pub rollouts: IntCounterVec,
-    /// Rounds in which a load was blocked by the disruption budget, the load limit or a demand window.
+    /// Rounds in which a load was blocked by the disruption budget, the load limit or a demand
+    /// window.
     pub loads_held: IntCounterVec,
     /// Writes of decision records to the object store, by outcome (`written`, `failed`).
     pub journal: IntCounterVec,
--- a/crates/operate/src/plans/abort.rs
+++ b/crates/operate/src/plans/abort.rs
@@ -1,5 +1,5 @@
-//! Aborts plans: closes a proposed plan, stops a running one, and reverts a rollout that is still in
-//! its canary stage.
+//! Aborts plans: closes a proposed plan, stops a running one, and reverts a rollout that is still
+//! in its canary stage.
 
 use dappleyard_store::{Expect, StoreError, TableStore, Transaction};
 use dappleyard_wire::ids::PlanId;
--- a/crates/operate/src/plans/changes.rs
+++ b/crates/operate/src/plans/changes.rs
@@ -95,8 +95,8 @@
     keys::job(&TenantId::from(&job.tenant), &JobId::from(&job.job))
 }
 
-/// Rows that the confirmation writes besides the plan row. A drain writes none here; its steps write
-/// the drain rows.
+/// Rows that the confirmation writes besides the plan row. A drain writes none here; its steps
+/// write the drain rows.
 pub fn writes(
     intent: &Intent,
     snapshot: &Snapshot,
--- a/crates/operate/src/plans/confirm.rs
+++ b/crates/operate/src/plans/confirm.rs
@@ -1,8 +1,8 @@
 //! Confirms a plan in one transaction that compares every row the plan depends on.
 //!
-//! Of two conflicting plans exactly one is accepted; the other is refused with the rows that changed.
-//! If the response to the transaction is lost, the plan row is read again: it contains the token of
-//! the accepted confirmation.
+//! Of two conflicting plans exactly one is accepted; the other is refused with the rows that
+//! changed. If the response to the transaction is lost, the plan row is read again: it contains the
+//! token of the accepted confirmation.
 
 use std::time::Duration;
 
--- a/crates/operate/src/plans/disruptions.rs
+++ b/crates/operate/src/plans/disruptions.rs
@@ -1,5 +1,5 @@
-//! Row of a service's disruptions in flight. It is updated in the same transaction as the disruption
-//! itself, so that two controllers cannot use the same budget.
+//! Row of a service's disruptions in flight. It is updated in the same transaction as the
+//! disruption itself, so that two controllers cannot use the same budget.
 
 use std::collections::BTreeSet;
 
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -168,8 +168,8 @@
             .collect()
     }
 
-    /// Maps a server to its budget state: a draining server is unavailable until it is idle, and not
-    /// counted after that.
+    /// Maps a server to its budget state: a draining server is unavailable until it is idle, and
+    /// not counted after that.
     fn replica(&self, server: &ServerStatus) -> Replica {
         let has_drain_row = self.drains.contains_key(&server.server);
         let drained_by_location = server.is_drained() && !has_drain_row;
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Replaces the per-server rows of a finished hall or zone drain with one row, so that machines added
-    /// later are drained too.
+    /// Replaces the per-server rows of a finished hall or zone drain with one row, so that machines
+    /// added later are drained too.
     fn add_final_rows(&self, mut transaction: Transaction, plan: &str) -> Transaction {
         if self.target.kind == DrainKind::Server {
             return transaction;
--- a/crates/operate/src/plans/runner.rs
+++ b/crates/operate/src/plans/runner.rs
@@ -111,9 +111,9 @@
         .nodes
         .iter()
         .find(|node| node.node == target.name);
-    let has_left = node.is_none_or(|node| matches!(node.member.as_str(), "dead" | "left"));
+    let is_gone = node.is_none_or(|node| matches!(node.member.as_str(), "dead" | "left"));
     let empty = node.is_some_and(|node| node.lifecycle == "draining" && node.busy == 0);
-    if has_left || empty {
+    if is_gone || empty {
         let next = completed_row(plan, "the node is idle", view);
         return write(tables, plan, next, Transaction::default()).await;
     }
@@ -126,8 +126,8 @@
     write_progress(tables, plan, progress, view).await
 }
 
-/// Updates the progress of a rollout and closes its plan. The service's controller loads the versions
-/// and evaluates the canaries.
+/// Updates the progress of a rollout and closes its plan. The service's controller loads the
+/// versions and evaluates the canaries.
 async fn track_rollout(
     tables: &dyn TableStore,
     plan: &StoredPlan,
--- a/crates/operate/src/plans/store.rs
+++ b/crates/operate/src/plans/store.rs
@@ -162,8 +162,8 @@
     Ok(plans)
 }
 
-/// Removes plans that are not running and last changed before `before_unix_ms`. Considers the `limit`
-/// oldest plans; removes none of them if one changes concurrently.
+/// Removes plans that are not running and last changed before `before_unix_ms`. Considers the
+/// `limit` oldest plans; removes none of them if one changes concurrently.
 pub async fn remove_older(
     tables: &dyn TableStore,
     before_unix_ms: u64,
