--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,71 +1,59 @@
-//! HTTP client of the operators' interface: several addresses, tried in turn.
+//! HTTP client of the admin API that tries several addresses in turn.
 
 use std::time::Duration;
 
 use awc::http::Method;
-use dappleyard_operate::api::answers::{ErrorBody, ErrorDetail};
+use dappleyard_operate::api::bodies::{ErrorBody, ErrorDetail};
 use derive_more::{Display, Error};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest answer read, bytes.
-const LARGEST_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a command did not succeed. Each says what to do next.
+/// Errors of commands. Most messages suggest what to do next.
 #[derive(Debug, Display, Error)]
 pub enum CtlError {
-    /// The arguments make no sense together.
+    /// Invalid arguments.
     #[display("{message}; see `dappleyard ctl --help`")]
-    Usage {
-        /// What is wrong.
-        message: String,
-    },
-    /// No node answered.
+    Usage { message: String },
+    /// No node could be reached.
     #[display(
-        "no node answered:\n{}\nName a node's admin address with --admin HOST:PORT, or see whether the nodes run.",
+        "no node answered:\n{}\nPass a node's admin address with --admin HOST:PORT, or check that the nodes are running.",
         attempts.join("\n")
     )]
     Unreachable {
-        /// Address and cause, one line each.
+        /// One line per attempt, with address and error.
         attempts: Vec<String>,
     },
-    /// A node answered something that is not understood.
+    /// The response could not be decoded.
     #[display(
-        "{address} gave an answer that is not understood: {cause}. Use a ctl of the fleet's version."
+        "{address} sent a response that cannot be decoded: {cause}. Use a ctl of the fleet's version."
     )]
-    BadAnswer {
-        /// Address.
-        address: String,
-        /// Cause.
-        cause: String,
-    },
-    /// A node refused.
+    InvalidResponse { address: String, cause: String },
+    /// The node returned an error response.
     #[display("refused ({}): {}", detail.code, detail.message)]
     Refused {
-        /// What the node said.
         #[error(not(source))]
         detail: Box<ErrorDetail>,
     },
-    /// The plan that was followed did not succeed.
-    #[display("plan {plan} is {phase}: {message}. `dappleyard ctl explain plan {plan}` says more.")]
+    /// The followed plan did not succeed.
+    #[display(
+        "plan {plan} is {phase}: {message}. `dappleyard ctl explain plan {plan}` shows details."
+    )]
     PlanNotDone {
-        /// Plan id.
         plan: String,
-        /// Its phase.
         phase: String,
-        /// What happened to it last.
+        /// Description of its last state change.
         message: String,
     },
 }
 
-/// Client of the operators' interface.
 pub struct Client {
     addresses: Vec<String>,
     http: awc::Client,
 }
 
 impl Client {
-    /// A client that tries the addresses in turn.
     pub fn new(addresses: Vec<String>, timeout_ms: u64) -> Client {
         Client {
             addresses,
@@ -75,13 +63,12 @@
         }
     }
 
-    /// `GET path`.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         self.call(Method::GET, path, None::<&()>).await
     }
 
-    /// `POST path` with a JSON body. The call may be repeated at another node, so that its body must
-    /// mean the same there.
+    /// `POST path` with a JSON body. The request may be repeated at another node, so it must be
+    /// valid at any node.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -109,10 +96,11 @@
                 Err(error) => attempts.push(format!("  {address}: {error}")),
                 Ok(mut response) => {
                     let success = response.status().is_success();
-                    let bytes = response.body().limit(LARGEST_ANSWER).await;
-                    let bytes = bytes.map_err(|error| bad(address, &error))?;
+                    let bytes = response.body().limit(MAX_RESPONSE_BYTES).await;
+                    let bytes = bytes.map_err(|error| invalid_response(address, &error))?;
                     return if success {
-                        serde_json::from_slice(&bytes).map_err(|error| bad(address, &error))
+                        serde_json::from_slice(&bytes)
+                            .map_err(|error| invalid_response(address, &error))
                     } else {
                         Err(refusal(address, &bytes))
                     };
@@ -123,8 +111,8 @@
     }
 }
 
-fn bad(address: &str, cause: &impl ToString) -> CtlError {
-    CtlError::BadAnswer {
+fn invalid_response(address: &str, cause: &impl ToString) -> CtlError {
+    CtlError::InvalidResponse {
         address: address.to_owned(),
         cause: cause.to_string(),
     }
@@ -135,6 +123,6 @@
         Ok(body) => CtlError::Refused {
             detail: Box::new(body.error),
         },
-        Err(error) => bad(address, &error),
+        Err(error) => invalid_response(address, &error),
     }
 }
--- a/crates/ctl/src/intents.rs
+++ b/crates/ctl/src/intents.rs
@@ -1,4 +1,4 @@
-//! From arguments to intents.
+//! Conversion of command-line arguments to intents.
 
 use clap::ArgMatches;
 use dappleyard_operate::intent::{
@@ -24,7 +24,7 @@
     matches.get_one::<u32>(name).copied()
 }
 
-/// The intent that `plan NAME ...` asks for.
+/// Intent of the `plan NAME ...` command.
 pub fn intent(name: &str, matches: &ArgMatches) -> Result<Intent, CtlError> {
     Ok(match name {
         "rollout" => Intent::Rollout(rollout(matches)),
@@ -38,12 +38,11 @@
         "model-set" => Intent::ModelSet(model_set(matches)),
         "batch-job" => Intent::BatchJob(batch_job(matches)),
         "json" => serde_json::from_str(&text(matches, "intent"))
-            .map_err(|error| usage(format!("the intent is not as expected: {error}")))?,
-        other => return Err(usage(format!("there is no intent {other}"))),
+            .map_err(|error| usage(format!("invalid intent: {error}")))?,
+        other => return Err(usage(format!("unknown intent {other}"))),
     })
 }
 
-/// Arguments of a rollout.
 pub fn rollout(matches: &ArgMatches) -> Rollout {
     Rollout {
         service: text(matches, "service"),
@@ -52,7 +51,6 @@
     }
 }
 
-/// Arguments of a drain.
 pub fn drain_target(matches: &ArgMatches) -> Result<DrainTarget, CtlError> {
     let kind = match text(matches, "kind").as_str() {
         "server" => DrainKind::Server,
@@ -67,7 +65,6 @@
     })
 }
 
-/// Arguments that name a batch job.
 pub fn batch_job(matches: &ArgMatches) -> BatchJob {
     BatchJob {
         tenant: text(matches, "tenant"),
@@ -100,12 +97,16 @@
 }
 
 fn seconds_after_midnight(text: &str) -> Result<u32, CtlError> {
-    let wrong = || usage(format!("{text} is no time of day; write HH:MM, as 17:30"));
-    let (hours, minutes) = text.split_once(':').ok_or_else(wrong)?;
-    let hours: u32 = hours.parse().map_err(|_| wrong())?;
-    let minutes: u32 = minutes.parse().map_err(|_| wrong())?;
+    let invalid_time = || {
+        usage(format!(
+            "{text} is not a time of day; expected HH:MM, such as 17:30"
+        ))
+    };
+    let (hours, minutes) = text.split_once(':').ok_or_else(invalid_time)?;
+    let hours: u32 = hours.parse().map_err(|_| invalid_time())?;
+    let minutes: u32 = minutes.parse().map_err(|_| invalid_time())?;
     if hours > 24 || minutes > 59 {
-        return Err(wrong());
+        return Err(invalid_time());
     }
     Ok(hours * 3600 + minutes * 60)
 }
@@ -114,7 +115,7 @@
     let mut bits = 0;
     for name in text.split(',') {
         let day = DAYS.iter().position(|day| *day == name.trim());
-        let day = day.ok_or_else(|| usage(format!("{name} is no day; write mon,tue,...")))?;
+        let day = day.ok_or_else(|| usage(format!("{name} is not a day; expected mon,tue,...")))?;
         bits |= 1 << day;
     }
     Ok(bits)
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,15 +1,15 @@
-//! Carries out a command.
+//! Executes commands.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 
 use clap::ArgMatches;
-use dappleyard_operate::api::answers::{ConfigurationAnswer, ConfirmBody, ProposeBody};
+use dappleyard_operate::api::bodies::{ConfigurationBody, ConfirmBody, ProposeBody};
 use dappleyard_operate::explain::Explanation;
 use dappleyard_operate::intent::Intent;
-use dappleyard_operate::jobs::JobLine;
+use dappleyard_operate::jobs::JobSummary;
 use dappleyard_operate::plans::PlanDocument;
-use dappleyard_operate::plans::store::PlanLine;
+use dappleyard_operate::plans::store::PlanSummary;
 use dappleyard_operate::status::{FleetStatus, ServerStatus};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -20,28 +20,25 @@
 use crate::tables;
 use crate::watch;
 
-/// Exit code of a refusal or failure.
+/// Exit code for errors other than invalid usage.
 const EXIT_REFUSED: u8 = 1;
-/// Exit code of wrong usage.
 const EXIT_USAGE: u8 = 2;
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// Tables for people.
     Table,
-    /// JSON for programs.
     Json,
 }
 
-/// What every command needs.
+/// Dependencies shared by all commands.
 struct Context {
     client: Client,
     output: Output,
     operator: String,
 }
 
-/// Carries out what the command line asks for and gives the exit code.
+/// Executes the command and returns the exit code.
 pub fn run(matches: &ArgMatches) -> u8 {
     match actix_rt::System::new().block_on(execute(matches)) {
         Ok(()) => 0,
@@ -125,34 +122,34 @@
 
 fn no_command() -> CtlError {
     CtlError::Usage {
-        message: "name a command".to_owned(),
+        message: "missing command".to_owned(),
     }
 }
 
 impl Context {
-    fn print<T: Serialize>(&self, value: &T, words: impl FnOnce(&T) -> String) {
+    fn print<T: Serialize>(&self, value: &T, render: impl FnOnce(&T) -> String) {
         match self.output {
-            Output::Table => println!("{}", words(value)),
+            Output::Table => println!("{}", render(value)),
             Output::Json => print_json(value),
         }
     }
 }
 
-/// Prints a value as JSON on one line.
+/// Prints a value as single-line JSON.
 pub fn print_json(value: &impl Serialize) {
     match serde_json::to_string(value) {
         Ok(json) => println!("{json}"),
-        Err(error) => eprintln!("the answer cannot be shown as JSON: {error}"),
+        Err(error) => eprintln!("cannot encode the response as JSON: {error}"),
     }
 }
 
 async fn show<T: Serialize + DeserializeOwned>(
     context: &Context,
     path: &str,
-    words: impl FnOnce(&T) -> String,
+    render: impl FnOnce(&T) -> String,
 ) -> Result<(), CtlError> {
     let value: T = context.client.get(path).await?;
-    context.print(&value, words);
+    context.print(&value, render);
     Ok(())
 }
 
@@ -192,7 +189,7 @@
     Ok(())
 }
 
-/// A token that no other confirmation has, so that a repeat at another node is known as a repeat.
+/// Random idempotency token, by which a node recognizes a repeated confirmation.
 fn token() -> String {
     let part = || RandomState::new().build_hasher().finish();
     format!("{:016x}{:016x}", part(), part())
@@ -209,7 +206,7 @@
     } else if arguments.get_flag("wait") {
         return Err(CtlError::Usage {
             message: format!(
-                "the plan waits for `dappleyard ctl confirm {}`; --wait needs --confirm",
+                "the plan is not confirmed: run `dappleyard ctl confirm {}`; --wait requires --confirm",
                 plan.id
             ),
         });
@@ -238,7 +235,7 @@
 }
 
 async fn jobs(context: &Context) -> Result<(), CtlError> {
-    show(context, "/admin/v1/jobs", |jobs: &Vec<JobLine>| {
+    show(context, "/admin/v1/jobs", |jobs: &Vec<JobSummary>| {
         tables::jobs(jobs).to_string()
     })
     .await
@@ -247,7 +244,7 @@
 async fn get(context: &Context, arguments: &ArgMatches) -> Result<(), CtlError> {
     match arguments.subcommand() {
         Some(("plans", _)) => {
-            show(context, "/admin/v1/plans", |plans: &Vec<PlanLine>| {
+            show(context, "/admin/v1/plans", |plans: &Vec<PlanSummary>| {
                 tables::plans(plans).to_string()
             })
             .await
@@ -274,7 +271,7 @@
             show(
                 context,
                 "/admin/v1/configuration",
-                |answer: &ConfigurationAnswer| tables::configuration(answer),
+                |answer: &ConfigurationBody| tables::configuration(answer),
             )
             .await
         }
--- a/crates/ctl/src/tables.rs
+++ b/crates/ctl/src/tables.rs
@@ -1,24 +1,24 @@
-//! Tables for people, 100 columns wide.
+//! Text tables for terminal output.
 
 use std::collections::BTreeMap;
 
 use comfy_table::{ColumnConstraint, ContentArrangement, Table, TableComponent, presets};
-use dappleyard_operate::api::answers::ConfigurationAnswer;
+use dappleyard_operate::api::bodies::ConfigurationBody;
 use dappleyard_operate::explain::Explanation;
-use dappleyard_operate::jobs::JobLine;
+use dappleyard_operate::jobs::JobSummary;
 use dappleyard_operate::plans::PlanDocument;
 use dappleyard_operate::plans::body::{CapacityLeft, Step};
-use dappleyard_operate::plans::store::PlanLine;
+use dappleyard_operate::plans::store::PlanSummary;
 use dappleyard_operate::status::{FleetStatus, NodeStatus, ServerStatus};
 
 use crate::time::{duration, now_unix_ms, relative, time_of_day};
 
-/// Width of a terminal for which tables are made, columns.
+/// Table width in columns.
 pub const WIDTH: u16 = 100;
-/// Names listed before the rest is counted.
+/// Number of names listed before the list is truncated.
 const NAMES_SHOWN: usize = 6;
 
-/// A table with a line under its header only, whose first column is never broken.
+/// Table with a single rule under the header; the first column is never wrapped.
 fn table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table
@@ -48,7 +48,7 @@
     }
 }
 
-/// The fleet at a glance.
+/// Overview of the fleet.
 pub fn status(status: &FleetStatus) -> String {
     let revision = &status.revision;
     let mut parts = vec![format!(
@@ -65,7 +65,7 @@
     parts.push(zones(status).to_string());
     parts.push(services(status).to_string());
     if !status.plans.is_empty() {
-        parts.push(format!("plans that run\n{}", plans(&status.plans)));
+        parts.push(format!("running plans\n{}", plans(&status.plans)));
     }
     if !status.jobs_at_risk.is_empty() {
         parts.push(format!("jobs at risk\n{}", jobs_at_risk(status)));
@@ -77,7 +77,7 @@
             .map(|cause| format!("unknown: {cause}")),
     );
     parts.push(format!(
-        "seen by {} at {} UTC",
+        "collected by {} at {} UTC",
         status.observed_by,
         time_of_day(status.unix_ms)
     ));
@@ -160,8 +160,7 @@
     table
 }
 
-/// Plans, one line each.
-pub fn plans(plans: &[PlanLine]) -> Table {
+pub fn plans(plans: &[PlanSummary]) -> Table {
     let mut table = table(&["plan", "phase", "what", "last"]);
     for plan in plans {
         table.add_row([&plan.id, &plan.phase, &plan.summary, &plan.message]);
@@ -169,7 +168,6 @@
     table
 }
 
-/// One plan in full.
 pub fn plan(plan: &PlanDocument) -> String {
     let body = &plan.body;
     let mut parts = vec![format!(
@@ -209,9 +207,9 @@
             .iter()
             .map(|warning| format!("warning: {warning}")),
     );
-    parts.push(format!("rests on {} rows", body.basis.len()));
+    parts.push(format!("depends on {} rows", body.basis.len()));
     if plan.phase == "proposed" {
-        parts.push(format!("to let it act: dappleyard ctl confirm {}", plan.id));
+        parts.push(format!("to execute it: dappleyard ctl confirm {}", plan.id));
     } else {
         parts.push(progress(plan));
     }
@@ -231,8 +229,8 @@
         ]);
     }
     if steps.len() > STEPS_SHOWN {
-        let rest = format!("and {} more steps", steps.len() - STEPS_SHOWN);
-        table.add_row(["", rest.as_str(), "", "", ""]);
+        let truncated = format!("and {} more steps", steps.len() - STEPS_SHOWN);
+        table.add_row(["", truncated.as_str(), "", "", ""]);
     }
     table
 }
@@ -250,7 +248,7 @@
     lines.join("\n")
 }
 
-/// How far a plan has come, on one line.
+/// Progress of a plan on one line.
 pub fn progress(plan: &PlanDocument) -> String {
     let progress = &plan.progress;
     let mut line = format!(
@@ -272,7 +270,6 @@
     format!("{line}; {}", plan.message)
 }
 
-/// Servers.
 pub fn servers(servers: &[ServerStatus]) -> Table {
     let mut table = table(&[
         "server", "service", "zone", "state", "version", "owner", "online", "batch", "step",
@@ -294,10 +291,15 @@
     table
 }
 
-/// Nodes.
 pub fn nodes(nodes: &[NodeStatus]) -> Table {
     let mut table = table(&[
-        "node", "zone", "member", "life", "revision", "servers", "admin",
+        "node",
+        "zone",
+        "member",
+        "lifecycle",
+        "revision",
+        "servers",
+        "admin",
     ]);
     for node in nodes {
         table.add_row([
@@ -313,17 +315,15 @@
     table
 }
 
-/// Configuration in force.
-pub fn configuration(answer: &ConfigurationAnswer) -> String {
-    let mut table = table(&["row", "what it says"]);
+pub fn configuration(answer: &ConfigurationBody) -> String {
+    let mut table = table(&["row", "value"]);
     for row in &answer.rows {
         table.add_row([&row.key, &row.words]);
     }
     format!("revision {}\n{table}", answer.revision)
 }
 
-/// Jobs.
-pub fn jobs(jobs: &[JobLine]) -> Table {
+pub fn jobs(jobs: &[JobSummary]) -> Table {
     let now = now_unix_ms();
     let mut table = table(&[
         "job", "tenant", "phase", "items", "settled", "deadline", "expected", "risk",
@@ -343,7 +343,6 @@
     table
 }
 
-/// An explanation.
 pub fn explanation(explanation: &Explanation) -> String {
     let mut parts = vec![explanation.answer.clone()];
     parts.extend(
@@ -353,7 +352,7 @@
             .map(|words| format!("  now: {words}")),
     );
     if !explanation.events.is_empty() {
-        let mut table = table(&["time (UTC)", "node", "what and why", "inputs"]);
+        let mut table = table(&["time (UTC)", "node", "decision", "inputs"]);
         for event in &explanation.events {
             let inputs: Vec<String> = event
                 .inputs
--- a/crates/operate/src/api/plans.rs
+++ b/crates/operate/src/api/plans.rs
@@ -1,4 +1,4 @@
-//! Routes of plans.
+//! Handlers for plans.
 
 use std::collections::BTreeSet;
 
@@ -8,26 +8,25 @@
 use serde::de::DeserializeOwned;
 
 use crate::api::OperateApi;
-use crate::api::answers::{ConfirmBody, ProposeBody, Refused, invalid};
+use crate::api::bodies::{ConfirmBody, ProposeBody, Refused, invalid};
 use crate::describe::phase_name;
 use crate::intent::Intent;
-use crate::jobs::{JobLine, read_job};
+use crate::jobs::{JobSummary, read_job};
 use crate::plans::abort::abort as abort_plan;
 use crate::plans::body::PlanDocument;
 use crate::plans::confirm::{Confirmation, confirm as confirm_plan, has_steps};
-use crate::plans::propose::{Surroundings, propose as propose_plan};
+use crate::plans::propose::{ProposalInputs, propose as propose_plan};
 use crate::plans::runner::{RunView, advance};
-use crate::plans::store::{PlanLine, StoredPlan, list_plans, read_plan};
+use crate::plans::store::{PlanSummary, StoredPlan, list_plans, read_plan};
 use crate::record::record;
-use crate::status::{FleetStatus, gather, known_here};
+use crate::status::{FleetStatus, gather, local_status};
 
-/// Plans in one answer.
-const MOST_PLANS: usize = 200;
+const MAX_PLANS: usize = 200;
 
 /// `GET /admin/v1/plans`
-pub async fn list(api: Data<OperateApi>) -> Result<Json<Vec<PlanLine>>, Refused> {
+pub async fn list(api: Data<OperateApi>) -> Result<Json<Vec<PlanSummary>>, Refused> {
     let now = api.tables.clock.unix_ms();
-    let plans = list_plans(&*api.platform.tables, MOST_PLANS, now).await?;
+    let plans = list_plans(&*api.platform.tables, MAX_PLANS, now).await?;
     Ok(Json(plans))
 }
 
@@ -37,32 +36,32 @@
     Ok(Json(plan.document()?))
 }
 
-/// `POST /admin/v1/plans`: makes a plan, and changes nothing else.
+/// `POST /admin/v1/plans`: stores a plan without executing it.
 pub async fn propose(api: Data<OperateApi>, body: Bytes) -> Result<Json<PlanDocument>, Refused> {
     let body: ProposeBody = parse(&body)?;
-    let (status, jobs) = seen_for(&api, &body.intent).await?;
-    let surroundings = Surroundings {
+    let (status, jobs) = planning_inputs(&api, &body.intent).await?;
+    let inputs = ProposalInputs {
         settings: &api.settings,
         status: &status,
         jobs: &jobs,
         operator: &body.operator,
         unix_ms: api.tables.clock.unix_ms(),
     };
-    let plan = propose_plan(&*api.platform.tables, &body.intent, &surroundings).await?;
-    note(
+    let plan = propose_plan(&*api.platform.tables, &body.intent, &inputs).await?;
+    record_plan(
         &api,
         &plan,
-        &format!("{} asked for it", name_of(&body.operator)),
+        &format!("requested by {}", operator_label(&body.operator)),
     );
     Ok(Json(plan.document()?))
 }
 
-/// The fleet and the jobs as far as a plan for the intent states them. Changes that touch no server
-/// are planned without asking the other nodes.
-async fn seen_for(
+/// Fleet status and jobs needed to plan the intent. Peers are queried only for rollouts, drains and
+/// batch jobs.
+async fn planning_inputs(
     api: &OperateApi,
     intent: &Intent,
-) -> Result<(FleetStatus, Vec<JobLine>), Failure> {
+) -> Result<(FleetStatus, Vec<JobSummary>), Failure> {
     match intent {
         Intent::Rollout(_) | Intent::Drain(_) => Ok(api.status_and_jobs().await),
         Intent::BatchJob(job) => {
@@ -70,7 +69,7 @@
             jobs.push(read_job(&api.jobs, &job.tenant, &job.job).await?);
             Ok((status, jobs))
         }
-        _ => Ok((known_here(&api.tables), Vec::new())),
+        _ => Ok((local_status(&api.tables), Vec::new())),
     }
 }
 
@@ -108,15 +107,15 @@
             return Err(refusal.into());
         }
     };
-    note(
+    record_plan(
         &api,
         &plan,
-        "it was confirmed and nothing that it rests on had changed",
+        "it was confirmed and none of the rows it depends on had changed",
     );
     Ok(Json(first_step(&api, plan).await?.document()?))
 }
 
-/// Takes the first step at once. What fails here is taken up by the plan runner.
+/// Executes the first step at once. On failure the plan runner retries it.
 async fn first_step(api: &OperateApi, plan: StoredPlan) -> Result<StoredPlan, Refused> {
     if !has_steps(&plan.intent()?) {
         return Ok(plan);
@@ -137,19 +136,19 @@
 pub async fn abort(api: Data<OperateApi>, id: Path<String>) -> Result<Json<PlanDocument>, Refused> {
     let now = api.tables.clock.unix_ms();
     let plan = abort_plan(&*api.platform.tables, &id, now).await?;
-    note(&api, &plan, "an operator aborted it");
+    record_plan(&api, &plan, "aborted by an operator");
     Ok(Json(plan.document()?))
 }
 
-fn name_of(operator: &str) -> &str {
+fn operator_label(operator: &str) -> &str {
     match operator {
-        "" => "an operator without a name",
+        "" => "an unnamed operator",
         name => name,
     }
 }
 
-/// Records what became of a plan.
-fn note(api: &OperateApi, plan: &StoredPlan, cause: &str) {
+/// Records a state change of a plan.
+fn record_plan(api: &OperateApi, plan: &StoredPlan, cause: &str) {
     let summary = plan.body().map(|body| body.summary).unwrap_or_default();
     record(&api.tables, DecisionKind::PlanStep, cause)
         .about(Subject::Plan(plan.row.id.clone()))
--- a/crates/operate/src/api/views.rs
+++ b/crates/operate/src/api/views.rs
@@ -1,35 +1,30 @@
-//! Routes that only look.
+//! Handlers of read-only routes.
 
 use actix_web::web::{Data, Json};
 use dappleyard_wire::messages::Member;
 use serde::{Deserialize, Serialize};
 
 use crate::api::OperateApi;
-use crate::api::answers::{ConfigurationAnswer, Refused, configuration_lines, invalid};
-use crate::jobs::{JobLine, active_jobs, list_jobs};
+use crate::api::bodies::{ConfigurationBody, Refused, configuration_rows, invalid};
+use crate::jobs::{JobSummary, active_jobs, list_jobs};
 use crate::local::{LocalReport, local_report};
 use crate::status::{FleetStatus, ServerStatus, gather, member_name};
 
-/// A member as this node believes it to be.
+/// A cluster member in this node's membership view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberLine {
-    /// Node id.
+pub struct MemberSummary {
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Incarnation.
     pub incarnation: u64,
-    /// It takes no new work.
+    /// Whether it rejects new work.
     pub draining: bool,
-    /// Configuration revision in force on it.
     pub configuration_revision: u64,
-    /// Address of its links.
+    /// Address for links from other nodes.
     pub link_address: String,
-    /// Address of its operators' interface.
+    /// Address of its admin API.
     pub admin_address: String,
 }
 
@@ -44,19 +39,19 @@
 }
 
 /// `GET /admin/v1/members`
-pub async fn members(api: Data<OperateApi>) -> Json<Vec<MemberLine>> {
+pub async fn members(api: Data<OperateApi>) -> Json<Vec<MemberSummary>> {
     Json(
         api.tables
             .members
             .all()
             .into_iter()
-            .map(member_line)
+            .map(member_summary)
             .collect(),
     )
 }
 
-fn member_line(member: Member) -> MemberLine {
-    MemberLine {
+fn member_summary(member: Member) -> MemberSummary {
+    MemberSummary {
         state: member_name(member.state()).to_owned(),
         node: member.node,
         zone: member.zone,
@@ -75,16 +70,16 @@
 }
 
 /// `GET /admin/v1/configuration`
-pub async fn configuration(api: Data<OperateApi>) -> Json<ConfigurationAnswer> {
+pub async fn configuration(api: Data<OperateApi>) -> Json<ConfigurationBody> {
     let current = api.tables.configuration.current();
-    Json(ConfigurationAnswer {
+    Json(ConfigurationBody {
         revision: current.revision,
-        rows: configuration_lines(&current),
+        rows: configuration_rows(&current),
     })
 }
 
 /// `GET /admin/v1/jobs`
-pub async fn jobs(api: Data<OperateApi>) -> Result<Json<Vec<JobLine>>, Refused> {
+pub async fn jobs(api: Data<OperateApi>) -> Result<Json<Vec<JobSummary>>, Refused> {
     let tables = &*api.platform.tables;
     let active = active_jobs(tables, &api.jobs).await?;
     let mut jobs = list_jobs(tables).await?;
@@ -96,7 +91,7 @@
     Ok(Json(jobs))
 }
 
-/// Any other path.
+/// Handles unknown paths.
 pub async fn unknown_route(request: actix_web::HttpRequest) -> Result<Json<()>, Refused> {
     Err(invalid(format!(
         "there is no {} {}; see docs/operate/plans.md for the routes",
--- a/crates/operate/src/jobs.rs
+++ b/crates/operate/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as operators look at them: state, and deadlines at risk.
+//! Batch job listings for operators, with deadlines at risk.
 
 use dappleyard_batch::JobsApi;
 use dappleyard_store::TableStore;
@@ -11,56 +11,48 @@
 use crate::describe::job_phase_name;
 use crate::snapshot::{decode, store_failure};
 
-/// Rows read in one call.
-const PAGE: usize = 500;
-/// Most pages read for one question.
-const MOST_PAGES: usize = 10;
-/// Active jobs whose progress is read for one question, those with the nearest deadlines.
-const MOST_ACTIVE: usize = 32;
-/// Jobs whose progress is read at once.
+const PAGE_SIZE: usize = 500;
+/// Limit on pages read for a list.
+const MAX_PAGES: usize = 10;
+/// Limit on active jobs whose progress is read; those with the earliest deadlines are kept.
+const MAX_ACTIVE_JOBS: usize = 32;
+/// Concurrent progress reads.
 const CONCURRENCY: usize = 8;
 
-/// One job on one line.
+/// Entry of a job list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobLine {
-    /// Tenant.
+pub struct JobSummary {
     pub tenant: String,
-    /// Job id.
     pub job: String,
-    /// Phase.
     pub phase: String,
-    /// Items of the job.
     pub items: u32,
-    /// Items completed or failed.
+    /// Number of items completed or failed.
     pub settled: u32,
-    /// Deadline, seconds since 1970.
     pub deadline_unix_s: u64,
-    /// Expected finish, seconds since 1970; 0 when unknown.
+    /// Expected completion; 0 if unknown.
     pub expected_unix_s: u64,
-    /// The deadline is at risk.
+    /// Whether the deadline is at risk.
     pub at_risk: bool,
-    /// Plan that must be confirmed for it to run; empty for none.
+    /// Plan that must be confirmed before the job runs; empty if none.
     pub plan: String,
 }
 
 /// A job whose deadline is at risk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobAtRisk {
-    /// Tenant.
     pub tenant: String,
-    /// Job id.
     pub job: String,
-    /// Deadline, seconds since 1970.
     pub deadline_unix_s: u64,
-    /// Why, in words.
     pub reason: String,
 }
 
-/// Jobs that need capacity now, nearest deadline first, each with its progress. At most
-/// 32 of them.
-pub async fn active_jobs(tables: &dyn TableStore, jobs: &JobsApi) -> Result<Vec<JobLine>, Failure> {
+/// Reads up to `MAX_ACTIVE_JOBS` jobs that need capacity, earliest deadline first, with progress.
+pub async fn active_jobs(
+    tables: &dyn TableStore,
+    jobs: &JobsApi,
+) -> Result<Vec<JobSummary>, Failure> {
     let rows = tables
-        .range(ACTIVE_JOB_PREFIX, "", PAGE)
+        .range(ACTIVE_JOB_PREFIX, "", PAGE_SIZE)
         .await
         .map_err(|error| store_failure(&error))?;
     let mut active = Vec::new();
@@ -68,7 +60,7 @@
         active.push(decode::<ActiveJobRow>(&row.key, &row.value)?);
     }
     active.sort_by_key(|job| job.deadline_unix_s);
-    active.truncate(MOST_ACTIVE);
+    active.truncate(MAX_ACTIVE_JOBS);
     let reads = active
         .into_iter()
         .map(|job| async move { read_job(jobs, &job.tenant, &job.job_id).await });
@@ -77,7 +69,7 @@
     while let Some(read) = reads.next().await {
         match read {
             Ok(line) => lines.push(line),
-            // It ended, and its rows went, between the two readings.
+            // The job finished and its rows were removed between the two reads.
             Err(failure) if failure.kind == ErrorKind::NotFound => {}
             Err(failure) => return Err(failure),
         }
@@ -85,8 +77,8 @@
     Ok(lines)
 }
 
-/// One job with its progress.
-pub async fn read_job(jobs: &JobsApi, tenant: &str, job: &str) -> Result<JobLine, Failure> {
+/// Reads a job with its progress.
+pub async fn read_job(jobs: &JobsApi, tenant: &str, job: &str) -> Result<JobSummary, Failure> {
     let get = JobGet {
         tenant: tenant.to_owned(),
         job_id: job.to_owned(),
@@ -96,37 +88,37 @@
         ..Call::default()
     };
     match jobs.call(call).await?.result {
-        Some(reply::Result::Job(state)) => Ok(job_line(&state)),
+        Some(reply::Result::Job(state)) => Ok(job_summary(&state)),
         _ => Err(Failure::not_run(
             ErrorKind::Internal,
-            "no job in the answer",
+            "the response contains no job",
         )),
     }
 }
 
-/// Reads jobs of all phases, at most 5,000 of them; without the progress of running ones.
-pub async fn list_jobs(tables: &dyn TableStore) -> Result<Vec<JobLine>, Failure> {
+/// Reads up to 5,000 jobs of all phases, without the progress of running ones.
+pub async fn list_jobs(tables: &dyn TableStore) -> Result<Vec<JobSummary>, Failure> {
     let mut jobs = Vec::new();
     let mut after = String::new();
-    for _ in 0..MOST_PAGES {
+    for _ in 0..MAX_PAGES {
         let page = tables
-            .range(JOB_PREFIX, &after, PAGE)
+            .range(JOB_PREFIX, &after, PAGE_SIZE)
             .await
             .map_err(|error| store_failure(&error))?;
         for row in &page {
             let job: JobRow = decode(&row.key, &row.value)?;
-            jobs.push(job_line(&job.state.unwrap_or_default()));
+            jobs.push(job_summary(&job.state.unwrap_or_default()));
         }
         match page.last() {
-            Some(last) if page.len() == PAGE => after.clone_from(&last.key),
+            Some(last) if page.len() == PAGE_SIZE => after.clone_from(&last.key),
             _ => break,
         }
     }
     Ok(jobs)
 }
 
-/// Unfinished jobs among these whose deadline is at risk, earliest deadline first.
-pub fn jobs_at_risk(jobs: &[JobLine], now_unix_s: u64) -> Vec<JobAtRisk> {
+/// Unfinished jobs whose deadline is at risk, earliest deadline first.
+pub fn jobs_at_risk(jobs: &[JobSummary], now_unix_s: u64) -> Vec<JobAtRisk> {
     let mut at_risk: Vec<JobAtRisk> = jobs
         .iter()
         .filter(|job| is_unfinished(&job.phase))
@@ -136,13 +128,13 @@
     at_risk
 }
 
-/// Whether a job of this phase still needs capacity.
+/// Whether a job in this phase still needs capacity.
 pub fn is_unfinished(phase: &str) -> bool {
     matches!(phase, "validating" | "in_progress" | "finalizing")
 }
 
-/// Whether a job's deadline is at risk when its remaining work takes `slowdown` times as long.
-pub fn risk(job: &JobLine, now_unix_s: u64, slowdown: f64) -> Option<JobAtRisk> {
+/// Returns the risk to a job's deadline if its remaining work takes `slowdown` times as long.
+pub fn risk(job: &JobSummary, now_unix_s: u64, slowdown: f64) -> Option<JobAtRisk> {
     let remaining_s = job.expected_unix_s.saturating_sub(now_unix_s);
     let expected = now_unix_s.saturating_add((remaining_s as f64 * slowdown).ceil() as u64);
     let reason = if job.deadline_unix_s > 0 && now_unix_s > job.deadline_unix_s {
@@ -151,7 +143,7 @@
             now_unix_s - job.deadline_unix_s
         )
     } else if job.expected_unix_s > 0 && slowdown.is_infinite() {
-        "no capacity is left for it meanwhile".to_owned()
+        "no capacity is left for it during the plan".to_owned()
     } else if job.expected_unix_s > 0 && expected > job.deadline_unix_s {
         format!(
             "{} of {} items are left and would end {} s after the deadline",
@@ -172,9 +164,8 @@
     })
 }
 
-/// One job on one line.
-pub fn job_line(state: &JobState) -> JobLine {
-    JobLine {
+pub fn job_summary(state: &JobState) -> JobSummary {
+    JobSummary {
         tenant: state.tenant.clone(),
         job: state.job_id.clone(),
         phase: job_phase_name(state.phase()).to_owned(),
--- a/crates/operate/src/own_drain.rs
+++ b/crates/operate/src/own_drain.rs
@@ -1,4 +1,4 @@
-//! The drain of this node itself: it takes nothing new while configuration names it.
+//! Drains this node while the configuration has a drain row for it.
 
 use std::sync::Arc;
 
@@ -8,22 +8,22 @@
 use crate::local::lifecycle_name;
 use crate::record::record;
 
-/// Makes this node drain while configuration says so, and lets it serve again afterwards.
-pub async fn follow_own_drain(tables: Arc<NodeTables>) {
+/// Watches the configuration and sets the lifecycle of this node when its drain starts or ends.
+pub async fn watch_own_drain(tables: Arc<NodeTables>) {
     let mut configurations = tables.configuration.subscribe();
     let key = ("node".to_owned(), tables.identity.node.to_string());
-    let mut drained = false;
+    let mut draining = false;
     loop {
-        let wanted = configurations.borrow_and_update().drains.contains_key(&key);
-        if wanted != drained {
-            drained = wanted;
-            // Membership lifts a withdrawn node to ready once it vouches for its configuration.
-            let next = if wanted {
+        let should_drain = configurations.borrow_and_update().drains.contains_key(&key);
+        if should_drain != draining {
+            draining = should_drain;
+            // Membership moves a withdrawn node to ready once its configuration is current.
+            let next = if should_drain {
                 Lifecycle::Draining
             } else {
                 Lifecycle::Withdrawn
             };
-            enter(&tables, next);
+            set_lifecycle(&tables, next);
         }
         if configurations.changed().await.is_err() {
             return;
@@ -31,13 +31,13 @@
     }
 }
 
-fn enter(tables: &NodeTables, next: Lifecycle) {
+fn set_lifecycle(tables: &NodeTables, next: Lifecycle) {
     let changed = tables.lifecycle.send_if_modified(|current| {
-        let moves = *current != Lifecycle::Stopped && *current != next;
-        if moves {
+        let changes = *current != Lifecycle::Stopped && *current != next;
+        if changes {
             *current = next;
         }
-        moves
+        changes
     });
     if changed {
         let node = tables.identity.node.to_string();
@@ -48,6 +48,6 @@
         record(tables, DecisionKind::Withdrawn, cause)
             .about(Subject::Node(node))
             .outcome(format!("the node is {}", lifecycle_name(next)));
-        tracing::info!(?next, "drain of this node");
+        tracing::info!(?next, "lifecycle changed by a drain of this node");
     }
 }
--- a/crates/operate/src/peers.rs
+++ b/crates/operate/src/peers.rs
@@ -1,4 +1,4 @@
-//! Questions to the other nodes' operators' interface: all at once, bounded, each with a timeout.
+//! Concurrent requests to the admin API of the other nodes, each with a timeout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,29 +8,26 @@
 use futures::StreamExt;
 use serde::de::DeserializeOwned;
 
-/// Questions that are open at once.
 const CONCURRENCY: usize = 32;
-/// Largest answer read from a peer, bytes.
-const LARGEST_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The other nodes, as questions are put to them.
+/// Client for the admin API of the other nodes.
 #[derive(Clone)]
 pub struct Peers {
     tables: Arc<NodeTables>,
     client: awc::Client,
 }
 
-/// Answers of the peers that answered, and the names of those that did not, with the cause.
+/// Responses of the peers, and the peers that failed.
 #[derive(Debug, Clone)]
-pub struct PeerAnswers<T> {
-    /// Answers.
-    pub answers: Vec<T>,
-    /// Node and cause.
-    pub silent: Vec<(String, String)>,
+pub struct PeerResponses<T> {
+    pub responses: Vec<T>,
+    /// Node and error of each failed request.
+    pub failed: Vec<(String, String)>,
 }
 
 impl Peers {
-    /// Peers of this node. Each question may take `timeout_ms`.
+    /// Creates a client with a timeout per request.
     pub fn new(tables: Arc<NodeTables>, timeout_ms: u64) -> Peers {
         let timeout = Duration::from_millis(timeout_ms.max(1));
         Peers {
@@ -39,41 +36,43 @@
         }
     }
 
-    /// Asks every live peer for `path`, a path of the operators' interface.
-    pub async fn ask<T: DeserializeOwned>(&self, path: &str) -> PeerAnswers<T> {
-        self.ask_those(path, |_| true).await
+    /// Sends `GET path` to every alive or suspect peer.
+    pub async fn query<T: DeserializeOwned>(&self, path: &str) -> PeerResponses<T> {
+        self.query_where(path, |_| true).await
     }
 
-    /// Asks the live peers that `wanted` names.
-    pub async fn ask_those<T: DeserializeOwned>(
+    /// Sends `GET path` to the alive or suspect peers that `include` selects.
+    pub async fn query_where<T: DeserializeOwned>(
         &self,
         path: &str,
-        wanted: impl Fn(&str) -> bool,
-    ) -> PeerAnswers<T> {
+        include: impl Fn(&str) -> bool,
+    ) -> PeerResponses<T> {
         let addresses = self.addresses().into_iter();
-        let questions =
+        let requests =
             addresses
-                .filter(|(node, _)| wanted(node))
+                .filter(|(node, _)| include(node))
                 .map(|(node, address)| async move {
-                    let answer = self.ask_one::<T>(&format!("http://{address}{path}")).await;
+                    let answer = self
+                        .query_one::<T>(&format!("http://{address}{path}"))
+                        .await;
                     (node, answer)
                 });
-        let mut results = futures::stream::iter(questions).buffer_unordered(CONCURRENCY);
-        let mut collected = PeerAnswers {
-            answers: Vec::new(),
-            silent: Vec::new(),
+        let mut results = futures::stream::iter(requests).buffer_unordered(CONCURRENCY);
+        let mut collected = PeerResponses {
+            responses: Vec::new(),
+            failed: Vec::new(),
         };
         while let Some((node, answer)) = results.next().await {
             match answer {
-                Ok(answer) => collected.answers.push(answer),
-                Err(cause) => collected.silent.push((node, cause)),
+                Ok(answer) => collected.responses.push(answer),
+                Err(cause) => collected.failed.push((node, cause)),
             }
         }
-        collected.silent.sort();
+        collected.failed.sort();
         collected
     }
 
-    async fn ask_one<T: DeserializeOwned>(&self, url: &str) -> Result<T, String> {
+    async fn query_one<T: DeserializeOwned>(&self, url: &str) -> Result<T, String> {
         let mut response = self
             .client
             .get(url)
@@ -83,16 +82,16 @@
         if !response.status().is_success() {
             return Err(format!("answered {}", response.status()));
         }
-        let answer = response.json().limit(LARGEST_ANSWER).await;
+        let answer = response.json().limit(MAX_RESPONSE_BYTES).await;
         answer.map_err(|error| error.to_string())
     }
 
     fn addresses(&self) -> Vec<(String, String)> {
-        let me = self.tables.identity.node.as_str();
+        let own_node = self.tables.identity.node.as_str();
         let members = self.tables.members.all();
         members
             .into_iter()
-            .filter(|member| member.node != me && !member.admin_address.is_empty())
+            .filter(|member| member.node != own_node && !member.admin_address.is_empty())
             .filter(|member| {
                 matches!(
                     member.state(),
--- a/crates/operate/src/plans/abort.rs
+++ b/crates/operate/src/plans/abort.rs
@@ -1,5 +1,5 @@
-//! Abort: a proposed plan is closed, a running one stops where it is; a rollout that is still at its
-//! canaries is taken back.
+//! Aborts plans: closes a proposed plan, stops a running one, and reverts a rollout that is still
+//! in its canary stage.
 
 use dappleyard_store::{Expect, StoreError, TableStore, Transaction};
 use dappleyard_wire::ids::PlanId;
@@ -10,24 +10,27 @@
 use crate::describe::phase_name;
 use crate::head::ConfigurationHead;
 use crate::intent::{Intent, Rollout};
-use crate::plans::confirm::pause;
+use crate::plans::confirm::random_retry_delay;
 use crate::plans::store::{StoredPlan, encoded, read_plan};
 use crate::snapshot::{Snapshot, store_failure};
 
-/// Attempts at one abort, since the plan may move in between.
-const ATTEMPTS: u32 = 20;
+/// Retries when the plan row changes between read and write.
+const MAX_ATTEMPTS: u32 = 20;
 
 /// Aborts a plan. Aborting an aborted plan does nothing.
 pub async fn abort(tables: &dyn TableStore, id: &str, unix_ms: u64) -> Result<StoredPlan, Failure> {
-    let mut last = Failure::not_run(ErrorKind::Conflict, "the plan keeps moving; abort again");
-    for _ in 0..ATTEMPTS {
+    let mut last_failure = Failure::not_run(
+        ErrorKind::Conflict,
+        "the plan keeps changing; retry the abort",
+    );
+    for _ in 0..MAX_ATTEMPTS {
         let plan = read_plan(tables, id).await?;
         match plan.row.phase() {
             PlanPhase::PlanAborted => return Ok(plan),
             PlanPhase::PlanProposed | PlanPhase::PlanConfirmed | PlanPhase::PlanRunning => {}
-            phase => return Err(over(id, phase)),
+            phase => return Err(not_abortable(id, phase)),
         }
-        let (transaction, next) = prepare(tables, &plan, unix_ms).await?;
+        let (transaction, next) = abort_transaction(tables, &plan, unix_ms).await?;
         match tables.transact(transaction).await {
             Ok(revision) => {
                 return Ok(StoredPlan {
@@ -36,23 +39,25 @@
                 });
             }
             Err(StoreError::Unavailable { reason }) => {
-                return Err(store_failure(&StoreError::Unavailable { reason }).after(last.ran));
+                return Err(
+                    store_failure(&StoreError::Unavailable { reason }).after(last_failure.ran)
+                );
             }
-            Err(error) => last = store_failure(&error).after(last.ran),
+            Err(error) => last_failure = store_failure(&error).after(last_failure.ran),
         }
-        pause().await;
+        random_retry_delay().await;
     }
-    Err(last)
+    Err(last_failure)
 }
 
-fn over(id: &str, phase: PlanPhase) -> Failure {
+fn not_abortable(id: &str, phase: PlanPhase) -> Failure {
     Failure::not_run(
         ErrorKind::Conflict,
         format!("plan {id} is {} and cannot be aborted", phase_name(phase)),
     )
 }
 
-async fn prepare(
+async fn abort_transaction(
     tables: &dyn TableStore,
     plan: &StoredPlan,
     unix_ms: u64,
@@ -64,12 +69,12 @@
     let running = plan.row.phase() != PlanPhase::PlanProposed;
     let message = match plan.intent()? {
         Intent::Rollout(rollout) if running => {
-            let (next, message) = take_back(tables, transaction, &rollout).await?;
+            let (next, message) = remove_canary(tables, transaction, &rollout).await?;
             transaction = next;
             message
         }
         Intent::Drain(target) if running => format!(
-            "aborted; servers that are out stay out: `dappleyard ctl plan undrain {} {}` takes them back",
+            "aborted; drained servers stay drained: `dappleyard ctl plan undrain {} {}` returns them to service",
             target.kind.name(),
             target.name
         ),
@@ -80,8 +85,8 @@
     Ok((transaction, next))
 }
 
-/// Takes the canary out of the service row when the rollout has not gone past its canaries.
-async fn take_back(
+/// Clears the canary in the service row if the rollout is still in its canary stage.
+async fn remove_canary(
     tables: &dyn TableStore,
     transaction: Transaction,
     rollout: &Rollout,
@@ -97,13 +102,13 @@
                 .await
                 .map_err(|error| store_failure(&error))?;
             let transaction = snapshot.guard(transaction).put(key, encoded(&row));
-            let message = format!("aborted; the canaries go back to {}", row.version);
+            let message = format!("aborted; the canaries are reverted to {}", row.version);
             Ok((head.chain(transaction), message))
         }
         Some(row) if row.version == rollout.version => Ok((
             transaction,
             format!(
-                "no longer followed; {} is the version of all servers already: plan a rollout of the earlier version to go back",
+                "aborted; {} is already the version of all servers: to revert, plan a rollout of the previous version",
                 row.version
             ),
         )),
--- a/crates/operate/src/plans/confirm.rs
+++ b/crates/operate/src/plans/confirm.rs
@@ -1,8 +1,8 @@
-//! Confirmation: one transaction that compares every row that the plan rests on.
+//! Confirms a plan in one transaction that compares every row the plan depends on.
 //!
-//! Of two plans that conflict exactly one is accepted, and the other is told which row changed, from
-//! what to what. An answer that is lost is resolved by reading back the plan row, which carries the
-//! token of the confirmation that was accepted.
+//! Of two conflicting plans exactly one is accepted; the other is refused with the rows that
+//! changed. If the response to the transaction is lost, the plan row is read again: it contains the
+//! token of the accepted confirmation.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::describe::{key_words, phase_name, row_words};
+use crate::describe::{describe_key, describe_row, phase_name};
 use crate::head::ConfigurationHead;
 use crate::intent::Intent;
 use crate::plans::body::PlanBody;
@@ -22,31 +22,29 @@
 use crate::regions;
 use crate::snapshot::store_failure;
 
-/// Attempts at one confirmation, since other configuration changes may come in between.
-const ATTEMPTS: u32 = 20;
-/// Longest pause between two attempts, milliseconds; the pause is random.
-const LONGEST_PAUSE_MS: u64 = 60;
+/// Retries when other configuration changes commit first.
+const MAX_ATTEMPTS: u32 = 20;
+/// Upper bound of the random delay between two attempts.
+const MAX_RETRY_DELAY_MS: u64 = 60;
 
-/// A row that is not as the plan found it.
+/// A row that changed after the plan was made.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
-    /// Key of the row.
+pub struct ChangedRow {
     pub key: String,
-    /// What it names, in words.
+    /// Description of the key.
     pub what: String,
-    /// What it said when the plan was made.
+    /// Description of the row when the plan was made.
     pub before: String,
-    /// What it says now.
+    /// Description of the current row.
     pub now: String,
 }
 
-/// A refused confirmation: the failure, and what changed when that is the cause.
+/// A refused confirmation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The failure.
     pub failure: Failure,
-    /// Rows that changed under the plan.
-    pub changed: Vec<Changed>,
+    /// Rows that changed after the plan was made, if that is the cause.
+    pub changed: Vec<ChangedRow>,
 }
 
 impl From<Failure> for Refusal {
@@ -58,70 +56,66 @@
     }
 }
 
-/// A wish to confirm a plan.
+/// A request to confirm a plan.
 #[derive(Debug, Clone)]
 pub struct Confirmation {
-    /// Plan id.
     pub plan: String,
-    /// Token of this confirmation; a repeat with the same token gets the same answer.
+    /// Idempotency token: a repeat with the same token gets the same response.
     pub token: String,
-    /// Wall-clock time, milliseconds since 1970.
     pub unix_ms: u64,
-    /// Age above which a region counts as cut off, milliseconds.
+    /// Age of a region's freshness row above which the region counts as unreachable.
     pub region_fresh_ms: u64,
 }
 
-/// What one attempt came to.
 enum Attempt {
     Accepted(StoredPlan),
-    Again(Failure),
+    Retry(Failure),
     Refused(Refusal),
 }
 
-/// Confirms a plan.
 pub async fn confirm(
     tables: &dyn TableStore,
     confirmation: &Confirmation,
 ) -> Result<StoredPlan, Refusal> {
-    let mut last = Failure::not_run(
+    let mut last_failure = Failure::not_run(
         ErrorKind::Conflict,
         "configuration keeps changing; try again",
     );
-    for _ in 0..ATTEMPTS {
+    for _ in 0..MAX_ATTEMPTS {
         match attempt(tables, confirmation).await {
             Attempt::Accepted(plan) => return Ok(plan),
             Attempt::Refused(refusal) => {
                 return Err(Refusal {
-                    failure: refusal.failure.after(last.ran),
+                    failure: refusal.failure.after(last_failure.ran),
                     ..refusal
                 });
             }
-            Attempt::Again(failure) => last = failure.after(last.ran),
+            Attempt::Retry(failure) => last_failure = failure.after(last_failure.ran),
         }
-        pause().await;
+        random_retry_delay().await;
     }
-    Err(last.into())
+    Err(last_failure.into())
 }
 
-/// Waits a moment so that racing writers do not meet again at once.
-pub async fn pause() {
-    let pause_ms = rand::rng().random_range(1..=LONGEST_PAUSE_MS);
-    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+/// Sleeps for a random delay so that competing writers do not conflict again at once.
+pub async fn random_retry_delay() {
+    let delay_ms = rand::rng().random_range(1..=MAX_RETRY_DELAY_MS);
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
 }
 
 async fn attempt(tables: &dyn TableStore, confirmation: &Confirmation) -> Attempt {
     match prepare(tables, confirmation).await {
-        Ok(Prepared::Already(plan)) => Attempt::Accepted(plan),
+        Ok(Prepared::AlreadyConfirmed(plan)) => Attempt::Accepted(plan),
         Ok(Prepared::Transaction(plan, next, transaction)) => {
             let answer = tables.transact(transaction).await;
-            judge(tables, &plan, next, answer).await
+            interpret_result(tables, &plan, next, answer).await
         }
         Err(refusal) => Attempt::Refused(refusal),
     }
 }
 
 enum Prepared {
-    Already(StoredPlan),
+    AlreadyConfirmed(StoredPlan),
     Transaction(StoredPlan, PlanRow, Transaction),
 }
 
@@ -131,7 +125,7 @@
 ) -> Result<Prepared, Refusal> {
     let plan = read_plan(tables, &confirmation.plan).await?;
     if !confirmation.token.is_empty() && plan.row.confirmation == confirmation.token {
-        return Ok(Prepared::Already(plan));
+        return Ok(Prepared::AlreadyConfirmed(plan));
     }
     if plan.row.phase() != PlanPhase::PlanProposed {
         return Err(not_proposed(&plan).into());
@@ -154,7 +148,7 @@
     Failure::not_run(
         ErrorKind::Conflict,
         format!(
-            "plan {} is {} ({}) and can no longer be confirmed; ask for a new plan",
+            "plan {} is {} ({}) and can no longer be confirmed; create a new plan",
             plan.row.id,
             phase_name(plan.row.phase()),
             plan.row.message
@@ -162,14 +156,14 @@
     )
 }
 
-/// Whether steps follow the confirmation.
+/// Whether the plan has steps to execute after the confirmation.
 pub fn has_steps(intent: &Intent) -> bool {
     matches!(intent, Intent::Rollout(_) | Intent::Drain(_))
 }
 
 fn confirmed_row(plan: &StoredPlan, intent: &Intent, confirmation: &Confirmation) -> PlanRow {
     let (phase, message) = if has_steps(intent) {
-        (PlanPhase::PlanRunning, "confirmed; its steps begin")
+        (PlanPhase::PlanRunning, "confirmed; its steps are starting")
     } else {
         (PlanPhase::PlanDone, "confirmed and written")
     };
@@ -213,11 +207,11 @@
         };
         transaction = transaction.put(keys::active_plan(&id), encoded(&index));
     }
-    let configures = body
+    let changes_configuration = body
         .writes
         .iter()
         .any(|write| write.key.starts_with(CONFIGURATION_PREFIX));
-    if configures {
+    if changes_configuration {
         let head = ConfigurationHead::read(tables)
             .await
             .map_err(|error| store_failure(&error))?;
@@ -230,7 +224,7 @@
     key.starts_with("plan-guard/")
 }
 
-async fn judge(
+async fn interpret_result(
     tables: &dyn TableStore,
     plan: &StoredPlan,
     next: PlanRow,
@@ -243,28 +237,30 @@
             revision,
         }),
         Err(StoreError::Conflict { key, .. }) if key == CONFIGURATION_HEAD || key == plan_key => {
-            Attempt::Again(Failure::not_run(
+            Attempt::Retry(Failure::not_run(
                 ErrorKind::Conflict,
-                "other configuration changes keep coming first; confirm again",
+                "other configuration changes keep committing first; confirm again",
             ))
         }
-        Err(StoreError::Conflict { .. }) => overtaken(tables, plan, next.changed_unix_ms).await,
-        // The next attempt reads the plan row back: it carries the token when the change took effect.
+        Err(StoreError::Conflict { .. }) => {
+            close_overtaken(tables, plan, next.changed_unix_ms).await
+        }
+        // The next attempt reads the plan row, which contains the token if the change took effect.
         Err(error @ (StoreError::Ambiguous { .. } | StoreError::RateLimited { .. })) => {
-            Attempt::Again(store_failure(&error))
+            Attempt::Retry(store_failure(&error))
         }
         Err(error) => Attempt::Refused(store_failure(&error).into()),
     }
 }
 
-/// The plan rests on rows that have changed: says which, and closes the plan.
-async fn overtaken(tables: &dyn TableStore, plan: &StoredPlan, unix_ms: u64) -> Attempt {
+/// Finds the rows that changed since the plan was made and marks the plan as overtaken.
+async fn close_overtaken(tables: &dyn TableStore, plan: &StoredPlan, unix_ms: u64) -> Attempt {
     let changed = match changed_rows(tables, plan).await {
         Ok(changed) => changed,
         Err(failure) => return Attempt::Refused(failure.into()),
     };
     if changed.is_empty() {
-        return Attempt::Again(Failure::not_run(
+        return Attempt::Retry(Failure::not_run(
             ErrorKind::Conflict,
             "a row changed and changed back; confirm again",
         ));
@@ -284,7 +280,7 @@
     let close = Transaction::default()
         .expect(key.clone(), Expect::Revision(plan.revision))
         .put(key, encoded(&next));
-    // The plan can never be confirmed any more, whether or not this note of it is written.
+    // Best effort: the plan can no longer be confirmed even if this write fails.
     let _ = tables.transact(close).await;
     let failure = Failure::not_run(
         ErrorKind::Conflict,
@@ -293,7 +289,10 @@
     Attempt::Refused(Refusal { failure, changed })
 }
 
-async fn changed_rows(tables: &dyn TableStore, plan: &StoredPlan) -> Result<Vec<Changed>, Failure> {
+async fn changed_rows(
+    tables: &dyn TableStore,
+    plan: &StoredPlan,
+) -> Result<Vec<ChangedRow>, Failure> {
     let body = plan.body()?;
     let mut changed = Vec::new();
     for basis in &plan.row.basis {
@@ -304,16 +303,16 @@
         if row.as_ref().map_or(0, |row| row.revision) == basis.revision {
             continue;
         }
-        let what = key_words(&basis.key);
+        let what = describe_key(&basis.key);
         let known = body.basis.iter().find(|words| words.key == basis.key);
         let before = known.map_or_else(String::new, |words| words.words.clone());
-        changed.push(Changed {
+        changed.push(ChangedRow {
             key: basis.key.clone(),
             before: before
                 .strip_prefix(&format!("{what}: "))
                 .unwrap_or(&before)
                 .to_owned(),
-            now: row_words(&basis.key, row.as_ref().map(|row| row.value.as_ref())),
+            now: describe_row(&basis.key, row.as_ref().map(|row| row.value.as_ref())),
             what,
         });
     }
--- a/crates/operate/src/plans/effects.rs
+++ b/crates/operate/src/plans/effects.rs
@@ -1,4 +1,4 @@
-//! What a plan does to capacity, requests in progress and deadlines, as far as it can be foreseen.
+//! Estimates the effects of a plan on capacity, requests in progress and batch deadlines.
 
 use std::collections::BTreeMap;
 
@@ -8,56 +8,48 @@
 use dappleyard_settings::OperateSettings;
 
 use crate::intent::{BatchJob, DrainKind, DrainTarget, Intent, Rollout};
-use crate::jobs::{JobAtRisk, JobLine, is_unfinished, risk};
+use crate::jobs::{JobAtRisk, JobSummary, is_unfinished, risk};
 use crate::plans::body::{CapacityLeft, RequestsAffected, Step};
 use crate::plans::changes::drained_servers;
 use crate::status::{FleetStatus, ServerStatus};
 
-/// Expected time for the requests of a drained server to end, milliseconds.
-const DRAIN_EXPECTED_MS: u64 = 15_000;
-/// Expected time for a configuration change to be in force everywhere, milliseconds.
-const IN_FORCE_EXPECTED_MS: u64 = 3_000;
+/// Expected time until a drained server is idle.
+const EXPECTED_DRAIN_MS: u64 = 15_000;
+/// Expected time until all nodes have applied a configuration change.
+const EXPECTED_PROPAGATION_MS: u64 = 3_000;
 
-/// What planning knows besides the intent.
-pub struct Outlook<'a> {
-    /// The fleet.
+/// Inputs of the estimate besides the intent.
+pub struct PlanningContext<'a> {
     pub status: &'a FleetStatus,
-    /// Budget of each service that the plan touches.
+    /// Disruption budget of each affected service.
     pub budgets: BTreeMap<String, Budget>,
-    /// Jobs.
-    pub jobs: &'a [JobLine],
-    /// Settings.
+    pub jobs: &'a [JobSummary],
     pub settings: &'a OperateSettings,
-    /// Wall-clock time, seconds since 1970.
     pub now_unix_s: u64,
 }
 
-/// Foreseen effects of a plan.
+/// Estimated effects of a plan.
 #[derive(Debug, Clone, Default)]
 pub struct Effects {
-    /// Steps in order.
     pub steps: Vec<Step>,
-    /// Requests in progress on servers that it touches.
+    /// Requests in progress on the affected servers.
     pub requests: RequestsAffected,
-    /// Deadlines that it puts at risk.
+    /// Batch jobs that may miss their deadline.
     pub deadlines: Vec<JobAtRisk>,
-    /// Expected duration, milliseconds.
     pub expected_ms: u64,
-    /// What the operator should know.
     pub warnings: Vec<String>,
 }
 
-/// Foresees the effects of an intent.
-pub fn foresee(intent: &Intent, outlook: &Outlook<'_>) -> Effects {
+pub fn estimate_effects(intent: &Intent, context: &PlanningContext<'_>) -> Effects {
     let mut effects = match intent {
-        Intent::Rollout(rollout) => rollout_effects(rollout, outlook),
-        Intent::Drain(target) => drain_effects(target, outlook),
-        Intent::BatchJob(job) => batch_job_effects(job, outlook),
+        Intent::Rollout(rollout) => rollout_effects(rollout, context),
+        Intent::Drain(target) => drain_effects(target, context),
+        Intent::BatchJob(job) => batch_job_effects(job, context),
         _ => single_step(intent),
     };
     effects.expected_ms = effects.steps.iter().map(|step| step.expected_ms).sum();
-    effects.deadlines = deadlines(intent, &effects, outlook);
-    effects.warnings.extend(warnings(intent, outlook));
+    effects.deadlines = deadlines(intent, &effects, context);
+    effects.warnings.extend(warnings(intent, context));
     effects
 }
 
@@ -65,44 +57,46 @@
     Effects {
         steps: vec![Step {
             what: format!("{}; in force on every node", intent.summary()),
-            expected_ms: IN_FORCE_EXPECTED_MS,
+            expected_ms: EXPECTED_PROPAGATION_MS,
             ..Step::default()
         }],
         ..Effects::default()
     }
 }
 
-/// What the job takes: its items, and a share of the idle capacity beside the jobs that run.
-fn batch_job_effects(job: &BatchJob, outlook: &Outlook<'_>) -> Effects {
-    let known = outlook.jobs.iter().find(|line| line.job == job.job);
-    let beside = outlook
+/// A batch job uses idle capacity only and shares it with the running jobs.
+fn batch_job_effects(job: &BatchJob, context: &PlanningContext<'_>) -> Effects {
+    let known = context.jobs.iter().find(|line| line.job == job.job);
+    let competing = context
         .jobs
         .iter()
         .filter(|line| is_unfinished(&line.phase));
-    let servers = outlook
+    let servers = context
         .status
         .servers
         .iter()
         .filter(|server| server.serves());
     let items = known.map_or(0, |line| line.items);
     let due_s = known.map_or(0, |line| {
-        line.deadline_unix_s.saturating_sub(outlook.now_unix_s)
+        line.deadline_unix_s.saturating_sub(context.now_unix_s)
     });
     Effects {
         steps: vec![Step {
             what: format!(
-                "run {items} items, due in {due_s} s, in the idle capacity of {} servers, beside {} jobs",
+                "run {items} items, due in {due_s} s, in the idle capacity of {} servers, alongside {} jobs",
                 servers.count(),
-                beside.count()
+                competing.count()
             ),
             ..Step::default()
         }],
-        warnings: vec!["its finish is foreseen once its first chunks are done".to_owned()],
+        warnings: vec![
+            "its completion time is estimated once its first chunks are done".to_owned(),
+        ],
         ..Effects::default()
     }
 }
 
-fn planned(server: &ServerStatus) -> PlannedServer {
+fn planned_server(server: &ServerStatus) -> PlannedServer {
     PlannedServer {
         server: server.server.clone(),
         service: server.service.clone(),
@@ -111,38 +105,35 @@
     }
 }
 
-fn all_servers(outlook: &Outlook<'_>) -> Vec<PlannedServer> {
-    outlook.status.servers.iter().map(planned).collect()
+fn all_servers(context: &PlanningContext<'_>) -> Vec<PlannedServer> {
+    context.status.servers.iter().map(planned_server).collect()
 }
 
-fn bounds(outlook: &Outlook<'_>, concurrency: usize) -> WaveBounds {
+fn bounds(context: &PlanningContext<'_>, concurrency: usize) -> WaveBounds {
     WaveBounds {
-        budgets: outlook.budgets.clone(),
+        budgets: context.budgets.clone(),
         concurrency,
     }
 }
 
-fn drain_effects(target: &DrainTarget, outlook: &Outlook<'_>) -> Effects {
+fn drain_effects(target: &DrainTarget, context: &PlanningContext<'_>) -> Effects {
     if target.kind == DrainKind::Node {
         return node_drain_effects(target);
     }
-    let touched: Vec<&ServerStatus> = drained_servers(target, outlook.status).collect();
-    let targets: Vec<PlannedServer> = touched.iter().map(|server| planned(server)).collect();
-    let bounds = bounds(outlook, usize::MAX);
-    let waves = waves(&targets, &all_servers(outlook), &bounds, AfterWave::StayOut);
+    let affected: Vec<&ServerStatus> = drained_servers(target, context.status).collect();
+    let targets: Vec<PlannedServer> = affected
+        .iter()
+        .map(|server| planned_server(server))
+        .collect();
+    let bounds = bounds(context, usize::MAX);
+    let waves = waves(&targets, &all_servers(context), &bounds, AfterWave::StayOut);
     let steps = waves
         .iter()
-        .map(|wave| {
-            step_of(
-                wave,
-                "take out and wait until nothing runs there",
-                DRAIN_EXPECTED_MS,
-            )
-        })
+        .map(|wave| step_from_wave(wave, "drain and wait until idle", EXPECTED_DRAIN_MS))
         .collect();
     Effects {
         steps,
-        requests: requests(&touched),
+        requests: requests(&affected),
         ..Effects::default()
     }
 }
@@ -151,43 +142,46 @@
     Effects {
         steps: vec![Step {
             what: format!(
-                "node {} takes nothing new, finishes what it has; its servers pass to other nodes",
+                "node {} accepts no new work and finishes its requests in progress; its servers move to other nodes",
                 target.name
             ),
-            expected_ms: DRAIN_EXPECTED_MS,
+            expected_ms: EXPECTED_DRAIN_MS,
             ..Step::default()
         }],
         ..Effects::default()
     }
 }
 
-fn rollout_effects(rollout: &Rollout, outlook: &Outlook<'_>) -> Effects {
-    let carriers: Vec<&ServerStatus> = outlook
+fn rollout_effects(rollout: &Rollout, context: &PlanningContext<'_>) -> Effects {
+    let service_servers: Vec<&ServerStatus> = context
         .status
         .servers
         .iter()
         .filter(|server| server.service == rollout.service)
         .filter(|server| !matches!(server.state.as_str(), "drained" | "leaving"))
         .collect();
-    let targets: Vec<PlannedServer> = carriers.iter().map(|server| planned(server)).collect();
+    let targets: Vec<PlannedServer> = service_servers
+        .iter()
+        .map(|server| planned_server(server))
+        .collect();
     let canaries = canary_count(targets.len(), rollout.canary_percent);
-    let all = all_servers(outlook);
-    let bounds = bounds(outlook, outlook.settings.load_concurrency);
-    let load_ms = outlook.settings.expected_load_ms;
+    let all = all_servers(context);
+    let bounds = bounds(context, context.settings.load_concurrency);
+    let load_ms = context.settings.expected_load_ms;
     let (first, rest) = targets.split_at(canaries.min(targets.len()));
     let mut steps = load_steps(first, &all, &bounds, "canary: load", rollout, load_ms);
     steps.push(Step {
         what: format!(
-            "watch the canaries; roll back on a failed load, on more than {} % failures or on steps above {} % of the others'",
-            outlook.settings.canary_error_percent, outlook.settings.canary_step_percent
+            "watch the canaries; roll back on a failed load, on more than {} % failures or on step times above {} % of the other servers'",
+            context.settings.canary_error_percent, context.settings.canary_step_percent
         ),
-        expected_ms: outlook.settings.canary_watch_ms,
+        expected_ms: context.settings.canary_watch_ms,
         ..Step::default()
     });
     steps.extend(load_steps(rest, &all, &bounds, "load", rollout, load_ms));
     Effects {
         steps,
-        requests: requests(&carriers),
+        requests: requests(&service_servers),
         ..Effects::default()
     }
 }
@@ -203,11 +197,11 @@
     let what = format!("{verb} {}", rollout.version);
     waves(targets, all, bounds, AfterWave::Return)
         .iter()
-        .map(|wave| step_of(wave, &what, load_ms))
+        .map(|wave| step_from_wave(wave, &what, load_ms))
         .collect()
 }
 
-fn step_of(wave: &Wave, what: &str, expected_ms: u64) -> Step {
+fn step_from_wave(wave: &Wave, what: &str, expected_ms: u64) -> Step {
     Step {
         what: what.to_owned(),
         servers: wave.servers.clone(),
@@ -235,27 +229,26 @@
     })
 }
 
-/// A plan that leaves a share of the serving capacity makes remaining batch work longer by that
-/// share, for as long as the capacity is away.
-fn deadlines(intent: &Intent, effects: &Effects, outlook: &Outlook<'_>) -> Vec<JobAtRisk> {
-    let slowdown = slowdown(intent, effects, outlook);
+/// Batch jobs that miss their deadline if all remaining work is slowed down by the lost capacity.
+fn deadlines(intent: &Intent, effects: &Effects, context: &PlanningContext<'_>) -> Vec<JobAtRisk> {
+    let slowdown = slowdown(intent, effects, context);
     if slowdown <= 1.0 {
         return Vec::new();
     }
-    let unfinished = outlook.jobs.iter().filter(|job| is_unfinished(&job.phase));
+    let unfinished = context.jobs.iter().filter(|job| is_unfinished(&job.phase));
     let mut at_risk: Vec<JobAtRisk> = unfinished
-        .filter_map(|job| risk(job, outlook.now_unix_s, slowdown))
+        .filter_map(|job| risk(job, context.now_unix_s, slowdown))
         .collect();
     at_risk.sort_by_key(|job| job.deadline_unix_s);
     at_risk
 }
 
-/// How much longer batch work takes at the narrowest step.
-fn slowdown(intent: &Intent, effects: &Effects, outlook: &Outlook<'_>) -> f64 {
+/// Factor by which batch work slows down in the step with the least capacity.
+fn slowdown(intent: &Intent, effects: &Effects, context: &PlanningContext<'_>) -> f64 {
     if !matches!(intent, Intent::Rollout(_) | Intent::Drain(_)) {
         return 1.0;
     }
-    let all = outlook
+    let all = context
         .status
         .servers
         .iter()
@@ -280,15 +273,15 @@
     }
 }
 
-fn warnings(intent: &Intent, outlook: &Outlook<'_>) -> Vec<String> {
-    let mut warnings = outlook.status.unknown.clone();
+fn warnings(intent: &Intent, context: &PlanningContext<'_>) -> Vec<String> {
+    let mut warnings = context.status.unknown.clone();
     if let Intent::Drain(target) = intent {
-        warnings.extend(emptied_services(target, outlook.status));
+        warnings.extend(emptied_services(target, context.status));
     }
     warnings
 }
 
-/// Services that have no server left after the drain.
+/// Warnings for services that have no serving server left after the drain.
 fn emptied_services(target: &DrainTarget, status: &FleetStatus) -> Vec<String> {
     let drained: Vec<&str> = drained_servers(target, status)
         .map(|server| server.server.as_str())
--- a/crates/operate/src/plans/store.rs
+++ b/crates/operate/src/plans/store.rs
@@ -1,4 +1,4 @@
-//! Plan rows in the table service.
+//! Reads, lists and removes plan rows in the table store.
 
 use dappleyard_store::{Expect, Row, TableStore, Transaction};
 use dappleyard_wire::ids::PlanId;
@@ -13,60 +13,53 @@
 use crate::plans::body::{PlanBody, PlanDocument, Progress};
 use crate::snapshot::{decode, store_failure};
 
-/// Plans that may run at once.
-pub const MOST_RUNNING: usize = 500;
+/// Limit on running plans read from the index.
+pub const MAX_RUNNING_PLANS: usize = 500;
 
-/// A plan as read, with the revision of its row.
+/// A plan row with its revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredPlan {
-    /// The row.
     pub row: PlanRow,
-    /// Its revision.
     pub revision: u64,
 }
 
-/// One plan on one line.
+/// Entry of a plan list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlanLine {
-    /// Plan id.
+pub struct PlanSummary {
     pub id: String,
-    /// Kind of its intent.
     pub kind: String,
-    /// Phase.
     pub phase: String,
-    /// The plan in one phrase.
     pub summary: String,
-    /// What happened to it last.
+    /// Description of the last state change.
     pub message: String,
-    /// When it was made, milliseconds since 1970.
     pub created_unix_ms: u64,
 }
 
 impl StoredPlan {
-    fn of(row: &Row) -> Result<StoredPlan, Failure> {
+    fn from_row(row: &Row) -> Result<StoredPlan, Failure> {
         Ok(StoredPlan {
             row: decode(&row.key, &row.value)?,
             revision: row.revision,
         })
     }
 
-    /// What the operator asked for.
+    /// Decodes the requested change.
     pub fn intent(&self) -> Result<Intent, Failure> {
         serde_json::from_str(&self.row.intent_json)
             .map_err(|error| unreadable(&self.row.id, &error))
     }
 
-    /// What the plan states.
+    /// Decodes the plan body.
     pub fn body(&self) -> Result<PlanBody, Failure> {
         serde_json::from_str(&self.row.body_json).map_err(|error| unreadable(&self.row.id, &error))
     }
 
-    /// How far it has come.
+    /// Decodes the progress; the default if there is none.
     pub fn progress(&self) -> Progress {
         serde_json::from_str(&self.row.progress_json).unwrap_or_default()
     }
 
-    /// The plan as operators get it.
+    /// The plan as returned by the admin API.
     pub fn document(&self) -> Result<PlanDocument, Failure> {
         Ok(PlanDocument {
             id: self.row.id.clone(),
@@ -82,9 +75,8 @@
         })
     }
 
-    /// The plan on one line.
-    pub fn line(&self) -> PlanLine {
-        PlanLine {
+    pub fn line(&self) -> PlanSummary {
+        PlanSummary {
             id: self.row.id.clone(),
             kind: self.row.kind.clone(),
             phase: phase_name(self.row.phase()).to_owned(),
@@ -94,7 +86,7 @@
         }
     }
 
-    /// The row in another phase, with a message for operators.
+    /// Copy of the row with another phase and message.
     pub fn with_phase(&self, phase: PlanPhase, message: &str, unix_ms: u64) -> PlanRow {
         let mut row = self.row.clone();
         row.set_phase(phase);
@@ -111,11 +103,10 @@
     )
 }
 
-/// Reads a plan.
 pub async fn read_plan(tables: &dyn TableStore, id: &str) -> Result<StoredPlan, Failure> {
     let key = keys::plan(&PlanId::from(id));
     match tables.get(&key).await {
-        Ok(Some(row)) => StoredPlan::of(&row),
+        Ok(Some(row)) => StoredPlan::from_row(&row),
         Ok(None) => Err(Failure::not_run(
             ErrorKind::NotFound,
             format!("there is no plan {id}; `dappleyard ctl get plans` lists them"),
@@ -124,26 +115,24 @@
     }
 }
 
-/// Beginning of the ids of plans made at a time, milliseconds since 1970.
-pub fn id_of_time(unix_ms: u64) -> String {
+/// Prefix of the ids of plans created at a Unix time in milliseconds.
+pub fn id_prefix_at(unix_ms: u64) -> String {
     format!("plan-{unix_ms:011x}")
 }
 
-/// Rows read in one call.
-const PAGE: usize = 500;
-/// Most pages read for one list.
-const MOST_PAGES: usize = 20;
-/// Ages back to which a list looks until it has enough plans, milliseconds.
-const AGES_MS: [u64; 4] = [600_000, 3_600_000, 86_400_000, u64::MAX];
+const PAGE_SIZE: usize = 500;
+const MAX_PAGES: usize = 20;
+/// Ages searched in turn until a list has enough plans.
+const LIST_WINDOWS_MS: [u64; 4] = [600_000, 3_600_000, 86_400_000, u64::MAX];
 
-/// Plans, newest first, at most `limit`. Ids sort by time, so that only the latest rows are read.
+/// Lists up to `limit` plans, newest first. Ids sort by time, so only recent rows are read.
 pub async fn list_plans(
     tables: &dyn TableStore,
     limit: usize,
     now_unix_ms: u64,
-) -> Result<Vec<PlanLine>, Failure> {
+) -> Result<Vec<PlanSummary>, Failure> {
     let mut plans = Vec::new();
-    for age_ms in AGES_MS {
+    for age_ms in LIST_WINDOWS_MS {
         plans = plans_since(tables, now_unix_ms.saturating_sub(age_ms)).await?;
         if plans.len() >= limit {
             break;
@@ -154,27 +143,27 @@
     Ok(plans)
 }
 
-async fn plans_since(tables: &dyn TableStore, unix_ms: u64) -> Result<Vec<PlanLine>, Failure> {
+async fn plans_since(tables: &dyn TableStore, unix_ms: u64) -> Result<Vec<PlanSummary>, Failure> {
     let mut plans = Vec::new();
-    let mut after = format!("{PLAN_PREFIX}{}", id_of_time(unix_ms));
-    for _ in 0..MOST_PAGES {
+    let mut after = format!("{PLAN_PREFIX}{}", id_prefix_at(unix_ms));
+    for _ in 0..MAX_PAGES {
         let page = tables
-            .range(PLAN_PREFIX, &after, PAGE)
+            .range(PLAN_PREFIX, &after, PAGE_SIZE)
             .await
             .map_err(|error| store_failure(&error))?;
         for row in &page {
-            plans.push(StoredPlan::of(row)?.line());
+            plans.push(StoredPlan::from_row(row)?.line());
         }
         match page.last() {
-            Some(last) if page.len() == PAGE => after.clone_from(&last.key),
+            Some(last) if page.len() == PAGE_SIZE => after.clone_from(&last.key),
             _ => break,
         }
     }
     Ok(plans)
 }
 
-/// Removes plans that last changed before a time, milliseconds since 1970, and do not run; at most
-/// `limit` of them, oldest first. A plan that changes meanwhile stays.
+/// Removes plans that are not running and last changed before `before_unix_ms`. Considers the
+/// `limit` oldest plans; removes none of them if one changes concurrently.
 pub async fn remove_older(
     tables: &dyn TableStore,
     before_unix_ms: u64,
@@ -187,7 +176,7 @@
     let mut transaction = Transaction::default();
     let mut removed = 0;
     for row in &rows {
-        let plan = StoredPlan::of(row)?;
+        let plan = StoredPlan::from_row(row)?;
         let runs = matches!(
             plan.row.phase(),
             PlanPhase::PlanConfirmed | PlanPhase::PlanRunning
@@ -206,10 +195,9 @@
     Ok(removed)
 }
 
-/// Ids of the plans that run.
 pub async fn running_ids(tables: &dyn TableStore) -> Result<Vec<String>, Failure> {
     let rows = tables
-        .range(ACTIVE_PLAN_PREFIX, "", MOST_RUNNING)
+        .range(ACTIVE_PLAN_PREFIX, "", MAX_RUNNING_PLANS)
         .await
         .map_err(|error| store_failure(&error))?;
     Ok(rows
@@ -219,8 +207,7 @@
         .collect())
 }
 
-/// The plans that run.
-pub async fn running_plans(tables: &dyn TableStore) -> Result<Vec<PlanLine>, Failure> {
+pub async fn running_plans(tables: &dyn TableStore) -> Result<Vec<PlanSummary>, Failure> {
     let mut lines = Vec::new();
     for id in running_ids(tables).await? {
         lines.push(read_plan(tables, &id).await?.line());
@@ -228,7 +215,6 @@
     Ok(lines)
 }
 
-/// A row's bytes.
 pub fn encoded(row: &impl Message) -> Vec<u8> {
     row.encode_to_vec()
 }
--- a/crates/operate/src/status.rs
+++ b/crates/operate/src/status.rs
@@ -1,4 +1,4 @@
-//! The fleet at a glance: nodes, servers, load, the revision in force, running plans, jobs at risk.
+//! Fleet status: nodes, servers, load, configuration revision, running plans and jobs at risk.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,122 +9,106 @@
 use dappleyard_wire::messages::{Member, MemberState};
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::{JobAtRisk, JobLine, active_jobs, jobs_at_risk};
+use crate::jobs::{JobAtRisk, JobSummary, active_jobs, jobs_at_risk};
 use crate::local::{LocalReport, LocalServer, local_report};
 use crate::peers::Peers;
-use crate::plans::store::{PlanLine, running_plans};
+use crate::plans::store::{PlanSummary, running_plans};
 
-/// The fleet as one node gathered it.
+/// Fleet status as collected by one node.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// Node that gathered it.
+    /// Node that collected the status.
     pub observed_by: String,
-    /// When, milliseconds since 1970.
     pub unix_ms: u64,
-    /// Nodes.
     pub nodes: Vec<NodeStatus>,
-    /// Servers.
     pub servers: Vec<ServerStatus>,
-    /// Configuration in force.
     pub revision: RevisionInForce,
-    /// Plans that run.
-    pub plans: Vec<PlanLine>,
-    /// Jobs whose deadline is at risk.
+    /// Running plans.
+    pub plans: Vec<PlanSummary>,
     pub jobs_at_risk: Vec<JobAtRisk>,
-    /// What could not be learnt, in words.
+    /// Information that could not be obtained.
     pub unknown: Vec<String>,
 }
 
-/// A node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Node id.
     pub node: String,
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
-    /// `alive`, `suspect`, `dead` or `left`, as membership has it.
+    /// Membership state: `alive`, `suspect`, `dead` or `left`.
     pub member: String,
-    /// Life cycle by its own word; empty when it did not answer.
+    /// Lifecycle reported by the node; empty if it did not respond.
     pub lifecycle: String,
-    /// Configuration revision in force on it.
+    /// Configuration revision in force on the node.
     pub revision: u64,
-    /// Servers that it owns.
+    /// Number of servers owned by the node.
     pub servers: usize,
-    /// Sequences in flight from it.
+    /// Number of sequences in flight from the node.
     pub busy: usize,
-    /// Address of its operators' interface.
+    /// Address of its admin API.
     pub admin_address: String,
 }
 
-/// A server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Server id.
     pub server: String,
-    /// Service.
     pub service: String,
-    /// Region.
     pub region: String,
-    /// Zone.
     pub zone: String,
-    /// Hall.
     pub hall: String,
-    /// Node that owns it; empty for none.
+    /// Node that owns the server; empty if none.
     pub owner: String,
     /// `serving`, `loading`, `empty`, `withdrawn`, `drained`, `leaving` or `unknown`.
     pub state: String,
-    /// Why it is in this state, where there is something to say.
+    /// Reason for the state; may be empty.
     pub reason: String,
-    /// What its owner reports; `None` when the owner did not answer.
+    /// Report of the owner; `None` if there is none.
     pub live: Option<LocalServer>,
 }
 
 impl ServerStatus {
-    /// Whether it takes new work, as far as is known.
     pub fn serves(&self) -> bool {
         self.state == "serving"
     }
 
-    /// Whether a drain names it, its hall or its zone.
+    /// Whether the server, its hall or its zone is drained.
     pub fn is_drained(&self) -> bool {
         self.state == "drained"
     }
 
-    /// Version loaded; empty when none is known.
+    /// Loaded version; empty if unknown.
     pub fn version(&self) -> &str {
         self.live.as_ref().map_or("", |live| live.version.as_str())
     }
 }
 
-/// How far the last configuration revision has come.
+/// Propagation of the latest configuration revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionInForce {
-    /// Greatest revision seen on a node.
+    /// Highest revision in force on any live node.
     pub revision: u64,
-    /// Live nodes that have it in force.
+    /// Number of live nodes with that revision.
     pub in_force: usize,
-    /// Live nodes.
+    /// Number of live nodes.
     pub nodes: usize,
-    /// Live nodes that are behind.
+    /// Live nodes with an older revision.
     pub lagging: Vec<String>,
 }
 
-/// Gathers nodes, servers and the revision in force. Peers that do not answer are named in
+/// Collects nodes, servers and the revision in force. Peers that do not respond are listed in
 /// `unknown`.
 pub async fn gather(tables: &Arc<NodeTables>, peers: &Peers) -> FleetStatus {
-    let answers = peers.ask::<LocalReport>("/admin/v1/local").await;
-    let silent = answers.silent.into_iter();
-    let unknown = silent.map(|(node, cause)| format!("node {node} did not answer: {cause}"));
+    let responses = peers.query::<LocalReport>("/admin/v1/local").await;
+    let failed = responses.failed.into_iter();
+    let unknown = failed.map(|(node, cause)| format!("node {node} did not answer: {cause}"));
     FleetStatus {
         unknown: unknown.collect(),
-        ..assemble(tables, answers.answers)
+        ..assemble(tables, responses.responses)
     }
 }
 
-/// What this node knows without asking anybody: members, the machine list and its own servers.
-pub fn known_here(tables: &NodeTables) -> FleetStatus {
+/// Status from this node's tables alone: members, the machine list and its own servers.
+pub fn local_status(tables: &NodeTables) -> FleetStatus {
     assemble(tables, Vec::new())
 }
 
@@ -146,12 +130,12 @@
     }
 }
 
-/// Adds plans that run and jobs at risk, from the table service. Gives the active jobs.
-pub async fn add_work(
+/// Adds running plans and jobs at risk from the table store. Returns the active jobs.
+pub async fn add_plans_and_jobs(
     status: &mut FleetStatus,
     platform: &Platform,
     jobs: &JobsApi,
-) -> Vec<JobLine> {
+) -> Vec<JobSummary> {
     match running_plans(&*platform.tables).await {
         Ok(plans) => status.plans = plans,
         Err(failure) => status.unknown.push(format!("running plans: {failure}")),
@@ -168,7 +152,6 @@
     }
 }
 
-/// Name of a member's state in answers.
 pub const fn member_name(state: MemberState) -> &'static str {
     match state {
         MemberState::MemberAlive => "alive",
@@ -184,9 +167,9 @@
         .iter()
         .map(|member| node_status(member, reports.get(&member.node)))
         .collect();
-    let me = tables.identity.node.as_str();
-    if let Some(report) = reports.get(me)
-        && !nodes.iter().any(|node| node.node == me)
+    let own_node = tables.identity.node.as_str();
+    if let Some(report) = reports.get(own_node)
+        && !nodes.iter().any(|node| node.node == own_node)
     {
         let member = Member {
             node: report.node.clone(),
@@ -289,7 +272,7 @@
         return ("withdrawn", reason.clone());
     }
     if !live.loading.is_empty() {
-        return ("loading", format!("loads {}", live.loading));
+        return ("loading", format!("loading {}", live.loading));
     }
     if live.version.is_empty() {
         return ("empty", live.load_failure.clone());
--- a/crates/operate/tests/controllers.rs
+++ b/crates/operate/tests/controllers.rs
@@ -1,10 +1,10 @@
-//! Controllers: loads, canaries and roll back, fencing of a paused one, drains at the engine.
+//! Controllers: loads, canary promotion and rollback, fencing, drain orders to engines.
 
 mod support;
 
 use std::sync::Arc;
 
-use dappleyard_operate::controller::{Controllers, Tools};
+use dappleyard_operate::controller::{Controllers, ReconcilerDeps};
 use dappleyard_operate::metrics::Metrics;
 use dappleyard_operate::peers::Peers;
 use dappleyard_operate::plans::confirm::{Confirmation, confirm};
@@ -15,9 +15,11 @@
 use dappleyard_wire::keys;
 use dappleyard_wire::messages::{ConfigurationEntry, DrainRow, PlanPhase, ServiceRow, WindowRow};
 use googletest::prelude::*;
-use support::{FakeEngines, NOW_MS, SERVICE, entry, platform, proposed, put, rollout, row, status};
+use support::{
+    FakeEngines, NOW_MS, SERVICE, entry, platform, propose_plan, put, rollout, row, status,
+};
 
-/// One node's controllers over shared platform and engines.
+/// Controllers of one node; platform and engines are shared between nodes.
 struct Node {
     tables: Arc<NodeTables>,
     controllers: Controllers,
@@ -43,8 +45,8 @@
         }
     }
 
-    /// Puts the platform's configuration in force on this node, as the fleet part does.
-    fn follow(&self, store: &MemoryPlatform) {
+    /// Applies the stored configuration to this node, as the configuration watcher does.
+    fn apply_configuration(&self, store: &MemoryPlatform) {
         let mut state = self.tables.configuration.snapshot();
         state.revision = store.revision();
         state.entries.clear();
@@ -60,13 +62,13 @@
     }
 
     async fn round(&mut self, store: &MemoryPlatform, engines: &FakeEngines) {
-        self.follow(store);
+        self.apply_configuration(store);
         self.stale_round(store, engines).await;
     }
 
-    /// A round under the configuration that this node knows already.
+    /// Runs a round without updating the node's configuration.
     async fn stale_round(&mut self, store: &MemoryPlatform, engines: &FakeEngines) {
-        let tools = Tools {
+        let deps = ReconcilerDeps {
             tables: &self.tables,
             store,
             engine: engines,
@@ -74,7 +76,7 @@
             settings: &self.settings,
             metrics: &self.metrics,
         };
-        self.controllers.round(tools).await;
+        self.controllers.round(deps).await;
     }
 
     async fn rounds(&mut self, count: usize, store: &MemoryPlatform, engines: &FakeEngines) {
@@ -85,8 +87,8 @@
     }
 }
 
-async fn confirmed_rollout(store: &MemoryPlatform, servers: usize) -> Result<String> {
-    let plan = proposed(store, &status(servers), &rollout("v2"))
+async fn confirm_rollout(store: &MemoryPlatform, servers: usize) -> Result<String> {
+    let plan = propose_plan(store, &status(servers), &rollout("v2"))
         .await
         .or_fail()?;
     let confirmation = Confirmation {
@@ -101,37 +103,37 @@
 
 #[gtest]
 #[tokio::test]
-async fn empty_servers_are_loaded_a_few_at_a_time() {
+async fn empty_servers_are_loaded_up_to_the_concurrency_limit() {
     let store = platform().await;
     let engines = FakeEngines::new(6, "");
     let mut node = Node::new("node-1", 6);
-    let mut most = 0;
+    let mut max_loading = 0;
     for _ in 0..6 {
         node.round(&store, &engines).await;
-        most = most.max(engines.loading());
+        max_loading = max_loading.max(engines.loading());
         engines.finish_loads();
     }
-    expect_that!(most, eq(node.settings.load_concurrency));
+    expect_that!(max_loading, eq(node.settings.load_concurrency));
     expect_that!(engines.versions(), each(eq("v1")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_healthy_canary_brings_the_version_to_all_servers_within_the_budget() -> Result<()> {
+async fn a_healthy_canary_is_promoted_to_all_servers_within_the_budget() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(8, "v1");
     let mut node = Node::new("node-1", 8);
     node.round(&store, &engines).await;
-    confirmed_rollout(&store, 8).await?;
-    let mut most = 0;
+    confirm_rollout(&store, 8).await?;
+    let mut max_loading = 0;
     for _ in 0..20 {
         node.round(&store, &engines).await;
-        most = most.max(engines.loading());
+        max_loading = max_loading.max(engines.loading());
         engines.finish_loads();
     }
     expect_that!(engines.versions(), each(eq("v2")));
-    // One server of each of two zones at once.
-    expect_that!(most, le(2));
+    // The default budget allows one unavailable server in each of the two zones.
+    expect_that!(max_loading, le(2));
     let service: ServiceRow = row(&store, &keys::service(SERVICE)).or_fail()?;
     expect_that!(service.version, eq("v2"));
     expect_that!(service.canary, eq(""));
@@ -140,7 +142,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_canary_that_fails_to_load_is_taken_back_and_the_plan_says_why() -> Result<()> {
+async fn a_canary_that_fails_to_load_is_rolled_back_with_the_reason_in_the_plan() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     for number in 0..4 {
@@ -150,7 +152,7 @@
     }
     let mut node = Node::new("node-1", 4);
     node.round(&store, &engines).await;
-    let id = confirmed_rollout(&store, 4).await?;
+    let id = confirm_rollout(&store, 4).await?;
     node.rounds(6, &store, &engines).await;
     let service: ServiceRow = row(&store, &keys::service(SERVICE)).or_fail()?;
     expect_that!(service.version, eq("v1"));
@@ -167,13 +169,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_canary_with_slow_steps_is_taken_back() -> Result<()> {
+async fn a_canary_with_slow_steps_is_rolled_back() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     let mut node = Node::new("node-1", 4);
     node.settings.canary_watch_ms = 60_000;
     node.round(&store, &engines).await;
-    confirmed_rollout(&store, 4).await?;
+    confirm_rollout(&store, 4).await?;
     node.rounds(3, &store, &engines).await;
     for number in 0..4 {
         engines.with(number, |server| {
@@ -191,14 +193,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_canary_on_which_calls_fail_is_taken_back() -> Result<()> {
+async fn a_canary_with_failed_calls_is_rolled_back() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     let mut node = Node::new("node-1", 4);
     node.settings.canary_watch_ms = 60_000;
     node.tables.servers.set_owned((0..4).map(entry).collect());
     node.round(&store, &engines).await;
-    confirmed_rollout(&store, 4).await?;
+    confirm_rollout(&store, 4).await?;
     node.rounds(3, &store, &engines).await;
     for number in 0..4 {
         if engines.with(number, |server| server.version == "v2") {
@@ -217,24 +219,24 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_controller_that_was_paused_beyond_its_takeover_does_no_harm() -> Result<()> {
+async fn a_suspended_controller_is_fenced_after_its_takeover() -> Result<()> {
     let store = platform().await;
     let engines = FakeEngines::new(2, "");
-    let mut paused = Node::new("node-1", 2);
-    paused.round(&store, &engines).await;
+    let mut suspended = Node::new("node-1", 2);
+    suspended.round(&store, &engines).await;
     engines.finish_loads();
     let mut successor = Node::new("node-2", 2);
-    // The pause was longer than any disruption in flight is remembered.
+    // Disruptions in flight of the suspended controller have timed out.
     successor.settings.disruption_timeout_ms = 0;
-    // The version changes while the first controller sleeps, and the second takes over.
+    // The version changes while the first controller is suspended and the second takes over.
     let mut next = support::service_row();
     next.version = "v3".to_owned();
     put(&store, keys::service(SERVICE), &next).await;
     successor.rounds(6, &store, &engines).await;
     expect_that!(engines.versions(), each(eq("v3")));
     let orders = engines.with(0, |server| server.orders.len());
-    paused.stale_round(&store, &engines).await;
-    paused.stale_round(&store, &engines).await;
+    suspended.stale_round(&store, &engines).await;
+    suspended.stale_round(&store, &engines).await;
     expect_that!(engines.versions(), each(eq("v3")));
     expect_that!(engines.loading(), eq(0));
     expect_that!(engines.with(0, |server| server.orders.len()), eq(orders));
@@ -243,14 +245,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_controller_that_starts_again_is_not_refused_by_its_engines() {
+async fn a_restarted_controller_is_not_fenced_by_its_engines() {
     let store = platform().await;
     let engines = FakeEngines::new(2, "");
     let mut node = Node::new("node-1", 2);
     node.rounds(3, &store, &engines).await;
     engines.with(0, |server| server.version.clear());
-    let mut again = Node::new("node-1", 2);
-    again.rounds(3, &store, &engines).await;
+    let mut restarted = Node::new("node-1", 2);
+    restarted.rounds(3, &store, &engines).await;
     expect_that!(engines.versions(), each(eq("v1")));
 }
 
@@ -260,7 +262,7 @@
     let store = platform().await;
     let engines = FakeEngines::new(2, "v1");
     let mut node = Node::new("node-1", 2);
-    // Server 1 takes no new work for a reason of its own and must never be opened.
+    // Server 1 rejects new work for another reason and must never be opened.
     engines.with(1, |server| server.accepting = false);
     node.round(&store, &engines).await;
     let drain = DrainRow {
@@ -274,7 +276,7 @@
     store
         .transact_now(Transaction::default().delete(keys::drain("server", "s0")))
         .await;
-    // A new controller knows from the store which servers were closed.
+    // A new controller reads from the store which servers were closed.
     let mut successor = Node::new("node-2", 2);
     successor.rounds(3, &store, &engines).await;
     expect_that!(engines.with(0, |server| server.accepting), eq(true));
@@ -284,7 +286,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn no_serving_server_is_put_out_while_a_demand_window_is_open() {
+async fn no_serving_server_is_reloaded_while_a_demand_window_is_open() {
     let store = platform().await;
     let engines = FakeEngines::new(4, "v1");
     let mut node = Node::new("node-1", 4);
@@ -307,7 +309,6 @@
     );
 }
 
-/// A transaction that must succeed.
 trait TransactNow {
     async fn transact_now(&self, transaction: Transaction);
 }
