--- a/crates/operate/src/controller/observe.rs
+++ b/crates/operate/src/controller/observe.rs
@@ -79,8 +79,8 @@
 
     fn mark_unreachable(&mut self, now: Millis) {
         self.view.reachable = false;
-        self.view.looks += 1;
-        self.view.failed_looks += 1;
+        self.view.observations += 1;
+        self.view.failed_observations += 1;
         self.observed_at = Some(now);
     }
 }
--- a/crates/operate/src/plans/disruptions.rs
+++ b/crates/operate/src/plans/disruptions.rs
@@ -57,10 +57,11 @@
         now_unix_ms: u64,
     ) {
         let current = self.in_flight();
-        let kept: BTreeSet<&str> = remembered(&current, observed, timeout_ms, now_unix_ms)
-            .into_iter()
-            .map(|entry| entry.server.as_str())
-            .collect();
+        let kept: BTreeSet<&str> =
+            unfinished_disruptions(&current, observed, timeout_ms, now_unix_ms)
+                .into_iter()
+                .map(|entry| entry.server.as_str())
+                .collect();
         let before = self.row.disruptions.len();
         self.row
             .disruptions
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -201,22 +201,24 @@
             .collect();
         for server in self.not_drained(service) {
             let in_flight = disruptions.in_flight();
-            let situation = Situation {
+            let context = BudgetContext {
                 replicas: &replicas,
                 in_flight: &in_flight,
                 timeout_ms: self.view.settings.disruption_timeout_ms,
                 now_ms: self.view.unix_ms,
             };
-            match may_disrupt(&self.replica(server), situation, budget) {
-                Verdict::Allowed | Verdict::AllowedUnhealthy => {
+            match may_disrupt(&self.replica(server), context, budget) {
+                DisruptionDecision::Allowed | DisruptionDecision::AllowedUnhealthy => {
                     disruptions.add(&server.server, &server.zone, plan, self.view.unix_ms);
                     self.starting.push(server.server.clone());
                 }
-                Verdict::AlreadyInFlight => {
+                DisruptionDecision::AlreadyInFlight => {
                     self.blocked_reason =
                         format!("server {} is being changed already", server.server);
                 }
-                Verdict::Held(shortage) => self.blocked_reason = shortage.words(),
+                DisruptionDecision::Denied(exhausted) => {
+                    self.blocked_reason = exhausted.description()
+                }
             }
         }
     }
