--- a/crates/sidecar/src/api/batches.rs
+++ b/crates/sidecar/src/api/batches.rs
@@ -1,4 +1,4 @@
-//! Bodies of `/v1/batches` and `/v1/files`.
+//! Request and response bodies of `/v1/batches` and `/v1/files`.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,23 @@
 /// Body of `POST /v1/batches`.
 #[derive(Debug, Deserialize)]
 pub struct BatchCreateBody {
-    /// Uploaded file with one request a line.
+    /// Uploaded file with one request per line.
     pub input_file_id: String,
-    /// Path that the requests are for.
+    /// Endpoint to which the requests are addressed.
     pub endpoint: String,
-    /// Time in which the job must be done: a number and `s`, `m`, `h` or `d`.
+    /// Time limit of the job: a number and `s`, `m`, `h` or `d`.
     pub completion_window: String,
-    /// Caller's notes; the key [`CLIENT_KEY`] is the job's client key.
+    /// User metadata; the value of [`CLIENT_KEY`] is the job's client key.
     pub metadata: Option<BTreeMap<String, String>>,
 }
 
-/// Key of a batch's metadata that holds the client key when the header does not.
+/// Metadata key for the client key, used when the `Idempotency-Key` header is absent.
 pub const CLIENT_KEY: &str = "idempotency_key";
 
-/// Longest completion window, seconds: 30 days.
+/// 30 days.
 const MAXIMUM_WINDOW_S: u64 = 2_592_000;
 
 impl BatchCreateBody {
-    /// The completion window, seconds.
     pub fn window_seconds(&self) -> Result<u64, ApiError> {
         parse_window(&self.completion_window).ok_or_else(|| {
             ApiError::invalid(
@@ -51,7 +50,6 @@
     (1..=MAXIMUM_WINDOW_S).contains(&seconds).then_some(seconds)
 }
 
-/// A batch.
 #[derive(Debug, Serialize)]
 pub struct BatchBody {
     id: String,
@@ -73,7 +71,6 @@
     dappleyard: BatchExtension,
 }
 
-/// Counts of a batch's requests.
 #[derive(Debug, Serialize)]
 pub struct RequestCounts {
     total: u32,
@@ -81,7 +78,7 @@
     failed: u32,
 }
 
-/// What we tell beyond OpenAI's object.
+/// Extension of OpenAI's batch object.
 #[derive(Debug, Serialize)]
 pub struct BatchExtension {
     plan_id: Option<String>,
@@ -90,14 +87,12 @@
     deadline_at_risk: bool,
 }
 
-/// Errors of a batch's input.
 #[derive(Debug, Serialize)]
 pub struct BatchErrors {
     object: &'static str,
     data: Vec<BatchError>,
 }
 
-/// One error of a batch's input.
 #[derive(Debug, Serialize)]
 pub struct BatchError {
     code: &'static str,
@@ -143,7 +138,6 @@
 }
 
 impl BatchBody {
-    /// Id of the job.
     pub fn id(&self) -> &str {
         &self.id
     }
@@ -177,7 +171,7 @@
     })
 }
 
-/// The shortest way to write a window of this many seconds.
+/// Formats a window in the largest unit up to hours that divides it.
 fn format_window(seconds: u64) -> String {
     match seconds {
         s if s % 3_600 == 0 => format!("{}h", s / 3_600),
@@ -194,22 +188,17 @@
     (number > 0).then_some(number)
 }
 
-/// A list of objects.
 #[derive(Debug, Serialize)]
 pub struct ListBody<T> {
-    /// Kind of object.
     pub object: &'static str,
-    /// The objects.
     pub data: Vec<T>,
-    /// Id of the first one.
     pub first_id: Option<String>,
-    /// Id of the last one, for `after`.
+    /// Id of the last object, for `after`.
     pub last_id: Option<String>,
-    /// Whether more follow.
+    /// Whether there is another page.
     pub has_more: bool,
 }
 
-/// A file.
 #[derive(Debug, Serialize)]
 pub struct FileBody {
     id: String,
--- a/crates/sidecar/src/api/generation.rs
+++ b/crates/sidecar/src/api/generation.rs
@@ -1,9 +1,9 @@
-//! Bodies of `/v1/chat/completions` and `/v1/completions`.
+//! Request bodies of `/v1/chat/completions` and `/v1/completions`.
 //!
-//! Sampling parameters (`temperature`, `top_p`, `seed` and their like) are accepted and ignored, as
-//! engines decide them. Parameters that would change the shape of the answer (`n`, `stop`, `tools`,
-//! `logprobs`, `echo`, `suffix`, `response_format`) are refused when they ask for more than the
-//! default.
+//! Sampling parameters (such as `temperature`, `top_p` and `seed`) are accepted and ignored; the
+//! engine decides them. Parameters that would change the shape of the response (`n`, `stop`,
+//! `tools`, `logprobs`, `echo`, `suffix`, `response_format`) are rejected unless they have their
+//! default value.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -16,9 +16,8 @@
 pub struct ChatBody {
     /// Service, or `service:adapter`.
     pub model: String,
-    /// The conversation.
     pub messages: Vec<ChatMessage>,
-    /// OpenAI's newer name of `max_tokens`; goes first.
+    /// OpenAI's newer name of `max_tokens`; takes precedence over it.
     pub max_completion_tokens: Option<u32>,
 }
 
@@ -27,72 +26,60 @@
 pub struct CompletionBody {
     /// Service, or `service:adapter`.
     pub model: String,
-    /// One prompt.
     pub prompt: CompletionPrompt,
 }
 
-/// Parameters that both forms share; read from the same body in a second pass, so that an error in
-/// either names its field.
+/// Parameters common to both endpoints. Parsed from the same body in a second pass, because errors
+/// in a flattened struct do not name the field.
 #[derive(Debug, Default, Deserialize)]
 pub struct CommonBody {
-    /// Most tokens of the answer.
     pub max_tokens: Option<u32>,
-    /// Whether server-sent events are wanted.
+    /// Whether to respond with server-sent events.
     #[serde(default)]
     pub stream: Option<bool>,
-    /// Options of server-sent events.
     pub stream_options: Option<StreamOptions>,
-    /// Number of answers: only 1.
+    /// Must be 1.
     pub n: Option<u32>,
-    /// Stop sequences: none.
+    /// Not supported.
     pub stop: Option<Value>,
-    /// Tools: none.
+    /// Not supported.
     pub tools: Option<Value>,
-    /// Log probabilities: none.
+    /// Not supported.
     pub logprobs: Option<Value>,
-    /// Echo of the prompt: no.
+    /// Not supported.
     pub echo: Option<bool>,
-    /// Text after the answer: none.
+    /// Not supported.
     pub suffix: Option<String>,
-    /// Format of the answer: only text.
+    /// Must have the type `text`.
     pub response_format: Option<Value>,
 }
 
-/// Options of server-sent events.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 pub struct StreamOptions {
-    /// Whether a last event carries the token counts.
+    /// Whether the stream ends with an event that carries the token counts.
     #[serde(default)]
     pub include_usage: bool,
 }
 
-/// One message.
 #[derive(Debug, Deserialize)]
 pub struct ChatMessage {
-    /// Role.
     pub role: Role,
-    /// Text, as one string or as parts.
     pub content: Option<Content>,
 }
 
-/// Role of a message.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Instructions.
     System,
-    /// Instructions, by their newer name.
+    /// OpenAI's newer name of `System`.
     Developer,
-    /// The caller.
     User,
-    /// The model.
     Assistant,
-    /// Result of a tool.
     Tool,
 }
 
 impl Role {
-    /// Name in the canonical prompt.
+    /// Role name used in the canonical prompt.
     pub const fn name(self) -> &'static str {
         match self {
             Role::System => "system",
@@ -104,39 +91,28 @@
     }
 }
 
-/// Content of a message.
 #[derive(Debug, Deserialize)]
 #[serde(untagged, expecting = "a string, or a list of parts of type text")]
 pub enum Content {
-    /// One text.
     Text(String),
-    /// Parts.
     Parts(Vec<ContentPart>),
 }
 
-/// One part of a message.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum ContentPart {
-    /// Text.
-    Text {
-        /// The text.
-        text: String,
-    },
+    Text { text: String },
 }
 
-/// Prompt of a completion.
 #[derive(Debug, Deserialize)]
 #[serde(untagged, expecting = "a string, or a list of one string")]
 pub enum CompletionPrompt {
-    /// One prompt.
     One(String),
-    /// A list, of exactly one prompt.
+    /// A list; must have exactly one element.
     List(Vec<String>),
 }
 
 impl ChatBody {
-    /// The conversation as messages of the canonical prompt.
     pub fn prompt_messages(&self) -> Result<Vec<PromptMessage>, ApiError> {
         if self.messages.is_empty() {
             return Err(ApiError::invalid("messages", "messages must not be empty"));
@@ -163,7 +139,6 @@
 }
 
 impl CompletionPrompt {
-    /// The one prompt.
     pub fn text(&self) -> Result<&str, ApiError> {
         match self {
             CompletionPrompt::One(text) => Ok(text),
@@ -177,7 +152,7 @@
 }
 
 impl CommonBody {
-    /// Refuses parameters that would change the shape of the answer.
+    /// Rejects unsupported parameters.
     pub fn check(&self) -> Result<(), ApiError> {
         let unsupported = [
             ("n", self.n.is_some_and(|n| n != 1)),
@@ -203,12 +178,10 @@
         }
     }
 
-    /// Whether server-sent events are wanted.
     pub fn streams(&self) -> bool {
         self.stream.unwrap_or(false)
     }
 
-    /// Whether a last event carries the token counts.
     pub fn includes_usage(&self) -> bool {
         self.stream_options
             .is_some_and(|options| options.include_usage)
--- a/crates/sidecar/src/api/mod.rs
+++ b/crates/sidecar/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! Types of the OpenAI HTTP interface that are read and written.
+//! Request and response types of the OpenAI-compatible HTTP API.
 
 pub mod batches;
 pub mod generation;
--- a/crates/sidecar/src/batches.rs
+++ b/crates/sidecar/src/batches.rs
@@ -1,7 +1,7 @@
-//! The routes under `/v1/batches`.
+//! Handlers under `/v1/batches`.
 //!
-//! A create is safe to send again: its client key is the `Idempotency-Key` header, or the metadata
-//! key of the same purpose, or one made here that stays the same over all attempts of the call.
+//! Creates are idempotent: the client key is taken from the `Idempotency-Key` header, else from the
+//! metadata, else generated once and reused by all attempts of the call.
 
 use std::rc::Rc;
 
@@ -19,16 +19,15 @@
 use crate::request_body::{parse_json, read_body};
 use crate::worker::Worker;
 
-/// Batches on a page when the caller names no limit.
+/// Default page size.
 const DEFAULT_LIMIT: u32 = 20;
-/// Most batches on a page.
+/// Maximum page size.
 const MAXIMUM_LIMIT: u32 = 100;
-/// Paths that a batch may be for.
+/// Endpoints supported in batches.
 const ENDPOINTS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// Most entries of a batch's metadata.
+/// Maximum number of metadata entries.
 const MAXIMUM_METADATA: usize = 16;
 
-/// Mounts the routes.
 pub fn routes(config: &mut ServiceConfig) {
     config
         .route("/batches", web::post().to(create))
@@ -133,7 +132,7 @@
     Ok(HttpResponse::Ok().json(BatchBody::from(job)))
 }
 
-/// Query of `GET /v1/batches`.
+/// Query parameters of `GET /v1/batches`.
 #[derive(Debug, Deserialize)]
 struct Page {
     after: Option<String>,
--- a/crates/sidecar/src/calls.rs
+++ b/crates/sidecar/src/calls.rs
@@ -1,7 +1,7 @@
 //! Unary calls to a node: files, batches, models.
 //!
-//! Every method is safe to send again (reads, writes at an offset, and creates under a key), so a
-//! call whose node was node_lost or not ready goes to another one within its time.
+//! Every method is idempotent (reads, writes at an offset, and creates with a client key), so a
+//! call that failed with a retryable error is retried on another node before its deadline.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 
 use crate::worker::Worker;
 
-/// Advice when to come back after a call that no node answered, milliseconds.
+/// Retry-after hint when no node replied.
 const RETRY_AFTER_MS: u32 = 500;
 
-/// Longest wait for a link after a node was node_lost.
+/// Maximum wait for a ready link before a retry.
 const LINK_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Makes a call and waits for its reply until `deadline`. `key` prefers a node, so that the calls of
-/// one upload or job go the same way.
+/// Sends a call and waits for its reply until `deadline`. Calls with the same `key` prefer the same
+/// node.
 pub async fn call(
     worker: &Worker,
     method: call::Method,
@@ -91,7 +91,7 @@
     Failure::not_run(ErrorKind::NotReady, message).retry_after(RETRY_AFTER_MS)
 }
 
-/// The failure of a reply of another kind than the call's.
+/// Failure for a reply whose type does not match the call.
 pub fn unexpected_reply() -> Failure {
     Failure::maybe_ran(ErrorKind::Internal, "the node gave an unexpected reply")
 }
--- a/crates/sidecar/src/error.rs
+++ b/crates/sidecar/src/error.rs
@@ -1,5 +1,5 @@
-//! Errors as callers see them: OpenAI's error object with the kind, what is known of execution, and
-//! when to come back.
+//! Error responses: OpenAI's error object, extended by the kind, whether the request ran, and a
+//! retry-after hint.
 
 use actix_web::http::StatusCode;
 use actix_web::http::header::{HeaderName, HeaderValue, RETRY_AFTER};
@@ -9,27 +9,26 @@
 use derive_more::{Display, Error};
 use serde::Serialize;
 
-/// Header that carries the request id of each answer.
+/// Response header with the request id.
 pub const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
-/// Header that carries the model version of each generation.
+/// Response header with the model version of a generation.
 pub const VERSION_HEADER: HeaderName = HeaderName::from_static("x-dappleyard-version");
-/// Header that carries what is known of whether a failed request ran.
+/// Response header that states whether a failed request ran: `no`, `maybe` or `yes`.
 pub const RAN_HEADER: HeaderName = HeaderName::from_static("x-dappleyard-ran");
 
-/// A failure on its way to a caller.
+/// A failure with the details of its HTTP response.
 #[derive(Debug, Clone, Display, Error)]
 #[display("{failure}")]
 pub struct ApiError {
-    /// Kind, execution truth, advice and message.
     pub failure: Failure,
-    /// Field or header at fault; empty for none.
+    /// Invalid field or header; empty for none.
     pub parameter: String,
-    /// Request id; empty when none was given yet.
+    /// Empty if the failure occurred before an id was assigned.
     pub request_id: String,
 }
 
 impl ApiError {
-    /// A request that is malformed at `parameter`.
+    /// An invalid request; `parameter` names the invalid field or header.
     pub fn invalid(parameter: impl Into<String>, message: impl Into<String>) -> ApiError {
         ApiError {
             failure: Failure::not_run(ErrorKind::InvalidRequest, message),
@@ -38,14 +37,12 @@
         }
     }
 
-    /// The same error about the request of this id.
     #[must_use]
     pub fn with_request_id(mut self, request_id: &str) -> ApiError {
         request_id.clone_into(&mut self.request_id);
         self
     }
 
-    /// The body: OpenAI's error object.
     pub fn body(&self) -> ErrorBody<'_> {
         let answer = self.failure.kind.answer();
         ErrorBody {
@@ -95,29 +92,27 @@
     }
 }
 
-/// Body of an error answer.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody<'a> {
-    /// The error.
     pub error: ErrorObject<'a>,
 }
 
-/// OpenAI's error object with our additions.
+/// OpenAI's error object with extensions.
 #[derive(Debug, Serialize)]
 pub struct ErrorObject<'a> {
-    /// One sentence for a person.
+    /// Human-readable message.
     pub message: &'a str,
-    /// OpenAI's type.
+    /// Error type as defined by OpenAI.
     #[serde(rename = "type")]
     pub error_type: &'static str,
-    /// Field or header at fault.
+    /// Invalid field or header.
     pub param: Option<&'a String>,
-    /// Stable name of the kind.
+    /// Stable name of the error kind.
     pub code: &'static str,
-    /// The same name, under our own key.
+    /// Same as `code`.
     pub kind: &'static str,
     /// Whether the request ran: `no`, `maybe` or `yes`.
     pub ran: &'static str,
-    /// When to come back, milliseconds; 0 for no advice.
+    /// Retry-after hint, milliseconds; 0 for none.
     pub retry_after_ms: u32,
 }
--- a/crates/sidecar/src/files/mod.rs
+++ b/crates/sidecar/src/files/mod.rs
@@ -1,7 +1,7 @@
-//! The routes under `/v1/files`.
+//! Handlers under `/v1/files`.
 //!
-//! An [`upload`] is streamed to the node in parts, so that a file of any size needs the memory of
-//! one part here; a download is read and written in pieces as the caller takes them.
+//! Files are streamed in both directions: an [`upload`] buffers at most one part, and a download
+//! reads the next chunk only when the client has consumed the previous one.
 
 mod upload;
 
@@ -20,10 +20,9 @@
 use crate::headers::CallerHeaders;
 use crate::worker::Worker;
 
-/// Bytes asked for by one read of a download.
+/// Read size of a download.
 const READ_BYTES: u32 = 262_144;
 
-/// Mounts the routes.
 pub fn routes(config: &mut ServiceConfig) {
     config
         .route("/files", web::post().to(upload::upload))
@@ -46,7 +45,6 @@
     Ok(HttpResponse::Ok().json(FileBody::from(file)))
 }
 
-/// A file being downloaded.
 struct Download {
     worker: Rc<Worker>,
     file_id: String,
@@ -70,7 +68,7 @@
         }
     }
 
-    /// The rest of the file after its first piece.
+    /// Streams the file from its first chunk on.
     fn pieces(self, first: FileData) -> impl Stream<Item = Result<Bytes, ApiError>> {
         async_stream::try_stream! {
             let mut piece = first;
--- a/crates/sidecar/src/files/upload.rs
+++ b/crates/sidecar/src/files/upload.rs
@@ -1,4 +1,4 @@
-//! Upload of a file: multipart form data, streamed to a node in parts.
+//! Uploads a file from multipart form data to a node, in parts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use crate::request_body::{body_timeout, body_too_large};
 use crate::worker::Worker;
 
-/// Bytes of one part on its way to a node.
+/// Size of the parts sent to a node.
 const PART_BYTES: usize = 524_288;
-/// The one purpose of files.
+/// The only supported purpose.
 const PURPOSE: &str = "batch";
-/// Longest value of a form field besides the file, bytes.
+/// Maximum size of form fields other than the file.
 const MAXIMUM_VALUE_BYTES: usize = 1_024;
-/// Longest file name that is kept, characters.
+/// Maximum length of a file name, characters; longer names are truncated.
 const MAXIMUM_FILENAME: usize = 256;
 
 /// `POST /v1/files`.
@@ -60,12 +60,12 @@
     Ok(HttpResponse::Ok().json(FileBody::from(file)))
 }
 
-/// One file on its way to the node. What is not sealed is never shown, and is collected there.
+/// An upload in progress. Until it is sealed the file is not visible; the node removes unsealed files.
 struct Upload<'a> {
     worker: &'a Worker,
     headers: &'a CallerHeaders,
     file_id: String,
-    /// Sends all parts to the node that began the file, as long as it is there.
+    /// Node selection key: all parts go to the same node while it is available.
     key: u64,
     size: u64,
 }
@@ -154,7 +154,7 @@
     }
 }
 
-/// Waits for the next part of a form; the time limit is for each part.
+/// Waits for the next part of the form; the timeout applies to each part.
 async fn next_with_timeout<T>(
     worker: &Worker,
     next: impl Future<Output = Option<Result<T, actix_multipart::MultipartError>>>,
@@ -182,7 +182,7 @@
     Err(ApiError::invalid("purpose", "purpose must be \"batch\""))
 }
 
-/// Reads a field that is not used, so that the next one can be read.
+/// Consumes an unused field, which must be read before the next one.
 async fn discard_field(worker: &Worker, field: &mut Field) -> Result<(), ApiError> {
     let mut size = 0;
     while let Some(bytes) = next_with_timeout(worker, field.next()).await? {
--- a/crates/sidecar/src/forward/mod.rs
+++ b/crates/sidecar/src/forward/mod.rs
@@ -1,11 +1,11 @@
-//! Forwards a request to a node, and again to others as long as that is safe, and reassembles the
-//! answer.
+//! Forwards a request to a node, retries it on other nodes when that is safe, and reassembles the
+//! response.
 //!
-//! [`retry_policy`] decides what follows a failed attempt; [`attempt`] is one stream to one node; `receive`
-//! takes the frames of attempts, and `retry` begins attempts and ends the request. Execution truth is
-//! joined over all attempts and never goes back. Dropping a [`Forward`] whose answer is not complete
-//! cancels the request at its node, unless the request must not repeat: its one run goes on, and its
-//! outcome is recorded for the caller that asks again with the same key.
+//! [`retry_policy`] decides what follows a failed attempt; [`attempt`] is one stream to one node;
+//! `receive` handles the frames of attempts; `retry` begins attempts and ends the request. Whether
+//! the request ran is joined over all attempts and never weakens. Dropping an incomplete [`Forward`]
+//! cancel_on_drop the request at its node, unless its repeat policy is `never`: then it continues, and its
+//! outcome is recorded for a client that retries with the same key.
 
 pub mod attempt;
 mod receive;
@@ -24,7 +24,7 @@
 use crate::prepare::PreparedRequest;
 use crate::worker::Worker;
 
-/// One request on its way, over all its attempts.
+/// State of one request over all its attempts.
 pub struct Forward {
     worker: Rc<Worker>,
     request: GenerateRequest,
@@ -32,24 +32,23 @@
     assembly: Assembly,
     ran: Ran,
     attempts: u32,
-    /// Open attempts: none, one, or two while a hedge has not decided yet.
+    /// Open attempts: at most one, or two while a hedge is undecided.
     open: Vec<Attempt>,
-    /// When a second attempt joins the first, if no piece has come by then.
+    /// When to open a hedge if no piece has arrived.
     hedge_at: Option<Instant>,
-    /// What the attempt that the answer rests on was accepted as.
+    /// Acceptance of the attempt that supplies the response.
     accepted: Option<Accepted>,
     finish: Option<Finish>,
-    /// What the record last said, when an earlier run of the same key was in progress.
+    /// Last failure that reported an earlier run of the same key in progress.
     in_progress: Option<Failure>,
-    /// When pieces that are still missing after the end was announced count as lost.
+    /// When pieces still missing after the finish frame count as lost.
     missing_pieces_deadline: Option<Instant>,
-    /// Nodes that failed this request.
+    /// Nodes on which an attempt failed.
     avoid: Vec<String>,
     ended: bool,
 }
 
 impl Forward {
-    /// A request that has not been sent yet.
     pub fn new(worker: Rc<Worker>, prepared: &PreparedRequest) -> Forward {
         let bounds = AssemblyBounds {
             pieces: prepared.request.max_tokens,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Runs until the answer is complete. An error is final.
+    /// Runs until the response is complete. Errors are final.
     pub async fn complete(&mut self) -> Result<Finish, Failure> {
         loop {
             if let Some(finish) = self.completed() {
@@ -83,8 +82,7 @@
         }
     }
 
-    /// Runs until there is text that was not released before; `None` when the answer is complete. An
-    /// error is final.
+    /// Runs until there is new text; `None` when the response is complete. Errors are final.
     pub async fn next_text(&mut self) -> Result<Option<String>, Failure> {
         loop {
             let text = self.assembly.release();
@@ -98,22 +96,22 @@
         }
     }
 
-    /// The end of the answer, once it is complete.
+    /// The finish frame, once the response is complete.
     pub fn completed(&self) -> Option<Finish> {
         self.finish.clone().filter(|_| self.assembly.is_complete())
     }
 
-    /// Model version that answers; empty before it is known.
+    /// Model version; empty before it is known.
     pub fn version(&self) -> &str {
         self.assembly.version().unwrap_or_default()
     }
 
-    /// All text before the first gap.
+    /// Text before the first gap.
     pub fn text(&self) -> String {
         self.assembly.pieces().concat()
     }
 
-    /// Takes one frame, or begins the next attempt.
+    /// Handles one frame or timeout, or begins the first attempt.
     async fn step(&mut self) -> Result<(), Failure> {
         if self.open.is_empty() {
             return self.begin_attempt("first").await;
@@ -140,8 +138,8 @@
         self.hedge()
     }
 
-    /// Whether the node is told to stop when nobody waits for the answer any more.
-    fn cancels(&self) -> bool {
+    /// Whether the request is cancelled at its node when the client disconnects.
+    fn cancel_on_drop(&self) -> bool {
         self.request.repeat() == Repeat::Allowed
     }
 
--- a/crates/sidecar/src/forward/receive.rs
+++ b/crates/sidecar/src/forward/receive.rs
@@ -1,4 +1,4 @@
-//! Takes the frames of open attempts into the answer.
+//! Handles the frames of open attempts.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 
 use super::Forward;
 
-/// Longest wait for pieces that are missing after the end was announced.
+/// Maximum wait for pieces that are missing after the finish frame.
 const MISSING_PIECES_TIMEOUT: Duration = Duration::from_millis(200);
-/// Reason of an end that was not the engine's own.
+/// Finish reason of a generation that was cancelled.
 const CANCELLED: &str = "cancelled";
 
 impl Forward {
-    /// Takes a frame of the open attempt `index`.
+    /// Handles a frame of the open attempt `index`.
     pub(super) async fn handle_frame(
         &mut self,
         index: usize,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// The link of an attempt was lost: nobody knows whether it ran.
+    /// Fails an attempt whose link was lost; whether it ran is unknown.
     pub(super) async fn handle_link_loss(&mut self, index: usize) -> Result<(), Failure> {
         let message = "the node was lost while it had the request";
         let failure = Failure::maybe_ran(ErrorKind::NodeLost, message);
         self.fail(index, failure).await
     }
 
-    /// Pieces are missing, though the end was announced.
+    /// Fails an attempt whose pieces are incomplete after the finish frame.
     pub(super) async fn handle_incomplete(&mut self) -> Result<(), Failure> {
         self.count_bad_frame("incomplete");
         let message = "the node announced the end before all of the answer was there";
@@ -71,8 +71,8 @@
         Ok(())
     }
 
-    /// A piece or the end came: the answer rests on this attempt, and another open one is given up.
-    /// `false` when the attempt cannot go on with the answer, so that its frame must not be taken.
+    /// Called on a chunk or finish frame: keeps this attempt and cancel_on_drop the other open one. Returns
+    /// `false` if the attempt cannot continue the response; its frame must then be ignored.
     async fn select_attempt(&mut self, index: usize) -> Result<bool, Failure> {
         self.hedge_at = None;
         self.ran = join_ran(self.ran, Ran::Yes);
@@ -86,7 +86,7 @@
         Ok(self.attempts == attempts)
     }
 
-    /// Takes over the version and the engine stream of the one open attempt.
+    /// Adopts the version and the engine stream of the only open attempt.
     pub(super) async fn adopt_accepted(&mut self) -> Result<(), Failure> {
         let accepted = self.open.first().and_then(|open| open.accepted.clone());
         let Some(accepted) = accepted else {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The attempt's frames do not fit into the answer: another version, or a fault of the sender.
+    /// Fails the attempt after a frame that is inconsistent with the response so far.
     async fn reject_frame(&mut self, error: &AssemblyError) -> Result<(), Failure> {
         let (kind, cause) = match error {
             AssemblyError::VersionChanged { .. } => (ErrorKind::VersionGone, "version"),
--- a/crates/sidecar/src/forward/retry.rs
+++ b/crates/sidecar/src/forward/retry.rs
@@ -1,4 +1,4 @@
-//! Begins attempts, follows failed ones as [`super::retry_policy`] decides, and ends the request.
+//! Begins attempts, retries failed ones according to [`super::retry_policy`], and ends the request.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 use super::attempt::Attempt;
 use super::retry_policy::{Decision, FailureContext, decide, may_succeed_later};
 
-/// Longest wait for a link when an answer must be resumed and none is up.
+/// Maximum wait for a ready link before a further attempt.
 const LINK_WAIT: Duration = Duration::from_millis(1_000);
-/// Advice when to come back where a failure carries none, milliseconds.
+/// Retry-after hint for retryable failures that carry none.
 const RETRY_AFTER_MS: u32 = 500;
-/// Doublings of the first pause that a poll of a record skips, since a record is written within tens
-/// of milliseconds after the answer it holds.
+/// Backoff steps that polls of a record skip. The record is written tens of milliseconds after its
+/// response, so earlier polls would find nothing.
 const POLL_BACKOFF_STEPS: u32 = 2;
 
 impl Forward {
-    /// Sends the request to a node, from the offset that is reached.
+    /// Sends the request to a node, starting at the current offset.
     pub(super) async fn begin_attempt(&mut self, reason: &'static str) -> Result<(), Failure> {
         if self.remaining().is_zero() {
             return Err(self.deadline_passed());
@@ -45,23 +45,23 @@
     async fn choose_link(&self) -> Option<Link> {
         let links = &self.worker.links;
         let (key, service) = (self.request.prefix_hash, &self.request.service);
-        let link = links.select(key, service, &self.avoid);
+        let link = links.select_node(key, service, &self.avoid);
         if link.is_some() || self.attempts == 0 {
             return link;
         }
         let until = self.deadline.min(Instant::now() + LINK_WAIT);
         links.wait_ready(until).await;
-        links.select(key, service, &self.avoid)
+        links.select_node(key, service, &self.avoid)
     }
 
-    /// Opens an attempt on a link. When the link was lost just now nothing was sent, and the next
-    /// decision chooses another.
+    /// Opens an attempt on a link. If the link was lost meanwhile, nothing was sent and the next step
+    /// selects another node.
     fn open_attempt(&mut self, link: &Link, reason: &'static str) -> Result<(), Failure> {
         self.attempts += 1;
         let attempts = &self.worker.metrics().attempts;
         attempts.with_label_values(&[reason]).inc();
         let body = frame::Body::Submit(self.submit());
-        match Attempt::open(link, body, self.cancels()) {
+        match Attempt::open(link, body, self.cancel_on_drop()) {
             Ok(attempt) => self.open.push(attempt),
             Err(error @ LinkError::TooLarge { .. }) => {
                 let failure = Failure::not_run(ErrorKind::TooLarge, error.to_string());
@@ -78,8 +78,8 @@
         wanted.then(|| Instant::now() + Duration::from_millis(after_ms))
     }
 
-    /// Opens a second attempt on another node when no piece has come for long; the first piece of
-    /// either decides. Spends from the retry budget.
+    /// Opens a second attempt on another node; the first one to deliver a piece is kept. Charged to
+    /// the retry budget.
     pub(super) fn hedge(&mut self) -> Result<(), Failure> {
         self.hedge_at = None;
         let Some(first) = self.open.first() else {
@@ -88,7 +88,7 @@
         let mut avoid = self.avoid.clone();
         avoid.push(first.node().to_owned());
         let links = &self.worker.links;
-        let link = links.select(self.request.prefix_hash, &self.request.service, &avoid);
+        let link = links.select_node(self.request.prefix_hash, &self.request.service, &avoid);
         let other = link.filter(|link| !avoid.contains(&link.peer().id));
         if let Some(link) = other
             && self.spend_retry()
@@ -118,8 +118,8 @@
         }
     }
 
-    /// The open attempt `index` failed. Another open one goes on alone; else the next attempt begins,
-    /// or the final failure is returned at once.
+    /// Handles the failure of the open attempt `index`. If another attempt is open, it continues;
+    /// otherwise the request is retried, or the final failure is returned.
     pub(super) async fn fail(&mut self, index: usize, failure: Failure) -> Result<(), Failure> {
         self.ran = join_ran(self.ran, failure.ran);
         if failure.kind == ErrorKind::InProgress {
@@ -172,7 +172,7 @@
         allowed
     }
 
-    /// Pauses before a retry, with jitter; the first move to another node does not wait.
+    /// Waits before a retry, with jitter; the first retry is immediate unless it is a poll.
     async fn backoff(&mut self, decision: Decision, failure: Failure) -> Result<(), Failure> {
         let retry = match decision {
             Decision::Poll => self.attempts + POLL_BACKOFF_STEPS,
@@ -183,8 +183,8 @@
         }
         let remaining_ms = u64::try_from(self.remaining().as_millis()).unwrap_or(u64::MAX);
         match retry_delay_ms(retry, rand::rng().random(), remaining_ms) {
-            Some(delay_ms) => {
-                tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+            Some(backoff) => {
+                tokio::time::sleep(Duration::from_millis(backoff)).await;
                 Ok(())
             }
             None => Err(self.finish_failed(failure)),
@@ -196,9 +196,9 @@
         self.finish_failed(Failure::not_run(ErrorKind::DeadlineExceeded, message))
     }
 
-    /// What the failure of the last attempt means. A node that takes nothing new has not looked at the
-    /// record, so it cannot have the last word on a request that must not repeat and may have run: what
-    /// the record said before holds, and otherwise the outcome is unknown.
+    /// Corrects the failure of the last attempt. A node that is not ready has not read the record, so
+    /// its refusal says nothing about a `never` request that may have run: an earlier "in progress"
+    /// is returned instead, or else a lost node.
     fn resolve_failure(&mut self, failure: Failure) -> Failure {
         let outcome_unknown = self.request.repeat() == Repeat::Never && self.ran != Ran::No;
         if failure.kind != ErrorKind::NotReady || !outcome_unknown {
@@ -209,7 +209,7 @@
             .unwrap_or_else(|| Failure::maybe_ran(ErrorKind::NodeLost, failure.message))
     }
 
-    /// The final failure: execution truth of all attempts, and when to come back.
+    /// Ends the request with a failure that covers all attempts.
     fn finish_failed(&mut self, failure: Failure) -> Failure {
         self.ended = true;
         self.open.clear();
--- a/crates/sidecar/src/forward/retry_policy.rs
+++ b/crates/sidecar/src/forward/retry_policy.rs
@@ -1,48 +1,44 @@
-//! What follows a failed attempt: one pure table.
+//! Retry policy: what follows a failed attempt.
 
 use dappleyard_wire::error::Actor;
 use dappleyard_wire::{ErrorKind, Ran, Repeat};
 
-/// Most attempts when nodes say that the fleet is overloaded: more would only add load.
+/// Maximum attempts on overload; more would add load.
 const OVERLOADED_ATTEMPTS: u32 = 2;
 
-/// What is known when an attempt has failed.
+/// State of a request after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FailureContext {
-    /// Why it failed.
     pub kind: ErrorKind,
-    /// What all attempts so far are known to have done.
+    /// Whether any attempt so far ran.
     pub ran: Ran,
-    /// Whether the caller allows more than one run.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// Attempts made.
     pub attempts: u32,
-    /// Most attempts.
     pub maximum_attempts: u32,
     /// An attempt was accepted by a server.
     pub accepted: bool,
-    /// Part of the answer has reached the caller.
+    /// Part of the response was sent to the client.
     pub released: bool,
 }
 
-/// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// The failure is final.
+    /// Return the failure.
     Fail,
-    /// Send the request to another node; spends from the retry budget.
+    /// Send the request to another node. Charged to the retry budget.
     Retry,
-    /// Go on at the offset through another node. Not charged to the budget, since it replaces work
-    /// that a server had accepted.
+    /// Continue at the current offset on another node. Not charged to the retry budget, since it
+    /// replaces work that a server had accepted.
     Resume,
-    /// Forget what came and run the request anew.
+    /// Discard the received pieces and run the request again.
     Restart,
-    /// Ask the record of a request that must not repeat, which runs elsewhere.
+    /// Send a `never` request again to read the record of its run.
     Poll,
 }
 
 impl Decision {
-    /// Label in metrics.
+    /// Metrics label.
     pub const fn reason(self) -> &'static str {
         match self {
             Decision::Fail => "none",
@@ -56,8 +52,8 @@
 
 /// Decides what follows a failed attempt.
 ///
-/// A request that must not repeat is sent again only when nothing ran, or to learn from the node's
-/// durable record what became of it: the record, not the sidecar, decides whether it may run.
+/// A `never` request is sent again only if nothing ran, or to read its outcome from the durable
+/// record, which prevents a second run.
 pub fn decide(context: &FailureContext) -> Decision {
     let FailureContext { kind, repeat, .. } = *context;
     if context.attempts >= context.maximum_attempts {
@@ -71,7 +67,7 @@
         ErrorKind::Overloaded if context.attempts >= OVERLOADED_ATTEMPTS => Decision::Fail,
         _ if !kind.answer().retryable => Decision::Fail,
         _ if context.ran == Ran::No => Decision::Retry,
-        // The node takes nothing new and has not looked at the record.
+        // A node that is not ready has not read the record.
         ErrorKind::NotReady if repeat == Repeat::Never => Decision::Poll,
         _ if repeat == Repeat::Never && kind != ErrorKind::NodeLost => Decision::Fail,
         _ if context.accepted => Decision::Resume,
@@ -79,7 +75,7 @@
     }
 }
 
-/// Whether the same request may succeed later, so that the caller is told when to come back.
+/// Whether the same request may succeed later, so that the response carries a retry-after hint.
 pub fn may_succeed_later(kind: ErrorKind) -> bool {
     matches!(kind.answer().actor, Actor::CallerLater | Actor::Nobody)
         || matches!(kind, ErrorKind::OutcomeUnknown | ErrorKind::NoServer)
--- a/crates/sidecar/src/generations.rs
+++ b/crates/sidecar/src/generations.rs
@@ -1,4 +1,4 @@
-//! The routes `/v1/chat/completions` and `/v1/completions`: the filters in order.
+//! Handlers of `/v1/chat/completions` and `/v1/completions`.
 
 use std::rc::Rc;
 
@@ -109,7 +109,8 @@
     Ok(writer.whole(&forward.text(), &finish))
 }
 
-/// Waits for the first text, so that an early failure still has its HTTP status, then streams.
+/// Waits for the first text before sending the status, so that earlier failures have their HTTP
+/// status; then streams.
 async fn respond_streaming(
     worker: Rc<Worker>,
     mut forward: Forward,
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -1,4 +1,4 @@
-//! The headers by which a caller says how a request is to be treated.
+//! Request headers that select class, tenant, session, deadline and repeat policy.
 
 use std::time::Duration;
 
@@ -13,47 +13,41 @@
 
 /// Service class: `online` (default) or `batch`.
 pub const CLASS: HeaderName = HeaderName::from_static("dappleyard-class");
-/// Tenant.
 pub const TENANT: HeaderName = HeaderName::from_static("dappleyard-tenant");
-/// Key of the caller's conversation.
+/// Session key; requests of one conversation share it.
 pub const SESSION: HeaderName = HeaderName::from_static("dappleyard-session");
-/// Longest time until the whole answer, milliseconds.
+/// Time limit for the complete response, milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("dappleyard-deadline-ms");
 /// Whether the request may run more than once: `allowed` (default) or `never`.
 pub const REPEAT: HeaderName = HeaderName::from_static("dappleyard-repeat");
-/// Caller's key of a request that must not repeat, or of a batch job.
+/// Idempotency key of a `never` request or of a batch job.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Request id: 32 lower-case hexadecimal digits.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("dappleyard-request-id");
 
-/// Longest tenant, session or key, bytes.
+/// Maximum length of a tenant, session or key.
 pub const MAXIMUM_NAME_BYTES: usize = 128;
-/// Digits of a request id.
 const REQUEST_ID_DIGITS: usize = 32;
-/// Longest deadline, milliseconds: one day.
+/// One day.
 const MAXIMUM_DEADLINE_MS: u32 = 86_400_000;
 
-/// What the headers of a request say, with defaults filled in.
+/// Parsed request headers, with defaults applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerHeaders {
-    /// Request id, given by the caller or new.
+    /// Taken from the header, or generated.
     pub request_id: String,
-    /// Service class.
     pub class: Class,
-    /// Tenant.
     pub tenant: String,
-    /// Session; empty for none.
+    /// Empty for none.
     pub session: String,
-    /// Time until the deadline, milliseconds.
     pub deadline_ms: u32,
-    /// Repeat rule.
     pub repeat: Repeat,
-    /// Idempotency key; empty for none.
+    /// Empty for none.
     pub idempotency_key: String,
 }
 
 impl CallerHeaders {
-    /// Reads and checks the headers.
+    /// Parses and validates the headers.
     pub fn read(
         headers: &HeaderMap,
         settings: &SidecarSettings,
@@ -79,7 +73,7 @@
         Ok(read)
     }
 
-    /// When the whole answer must be there, counted from now.
+    /// Deadline of the complete response, counted from now.
     pub fn deadline(&self) -> Instant {
         Instant::now() + Duration::from_millis(u64::from(self.deadline_ms))
     }
@@ -122,14 +116,13 @@
     ))
 }
 
-/// Whether a text may be a tenant, session, key or id.
+/// Whether `text` is valid as a tenant, session, key or id.
 pub fn is_valid_name(text: &str) -> bool {
     let fits = !text.is_empty() && text.len() <= MAXIMUM_NAME_BYTES;
     fits && text.chars().all(is_valid_name_char)
 }
 
-/// Whether a character may stand in a tenant, session or key; `/` may not, since it separates the
-/// parts of a row's name.
+/// `/` is excluded because it separates the components of a row key.
 fn is_valid_name_char(character: char) -> bool {
     character.is_ascii_alphanumeric() || "-_.:@+".contains(character)
 }
--- a/crates/sidecar/src/health.rs
+++ b/crates/sidecar/src/health.rs
@@ -1,4 +1,4 @@
-//! The routes `/metrics`, `/healthz` and `/readyz`.
+//! Handlers of `/metrics`, `/healthz` and `/readyz`.
 
 use std::rc::Rc;
 
@@ -20,12 +20,12 @@
     }
 }
 
-/// `GET /healthz`: the process answers.
+/// `GET /healthz`: liveness.
 pub async fn healthz() -> HttpResponse {
     HttpResponse::Ok().body("ok\n")
 }
 
-/// `GET /readyz`: a node that takes new work is linked.
+/// `GET /readyz`: succeeds while a link to a node that accepts new requests is up.
 pub async fn readyz(worker: Data<Rc<Worker>>) -> HttpResponse {
     if worker.links.is_ready() {
         HttpResponse::Ok().body("ready\n")
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,17 +1,17 @@
-//! The process beside each caller: request_body, prepare, choose, forward, reassemble, answer.
+//! Local proxy that runs next to each client and forwards its requests to nodes.
 //!
-//! Callers speak the OpenAI HTTP interface to it on loopback; it speaks frames to nodes over links.
-//! A generation passes these filters in order:
+//! Clients use the OpenAI HTTP API on loopback; nodes are reached over links that carry frames. A
+//! generation passes these stages:
 //!
-//! - [`request_body`] reads the body within bounds and parses it into a typed request ([`api`]);
-//! - [`prepare`] gives it an id, a class, a tenant, a deadline and its canonical [`prompt`];
-//! - [`choose`] picks a node among the open links;
-//! - [`forward`] sends it, retries and resumes it as long as that is safe, and reassembles the
-//!   pieces by offset;
-//! - [`answer`] writes the whole answer, or server-sent events, or the error ([`error`]).
+//! - [`headers`] and [`request_body`] parse the request into a typed one ([`api`]);
+//! - [`prepare`] validates it and builds its canonical [`prompt`];
+//! - [`node_selection`] selects a node among the open [`links`];
+//! - [`forward`] sends it, retries or resumes it when that is safe, and reassembles the pieces by
+//!   offset;
+//! - [`response`] writes the complete response, server-sent events, or the [`error`].
 //!
-//! Files, batches and models are unary [`calls`] to a node. The sidecar never opens the store and
-//! keeps nothing that must last.
+//! Files, batches and models use unary [`calls`] to a node. The sidecar does not access the store
+//! and has no durable state.
 
 pub mod api;
 pub mod batches;
--- a/crates/sidecar/src/links.rs
+++ b/crates/sidecar/src/links.rs
@@ -1,4 +1,4 @@
-//! The links of one worker: a few nodes, the nearest first, dialled again with jittered backoff.
+//! Links of one worker: connects to a few nodes, nearest first, and reconnects with jittered backoff.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,26 +18,25 @@
 use crate::node_selection::{Candidate, SelectionPolicy, select_node};
 use crate::worker::Shared;
 
-/// Time between two rounds at the links when nothing happens.
+/// Maximum time between two maintenance rounds.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
-/// Most nodes remembered.
+/// Maximum number of known nodes.
 const MAXIMUM_NODES: usize = 4_096;
 
-/// Links of one worker.
 pub struct Links {
     shared: Arc<Shared>,
     policy: SharedPolicy,
     settings: LinkSettings,
     entries: RefCell<BTreeMap<String, NodeEntry>>,
     changed: Notify,
-    /// Number of rounds at the links so far.
+    /// Number of maintenance rounds.
     rounds: Cell<u64>,
-    /// Links of this worker that the gauge counts already.
+    /// This worker's share of the links gauge.
     gauge_value: Cell<i64>,
 }
 
 impl Links {
-    /// Starts to maintain links on this arbiter.
+    /// Starts the maintenance task on the current arbiter.
     pub fn start(shared: Arc<Shared>, policy: SharedPolicy) -> Rc<Links> {
         let entries = shared
             .settings
@@ -62,7 +61,7 @@
         links
     }
 
-    /// Whether a request could be sent now.
+    /// Whether a request can be sent now.
     pub fn is_ready(&self) -> bool {
         self.entries
             .borrow()
@@ -70,13 +69,13 @@
             .any(NodeEntry::takes_new_work)
     }
 
-    /// The link of the node that a request with this key enters at. Nodes in `avoid` are taken only
-    /// when there is no other.
-    pub fn select(&self, key: u64, service: &str, avoid: &[String]) -> Option<Link> {
+    /// Selects the link for a generation, by key and load. Nodes in `avoid` are used only as a last
+    /// resort.
+    pub fn select_node(&self, key: u64, service: &str, avoid: &[String]) -> Option<Link> {
         self.select_with(key, SelectionPolicy::LessLoaded, service, avoid)
     }
 
-    /// The link of the node that all calls with this key go to while it is there.
+    /// Selects the link for a call, by key alone, so that calls with one key go to one node.
     pub fn select_preferred(&self, key: u64, avoid: &[String]) -> Option<Link> {
         self.select_with(key, SelectionPolicy::First, "", avoid)
     }
@@ -84,23 +83,23 @@
     fn select_with(
         &self,
         key: u64,
-        policy: SelectionPolicy,
+        pick: SelectionPolicy,
         service: &str,
         avoid: &[String],
     ) -> Option<Link> {
         let entries = self.entries.borrow();
         let links: Vec<&Link> = entries
             .values()
-            .filter(|entry| entry.takes_new_work())
+            .filter(|known| known.takes_new_work())
             .filter_map(NodeEntry::link)
             .collect();
         let candidates: Vec<Candidate> =
             links.iter().map(|link| candidate(link, service)).collect();
-        let index = select_node(&self.shared.settings.place, key, policy, &candidates, avoid)?;
+        let index = select_node(&self.shared.settings.place, key, pick, &candidates, avoid)?;
         Some(links[index].clone())
     }
 
-    /// Waits until a request could be sent, or this moment has come.
+    /// Waits until a request can be sent, or until `until`.
     pub async fn wait_ready(&self, until: Instant) {
         while !self.is_ready() && Instant::now() < until {
             let next = (Instant::now() + MAINTENANCE_INTERVAL).min(until);
@@ -122,8 +121,7 @@
         }
     }
 
-    /// Takes over what the nodes at the other ends tell of their peers, and forgets those of which
-    /// nobody tells any more.
+    /// Adds the peers announced by connected nodes, and removes nodes that are no longer announced.
     fn apply_peers(&self) {
         let round = self.rounds.get() + 1;
         self.rounds.set(round);
@@ -133,10 +131,10 @@
             .filter_map(NodeEntry::link)
             .cloned()
             .collect();
-        let mut any_announced = false;
+        let mut announced = false;
         for link in &links {
             link.read_peers(|peers| {
-                any_announced |= !peers.nodes.is_empty();
+                announced |= !peers.nodes.is_empty();
                 for peer in &peers.nodes {
                     apply_peer(&mut entries, peer, round);
                 }
@@ -144,7 +142,7 @@
         }
         entries.retain(|_, entry| {
             let linked = matches!(entry.state, LinkState::Up(_) | LinkState::Dialling);
-            !any_announced || entry.configured || linked || entry.last_announced == round
+            !announced || entry.configured || linked || entry.last_announced == round
         });
     }
 
@@ -157,7 +155,7 @@
         }
     }
 
-    /// Addresses to maintain links to: the nearest nodes, one of another zone among them.
+    /// Addresses to keep links to: the nearest nodes, including one of another zone.
     fn wanted(&self) -> Vec<String> {
         let entries = self.entries.borrow();
         let settings = &self.shared.settings;
@@ -186,7 +184,7 @@
             .collect()
     }
 
-    /// Closes unused links beyond those wanted, while enough others are up.
+    /// Closes idle links that are not wanted, while more than the configured number are up.
     fn close_surplus(&self, wanted: &[String]) {
         let mut entries = self.entries.borrow_mut();
         let up = entries
@@ -274,10 +272,10 @@
 
 fn apply_peer(entries: &mut BTreeMap<String, NodeEntry>, peer: &PeerNode, round: u64) {
     if let Some(entry) = entries.get_mut(&peer.link_address) {
-        entry.apply_announcement(peer, round);
+        entry.announced(peer, round);
     } else if entries.len() < MAXIMUM_NODES {
         let mut entry = NodeEntry::new(false);
-        entry.apply_announcement(peer, round);
+        entry.announced(peer, round);
         entries.insert(peer.link_address.clone(), entry);
     }
 }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a sidecar.
+//! Prometheus metrics.
 
 use std::sync::Arc;
 
@@ -7,45 +7,43 @@
     Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
 };
 
-/// Buckets of latencies, seconds.
+/// Buckets of latency histograms.
 const SECONDS: [f64; 14] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0,
 ];
 
 /// Metrics of one sidecar, shared by its workers.
 pub struct Metrics {
-    /// Registry that `/metrics` prints.
+    /// Registry served by `/metrics`.
     pub registry: Registry,
-    /// Answers, by route and code (`ok` or the error kind).
+    /// Responses, by route and code (`ok` or the error kind).
     pub answers: IntCounterVec,
-    /// Time from acceptance to the end of the answer, by route, seconds.
+    /// Time from acceptance to the end of the response, by route.
     pub seconds: HistogramVec,
-    /// Time from acceptance to the first piece, seconds.
+    /// Time from acceptance to the first piece.
     pub first_piece_seconds: Histogram,
-    /// Requests being served.
     pub open: IntGauge,
-    /// Attempts, by why they were made (`first`, `retry`, `resume`, `restart`, `hedge`).
+    /// Attempts, by reason (`first`, `retry`, `resume`, `restart`, `poll`, `hedge`).
     pub attempts: IntCounterVec,
-    /// Attempts that ended without an answer, by error kind.
+    /// Failed attempts, by error kind.
     pub failed_attempts: IntCounterVec,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the retry budget.
     pub budget_denied: IntCounter,
-    /// Pieces passed on.
+    /// Pieces received from nodes.
     pub pieces: IntCounter,
-    /// Frames that did not fit into the answer, by cause.
+    /// Rejected frames, by cause.
     pub bad_frames: IntCounterVec,
-    /// Requests whose caller went away.
+    /// Requests whose client disconnected before the response was complete.
     pub client_disconnects: IntCounter,
-    /// Links that are up.
     pub links: IntGauge,
-    /// Links lost, or not made.
+    /// Lost links and failed connects, by cause.
     pub link_failures: IntCounterVec,
     /// Frames and bytes on links.
     pub transport: Arc<LinkMetrics>,
 }
 
 impl Metrics {
-    /// New metrics in a registry of their own.
+    /// Creates the metrics and registers them in a new registry.
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let registry = Registry::new();
         let built = Metrics {
--- a/crates/sidecar/src/models.rs
+++ b/crates/sidecar/src/models.rs
@@ -1,4 +1,4 @@
-//! The route `/v1/models`.
+//! Handlers under `/v1/models`.
 
 use std::rc::Rc;
 
@@ -13,27 +13,21 @@
 use crate::headers::CallerHeaders;
 use crate::worker::Worker;
 
-/// One model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ModelBody {
     /// Service, or `service:adapter`.
     pub id: String,
-    /// Kind of object.
     pub object: &'static str,
-    /// Not known: 0.
+    /// Always 0: the time is not known.
     pub created: u64,
-    /// Who serves it.
     pub owned_by: &'static str,
-    /// Version in force.
+    /// Active version.
     pub version: String,
 }
 
-/// A list of models.
 #[derive(Debug, Serialize)]
 pub struct ModelListBody {
-    /// Kind of object.
     pub object: &'static str,
-    /// The models.
     pub data: Vec<ModelBody>,
 }
 
--- a/crates/sidecar/src/node_entry.rs
+++ b/crates/sidecar/src/node_entry.rs
@@ -1,4 +1,4 @@
-//! What a worker knows of one node: where it is, and how far the link to it is.
+//! State of one known node: its location, and the state of the link to it.
 
 use std::time::Duration;
 
@@ -10,40 +10,35 @@
 
 use crate::node_selection::distance;
 
-/// First backoff before a node is dialled again.
+/// Backoff ceiling after the first failure; doubled by each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff before a node is dialled again.
 const MAXIMUM_BACKOFF: Duration = Duration::from_secs(2);
 
-/// A node that may be dialled.
+/// A known node.
 pub(crate) struct NodeEntry {
-    /// Where it is; `None` before it is known.
+    /// `None` until announced or connected.
     pub location: Option<Location>,
-    /// It takes nothing new and will leave.
+    /// Accepts no new requests and will shut down.
     pub draining: bool,
-    /// Named by the settings: never forgotten.
+    /// Listed in the settings, and therefore never removed.
     pub configured: bool,
-    /// Number of the round at which a node last apply_announcement of it.
+    /// Maintenance round in which a peer last announced it.
     pub last_announced: u64,
-    /// How far the link is.
     pub state: LinkState,
     failures: u32,
 }
 
-/// How far the link to a node is.
+/// State of the link to a node.
 pub(crate) enum LinkState {
-    /// Not dialled.
     Idle,
-    /// Being dialled.
     Dialling,
-    /// Up, or lost a moment ago.
+    /// Connected. A loss is noticed in the next maintenance round.
     Up(Link),
-    /// Not to be dialled before this moment.
+    /// Not dialled before this time.
     Backoff(Instant),
 }
 
 impl NodeEntry {
-    /// A node that was not dialled yet.
     pub fn new(configured: bool) -> Self {
         Self {
             location: None,
@@ -55,7 +50,7 @@
         }
     }
 
-    /// Its link, also when that was lost a moment ago.
+    /// The link, which may have been lost since the last maintenance round.
     pub fn link(&self) -> Option<&Link> {
         match &self.state {
             LinkState::Up(link) => Some(link),
@@ -63,12 +58,12 @@
         }
     }
 
-    /// Whether a request could be sent to it now.
+    /// Whether a request can be sent to the node now.
     pub fn takes_new_work(&self) -> bool {
         !self.draining && self.link().is_some_and(Link::takes_new_work)
     }
 
-    /// Whether it counts among the links kept: up, or worth dialling now.
+    /// Whether the node is connected or may be dialled now.
     pub fn is_usable(&self, now: Instant) -> bool {
         match &self.state {
             _ if self.draining => false,
@@ -78,14 +73,15 @@
         }
     }
 
-    /// Distance, with a node of unknown place counted as near, so that its place is learnt.
+    /// Distance from `place`. Nodes of unknown location count as near, so that they are dialled and
+    /// their location becomes known.
     pub fn distance_from(&self, place: &Location) -> u8 {
         self.location
             .as_ref()
             .map_or(0, |its| distance(place, &its.zone, &its.region))
     }
 
-    /// The link was lost or not made: the node is not dialled again for a jittered backoff.
+    /// Schedules the next dial after exponential backoff with jitter.
     pub fn back_off(&mut self) {
         let ceiling = INITIAL_BACKOFF
             .saturating_mul(1 << self.failures.min(10))
@@ -95,7 +91,7 @@
         self.state = LinkState::Backoff(Instant::now() + backoff);
     }
 
-    /// A link to it is up.
+    /// Records an established link and resets the backoff.
     pub fn mark_connected(&mut self, link: &Link) {
         self.location = Some(Location {
             zone: link.peer().zone.clone(),
@@ -105,8 +101,9 @@
         self.state = LinkState::Up(link.clone());
     }
 
-    /// A node apply_announcement of it at the round `round`. It drains when any of those that tell of it says so.
-    pub fn apply_announcement(&mut self, peer: &PeerNode, round: u64) {
+    /// Records a peer's announcement of the node. The node is draining if any announcement of the
+    /// round says so.
+    pub fn announced(&mut self, peer: &PeerNode, round: u64) {
         let already_draining = self.last_announced == round && self.draining;
         self.draining = peer.draining || already_draining;
         self.last_announced = round;
--- a/crates/sidecar/src/node_selection.rs
+++ b/crates/sidecar/src/node_selection.rs
@@ -1,33 +1,30 @@
-//! Chooses the node that a request enters at.
+//! Selects the node to which a request is sent.
 //!
-//! The nearest nodes that take new work are looked at only: those of the same zone, else of the same
-//! region, else any. Among them the request's key picks two by rendezvous hash, and the one with the
-//! shorter expected wait, then with fewer streams from here, wins.
+//! Only the nearest candidates are considered: the same zone, else the same region, else any. Of
+//! these, rendezvous hashing of the request's key picks two; the one with the shorter expected wait
+//! is selected, ties broken by the number of open streams.
 
 use std::cmp::Reverse;
 
 use dappleyard_settings::Location;
 use dappleyard_wire::hash::rendezvous_weight;
 
-/// Nodes that a key picks and whose load is compared.
+/// Nodes whose load is compared for each key.
 const COMPARED_NODES: usize = 2;
 
-/// A node that a request may enter at.
+/// A node to which a request can be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Node id.
     pub node: String,
-    /// Its zone.
     pub zone: String,
-    /// Its region.
     pub region: String,
-    /// Expected wait that it last told for the service, milliseconds.
+    /// Last reported expected wait for the service.
     pub wait_ms: u32,
     /// Streams open to it from this worker.
     pub open_streams: usize,
 }
 
-/// Distance from a rank: 0 in the same zone, 1 in the same region, 2 elsewhere.
+/// 0 in the same zone, 1 in the same region, 2 elsewhere.
 pub fn distance(from: &Location, zone: &str, region: &str) -> u8 {
     if region != from.region {
         2
@@ -36,16 +33,17 @@
     }
 }
 
-/// How a key picks among the nearest nodes.
+/// How a key selects among the nearest nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelectionPolicy {
-    /// The less loaded of the key's two nodes.
+    /// The less loaded of the two nodes with the highest rendezvous weight.
     LessLoaded,
-    /// The key's first node, whatever its load: calls that belong together go the same way.
+    /// The node with the highest rendezvous weight, regardless of load; keeps related calls on one
+    /// node.
     First,
 }
 
-/// Index of the chosen candidate. Nodes in `avoid` are taken only when there is no other.
+/// Returns the index of the selected candidate. Nodes in `avoid` are used only as a last resort.
 pub fn select_node(
     from: &Location,
     key: u64,
--- a/crates/sidecar/src/prepare.rs
+++ b/crates/sidecar/src/prepare.rs
@@ -1,4 +1,4 @@
-//! Stamps a parsed request: id, class, tenant, session, deadline, repeat rule and canonical prompt.
+//! Validates a parsed request and converts it to the [`GenerateRequest`] that is sent to nodes.
 
 use std::time::Duration;
 
@@ -13,33 +13,28 @@
 use crate::headers::{CallerHeaders, MAXIMUM_NAME_BYTES};
 use crate::prompt::{CanonicalPrompt, canonical, canonical_completion};
 
-/// A request that is ready to be forwarded.
+/// A validated request, ready to forward.
 #[derive(Debug, Clone)]
 pub struct PreparedRequest {
-    /// The request as nodes see it.
     pub request: GenerateRequest,
-    /// When the whole answer must be there.
+    /// Deadline of the complete response.
     pub deadline: Instant,
-    /// When it was accepted.
     pub accepted_at: Instant,
-    /// How the answer is to be written.
     pub options: ResponseOptions,
 }
 
-/// How an answer is to be written.
+/// How the response is written.
 #[derive(Debug, Clone)]
 pub struct ResponseOptions {
-    /// Which endpoint was asked for.
     pub endpoint: Endpoint,
-    /// Model as the caller named it.
+    /// Model name from the request.
     pub model: String,
-    /// Whether server-sent events are wanted.
+    /// Whether to respond with server-sent events.
     pub stream: bool,
-    /// Whether a last event carries the token counts.
+    /// Whether the stream ends with an event that carries the token counts.
     pub include_usage: bool,
 }
 
-/// Stamps a chat.
 pub fn prepare_chat(
     body: &ChatBody,
     common: &CommonBody,
@@ -58,7 +53,6 @@
     prepare(input, headers, settings)
 }
 
-/// Stamps a completion.
 pub fn prepare_completion(
     body: &CompletionBody,
     common: &CommonBody,
--- a/crates/sidecar/src/prompt.rs
+++ b/crates/sidecar/src/prompt.rs
@@ -1,49 +1,45 @@
-//! The canonical prompt: how the messages of a chat become the text that an engine reads.
+//! Canonical prompt: the text that an engine receives for the messages of a chat.
 //!
-//! The text is that of [`dappleyard_wire::prompt`], so that a batch item and an online request with
-//! the same messages are the same prompt. The prompt of a completion is taken as it is. Tokens are
-//! estimated as count_words between white space; engines count their own.
+//! The text is built by [`dappleyard_wire::prompt`], so that a batch item and an online request with
+//! the same messages have the same prompt. The prompt of a completion is passed unchanged. Token
+//! counts are estimates, by words separated by white space.
 //!
-//! The *shared prefix* is what other requests are likely to repeat, so that an engine that has it in
-//! its cache is worth finding:
+//! The *shared prefix* is the part that other requests are likely to repeat; requests are routed by
+//! its hash to engines that may have it cached:
 //!
-//! - with a session: the prefix is all but the last message, and its hash is taken over the leading
-//!   system messages and the session key, so that it stays the same while the conversation grows;
-//! - without one: the prefix is the leading system messages;
-//! - with neither: the first [`DEFAULT_PREFIX_WORDS`] count_words of the prompt.
+//! - with a session, the prefix is all but the last message. The hash covers the leading system
+//!   messages and the session key, so that it is stable while the conversation grows;
+//! - without a session, the prefix is the leading system messages;
+//! - without either, the first [`DEFAULT_PREFIX_WORDS`] words of the prompt.
 
 use dappleyard_wire::hash::hash_bytes;
 use dappleyard_wire::prompt::{canonical_chat, count_tokens};
 
-/// Words that stand for the prefix of a prompt without a system message or a session.
+/// Prefix length of a prompt without system messages or a session, words.
 pub const DEFAULT_PREFIX_WORDS: usize = 32;
 
-/// Role whose leading messages form the shared prefix.
+/// Roles whose leading messages form the shared prefix.
 const SYSTEM_ROLES: [&str; 2] = ["system", "developer"];
 
-/// One message of a chat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptMessage {
-    /// Role, for example `system` or `user`.
+    /// For example `system` or `user`.
     pub role: String,
-    /// Text.
     pub text: String,
 }
 
-/// A prompt as engines read it.
+/// A prompt as sent to engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CanonicalPrompt {
-    /// Text.
     pub text: String,
-    /// Estimated length, tokens; at least 1.
+    /// Estimated length; at least 1.
     pub tokens: u32,
-    /// Hash of the shared prefix.
     pub prefix_hash: u64,
     /// Estimated length of the shared prefix, tokens.
     pub prefix_tokens: u32,
 }
 
-/// The canonical prompt of a chat. `session` is empty for none.
+/// Builds the prompt of a chat. `session` is empty for none.
 pub fn canonical(messages: &[PromptMessage], session: &str) -> CanonicalPrompt {
     let text = join(messages);
     let system_messages = messages
@@ -62,7 +58,7 @@
     build_without_prefix(text)
 }
 
-/// The canonical prompt of a completion: the text as it is.
+/// Builds the prompt of a completion, whose text is passed unchanged.
 pub fn canonical_completion(prompt: &str, session: &str) -> CanonicalPrompt {
     let text = prompt.to_owned();
     if session.is_empty() {
--- a/crates/sidecar/src/request_body.rs
+++ b/crates/sidecar/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads bodies within bounds of size and time, and parses them; an error names the field.
+//! Reads request bodies with limits on size and time, and parses them.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 
 use crate::error::ApiError;
 
-/// Reads a whole body. The time limit is for the whole body, so a sender that trickles is refused.
+/// Reads the complete body. The timeout covers the whole body, which also rejects slow senders that
+/// keep the connection busy.
 pub async fn read_body(payload: Payload, settings: &SidecarSettings) -> Result<Bytes, ApiError> {
     let limit = Duration::from_millis(settings.body_timeout_ms);
     let reading = collect(payload, settings.maximum_body_bytes);
@@ -19,13 +20,11 @@
         .unwrap_or_else(|_| Err(body_timeout(settings.body_timeout_ms)))
 }
 
-/// The refusal of a sender that took longer than a limit.
 pub fn body_timeout(timeout_ms: u64) -> ApiError {
     let message = format!("the body did not arrive within {timeout_ms} ms; send it faster");
     Failure::not_run(ErrorKind::SlowSender, message).into()
 }
 
-/// The refusal of a body larger than a limit.
 pub fn body_too_large(limit: u64) -> ApiError {
     let message = format!("the body is larger than {limit} bytes; send less");
     Failure::not_run(ErrorKind::TooLarge, message).into()
@@ -45,7 +44,7 @@
     Ok(body.freeze())
 }
 
-/// Parses a JSON body. The error names the path of the field at fault.
+/// Parses a JSON body. Errors carry the path of the invalid field.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     let parsed: T = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
@@ -67,7 +66,7 @@
     Ok(parsed)
 }
 
-/// The path of a field; empty when the error is not at a field.
+/// Path of the invalid field; empty when the error has no path.
 fn field_path(path: &serde_path_to_error::Path) -> String {
     let path = path.to_string();
     if matches!(path.as_str(), "." | "?") {
@@ -76,7 +75,7 @@
     path
 }
 
-/// The field that a message of serde says is missing.
+/// Extracts the field name from serde's "missing field" message.
 fn missing_field(cause: &str) -> Option<&str> {
     cause.strip_prefix("missing field `")?.split('`').next()
 }
--- a/crates/sidecar/src/response.rs
+++ b/crates/sidecar/src/response.rs
@@ -1,4 +1,4 @@
-//! Writes the answer of a generation: whole, or as server-sent events.
+//! Writes generation responses: complete, or as server-sent events.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -17,7 +17,7 @@
 /// Last event of a complete stream.
 pub const DONE_EVENT: Bytes = Bytes::from_static(b"data: [DONE]\n\n");
 
-/// Writes the bodies of one answer.
+/// Builds the body, or the events, of one response.
 pub struct ResponseWriter {
     id: String,
     request_id: String,
@@ -26,7 +26,6 @@
 }
 
 impl ResponseWriter {
-    /// A writer for the answer to this request.
     pub fn new(request_id: &str, options: ResponseOptions) -> ResponseWriter {
         let prefix = match options.endpoint {
             Endpoint::Chat => "chatcmpl",
@@ -40,7 +39,7 @@
         }
     }
 
-    /// The whole answer.
+    /// Builds a complete response.
     pub fn whole(&self, text: &str, finish: &Finish) -> HttpResponse {
         let content = match self.options.endpoint {
             Endpoint::Chat => ChoiceContent::Message(Message {
@@ -58,7 +57,7 @@
         response.json(body)
     }
 
-    /// Head of an answer in server-sent events.
+    /// Status and headers of a stream.
     pub fn stream_head(&self, version: &str) -> actix_web::HttpResponseBuilder {
         let mut response = HttpResponse::Ok();
         response.insert_header((CONTENT_TYPE, "text/event-stream; charset=utf-8"));
@@ -69,7 +68,7 @@
         response
     }
 
-    /// Event that carries text; `first` also carries the role.
+    /// Event that carries text; the first one also carries the role.
     pub fn text_event(&self, text: &str, version: &str, first: bool) -> Bytes {
         let content = match self.options.endpoint {
             Endpoint::Chat => ChoiceContent::Delta(Delta {
@@ -81,7 +80,7 @@
         self.event(version, vec![choice(content, None)], None)
     }
 
-    /// Events after the last text: the reason, the token counts when asked for, and the end.
+    /// Final events: the finish reason, the token counts if requested, and `[DONE]`.
     pub fn end_events(&self, finish: &Finish) -> Vec<Bytes> {
         let content = match self.options.endpoint {
             Endpoint::Chat => ChoiceContent::Delta(Delta {
@@ -99,7 +98,7 @@
         events
     }
 
-    /// Event that ends an answer which cannot be completed; no `[DONE]` follows.
+    /// Event that ends a failed stream; no `[DONE]` follows.
     pub fn failure_event(&self, failure: Failure) -> Bytes {
         let error = ApiError::from(failure).with_request_id(&self.request_id);
         event_bytes(&error.body())
@@ -172,7 +171,7 @@
     Bytes::from(bytes)
 }
 
-/// Wall-clock time, seconds since 1970.
+/// Current Unix time, seconds.
 pub fn unix_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/sidecar/src/server.rs
+++ b/crates/sidecar/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of a sidecar: its workers, routes and life.
+//! HTTP server: workers, routes, startup and shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,47 +19,35 @@
 use crate::worker::{Shared, Worker};
 use crate::{batches, files, generations, health, models};
 
-/// Longest time that a planned stop waits for open requests, seconds.
+/// Time limit of a graceful shutdown.
 const SHUTDOWN_TIMEOUT_S: u64 = 60;
-/// Idle time after which a caller's connection is closed.
+/// Idle timeout of HTTP connections.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// Shortest bound for the request of a request: the HTTP server's clock ticks every half second, so a
-/// shorter one could end a fresh connection at once.
+/// Minimum timeout for request headers. The HTTP server's clock has a resolution of 500 ms, so a
+/// shorter timeout could expire immediately.
 const MINIMUM_HEADER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a sidecar did not start.
+/// Startup error.
 #[derive(Debug, Display, Error)]
 pub enum SidecarError {
-    /// The address could not be bound.
     #[display("cannot listen on {address}: {reason}")]
-    Listen {
-        /// Address of the settings.
-        address: String,
-        /// What the operating system said.
-        reason: String,
-    },
-    /// The metrics could not be registered.
+    Listen { address: String, reason: String },
     #[display("metrics: {reason}")]
-    Metrics {
-        /// What the registry said.
-        reason: String,
-    },
+    Metrics { reason: String },
 }
 
-/// A running sidecar.
 pub struct SidecarHandle {
     address: SocketAddr,
     server: ServerHandle,
 }
 
 impl SidecarHandle {
-    /// Address of the callers' HTTP interface.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops: takes nothing new, and lets open requests end.
+    /// Shuts down gracefully: stops accepting connections and waits for open requests.
     pub async fn stop(self) {
         self.server.stop(true).await;
     }
--- a/crates/sidecar/src/worker.rs
+++ b/crates/sidecar/src/worker.rs
@@ -1,4 +1,4 @@
-//! What the handlers of one worker thread share.
+//! State shared by the request handlers.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,23 +12,20 @@
 use crate::links::Links;
 use crate::metrics::Metrics;
 
-/// Advice to a caller that came while all places were taken, milliseconds.
+/// Retry-after hint when the concurrency limit is reached.
 const OVERLOADED_RETRY_AFTER_MS: u32 = 200;
 
-/// What all workers of a sidecar share.
+/// State shared by all workers of the process.
 pub struct Shared {
-    /// Settings.
     pub settings: SidecarSettings,
-    /// Metrics.
     pub metrics: Metrics,
-    /// Retries as a share of first attempts.
+    /// Limits retries to a share of first attempts.
     pub retries: Mutex<RetryBudget>,
     open_requests: AtomicUsize,
     uploads: AtomicUsize,
 }
 
 impl Shared {
-    /// State of a sidecar that starts.
     pub fn new(settings: SidecarSettings, metrics: Metrics) -> Arc<Shared> {
         Arc::new(Shared {
             retries: Mutex::new(RetryBudget::new(settings.retry_budget_percent)),
@@ -40,44 +37,41 @@
     }
 }
 
-/// What the handlers of one worker thread share.
+/// State shared by the handlers of one worker thread.
 pub struct Worker {
-    /// Shared with the other workers.
     pub shared: Arc<Shared>,
-    /// This worker's links.
     pub links: Rc<Links>,
 }
 
 impl Worker {
-    /// Settings.
     pub fn settings(&self) -> &SidecarSettings {
         &self.shared.settings
     }
 
-    /// Metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.shared.metrics
     }
 
-    /// Takes a slot for a request; refused when all are taken.
+    /// Acquires a request slot, or fails when the limit is reached.
     pub fn acquire_request_slot(&self) -> Result<RequestSlot, Failure> {
         RequestSlot::acquire(&self.shared, SlotKind::Request)
     }
 
-    /// Takes a slot for an upload, which holds one part in memory; refused when all are taken.
+    /// Acquires an upload slot, or fails when the limit is reached. Uploads have their own limit
+    /// because each buffers a part in memory.
     pub fn acquire_upload_slot(&self) -> Result<RequestSlot, Failure> {
         RequestSlot::acquire(&self.shared, SlotKind::Upload)
     }
 }
 
-/// What a slot is for; each kind has its limit.
+/// Each kind has its own limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SlotKind {
     Request,
     Upload,
 }
 
-/// One slot among the requests served at once; given back when dropped.
+/// Permit for one concurrent request or upload; released on drop.
 pub struct RequestSlot {
     shared: Arc<Shared>,
     kind: SlotKind,
