--- a/crates/sidecar/src/files/upload.rs
+++ b/crates/sidecar/src/files/upload.rs
@@ -60,7 +60,7 @@
     Ok(HttpResponse::Ok().json(FileBody::from(file)))
 }
 
-/// An upload in progress. Until it is sealed the file is not visible; the node removes unsealed files.
+/// An upload in progress. Unsealed files are not visible, and the node removes them.
 struct Upload<'a> {
     worker: &'a Worker,
     headers: &'a CallerHeaders,
--- a/crates/sidecar/src/links.rs
+++ b/crates/sidecar/src/links.rs
@@ -1,4 +1,4 @@
-//! Links of one worker: connects to a few nodes, nearest first, and reconnects with jittered backoff.
+//! Links of one worker: connects to the nearest nodes and reconnects with jittered backoff.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
