--- a/crates/sidecar/src/api/generation.rs
+++ b/crates/sidecar/src/api/generation.rs
@@ -153,7 +153,7 @@
 
 impl CommonBody {
     /// Rejects unsupported parameters.
-    pub fn check(&self) -> Result<(), ApiError> {
+    pub fn validate(&self) -> Result<(), ApiError> {
         let unsupported = [
             ("n", self.n.is_some_and(|n| n != 1)),
             ("stop", is_requested(self.stop.as_ref())),
@@ -178,7 +178,7 @@
         }
     }
 
-    pub fn streams(&self) -> bool {
+    pub fn is_streaming(&self) -> bool {
         self.stream.unwrap_or(false)
     }
 
--- a/crates/sidecar/src/batches.rs
+++ b/crates/sidecar/src/batches.rs
@@ -45,7 +45,7 @@
     let _slot = worker.acquire_request_slot()?;
     let body = read_body(payload, worker.settings()).await?;
     let body: BatchCreateBody = parse_json(&body)?;
-    check(&body)?;
+    validate(&body)?;
     let client_key = client_key(&body, &headers)?;
     let key = hash_bytes(client_key.as_bytes());
     let submit = JobSubmit {
@@ -58,11 +58,11 @@
         metadata: body.metadata.unwrap_or_default().into_iter().collect(),
     };
     let method = call::Method::JobSubmit(submit);
-    let job = job(call(&worker, method, key, headers.deadline()).await?)?;
+    let job = expect_job(call(&worker, method, key, headers.deadline()).await?)?;
     Ok(HttpResponse::Ok().json(BatchBody::from(job)))
 }
 
-fn check(body: &BatchCreateBody) -> Result<(), ApiError> {
+fn validate(body: &BatchCreateBody) -> Result<(), ApiError> {
     if !ENDPOINTS.contains(&body.endpoint.as_str()) {
         return Err(ApiError::invalid(
             "endpoint",
@@ -113,7 +113,7 @@
         tenant: headers.tenant,
         job_id: id.into_inner(),
     });
-    let job = job(call(&worker, method, key, deadline).await?)?;
+    let job = expect_job(call(&worker, method, key, deadline).await?)?;
     Ok(HttpResponse::Ok().json(BatchBody::from(job)))
 }
 
@@ -128,13 +128,13 @@
         tenant: headers.tenant,
         job_id: id.into_inner(),
     });
-    let job = job(call(&worker, method, key, deadline).await?)?;
+    let job = expect_job(call(&worker, method, key, deadline).await?)?;
     Ok(HttpResponse::Ok().json(BatchBody::from(job)))
 }
 
 /// Query parameters of `GET /v1/batches`.
 #[derive(Debug, Deserialize)]
-struct Page {
+struct ListQuery {
     after: Option<String>,
     limit: Option<u32>,
 }
@@ -142,15 +142,15 @@
 async fn list(
     worker: Data<Rc<Worker>>,
     request: HttpRequest,
-    page: Query<Page>,
+    query: Query<ListQuery>,
 ) -> Result<HttpResponse, ApiError> {
     let headers = CallerHeaders::read(request.headers(), worker.settings())?;
     let deadline = headers.deadline();
-    let page = page.into_inner();
+    let query = query.into_inner();
     let method = call::Method::JobList(JobList {
         tenant: headers.tenant,
-        after: page.after.unwrap_or_default(),
-        limit: page.limit.unwrap_or(DEFAULT_LIMIT).clamp(1, MAXIMUM_LIMIT),
+        after: query.after.unwrap_or_default(),
+        limit: query.limit.unwrap_or(DEFAULT_LIMIT).clamp(1, MAXIMUM_LIMIT),
     });
     let reply::Result::Jobs(found) = call(&worker, method, 0, deadline).await? else {
         return Err(unexpected_reply().into());
@@ -165,7 +165,7 @@
     }))
 }
 
-fn job(reply: reply::Result) -> Result<JobState, ApiError> {
+fn expect_job(reply: reply::Result) -> Result<JobState, ApiError> {
     match reply {
         reply::Result::Job(job) => Ok(job),
         _ => Err(unexpected_reply().into()),
--- a/crates/sidecar/src/files/mod.rs
+++ b/crates/sidecar/src/files/mod.rs
@@ -41,7 +41,7 @@
         file_id: id.into_inner(),
         tenant: headers.tenant,
     });
-    let file = file(call(&worker, method, key, deadline).await?)?;
+    let file = expect_file(call(&worker, method, key, deadline).await?)?;
     Ok(HttpResponse::Ok().json(FileBody::from(file)))
 }
 
@@ -69,17 +69,17 @@
     }
 
     /// Streams the file from its first chunk on.
-    fn pieces(self, first: FileData) -> impl Stream<Item = Result<Bytes, ApiError>> {
+    fn chunks(self, first: FileData) -> impl Stream<Item = Result<Bytes, ApiError>> {
         async_stream::try_stream! {
-            let mut piece = first;
+            let mut chunk = first;
             loop {
-                let next = piece.offset + piece.data.len() as u64;
-                let last = piece.end || piece.data.is_empty();
-                yield Bytes::from(std::mem::take(&mut piece.data));
+                let next = chunk.offset + chunk.data.len() as u64;
+                let last = chunk.end || chunk.data.is_empty();
+                yield Bytes::from(std::mem::take(&mut chunk.data));
                 if last {
                     break;
                 }
-                piece = self.read(next).await?;
+                chunk = self.read(next).await?;
             }
         }
     }
@@ -100,10 +100,10 @@
     let first = download.read(0).await?;
     Ok(HttpResponse::Ok()
         .content_type("application/octet-stream")
-        .streaming(Box::pin(download.pieces(first))))
+        .streaming(Box::pin(download.chunks(first))))
 }
 
-fn file(reply: reply::Result) -> Result<FileState, ApiError> {
+fn expect_file(reply: reply::Result) -> Result<FileState, ApiError> {
     match reply {
         reply::Result::File(file) => Ok(file),
         _ => Err(unexpected_reply().into()),
--- a/crates/sidecar/src/files/upload.rs
+++ b/crates/sidecar/src/files/upload.rs
@@ -10,7 +10,7 @@
 use futures::StreamExt;
 use rand::Rng;
 
-use super::file;
+use super::expect_file;
 use crate::api::batches::FileBody;
 use crate::calls::call;
 use crate::error::ApiError;
@@ -86,7 +86,7 @@
             purpose: PURPOSE.to_owned(),
         });
         let key = rand::rng().random();
-        let state = file(call(worker, method, key, headers.deadline()).await?)?;
+        let state = expect_file(call(worker, method, key, headers.deadline()).await?)?;
         Ok(Upload {
             worker,
             headers,
@@ -132,7 +132,7 @@
             data: part.to_vec(),
             tenant: self.headers.tenant.clone(),
         });
-        file(self.call(method).await?)?;
+        expect_file(self.call(method).await?)?;
         self.size += size;
         Ok(())
     }
@@ -143,7 +143,7 @@
             size: self.size,
             tenant: self.headers.tenant.clone(),
         });
-        file(self.call(method).await?)
+        expect_file(self.call(method).await?)
     }
 
     async fn call(
--- a/crates/sidecar/src/forward/mod.rs
+++ b/crates/sidecar/src/forward/mod.rs
@@ -3,9 +3,9 @@
 //!
 //! [`retry_policy`] decides what follows a failed attempt; [`attempt`] is one stream to one node;
 //! `receive` handles the frames of attempts; `retry` begins attempts and ends the request. Whether
-//! the request ran is joined over all attempts and never weakens. Dropping an incomplete [`Forward`]
-//! cancel_on_drop the request at its node, unless its repeat policy is `never`: then it continues, and its
-//! outcome is recorded for a client that retries with the same key.
+//! the request ran is joined over all attempts and never weakens. Dropping an incomplete
+//! [`ForwardedRequest`] cancels the request at its node, unless its repeat policy is `never`: then
+//! it continues, and its outcome is recorded for a client that retries with the same key.
 
 pub mod attempt;
 mod receive;
@@ -25,7 +25,7 @@
 use crate::worker::Worker;
 
 /// State of one request over all its attempts.
-pub struct Forward {
+pub struct ForwardedRequest {
     worker: Rc<Worker>,
     request: GenerateRequest,
     deadline: Instant,
@@ -48,13 +48,13 @@
     ended: bool,
 }
 
-impl Forward {
-    pub fn new(worker: Rc<Worker>, prepared: &PreparedRequest) -> Forward {
+impl ForwardedRequest {
+    pub fn new(worker: Rc<Worker>, prepared: &PreparedRequest) -> ForwardedRequest {
         let bounds = AssemblyBounds {
             pieces: prepared.request.max_tokens,
             after_gap: worker.settings().maximum_gap_pieces,
         };
-        Forward {
+        ForwardedRequest {
             request: prepared.request.clone(),
             deadline: prepared.deadline,
             assembly: Assembly::new(bounds),
@@ -148,7 +148,7 @@
     }
 }
 
-impl Drop for Forward {
+impl Drop for ForwardedRequest {
     fn drop(&mut self) {
         if !self.ended && self.attempts > 0 {
             self.worker.metrics().client_disconnects.inc();
--- a/crates/sidecar/src/forward/receive.rs
+++ b/crates/sidecar/src/forward/receive.rs
@@ -8,14 +8,14 @@
 use dappleyard_wire::messages::{Accepted, Chunk, Finish, frame};
 use dappleyard_wire::{ErrorKind, Failure, Ran};
 
-use super::Forward;
+use super::ForwardedRequest;
 
 /// Maximum wait for pieces that are missing after the finish frame.
 const MISSING_PIECES_TIMEOUT: Duration = Duration::from_millis(200);
 /// Finish reason of a generation that was cancelled.
 const CANCELLED: &str = "cancelled";
 
-impl Forward {
+impl ForwardedRequest {
     /// Handles a frame of the open attempt `index`.
     pub(super) async fn handle_frame(
         &mut self,
@@ -71,7 +71,7 @@
         Ok(())
     }
 
-    /// Called on a chunk or finish frame: keeps this attempt and cancel_on_drop the other open one. Returns
+    /// Called on a chunk or finish frame: keeps this attempt and cancels the other open one. Returns
     /// `false` if the attempt cannot continue the response; its frame must then be ignored.
     async fn select_attempt(&mut self, index: usize) -> Result<bool, Failure> {
         self.hedge_at = None;
@@ -119,11 +119,11 @@
             let failure = Failure::maybe_ran(ErrorKind::EngineLost, message);
             return self.fail(0, failure).await;
         }
-        let fits = self
+        let is_consistent = self
             .assembly
             .set_version(&finish.version)
             .and_then(|()| self.assembly.finish(finish.total_tokens));
-        if let Err(error) = fits {
+        if let Err(error) = is_consistent {
             return self.reject_frame(&error).await;
         }
         self.finish = Some(finish);
--- a/crates/sidecar/src/forward/retry.rs
+++ b/crates/sidecar/src/forward/retry.rs
@@ -10,7 +10,7 @@
 use dappleyard_wire::{ErrorKind, Failure, Ran, Repeat};
 use rand::Rng;
 
-use super::Forward;
+use super::ForwardedRequest;
 use super::attempt::Attempt;
 use super::retry_policy::{Decision, FailureContext, decide, may_succeed_later};
 
@@ -22,7 +22,7 @@
 /// response, so earlier polls would find nothing.
 const POLL_BACKOFF_STEPS: u32 = 2;
 
-impl Forward {
+impl ForwardedRequest {
     /// Sends the request to a node, starting at the current offset.
     pub(super) async fn begin_attempt(&mut self, reason: &'static str) -> Result<(), Failure> {
         if self.remaining().is_zero() {
--- a/crates/sidecar/src/generations.rs
+++ b/crates/sidecar/src/generations.rs
@@ -11,7 +11,7 @@
 use crate::api::generation::{ChatBody, CommonBody, CompletionBody};
 use crate::api::responses::Endpoint;
 use crate::error::ApiError;
-use crate::forward::Forward;
+use crate::forward::ForwardedRequest;
 use crate::headers::CallerHeaders;
 use crate::prepare::{PreparedRequest, prepare_chat, prepare_completion};
 use crate::request_body::{parse_json, read_body};
@@ -47,14 +47,14 @@
         record_response(worker, endpoint, started, error.failure.kind.answer().code)
     })?;
     let request_id = headers.request_id.clone();
-    let result = answer(worker, headers, payload, endpoint).await;
+    let result = respond(worker, headers, payload, endpoint).await;
     result.map_err(|error| {
         record_response(worker, endpoint, started, error.failure.kind.answer().code);
         error.with_request_id(&request_id)
     })
 }
 
-async fn answer(
+async fn respond(
     worker: &Rc<Worker>,
     headers: CallerHeaders,
     payload: Payload,
@@ -64,11 +64,11 @@
     let body = read_body(payload, worker.settings()).await?;
     let prepared = parse(&body, headers, worker, endpoint)?;
     drop(body);
-    let forward = Forward::new(worker.clone(), &prepared);
+    let forward = ForwardedRequest::new(worker.clone(), &prepared);
     if prepared.options.stream {
         respond_streaming(worker.clone(), forward, prepared, slot).await
     } else {
-        respond_whole(worker, forward, prepared).await
+        respond_complete(worker, forward, prepared).await
     }
 }
 
@@ -93,9 +93,9 @@
     }
 }
 
-async fn respond_whole(
+async fn respond_complete(
     worker: &Worker,
-    mut forward: Forward,
+    mut forward: ForwardedRequest,
     prepared: PreparedRequest,
 ) -> Result<HttpResponse, ApiError> {
     let finish = forward.complete().await?;
@@ -106,14 +106,14 @@
         "ok",
     );
     let writer = ResponseWriter::new(&prepared.request.request_id, prepared.options);
-    Ok(writer.whole(&forward.text(), &finish))
+    Ok(writer.complete(&forward.text(), &finish))
 }
 
 /// Waits for the first text before sending the status, so that earlier failures have their HTTP
 /// status; then streams.
 async fn respond_streaming(
     worker: Rc<Worker>,
-    mut forward: Forward,
+    mut forward: ForwardedRequest,
     prepared: PreparedRequest,
     slot: RequestSlot,
 ) -> Result<HttpResponse, ApiError> {
@@ -131,7 +131,7 @@
 
 fn events(
     worker: Rc<Worker>,
-    mut forward: Forward,
+    mut forward: ForwardedRequest,
     prepared: PreparedRequest,
     writer: ResponseWriter,
     first: Option<String>,
@@ -173,7 +173,10 @@
         Endpoint::Completion => "completion",
     };
     let metrics = worker.metrics();
-    metrics.answers.with_label_values(&[route, code]).inc();
+    metrics.responses.with_label_values(&[route, code]).inc();
     let seconds = started.elapsed().as_secs_f64();
-    metrics.seconds.with_label_values(&[route]).observe(seconds);
+    metrics
+        .response_seconds
+        .with_label_values(&[route])
+        .observe(seconds);
 }
--- a/crates/sidecar/src/links.rs
+++ b/crates/sidecar/src/links.rs
@@ -111,11 +111,11 @@
         loop {
             self.apply_peers();
             self.mark_lost();
-            let wanted = self.wanted();
-            for address in &wanted {
+            let targets = self.targets();
+            for address in &targets {
                 self.dial_when_down(address);
             }
-            self.close_surplus(&wanted);
+            self.close_surplus(&targets);
             self.update_gauge();
             let _ = tokio::time::timeout(MAINTENANCE_INTERVAL, self.changed.notified()).await;
         }
@@ -156,7 +156,7 @@
     }
 
     /// Addresses to keep links to: the nearest nodes, including one of another zone.
-    fn wanted(&self) -> Vec<String> {
+    fn targets(&self) -> Vec<String> {
         let entries = self.entries.borrow();
         let settings = &self.shared.settings;
         let seed = hash_bytes(settings.id.as_bytes());
@@ -172,20 +172,20 @@
             .iter()
             .position(|(_, entry)| entry.distance_from(&settings.place) > 0)
             .filter(|first_far| settings.links > 1 && *first_far >= settings.links);
-        let mut wanted: Vec<(&String, &NodeEntry)> =
+        let mut targets: Vec<(&String, &NodeEntry)> =
             usable.iter().take(settings.links).copied().collect();
         if let Some(first_far) = reserve {
-            wanted.pop();
-            wanted.push(usable[first_far]);
+            targets.pop();
+            targets.push(usable[first_far]);
         }
-        wanted
+        targets
             .into_iter()
             .map(|(address, _)| address.clone())
             .collect()
     }
 
-    /// Closes idle links that are not wanted, while more than the configured number are up.
-    fn close_surplus(&self, wanted: &[String]) {
+    /// Closes idle links that are not targets, while more than the configured number are up.
+    fn close_surplus(&self, targets: &[String]) {
         let mut entries = self.entries.borrow_mut();
         let up = entries
             .values()
@@ -194,7 +194,7 @@
         let surplus = up.saturating_sub(self.shared.settings.links);
         entries
             .iter_mut()
-            .filter(|(address, entry)| entry.takes_new_work() && !wanted.contains(address))
+            .filter(|(address, entry)| entry.takes_new_work() && !targets.contains(address))
             .filter(|(_, entry)| entry.link().is_some_and(|link| link.open_streams() == 0))
             .take(surplus)
             .for_each(|(_, entry)| entry.state = LinkState::Idle);
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -17,12 +17,12 @@
     /// Registry served by `/metrics`.
     pub registry: Registry,
     /// Responses, by route and code (`ok` or the error kind).
-    pub answers: IntCounterVec,
+    pub responses: IntCounterVec,
     /// Time from acceptance to the end of the response, by route.
-    pub seconds: HistogramVec,
+    pub response_seconds: HistogramVec,
     /// Time from acceptance to the first piece.
     pub first_piece_seconds: Histogram,
-    pub open: IntGauge,
+    pub open_requests: IntGauge,
     /// Attempts, by reason (`first`, `retry`, `resume`, `restart`, `poll`, `hedge`).
     pub attempts: IntCounterVec,
     /// Failed attempts, by error kind.
@@ -47,8 +47,8 @@
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let registry = Registry::new();
         let built = Metrics {
-            answers: counters("answers_total", "Answers", &["route", "code"])?,
-            seconds: HistogramVec::new(
+            responses: counters("answers_total", "Answers", &["route", "code"])?,
+            response_seconds: HistogramVec::new(
                 HistogramOpts::new("dappleyard_sidecar_seconds", "Time to the end of an answer")
                     .buckets(SECONDS.to_vec()),
                 &["route"],
@@ -60,7 +60,10 @@
                 )
                 .buckets(SECONDS.to_vec()),
             )?,
-            open: IntGauge::new("dappleyard_sidecar_open_requests", "Requests being served")?,
+            open_requests: IntGauge::new(
+                "dappleyard_sidecar_open_requests",
+                "Requests being served",
+            )?,
             attempts: counters("attempts_total", "Attempts", &["reason"])?,
             failed_attempts: counters("failed_attempts_total", "Failed attempts", &["kind"])?,
             budget_denied: counter("budget_denied_total", "Retries that the budget refused")?,
@@ -78,10 +81,10 @@
 
     fn register(&self) -> Result<(), prometheus::Error> {
         let collectors: [Box<dyn prometheus::core::Collector>; 12] = [
-            Box::new(self.answers.clone()),
-            Box::new(self.seconds.clone()),
+            Box::new(self.responses.clone()),
+            Box::new(self.response_seconds.clone()),
             Box::new(self.first_piece_seconds.clone()),
-            Box::new(self.open.clone()),
+            Box::new(self.open_requests.clone()),
             Box::new(self.attempts.clone()),
             Box::new(self.failed_attempts.clone()),
             Box::new(self.budget_denied.clone()),
--- a/crates/sidecar/src/prepare.rs
+++ b/crates/sidecar/src/prepare.rs
@@ -43,7 +43,7 @@
 ) -> Result<PreparedRequest, ApiError> {
     let prompt = canonical(&body.prompt_messages()?, &headers.session);
     let max_tokens = body.max_completion_tokens.or(common.max_tokens);
-    let input = Input {
+    let input = GenerationInput {
         endpoint: Endpoint::Chat,
         model: &body.model,
         prompt,
@@ -60,7 +60,7 @@
     settings: &SidecarSettings,
 ) -> Result<PreparedRequest, ApiError> {
     let prompt = canonical_completion(body.prompt.text()?, &headers.session);
-    let input = Input {
+    let input = GenerationInput {
         endpoint: Endpoint::Completion,
         model: &body.model,
         prompt,
@@ -70,7 +70,7 @@
     prepare(input, headers, settings)
 }
 
-struct Input<'a> {
+struct GenerationInput<'a> {
     endpoint: Endpoint,
     model: &'a str,
     prompt: CanonicalPrompt,
@@ -79,11 +79,11 @@
 }
 
 fn prepare(
-    input: Input<'_>,
+    input: GenerationInput<'_>,
     headers: CallerHeaders,
     settings: &SidecarSettings,
 ) -> Result<PreparedRequest, ApiError> {
-    input.common.check()?;
+    input.common.validate()?;
     check_prompt(&input.prompt, settings)?;
     let max_tokens = check_max_tokens(input.max_tokens, settings)?;
     let (service, adapter) = model_name(input.model)?;
@@ -116,7 +116,7 @@
         options: ResponseOptions {
             endpoint: input.endpoint,
             model: input.model.to_owned(),
-            stream: input.common.streams(),
+            stream: input.common.is_streaming(),
             include_usage: input.common.includes_usage(),
         },
     })
--- a/crates/sidecar/src/worker.rs
+++ b/crates/sidecar/src/worker.rs
@@ -84,7 +84,7 @@
             kind,
         };
         let before = slot.count().fetch_add(1, Ordering::Relaxed);
-        shared.metrics.open.inc();
+        shared.metrics.open_requests.inc();
         if before < slot.limit() {
             return Ok(slot);
         }
@@ -110,6 +110,6 @@
 impl Drop for RequestSlot {
     fn drop(&mut self) {
         self.count().fetch_sub(1, Ordering::Relaxed);
-        self.shared.metrics.open.dec();
+        self.shared.metrics.open_requests.dec();
     }
 }
