--- a/crates/sidecar/src/generations.rs
+++ b/crates/sidecar/src/generations.rs
@@ -106,7 +106,7 @@
         "ok",
     );
     let writer = ResponseWriter::new(&prepared.request.request_id, prepared.options);
-    Ok(writer.complete(&forward.text(), &finish))
+    Ok(writer.complete_response(&forward.text(), &finish))
 }
 
 /// Waits for the first text before sending the status, so that earlier failures have their HTTP
--- a/crates/sidecar/src/response.rs
+++ b/crates/sidecar/src/response.rs
@@ -40,7 +40,7 @@
     }
 
     /// Builds a complete response.
-    pub fn complete(&self, text: &str, finish: &Finish) -> HttpResponse {
+    pub fn complete_response(&self, text: &str, finish: &Finish) -> HttpResponse {
         let content = match self.options.endpoint {
             Endpoint::Chat => ChoiceContent::Message(Message {
                 role: "assistant",
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Files, batches and models through a real sidecar and scripted nodes.
+//! Files, batches and models through a sidecar with scripted nodes.
 
 mod support;
 
@@ -11,7 +11,7 @@
     JobPage, JobPhase, JobState, JobSubmit, ModelEntry, ModelList, Reply, call, frame, reply,
 };
 use googletest::prelude::*;
-use support::{Script, ScriptedNode, get, post, refused, settings, sidecar, until};
+use support::{Script, ScriptedNode, get, post, refused, settings, start_sidecar, wait_until};
 
 fn job(phase: JobPhase) -> JobState {
     JobState {
@@ -28,7 +28,7 @@
     }
 }
 
-fn reply_with(stream: &ServerStream, result: reply::Result) {
+fn send_reply(stream: &ServerStream, result: reply::Result) {
     let result = Some(result);
     let _ = stream.send(frame::Body::Reply(Reply { result }));
 }
@@ -43,8 +43,8 @@
 const BATCH: &str = r#"{"input_file_id": "file-1", "endpoint": "/v1/completions",
     "completion_window": "24h", "metadata": {"yard": "howrah"}}"#;
 
-/// Two nodes; the first submission is lost with its node, later ones are answered.
-async fn losing_the_first() -> (Vec<ScriptedNode>, Rc<RefCell<Vec<JobSubmit>>>) {
+/// Starts two nodes; the one that gets the first submission dies, later submissions are answered.
+async fn nodes_losing_first_submission() -> (Vec<ScriptedNode>, Rc<RefCell<Vec<JobSubmit>>>) {
     let seen: Rc<RefCell<Vec<JobSubmit>>> = Rc::default();
     let serving: Rc<RefCell<Vec<tokio::task::AbortHandle>>> = Rc::default();
     let mut nodes = Vec::new();
@@ -58,7 +58,7 @@
             if seen.borrow().len() == 1 {
                 serving.borrow()[index].abort();
             } else {
-                reply_with(&stream, reply::Result::Job(job(JobPhase::JobValidating)));
+                send_reply(&stream, reply::Result::Job(job(JobPhase::JobValidating)));
             }
         });
         nodes.push(ScriptedNode::start(&format!("node-{index}"), script).await);
@@ -71,9 +71,9 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_batch_create_outlives_its_node_under_one_key() {
-    let (nodes, seen) = losing_the_first().await;
-    let (_sidecar, base) = sidecar(settings(&nodes.iter().collect::<Vec<_>>())).await;
+async fn batch_create_is_retried_with_the_same_client_key() {
+    let (nodes, seen) = nodes_losing_first_submission().await;
+    let (_sidecar, base) = start_sidecar(settings(&nodes.iter().collect::<Vec<_>>())).await;
     support::wait_links(&base, 2).await;
     let answer = post(&format!("{base}/v1/batches"), &[], BATCH).await;
     expect_that!(answer.status, eq(200), "{}", answer.body);
@@ -87,17 +87,17 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn the_callers_key_is_the_jobs_key() {
+async fn idempotency_key_is_used_as_client_key() {
     let seen: Rc<RefCell<Vec<String>>> = Rc::default();
     let record = seen.clone();
     let script: Script = Rc::new(move |stream: ServerStream| {
         if let Some(call::Method::JobSubmit(submit)) = method(&stream) {
             record.borrow_mut().push(submit.client_key);
-            reply_with(&stream, reply::Result::Job(job(JobPhase::JobValidating)));
+            send_reply(&stream, reply::Result::Job(job(JobPhase::JobValidating)));
         }
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let url = format!("{base}/v1/batches");
     post(&url, &[("Idempotency-Key", "shift-7")], BATCH).await;
     let with_key = BATCH.replace("yard", "idempotency_key");
@@ -107,7 +107,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn batches_are_read_listed_and_cancelled() {
+async fn batches_can_be_read_listed_and_cancelled() {
     let script: Script = Rc::new(|stream: ServerStream| {
         let result = match method(&stream) {
             Some(call::Method::JobGet(_)) => reply::Result::Job(job(JobPhase::JobCompleted)),
@@ -118,10 +118,10 @@
             }),
             _ => return,
         };
-        reply_with(&stream, result);
+        send_reply(&stream, result);
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let read = get(&format!("{base}/v1/batches/batch_1")).await.json();
     expect_that!(read["status"].as_str(), some(eq("completed")));
     expect_that!(read["completed_at"].as_u64(), some(eq(150)));
@@ -143,10 +143,10 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_bad_batch_is_refused_with_the_field_at_fault() {
+async fn invalid_batch_is_rejected_with_field_name() {
     let script: Script = Rc::new(|_| {});
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let cases = [
         ("/v1/completions", "/v1/images", "endpoint"),
         ("24h", "soon", "completion_window"),
@@ -163,9 +163,9 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_file_comes_back_as_it_was_sent() {
-    let node = ScriptedNode::start("node-1", support::stores_files()).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+async fn file_round_trips_unchanged() {
+    let node = ScriptedNode::start("node-1", support::file_store_script()).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let content: String = (0..200_000)
         .map(|line| format!("{{\"line\": {line}}}\n"))
         .collect();
@@ -189,7 +189,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn models_are_listed_with_their_adapters() {
+async fn models_are_listed_with_adapters() {
     let script: Script = Rc::new(|stream: ServerStream| {
         let entry = ModelEntry {
             service: "fittings-llm".to_owned(),
@@ -197,10 +197,10 @@
             adapters: vec!["bronze".to_owned()],
         };
         let models = vec![entry];
-        reply_with(&stream, reply::Result::Models(ModelList { models }));
+        send_reply(&stream, reply::Result::Models(ModelList { models }));
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let list = get(&format!("{base}/v1/models")).await.json();
     let ids: Vec<&str> = list["data"]
         .as_array()
@@ -219,7 +219,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_refused_call_is_told_and_not_sent_again() {
+async fn refused_call_is_reported_and_not_retried() {
     let calls = Rc::new(Cell::new(0));
     let count = calls.clone();
     let script: Script = Rc::new(move |stream: ServerStream| {
@@ -227,7 +227,7 @@
         let _ = stream.send(refused(ErrorKind::StoreUnavailable, 900));
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = get(&format!("{base}/v1/batches/batch_1")).await;
     expect_that!(answer.status, eq(503));
     expect_that!(
@@ -239,7 +239,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_planned_stop_lets_open_answers_end() {
+async fn graceful_shutdown_completes_open_responses() {
     let (release, held) = tokio::sync::watch::channel(false);
     let script: Script = Rc::new(move |stream: ServerStream| {
         let mut held = held.clone();
@@ -252,13 +252,13 @@
         });
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let (handle, base) = sidecar(settings(&[&node])).await;
+    let (handle, base) = start_sidecar(settings(&[&node])).await;
     let url = format!("{base}/v1/chat/completions");
     let asking = actix_rt::spawn(async move { post(&url, &[], support::chat_body(true)).await });
-    until(async || support::metric(&base, "dappleyard_sidecar_pieces_total").await == 2).await;
+    wait_until(async || support::metric(&base, "dappleyard_sidecar_pieces_total").await == 2).await;
     let stopping = actix_rt::spawn(handle.stop());
     let address = base.trim_start_matches("http://").to_owned();
-    until(async || tokio::net::TcpStream::connect(&address).await.is_err()).await;
+    wait_until(async || tokio::net::TcpStream::connect(&address).await.is_err()).await;
     release.send_replace(true);
     let answer = asking.await.unwrap();
     expect_that!(answer.streamed_text(), eq(&support::text("v1", 4)));
--- a/crates/sidecar/tests/faults.rs
+++ b/crates/sidecar/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Nodes that are lost, refuse, change their version or go away while they serve.
+//! Nodes that are lost, refuse, change their version or shut down during a request.
 
 mod support;
 
@@ -12,24 +12,28 @@
 use dappleyard_wire::{ErrorKind, Failure, Ran, Repeat};
 use googletest::prelude::*;
 use support::{
-    Received, Script, ScriptedNode, accepted, answers, chat_body, chunk, finish, post, refused,
-    sends, settings, sidecar, text, until,
+    Response, Script, ScriptedNode, accepted, answering_script, chat_body, chunk, finish, post,
+    refused, sending_script, settings, start_sidecar, text, wait_until,
 };
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
 type Seen = Rc<RefCell<Vec<Submit>>>;
 
-/// Two nodes: each submission goes by turns to `first` and then always to `then`, whichever node
-/// the sidecar chooses.
-async fn by_turns(first: Vec<frame::Body>, dies: bool, then: Script) -> (Vec<ScriptedNode>, Seen) {
+/// Starts two nodes. Whichever node is selected, the first submission gets the frames `first`, and
+/// all later ones are handled by `then`.
+async fn nodes_with_first_submission(
+    first: Vec<frame::Body>,
+    node_dies: bool,
+    then: Script,
+) -> (Vec<ScriptedNode>, Seen) {
     let seen: Seen = Rc::default();
     let turn = Rc::new(Cell::new(0));
     let mut nodes = Vec::new();
-    let killed: Rc<RefCell<Vec<AbortHandle>>> = Rc::default();
+    let abort_handles: Rc<RefCell<Vec<AbortHandle>>> = Rc::default();
     for index in 0..2_usize {
         let (seen, turn, first, then) = (seen.clone(), turn.clone(), first.clone(), then.clone());
-        let killed = killed.clone();
+        let abort_handles = abort_handles.clone();
         let script: Script = Rc::new(move |stream: ServerStream| {
             if let frame::Body::Submit(submit) = &stream.first {
                 seen.borrow_mut().push(submit.clone());
@@ -41,8 +45,8 @@
             for frame in &first {
                 let _ = stream.send(frame.clone());
             }
-            if dies {
-                let kill = killed.borrow()[index].clone();
+            if node_dies {
+                let kill = abort_handles.borrow()[index].clone();
                 actix_rt::spawn(async move {
                     actix_rt::time::sleep(std::time::Duration::from_millis(30)).await;
                     kill.abort();
@@ -52,18 +56,18 @@
         nodes.push(ScriptedNode::start(&format!("node-{index}"), script).await);
     }
     for node in &nodes {
-        killed.borrow_mut().push(node.abort_handle());
+        abort_handles.borrow_mut().push(node.abort_handle());
     }
     (nodes, seen)
 }
 
-async fn start(nodes: &[ScriptedNode]) -> (SidecarHandle, String) {
-    let (handle, base) = sidecar(settings(&nodes.iter().collect::<Vec<_>>())).await;
+async fn start_with_nodes(nodes: &[ScriptedNode]) -> (SidecarHandle, String) {
+    let (handle, base) = start_sidecar(settings(&nodes.iter().collect::<Vec<_>>())).await;
     support::wait_links(&base, nodes.len() as u64).await;
     (handle, base)
 }
 
-async fn chat(base: &str, stream: bool, headers: &[(&str, &str)]) -> Received {
+async fn chat(base: &str, stream: bool, headers: &[(&str, &str)]) -> Response {
     let url = format!("{base}/v1/chat/completions");
     post(&url, headers, chat_body(stream)).await
 }
@@ -75,10 +79,11 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_node_lost_in_mid_stream_is_followed_by_a_resume_at_the_offset() {
-    let (then, _) = answers("v1", 10);
-    let (nodes, seen) = by_turns(vec![accepted("v1"), chunk("v1", 0, 4)], true, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+async fn stream_resumes_at_offset_after_node_loss() {
+    let (then, _) = answering_script("v1", 10);
+    let (nodes, seen) =
+        nodes_with_first_submission(vec![accepted("v1"), chunk("v1", 0, 4)], true, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     let answer = chat(&base, true, &[]).await;
     expect_that!(answer.streamed_text(), eq(&text("v1", 10)));
     let second = seen.borrow()[1].clone();
@@ -95,10 +100,11 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_streamed_answer_is_never_continued_by_another_version() {
-    let (then, _) = answers("v2", 10);
-    let (nodes, _) = by_turns(vec![accepted("v1"), chunk("v1", 0, 4)], true, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+async fn stream_is_not_continued_by_another_version() {
+    let (then, _) = answering_script("v2", 10);
+    let (nodes, _) =
+        nodes_with_first_submission(vec![accepted("v1"), chunk("v1", 0, 4)], true, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     let answer = chat(&base, true, &[]).await;
     expect_that!(answer.streamed_text(), eq(&text("v1", 4)));
     let last = answer.events().last().cloned().unwrap();
@@ -108,10 +114,11 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_plain_answer_is_run_anew_by_another_version() {
-    let (then, _) = answers("v2", 10);
-    let (nodes, seen) = by_turns(vec![accepted("v1"), chunk("v1", 0, 4)], true, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+async fn unstreamed_request_restarts_on_another_version() {
+    let (then, _) = answering_script("v2", 10);
+    let (nodes, seen) =
+        nodes_with_first_submission(vec![accepted("v1"), chunk("v1", 0, 4)], true, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     let json = chat(&base, false, &[]).await.json();
     expect_that!(
         json["choices"][0]["message"]["content"].as_str(),
@@ -124,16 +131,16 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn an_end_without_all_pieces_is_not_taken_for_a_whole_answer() {
-    let (then, _) = answers("v1", 6);
+async fn finish_with_missing_pieces_resumes_at_the_gap() {
+    let (then, _) = answering_script("v1", 6);
     let first = vec![
         accepted("v1"),
         chunk("v1", 0, 2),
         chunk("v1", 4, 6),
         finish("v1", 6),
     ];
-    let (nodes, seen) = by_turns(first, false, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+    let (nodes, seen) = nodes_with_first_submission(first, false, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     let answer = chat(&base, true, &[]).await;
     expect_that!(answer.streamed_text(), eq(&text("v1", 6)));
     expect_that!(seen.borrow()[1].resume_offset, eq(2));
@@ -141,10 +148,11 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_node_that_is_not_ready_is_followed_by_another() {
-    let (then, _) = answers("v1", 3);
-    let (nodes, seen) = by_turns(vec![refused(ErrorKind::NotReady, 0)], false, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+async fn not_ready_node_is_retried_on_another() {
+    let (then, _) = answering_script("v1", 3);
+    let (nodes, seen) =
+        nodes_with_first_submission(vec![refused(ErrorKind::NotReady, 0)], false, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     expect_that!(chat(&base, false, &[]).await.status, eq(200));
     expect_that!(seen.borrow()[1].ran_before(), eq(Ran::No));
     expect_that!(seen.borrow()[1].attempt, eq(2));
@@ -152,9 +160,9 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_resend_that_meets_a_stopping_node_asks_the_record_at_another() {
-    let (last, _) = answers("v1", 3);
-    // The first run of the key is under way; the node that is asked next takes nothing new.
+async fn never_retry_polls_another_node_after_not_ready() {
+    let (last, _) = answering_script("v1", 3);
+    // The first run of the key is in progress; the node that is polled next is not ready.
     let in_progress = vec![refused_after(ErrorKind::InProgress, Ran::Maybe)];
     let stopping = refused_after(ErrorKind::NotReady, Ran::Maybe);
     let met = Rc::new(Cell::new(false));
@@ -164,14 +172,14 @@
         }
         let _ = stream.send(stopping.clone());
     });
-    let (nodes, seen) = by_turns(in_progress, false, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+    let (nodes, seen) = nodes_with_first_submission(in_progress, false, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     expect_that!(chat(&base, false, &NEVER).await.status, eq(200));
     expect_that!(seen.borrow().len(), eq(3));
 }
 
-/// A resend whose attempts are used up by polls, the last of them at a node that takes nothing new.
-async fn polled_until_a_stopping_node(first: ErrorKind) -> serde_json::Value {
+/// Returns the error of a retry whose polls use up all attempts; the last is refused as not ready.
+async fn poll_until_not_ready(first: ErrorKind) -> serde_json::Value {
     let stopping = refused_after(ErrorKind::NotReady, Ran::Maybe);
     let seen = Rc::new(Cell::new(0));
     let script: Script = Rc::new(move |stream: ServerStream| {
@@ -183,14 +191,14 @@
         let _ = stream.send(answer);
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     chat(&base, false, &NEVER).await.json()["error"].clone()
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_resend_whose_last_poll_meets_a_stopping_node_is_told_what_the_record_said() {
-    let error = polled_until_a_stopping_node(ErrorKind::InProgress).await;
+async fn not_ready_on_last_poll_reports_earlier_in_progress() {
+    let error = poll_until_not_ready(ErrorKind::InProgress).await;
     expect_that!(error["kind"].as_str(), some(eq("in_progress")));
     expect_that!(error["ran"].as_str(), some(eq("maybe")));
     expect_that!(error["retry_after_ms"].as_u64(), some(gt(0)));
@@ -198,8 +206,8 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_request_in_doubt_whose_last_poll_meets_a_stopping_node_is_told_so() {
-    let error = polled_until_a_stopping_node(ErrorKind::NodeLost).await;
+async fn not_ready_on_last_poll_reports_outcome_unknown() {
+    let error = poll_until_not_ready(ErrorKind::NodeLost).await;
     expect_that!(error["kind"].as_str(), some(eq("outcome_unknown")));
     expect_that!(error["ran"].as_str(), some(eq("maybe")));
     expect_that!(error["retry_after_ms"].as_u64(), some(gt(0)));
@@ -207,14 +215,14 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_resend_in_progress_that_finds_no_node_any_more_is_told_what_the_record_said() {
-    // The only node says that it goes away, and only then that the key is in progress.
+async fn no_node_left_reports_earlier_in_progress() {
+    // The only node announces its shutdown before it reports that the key is in progress.
     let announcement: Rc<RefCell<Option<watch::Sender<Announcement>>>> = Rc::default();
-    let told = announcement.clone();
+    let node_announcement = announcement.clone();
     let script: Script = Rc::new(move |stream: ServerStream| {
-        let told = told.clone();
+        let node_announcement = node_announcement.clone();
         actix_rt::spawn(async move {
-            if let Some(announcement) = told.borrow().as_ref() {
+            if let Some(announcement) = node_announcement.borrow().as_ref() {
                 announcement.send_modify(|now| now.go_away_ms = Some(1_000));
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -222,7 +230,7 @@
         });
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     announcement.replace(Some(node.announcement.clone()));
     let error = chat(&base, false, &NEVER).await.json()["error"].clone();
     expect_that!(error["kind"].as_str(), some(eq("in_progress")));
@@ -235,10 +243,10 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_request_that_must_not_repeat_asks_the_record_after_a_lost_node() {
-    let (then, _) = answers("v1", 3);
-    let (nodes, seen) = by_turns(vec![], true, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+async fn never_request_polls_record_after_node_loss() {
+    let (then, _) = answering_script("v1", 3);
+    let (nodes, seen) = nodes_with_first_submission(vec![], true, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     expect_that!(chat(&base, false, &NEVER).await.status, eq(200));
     let submits = seen.borrow();
     let key = |index: usize| submits[index].request.clone().unwrap().idempotency_key;
@@ -253,15 +261,15 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_request_that_must_not_repeat_is_not_sent_again_after_its_engine_was_lost() {
+async fn never_request_is_not_retried_after_engine_loss() {
     let lost = Refused {
         ran: Ran::Maybe as i32,
         kind: ErrorKind::EngineLost as u32,
         ..Refused::default()
     };
-    let (script, seen) = sends(vec![accepted("v1"), frame::Body::Refused(lost)]);
+    let (script, seen) = sending_script(vec![accepted("v1"), frame::Body::Refused(lost)]);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = chat(&base, false, &NEVER).await;
     expect_that!(answer.status, eq(409));
     let error = &answer.json()["error"];
@@ -273,20 +281,21 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_resend_whose_first_run_is_just_being_recorded_gets_its_answer() {
-    let (then, _) = answers("v1", 3);
-    let (nodes, seen) = by_turns(vec![refused(ErrorKind::InProgress, 300)], false, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+async fn never_retry_gets_response_once_recorded() {
+    let (then, _) = answering_script("v1", 3);
+    let (nodes, seen) =
+        nodes_with_first_submission(vec![refused(ErrorKind::InProgress, 300)], false, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     expect_that!(chat(&base, false, &NEVER).await.status, eq(200));
     expect_that!(seen.borrow().len(), eq(2));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_resend_whose_first_run_goes_on_is_told_when_to_come_back() {
-    let (script, seen) = sends(vec![refused(ErrorKind::InProgress, 300)]);
+async fn never_retry_of_running_request_reports_retry_after() {
+    let (script, seen) = sending_script(vec![refused(ErrorKind::InProgress, 300)]);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = chat(&base, false, &NEVER).await;
     expect_that!(answer.status, eq(409));
     let error = &answer.json()["error"];
@@ -297,10 +306,10 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn the_truth_about_a_lost_attempt_outlives_later_refusals() {
-    let (then, _) = sends(vec![refused(ErrorKind::TenantRate, 0)]);
-    let (nodes, _) = by_turns(vec![], true, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+async fn ran_status_of_lost_attempt_survives_later_refusal() {
+    let (then, _) = sending_script(vec![refused(ErrorKind::TenantRate, 0)]);
+    let (nodes, _) = nodes_with_first_submission(vec![], true, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     let answer = chat(&base, false, &[]).await;
     expect_that!(answer.status, eq(429));
     expect_that!(answer.json()["error"]["ran"].as_str(), some(eq("maybe")));
@@ -308,11 +317,11 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn an_overloaded_fleet_is_asked_twice_and_then_answered_at_once() {
-    let (then, _) = sends(vec![refused(ErrorKind::Overloaded, 700)]);
+async fn overload_is_reported_after_two_attempts() {
+    let (then, _) = sending_script(vec![refused(ErrorKind::Overloaded, 700)]);
     let first = vec![refused(ErrorKind::Overloaded, 700)];
-    let (nodes, seen) = by_turns(first, false, then).await;
-    let (_sidecar, base) = start(&nodes).await;
+    let (nodes, seen) = nodes_with_first_submission(first, false, then).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     let answer = chat(&base, false, &[]).await;
     expect_that!(answer.status, eq(503));
     expect_that!(
@@ -324,33 +333,33 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn retries_end_when_the_budget_is_used_up() {
-    let (script, seen) = sends(vec![refused(ErrorKind::NotReady, 0)]);
+async fn retries_stop_when_budget_is_exhausted() {
+    let (script, seen) = sending_script(vec![refused(ErrorKind::NotReady, 0)]);
     let node = ScriptedNode::start("node-1", script).await;
-    let mut bounds = settings(&[&node]);
-    bounds.retry_budget_percent = 0;
-    let (_sidecar, base) = sidecar(bounds).await;
+    let mut sidecar_settings = settings(&[&node]);
+    sidecar_settings.retry_budget_percent = 0;
+    let (_sidecar, base) = start_sidecar(sidecar_settings).await;
     for _ in 0..30 {
         expect_that!(chat(&base, false, &[]).await.status, eq(503));
     }
-    let reserve = dappleyard_decide::retry::BUDGET_BURST as usize;
-    expect_that!(seen.borrow().len(), eq(30 + reserve));
+    let burst = dappleyard_decide::retry::BUDGET_BURST as usize;
+    expect_that!(seen.borrow().len(), eq(30 + burst));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn the_deadline_ends_a_request_and_stops_its_node() {
-    let (script, cancelled) = silent_until_cancelled();
+async fn deadline_cancels_request_at_node() {
+    let (script, cancelled) = stalled_until_cancelled();
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = chat(&base, false, &[("Dappleyard-Deadline-Ms", "150")]).await;
     expect_that!(answer.status, eq(504));
     expect_that!(answer.json()["error"]["ran"].as_str(), some(eq("yes")));
-    until(async || cancelled.get() == 1).await;
+    wait_until(async || cancelled.get() == 1).await;
 }
 
-/// A script that accepts and then says nothing; counts the Cancel frames it gets.
-fn silent_until_cancelled() -> (Script, Rc<Cell<usize>>) {
+/// A script that sends one piece and then stalls. Also returns the count of Cancel frames.
+fn stalled_until_cancelled() -> (Script, Rc<Cell<usize>>) {
     let cancelled = Rc::new(Cell::new(0));
     let count = cancelled.clone();
     let script: Script = Rc::new(move |mut stream: ServerStream| {
@@ -370,25 +379,25 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_caller_that_goes_away_stops_its_node_plain_and_streamed() {
-    let (script, cancelled) = silent_until_cancelled();
+async fn client_disconnect_cancels_request_at_node() {
+    let (script, cancelled) = stalled_until_cancelled();
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     for (index, stream) in [false, true].into_iter().enumerate() {
-        support::send_and_go(&base, &chat_body(stream), &[]).await;
-        until(async || cancelled.get() == index + 1).await;
+        support::send_and_disconnect(&base, &chat_body(stream), &[]).await;
+        wait_until(async || cancelled.get() == index + 1).await;
     }
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_request_that_must_not_repeat_is_not_stopped_when_its_caller_goes_away() {
-    let (script, cancelled) = silent_until_cancelled();
+async fn never_request_continues_after_client_disconnect() {
+    let (script, cancelled) = stalled_until_cancelled();
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
-    support::send_and_go(&base, &chat_body(false), &NEVER).await;
-    support::send_and_go(&base, &chat_body(false), &[]).await;
-    until(async || cancelled.get() >= 1).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
+    support::send_and_disconnect(&base, &chat_body(false), &NEVER).await;
+    support::send_and_disconnect(&base, &chat_body(false), &[]).await;
+    wait_until(async || cancelled.get() >= 1).await;
     let metrics = support::get(&format!("{base}/metrics")).await.body;
     expect_that!(metrics, contains_substring("callers_gone_total 2"));
     expect_that!(cancelled.get(), eq(1));
@@ -396,17 +405,17 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_node_that_goes_away_gets_nothing_new() {
-    let (first_script, first_seen) = answers("v1", 2);
-    let (second_script, second_seen) = answers("v1", 2);
+async fn node_that_goes_away_gets_no_new_requests() {
+    let (first_script, first_seen) = answering_script("v1", 2);
+    let (second_script, second_seen) = answering_script("v1", 2);
     let first = ScriptedNode::start("node-1", first_script).await;
     let second = ScriptedNode::start("node-2", second_script).await;
     let nodes = [first, second];
-    let (_sidecar, base) = start(&nodes).await;
+    let (_sidecar, base) = start_with_nodes(&nodes).await;
     nodes[0]
         .announcement
         .send_modify(|now| now.go_away_ms = Some(1_000));
-    until(async || {
+    wait_until(async || {
         chat(&base, false, &[]).await;
         second_seen.borrow().len() >= 3
     })
@@ -420,8 +429,8 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_hedge_takes_over_from_a_silent_node_and_stops_it() {
-    let (silent, cancelled) = {
+async fn hedge_replaces_and_cancels_stalled_attempt() {
+    let (stalled, cancelled) = {
         let cancelled = Rc::new(Cell::new(0));
         let count = cancelled.clone();
         let script: Rc<dyn Fn(ServerStream)> = Rc::new(move |mut stream: ServerStream| {
@@ -435,12 +444,12 @@
         });
         (script, cancelled)
     };
-    let (answering, _) = answers("v1", 5);
+    let (answering, _) = answering_script("v1", 5);
     let turn = Rc::new(Cell::new(0));
     let script: Script = Rc::new(move |stream: ServerStream| {
         turn.set(turn.get() + 1);
         if turn.get() == 1 {
-            silent(stream)
+            stalled(stream)
         } else {
             answering(stream)
         }
@@ -448,23 +457,23 @@
     let first = ScriptedNode::start("node-1", script.clone()).await;
     let second = ScriptedNode::start("node-2", script).await;
     let nodes = [first, second];
-    let mut bounds = settings(&nodes.iter().collect::<Vec<_>>());
-    bounds.hedge_after_ms = 50;
-    let (_sidecar, base) = sidecar(bounds).await;
+    let mut sidecar_settings = settings(&nodes.iter().collect::<Vec<_>>());
+    sidecar_settings.hedge_after_ms = 50;
+    let (_sidecar, base) = start_sidecar(sidecar_settings).await;
     support::wait_links(&base, 2).await;
     let answer = chat(&base, true, &[]).await;
     expect_that!(answer.streamed_text(), eq(&text("v1", 5)));
-    until(async || cancelled.get() == 1).await;
+    wait_until(async || cancelled.get() == 1).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn without_a_node_the_answer_comes_at_once() {
-    let (script, _) = answers("v1", 2);
+async fn request_fails_immediately_without_ready_node() {
+    let (script, _) = answering_script("v1", 2);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     node.announcement.send_modify(|now| now.ready = false);
-    until(async || support::get(&format!("{base}/readyz")).await.status == 503).await;
+    wait_until(async || support::get(&format!("{base}/readyz")).await.status == 503).await;
     let answer = chat(&base, false, &[]).await;
     expect_that!(answer.status, eq(503));
     expect_that!(answer.json()["error"]["ran"].as_str(), some(eq("no")));
--- a/crates/sidecar/tests/generations.rs
+++ b/crates/sidecar/tests/generations.rs
@@ -1,4 +1,4 @@
-//! Chat and completions through a real sidecar and scripted nodes.
+//! Chat and completions through a sidecar with scripted nodes.
 
 mod support;
 
@@ -6,16 +6,16 @@
 use dappleyard_wire::messages::Stage;
 use googletest::prelude::*;
 use support::{
-    ScriptedNode, accepted, answers, chat_body, chunk, finish, post, refused, sends, settings,
-    sidecar, text,
+    ScriptedNode, accepted, answering_script, chat_body, chunk, finish, post, refused,
+    sending_script, settings, start_sidecar, text,
 };
 
 #[gtest]
 #[actix_rt::test]
-async fn a_plain_chat_is_answered_whole() {
-    let (script, seen) = answers("v1", 10);
+async fn chat_returns_complete_response() {
+    let (script, seen) = answering_script("v1", 10);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = post(
         &format!("{base}/v1/chat/completions"),
         &[],
@@ -42,10 +42,10 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_streamed_chat_ends_with_usage_and_done() {
-    let (script, _) = answers("v1", 10);
+async fn chat_stream_ends_with_usage_and_done() {
+    let (script, _) = answering_script("v1", 10);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = post(&format!("{base}/v1/chat/completions"), &[], chat_body(true)).await;
     let events = answer.events();
     expect_that!(answer.streamed_text(), eq(&text("v1", 10)));
@@ -56,10 +56,10 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_completion_is_answered_plain_and_streamed() {
-    let (script, _) = answers("v1", 4);
+async fn completion_works_with_and_without_streaming() {
+    let (script, _) = answering_script("v1", 4);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let url = format!("{base}/v1/completions");
     let body = r#"{"model": "fittings-llm", "prompt": "rudder"}"#;
     let plain = post(&url, &[], body).await.json();
@@ -80,8 +80,8 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn pieces_that_come_twice_and_out_of_order_are_put_in_order() {
-    let (script, _) = sends(vec![
+async fn duplicate_and_reordered_pieces_are_reassembled() {
+    let (script, _) = sending_script(vec![
         accepted("v1"),
         chunk("v1", 4, 6),
         chunk("v1", 0, 2),
@@ -89,17 +89,17 @@
         finish("v1", 6),
     ]);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = post(&format!("{base}/v1/chat/completions"), &[], chat_body(true)).await;
     expect_that!(answer.streamed_text(), eq(&text("v1", 6)));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_refusal_tells_the_kind_the_truth_and_when_to_come_back() {
-    let (script, seen) = sends(vec![refused(ErrorKind::TenantRate, 1_500)]);
+async fn refusal_reports_kind_ran_and_retry_after() {
+    let (script, seen) = sending_script(vec![refused(ErrorKind::TenantRate, 1_500)]);
     let node = ScriptedNode::start("node-1", script).await;
-    let (_sidecar, base) = sidecar(settings(&[&node])).await;
+    let (_sidecar, base) = start_sidecar(settings(&[&node])).await;
     let answer = post(&format!("{base}/v1/chat/completions"), &[], chat_body(true)).await;
     expect_that!(answer.status, eq(429));
     let error = &answer.json()["error"];
--- a/crates/sidecar/tests/hostile_input.rs
+++ b/crates/sidecar/tests/hostile_input.rs
@@ -1,4 +1,4 @@
-//! What callers can do wrong: each gets a clear answer, harms no other, and leaves nothing behind.
+//! Invalid and hostile input is rejected with a clear error, without effect on other requests.
 
 mod support;
 
@@ -11,44 +11,43 @@
 use dappleyard_wire::messages::{Chunk, frame};
 use googletest::prelude::*;
 use support::{
-    Received, Script, ScriptedNode, accepted, answers, chat_body, finish, get, metric, post,
-    refused, sends, settings, sidecar, text, until,
+    Response, Script, ScriptedNode, accepted, answering_script, chat_body, finish, get, metric,
+    post, refused, sending_script, settings, start_sidecar, text, wait_until,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Gauge of requests being served.
-const OPEN: &str = "dappleyard_sidecar_open_requests";
+const OPEN_REQUESTS: &str = "dappleyard_sidecar_open_requests";
 
-struct Place {
+struct Fixture {
     _node: ScriptedNode,
     _sidecar: SidecarHandle,
     base: String,
 }
 
-/// A sidecar with tight bounds and a node that answers.
-async fn place() -> Place {
-    let (script, _) = answers("v1", 3);
-    place_with(script).await
+/// Starts a sidecar with low limits and a node that answers.
+async fn fixture() -> Fixture {
+    let (script, _) = answering_script("v1", 3);
+    fixture_with(script).await
 }
 
-async fn place_with(script: Script) -> Place {
+async fn fixture_with(script: Script) -> Fixture {
     let node = ScriptedNode::start("node-1", script).await;
-    let mut bounds = settings(&[&node]);
-    bounds.maximum_body_bytes = 4_096;
-    bounds.maximum_file_bytes = 4_096;
-    bounds.maximum_prompt_tokens = 100;
-    bounds.body_timeout_ms = 200;
-    let (handle, base) = sidecar(bounds).await;
-    Place {
+    let mut limits = settings(&[&node]);
+    limits.maximum_body_bytes = 4_096;
+    limits.maximum_file_bytes = 4_096;
+    limits.maximum_prompt_tokens = 100;
+    limits.body_timeout_ms = 200;
+    let (handle, base) = start_sidecar(limits).await;
+    Fixture {
         _node: node,
         _sidecar: handle,
         base,
     }
 }
 
-impl Place {
-    async fn chat(&self, headers: &[(&str, &str)], body: impl Into<String>) -> Received {
+impl Fixture {
+    async fn chat(&self, headers: &[(&str, &str)], body: impl Into<String>) -> Response {
         post(&format!("{}/v1/chat/completions", self.base), headers, body).await
     }
 
@@ -59,8 +58,8 @@
         socket
     }
 
-    /// A good request is still answered, and nothing of the bad ones is left.
-    async fn expect_unharmed(&self) {
+    /// Checks that a valid request succeeds and that no request is left open.
+    async fn expect_healthy(&self) {
         let answer = self.chat(&[], chat_body(false)).await;
         expect_that!(
             answer.status,
@@ -69,11 +68,11 @@
             answer.headers,
             answer.body
         );
-        until(async || metric(&self.base, OPEN).await == 0).await;
+        wait_until(async || metric(&self.base, OPEN_REQUESTS).await == 0).await;
     }
 }
 
-fn expect_error(answer: &Received, status: u16, kind: &str, parameter: Option<&str>) {
+fn expect_error(answer: &Response, status: u16, kind: &str, parameter: Option<&str>) {
     expect_that!(answer.status, eq(status), "{}", answer.body);
     let error = &answer.json()["error"];
     expect_that!(error["kind"].as_str(), some(eq(kind)));
@@ -89,8 +88,8 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_broken_body_is_refused_with_the_field_at_fault() {
-    let place = place().await;
+async fn invalid_body_is_rejected_with_field_path() {
+    let fixture = fixture().await;
     let message = r#""messages": [{"role": "user", "content": "x"}]"#;
     let cases = [
         (String::new(), None),
@@ -137,16 +136,16 @@
         (format!(r#"{{"model": "", {message}}}"#), Some("model")),
     ];
     for (body, parameter) in cases {
-        let answer = place.chat(&[], body).await;
+        let answer = fixture.chat(&[], body).await;
         expect_error(&answer, 400, "invalid_request", parameter);
     }
-    place.expect_unharmed().await;
+    fixture.expect_healthy().await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_bad_header_is_refused_by_name() {
-    let place = place().await;
+async fn invalid_header_is_rejected_with_header_name() {
+    let fixture = fixture().await;
     let long = "x".repeat(129);
     let cases = [
         ("dappleyard-class", "urgent"),
@@ -161,46 +160,46 @@
         ("idempotency-key", long.as_str()),
     ];
     for (name, value) in cases {
-        let answer = place.chat(&[(name, value)], chat_body(false)).await;
+        let answer = fixture.chat(&[(name, value)], chat_body(false)).await;
         expect_error(&answer, 400, "invalid_request", Some(name));
     }
-    let answer = place
+    let answer = fixture
         .chat(&[("Dappleyard-Repeat", "never")], chat_body(false))
         .await;
     expect_error(&answer, 400, "invalid_request", Some("idempotency-key"));
-    place.expect_unharmed().await;
+    fixture.expect_healthy().await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_body_or_prompt_over_its_bound_is_refused() {
-    let place = place().await;
-    let answer = place.chat(&[], "x".repeat(5_000)).await;
+async fn oversized_body_or_prompt_is_rejected() {
+    let fixture = fixture().await;
+    let answer = fixture.chat(&[], "x".repeat(5_000)).await;
     expect_error(&answer, 413, "too_large", None);
     let words = "w ".repeat(200);
     let body = format!(r#"{{"model": "m", "prompt": "{words}"}}"#);
-    let answer = post(&format!("{}/v1/completions", place.base), &[], body).await;
+    let answer = post(&format!("{}/v1/completions", fixture.base), &[], body).await;
     expect_error(&answer, 413, "too_large", None);
-    place.expect_unharmed().await;
+    fixture.expect_healthy().await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn an_unknown_model_or_route_is_told() {
-    let (script, _) = sends(vec![refused(ErrorKind::UnknownModel, 0)]);
-    let place = place_with(script).await;
-    let answer = place.chat(&[], chat_body(true)).await;
+async fn unknown_model_or_route_is_reported() {
+    let (script, _) = sending_script(vec![refused(ErrorKind::UnknownModel, 0)]);
+    let fixture = fixture_with(script).await;
+    let answer = fixture.chat(&[], chat_body(true)).await;
     expect_error(&answer, 404, "model_not_found", None);
-    let answer = get(&format!("{}/v1/nothing", place.base)).await;
+    let answer = get(&format!("{}/v1/nothing", fixture.base)).await;
     expect_error(&answer, 404, "not_found", None);
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_sender_that_trickles_is_refused_in_time() {
-    let place = place().await;
+async fn slow_body_times_out() {
+    let fixture = fixture().await;
     let head = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{";
-    let socket = place.raw(head).await;
+    let socket = fixture.raw(head).await;
     let (mut reading, mut writing) = socket.into_split();
     let trickling = actix_rt::spawn(async move {
         while writing.write_all(b" ").await.is_ok() {
@@ -211,43 +210,43 @@
     reading.read_exact(&mut answer).await.unwrap();
     expect_that!(&answer, eq(b"HTTP/1.1 408"));
     trickling.abort();
-    place.expect_unharmed().await;
+    fixture.expect_healthy().await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_head_that_never_ends_is_given_up() {
-    let place = place().await;
-    let socket = place
+async fn incomplete_headers_time_out() {
+    let fixture = fixture().await;
+    let socket = fixture
         .raw(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n")
         .await;
     expect_that!(read_all(socket).await, starts_with("HTTP/1.1 408"));
-    place.expect_unharmed().await;
+    fixture.expect_healthy().await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn garbage_on_the_callers_port_is_refused() {
-    let place = place().await;
-    let socket = place.raw(b"\x00\x01\x02\xff\xfe garbage\r\n\r\n").await;
+async fn invalid_http_is_rejected() {
+    let fixture = fixture().await;
+    let socket = fixture.raw(b"\x00\x01\x02\xff\xfe garbage\r\n\r\n").await;
     expect_that!(read_all(socket).await, starts_with("HTTP/1.1 400"));
-    place.expect_unharmed().await;
+    fixture.expect_healthy().await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_connection_closed_in_mid_body_leaves_nothing() {
-    let place = place().await;
+async fn connection_closed_during_body_releases_request() {
+    let fixture = fixture().await;
     let head = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{";
     for _ in 0..20 {
-        drop(place.raw(head).await);
+        drop(fixture.raw(head).await);
     }
-    place.expect_unharmed().await;
+    fixture.expect_healthy().await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_caller_that_closes_its_sending_half_counts_as_gone() {
+async fn half_closed_connection_counts_as_disconnect() {
     let script: Script = Rc::new(|mut stream: ServerStream| {
         actix_rt::spawn(async move {
             let _ = stream.send(accepted("v1"));
@@ -258,41 +257,41 @@
             }
         });
     });
-    let place = place_with(script).await;
+    let fixture = fixture_with(script).await;
     let body = chat_body(false);
     let request = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut socket = place.raw(request.as_bytes()).await;
-    until(async || metric(&place.base, OPEN).await == 1).await;
+    let mut socket = fixture.raw(request.as_bytes()).await;
+    wait_until(async || metric(&fixture.base, OPEN_REQUESTS).await == 1).await;
     socket.shutdown().await.unwrap();
-    until(async || metric(&place.base, OPEN).await == 0).await;
-    let metrics = get(&format!("{}/metrics", place.base)).await.body;
+    wait_until(async || metric(&fixture.base, OPEN_REQUESTS).await == 0).await;
+    let metrics = get(&format!("{}/metrics", fixture.base)).await.body;
     expect_that!(metrics, contains_substring("callers_gone_total 1"));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn requests_beyond_the_bound_are_refused_at_once() {
+async fn requests_over_the_limit_are_rejected() {
     let script: Script = Rc::new(|mut stream: ServerStream| {
         actix_rt::spawn(async move { while stream.receiver.recv().await.is_some() {} });
     });
     let node = ScriptedNode::start("node-1", script).await;
-    let mut bounds = settings(&[&node]);
-    bounds.maximum_requests = 1;
-    let (_sidecar, base) = sidecar(bounds).await;
+    let mut limits = settings(&[&node]);
+    limits.maximum_requests = 1;
+    let (_sidecar, base) = start_sidecar(limits).await;
     let url = format!("{base}/v1/chat/completions");
     let first = awc::Client::default();
     let waiting = actix_rt::spawn(first.post(&url).send_body(chat_body(false)));
-    until(async || metric(&base, OPEN).await == 1).await;
+    wait_until(async || metric(&base, OPEN_REQUESTS).await == 1).await;
     let answer = post(&url, &[], chat_body(false)).await;
     expect_error(&answer, 503, "overloaded", None);
     expect_that!(answer.headers.get("retry-after").is_some(), eq(true));
     waiting.abort();
 }
 
-fn form(parts: &[(&str, &str)]) -> String {
+fn multipart_body(parts: &[(&str, &str)]) -> String {
     let mut body = String::new();
     for (head, value) in parts {
         body.push_str(&format!(
@@ -304,26 +303,36 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_bad_upload_is_refused() {
-    let place = place_with(support::stores_files()).await;
-    let url = format!("{}/v1/files", place.base);
+async fn invalid_upload_is_rejected() {
+    let fixture = fixture_with(support::file_store_script()).await;
+    let url = format!("{}/v1/files", fixture.base);
     let multipart = [("Content-Type", "multipart/form-data; boundary=b0")];
     let purpose = ("name=\"purpose\"", "batch");
     let file = ("name=\"file\"; filename=\"a.jsonl\"", "{}");
-    let good = post(&url, &multipart, form(&[purpose, file])).await;
+    let good = post(&url, &multipart, multipart_body(&[purpose, file])).await;
     expect_that!(good.status, eq(200), "{}", good.body);
     let large = "x".repeat(5_000);
     let cases = [
-        (form(&[file]), 400, "invalid_request", Some("purpose")),
-        (form(&[purpose]), 400, "invalid_request", Some("file")),
         (
-            form(&[("name=\"purpose\"", "fun"), file]),
+            multipart_body(&[file]),
             400,
             "invalid_request",
             Some("purpose"),
         ),
         (
-            form(&[purpose, ("name=\"file\"; filename=\"a\"", &large)]),
+            multipart_body(&[purpose]),
+            400,
+            "invalid_request",
+            Some("file"),
+        ),
+        (
+            multipart_body(&[("name=\"purpose\"", "fun"), file]),
+            400,
+            "invalid_request",
+            Some("purpose"),
+        ),
+        (
+            multipart_body(&[purpose, ("name=\"file\"; filename=\"a\"", &large)]),
             413,
             "too_large",
             None,
@@ -340,8 +349,8 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_node_that_sends_nonsense_cannot_spoil_an_answer() {
-    let nonsense = [
+async fn invalid_frames_from_a_node_do_not_corrupt_the_response() {
+    let invalid_frames = [
         frame::Body::Chunk(Chunk {
             offset: u32::MAX,
             pieces: vec!["x".to_owned(); 3],
@@ -352,9 +361,9 @@
         }),
         finish("v1", u32::MAX),
     ];
-    for bad in nonsense {
+    for bad in invalid_frames {
         let turn = Rc::new(std::cell::Cell::new(0));
-        let (good, _) = answers("v1", 3);
+        let (good, _) = answering_script("v1", 3);
         let script: Script = Rc::new(move |stream: ServerStream| {
             turn.set(turn.get() + 1);
             if turn.get() > 1 {
@@ -364,8 +373,8 @@
             let _ = stream.send(accepted("v1"));
             let _ = stream.send(bad.clone());
         });
-        let place = place_with(script).await;
-        let answer = place.chat(&[], chat_body(false)).await;
+        let fixture = fixture_with(script).await;
+        let answer = fixture.chat(&[], chat_body(false)).await;
         expect_that!(answer.status, eq(200), "{}", answer.body);
         let content = answer.json()["choices"][0]["message"]["content"].clone();
         expect_that!(content.as_str(), some(eq(text("v1", 3).as_str())));
@@ -374,10 +383,10 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn an_idle_connection_is_kept_for_the_next_request() {
-    let place = place().await;
+async fn idle_connection_is_kept_alive() {
+    let fixture = fixture().await;
     let request = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-    let mut socket = place.raw(request).await;
+    let mut socket = fixture.raw(request).await;
     let mut answer = vec![0_u8; 1_024];
     let size = socket.read(&mut answer).await.unwrap();
     expect_that!(&answer[..12], eq(b"HTTP/1.1 200"));
--- a/crates/sidecar/tests/rules.rs
+++ b/crates/sidecar/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The pure tables: what follows a failed attempt, which node is chosen, the canonical prompt.
+//! Retry policy, node selection and the canonical prompt.
 
 use dappleyard_settings::Location;
 use dappleyard_sidecar::forward::retry_policy::{Decision, FailureContext, decide};
@@ -7,7 +7,7 @@
 use dappleyard_wire::{ErrorKind, Ran, Repeat};
 use googletest::prelude::*;
 
-const FRESH: FailureContext = FailureContext {
+const NODE_LOST_ONCE: FailureContext = FailureContext {
     kind: ErrorKind::NodeLost,
     ran: Ran::Maybe,
     repeat: Repeat::Allowed,
@@ -18,10 +18,10 @@
 };
 
 #[gtest]
-fn a_request_that_must_not_repeat_is_never_run_after_it_may_have_run() {
+fn never_request_is_not_rerun_once_it_may_have_run() {
     let never = FailureContext {
         repeat: Repeat::Never,
-        ..FRESH
+        ..NODE_LOST_ONCE
     };
     for kind in ErrorKind::ALL {
         for ran in [Ran::Maybe, Ran::Yes] {
@@ -32,14 +32,14 @@
                 attempts: 2,
                 ..never
             });
-            // A node that takes nothing new has not looked at the record: another one does.
-            let asks_the_record = matches!(
+            // A node that is not ready has not read the record, so another node is polled.
+            let reads_record = matches!(
                 kind,
                 ErrorKind::NodeLost | ErrorKind::InProgress | ErrorKind::NotReady
             );
             expect_that!(
                 decision == Decision::Fail,
-                eq(!asks_the_record),
+                eq(!reads_record),
                 "{kind:?} {ran:?}"
             );
         }
@@ -47,11 +47,11 @@
 }
 
 #[gtest]
-fn a_lost_node_is_followed_by_a_resume_once_a_server_had_the_request() {
-    expect_that!(decide(&FRESH), eq(Decision::Retry));
+fn accepted_request_is_resumed_after_node_loss() {
+    expect_that!(decide(&NODE_LOST_ONCE), eq(Decision::Retry));
     let accepted = FailureContext {
         accepted: true,
-        ..FRESH
+        ..NODE_LOST_ONCE
     };
     expect_that!(decide(&accepted), eq(Decision::Resume));
 }
@@ -61,17 +61,17 @@
     let last = FailureContext {
         attempts: 4,
         accepted: true,
-        ..FRESH
+        ..NODE_LOST_ONCE
     };
     expect_that!(decide(&last), eq(Decision::Fail));
 }
 
 #[gtest]
-fn overload_is_asked_about_twice_at_most() {
+fn overloaded_request_is_retried_once() {
     let overloaded = FailureContext {
         kind: ErrorKind::Overloaded,
         ran: Ran::No,
-        ..FRESH
+        ..NODE_LOST_ONCE
     };
     expect_that!(decide(&overloaded), eq(Decision::Retry));
     let again = FailureContext {
@@ -82,12 +82,12 @@
 }
 
 #[gtest]
-fn a_lost_version_is_restarted_only_before_text_was_released() {
+fn request_restarts_on_another_version_only_before_text_is_released() {
     let gone = FailureContext {
         kind: ErrorKind::VersionGone,
         ran: Ran::Yes,
         accepted: true,
-        ..FRESH
+        ..NODE_LOST_ONCE
     };
     expect_that!(decide(&gone), eq(Decision::Restart));
     let released = FailureContext {
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn the_same_zone_goes_first_and_a_failed_node_last() {
+fn same_zone_is_preferred_and_failed_nodes_are_last() {
     let here = Location::default();
     let nodes = [node("far", "zone-2", 0), node("near", "zone-1", 900)];
     expect_that!(
@@ -142,7 +142,7 @@
 }
 
 #[gtest]
-fn a_key_prefers_two_nodes_and_takes_the_less_loaded() {
+fn key_selects_the_less_loaded_of_two_nodes() {
     let here = Location::default();
     let mut nodes: Vec<Candidate> = (0..8)
         .map(|index| node(&format!("n{index}"), "zone-1", 10))
@@ -174,7 +174,7 @@
 }
 
 #[gtest]
-fn a_chat_becomes_one_text() {
+fn chat_prompt_is_canonical_text() {
     let chat = [
         message("system", "Match parts."),
         message("user", "Which one?"),
@@ -186,7 +186,7 @@
 }
 
 #[gtest]
-fn the_prefix_is_shared_by_what_shares_it() {
+fn prefix_hash_is_equal_for_shared_prefixes() {
     let ask = |text: &str, session: &str| {
         canonical(
             &[message("system", "Match parts."), message("user", text)],
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted nodes and a sidecar on free ports.
+//! Scripted nodes, and a sidecar on a free port.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::cell::RefCell;
@@ -15,13 +15,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Counter of attempts.
 const ATTEMPTS: &str = "dappleyard_sidecar_attempts_total";
 
-/// What a scripted node does with each stream.
+/// Handler of each stream of a scripted node.
 pub type Script = Rc<dyn Fn(ServerStream)>;
 
-/// A node that follows a script. Its links are lost when it is dropped.
+/// A node that handles streams with a script.
 pub struct ScriptedNode {
     pub address: String,
     pub announcement: watch::Sender<Announcement>,
@@ -63,7 +62,7 @@
         }
     }
 
-    /// A handle that ends the node and its links.
+    /// Aborting it stops the node and its links.
     pub fn abort_handle(&self) -> tokio::task::AbortHandle {
         self.serving.abort_handle()
     }
@@ -73,7 +72,7 @@
     Arc::new(DirectPolicy)
 }
 
-/// Text of a token, as a pure function of version and offset.
+/// Text of a token, determined by version and offset.
 pub fn piece(version: &str, offset: u32) -> String {
     format!("{version}-{offset} ")
 }
@@ -118,8 +117,8 @@
     frame::Body::Refused(failure.to_refused())
 }
 
-/// A script that sends these frames to each submission and keeps what was submitted.
-pub fn sends(frames: Vec<frame::Body>) -> (Script, Rc<RefCell<Vec<Submit>>>) {
+/// A script that replies to each submission with these frames. Also returns the submissions.
+pub fn sending_script(frames: Vec<frame::Body>) -> (Script, Rc<RefCell<Vec<Submit>>>) {
     let seen: Rc<RefCell<Vec<Submit>>> = Rc::default();
     let record = seen.clone();
     let script: Script = Rc::new(move |stream: ServerStream| {
@@ -133,8 +132,8 @@
     (script, seen)
 }
 
-/// A script that answers like an engine of this version: from the offset asked for to `total`.
-pub fn answers(version: &'static str, total: u32) -> (Script, Rc<RefCell<Vec<Submit>>>) {
+/// A script that generates from the requested offset to `total`. Also returns the submissions.
+pub fn answering_script(version: &'static str, total: u32) -> (Script, Rc<RefCell<Vec<Submit>>>) {
     let seen: Rc<RefCell<Vec<Submit>>> = Rc::default();
     let record = seen.clone();
     let script: Script = Rc::new(move |stream: ServerStream| {
@@ -158,8 +157,8 @@
     }
 }
 
-/// A sidecar that is ready.
-pub async fn sidecar(settings: SidecarSettings) -> (SidecarHandle, String) {
+/// Starts a sidecar and waits until it is ready.
+pub async fn start_sidecar(settings: SidecarSettings) -> (SidecarHandle, String) {
     let handle = dappleyard_sidecar::start(settings, policy()).unwrap();
     let base = format!("http://{}", handle.address());
     let client = awc::Client::default();
@@ -173,14 +172,13 @@
     panic!("the sidecar did not become ready");
 }
 
-/// An answer as a caller received it.
-pub struct Received {
+pub struct Response {
     pub status: u16,
     pub headers: awc::http::header::HeaderMap,
     pub body: String,
 }
 
-impl Received {
+impl Response {
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("no JSON: {}", self.body))
     }
@@ -207,7 +205,7 @@
     }
 }
 
-pub async fn post(url: &str, headers: &[(&str, &str)], body: impl Into<String>) -> Received {
+pub async fn post(url: &str, headers: &[(&str, &str)], body: impl Into<String>) -> Response {
     let mut request = awc::Client::builder()
         .timeout(Duration::from_secs(20))
         .finish()
@@ -218,16 +216,16 @@
     received(request.send_body(body.into()).await.unwrap()).await
 }
 
-pub async fn get(url: &str) -> Received {
+pub async fn get(url: &str) -> Response {
     received(awc::Client::default().get(url).send().await.unwrap()).await
 }
 
-async fn received<S>(mut answer: awc::ClientResponse<S>) -> Received
+async fn received<S>(mut answer: awc::ClientResponse<S>) -> Response
 where
     S: futures::Stream<Item = Result<actix_web::web::Bytes, awc::error::PayloadError>> + Unpin,
 {
     let body = answer.body().limit(64 << 20).await.unwrap();
-    Received {
+    Response {
         status: answer.status().as_u16(),
         headers: answer.headers().clone(),
         body: String::from_utf8(body.to_vec()).unwrap(),
@@ -248,15 +246,15 @@
     .to_string()
 }
 
-/// Waits until something holds; the test runner bounds the whole test.
-pub async fn until(mut holds: impl AsyncFnMut() -> bool) {
+/// Polls until the condition holds; the test runner limits the time of the whole test.
+pub async fn wait_until(mut holds: impl AsyncFnMut() -> bool) {
     while !holds().await {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// Sends a chat and closes the connection once the node has it.
-pub async fn send_and_go(base: &str, body: &str, headers: &[(&str, &str)]) {
+/// Sends a chat and closes the connection once an attempt has begun.
+pub async fn send_and_disconnect(base: &str, body: &str, headers: &[(&str, &str)]) {
     use tokio::io::AsyncWriteExt;
     let address = base.trim_start_matches("http://");
     let mut socket = tokio::net::TcpStream::connect(address).await.unwrap();
@@ -270,11 +268,11 @@
     );
     let before = metric(base, ATTEMPTS).await;
     socket.write_all(request.as_bytes()).await.unwrap();
-    until(async || metric(base, ATTEMPTS).await > before).await;
+    wait_until(async || metric(base, ATTEMPTS).await > before).await;
     drop(socket);
 }
 
-/// First value of a metric; 0 when it is not there.
+/// First value of a metric; 0 if absent.
 pub async fn metric(base: &str, name: &str) -> u64 {
     let metrics = get(&format!("{base}/metrics")).await.body;
     let line = metrics.lines().find(|line| line.starts_with(name));
@@ -284,11 +282,11 @@
 
 /// Waits until the sidecar has this many links.
 pub async fn wait_links(base: &str, links: u64) {
-    until(async || metric(base, "dappleyard_sidecar_links").await == links).await;
+    wait_until(async || metric(base, "dappleyard_sidecar_links").await == links).await;
 }
 
-/// A script that keeps uploaded files and batches of one kind in memory.
-pub fn stores_files() -> Script {
+/// A script that keeps one uploaded file in memory.
+pub fn file_store_script() -> Script {
     use dappleyard_wire::messages::{FileData, FileState, Reply, call, reply};
     let content: Rc<RefCell<Vec<u8>>> = Rc::default();
     let sealed: Rc<RefCell<bool>> = Rc::default();
