--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,9 +1,9 @@
-//! Summaries of experiment runs: reading, comparing, and one self-contained HTML page.
+//! Reads and compares summaries of experiment runs, and renders them as a self-contained HTML page.
 //!
-//! - [`summary`]: what a run wrote;
-//! - [`runs`]: finding and grouping runs;
+//! - [`summary`]: the summary file of a run;
+//! - [`runs`]: finds and groups runs;
 //! - [`compare`]: ratios of measures between runs, with the spread over seeds;
-//! - [`charts`]: plots as SVG; [`tradeoff`]: batch throughput against online harm;
+//! - [`charts`]: SVG plots; [`tradeoff`]: batch throughput against online slowdown;
 //! - [`page`]: the HTML page.
 
 pub mod charts;
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -1,4 +1,4 @@
-//! The HTML page: self-contained, with plots as inline SVG.
+//! Self-contained HTML page with plots as inline SVG.
 
 mod decisions;
 mod sections;
@@ -12,22 +12,19 @@
 use crate::runs::{self, Group};
 use crate::summary::SummaryError;
 
-/// A page could not be made.
 #[derive(Debug, Display, Error, From)]
 pub enum PageError {
-    /// A summary could not be read.
     Summary(SummaryError),
-    /// A plot could not be drawn.
     Chart(ChartError),
 }
 
-/// The page for all runs in the directories and below them.
+/// Renders the page for all runs found under the directories.
 pub fn of_directories(directories: &[PathBuf]) -> Result<String, PageError> {
     let groups = runs::group(runs::read(directories)?);
     Ok(page(&groups)?)
 }
 
-/// The page for groups of runs.
+/// Renders the page for groups of runs.
 pub fn page(groups: &[Group]) -> Result<String, ChartError> {
     let mut body = Vec::new();
     for group in groups {
@@ -49,7 +46,7 @@
             }
             body {
                 h1 { "dappleyard: experiment report" }
-                (contents(groups))
+                (table_of_contents(groups))
                 @for section in &body { (section) }
             }
         }
@@ -57,7 +54,7 @@
     Ok(page.into_string())
 }
 
-fn contents(groups: &[Group]) -> Markup {
+fn table_of_contents(groups: &[Group]) -> Markup {
     html! {
         ul class="contents" {
             @for (index, group) in groups.iter().enumerate() {
--- a/crates/report/src/page/decisions.rs
+++ b/crates/report/src/page/decisions.rs
@@ -1,14 +1,14 @@
-//! Faults of the runs, with the decision records around each.
+//! Faults of a run, with the decision records around each.
 
 use maud::{Markup, html};
 
 use crate::charts::is_fault;
 use crate::summary::{DecisionLine, EventSpan, Summary};
 
-/// Seconds around a fault in which decisions are shown.
-const MARGIN_S: f64 = 2.0;
+/// Time before and after a fault for which decisions are shown.
+const WINDOW_S: f64 = 2.0;
 
-/// Faults of the first run that had any, each with its decisions. Runs are looked at in the order given.
+/// Renders the faults of the first run that had any, each with its decisions.
 pub fn around_faults<'a>(runs: impl Iterator<Item = &'a Summary>) -> Markup {
     let had_faults = |run: &&Summary| run.events.iter().any(is_fault);
     let mut runs = runs.filter(had_faults);
@@ -19,18 +19,18 @@
     events.sort_by(|left, right| left.from_s.total_cmp(&right.from_s));
     html! {
         p class="note" {
-            (run.policy) ", seed " (run.seed) ". A node that was killed took its records with it: its own "
-            "decisions from before are not shown."
+            (run.policy) ", seed " (run.seed) ". The decision records of a killed node are lost, so its "
+            "earlier decisions are not shown."
         }
-        @for event in events { (one(run, event)) }
+        @for event in events { (event_details(run, event)) }
     }
 }
 
-fn one(run: &Summary, event: &EventSpan) -> Markup {
-    let near = |line: &&DecisionLine| {
-        line.at_s >= event.from_s - MARGIN_S && line.at_s <= event.to_s + MARGIN_S
+fn event_details(run: &Summary, event: &EventSpan) -> Markup {
+    let is_near = |line: &&DecisionLine| {
+        line.at_s >= event.from_s - WINDOW_S && line.at_s <= event.to_s + WINDOW_S
     };
-    let lines: Vec<&DecisionLine> = run.decisions.iter().filter(near).collect();
+    let lines: Vec<&DecisionLine> = run.decisions.iter().filter(is_near).collect();
     html! {
         details {
             summary {
--- a/crates/report/src/page/sections.rs
+++ b/crates/report/src/page/sections.rs
@@ -1,21 +1,20 @@
-//! The section of one group of runs.
+//! Page section of one group of runs.
 
 use maud::{Markup, PreEscaped, html};
 
 use super::{anchor, decisions};
 use crate::charts::{self, ChartError, Line};
-use crate::compare::{Comparison, MEASURES, Significance, compare, median, number};
+use crate::compare::{Comparison, MEASURES, Significance, compare, format_number, median};
 use crate::runs::Group;
 use crate::summary::{QuantilePoint, Summary, Verdict, Verdicts};
 
-/// The policy against which others are compared, when it was run.
+/// Policy with which the others are compared.
 const BASELINE: &str = "online-only";
-/// The policy of the product, shown first.
+/// Default policy of the product, shown first.
 const PRODUCT: &str = "preempt";
-/// Share of time by which the machine may be late for the engines before figures are doubted.
-const DOUBTFUL_STALL_SHARE: f64 = 0.02;
+/// Engine stall share above which the latencies of a run are marked as unreliable.
+const UNRELIABLE_STALL_SHARE: f64 = 0.02;
 
-/// The section of a group.
 pub fn group(group: &Group) -> Result<Markup, ChartError> {
     let timelines = timelines(group)?;
     let distributions = distributions(group)?;
@@ -33,7 +32,7 @@
             h3 { "Over time" }
             (legend())
             (timelines)
-            h3 { "Faults, and what the nodes decided around them" }
+            h3 { "Faults and the decisions around them" }
             (decisions::around_faults(policies(group).into_iter().flat_map(|(_, runs)| runs)))
             h3 { "Cost" }
             (cost(group))
@@ -41,7 +40,7 @@
     })
 }
 
-/// Policies in the order in which they are shown: the product's first, the baseline next.
+/// Policies in display order: the product's first, then the baseline.
 fn policies(group: &Group) -> Vec<(&str, &[Summary])> {
     let rank = |name: &str| match name {
         PRODUCT => 0,
@@ -58,25 +57,25 @@
 }
 
 fn warnings(group: &Group) -> Markup {
-    let doubtful = |run: &&Summary| run.measures.engine_stall_share > DOUBTFUL_STALL_SHARE;
+    let is_unreliable = |run: &&Summary| run.measures.engine_stall_share > UNRELIABLE_STALL_SHARE;
     html! {
-        @for run in group.runs().filter(doubtful) {
+        @for run in group.runs().filter(is_unreliable) {
             p class="unsure" {
-                (run.policy) ", seed " (run.seed) ": the machine was too late for the engines in "
+                (run.policy) ", seed " (run.seed) ": the host delayed the engines for "
                 (format!("{:.1}%", 100.0 * run.measures.engine_stall_share))
-                " of their time; its latencies measure the machine too."
+                " of their time, so the latencies include host overhead."
             }
         }
         @for run in group.runs().filter(|run| !run.not_done.is_empty()) {
             p class="unsure" {
-                (run.policy) ", seed " (run.seed) ", not done: " (run.not_done.join("; "))
+                (run.policy) ", seed " (run.seed) ", not completed: " (run.not_done.join("; "))
             }
         }
     }
 }
 
-/// Verdicts of several runs added up.
-fn total(runs: &[Summary]) -> Verdicts {
+/// Sums the verdicts of several runs.
+fn sum_verdicts(runs: &[Summary]) -> Verdicts {
     let mut total = Verdicts::new();
     for run in runs {
         for (name, verdict) in &run.invariants {
@@ -94,7 +93,7 @@
 fn invariants(group: &Group) -> Markup {
     let policies: Vec<(&str, Verdicts)> = policies(group)
         .into_iter()
-        .map(|(name, runs)| (name, total(runs)))
+        .map(|(name, runs)| (name, sum_verdicts(runs)))
         .collect();
     let names: std::collections::BTreeSet<&String> = policies
         .iter()
@@ -150,7 +149,7 @@
                     td { (measure.name) }
                     @for (_, runs) in &policies {
                         @let values: Vec<f64> = runs.iter().filter_map(|run| (measure.read)(run)).collect();
-                        td { (median(&values).map_or_else(|| "-".to_owned(), number)) }
+                        td { (median(&values).map_or_else(|| "-".to_owned(), format_number)) }
                     }
                 }
             }
@@ -171,15 +170,15 @@
         .collect();
     html! {
         p class="note" {
-            "Ratios to " code { (BASELINE) } " on the same seed: median, and least to greatest over the "
-            "seeds. A difference is called noise unless every seed went the same way."
+            "Ratios to " code { (BASELINE) } " with the same seed: median, and minimum to maximum over the "
+            "seeds. A difference counts as noise unless all seeds agree on its direction."
         }
         table {
             tr {
                 th { "ratio" }
                 @for (policy, _) in &others { th { (policy) } }
             }
-            @for measure in MEASURES.iter().filter(|measure| measure.of_product) {
+            @for measure in MEASURES.iter().filter(|measure| measure.machine_independent) {
                 @if others.iter().any(|(_, rows)| find(rows, measure.name).is_some()) {
                     tr {
                         td { (measure.name) }
@@ -210,11 +209,10 @@
     }
 }
 
-/// Reads a distribution of a run.
-type CurveOf = fn(&Summary) -> &Vec<QuantilePoint>;
+type ReadCurve = fn(&Summary) -> &Vec<QuantilePoint>;
 
-/// The median of several runs' distributions, point by point.
-fn median_curve(runs: &[Summary], read: CurveOf) -> Vec<QuantilePoint> {
+/// Pointwise median of the distributions of several runs.
+fn median_curve(runs: &[Summary], read: ReadCurve) -> Vec<QuantilePoint> {
     let Some(first) = runs.iter().map(read).find(|curve| !curve.is_empty()) else {
         return Vec::new();
     };
@@ -233,7 +231,7 @@
 }
 
 fn distributions(group: &Group) -> Result<String, ChartError> {
-    let kinds: [(&str, CurveOf); 2] = [
+    let kinds: [(&str, ReadCurve); 2] = [
         ("Time to first token", |run| &run.measures.ttft_curve),
         ("Time between tokens", |run| &run.measures.itl_curve),
     ];
@@ -253,7 +251,7 @@
         }
     }
     if plots.is_empty() {
-        plots = "<p class=\"unsure\">These runs kept no distributions.</p>".to_owned();
+        plots = "<p class=\"unsure\">These runs recorded no distributions.</p>".to_owned();
     }
     Ok(plots)
 }
@@ -269,12 +267,12 @@
 }
 
 fn timelines(group: &Group) -> Result<Markup, ChartError> {
-    let mut shown = Vec::new();
+    let mut sections = Vec::new();
     for (policy, runs) in policies(group) {
         if let Some(run) = runs.first() {
             let plots = run_timelines(run)?;
             let title = format!("{policy}, seed {}", run.seed);
-            shown.push(html! {
+            sections.push(html! {
                 details open[policy == PRODUCT || group.policies.len() == 1] {
                     summary { (title) }
                     (PreEscaped(plots))
@@ -282,14 +280,14 @@
             });
         }
     }
-    Ok(html! { @for plots in &shown { (plots) } })
+    Ok(html! { @for plots in &sections { (plots) } })
 }
 
 fn run_timelines(run: &Summary) -> Result<String, ChartError> {
     let series = &run.series;
     let line = |label, values: &[f64]| Line {
         label,
-        points: charts::over_time(run, values.iter().copied()),
+        points: charts::time_points(run, values.iter().copied()),
     };
     let mut plots = charts::timeline(
         run,
@@ -301,21 +299,18 @@
     )?;
     plots += &charts::timeline(
         run,
-        "Batch tokens a second",
+        "Batch tokens per second",
         &[
-            line("made", &series.batch_tokens_per_s),
-            line(
-                "could have been made beside online",
-                &series.idle_tokens_per_s,
-            ),
+            line("generated", &series.batch_tokens_per_s),
+            line("capacity left by online", &series.idle_tokens_per_s),
         ],
     )?;
     plots += &charts::timeline(
         run,
         "Online latency, ms",
         &[
-            line("greatest TTFT", &series.ttft_max_ms),
-            line("p95 between tokens", &series.itl_p95_ms),
+            line("maximum TTFT", &series.ttft_max_ms),
+            line("inter-token p95", &series.itl_p95_ms),
         ],
     )?;
     Ok(plots)
@@ -328,7 +323,7 @@
                 td { (name) }
                 @for (_, runs) in policies(group) {
                     @let values: Vec<f64> = runs.iter().filter_map(read).collect();
-                    td { (median(&values).map_or_else(|| "not measured".to_owned(), number)) }
+                    td { (median(&values).map_or_else(|| "not measured".to_owned(), format_number)) }
                 }
             }
         }
@@ -339,16 +334,16 @@
                 th { "median over seeds" }
                 @for (policy, _) in policies(group) { th { (policy) } }
             }
-            (row("control thread, cores a node", |run| run.measures.control.cpu_share_per_node))
-            (row("control bytes/s sent a node", |run| run.measures.control.bytes_per_s_per_node))
-            (row("memory of a node, MB", |run| run.measures.control.rss_mb_per_node))
+            (row("control thread, cores per node", |run| run.measures.control.cpu_share_per_node))
+            (row("control bytes/s sent per node", |run| run.measures.control.bytes_per_s_per_node))
+            (row("memory per node, MB", |run| run.measures.control.rss_mb_per_node))
             (row("store writes/s", |run| Some(run.measures.store_writes_per_s)))
-            (row("store writes for 1,000 items", |run| run.measures.store_writes_per_1000_items))
+            (row("store writes per 1,000 items", |run| run.measures.store_writes_per_1000_items))
             (row("whole process, cores", |run| Some(run.measures.process_cores)))
             (row("whole process, MB", |run| Some(run.measures.process_rss_mb)))
         }
         p class="note" {
-            "The whole process holds the callers, the stand-ins and every node. The control cost of a node "
+            "The whole process includes the callers, the stand-ins and all nodes. The control cost per node "
             "is measured by " code { "dappleyard-lab capacity" } "."
         }
     }
--- a/crates/report/src/runs.rs
+++ b/crates/report/src/runs.rs
@@ -1,33 +1,31 @@
-//! Finding runs in directories, and grouping those that can be compared.
+//! Finds runs in directories, and groups those that can be compared.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
 use crate::summary::{FILE_NAME, Summary, SummaryError};
 
-/// Directory levels below the one given in which runs are looked for.
-const DEPTH: usize = 3;
+/// Levels of subdirectories searched for runs.
+const MAXIMUM_DEPTH: usize = 3;
 
-/// Runs of one scenario with the same faults and length: what can be put side by side.
+/// Runs with the same scenario, faults and length, which can be compared.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Group {
-    /// Scenario.
     pub scenario: String,
     /// Fault file; empty for none.
     pub faults: String,
-    /// Length of the load, seconds.
+    /// Duration of the load.
     pub seconds: u64,
-    /// Runs by policy, in order of their seeds.
+    /// Runs by policy, sorted by seed.
     pub policies: BTreeMap<String, Vec<Summary>>,
 }
 
 impl Group {
-    /// All runs of the group.
     pub fn runs(&self) -> impl Iterator<Item = &Summary> {
         self.policies.values().flatten()
     }
 
-    /// A heading for people.
+    /// Human-readable heading.
     pub fn title(&self) -> String {
         let faults = if self.faults.is_empty() {
             "no faults".to_owned()
@@ -38,21 +36,25 @@
     }
 }
 
-/// Reads every run in the directories and below them.
+/// Reads all runs in the directories and their subdirectories. Fails if a directory has none.
 pub fn read(directories: &[PathBuf]) -> Result<Vec<Summary>, SummaryError> {
     let mut found = Vec::new();
     for directory in directories {
         let before = found.len();
-        collect(directory, DEPTH, &mut found)?;
+        read_below(directory, MAXIMUM_DEPTH, &mut found)?;
         if found.len() == before {
-            // Says what is missing and where.
+            // Fails with an error that names the missing file.
             Summary::read(directory)?;
         }
     }
     Ok(found)
 }
 
-fn collect(directory: &Path, depth: usize, found: &mut Vec<Summary>) -> Result<(), SummaryError> {
+fn read_below(
+    directory: &Path,
+    depth: usize,
+    found: &mut Vec<Summary>,
+) -> Result<(), SummaryError> {
     if directory.join(FILE_NAME).is_file() {
         found.push(Summary::read(directory)?);
         return Ok(());
@@ -60,16 +62,15 @@
     let Ok(entries) = std::fs::read_dir(directory) else {
         return Ok(());
     };
-    let mut below: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
-    below.retain(|path| depth > 0 && path.is_dir());
-    below.sort();
-    for path in below {
-        collect(&path, depth - 1, found)?;
+    let mut subdirectories: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
+    subdirectories.retain(|path| depth > 0 && path.is_dir());
+    subdirectories.sort();
+    for path in subdirectories {
+        read_below(&path, depth - 1, found)?;
     }
     Ok(())
 }
 
-/// Groups runs by scenario, faults and length.
 pub fn group(runs: Vec<Summary>) -> Vec<Group> {
     let mut groups: BTreeMap<(String, String, u64), Group> = BTreeMap::new();
     for run in runs {
--- a/crates/report/src/tradeoff.rs
+++ b/crates/report/src/tradeoff.rs
@@ -1,23 +1,22 @@
-//! Batch throughput against online harm, from runs that differ in `online_slowdown_percent`.
+//! Batch throughput against online slowdown, from runs that differ in `online_slowdown_percent`.
 
 use std::path::PathBuf;
 
-use crate::charts::{Trade, trade_off};
+use crate::charts::{TradeOffPoint, trade_off_chart};
 use crate::compare::{Measure, median};
 use crate::page::PageError;
 use crate::runs;
 use crate::summary::Summary;
 
-/// Runs under one setting.
+/// Runs with one value of the setting.
 pub struct Setting {
-    /// The setting's value, for example `10%`.
+    /// Value, for example `10%`.
     pub label: String,
-    /// Directory of its runs.
     pub directory: PathBuf,
 }
 
-/// Draws the curve: a measure of online harm relative to `baseline` (the same seeds without batch work)
-/// on the horizontal axis, batch items a second on the vertical one.
+/// Draws an online measure relative to `baseline` (the same seeds without batch work) on the
+/// horizontal axis, and batch items per second on the vertical axis.
 pub fn curve(
     title: &str,
     harm: &Measure,
@@ -31,12 +30,17 @@
         points.extend(point(&setting.label, harm, &baseline, &runs));
     }
     let name = harm.name.trim_end_matches(", ms");
-    let horizontal = format!("online {name}, ratio to no batch work");
-    let axes = (horizontal.as_str(), "batch items a second");
-    Ok(trade_off(title, axes, &points)?)
+    let horizontal = format!("online {name}, ratio to baseline without batch");
+    let axes = (horizontal.as_str(), "batch items per second");
+    Ok(trade_off_chart(title, axes, &points)?)
 }
 
-fn point(label: &str, measure: &Measure, baseline: &[Summary], runs: &[Summary]) -> Option<Trade> {
+fn point(
+    label: &str,
+    measure: &Measure,
+    baseline: &[Summary],
+    runs: &[Summary],
+) -> Option<TradeOffPoint> {
     let harm: Vec<f64> = runs
         .iter()
         .filter_map(|run| {
@@ -48,7 +52,7 @@
         .iter()
         .map(|run| run.measures.batch_items_per_s)
         .collect();
-    Some(Trade {
+    Some(TradeOffPoint {
         label: label.to_owned(),
         x: median(&harm)?,
         y: median(&items)?,
--- a/crates/report/tests/compare.rs
+++ b/crates/report/tests/compare.rs
@@ -1,4 +1,4 @@
-//! Comparison of runs and grouping.
+//! Comparison and grouping of runs, and the HTML page.
 
 use dappleyard_report::compare::{Significance, compare, median, table};
 use dappleyard_report::page;
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn a_difference_counts_only_when_every_seed_went_the_same_way() {
+fn difference_is_significant_only_if_all_seeds_agree() {
     let differs = ttft(&[10.0, 10.0, 20.0], &[11.0, 12.0, 26.0]);
     expect_that!(differs, (near(1.2, 1e-9), eq(Significance::Differs)));
     let noise = ttft(&[10.0, 10.0, 10.0], &[11.0, 12.0, 9.0]);
@@ -85,13 +85,13 @@
 }
 
 #[gtest]
-fn the_median_of_an_even_number_lies_between() {
+fn median_of_an_even_count_is_the_midpoint() {
     expect_that!(median(&[]), none());
     expect_that!(median(&[3.0, 1.0]), some(near(2.0, 1e-9)));
 }
 
 #[gtest]
-fn the_page_names_what_was_not_checked_and_escapes_text() {
+fn page_lists_unchecked_invariants_and_escapes_text() {
     let groups = group(vec![run("online-only", 1, 10.0), run("preempt", 1, 12.0)]);
     expect_that!(groups, len(eq(1)));
     let page = page::page(&groups).expect("the page is made");
