--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -21,11 +21,11 @@
 /// Renders the page for all runs found under the directories.
 pub fn of_directories(directories: &[PathBuf]) -> Result<String, PageError> {
     let groups = runs::group(runs::read(directories)?);
-    Ok(page(&groups)?)
+    Ok(render(&groups)?)
 }
 
 /// Renders the page for groups of runs.
-pub fn page(groups: &[Group]) -> Result<String, ChartError> {
+pub fn render(groups: &[Group]) -> Result<String, ChartError> {
     let mut body = Vec::new();
     for group in groups {
         body.push(sections::group(group)?);
--- a/crates/report/src/page/sections.rs
+++ b/crates/report/src/page/sections.rs
@@ -338,7 +338,7 @@
             (row("control bytes/s sent per node", |run| run.measures.control.bytes_per_s_per_node))
             (row("memory per node, MB", |run| run.measures.control.rss_mb_per_node))
             (row("store writes/s", |run| Some(run.measures.store_writes_per_s)))
-            (row("store writes per 1,000 items", |run| run.measures.store_writes_per_1000_items))
+            (row("store writes for 1,000 items", |run| run.measures.store_writes_per_1000_items))
             (row("whole process, cores", |run| Some(run.measures.process_cores)))
             (row("whole process, MB", |run| Some(run.measures.process_rss_mb)))
         }
--- a/crates/report/tests/compare.rs
+++ b/crates/report/tests/compare.rs
@@ -94,7 +94,7 @@
 fn page_lists_unchecked_invariants_and_escapes_text() {
     let groups = group(vec![run("online-only", 1, 10.0), run("preempt", 1, 12.0)]);
     expect_that!(groups, len(eq(1)));
-    let page = page::page(&groups).expect("the page is made");
+    let page = page::render(&groups).expect("the page is made");
     expect_that!(page, contains_substring("not checked"));
     expect_that!(page, contains_substring("&lt;its holder is dead&gt;"));
     expect_that!(page, contains_substring("1.200 (1.200 to 1.200)"));
--- a/crates/sidecar/src/forward/retry.rs
+++ b/crates/sidecar/src/forward/retry.rs
@@ -74,8 +74,8 @@
 
     fn first_hedge_at(&self) -> Option<Instant> {
         let after_ms = self.worker.settings().hedge_after_ms;
-        let wanted = after_ms > 0 && self.request.repeat() == Repeat::Allowed;
-        wanted.then(|| Instant::now() + Duration::from_millis(after_ms))
+        let enabled = after_ms > 0 && self.request.repeat() == Repeat::Allowed;
+        enabled.then(|| Instant::now() + Duration::from_millis(after_ms))
     }
 
     /// Opens a second attempt on another node; the first one to deliver a piece is kept. Charged to
--- a/crates/sidecar/src/forward/retry_policy.rs
+++ b/crates/sidecar/src/forward/retry_policy.rs
@@ -33,7 +33,7 @@
     Resume,
     /// Discard the received pieces and run the request again.
     Restart,
-    /// Send a `never` request again to read the record of its run.
+    /// Send the request again to read the record of a run that is or may be elsewhere.
     Poll,
 }
 
@@ -52,8 +52,8 @@
 
 /// Decides what follows a failed attempt.
 ///
-/// A `never` request is sent again only if nothing ran, or to read its outcome from the durable
-/// record, which prevents a second run.
+/// A `never` request is sent again only if nothing ran, or to read its outcome from the node's durable
+/// record. The record, not the sidecar, decides whether the request may run.
 pub fn decide(context: &FailureContext) -> Decision {
     let FailureContext { kind, repeat, .. } = *context;
     if context.attempts >= context.maximum_attempts {
--- a/crates/sidecar/src/generations.rs
+++ b/crates/sidecar/src/generations.rs
@@ -21,31 +21,32 @@
 /// `POST /v1/chat/completions`.
 pub async fn chat(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
+    request: HttpRequest,
     payload: Payload,
 ) -> Result<HttpResponse, ApiError> {
-    serve(&worker, &head, payload, Endpoint::Chat).await
+    serve(&worker, &request, payload, Endpoint::Chat).await
 }
 
 /// `POST /v1/completions`.
 pub async fn completion(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
+    request: HttpRequest,
     payload: Payload,
 ) -> Result<HttpResponse, ApiError> {
-    serve(&worker, &head, payload, Endpoint::Completion).await
+    serve(&worker, &request, payload, Endpoint::Completion).await
 }
 
 async fn serve(
     worker: &Rc<Worker>,
-    head: &HttpRequest,
+    request: &HttpRequest,
     payload: Payload,
     endpoint: Endpoint,
 ) -> Result<HttpResponse, ApiError> {
     let started = Instant::now();
-    let headers = CallerHeaders::read(head.headers(), worker.settings()).inspect_err(|error| {
-        record_response(worker, endpoint, started, error.failure.kind.answer().code)
-    })?;
+    let headers =
+        CallerHeaders::read(request.headers(), worker.settings()).inspect_err(|error| {
+            record_response(worker, endpoint, started, error.failure.kind.answer().code)
+        })?;
     let request_id = headers.request_id.clone();
     let result = respond(worker, headers, payload, endpoint).await;
     result.map_err(|error| {
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -156,10 +156,10 @@
     }
 }
 
-fn invalid_header(header: &HeaderName, value: &str, wanted: &str) -> ApiError {
+fn invalid_header(header: &HeaderName, value: &str, expected: &str) -> ApiError {
     let shown: String = value.chars().take(64).collect();
     ApiError::invalid(
         header.as_str(),
-        format!("the header {header} is {shown:?}, but must be {wanted}"),
+        format!("the header {header} is {shown:?}, but must be {expected}"),
     )
 }
--- a/crates/sidecar/src/prompt.rs
+++ b/crates/sidecar/src/prompt.rs
@@ -1,6 +1,6 @@
 //! Canonical prompt: the text that an engine receives for the messages of a chat.
 //!
-//! The text is built by [`dappleyard_wire::prompt`], so that a batch item and an online request with
+//! The text is built by [`dappleyard_wire::prompt`], so that batch items and online requests with
 //! the same messages have the same prompt. The prompt of a completion is passed unchanged. Token
 //! counts are estimates, by words separated by white space.
 //!
--- a/crates/sidecar/src/request_body.rs
+++ b/crates/sidecar/src/request_body.rs
@@ -10,8 +10,8 @@
 
 use crate::error::ApiError;
 
-/// Reads the complete body. The timeout covers the whole body, which also rejects slow senders that
-/// keep the connection busy.
+/// Reads the complete body. The timeout covers the whole body, so a slow but active sender times out
+/// as well.
 pub async fn read_body(payload: Payload, settings: &SidecarSettings) -> Result<Bytes, ApiError> {
     let limit = Duration::from_millis(settings.body_timeout_ms);
     let reading = collect(payload, settings.maximum_body_bytes);
