--- a/crates/sidecar/src/generations.rs
+++ b/crates/sidecar/src/generations.rs
@@ -21,30 +21,30 @@
 /// `POST /v1/chat/completions`.
 pub async fn chat(
     worker: Data<Rc<Worker>>,
-    request: HttpRequest,
+    http_request: HttpRequest,
     payload: Payload,
 ) -> Result<HttpResponse, ApiError> {
-    serve(&worker, &request, payload, Endpoint::Chat).await
+    serve(&worker, &http_request, payload, Endpoint::Chat).await
 }
 
 /// `POST /v1/completions`.
 pub async fn completion(
     worker: Data<Rc<Worker>>,
-    request: HttpRequest,
+    http_request: HttpRequest,
     payload: Payload,
 ) -> Result<HttpResponse, ApiError> {
-    serve(&worker, &request, payload, Endpoint::Completion).await
+    serve(&worker, &http_request, payload, Endpoint::Completion).await
 }
 
 async fn serve(
     worker: &Rc<Worker>,
-    request: &HttpRequest,
+    http_request: &HttpRequest,
     payload: Payload,
     endpoint: Endpoint,
 ) -> Result<HttpResponse, ApiError> {
     let started = Instant::now();
     let headers =
-        CallerHeaders::read(request.headers(), worker.settings()).inspect_err(|error| {
+        CallerHeaders::read(http_request.headers(), worker.settings()).inspect_err(|error| {
             record_response(worker, endpoint, started, error.failure.kind.answer().code)
         })?;
     let request_id = headers.request_id.clone();
