--- a/crates/sidecar/src/forward/attempt.rs
+++ b/crates/sidecar/src/forward/attempt.rs
@@ -44,7 +44,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if !self.ended && self.cancel_on_drop {
-            let reason = "the client disconnected or another attempt was selected".to_owned();
+            let reason = "the caller has gone or another attempt took over".to_owned();
             let _ = self.stream.send(frame::Body::Cancel(Cancel { reason }));
         }
     }
