--- a/crates/sidecar/src/batches.rs
+++ b/crates/sidecar/src/batches.rs
@@ -1,7 +1,7 @@
-//! The routes under `/v1/batches`.
+//! Handlers under `/v1/batches`.
 //!
-//! A create is safe to send again: its client key is the `Idempotency-Key` header, or the metadata
-//! key of the same purpose, or one made here that stays the same over all attempts of the call.
+//! Creates are idempotent: the client key is taken from the `Idempotency-Key` header, else from the
+//! metadata, else generated once and reused by all attempts of the call.
 
 use std::rc::Rc;
 
@@ -12,23 +12,22 @@
 use dappleyard_wire::messages::{JobCancel, JobGet, JobList, JobState, JobSubmit, call, reply};
 use serde::Deserialize;
 
-use crate::accept::{parse_json, read_body};
 use crate::api::batches::{BatchBody, BatchCreateBody, CLIENT_KEY, ListBody};
-use crate::calls::{call, unexpected};
+use crate::calls::{call, unexpected_reply};
 use crate::error::ApiError;
-use crate::headers::{CallerHeaders, MAXIMUM_NAME_BYTES, is_name};
+use crate::headers::{CallerHeaders, MAXIMUM_NAME_BYTES, is_valid_name};
+use crate::request_body::{parse_json, read_body};
 use crate::worker::Worker;
 
-/// Batches on a page when the caller names no limit.
+/// Default page size.
 const DEFAULT_LIMIT: u32 = 20;
-/// Most batches on a page.
+/// Maximum page size.
 const MAXIMUM_LIMIT: u32 = 100;
-/// Paths that a batch may be for.
+/// Endpoints supported in batches.
 const ENDPOINTS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// Most entries of a batch's metadata.
+/// Maximum number of metadata entries.
 const MAXIMUM_METADATA: usize = 16;
 
-/// Mounts the routes.
 pub fn routes(config: &mut ServiceConfig) {
     config
         .route("/batches", web::post().to(create))
@@ -39,14 +38,14 @@
 
 async fn create(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
+    request: HttpRequest,
     payload: Payload,
 ) -> Result<HttpResponse, ApiError> {
-    let headers = CallerHeaders::read(head.headers(), worker.settings())?;
-    let _place = worker.enter()?;
+    let headers = CallerHeaders::read(request.headers(), worker.settings())?;
+    let _slot = worker.acquire_request_slot()?;
     let body = read_body(payload, worker.settings()).await?;
     let body: BatchCreateBody = parse_json(&body)?;
-    check(&body)?;
+    validate(&body)?;
     let client_key = client_key(&body, &headers)?;
     let key = hash_bytes(client_key.as_bytes());
     let submit = JobSubmit {
@@ -59,18 +58,18 @@
         metadata: body.metadata.unwrap_or_default().into_iter().collect(),
     };
     let method = call::Method::JobSubmit(submit);
-    let job = job(call(&worker, method, key, headers.deadline()).await?)?;
+    let job = expect_job(call(&worker, method, key, headers.deadline()).await?)?;
     Ok(HttpResponse::Ok().json(BatchBody::from(job)))
 }
 
-fn check(body: &BatchCreateBody) -> Result<(), ApiError> {
+fn validate(body: &BatchCreateBody) -> Result<(), ApiError> {
     if !ENDPOINTS.contains(&body.endpoint.as_str()) {
         return Err(ApiError::invalid(
             "endpoint",
             format!("endpoint must be one of {}", ENDPOINTS.join(", ")),
         ));
     }
-    if !is_name(&body.input_file_id) {
+    if !is_valid_name(&body.input_file_id) {
         return Err(ApiError::invalid(
             "input_file_id",
             "input_file_id must be the id of an uploaded file",
@@ -95,7 +94,7 @@
     }
     match body.metadata.as_ref().and_then(|m| m.get(CLIENT_KEY)) {
         None => Ok(RequestId::random().to_string()),
-        Some(key) if is_name(key) => Ok(key.clone()),
+        Some(key) if is_valid_name(key) => Ok(key.clone()),
         Some(_) => Err(ApiError::invalid(
             format!("metadata.{CLIENT_KEY}"),
             format!("metadata.{CLIENT_KEY} must be 1 to {MAXIMUM_NAME_BYTES} letters or digits"),
@@ -105,56 +104,56 @@
 
 async fn get(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
+    request: HttpRequest,
     id: Path<String>,
 ) -> Result<HttpResponse, ApiError> {
-    let headers = CallerHeaders::read(head.headers(), worker.settings())?;
+    let headers = CallerHeaders::read(request.headers(), worker.settings())?;
     let (deadline, key) = (headers.deadline(), hash_bytes(id.as_bytes()));
     let method = call::Method::JobGet(JobGet {
         tenant: headers.tenant,
         job_id: id.into_inner(),
     });
-    let job = job(call(&worker, method, key, deadline).await?)?;
+    let job = expect_job(call(&worker, method, key, deadline).await?)?;
     Ok(HttpResponse::Ok().json(BatchBody::from(job)))
 }
 
 async fn cancel(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
+    request: HttpRequest,
     id: Path<String>,
 ) -> Result<HttpResponse, ApiError> {
-    let headers = CallerHeaders::read(head.headers(), worker.settings())?;
+    let headers = CallerHeaders::read(request.headers(), worker.settings())?;
     let (deadline, key) = (headers.deadline(), hash_bytes(id.as_bytes()));
     let method = call::Method::JobCancel(JobCancel {
         tenant: headers.tenant,
         job_id: id.into_inner(),
     });
-    let job = job(call(&worker, method, key, deadline).await?)?;
+    let job = expect_job(call(&worker, method, key, deadline).await?)?;
     Ok(HttpResponse::Ok().json(BatchBody::from(job)))
 }
 
-/// Query of `GET /v1/batches`.
+/// Query parameters of `GET /v1/batches`.
 #[derive(Debug, Deserialize)]
-struct Page {
+struct ListQuery {
     after: Option<String>,
     limit: Option<u32>,
 }
 
 async fn list(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
-    page: Query<Page>,
+    request: HttpRequest,
+    query: Query<ListQuery>,
 ) -> Result<HttpResponse, ApiError> {
-    let headers = CallerHeaders::read(head.headers(), worker.settings())?;
+    let headers = CallerHeaders::read(request.headers(), worker.settings())?;
     let deadline = headers.deadline();
-    let page = page.into_inner();
+    let query = query.into_inner();
     let method = call::Method::JobList(JobList {
         tenant: headers.tenant,
-        after: page.after.unwrap_or_default(),
-        limit: page.limit.unwrap_or(DEFAULT_LIMIT).clamp(1, MAXIMUM_LIMIT),
+        after: query.after.unwrap_or_default(),
+        limit: query.limit.unwrap_or(DEFAULT_LIMIT).clamp(1, MAXIMUM_LIMIT),
     });
     let reply::Result::Jobs(found) = call(&worker, method, 0, deadline).await? else {
-        return Err(unexpected().into());
+        return Err(unexpected_reply().into());
     };
     let data: Vec<BatchBody> = found.jobs.into_iter().map(BatchBody::from).collect();
     Ok(HttpResponse::Ok().json(ListBody {
@@ -166,9 +165,9 @@
     }))
 }
 
-fn job(reply: reply::Result) -> Result<JobState, ApiError> {
+fn expect_job(reply: reply::Result) -> Result<JobState, ApiError> {
     match reply {
         reply::Result::Job(job) => Ok(job),
-        _ => Err(unexpected().into()),
+        _ => Err(unexpected_reply().into()),
     }
 }
--- a/crates/sidecar/src/files/mod.rs
+++ b/crates/sidecar/src/files/mod.rs
@@ -1,7 +1,7 @@
-//! The routes under `/v1/files`.
+//! Handlers under `/v1/files`.
 //!
-//! An [`upload`] is streamed to the node in parts, so that a file of any size needs the memory of
-//! one part here; a download is read and written in pieces as the caller takes them.
+//! Files are streamed in both directions: an [`upload`] buffers at most one part, and a download
+//! reads the next chunk only when the client has consumed the previous one.
 
 mod upload;
 
@@ -15,15 +15,14 @@
 use futures::Stream;
 
 use crate::api::batches::FileBody;
-use crate::calls::{call, unexpected};
+use crate::calls::{call, unexpected_reply};
 use crate::error::ApiError;
 use crate::headers::CallerHeaders;
 use crate::worker::Worker;
 
-/// Bytes asked for by one read of a download.
+/// Read size of a download.
 const READ_BYTES: u32 = 262_144;
 
-/// Mounts the routes.
 pub fn routes(config: &mut ServiceConfig) {
     config
         .route("/files", web::post().to(upload::upload))
@@ -33,20 +32,19 @@
 
 async fn get(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
+    request: HttpRequest,
     id: Path<String>,
 ) -> Result<HttpResponse, ApiError> {
-    let headers = CallerHeaders::read(head.headers(), worker.settings())?;
+    let headers = CallerHeaders::read(request.headers(), worker.settings())?;
     let (deadline, key) = (headers.deadline(), hash_bytes(id.as_bytes()));
     let method = call::Method::FileStat(FileStat {
         file_id: id.into_inner(),
         tenant: headers.tenant,
     });
-    let file = file(call(&worker, method, key, deadline).await?)?;
+    let file = expect_file(call(&worker, method, key, deadline).await?)?;
     Ok(HttpResponse::Ok().json(FileBody::from(file)))
 }
 
-/// A file being downloaded.
 struct Download {
     worker: Rc<Worker>,
     file_id: String,
@@ -66,22 +64,22 @@
         let key = hash_bytes(self.file_id.as_bytes());
         match call(&self.worker, method, key, Instant::now() + bound).await? {
             reply::Result::Data(data) if data.offset == offset => Ok(data),
-            _ => Err(unexpected().into()),
+            _ => Err(unexpected_reply().into()),
         }
     }
 
-    /// The rest of the file after its first piece.
-    fn pieces(self, first: FileData) -> impl Stream<Item = Result<Bytes, ApiError>> {
+    /// Streams the file from its first chunk on.
+    fn chunks(self, first: FileData) -> impl Stream<Item = Result<Bytes, ApiError>> {
         async_stream::try_stream! {
-            let mut piece = first;
+            let mut chunk = first;
             loop {
-                let next = piece.offset + piece.data.len() as u64;
-                let last = piece.end || piece.data.is_empty();
-                yield Bytes::from(std::mem::take(&mut piece.data));
+                let next = chunk.offset + chunk.data.len() as u64;
+                let last = chunk.end || chunk.data.is_empty();
+                yield Bytes::from(std::mem::take(&mut chunk.data));
                 if last {
                     break;
                 }
-                piece = self.read(next).await?;
+                chunk = self.read(next).await?;
             }
         }
     }
@@ -89,10 +87,10 @@
 
 async fn content(
     worker: Data<Rc<Worker>>,
-    head: HttpRequest,
+    request: HttpRequest,
     id: Path<String>,
 ) -> Result<HttpResponse, ApiError> {
-    let headers = CallerHeaders::read(head.headers(), worker.settings())?;
+    let headers = CallerHeaders::read(request.headers(), worker.settings())?;
     let download = Download {
         worker: (**worker).clone(),
         file_id: id.into_inner(),
@@ -102,12 +100,12 @@
     let first = download.read(0).await?;
     Ok(HttpResponse::Ok()
         .content_type("application/octet-stream")
-        .streaming(Box::pin(download.pieces(first))))
+        .streaming(Box::pin(download.chunks(first))))
 }
 
-fn file(reply: reply::Result) -> Result<FileState, ApiError> {
+fn expect_file(reply: reply::Result) -> Result<FileState, ApiError> {
     match reply {
         reply::Result::File(file) => Ok(file),
-        _ => Err(unexpected().into()),
+        _ => Err(unexpected_reply().into()),
     }
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,37 +1,37 @@
-//! The process beside each caller: accept, stamp, choose, forward, reassemble, answer.
+//! Local proxy that runs next to each client and forwards its requests to nodes.
 //!
-//! Callers speak the OpenAI HTTP interface to it on loopback; it speaks frames to nodes over links.
-//! A generation passes these filters in order:
+//! Clients use the OpenAI HTTP API on loopback; nodes are reached over links that carry frames. A
+//! generation passes these stages:
 //!
-//! - [`accept`] reads the body within bounds and parses it into a typed request ([`api`]);
-//! - [`stamp`] gives it an id, a class, a tenant, a deadline and its canonical [`prompt`];
-//! - [`choose`] picks a node among the open links;
-//! - [`forward`] sends it, retries and resumes it as long as that is safe, and reassembles the
-//!   pieces by offset;
-//! - [`answer`] writes the whole answer, or server-sent events, or the error ([`error`]).
+//! - [`headers`] and [`request_body`] parse the request into a typed one ([`api`]);
+//! - [`prepare`] validates it and builds its canonical [`prompt`];
+//! - [`node_selection`] selects a node among the open [`links`];
+//! - [`forward`] sends it, retries or resumes it when that is safe, and reassembles the pieces by
+//!   offset;
+//! - [`response`] writes the complete response, server-sent events, or the [`error`].
 //!
-//! Files, batches and models are unary [`calls`] to a node. The sidecar never opens the store and
-//! keeps nothing that must last.
+//! Files, batches and models use unary [`calls`] to a node. The sidecar does not access the store
+//! and has no durable state.
 
-pub mod accept;
-pub mod answer;
 pub mod api;
 pub mod batches;
 pub mod calls;
-pub mod choose;
 pub mod error;
 pub mod files;
 pub mod forward;
 pub mod generations;
 pub mod headers;
 pub mod health;
-pub(crate) mod known;
 pub mod links;
 pub mod metrics;
 pub mod models;
+pub(crate) mod node_entry;
+pub mod node_selection;
+pub mod prepare;
 pub mod prompt;
+pub mod request_body;
+pub mod response;
 pub mod server;
-pub mod stamp;
 pub mod worker;
 
 pub use server::{SidecarError, SidecarHandle, start};
--- a/crates/sidecar/src/stamp.rs
+++ b/crates/sidecar/src/prepare.rs
@@ -1,4 +1,4 @@
-//! Stamps a parsed request: id, class, tenant, session, deadline, repeat rule and canonical prompt.
+//! Validates a parsed request and converts it to the [`GenerateRequest`] that is sent to nodes.
 
 use std::time::Duration;
 
@@ -7,89 +7,83 @@
 use dappleyard_wire::messages::GenerateRequest;
 use dappleyard_wire::{ErrorKind, Failure, Repeat};
 
-use crate::api::answers::Form;
 use crate::api::generation::{ChatBody, CommonBody, CompletionBody};
+use crate::api::responses::Endpoint;
 use crate::error::ApiError;
 use crate::headers::{CallerHeaders, MAXIMUM_NAME_BYTES};
 use crate::prompt::{CanonicalPrompt, canonical, canonical_completion};
 
-/// A request that is ready to be forwarded.
+/// A validated request, ready to forward.
 #[derive(Debug, Clone)]
-pub struct Stamped {
-    /// The request as nodes see it.
+pub struct PreparedRequest {
     pub request: GenerateRequest,
-    /// When the whole answer must be there.
+    /// Deadline of the complete response.
     pub deadline: Instant,
-    /// When it was accepted.
     pub accepted_at: Instant,
-    /// How the answer is to be written.
-    pub style: AnswerStyle,
+    pub options: ResponseOptions,
 }
 
-/// How an answer is to be written.
+/// How the response is written.
 #[derive(Debug, Clone)]
-pub struct AnswerStyle {
-    /// Which form was asked for.
-    pub form: Form,
-    /// Model as the caller named it.
+pub struct ResponseOptions {
+    pub endpoint: Endpoint,
+    /// Model name from the request.
     pub model: String,
-    /// Whether server-sent events are wanted.
+    /// Whether to respond with server-sent events.
     pub stream: bool,
-    /// Whether a last event carries the token counts.
+    /// Whether the stream ends with an event that carries the token counts.
     pub include_usage: bool,
 }
 
-/// Stamps a chat.
-pub fn stamp_chat(
+pub fn prepare_chat(
     body: &ChatBody,
     common: &CommonBody,
     headers: CallerHeaders,
     settings: &SidecarSettings,
-) -> Result<Stamped, ApiError> {
+) -> Result<PreparedRequest, ApiError> {
     let prompt = canonical(&body.prompt_messages()?, &headers.session);
     let max_tokens = body.max_completion_tokens.or(common.max_tokens);
-    let input = Input {
-        form: Form::Chat,
+    let input = GenerationInput {
+        endpoint: Endpoint::Chat,
         model: &body.model,
         prompt,
         max_tokens,
         common,
     };
-    stamp(input, headers, settings)
+    prepare(input, headers, settings)
 }
 
-/// Stamps a completion.
-pub fn stamp_completion(
+pub fn prepare_completion(
     body: &CompletionBody,
     common: &CommonBody,
     headers: CallerHeaders,
     settings: &SidecarSettings,
-) -> Result<Stamped, ApiError> {
+) -> Result<PreparedRequest, ApiError> {
     let prompt = canonical_completion(body.prompt.text()?, &headers.session);
-    let input = Input {
-        form: Form::Completion,
+    let input = GenerationInput {
+        endpoint: Endpoint::Completion,
         model: &body.model,
         prompt,
         max_tokens: common.max_tokens,
         common,
     };
-    stamp(input, headers, settings)
+    prepare(input, headers, settings)
 }
 
-struct Input<'a> {
-    form: Form,
+struct GenerationInput<'a> {
+    endpoint: Endpoint,
     model: &'a str,
     prompt: CanonicalPrompt,
     max_tokens: Option<u32>,
     common: &'a CommonBody,
 }
 
-fn stamp(
-    input: Input<'_>,
+fn prepare(
+    input: GenerationInput<'_>,
     headers: CallerHeaders,
     settings: &SidecarSettings,
-) -> Result<Stamped, ApiError> {
-    input.common.check()?;
+) -> Result<PreparedRequest, ApiError> {
+    input.common.validate()?;
     check_prompt(&input.prompt, settings)?;
     let max_tokens = check_max_tokens(input.max_tokens, settings)?;
     let (service, adapter) = model_name(input.model)?;
@@ -115,14 +109,14 @@
         prefix_hash: input.prompt.prefix_hash,
         prefix_tokens: input.prompt.prefix_tokens,
     };
-    Ok(Stamped {
+    Ok(PreparedRequest {
         request,
         deadline: accepted_at + Duration::from_millis(u64::from(headers.deadline_ms)),
         accepted_at,
-        style: AnswerStyle {
-            form: input.form,
+        options: ResponseOptions {
+            endpoint: input.endpoint,
             model: input.model.to_owned(),
-            stream: input.common.streams(),
+            stream: input.common.is_streaming(),
             include_usage: input.common.includes_usage(),
         },
     })
--- a/crates/sidecar/src/prompt.rs
+++ b/crates/sidecar/src/prompt.rs
@@ -1,49 +1,45 @@
-//! The canonical prompt: how the messages of a chat become the text that an engine reads.
+//! Canonical prompt: the text that an engine receives for the messages of a chat.
 //!
-//! The text is that of [`dappleyard_wire::prompt`], so that a batch item and an online request with
-//! the same messages are the same prompt. The prompt of a completion is taken as it is. Tokens are
-//! estimated as words between white space; engines count their own.
+//! The text is built by [`dappleyard_wire::prompt`], so that batch items and online requests with
+//! the same messages have the same prompt. The prompt of a completion is passed unchanged. Token
+//! counts are estimates, by words separated by white space.
 //!
-//! The *shared prefix* is what other requests are likely to repeat, so that an engine that has it in
-//! its cache is worth finding:
+//! The *shared prefix* is the part that other requests are likely to repeat; requests are routed by
+//! its hash to engines that may have it cached:
 //!
-//! - with a session: the prefix is all but the last message, and its hash is taken over the leading
-//!   system messages and the session key, so that it stays the same while the conversation grows;
-//! - without one: the prefix is the leading system messages;
-//! - with neither: the first [`UNSHARED_PREFIX_WORDS`] words of the prompt.
+//! - with a session, the prefix is all but the last message. The hash covers the leading system
+//!   messages and the session key, so that it is stable while the conversation grows;
+//! - without a session, the prefix is the leading system messages;
+//! - without either, the first [`DEFAULT_PREFIX_WORDS`] words of the prompt.
 
 use dappleyard_wire::hash::hash_bytes;
 use dappleyard_wire::prompt::{canonical_chat, count_tokens};
 
-/// Words that stand for the prefix of a prompt without a system message or a session.
-pub const UNSHARED_PREFIX_WORDS: usize = 32;
+/// Prefix length of a prompt without system messages or a session, words.
+pub const DEFAULT_PREFIX_WORDS: usize = 32;
 
-/// Role whose leading messages form the shared prefix.
+/// Roles whose leading messages form the shared prefix.
 const SYSTEM_ROLES: [&str; 2] = ["system", "developer"];
 
-/// One message of a chat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptMessage {
-    /// Role, for example `system` or `user`.
+    /// For example `system` or `user`.
     pub role: String,
-    /// Text.
     pub text: String,
 }
 
-/// A prompt as engines read it.
+/// A prompt as sent to engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CanonicalPrompt {
-    /// Text.
     pub text: String,
-    /// Estimated length, tokens; at least 1.
+    /// Estimated length; at least 1.
     pub tokens: u32,
-    /// Hash of the shared prefix.
     pub prefix_hash: u64,
     /// Estimated length of the shared prefix, tokens.
     pub prefix_tokens: u32,
 }
 
-/// The canonical prompt of a chat. `session` is empty for none.
+/// Builds the prompt of a chat. `session` is empty for none.
 pub fn canonical(messages: &[PromptMessage], session: &str) -> CanonicalPrompt {
     let text = join(messages);
     let system_messages = messages
@@ -53,22 +49,22 @@
     let system = join(&messages[..system_messages]);
     if !session.is_empty() {
         let history = join(&messages[..messages.len().saturating_sub(1)]);
-        return build(text, session_hash(&system, session), words(&history));
+        return build(text, session_hash(&system, session), count_words(&history));
     }
     if !system.is_empty() {
-        let (hash, tokens) = (hash_bytes(system.as_bytes()), words(&system));
+        let (hash, tokens) = (hash_bytes(system.as_bytes()), count_words(&system));
         return build(text, hash, tokens);
     }
     build_without_prefix(text)
 }
 
-/// The canonical prompt of a completion: the text as it is.
+/// Builds the prompt of a completion, whose text is passed unchanged.
 pub fn canonical_completion(prompt: &str, session: &str) -> CanonicalPrompt {
     let text = prompt.to_owned();
     if session.is_empty() {
         return build_without_prefix(text);
     }
-    let tokens = words(&text);
+    let tokens = count_words(&text);
     build(text, session_hash("", session), tokens)
 }
 
@@ -81,15 +77,12 @@
     hash_bytes(format!("{system}\u{0}{session}").as_bytes())
 }
 
-fn words(text: &str) -> u32 {
+fn count_words(text: &str) -> u32 {
     u32::try_from(text.split_whitespace().count()).unwrap_or(u32::MAX)
 }
 
 fn build_without_prefix(text: String) -> CanonicalPrompt {
-    let prefix: Vec<&str> = text
-        .split_whitespace()
-        .take(UNSHARED_PREFIX_WORDS)
-        .collect();
+    let prefix: Vec<&str> = text.split_whitespace().take(DEFAULT_PREFIX_WORDS).collect();
     let tokens = u32::try_from(prefix.len()).unwrap_or(u32::MAX);
     let hash = hash_bytes(prefix.join(" ").as_bytes());
     build(text, hash, tokens)
--- a/crates/sidecar/src/answer.rs
+++ b/crates/sidecar/src/response.rs
@@ -1,4 +1,4 @@
-//! Writes the answer of a generation: whole, or as server-sent events.
+//! Writes generation responses: complete, or as server-sent events.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,46 +8,45 @@
 use dappleyard_wire::Failure;
 use dappleyard_wire::messages::Finish;
 
-use crate::api::answers::{
-    CachedTokens, Choice, ChoiceContent, Delta, Form, GenerationBody, Message, Usage,
+use crate::api::responses::{
+    CachedTokens, Choice, ChoiceContent, Delta, Endpoint, GenerationBody, Message, Usage,
 };
 use crate::error::{ApiError, REQUEST_ID_HEADER, VERSION_HEADER};
-use crate::stamp::AnswerStyle;
+use crate::prepare::ResponseOptions;
 
 /// Last event of a complete stream.
 pub const DONE_EVENT: Bytes = Bytes::from_static(b"data: [DONE]\n\n");
 
-/// Writes the bodies of one answer.
-pub struct AnswerWriter {
+/// Builds the body, or the events, of one response.
+pub struct ResponseWriter {
     id: String,
     request_id: String,
     created: u64,
-    style: AnswerStyle,
+    options: ResponseOptions,
 }
 
-impl AnswerWriter {
-    /// A writer for the answer to this request.
-    pub fn new(request_id: &str, style: AnswerStyle) -> AnswerWriter {
-        let prefix = match style.form {
-            Form::Chat => "chatcmpl",
-            Form::Completion => "cmpl",
+impl ResponseWriter {
+    pub fn new(request_id: &str, options: ResponseOptions) -> ResponseWriter {
+        let prefix = match options.endpoint {
+            Endpoint::Chat => "chatcmpl",
+            Endpoint::Completion => "cmpl",
         };
-        AnswerWriter {
+        ResponseWriter {
             id: format!("{prefix}-{request_id}"),
             request_id: request_id.to_owned(),
             created: unix_seconds(),
-            style,
+            options,
         }
     }
 
-    /// The whole answer.
-    pub fn whole(&self, text: &str, finish: &Finish) -> HttpResponse {
-        let content = match self.style.form {
-            Form::Chat => ChoiceContent::Message(Message {
+    /// Builds a complete response.
+    pub fn complete_response(&self, text: &str, finish: &Finish) -> HttpResponse {
+        let content = match self.options.endpoint {
+            Endpoint::Chat => ChoiceContent::Message(Message {
                 role: "assistant",
                 content: text,
             }),
-            Form::Completion => ChoiceContent::Text(text),
+            Endpoint::Completion => ChoiceContent::Text(text),
         };
         let choice = choice(content, Some(&finish.reason));
         let body = self.body(false, &finish.version, vec![choice], Some(usage(finish)));
@@ -58,7 +57,7 @@
         response.json(body)
     }
 
-    /// Head of an answer in server-sent events.
+    /// Status and headers of a stream.
     pub fn stream_head(&self, version: &str) -> actix_web::HttpResponseBuilder {
         let mut response = HttpResponse::Ok();
         response.insert_header((CONTENT_TYPE, "text/event-stream; charset=utf-8"));
@@ -69,39 +68,39 @@
         response
     }
 
-    /// Event that carries text; `first` also carries the role.
+    /// Event that carries text; the first one also carries the role.
     pub fn text_event(&self, text: &str, version: &str, first: bool) -> Bytes {
-        let content = match self.style.form {
-            Form::Chat => ChoiceContent::Delta(Delta {
+        let content = match self.options.endpoint {
+            Endpoint::Chat => ChoiceContent::Delta(Delta {
                 role: first.then_some("assistant"),
                 content: Some(text),
             }),
-            Form::Completion => ChoiceContent::Text(text),
+            Endpoint::Completion => ChoiceContent::Text(text),
         };
         self.event(version, vec![choice(content, None)], None)
     }
 
-    /// Events after the last text: the reason, the token counts when asked for, and the end.
+    /// Final events: the finish reason, the token counts if requested, and `[DONE]`.
     pub fn end_events(&self, finish: &Finish) -> Vec<Bytes> {
-        let content = match self.style.form {
-            Form::Chat => ChoiceContent::Delta(Delta {
+        let content = match self.options.endpoint {
+            Endpoint::Chat => ChoiceContent::Delta(Delta {
                 role: None,
                 content: None,
             }),
-            Form::Completion => ChoiceContent::Text(""),
+            Endpoint::Completion => ChoiceContent::Text(""),
         };
         let last = vec![choice(content, Some(&finish.reason))];
         let mut events = vec![self.event(&finish.version, last, None)];
-        if self.style.include_usage {
+        if self.options.include_usage {
             events.push(self.event(&finish.version, Vec::new(), Some(usage(finish))));
         }
         events.push(DONE_EVENT);
         events
     }
 
-    /// Event that ends an answer which cannot be completed; no `[DONE]` follows.
+    /// Event that ends a failed stream; no `[DONE]` follows.
     pub fn failure_event(&self, failure: Failure) -> Bytes {
-        let error = ApiError::from(failure).of_request(&self.request_id);
+        let error = ApiError::from(failure).with_request_id(&self.request_id);
         event_bytes(&error.body())
     }
 
@@ -116,16 +115,16 @@
         choices: Vec<Choice<'a>>,
         usage: Option<Usage>,
     ) -> GenerationBody<'a> {
-        let object = match (self.style.form, event) {
-            (Form::Chat, true) => "chat.completion.chunk",
-            (Form::Chat, false) => "chat.completion",
-            (Form::Completion, _) => "text_completion",
+        let object = match (self.options.endpoint, event) {
+            (Endpoint::Chat, true) => "chat.completion.chunk",
+            (Endpoint::Chat, false) => "chat.completion",
+            (Endpoint::Completion, _) => "text_completion",
         };
         GenerationBody {
             id: &self.id,
             object,
             created: self.created,
-            model: &self.style.model,
+            model: &self.options.model,
             system_fingerprint: version,
             choices,
             usage,
@@ -172,7 +171,7 @@
     Bytes::from(bytes)
 }
 
-/// Wall-clock time, seconds since 1970.
+/// Current Unix time, seconds.
 pub fn unix_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/sidecar/src/worker.rs
+++ b/crates/sidecar/src/worker.rs
@@ -1,4 +1,4 @@
-//! What the handlers of one worker thread share.
+//! State shared by the request handlers.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,110 +12,104 @@
 use crate::links::Links;
 use crate::metrics::Metrics;
 
-/// Advice to a caller that came while all places were taken, milliseconds.
-const FULL_RETRY_AFTER_MS: u32 = 200;
+/// Retry-after hint when the concurrency limit is reached.
+const OVERLOADED_RETRY_AFTER_MS: u32 = 200;
 
-/// What all workers of a sidecar share.
+/// State shared by all workers of the process.
 pub struct Shared {
-    /// Settings.
     pub settings: SidecarSettings,
-    /// Metrics.
     pub metrics: Metrics,
-    /// Retries as a share of first attempts.
+    /// Limits retries to a share of first attempts.
     pub retries: Mutex<RetryBudget>,
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
     uploads: AtomicUsize,
 }
 
 impl Shared {
-    /// State of a sidecar that starts.
     pub fn new(settings: SidecarSettings, metrics: Metrics) -> Arc<Shared> {
         Arc::new(Shared {
             retries: Mutex::new(RetryBudget::new(settings.retry_budget_percent)),
             settings,
             metrics,
-            open: AtomicUsize::new(0),
+            open_requests: AtomicUsize::new(0),
             uploads: AtomicUsize::new(0),
         })
     }
 }
 
-/// What the handlers of one worker thread share.
+/// State shared by the handlers of one worker thread.
 pub struct Worker {
-    /// Shared with the other workers.
     pub shared: Arc<Shared>,
-    /// This worker's links.
     pub links: Rc<Links>,
 }
 
 impl Worker {
-    /// Settings.
     pub fn settings(&self) -> &SidecarSettings {
         &self.shared.settings
     }
 
-    /// Metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.shared.metrics
     }
 
-    /// Takes a place for a request; refused when all are taken.
-    pub fn enter(&self) -> Result<OpenRequest, Failure> {
-        OpenRequest::take(&self.shared, Kind::Request)
+    /// Acquires a request slot, or fails when the limit is reached.
+    pub fn acquire_request_slot(&self) -> Result<RequestSlot, Failure> {
+        RequestSlot::acquire(&self.shared, SlotKind::Request)
     }
 
-    /// Takes a place for an upload, which holds one part in memory; refused when all are taken.
-    pub fn enter_upload(&self) -> Result<OpenRequest, Failure> {
-        OpenRequest::take(&self.shared, Kind::Upload)
+    /// Acquires an upload slot, or fails when the limit is reached. Uploads have their own limit
+    /// because each buffers a part in memory.
+    pub fn acquire_upload_slot(&self) -> Result<RequestSlot, Failure> {
+        RequestSlot::acquire(&self.shared, SlotKind::Upload)
     }
 }
 
-/// What a place is for; each kind has its bound.
+/// Each kind has its own limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum SlotKind {
     Request,
     Upload,
 }
 
-/// One place among the requests served at once; given back when dropped.
-pub struct OpenRequest {
+/// Permit for one concurrent request or upload; released on drop.
+pub struct RequestSlot {
     shared: Arc<Shared>,
-    kind: Kind,
+    kind: SlotKind,
 }
 
-impl OpenRequest {
-    fn take(shared: &Arc<Shared>, kind: Kind) -> Result<OpenRequest, Failure> {
-        let place = OpenRequest {
+impl RequestSlot {
+    fn acquire(shared: &Arc<Shared>, kind: SlotKind) -> Result<RequestSlot, Failure> {
+        let slot = RequestSlot {
             shared: shared.clone(),
             kind,
         };
-        let before = place.count().fetch_add(1, Ordering::Relaxed);
-        shared.metrics.open.inc();
-        if before < place.bound() {
-            return Ok(place);
+        let before = slot.count().fetch_add(1, Ordering::Relaxed);
+        shared.metrics.open_requests.inc();
+        if before < slot.limit() {
+            return Ok(slot);
         }
-        let message = "this sidecar serves as many requests as it may; come back later";
-        Err(Failure::not_run(ErrorKind::Overloaded, message).retry_after(FULL_RETRY_AFTER_MS))
+        let message = "the sidecar has reached its limit of concurrent requests; retry later";
+        Err(Failure::not_run(ErrorKind::Overloaded, message).retry_after(OVERLOADED_RETRY_AFTER_MS))
     }
 
     fn count(&self) -> &AtomicUsize {
         match self.kind {
-            Kind::Request => &self.shared.open,
-            Kind::Upload => &self.shared.uploads,
+            SlotKind::Request => &self.shared.open_requests,
+            SlotKind::Upload => &self.shared.uploads,
         }
     }
 
-    fn bound(&self) -> usize {
+    fn limit(&self) -> usize {
         match self.kind {
-            Kind::Request => self.shared.settings.maximum_requests,
-            Kind::Upload => self.shared.settings.maximum_uploads,
+            SlotKind::Request => self.shared.settings.maximum_requests,
+            SlotKind::Upload => self.shared.settings.maximum_uploads,
         }
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
         self.count().fetch_sub(1, Ordering::Relaxed);
-        self.shared.metrics.open.dec();
+        self.shared.metrics.open_requests.dec();
     }
 }
