--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,5 +1,5 @@
-//! Control interface over HTTP, for stand-ins that run as a plain process: faults in, records out.
-//! For experiments only.
+//! HTTP control interface for stand-ins that run as a separate process: injects faults and returns
+//! records. For experiments only.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 
 type Shared = web::Data<Handles>;
 
-/// Body of `PUT /control/faults/{service}`; an empty object mends the service.
+/// Body of `PUT /control/faults/{service}`; an empty object clears its faults.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct FaultBody {
@@ -34,18 +34,16 @@
 pub struct ControlHandle(RunningServer);
 
 impl ControlHandle {
-    /// Address of the HTTP server.
     pub fn address(&self) -> SocketAddr {
         self.0.address()
     }
 
-    /// Stops it.
     pub fn stop(&self) {
         self.0.stop();
     }
 }
 
-/// Starts the control interface of running stand-ins; port 0 takes one from the operating system.
+/// Starts the control interface; port 0 selects a free port.
 pub fn start(
     listen: &str,
     engines: Arc<EngineHandle>,
--- a/crates/standin/src/engine/driver.rs
+++ b/crates/standin/src/engine/driver.rs
@@ -1,7 +1,7 @@
-//! Threads that advance the engines at their times, to a fraction of a millisecond.
+//! Threads that advance engines when they are due, with sub-millisecond precision.
 //!
-//! Timers of the asynchronous runtime are a millisecond coarse, a third of a step; so a driver keeps
-//! a heap of due times and parks its own thread.
+//! Timers of the async runtime have millisecond resolution, too coarse for steps of a few
+//! milliseconds. A driver keeps a heap of due times and parks its own thread instead.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,10 +14,10 @@
 
 use super::slot::Slot;
 
-/// Longest sleep of a driver without anything due.
+/// Maximum sleep of a driver while no engine is scheduled.
 const LONGEST_SLEEP: Duration = Duration::from_millis(500);
 
-/// Engines that became due, from other threads.
+/// Queue of engines scheduled from other threads.
 #[derive(Default)]
 pub(super) struct Wakeups {
     inbox: Mutex<Vec<(u64, usize)>>,
@@ -26,13 +26,13 @@
 }
 
 impl Wakeups {
-    /// The engine at `index` is due at a time.
+    /// Schedules the engine at `index`.
     pub(super) fn add(&self, due_us: u64, index: usize) {
         self.inbox.lock().push((due_us, index));
         self.wake();
     }
 
-    /// Tells the driver to end.
+    /// Stops the driver.
     pub(super) fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
         self.wake();
@@ -48,7 +48,7 @@
 /// All engines of a host, by index.
 pub(super) type Slots = Arc<RwLock<Vec<Arc<Slot>>>>;
 
-/// Starts the thread that advances the engines whose wake-ups come in.
+/// Starts a driver thread.
 pub(super) fn start(
     name: String,
     wakeups: Arc<Wakeups>,
--- a/crates/standin/src/engine/host.rs
+++ b/crates/standin/src/engine/host.rs
@@ -1,4 +1,4 @@
-//! Many engines in one process.
+//! Runs many simulated engines in one process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,22 +19,22 @@
 use super::slot::Slot;
 use crate::server::{self, RunningServer};
 
-/// Where engines read weights from.
+/// Source of model weights.
 pub trait WeightSource: Send + Sync {
-    /// Begins to read a version and says how long that takes; or why it cannot be read.
+    /// Starts loading a version. Returns the duration, or why the load fails.
     fn load(&self, service: &str, version: &str) -> Result<Duration, String>;
 }
 
-/// How a host runs.
+/// Options of a host.
 #[derive(Clone)]
 pub struct HostOptions {
-    /// Listening address; port 0 takes one from the operating system.
+    /// Listening address; port 0 selects a free port.
     pub listen: String,
     /// Worker threads of the HTTP server.
     pub workers: usize,
-    /// Threads that advance engines.
+    /// Number of driver threads.
     pub drivers: usize,
-    /// Where weights are read from; `None` takes the time of the engine's settings.
+    /// Weight source; if `None`, loads take the time given in the engine's settings.
     pub weights: Option<Arc<dyn WeightSource>>,
 }
 
@@ -49,39 +49,38 @@
     }
 }
 
-/// An order as an engine received it.
+/// An order received by an engine.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct OrderRecord {
     /// Server id.
     pub server: String,
     /// Microseconds since the host started.
     pub at_us: u64,
-    /// The order.
     pub order: EngineOrder,
-    /// Whether it was applied; `false` when it was fenced off or refused.
+    /// Whether it was applied rather than rejected.
     pub applied: bool,
 }
 
-/// What the meters of one engine show, over all its lives.
+/// Meter totals of one engine, restarts included.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct MeterSummary {
-    /// Batch tokens that could have been made beside the online work.
+    /// Batch tokens that fit into the idle capacity.
     pub idle_tokens: f64,
-    /// Batch tokens made.
+    /// Batch tokens produced.
     pub batch_tokens: u64,
-    /// Online tokens made.
+    /// Online tokens produced.
     pub online_tokens: u64,
-    /// Steps made.
+    /// Steps executed.
     pub steps: u64,
-    /// Time of steps with online sequences, milliseconds.
+    /// Total time of steps with online sequences, milliseconds.
     pub online_step_ms: f64,
-    /// What that time would have been without batch work, milliseconds.
+    /// Total time of the same steps without batch sequences, milliseconds.
     pub online_alone_ms: f64,
-    /// Time by which the machine was too late for its steps, microseconds.
+    /// Total lateness of steps that exceeded the tolerance, microseconds.
     pub stalled_us: u64,
-    /// How soon batch yielded to online bursts, by what each step allowed.
+    /// Time until batch yielded to online bursts, by the width that each step allowed.
     pub probe: YieldProbe,
-    /// The same, by what a step of usual length allows.
+    /// The same, by the width that a step of mean length allows.
     pub usual_probe: YieldProbe,
 }
 
@@ -89,12 +88,12 @@
 pub struct EngineHost;
 
 impl EngineHost {
-    /// Starts engines on an address of the operating system's choice.
+    /// Starts engines with default options, on a free port.
     pub fn start(specs: Vec<EngineSpec>) -> std::io::Result<EngineHandle> {
         Self::start_with(specs, HostOptions::default())
     }
 
-    /// Starts engines. Threads of its own run them; no runtime is needed where this is called.
+    /// Starts engines on their own threads; the caller needs no runtime.
     pub fn start_with(
         specs: Vec<EngineSpec>,
         options: HostOptions,
@@ -138,7 +137,7 @@
     })
 }
 
-/// A running host: faults, and direct access to what the engines did.
+/// Handle of a running host: fault injection, and direct access to records and meters.
 pub struct EngineHandle {
     started: Instant,
     slots: Slots,
@@ -149,12 +148,11 @@
 }
 
 impl EngineHandle {
-    /// Address of the HTTP server.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// When the host started: the zero of all times in records.
+    /// Start of the host, the origin of all times in records.
     pub fn started(&self) -> Instant {
         self.started
     }
@@ -164,12 +162,12 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    /// Base URL of an engine.
+    /// Base URL of an engine's HTTP interface.
     pub fn base(&self, server: &str) -> String {
         format!("http://{}/engines/{server}", self.address())
     }
 
-    /// Adds an engine, or leaves the one of this name as it is.
+    /// Adds an engine; does nothing if one of this name exists.
     pub fn add(&self, spec: EngineSpec) {
         let mut by_name = self.by_name.write();
         if by_name.contains_key(&spec.server) {
@@ -194,33 +192,33 @@
         by_name.insert(name, slot);
     }
 
-    /// Ids of all engines, in the order they were added.
+    /// Server ids of all engines, in the order they were added.
     pub fn servers(&self) -> Vec<String> {
         let slots = self.slots.read();
         slots.iter().map(|slot| slot.server().to_owned()).collect()
     }
 
-    /// Kills an engine: open streams break, nothing is answered, its state is gone.
+    /// Kills an engine: drops its state, aborts open streams and fails further calls.
     pub fn kill(&self, server: &str) {
         self.with(server, Slot::kill);
     }
 
-    /// Starts an engine anew in the place of a killed one.
+    /// Restarts a killed engine with empty state.
     pub fn revive(&self, server: &str) {
         self.with(server, Slot::revive);
     }
 
-    /// Makes an engine stand still, with its connections open and silent, or lets it go on.
+    /// Makes an engine hang, with its connections open but silent, or resumes it.
     pub fn set_hung(&self, server: &str, hung: bool) {
         self.with(server, |slot| slot.set_hung(hung));
     }
 
-    /// Whether an engine lives.
+    /// Whether an engine exists and has not been killed.
     pub fn is_alive(&self, server: &str) -> bool {
         self.with(server, Slot::is_alive).unwrap_or(false)
     }
 
-    /// Makes an engine's reports and cache events later, and may drop all its cache events.
+    /// Adds a delay to an engine's reports and cache events, and optionally drops all cache events.
     pub fn set_publication_faults(&self, server: &str, extra_delay: Duration, drop_events: bool) {
         let extra_us = extra_delay.as_micros() as u64;
         self.with(server, |slot| {
@@ -228,7 +226,7 @@
         });
     }
 
-    /// The engine's state at this moment; `None` when it is dead.
+    /// The current state of an engine; `None` if it was killed or hangs.
     pub fn status(&self, server: &str) -> Option<EngineReport> {
         self.with(server, |slot| slot.status().ok()).flatten()
     }
@@ -244,25 +242,26 @@
         self.with(server, Slot::records).unwrap_or_default()
     }
 
-    /// Records that were dropped at their bound; a checker that sees one must say so.
+    /// Number of records dropped because of the limit. If it is not 0, checks over the records are
+    /// incomplete.
     pub fn records_dropped(&self) -> u64 {
         let slots = self.slots.read().clone();
         slots.iter().map(|slot| slot.records_dropped()).sum()
     }
 
-    /// Orders that the engines received.
+    /// Orders received by all engines.
     pub fn orders(&self) -> Vec<OrderRecord> {
         let slots = self.slots.read().clone();
         slots.iter().flat_map(|slot| slot.orders()).collect()
     }
 
-    /// Sums of one engine's meters.
+    /// Meter totals of one engine.
     pub fn meter(&self, server: &str) -> MeterSummary {
         let summed = self.with(server, |slot| slot.with_meters(sum));
         summed.unwrap_or_default()
     }
 
-    /// Sums of all engines' meters.
+    /// Meter totals of all engines.
     pub fn meters(&self) -> MeterSummary {
         let slots = self.slots.read().clone();
         let mut total = MeterSummary::default();
@@ -272,7 +271,7 @@
         total
     }
 
-    /// Samples of one engine's widths, from its first life on.
+    /// Batch size samples of one engine, those before restarts included.
     pub fn samples(&self, server: &str) -> Vec<Sample> {
         let all = |meters: &[&Meter]| {
             let samples = meters.iter().flat_map(|meter| meter.samples());
@@ -282,7 +281,7 @@
         samples.unwrap_or_default()
     }
 
-    /// Stops the HTTP server and the threads.
+    /// Stops the HTTP server and the driver threads.
     pub fn stop(&self) {
         self.server.stop();
         let drivers = std::mem::take(&mut *self.drivers.lock());
@@ -290,7 +289,7 @@
             wakeups.stop();
         }
         for (_, thread) in drivers {
-            // A thread that panicked has ended too.
+            // A panic of the thread is ignored here.
             let _ = thread.join();
         }
     }
@@ -308,7 +307,6 @@
 }
 
 impl MeterSummary {
-    /// Adds another summary.
     pub fn merge(&mut self, other: &MeterSummary) {
         self.idle_tokens += other.idle_tokens;
         self.batch_tokens += other.batch_tokens;
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the engines: `/engines/{server}/v1/...` on one server for all of them.
+//! HTTP interface of the engines under `/engines/{server}/v1/`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 use super::model::{Output, stream_name};
 use super::slot::{CallError, Delivery, Reader, Slot};
 
-/// Largest body of a call, bytes.
+/// Maximum size of a request body, bytes.
 pub(super) const MAXIMUM_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// How often a call that waits for a hanging engine looks at it.
+/// Poll interval of calls that wait for a hanging engine.
 const HANG_POLL: Duration = Duration::from_millis(10);
-/// Tokens of moved KV state up to which the transfer takes time.
+/// Upper bound on the tokens counted in the transfer time of imported KV state.
 const MAXIMUM_MOVED_TOKENS: u32 = 1_000_000;
-/// A blank line is sent after this long without an event, so that a silent stream is told apart
+/// Time without an event after which a blank line is sent, so that clients can tell a silent stream
 /// from a lost engine.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
 /// Engines by server id.
 pub(super) type SlotsByName = Arc<RwLock<HashMap<String, Arc<Slot>>>>;
 
-/// The engine was lost: ends the connection without a whole answer.
+/// Error of a response body; closes the connection without a complete response.
 #[derive(Debug, Display, Error)]
-#[display("the engine is lost")]
+#[display("engine was killed")]
 struct EngineLost;
 
 #[derive(Deserialize)]
@@ -39,7 +39,7 @@
     after: u64,
 }
 
-/// Mounts the routes.
+/// Registers the routes.
 pub(super) fn configure(config: &mut web::ServiceConfig) {
     let json = web::JsonConfig::default()
         .limit(MAXIMUM_BODY_BYTES)
@@ -64,8 +64,8 @@
     found.ok_or(CallError::NoSuchEngine)
 }
 
-/// Calls an engine. A call to one that hangs waits, and is carried out when the engine goes on, as
-/// with a process that was stopped: its caller may have given up by then.
+/// Calls an engine. A call to a hanging engine waits and is executed when the engine resumes, as
+/// with a stopped process, even if the client has timed out by then.
 async fn call_engine<T>(
     slots: &SlotsByName,
     server: &str,
@@ -183,7 +183,7 @@
             HttpResponse::build(status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE))
                 .body(refusal.reason)
         }
-        // The body breaks before its first byte: the connection is closed without an answer.
+        // The body fails before its first byte, which closes the connection without a response.
         CallError::Dead | CallError::Hung => {
             HttpResponse::Ok().streaming(futures::stream::iter([Err::<Bytes, EngineLost>(
                 EngineLost,
@@ -192,7 +192,7 @@
     }
 }
 
-/// The lines of a stream's answer.
+/// Response body of a stream: one JSON event per line.
 fn lines(reader: Reader) -> impl futures::Stream<Item = Result<Bytes, EngineLost>> {
     async_stream::stream! {
         let mut reader = reader;
@@ -242,7 +242,7 @@
 }
 
 fn line(event: &EngineEvent) -> Bytes {
-    // An event is made of strings and numbers, which always have a JSON form.
+    // Events consist of strings and numbers, so serialization cannot fail.
     let mut line = serde_json::to_vec(event).unwrap_or_default();
     line.push(b'\n');
     Bytes::from(line)
--- a/crates/standin/src/engine/memory.rs
+++ b/crates/standin/src/engine/memory.rs
@@ -1,8 +1,8 @@
-//! KV memory of an engine in blocks, with the prefix cache in what remains.
+//! KV memory of an engine in blocks, with a prefix cache in the unused ones.
 //!
-//! A block is free, owned by a sequence, part of a shared prefix that running sequences pin, or
-//! cached: a prefix or the state of an ended sequence that nobody uses. Cached blocks are evicted
-//! least recently used first, from the tail of an entry, since the front of a prefix stays valid.
+//! A block is free, owned by a sequence, part of a shared prefix pinned by running sequences, or
+//! cached, that is, part of an unused prefix or of the state of an ended sequence. Cached entries
+//! are evicted in LRU order, from the tail of an entry, since the front of a prefix stays valid.
 
 use std::collections::HashMap;
 
@@ -26,7 +26,7 @@
 }
 
 impl Memory {
-    /// Empty memory of some blocks.
+    /// Creates a memory of `total` free blocks.
     pub fn new(total: u32) -> Memory {
         Memory {
             total,
@@ -38,27 +38,27 @@
         }
     }
 
-    /// All blocks.
+    /// Total number of blocks.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// Blocks that can be taken: free ones and cached ones.
+    /// Blocks that can be allocated: free and cached ones.
     pub fn available(&self) -> u32 {
         self.free + self.cached_blocks
     }
 
-    /// Blocks cached and used by nobody.
+    /// Number of cached blocks.
     pub fn cached_blocks(&self) -> u32 {
         self.cached_blocks
     }
 
-    /// Blocks of all shared prefixes in use.
+    /// Number of pinned blocks.
     pub fn pinned_blocks(&self) -> u32 {
         self.pinned.values().map(|entry| entry.blocks).sum()
     }
 
-    /// Blocks cached under a key, used by nobody.
+    /// Blocks cached under a key.
     pub fn cached(&self, key: u64) -> u32 {
         self.cached.peek(&key).copied().unwrap_or(0)
     }
@@ -68,8 +68,8 @@
         self.pinned.get(&key).map_or(0, |entry| entry.blocks)
     }
 
-    /// Takes blocks, evicting cached ones as needed; `false` and nothing changed when there are
-    /// not enough.
+    /// Allocates blocks, evicting cached ones as needed. Returns `false` and changes nothing if not
+    /// enough are available.
     pub fn take(&mut self, blocks: u32) -> bool {
         if blocks > self.available() {
             return false;
@@ -81,14 +81,13 @@
         true
     }
 
-    /// Gives blocks back as free.
+    /// Frees allocated blocks.
     pub fn give(&mut self, blocks: u32) {
         self.free += blocks;
     }
 
-    /// Pins up to `wanted` blocks of what is there under a key for one more sequence and returns how
-    /// many, 0 for none. Unused blocks beyond them are freed: a pinned entry never holds more than a
-    /// sequence uses.
+    /// Pins up to `wanted` of the blocks under a key for one more sequence and returns their number.
+    /// Cached blocks beyond `wanted` are freed, so a pinned entry holds no unused blocks.
     pub fn pin(&mut self, key: u64, wanted: u32) -> u32 {
         if let Some(entry) = self.pinned.get_mut(&key) {
             entry.sequences += 1;
@@ -107,10 +106,10 @@
         blocks
     }
 
-    /// A sequence gives `given` of its own blocks so that the pinned entry grows by `grows`; what is
-    /// there already is freed. `counted` says that the sequence has pinned the entry before.
+    /// Moves `grows` of a sequence's own blocks to the pinned entry and frees the rest of `given` as
+    /// duplicates. `counted` is set if the sequence has already pinned the entry.
     pub fn share(&mut self, key: u64, grows: u32, given: u32, counted: bool) {
-        // What is cached under the key was computed by another and is not needed twice.
+        // Blocks cached under the key duplicate the shared ones.
         let duplicate = self.take_cached(key);
         self.free += duplicate;
         let entry = self.pinned.entry(key).or_insert(Pinned {
@@ -122,7 +121,7 @@
         self.free += given - grows;
     }
 
-    /// Ends one sequence's use of a pinned entry; unused, it becomes cached.
+    /// Removes one sequence's pin; an entry without pins becomes cached.
     pub fn unpin(&mut self, key: u64) {
         let Some(entry) = self.pinned.get_mut(&key) else {
             return;
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Keeps blocks that a sequence owned as cache under a key.
+    /// Caches blocks owned by a sequence under a key, replacing the entry there.
     pub fn retain(&mut self, key: u64, blocks: u32) {
         if blocks == 0 {
             return;
@@ -147,15 +146,15 @@
         }
     }
 
-    /// Takes all blocks cached under a key out of the cache; they belong to the caller.
+    /// Removes the blocks cached under a key and transfers them to the caller.
     pub fn take_cached(&mut self, key: u64) -> u32 {
         let blocks = self.cached.pop(&key).unwrap_or(0);
         self.cached_blocks -= blocks;
         blocks
     }
 
-    /// Adds blocks that came from elsewhere as cache under a key; what is there already stays.
-    /// `false` and nothing changed when there is no room.
+    /// Grows the entry cached under a key to `blocks`, for imported state. Does nothing if the key is
+    /// pinned. Returns `false` if not enough blocks are available.
     pub fn import(&mut self, key: u64, blocks: u32) -> bool {
         let missing = blocks.saturating_sub(self.cached(key) + self.pinned(key));
         if missing == 0 || self.pinned(key) > 0 {
@@ -170,12 +169,12 @@
         true
     }
 
-    /// Keys whose last block was evicted since the last call.
+    /// Returns the keys that were evicted completely since the last call.
     pub fn drain_evicted(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.evicted)
     }
 
-    /// Frees all cached blocks.
+    /// Evicts all cached blocks.
     pub fn clear_cache(&mut self) {
         self.free += self.cached_blocks;
         self.cached_blocks = 0;
@@ -183,14 +182,14 @@
         self.cached.clear();
     }
 
-    /// Whether each block is in exactly one place, given the blocks that sequences own.
+    /// Whether every block is accounted for exactly once, given the number owned by sequences.
     pub fn is_consistent(&self, owned: u32) -> bool {
         let pinned = self.pinned_blocks();
         let cached: u32 = self.cached.iter().map(|(_, blocks)| *blocks).sum();
         cached == self.cached_blocks && self.free + pinned + cached + owned == self.total
     }
 
-    /// Evicts up to `wanted` blocks from the entry that was least recently used.
+    /// Evicts up to `wanted` blocks from the least recently used entry.
     fn evict(&mut self, wanted: u32) {
         let Some((key, blocks)) = self.cached.pop_lru() else {
             return;
--- a/crates/standin/src/engine/meter.rs
+++ b/crates/standin/src/engine/meter.rs
@@ -1,14 +1,14 @@
-//! Idle capacity, widths over time, harm to online steps, and how soon batch yields.
+//! Idle capacity, batch sizes over time, slowdown of online steps, and how soon batch yields.
 
 use serde::Serialize;
 
 use super::probe::{Prober, YieldProbe};
 use super::settings::EngineModelSettings;
 
-/// Most samples kept for each engine: an hour at the usual interval.
+/// Maximum number of samples per engine: one hour at the default interval.
 const MAXIMUM_SAMPLES: usize = 36_000;
 
-/// Widths at one moment, and what was made since the sample before.
+/// Batch sizes at one time, and tokens since the previous sample.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Sample {
     /// Microseconds since the host started.
@@ -19,26 +19,26 @@
     pub batch: u32,
     /// Waiting batch sequences in the engine.
     pub batch_waiting: u32,
-    /// Batch tokens that could have been made.
+    /// Batch tokens that fit into the idle capacity.
     pub idle_tokens: f64,
-    /// Batch tokens made.
+    /// Batch tokens produced.
     pub batch_tokens: u64,
-    /// Online tokens made.
+    /// Online tokens produced.
     pub online_tokens: u64,
 }
 
-/// One step as the meter sees it.
+/// Composition of one step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StepShape {
-    /// Base time with its noise, milliseconds.
+    /// Base time including noise, milliseconds.
     pub noisy_base_ms: f64,
-    /// Running sequences.
+    /// Online sequences in the step.
     pub online: u32,
     /// Running batch sequences.
     pub batch: u32,
     /// Prefill tokens of online sequences in the step.
     pub online_prefill: u32,
-    /// KV blocks of shared prefixes in use, each counted once.
+    /// KV blocks of pinned prefixes, each counted once.
     pub shared_blocks: u32,
     /// Other KV blocks of online sequences.
     pub online_blocks: u32,
@@ -46,7 +46,7 @@
     pub batch_blocks: u32,
 }
 
-/// Meter of one engine.
+/// Capacity and throughput counters of one engine.
 #[derive(Debug)]
 pub struct Meter {
     per_sequence_ms: f64,
@@ -71,7 +71,7 @@
     stalled_us: u64,
 }
 
-/// Weight of the newest step in the mean memory of a batch sequence.
+/// Weight of the newest step in the moving average of blocks per batch sequence.
 const MEAN_WEIGHT: f64 = 0.05;
 
 impl Meter {
@@ -101,50 +101,50 @@
         }
     }
 
-    /// Batch tokens that could have been made so far.
+    /// Batch tokens that fit into the idle capacity so far.
     pub fn idle_tokens(&self) -> f64 {
         self.idle_tokens
     }
 
-    /// Batch tokens made so far.
+    /// Batch tokens produced so far.
     pub fn batch_tokens(&self) -> u64 {
         self.batch_tokens
     }
 
-    /// Online tokens made so far.
+    /// Online tokens produced so far.
     pub fn online_tokens(&self) -> u64 {
         self.online_tokens
     }
 
-    /// Steps made so far.
+    /// Steps executed so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// Time of all steps with online sequences, and what it would have been without batch work,
-    /// milliseconds. Their ratio is the harm that batch does to online tokens, free of noise.
+    /// Total time of steps with online sequences, and the time of the same steps without batch
+    /// sequences, milliseconds. Their ratio is the slowdown of online tokens by batch.
     pub fn online_step_ms(&self) -> (f64, f64) {
         (self.online_step_ms, self.online_alone_ms)
     }
 
-    /// Time by which the machine drove the engine too late, microseconds. A run in which this is
-    /// more than a small share of the time measured the machine and not the product.
+    /// Total lateness of steps that exceeded the tolerance, microseconds. If this is more than a
+    /// small share of a run, the machine was overloaded and the measurements are invalid.
     pub fn stalled_us(&self) -> u64 {
         self.stalled_us
     }
 
-    /// Samples of widths.
+    /// Batch size samples, oldest first.
     pub fn samples(&self) -> &[Sample] {
         &self.samples
     }
 
-    /// How soon batch yielded to what each step allowed with its own noise.
+    /// Time until batch yielded, by the width that each step allows with its noise.
     pub fn probe(&self) -> &YieldProbe {
         &self.probe.seen
     }
 
-    /// How soon batch yielded to what a step of usual length allows: a short step allows less, which
-    /// nobody can know before.
+    /// Time until batch yielded, by the width that a step of mean length allows. A scheduler cannot
+    /// know in advance that a step will be short and allow less.
     pub fn usual_probe(&self) -> &YieldProbe {
         &self.usual_probe.seen
     }
@@ -153,8 +153,8 @@
         self.stalled_us += microseconds;
     }
 
-    /// The widest batch that slows the step's online sequences by at most the allowed share, inside
-    /// the limits of sequences and memory.
+    /// Maximum batch width that slows the online sequences of the step by at most the allowed share
+    /// and stays within the sequence and memory limits.
     pub(super) fn allowed_width(&self, step: &StepShape) -> u32 {
         let by_sequences = self.maximum_sequences.saturating_sub(step.online);
         let others = step.online_blocks + step.shared_blocks;
@@ -169,14 +169,14 @@
         width.min(by_slowdown as u32)
     }
 
-    /// Time of the step if its online sequences were alone, milliseconds.
+    /// Time of the step without batch sequences, milliseconds.
     fn alone_ms(&self, step: &StepShape) -> f64 {
         step.noisy_base_ms
             + self.per_sequence_ms * f64::from(step.online)
             + self.per_prefill_token_ms * f64::from(step.online_prefill)
     }
 
-    /// A step begins that takes `step_ms`.
+    /// Records the start of a step that takes `step_ms`.
     pub(super) fn step_begins(&mut self, now_us: u64, step: &StepShape, step_ms: f64) {
         self.steps += 1;
         if step.online > 0 {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// A step ended, having made some tokens.
+    /// Records the end of a step and the tokens it produced.
     pub(super) fn step_ended(&mut self, online_tokens: u64, batch_tokens: u64) {
         self.online_tokens += online_tokens;
         self.batch_tokens += batch_tokens;
@@ -209,7 +209,7 @@
         self.usual_probe.step_ended();
     }
 
-    /// The engine had nothing at all to do for some time: it could have run full batches.
+    /// Records time without any sequence, in which full batches could have run.
     pub(super) fn idle_for(&mut self, microseconds: u64) {
         let empty = StepShape {
             noisy_base_ms: self.usual_base_ms,
@@ -225,7 +225,7 @@
         self.idle_tokens += microseconds as f64 / 1_000.0 / step_ms * width;
     }
 
-    /// An online sequence arrived; `others` are in the engine already.
+    /// Records an online arrival; `others` online sequences are already in the engine.
     pub(super) fn online_arrived(&mut self, now_us: u64, others: usize) {
         let quiet_since = self.online_ended_us.filter(|_| others == 0);
         let quiet = quiet_since.is_some_and(|since| now_us - since.min(now_us) >= self.quiet_us);
@@ -236,14 +236,13 @@
         self.online_ended_us = None;
     }
 
-    /// The last online sequence has gone.
+    /// Records that the last online sequence has left the engine.
     pub(super) fn online_gone(&mut self, now_us: u64) {
         self.online_ended_us = Some(now_us);
         self.probe.burst_ends();
         self.usual_probe.burst_ends();
     }
 
-    /// Takes a sample.
     pub(super) fn sample(&mut self, at_us: u64, online: u32, batch: u32, batch_waiting: u32) {
         let (idle, batch_made, online_made) = self.sampled;
         self.sampled = (self.idle_tokens, self.batch_tokens, self.online_tokens);
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,8 +1,9 @@
-//! Hollow model engines: they cost time and memory as real ones do, and answer known text.
+//! Simulated inference engines: they model the step time and KV memory of real engines and answer
+//! with deterministic text.
 //!
-//! - [`model`]: the state machine of one engine, in virtual time, without threads or sockets
-//! - [`memory`], [`meter`], [`probe`], [`record`], [`reports`]: its parts
-//! - [`host`]: many engines in one process, driven in real time and served over HTTP
+//! - [`model`]: state machine of one engine in virtual time, without threads or sockets
+//! - [`memory`], [`meter`], [`probe`], [`record`], [`reports`]: components of the state machine
+//! - [`host`]: runs many engines in one process in real time and serves them over HTTP
 
 pub mod host;
 pub mod memory;
--- a/crates/standin/src/engine/model.rs
+++ b/crates/standin/src/engine/model.rs
@@ -1,8 +1,12 @@
-//! The state machine of one engine, in virtual time: calls and [`EngineModel::advance`] take the
-//! time in microseconds and add [`Effect`]s for the shell to deliver.
+//! State machine of one engine in virtual time. Methods take the time in microseconds and append
+//! [`Effect`]s for the caller to deliver.
 //!
-//! Calls come in through `arrival` and end or go on in `streams`. Entry, preemption and memory are in `schedule`, steps in `step`, orders in `orders`, movement of
-//! KV state in `kv`.
+//! - `arrival`: admission of calls
+//! - `streams`: stream lifecycle
+//! - `schedule`: admission to the running batch, preemption and memory
+//! - `step`: steps and the reports and samples that depend on time
+//! - `orders`: fenced orders and version loads
+//! - `kv`: export and import of KV state
 
 mod arrival;
 mod kv;
@@ -32,45 +36,45 @@
 
 pub use orders::LoadPhase;
 
-/// Something to be sent to the reader of a stream.
+/// An output to be sent to the reader of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Effect {
-    /// The stream.
+    /// Target stream.
     pub stream: StreamNumber,
-    /// What to send.
+    /// Output to send.
     pub output: Output,
 }
 
-/// What is sent to the reader of a stream. Text is made from offsets by who sends it.
+/// Output of a stream. The sender generates the text from the token offsets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Tokens `from..to`.
     Tokens {
-        /// First token.
+        /// Offset of the first token.
         from: u32,
-        /// Token after the last.
+        /// Offset after the last token.
         to: u32,
     },
     /// The stream ended.
     Finished {
         /// "stop", "length" or "cancelled".
         reason: &'static str,
-        /// Tokens of the whole answer so far.
+        /// Tokens of the answer so far, those of earlier attempts included.
         total: u32,
         /// Prompt tokens found in the cache.
         cached: u32,
-        /// Whether any step of this attempt ran.
+        /// Whether this attempt took part in any step.
         ran: bool,
     },
 }
 
-/// Why a call was refused; nothing ran.
+/// Rejection of a call, which then has no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{reason}")]
 pub struct Refusal {
     /// HTTP status.
     pub status: u16,
-    /// A sentence.
+    /// Message for the caller.
     pub reason: String,
 }
 
@@ -83,24 +87,24 @@
     }
 }
 
-/// A call that was taken in.
+/// An accepted call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Started {
-    /// Its stream.
+    /// Assigned stream.
     pub stream: StreamNumber,
-    /// Version that answers.
+    /// Version that generates the answer.
     pub version: Arc<str>,
-    /// Text of the answer.
+    /// Source of the answer text.
     pub text: TextSource,
 }
 
-/// The step at hand.
+/// The step in progress.
 #[derive(Debug, Clone, Copy)]
 struct Step {
     due_us: u64,
 }
 
-/// One engine.
+/// State machine of one engine.
 pub struct EngineModel {
     settings: EngineModelSettings,
     server: Arc<str>,
@@ -128,8 +132,8 @@
 }
 
 impl EngineModel {
-    /// An engine as its specification says, at some time. `first_stream` keeps the numbers of
-    /// streams apart from those before a restart.
+    /// Creates an engine. After a restart, `first_stream` must be greater than all stream numbers
+    /// used before it.
     pub fn new(spec: &EngineSpec, now_us: u64, first_stream: StreamNumber) -> EngineModel {
         let settings = spec.model.clone();
         EngineModel {
@@ -163,7 +167,7 @@
         }
     }
 
-    /// The engine is lost with all that it held; its records stay.
+    /// Ends all sequences as lost, without notifying readers. Returns the records, which are kept.
     pub fn lose(&mut self, now_us: u64) -> Vec<RunRecord> {
         self.catch_up(now_us);
         let lost = self.running.drain(..).chain(self.waiting.drain(..));
@@ -179,58 +183,57 @@
         self.records.all()
     }
 
-    /// The state at this moment.
+    /// The current state.
     pub fn status(&mut self, now_us: u64) -> EngineReport {
         self.catch_up(now_us);
         self.snapshot()
     }
 
-    /// The latest report that was delivered; the state at start until there is one.
+    /// The latest delivered report; the current state until one has been delivered.
     pub fn report(&mut self, now_us: u64) -> EngineReport {
         self.catch_up(now_us);
         let latest = self.publication.latest(now_us);
         latest.unwrap_or_else(|| self.snapshot())
     }
 
-    /// Delivered cache events after a number.
+    /// Delivered cache events with a sequence number greater than `after`.
     pub fn cache_events(&mut self, now_us: u64, after: u64) -> Vec<CacheEvent> {
         self.catch_up(now_us);
         self.publication.cache_events(now_us, after)
     }
 
-    /// Makes reports and cache events later by some time, and may drop all cache events.
+    /// Adds a delay to reports and cache events, and optionally drops all cache events.
     pub fn set_publication_faults(&mut self, extra_delay_us: u64, events_dropped: bool) {
         self.publication.extra_delay_us = extra_delay_us;
         self.publication.events_dropped = events_dropped;
     }
 
-    /// Truth about what ran.
+    /// Records of all attempts.
     pub fn records(&self) -> &Records {
         &self.records
     }
 
-    /// Idle capacity and widths, up to date at this moment.
+    /// The meter, updated to `now_us`.
     pub fn meter(&mut self, now_us: u64) -> &Meter {
         self.catch_up(now_us);
         &self.meter
     }
 
-    /// The meter as it was brought up to date last.
+    /// The meter as of the last update.
     pub fn meter_as_it_stands(&self) -> &Meter {
         &self.meter
     }
 
-    /// Server id.
     pub fn server(&self) -> &Arc<str> {
         &self.server
     }
 
-    /// First stream number that was not used.
+    /// The next unused stream number.
     pub fn next_stream(&self) -> StreamNumber {
         self.next_stream
     }
 
-    /// Whether the memory's blocks add up: for tests.
+    /// Whether every memory block is accounted for exactly once. For tests.
     pub fn memory_is_consistent(&self) -> bool {
         let owned = self.running.iter().map(|sequence| sequence.own_blocks);
         self.memory.is_consistent(owned.sum())
@@ -269,12 +272,12 @@
     }
 }
 
-/// Name of a stream on the wire.
+/// Formats a stream number as its name on the wire.
 pub fn stream_name(stream: StreamNumber) -> String {
     format!("s{stream}")
 }
 
-/// Number of a stream named on the wire.
+/// Parses the name of a stream on the wire.
 pub fn parse_stream(name: &str) -> Option<StreamNumber> {
     name.strip_prefix('s')?.parse().ok()
 }
--- a/crates/standin/src/engine/model/arrival.rs
+++ b/crates/standin/src/engine/model/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrival of calls: attached, refused, or taken in as a new sequence.
+//! Admission of calls: attaches to a stream, rejects, or queues a new sequence.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::text::TextSource;
 
 impl EngineModel {
-    /// Takes a call in, or attaches it to a stream that lives.
+    /// Queues a new sequence for a call, or attaches the call to the stream that it names.
     pub fn generate(
         &mut self,
         now_us: u64,
@@ -24,7 +24,7 @@
             return Ok(started);
         }
         if call.attach_only {
-            return Err(Refusal::new(404, "no such stream to attach to"));
+            return Err(Refusal::new(404, "stream to attach to not found"));
         }
         self.check(call)?;
         Ok(self.begin(now_us, call))
@@ -32,31 +32,37 @@
 
     fn check(&self, call: &GenerateCall) -> Result<(), Refusal> {
         if !self.accepting {
-            return Err(Refusal::new(503, "the engine takes no new work"));
+            return Err(Refusal::new(503, "the engine does not accept new work"));
         }
         let Some(model) = &self.model else {
             return Err(Refusal::new(503, "the engine is loading a model"));
         };
         if model.service != call.service {
-            return Err(Refusal::new(404, "the engine does not carry this service"));
+            return Err(Refusal::new(404, "the engine does not serve this service"));
         }
         if !call.version.is_empty() && model.version != call.version {
-            return Err(Refusal::new(404, "the engine does not carry this version"));
+            return Err(Refusal::new(404, "the engine does not serve this version"));
         }
         if !call.adapter.is_empty() && !model.adapters.contains(&call.adapter) {
-            return Err(Refusal::new(404, "the engine does not carry this adapter"));
+            return Err(Refusal::new(
+                404,
+                "the engine does not have this adapter loaded",
+            ));
         }
         let tokens = u64::from(call.prompt_tokens) + u64::from(call.max_tokens);
-        // The next token is reckoned with while a sequence runs.
+        // A running sequence also needs space for its next token.
         let room = u64::from(self.memory.total()) * u64::from(self.settings.block_tokens);
         if tokens + 1 > room {
-            return Err(Refusal::new(400, "prompt and answer do not fit the memory"));
+            return Err(Refusal::new(400, "prompt and answer exceed the KV memory"));
         }
         if call.resume_offset > call.max_tokens {
-            return Err(Refusal::new(400, "the answer ends before the offset"));
+            return Err(Refusal::new(
+                400,
+                "resume offset exceeds the maximum number of tokens",
+            ));
         }
         if self.waiting.len() >= self.settings.maximum_waiting as usize {
-            return Err(Refusal::new(429, "too many sequences wait"));
+            return Err(Refusal::new(429, "too many waiting sequences"));
         }
         Ok(())
     }
--- a/crates/standin/src/engine/model/kv.rs
+++ b/crates/standin/src/engine/model/kv.rs
@@ -6,7 +6,7 @@
 use crate::text::TextSource;
 
 impl EngineModel {
-    /// State of a sequence that runs, or that ended and is still cached.
+    /// Exports the KV state of a running sequence, or of an ended one that is still cached.
     pub fn export_kv(&mut self, now_us: u64, query: &KvExportRequest) -> Result<KvState, Refusal> {
         self.catch_up(now_us);
         let key = TextSource::new(&self.version, &query.prompt).key();
@@ -25,7 +25,7 @@
             }
         };
         if blocks == 0 {
-            return Err(Refusal::new(404, "no state of this sequence"));
+            return Err(Refusal::new(404, "no KV state for this sequence"));
         }
         Ok(KvState {
             version: self.version.to_string(),
@@ -36,11 +36,11 @@
         })
     }
 
-    /// Takes state in as cache.
+    /// Adds KV state to the cache. Rejects state of another version.
     pub fn import_kv(&mut self, now_us: u64, state: &KvState) -> Result<(), Refusal> {
         self.catch_up(now_us);
         if self.model.is_none() || *state.version != *self.version {
-            return Err(Refusal::new(409, "state of another version"));
+            return Err(Refusal::new(409, "KV state belongs to another version"));
         }
         let block = self.settings.block_tokens.max(1);
         let prefix_blocks = state.prefix_tokens / block;
@@ -49,7 +49,7 @@
         if room {
             Ok(())
         } else {
-            Err(Refusal::new(429, "no memory for the state"))
+            Err(Refusal::new(429, "not enough memory for the KV state"))
         }
     }
 }
--- a/crates/standin/src/engine/model/orders.rs
+++ b/crates/standin/src/engine/model/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders, and loads of versions.
+//! Fenced orders and model version loads.
 
 use std::sync::Arc;
 
@@ -7,34 +7,27 @@
 
 use super::{EngineModel, Refusal};
 
-/// Where a load stands.
+/// Progress of a version load.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LoadPhase {
-    /// Nothing is being loaded.
+    /// No load in progress.
     None,
-    /// Running work ends first.
-    Draining {
-        /// What is to be loaded.
-        model: LoadedModel,
-    },
-    /// The shell asks the weight store how long the load takes.
-    Asking {
-        /// What is to be loaded.
-        model: LoadedModel,
-    },
-    /// The weights are being read.
+    /// Waits for running and waiting sequences to end.
+    Draining { model: LoadedModel },
+    /// Waits for the caller to query the weight store for the duration.
+    Asking { model: LoadedModel },
+    /// Reads the weights.
     Reading {
-        /// What is being loaded.
         model: LoadedModel,
-        /// When the load ends, microseconds.
+        /// End of the load, microseconds.
         until_us: u64,
-        /// How it ends.
+        /// Result of the load.
         outcome: Result<(), String>,
     },
 }
 
 impl LoadPhase {
-    /// Version being loaded.
+    /// The version being loaded.
     pub fn version(&self) -> Option<&str> {
         match self {
             LoadPhase::None => None,
@@ -46,7 +39,8 @@
 }
 
 impl EngineModel {
-    /// Applies a fenced order; a lower or equal (epoch, sequence) is refused.
+    /// Applies an order. Rejects one whose (epoch, sequence) is not greater than that of the last
+    /// applied order.
     pub fn order(&mut self, now_us: u64, order: &EngineOrder) -> Result<(), Refusal> {
         self.catch_up(now_us);
         let offered = OrderPosition {
@@ -54,7 +48,10 @@
             sequence: order.sequence,
         };
         if !admits(self.position, offered) {
-            return Err(Refusal::new(409, "a later order was applied"));
+            return Err(Refusal::new(
+                409,
+                "stale order: a later one was already applied",
+            ));
         }
         match &order.kind {
             OrderKind::SetAccepting { accepting } => self.accepting = *accepting,
@@ -72,7 +69,7 @@
         Ok(())
     }
 
-    /// Service and version that the shell is to ask the weight store for.
+    /// Service and version for which the caller must query the weight store.
     pub fn wanted_load(&self) -> Option<(&str, &str)> {
         match &self.load {
             LoadPhase::Asking { model } => Some((&model.service, &model.version)),
@@ -80,7 +77,7 @@
         }
     }
 
-    /// The weight store's answer: when the load ends, and how.
+    /// Sets the end time and result of the pending load, as reported by the weight store.
     pub fn set_load(&mut self, until_us: u64, outcome: Result<(), String>) {
         if let LoadPhase::Asking { model } = &self.load {
             self.load = LoadPhase::Reading {
@@ -91,7 +88,7 @@
         }
     }
 
-    /// When the load at hand ends, microseconds.
+    /// End of the load in progress, microseconds.
     pub(super) fn load_due(&self) -> Option<u64> {
         match &self.load {
             LoadPhase::Reading { until_us, .. } => Some(*until_us),
--- a/crates/standin/src/engine/model/schedule.rs
+++ b/crates/standin/src/engine/model/schedule.rs
@@ -1,10 +1,10 @@
-//! Entry, preemption and memory: greater priority first in everything.
+//! Admission, preemption and memory allocation; higher priorities come first.
 
 use super::{Effect, EngineModel};
 use crate::engine::sequence::{Sequence, insert_ordered};
 
 impl EngineModel {
-    /// Lets waiting sequences enter, in order, until one does not fit.
+    /// Admits waiting sequences in order until one does not fit.
     pub(super) fn schedule(&mut self) {
         while !self.waiting.is_empty() {
             if !self.make_room() {
@@ -16,7 +16,8 @@
         }
     }
 
-    /// Makes room for the first waiting sequence, by preemption of lower priorities if need be.
+    /// Makes room for the first waiting sequence, preempting lower priorities if needed. Returns
+    /// whether it can be admitted.
     fn make_room(&mut self) -> bool {
         let Some(first) = self.waiting.first() else {
             return false;
@@ -48,8 +49,8 @@
         true
     }
 
-    /// Blocks that a sequence would need beyond what can be taken. Cached blocks of its own count as
-    /// available: they are reused or evicted.
+    /// Blocks that a sequence needs beyond those available. Its own cached blocks count as
+    /// available: they are either reused or evicted.
     fn missing_blocks(&self, sequence: &Sequence) -> u32 {
         let (mut cached, mut pinned) = (0, 0);
         if sequence.prefix_blocks > 0 {
@@ -67,7 +68,7 @@
         (sequence.context() + 1).div_ceil(self.settings.block_tokens)
     }
 
-    /// Takes memory for a sequence that enters; what is cached of it need not be prefilled.
+    /// Allocates memory for an admitted sequence. Cached tokens are not prefilled again.
     fn take_memory(&mut self, sequence: &mut Sequence) {
         let block = self.settings.block_tokens;
         let needed = self.blocks_for(sequence);
@@ -78,7 +79,7 @@
         }
         let own_key = sequence.text.key();
         let own = self.memory.take_cached(own_key);
-        // State beyond the prefix is of use only while the prefix is there.
+        // Cached state after the prefix is usable only with the complete prefix.
         let whole_prefix = sequence.pinned_blocks == sequence.prefix_blocks;
         let still_needed = needed - sequence.pinned_blocks.min(needed);
         let reused = if whole_prefix {
@@ -89,13 +90,13 @@
         self.memory.give(own - reused);
         let fresh = still_needed - reused;
         if !self.memory.take(fresh) {
-            // `make_room` has checked that they are there.
-            debug_assert!(false, "no room for a sequence that may enter");
+            // `make_room` has checked that enough blocks are available.
+            debug_assert!(false, "no memory for an admitted sequence");
         }
         sequence.own_blocks = reused + fresh;
         let cached = (sequence.pinned_blocks + reused) * block;
         let context = sequence.context();
-        // The last token is always computed: it gives the next one.
+        // The last context token is always computed, since the next token is sampled from it.
         let cached = cached.min(context.saturating_sub(1));
         sequence.prefill_left = context - cached;
         if !sequence.ran {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Gives a sequence's memory back: what was computed stays as cache.
+    /// Releases the memory of a sequence; its computed whole blocks stay cached.
     pub(super) fn release(&mut self, sequence: &mut Sequence) {
         let computed = sequence.context().saturating_sub(sequence.prefill_left);
         let whole_blocks = computed / self.settings.block_tokens;
@@ -116,7 +117,7 @@
         sequence.own_blocks = 0;
     }
 
-    /// Frees a sequence's memory at once, for a higher priority.
+    /// Frees the memory of a preempted sequence without caching it.
     fn drop_memory(&mut self, sequence: &mut Sequence) {
         self.memory.give(sequence.own_blocks);
         self.unpin(sequence);
@@ -131,8 +132,8 @@
         sequence.pinned_blocks = 0;
     }
 
-    /// Preempts the running sequence of lowest priority, the newest of these: it leaves the memory
-    /// and waits to be prefilled again.
+    /// Preempts the newest running sequence of the lowest priority. Its memory is freed, and it is
+    /// queued to be prefilled again.
     pub(super) fn preempt_last(&mut self) {
         let Some(mut sequence) = self.running.pop() else {
             return;
@@ -145,8 +146,8 @@
         insert_ordered(&mut self.waiting, sequence);
     }
 
-    /// Blocks for the next tokens of running sequences, highest priority first; where there are
-    /// none, the last of the order is preempted.
+    /// Allocates blocks for the next token of each running sequence, highest priority first.
+    /// Preempts the last sequence in that order when memory runs out.
     pub(super) fn grow(&mut self) {
         let block = self.settings.block_tokens;
         let mut index = 0;
@@ -163,7 +164,8 @@
         }
     }
 
-    /// A sequence has prefilled its context: its shared prefix can be used by others.
+    /// Shares the prefix of a sequence that has prefilled its context. Returns the key and length in
+    /// blocks if it was shared.
     pub(super) fn share_prefix(&mut self, index: usize) -> Option<(u64, u32)> {
         let sequence = &mut self.running[index];
         let missing = sequence.prefix_blocks - sequence.pinned_blocks;
@@ -172,7 +174,8 @@
         }
         sequence.own_blocks -= missing;
         let (key, blocks) = (sequence.prefix_key, sequence.prefix_blocks);
-        // Others may have shared more since this one entered: count what is new.
+        // Other sequences may have extended the prefix since this one was admitted, so only the
+        // blocks beyond theirs are added.
         let there = self.memory.pinned(key);
         if there < sequence.pinned_blocks {
             sequence.own_blocks += missing;
@@ -186,7 +189,7 @@
         Some((key, blocks))
     }
 
-    /// Ends streams that nobody has read for the grace.
+    /// Ends streams that have had no reader for the grace period.
     pub(super) fn abandon_unread(&mut self, now_us: u64, effects: &mut Vec<Effect>) {
         let grace = self.settings.detach_grace_ms.saturating_mul(1_000);
         let all = self.running.iter().chain(self.waiting.iter());
--- a/crates/standin/src/engine/model/step.rs
+++ b/crates/standin/src/engine/model/step.rs
@@ -1,4 +1,4 @@
-//! Steps: continuous batching, one step at a time.
+//! Engine steps with continuous batching.
 
 use rand::Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -8,14 +8,14 @@
 use crate::engine::meter::StepShape;
 use crate::engine::settings::EngineModelSettings;
 
-/// Lateness of the shell up to which steps keep their exact times, microseconds.
+/// Driver lateness up to which the next step begins at its scheduled time, microseconds.
 const TOLERATED_LATENESS_US: u64 = 20_000;
-/// Weight of the newest step in the smoothed step time.
+/// Weight of the newest step in the moving average of the step time.
 const STEP_WEIGHT: f64 = 0.1;
 
 impl EngineModel {
-    /// Ends the steps that are due and begins the next one. Returns when to call again; `None`
-    /// when nothing is to be done before the next call.
+    /// Ends the steps that are due and begins the next one. Returns the time of the next call;
+    /// `None` if the engine is idle until it receives a request or order.
     pub fn advance(&mut self, now_us: u64, effects: &mut Vec<Effect>) -> Option<u64> {
         loop {
             match self.step {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The engine stood still until now: the step at hand ends now, and the time counts neither as
-    /// idle nor as lateness of the machine.
+    /// Resumes after a hang. A step that was due during the hang ends now, and the time of the hang
+    /// counts neither as idle nor as driver lateness.
     pub fn resume_after_hang(&mut self, now_us: u64) {
         self.idle_since_us = now_us;
         if let Some(step) = &mut self.step {
@@ -78,7 +78,7 @@
         });
     }
 
-    /// Shares the step's prefill tokens out, highest priority first.
+    /// Distributes the step's prefill budget, highest priority first. Returns the tokens used.
     fn assign_prefill(&mut self) -> u32 {
         let mut left = self.settings.maximum_prefill_tokens;
         for sequence in &mut self.running {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts the step for each online sequence that waits while batch is served.
+    /// Counts the step for each online sequence that waits while batch sequences are served.
     fn count_waits(&mut self) {
         let batch = || self.running.iter().filter(|sequence| !sequence.online);
         let batch_prefills = batch().any(|sequence| sequence.prefill_now > 0);
@@ -137,8 +137,8 @@
         shape
     }
 
-    /// The batch width that the definition of idle capacity allows for the sequences now in the
-    /// engine, with a step of usual length: what the best policy would keep to.
+    /// Batch width that the definition of idle capacity allows beside the current sequences, for a
+    /// step of mean length.
     pub fn allowed_batch(&self) -> u32 {
         let usual_ms = self.settings.usual_base_ms();
         self.meter.allowed_width(&self.shape(usual_ms))
@@ -176,7 +176,7 @@
         self.publish_evictions(now_us);
     }
 
-    /// What the step did for one sequence; `true` when it made a token.
+    /// Applies the step to one sequence; returns `true` if it produced a token.
     fn compute(&mut self, now_us: u64, index: usize, effects: &mut Vec<Effect>) -> bool {
         let sequence = &mut self.running[index];
         if sequence.prefill_left > 0 {
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Takes the samples and publishes the reports that were due while the state did not change.
+    /// Takes the samples and publishes the reports that have become due since the last change.
     pub(super) fn catch_up(&mut self, now_us: u64) {
         loop {
             let next = self.next_report_us.min(self.next_sample_us);
--- a/crates/standin/src/engine/model/streams.rs
+++ b/crates/standin/src/engine/model/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: attached to, left, cancelled, finished, and remembered for a while.
+//! Stream lifecycle: attach, detach, cancel, finish.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::engine::sequence::{Sequence, StreamNumber};
 use crate::engine::settings::EngineModelSettings;
 
-/// The end of a stream, kept for a while so that it can be attached to.
+/// A finished stream, kept for a grace period so that callers can still attach to it.
 #[derive(Debug)]
 pub(super) struct FinishedStream {
     at_us: u64,
@@ -21,7 +21,7 @@
 }
 
 impl EngineModel {
-    /// Attaches a call to its stream while that lives, or to its end while that is remembered.
+    /// Attaches a call to its stream if that is live or among the finished streams still kept.
     pub(super) fn attach(
         &mut self,
         stream: StreamNumber,
@@ -72,13 +72,13 @@
         Some(ended.started.clone())
     }
 
-    /// Cancels a stream; `false` when it does not live.
+    /// Cancels a stream; `false` if it is not live.
     pub fn cancel(&mut self, now_us: u64, stream: StreamNumber, effects: &mut Vec<Effect>) -> bool {
         self.catch_up(now_us);
         self.remove(now_us, stream, RunEnd::Cancelled, effects)
     }
 
-    /// The reader of a stream was lost: the stream goes on for the grace.
+    /// Records that a stream lost its reader. The stream continues for the grace period.
     pub fn detach(&mut self, now_us: u64, stream: StreamNumber) {
         let mut living = self.running.iter_mut().chain(self.waiting.iter_mut());
         if let Some(sequence) = living.find(|sequence| sequence.stream == stream) {
@@ -105,7 +105,8 @@
         true
     }
 
-    /// Ends a sequence that is in no list any more: its memory becomes cache, its reader is told.
+    /// Finishes a sequence that was removed from its queue: caches its memory and sends the reader
+    /// the remaining tokens and the end.
     pub(super) fn finish(
         &mut self,
         now_us: u64,
@@ -164,7 +165,7 @@
     }
 }
 
-/// Sends the tokens of a sequence that were not sent yet.
+/// Sends the tokens of a sequence that have not been sent yet.
 pub(super) fn emit(sequence: &mut Sequence, effects: &mut Vec<Effect>) {
     if sequence.emitted < sequence.produced {
         effects.push(Effect {
--- a/crates/standin/src/engine/probe.rs
+++ b/crates/standin/src/engine/probe.rs
@@ -1,22 +1,21 @@
-//! How soon batch is out of the way of an online burst.
+//! Measures how soon batch yields to online bursts.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// Histogram of how soon batch was out of the way of online bursts.
+/// Histograms of the time until batch yielded to online bursts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct YieldProbe {
-    /// Bursts by engine steps until the batch width was allowed.
+    /// Bursts by the number of engine steps until batch had yielded.
     pub steps: BTreeMap<u32, u64>,
-    /// Bursts by milliseconds, rounded up.
+    /// Bursts by milliseconds until batch had yielded, rounded up.
     pub milliseconds: BTreeMap<u64, u64>,
     /// Bursts that ended before batch had yielded.
     pub never: u64,
 }
 
 impl YieldProbe {
-    /// Adds the bursts of another probe.
     pub fn merge(&mut self, other: &YieldProbe) {
         for (steps, bursts) in &other.steps {
             *self.steps.entry(*steps).or_default() += bursts;
@@ -28,7 +27,7 @@
     }
 }
 
-/// A probe with the burst that it follows at present.
+/// Tracks the current burst and collects the histograms.
 #[derive(Debug, Default)]
 pub(super) struct Prober {
     open: Option<Burst>,
@@ -42,7 +41,6 @@
 }
 
 impl Prober {
-    /// A burst begins.
     pub(super) fn burst_begins(&mut self, now_us: u64) {
         self.open = Some(Burst {
             since_us: now_us,
@@ -50,14 +48,14 @@
         });
     }
 
-    /// A step ended.
+    /// Counts a step of the current burst.
     pub(super) fn step_ended(&mut self) {
         if let Some(burst) = &mut self.open {
             burst.steps += 1;
         }
     }
 
-    /// The batch is not wider than allowed.
+    /// Records that the batch is no wider than allowed, which completes the current burst.
     pub(super) fn yielded(&mut self, now_us: u64) {
         let Some(burst) = self.open.take() else {
             return;
@@ -67,7 +65,7 @@
         *self.seen.milliseconds.entry(waited_ms).or_default() += 1;
     }
 
-    /// The last online sequence has gone.
+    /// Ends the current burst; it counts as `never` if batch has not yielded.
     pub(super) fn burst_ends(&mut self) {
         if self.open.take().is_some() {
             self.seen.never += 1;
--- a/crates/standin/src/engine/record.rs
+++ b/crates/standin/src/engine/record.rs
@@ -1,49 +1,48 @@
-//! What an engine truly ran: judged outside the product.
+//! Records of the attempts that an engine ran, used to verify the product from outside.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use serde::Serialize;
 
-/// One attempt as the engine saw it. Times are microseconds since the host started.
+/// One attempt. Times are microseconds since the host started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RunRecord {
     /// Server id.
     pub server: Arc<str>,
-    /// Request id.
     pub request_id: Arc<str>,
-    /// Attempt.
+    /// Attempt number.
     pub attempt: u32,
-    /// Stream.
+    /// Stream number.
     pub stream: u64,
-    /// Whether it was online work.
+    /// Whether it is online work.
     pub online: bool,
-    /// Priority.
+    /// Priority of the call.
     pub priority: u8,
     /// When the call arrived.
     pub arrived_us: u64,
-    /// When its first step began; `None` when nothing of it ran.
+    /// Start of its first step; `None` if it took part in none.
     pub started_us: Option<u64>,
-    /// When its first token was made.
+    /// When its first token was produced.
     pub first_token_us: Option<u64>,
-    /// When it ended, in whatever way.
+    /// When it ended.
     pub ended_us: Option<u64>,
-    /// How it ended; `None` while it lives.
+    /// How it ended; `None` while it is live.
     pub end: Option<RunEnd>,
-    /// First token of this attempt.
+    /// Offset of the first token of this attempt.
     pub from: u32,
-    /// Token after the last one made.
+    /// Offset after the last token produced.
     pub to: u32,
-    /// It was resumed from an offset.
+    /// Whether it resumed from an offset.
     pub resumed: bool,
-    /// How often a caller attached to it.
+    /// Number of times that a caller attached to it.
     pub attached: u32,
-    /// How often it lost its place to a higher priority.
+    /// Number of preemptions.
     pub preempted: u32,
-    /// Steps that an online sequence waited for its first one while batch sequences took part, or
-    /// took prefill that it could have had.
+    /// Steps before its first one, if it is online, in which it waited beside running batch
+    /// sequences or got no prefill tokens while batch did.
     pub steps_behind_batch: u32,
-    /// Version that answered.
+    /// Version that generated the answer.
     pub version: Arc<str>,
 }
 
@@ -51,17 +50,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// The answer is whole.
+    /// The answer is complete.
     Finished,
-    /// Cancelled by a call.
+    /// Cancelled by a caller.
     Cancelled,
-    /// Cancelled since nobody read it for the grace.
+    /// Cancelled because it had no reader for the grace period.
     Abandoned,
-    /// Lost with its engine.
+    /// Lost when the engine was killed.
     Lost,
 }
 
-/// Records of one engine, bounded.
+/// Bounded list of the records of one engine.
 #[derive(Debug)]
 pub struct Records {
     kept: VecDeque<RunRecord>,
@@ -70,7 +69,7 @@
 }
 
 impl Records {
-    /// No records yet.
+    /// Creates an empty list of at most `maximum` records.
     pub fn new(maximum: usize) -> Records {
         Records {
             kept: VecDeque::new(),
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Adds a record and returns its place.
+    /// Adds a record, dropping the oldest one when full. Returns the position of the new record.
     pub fn add(&mut self, record: RunRecord) -> u64 {
         if self.kept.len() == self.maximum {
             self.kept.pop_front();
@@ -89,7 +88,7 @@
         self.first + self.kept.len() as u64 - 1
     }
 
-    /// Changes the record at a place, unless it was dropped.
+    /// Modifies the record at a position, unless it was dropped.
     pub fn change(&mut self, place: u64, change: impl FnOnce(&mut RunRecord)) {
         let index = place.checked_sub(self.first);
         if let Some(record) = index.and_then(|index| self.kept.get_mut(index as usize)) {
@@ -102,7 +101,7 @@
         self.kept.iter().cloned().collect()
     }
 
-    /// Records dropped since the bound was reached.
+    /// Number of records dropped because of the limit.
     pub fn dropped(&self) -> u64 {
         self.first
     }
--- a/crates/standin/src/engine/reports.rs
+++ b/crates/standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! Publication of an engine's reports and cache events: late, and events with gaps.
+//! Delayed publication of an engine's reports and cache events, with loss of events.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Most cache events kept for late readers.
+/// Maximum number of cache events kept for readers.
 const MAXIMUM_CACHE_EVENTS: usize = 4_096;
 
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     item: T,
 }
 
-/// Reports and cache events on their way to readers.
+/// Published reports and cache events, including those not delivered yet.
 #[derive(Debug)]
 pub(super) struct Publication {
     reports: VecDeque<Delayed<EngineReport>>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Publishes a report; it is delivered after a random delay.
+    /// Publishes a report with a random delivery delay of at most `delay_us`.
     pub(super) fn report(
         &mut self,
         now_us: u64,
@@ -58,7 +58,7 @@
         self.forget_superseded(now_us);
     }
 
-    /// The newest report that has been delivered.
+    /// The newest delivered report.
     pub(super) fn latest(&mut self, now_us: u64) -> Option<EngineReport> {
         self.forget_superseded(now_us);
         let newest = self
@@ -72,7 +72,7 @@
         Some(report)
     }
 
-    /// Drops reports older than one that has been delivered.
+    /// Drops reports older than the newest delivered one.
     fn forget_superseded(&mut self, now_us: u64) {
         let newest = self
             .reports
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Publishes a cache event; some are lost, and leave a gap in the numbers.
+    /// Publishes a cache event. A lost event leaves a gap in the sequence numbers.
     pub(super) fn cache_event(
         &mut self,
         now_us: u64,
@@ -110,8 +110,8 @@
         });
     }
 
-    /// Delivered cache events after a number, in order. An event that is still on its way holds
-    /// back those after it.
+    /// Delivered cache events with a sequence number greater than `after`, in order. An event that
+    /// is not delivered yet holds back later ones.
     pub(super) fn cache_events(&self, now_us: u64, after: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
--- a/crates/standin/src/engine/sequence.rs
+++ b/crates/standin/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! One sequence of an engine.
+//! Sequences of an engine and their order.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -7,78 +7,76 @@
 
 use crate::text::TextSource;
 
-/// Number of a stream within its engine; not reused.
+/// Number of a stream, unique within its engine across restarts.
 pub type StreamNumber = u64;
 
-/// One sequence, waiting or running.
+/// A waiting or running sequence.
 #[derive(Debug, Clone)]
 pub struct Sequence {
-    /// Its stream.
     pub stream: StreamNumber,
-    /// Request id.
     pub request_id: Arc<str>,
-    /// Priority that it is served with.
+    /// Priority used for scheduling.
     pub priority: Priority,
     /// Whether it is online work.
     pub online: bool,
-    /// Text of the answer.
+    /// Source of the answer text.
     pub text: TextSource,
     /// Prompt length, tokens.
     pub prompt_tokens: u32,
-    /// Key and length in blocks of the shared prefix; 0 blocks for none.
+    /// Cache key of the shared prefix.
     pub prefix_key: u64,
-    /// Blocks of the shared prefix.
+    /// Length of the shared prefix in blocks; 0 for none.
     pub prefix_blocks: u32,
-    /// Length of the whole answer and why it ends there.
+    /// Length of the complete answer, tokens.
     pub target: u32,
-    /// "stop" or "length".
+    /// Finish reason: "stop" or "length".
     pub reason: &'static str,
-    /// First token of this attempt.
+    /// Offset of the first token of this attempt.
     pub from: u32,
-    /// Tokens of the answer made so far, those of earlier attempts included.
+    /// Tokens of the answer produced so far, those of earlier attempts included.
     pub produced: u32,
-    /// First token not yet sent.
+    /// Offset of the first token not sent yet.
     pub emitted: u32,
-    /// Tokens are sent as they come.
+    /// Whether tokens are sent as they are produced.
     pub streaming: bool,
     /// Context tokens still to be prefilled.
     pub prefill_left: u32,
-    /// Prefill tokens in the step at hand.
+    /// Prefill tokens in the current step.
     pub prefill_now: u32,
-    /// Context tokens found in the cache at the first entry.
+    /// Context tokens found in the cache when it was last admitted before its first step.
     pub cached_tokens: u32,
-    /// Blocks that only this sequence uses.
+    /// Blocks owned by this sequence.
     pub own_blocks: u32,
-    /// Blocks of the shared prefix that it uses.
+    /// Blocks of the pinned shared prefix that it uses.
     pub pinned_blocks: u32,
-    /// Whether it counts among the users of the shared prefix.
+    /// Whether it holds a pin on the shared prefix.
     pub pins: bool,
-    /// Whether any step of it ran.
+    /// Whether it took part in any step.
     pub ran: bool,
-    /// Place of its record.
+    /// Position of its record.
     pub record: u64,
-    /// Since when nobody reads it, microseconds.
+    /// When it lost its reader, microseconds.
     pub detached_at: Option<u64>,
 }
 
 impl Sequence {
-    /// Place in the order of entry: greater priority first, then arrival.
+    /// Scheduling order: higher priority first, then arrival.
     pub fn rank(&self) -> (Reverse<Priority>, StreamNumber) {
         (Reverse(self.priority), self.stream)
     }
 
-    /// Prompt and answer so far, tokens.
+    /// Length of the prompt and the answer so far, tokens.
     pub fn context(&self) -> u32 {
         self.prompt_tokens + self.produced
     }
 
-    /// Blocks that it holds.
+    /// Number of blocks used, owned and pinned.
     pub fn blocks(&self) -> u32 {
         self.own_blocks + self.pinned_blocks
     }
 }
 
-/// Inserts a sequence at its place in an ordered list.
+/// Inserts a sequence into a list in scheduling order.
 pub(super) fn insert_ordered(list: &mut Vec<Sequence>, sequence: Sequence) {
     let place = list.partition_point(|other| other.rank() < sequence.rank());
     list.insert(place, sequence);
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -1,64 +1,64 @@
-//! Settings of hollow engines; the defaults are those of the experiments' cost model.
+//! Settings of simulated engines; the defaults are the cost model of the experiments.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-/// What steps, memory, reports and loads of an engine cost.
+/// Cost model, limits and timing of a simulated engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineModelSettings {
     /// Time of a step without sequences, milliseconds.
     pub base_ms: f64,
-    /// Sigma of the log-normal noise on the base.
+    /// Sigma of the log-normal noise on the base time.
     pub noise_sigma: f64,
     /// Share of steps that are slow.
     pub slow_step_share: f64,
-    /// How many times the base a slow step takes.
+    /// Factor by which the base time of slow steps is longer.
     pub slow_step_factor: f64,
-    /// Time for each running sequence in a step, milliseconds.
+    /// Step time per running sequence, milliseconds.
     pub per_sequence_ms: f64,
-    /// Time for each prefilled token in a step, milliseconds.
+    /// Step time per prefilled token, milliseconds.
     pub per_prefill_token_ms: f64,
-    /// Most prefilled tokens in a step.
+    /// Maximum number of prefilled tokens per step.
     pub maximum_prefill_tokens: u32,
-    /// Most running sequences.
+    /// Maximum number of running sequences.
     pub maximum_sequences: u32,
-    /// Most waiting sequences; more are refused.
+    /// Maximum number of waiting sequences; further calls are rejected.
     pub maximum_waiting: u32,
-    /// Tokens in a KV block.
+    /// Tokens per KV block.
     pub block_tokens: u32,
     /// KV memory, tokens.
     pub memory_tokens: u32,
     /// Time between reports, milliseconds.
     pub report_interval_ms: u64,
-    /// Longest delay of a report's delivery, milliseconds.
+    /// Maximum delivery delay of reports, milliseconds.
     pub report_delay_ms: u64,
-    /// Longest delay of a cache event, milliseconds.
+    /// Maximum delivery delay of cache events, milliseconds.
     pub cache_event_delay_ms: u64,
     /// Share of cache events that are lost.
     pub cache_event_loss: f64,
-    /// How long a stream whose connection was lost goes on, milliseconds.
+    /// Time that a stream continues after its connection was lost, milliseconds.
     pub detach_grace_ms: u64,
-    /// How long the end of a finished stream can still be attached to, milliseconds.
+    /// Time that callers can still attach to a finished stream, milliseconds.
     pub finished_grace_ms: u64,
-    /// Slowdown of online steps that the idle capacity is reckoned with, percent.
+    /// Slowdown of online steps that the definition of idle capacity allows, percent.
     pub online_slowdown_percent: f64,
-    /// Memory that a batch sequence is reckoned with while none runs, tokens.
+    /// Initial estimate of the memory of a batch sequence, tokens.
     pub typical_batch_tokens: u32,
-    /// Time between samples of widths, milliseconds.
+    /// Time between batch size samples, milliseconds.
     pub sample_interval_ms: u64,
-    /// Online arrivals after this long without online work are probed for how soon batch yields,
-    /// milliseconds.
+    /// Time without online work after which the next online arrival counts as a burst in the yield
+    /// probes, milliseconds.
     pub probe_quiet_ms: u64,
-    /// Most records kept for each engine; older ones are dropped and counted.
+    /// Maximum number of records per engine; older ones are dropped and counted.
     pub maximum_records: usize,
-    /// Time to move a token's KV state out of or into an engine, microseconds.
+    /// Time to export or import the KV state of a token, microseconds.
     pub kv_transfer_us_per_token: u64,
-    /// All sequences are served in order of arrival: for experiments that compare with an engine
-    /// without priorities. Which work is online is still told by the priority of the call.
+    /// Serves all sequences in order of arrival, to compare with engines without priorities. The
+    /// priority of the call still determines what counts as online work.
     pub ignore_priority: bool,
-    /// Time to load a version when the weight store gives no time, milliseconds.
+    /// Duration of loads without a weight source and of failed loads, milliseconds.
     pub load_ms: u64,
     /// Versions whose load fails.
     pub broken_versions: BTreeSet<String>,
@@ -98,31 +98,31 @@
 }
 
 impl EngineModelSettings {
-    /// KV blocks of an engine.
+    /// Number of KV blocks.
     pub fn total_blocks(&self) -> u32 {
         self.memory_tokens / self.block_tokens.max(1)
     }
 
-    /// Mean time of a step without sequences, its noise and the slow steps included, milliseconds.
+    /// Mean time of a step without sequences, with noise and slow steps included, milliseconds.
     pub fn usual_base_ms(&self) -> f64 {
         let noise = (self.noise_sigma * self.noise_sigma / 2.0).exp();
         let slow = 1.0 + self.slow_step_share * (self.slow_step_factor - 1.0);
         self.base_ms * noise * slow
     }
 
-    /// Microseconds of some milliseconds.
+    /// Converts milliseconds to microseconds.
     pub(crate) fn micros(milliseconds: u64) -> u64 {
         milliseconds.saturating_mul(1_000)
     }
 }
 
-/// One engine of a host.
+/// Configuration of one engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSpec {
     /// Server id; the engine is served under `/engines/{server}`.
     pub server: String,
-    /// Service.
+    /// Service that it serves.
     pub service: String,
     /// Version loaded at start.
     pub version: String,
@@ -132,7 +132,7 @@
     /// Cost model.
     #[serde(default)]
     pub model: EngineModelSettings,
-    /// Seed of its noise.
+    /// Seed of its random number generator.
     #[serde(default)]
     pub seed: u64,
 }
--- a/crates/standin/src/engine/slot.rs
+++ b/crates/standin/src/engine/slot.rs
@@ -1,6 +1,8 @@
-//! One engine of a host: its state machine, the readers of its streams, and its past lives.
+//! One engine of a host: its state machine, the readers of its streams, and the state machines from
+//! before restarts.
 //!
-//! Calls and the driver come in here; `experiment` holds what only experiments do.
+//! HTTP handlers and drivers call into this module; `experiment` has the operations that only tests
+//! and experiments use.
 
 mod experiment;
 
@@ -20,28 +22,28 @@
 use super::sequence::StreamNumber;
 use super::settings::EngineSpec;
 
-/// Most orders kept for the checker.
+/// Maximum number of orders recorded for the invariant checker.
 const MAXIMUM_ORDERS: usize = 10_000;
 
-/// What a reader of a stream is given.
+/// Message to the reader of a stream.
 #[derive(Debug)]
 pub(super) enum Delivery {
     /// Output of the stream.
     Output(Output),
-    /// The engine was lost: the connection breaks.
+    /// The engine was killed; the reader aborts the connection.
     EngineLost,
 }
 
-/// Why a call got no answer.
+/// Why a call failed.
 #[derive(Debug)]
 pub(super) enum CallError {
     /// The host has no such engine.
     NoSuchEngine,
-    /// The engine is dead: the connection breaks.
+    /// The engine was killed; the connection is aborted.
     Dead,
-    /// The engine hangs: the call waits.
+    /// The engine hangs; the call waits until it resumes.
     Hung,
-    /// The engine refused.
+    /// The engine rejected the call.
     Refused(Refusal),
 }
 
@@ -72,7 +74,7 @@
     life: Mutex<Life>,
 }
 
-/// The reader of a stream. Dropped before the stream's end, it leaves the stream detached.
+/// Reader of a stream. Detaches the stream if dropped before its end.
 pub(super) struct Reader {
     pub(super) started: Started,
     pub(super) deliveries: UnboundedReceiver<Delivery>,
@@ -124,7 +126,7 @@
         &self.spec.server
     }
 
-    /// Takes a call in and gives the reader of its stream.
+    /// Starts a call and returns the reader of its stream.
     pub(super) fn generate(self: &Arc<Self>, call: &GenerateCall) -> Result<Reader, CallError> {
         let mut life = self.life.lock();
         let now_us = self.now_us();
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Cancels a stream; `Ok(false)` when it does not live.
+    /// Cancels a stream; `Ok(false)` if it is not live.
     pub(super) fn cancel(&self, name: &str) -> Result<bool, CallError> {
         let mut life = self.life.lock();
         let now_us = self.now_us();
@@ -212,7 +214,7 @@
         imported.map_err(CallError::Refused)
     }
 
-    /// How long it takes to move KV state of some tokens.
+    /// Time to transfer the KV state of `tokens` tokens.
     pub(super) fn transfer_time(&self, tokens: u32) -> Duration {
         let each_us = self.spec.model.kv_transfer_us_per_token;
         Duration::from_micros(each_us.saturating_mul(tokens.into()))
@@ -242,7 +244,8 @@
         result.map_err(CallError::Refused)
     }
 
-    /// Called by the driver when `due_us` has come. Returns the next time.
+    /// Advances the engine; called by the driver at `due_us`. Returns the next due time, `None` if
+    /// the engine was rescheduled in the meantime or is idle.
     pub(super) fn advance(&self, due_us: u64) -> Option<u64> {
         let mut life = self.life.lock();
         if life.due_us != Some(due_us) {
@@ -280,11 +283,11 @@
         life.deliver();
     }
 
-    /// How long a load takes, microseconds, and how it ends.
+    /// Queries the duration, microseconds, and the result of a load.
     fn ask_weights(&self, service: &str, version: &str) -> (u64, Result<(), String>) {
         let usual_us = self.spec.model.load_ms.saturating_mul(1_000);
         if self.spec.model.broken_versions.contains(version) {
-            return (usual_us, Err(format!("{version} is broken")));
+            return (usual_us, Err(format!("weights of {version} are broken")));
         }
         let Some(weights) = &self.weights else {
             return (usual_us, Ok(()));
@@ -297,7 +300,7 @@
 }
 
 impl Life {
-    /// The engine, if it answers calls.
+    /// The engine, unless it was killed or hangs.
     fn answering(&mut self) -> Result<&mut EngineModel, CallError> {
         match &mut self.model {
             None => Err(CallError::Dead),
@@ -312,7 +315,7 @@
             let Some(sink) = self.sinks.get(&effect.stream) else {
                 continue;
             };
-            // A reader that has gone detaches the stream when it is dropped.
+            // Sending fails if the reader was dropped, which has detached the stream.
             let _ = sink.sender.send(Delivery::Output(effect.output));
             if ends {
                 self.sinks.remove(&effect.stream);
--- a/crates/standin/src/engine/slot/experiment.rs
+++ b/crates/standin/src/engine/slot/experiment.rs
@@ -1,4 +1,4 @@
-//! What experiments do with an engine past its interface: faults in, records out.
+//! Fault injection and access to records, for tests and experiments.
 
 use super::{Delivery, Slot};
 use crate::engine::host::OrderRecord;
@@ -15,11 +15,11 @@
         let set = |model: &mut EngineModel, _| {
             model.set_publication_faults(extra_delay_us, events_dropped);
         };
-        // A dead engine publishes nothing anyway.
+        // Has no effect on a killed or hanging engine.
         let _ = self.with_model(set);
     }
 
-    /// The engine dies: its readers lose their connections, its state is gone.
+    /// Kills the engine: drops its state and aborts the connections of its readers.
     pub(in crate::engine) fn kill(&self) {
         let mut life = self.life.lock();
         let now_us = self.now_us();
@@ -32,12 +32,12 @@
         life.hung = false;
         life.due_us = None;
         for (_, sink) in life.sinks.drain() {
-            // A reader that has gone needs no word.
+            // Sending fails if the reader was dropped.
             let _ = sink.sender.send(Delivery::EngineLost);
         }
     }
 
-    /// A new engine starts in the place of a dead one.
+    /// Restarts a killed engine with empty state.
     pub(in crate::engine) fn revive(&self) {
         let mut life = self.life.lock();
         if life.model.is_none() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The engine stands still and answers nothing, or goes on where it stood.
+    /// Makes the engine hang, or resumes it.
     pub(in crate::engine) fn set_hung(&self, hung: bool) {
         let mut life = self.life.lock();
         let was_hung = life.hung;
@@ -84,7 +84,7 @@
         self.life.lock().orders.clone()
     }
 
-    /// Reads the meters of all lives of the engine, oldest first.
+    /// Calls `read` with the meters of the engine, those before restarts included, oldest first.
     pub(in crate::engine) fn with_meters<R>(&self, read: impl FnOnce(&[&Meter]) -> R) -> R {
         let mut life = self.life.lock();
         let now_us = self.now_us();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins of what the platform gives: model engines, tables, objects, weights, machine list.
+//! Simulated inference engines and platform services, for tests and experiments.
 //!
-//! They take the platform's place in experiments and tests. [`engine::EngineHost`] runs many hollow
-//! engines in one process, [`platform::PlatformStandIn`] the platform's services; both speak the
-//! same HTTP as the real ones and give a handle with faults, and with direct access to what
-//! happened for the invariants' checker. [`text`] is the one place that says what an engine answers.
+//! [`engine::EngineHost`] runs many simulated engines in one process; [`platform::PlatformStandIn`]
+//! runs the table service, object store, weight store and machine list. Both serve the same HTTP
+//! interface as the real services and return a handle for fault injection and for reading their
+//! state and records directly. [`text`] generates the text that an engine answers with.
 
 pub mod control;
 pub mod engine;
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! What can be made to go wrong with the platform's services.
+//! Fault injection for the simulated platform services.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// One of the services.
+/// A platform service that faults can be injected into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Service {
     /// Table service.
@@ -19,37 +19,37 @@
 
 const SERVICES: usize = 3;
 
-/// Faults of one service at present. The default is none.
+/// Faults injected into one service. The default is none.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Fault {
-    /// Every call is refused with 503: nothing is changed, and the caller knows.
+    /// Calls are rejected with 503 before they are handled.
     pub refusing: bool,
-    /// Every connection breaks before the call is looked at: nothing is changed, and the caller
-    /// cannot know.
+    /// Connections are aborted before the call is handled. Unlike a rejected call, its outcome is
+    /// unknown to the caller.
     pub unreachable: bool,
-    /// Each call takes this much longer before it is looked at.
+    /// Additional delay before a call is handled.
     pub delay: Duration,
-    /// Share of calls whose answer is lost after the change took effect, 0 to 1.
+    /// Share of calls that are handled but whose response is dropped, 0 to 1.
     pub answer_lost: f64,
 }
 
-/// What is to be done with one call.
+/// How to treat one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fate {
-    /// Refuse with 503.
+    /// Reject with 503.
     Refuse,
-    /// Break the connection.
+    /// Abort the connection.
     Break,
-    /// Handle it, after a delay, and perhaps lose the answer.
+    /// Handle the call.
     Handle {
-        /// Delay.
+        /// Additional delay before the call is handled.
         delay: Duration,
-        /// Lose the answer.
+        /// Drop the response after the call is handled.
         lose_answer: bool,
     },
 }
 
-/// Faults of all services.
+/// Faults of all services, with the generator for probabilistic ones.
 pub(super) struct Faults {
     state: Mutex<([Fault; SERVICES], ChaCha8Rng)>,
 }
@@ -66,7 +66,7 @@
         self.state.lock().0[service as usize] = fault;
     }
 
-    /// Decides what becomes of one call.
+    /// Selects how to treat the next call of a service.
     pub(super) fn fate(&self, service: Service) -> Fate {
         let (faults, rng) = &mut *self.state.lock();
         let fault = faults[service as usize];
--- a/crates/standin/src/platform/host.rs
+++ b/crates/standin/src/platform/host.rs
@@ -1,4 +1,4 @@
-//! The platform's services in one process, and the handle for experiments.
+//! Runs the simulated platform services and provides a handle to control them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use crate::engine::host::WeightSource;
 use crate::server::{self, RunningServer};
 
-/// State of all services. Each lock is taken alone.
+/// State of all services. No two of its locks are held at the same time.
 pub(super) struct State {
     started: Instant,
     settings: PlatformStandInSettings,
@@ -63,7 +63,7 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    /// Usual time of a call.
+    /// Configured latency of a call.
     pub(super) fn latency(&self, service: Service) -> Duration {
         let milliseconds = match service {
             Service::Tables => self.settings.table_latency_ms,
@@ -73,7 +73,7 @@
         Duration::from_millis(milliseconds)
     }
 
-    /// Whether the service's rate allows a call now; else when to come back, milliseconds.
+    /// Checks the rate limit of a service. The error is the time to wait, milliseconds.
     pub(super) fn admit(&self, service: Service) -> Result<(), u32> {
         let now_us = self.now_us();
         match service {
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Applies a transaction and wakes the readers of the feed.
+    /// Applies a transaction and notifies readers that wait for changes.
     pub(super) fn transact(&self, transaction: Transaction) -> Result<u64, StoreError> {
         let revision = self.tables.lock().transact(transaction)?;
         self.revision.send_replace(revision);
         Ok(revision)
     }
 
-    /// Changes after a revision; waits for one.
+    /// Changes under a prefix after a revision. Waits up to `wait` if there are none (long polling).
     pub(super) async fn changes(&self, prefix: &str, after: u64, wait: Duration) -> Changes {
         let mut revision = self.revision.subscribe();
         let deadline = tokio::time::Instant::now() + wait;
@@ -108,18 +108,18 @@
         }
     }
 
-    /// The machine list as readers see it.
+    /// The machine list as clients see it, delayed by the lag.
     pub(super) fn machines_seen(&self) -> Vec<Machine> {
         let now_us = self.now_us();
         self.machines.lock().seen(now_us)
     }
 }
 
-/// Starts the platform's stand-in.
+/// Starts the simulated platform services.
 pub struct PlatformStandIn;
 
 impl PlatformStandIn {
-    /// Starts the services on threads of their own; no runtime is needed where this is called.
+    /// Starts the services on their own threads; the caller needs no runtime.
     pub fn start(settings: PlatformStandInSettings) -> std::io::Result<PlatformHandle> {
         let listen = settings.listen.clone();
         let workers = settings.workers.max(1);
@@ -146,7 +146,8 @@
     }
 }
 
-/// A running stand-in: faults, and direct access to rows, objects and counts. Clones share it.
+/// Handle of running platform services: fault injection, and direct access to rows, objects and
+/// counters. Clones share the services.
 #[derive(Clone)]
 pub struct PlatformHandle {
     state: Arc<State>,
@@ -154,7 +155,6 @@
 }
 
 impl PlatformHandle {
-    /// Address of the HTTP server.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -174,22 +174,22 @@
         format!("http://{}/machines", self.address())
     }
 
-    /// Makes a service fail as told, from now on; `Fault::default()` mends it.
+    /// Sets the fault of a service; `Fault::default()` clears it.
     pub fn set_fault(&self, service: Service, fault: Fault) {
         self.state.faults.set(service, fault);
     }
 
-    /// Changes the rate of the table service, calls a second.
+    /// Changes the rate limit of the table service, calls per second.
     pub fn set_table_rate(&self, per_s: f64, burst: f64) {
         self.state.table_limit.lock().set(per_s, burst);
     }
 
-    /// Changes the rate of the object store, calls a second.
+    /// Changes the rate limit of the object store, calls per second.
     pub fn set_object_rate(&self, per_s: f64, burst: f64) {
         self.state.object_limit.lock().set(per_s, burst);
     }
 
-    /// Applies a transaction directly, past all faults.
+    /// Applies a transaction directly, bypassing faults and rate limits.
     pub fn transact(&self, transaction: Transaction) -> Result<u64, StoreError> {
         self.state.transact(transaction)
     }
@@ -210,28 +210,28 @@
         self.state.tables.lock().revision()
     }
 
-    /// Makes the feed forget all changes up to a revision.
+    /// Compacts the change feed up to a revision.
     pub fn compact_to(&self, revision: u64) {
         self.state.tables.lock().compact_to(revision);
     }
 
-    /// Calls of the table service by class of key.
+    /// Calls of the table service by key class.
     pub fn table_counts(&self) -> BTreeMap<String, CallCounts> {
         self.state.tables.lock().counts()
     }
 
-    /// Changes of configuration that were applied, oldest first.
+    /// Applied configuration changes, oldest first.
     pub fn configuration_log(&self) -> Vec<RevisionRecord> {
         self.state.tables.lock().configuration()
     }
 
-    /// Everything that was written under the prefixes, as far as the feed reaches back.
+    /// All writes under the prefixes that the feed still holds.
     pub fn history(&self, prefixes: &[&str]) -> Vec<HistoryRow> {
         let started = self.state.started;
         self.state.tables.lock().history(prefixes, started)
     }
 
-    /// Reads a whole object directly.
+    /// Reads an object directly.
     pub fn object(&self, name: &str) -> Option<Bytes> {
         self.state.objects.lock().peek(name)
     }
@@ -241,17 +241,17 @@
         self.state.objects.lock().list(prefix, "", usize::MAX)
     }
 
-    /// Objects created and parts read so far.
+    /// Number of objects created and of reads so far.
     pub fn object_counts(&self) -> (u64, u64) {
         self.state.objects.lock().counts()
     }
 
-    /// Sets the machine list as true from the start: readers see it without lag.
+    /// Replaces the machine list and its history; clients see it without lag.
     pub fn begin_with_machines(&self, machines: Vec<Machine>) {
         self.state.machines.lock().begin_with(machines);
     }
 
-    /// Adds or replaces a machine; readers see it after the lag.
+    /// Adds or replaces a machine; clients see it after the lag.
     pub fn put_machine(&self, machine: Machine) {
         let now_us = self.state.now_us();
         self.state.machines.lock().change(now_us, |list| {
@@ -259,7 +259,7 @@
         });
     }
 
-    /// Removes a machine; readers see it after the lag.
+    /// Removes a machine; clients see it after the lag.
     pub fn remove_machine(&self, name: &str) {
         let now_us = self.state.now_us();
         self.state.machines.lock().change(now_us, |list| {
@@ -267,7 +267,7 @@
         });
     }
 
-    /// Marks a machine as leaving, or as staying; readers see it after the lag.
+    /// Sets whether a machine is leaving; clients see it after the lag.
     pub fn set_leaving(&self, name: &str, leaving: bool) {
         let now_us = self.state.now_us();
         self.state.machines.lock().change(now_us, |list| {
@@ -283,17 +283,17 @@
         self.state.machines.lock().set_lag(lag_us);
     }
 
-    /// The machine list as it truly is.
+    /// The current machine list, without lag.
     pub fn machines(&self) -> Vec<Machine> {
         self.state.machines.lock().truth().into_values().collect()
     }
 
-    /// Marks a version's weights as broken, or as whole.
+    /// Sets whether loading a version fails.
     pub fn set_broken_version(&self, version: &str, broken: bool) {
         self.state.weights.lock().set_broken(version, broken);
     }
 
-    /// Loads that engines began.
+    /// Number of weight loads started.
     pub fn weight_loads(&self) -> u64 {
         self.state.weights.lock().loads()
     }
@@ -303,7 +303,7 @@
         Arc::new(Weights(self.state.clone()))
     }
 
-    /// Stops the HTTP server; open connections break.
+    /// Stops the HTTP server and closes open connections.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -22,12 +22,12 @@
 
 type Shared = web::Data<Arc<State>>;
 
-/// The connection breaks without an answer.
+/// Error of a response body; closes the connection without a complete response.
 #[derive(Debug, Display, Error)]
-#[display("the answer is lost")]
+#[display("response dropped by an injected fault")]
 struct AnswerLost;
 
-/// Mounts the routes.
+/// Registers the routes.
 pub(super) fn configure(config: &mut web::ServiceConfig, maximum_object_bytes: usize) {
     let json = web::JsonConfig::default()
         .limit(MAXIMUM_TRANSACTION_BYTES)
@@ -47,7 +47,7 @@
         .route("/machines", web::get().to(machines));
 }
 
-/// Handles one call under the service's rate, latency and faults.
+/// Handles a call subject to the rate limit, latency and faults of the service.
 async fn under_faults<F>(
     state: &State,
     service: Service,
@@ -57,7 +57,7 @@
     F: Future<Output = HttpResponse>,
 {
     let (delay, lose_answer) = match state.faults.fate(service) {
-        Fate::Refuse => return HttpResponse::ServiceUnavailable().body("the service is down"),
+        Fate::Refuse => return HttpResponse::ServiceUnavailable().body("service unavailable"),
         Fate::Break => return broken(),
         Fate::Handle { delay, lose_answer } => (delay, lose_answer),
     };
--- a/crates/standin/src/platform/limiter.rs
+++ b/crates/standin/src/platform/limiter.rs
@@ -1,6 +1,6 @@
-//! A token bucket in virtual time.
+//! Token bucket with the time as an argument.
 
-/// A token bucket; time is an argument, in microseconds.
+/// Token bucket; times are microseconds.
 #[derive(Debug, Clone)]
 pub(super) struct Limiter {
     per_s: f64,
@@ -10,7 +10,7 @@
 }
 
 impl Limiter {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(per_s: f64, burst: f64) -> Limiter {
         Limiter {
             per_s,
@@ -20,14 +20,14 @@
         }
     }
 
-    /// Changes the rate.
+    /// Changes rate and burst; tokens above the new burst are dropped.
     pub(super) fn set(&mut self, per_s: f64, burst: f64) {
         self.per_s = per_s;
         self.burst = burst.max(1.0);
         self.tokens = self.tokens.min(self.burst);
     }
 
-    /// Takes a token, or says when to come back, milliseconds.
+    /// Takes a token, or returns the time until one is available, milliseconds.
     pub(super) fn take(&mut self, now_us: u64) -> Result<(), u32> {
         let passed_s = now_us.saturating_sub(self.at_us) as f64 / 1e6;
         self.at_us = self.at_us.max(now_us);
--- a/crates/standin/src/platform/machines.rs
+++ b/crates/standin/src/platform/machines.rs
@@ -1,4 +1,4 @@
-//! State of the machine list: what readers see lags behind the truth.
+//! State of the machine list. Readers see it with a configurable lag.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 #[derive(Debug)]
 pub struct MachineState {
     lag_us: u64,
-    /// Versions of the list with the time from which each was true, oldest first.
+    /// Versions of the list with the time from which each is valid, oldest first.
     versions: VecDeque<(u64, List)>,
 }
 
 impl MachineState {
-    /// An empty list that lags.
+    /// Creates an empty list.
     pub fn new(lag_us: u64) -> MachineState {
         MachineState {
             lag_us,
@@ -24,12 +24,11 @@
         }
     }
 
-    /// Changes the lag.
     pub fn set_lag(&mut self, lag_us: u64) {
         self.lag_us = lag_us;
     }
 
-    /// Sets the list that was true from the very start: readers see it at once.
+    /// Replaces the list and its history; readers see it without lag.
     pub fn begin_with(&mut self, machines: Vec<Machine>) {
         self.versions = VecDeque::from([(0, by_name(machines))]);
     }
@@ -41,13 +40,13 @@
         self.versions.push_back((now_us, Arc::new(next)));
     }
 
-    /// The list as it truly is.
+    /// The current list, without lag.
     pub fn truth(&self) -> BTreeMap<String, Machine> {
         let newest = self.versions.back();
         newest.map(|(_, list)| (**list).clone()).unwrap_or_default()
     }
 
-    /// The list as readers see it now.
+    /// The list as readers see it at `now_us`.
     pub fn seen(&mut self, now_us: u64) -> Vec<Machine> {
         let seen_at = now_us.saturating_sub(self.lag_us);
         while self.versions.len() > 1 && self.versions[1].0 <= seen_at {
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the platform's services: tables, objects, weights, machine list.
+//! Simulated platform services: table service, object store, weight store, machine list.
 //!
-//! - [`tables`], [`objects`], [`machines`], [`weights`]: their states, without sockets
-//! - [`faults`]: what can be made to go wrong
-//! - [`host`]: one HTTP server for all of them, and the handle for experiments
+//! - [`tables`], [`objects`], [`machines`], [`weights`]: in-memory state of each service
+//! - [`faults`]: fault injection
+//! - [`host`]: the HTTP server of all services, and the handle for tests and experiments
 
 pub mod faults;
 pub mod host;
--- a/crates/standin/src/platform/objects.rs
+++ b/crates/standin/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! State of the object store: objects, bounds and counts.
+//! State of the object store: objects, size limit and call counts.
 
 use bytes::Bytes;
 use dappleyard_store::memory::objects::Objects;
@@ -14,7 +14,7 @@
 }
 
 impl ObjectState {
-    /// No objects.
+    /// Creates an empty store.
     pub fn new(maximum_bytes: usize) -> ObjectState {
         ObjectState {
             objects: Objects::default(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Creates an object unless the name exists.
+    /// Creates an object; fails with a conflict if the name exists.
     pub fn create(&mut self, name: &str, bytes: Bytes) -> Result<(), StoreError> {
         if name.is_empty() || bytes.len() > self.maximum_bytes {
             return Err(StoreError::Invalid {
@@ -42,22 +42,21 @@
         self.objects.read(name, offset, limit)
     }
 
-    /// Reads a whole object without counting the read.
+    /// Reads an object without counting the read.
     pub fn peek(&self, name: &str) -> Option<Bytes> {
         self.objects.get(name).cloned()
     }
 
-    /// Removes an object.
     pub fn delete(&mut self, name: &str) {
         self.objects.delete(name);
     }
 
-    /// Names under a prefix after a name, with sizes.
+    /// Names and sizes of objects under a prefix that sort after `after`.
     pub fn list(&self, prefix: &str, after: &str, limit: usize) -> Vec<(String, u64)> {
         self.objects.list(prefix, after, limit)
     }
 
-    /// Objects created and parts read.
+    /// Number of objects created and of reads.
     pub fn counts(&self) -> (u64, u64) {
         (self.written, self.read)
     }
--- a/crates/standin/src/platform/settings.rs
+++ b/crates/standin/src/platform/settings.rs
@@ -1,46 +1,46 @@
-//! Settings of the platform's stand-in.
+//! Settings of the simulated platform services.
 
 use serde::{Deserialize, Serialize};
 
-/// Rates and bounds of the platform's stand-in.
+/// Rates, latencies and limits of the simulated platform services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformStandInSettings {
-    /// Listening address; port 0 takes one from the operating system.
+    /// Listening address; port 0 selects a free port.
     pub listen: String,
     /// Worker threads of the HTTP server.
     pub workers: usize,
-    /// Calls a second that the table service answers, and its burst.
+    /// Rate limit of the table service, calls per second.
     pub table_calls_per_s: f64,
-    /// Burst of table calls.
+    /// Burst of the table service's rate limit, calls.
     pub table_calls_burst: f64,
-    /// Calls a second that the object store answers.
+    /// Rate limit of the object store, calls per second.
     pub object_calls_per_s: f64,
-    /// Burst of object calls.
+    /// Burst of the object store's rate limit, calls.
     pub object_calls_burst: f64,
-    /// Time that each table call takes, milliseconds.
+    /// Latency of table calls, milliseconds.
     pub table_latency_ms: u64,
-    /// Time that each object call takes, milliseconds.
+    /// Latency of object calls, milliseconds.
     pub object_latency_ms: u64,
-    /// Most writes and comparisons of a transaction.
+    /// Maximum number of writes, and of comparisons, in a transaction.
     pub maximum_transaction_rows: usize,
-    /// Largest value of a row, bytes.
+    /// Maximum size of a row value, bytes.
     pub maximum_value_bytes: usize,
-    /// Largest object, bytes.
+    /// Maximum size of an object, bytes.
     pub maximum_object_bytes: usize,
-    /// Changes that the feed reaches back.
+    /// Number of changes that the feed keeps.
     pub feed_changes: usize,
-    /// Most changes in one answer of the feed.
+    /// Maximum number of changes in a feed response; a transaction is not split to meet it.
     pub maximum_feed_answer: usize,
-    /// How far the machine list lags, milliseconds.
+    /// Lag of the machine list, milliseconds.
     pub machine_list_lag_ms: u64,
     /// Size of a model version, megabytes.
     pub weight_megabytes: f64,
-    /// Rate of the weight store, shared by all readers, megabytes a second.
+    /// Bandwidth of the weight store, shared by all readers, megabytes per second.
     pub weight_megabytes_per_s: f64,
     /// Versions whose load fails.
     pub broken_versions: Vec<String>,
-    /// Seed of faults that come with a probability.
+    /// Seed of probabilistic faults.
     pub seed: u64,
 }
 
--- a/crates/standin/src/platform/tables.rs
+++ b/crates/standin/src/platform/tables.rs
@@ -1,4 +1,4 @@
-//! State of the table service: rows with their feed, bounds, counts and a log for the checker.
+//! State of the table service: rows, change feed, size limits, call counts and a configuration log.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,40 +11,40 @@
 
 use super::settings::PlatformStandInSettings;
 
-/// Calls by class of key, the part before the first `/`.
+/// Call counts of one key class, the part of the key before the first `/`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct CallCounts {
-    /// Transactions that were applied.
+    /// Applied transactions.
     pub transactions: u64,
-    /// Rows written by them.
+    /// Rows written by applied transactions.
     pub rows_written: u64,
-    /// Transactions refused by a comparison.
+    /// Transactions whose comparisons failed.
     pub conflicts: u64,
-    /// Reads.
+    /// Row, range and feed reads.
     pub reads: u64,
 }
 
-/// One change of configuration, for the checker.
+/// A transaction that changed the configuration, for the invariant checker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RevisionRecord {
     /// Revision of the store.
     pub revision: u64,
-    /// Keys of the configuration rows that it changed.
+    /// Configuration keys that it wrote.
     pub keys: Vec<String>,
     /// When it was applied.
     pub at: Instant,
 }
 
-/// One written row of the feed, for recordings.
+/// A row write of the change feed, for recordings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HistoryRow {
     /// Revision of the store.
     pub revision: u64,
     /// Time since the table service started, milliseconds.
     pub at_ms: u64,
-    /// Key.
+    /// Row key.
     pub key: String,
-    /// New value; `None` for a removed row.
+    /// New value; `None` for a deleted row.
     pub value: Option<Bytes>,
 }
 
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct TableState {
     rows: Rows,
-    /// When each transaction was applied, by its revision, as far back as the feed may reach.
+    /// Revision and time of recent transactions; bounded like the feed.
     applied: VecDeque<(u64, Instant)>,
     configuration: Vec<RevisionRecord>,
     counts: BTreeMap<String, CallCounts>,
@@ -63,7 +63,7 @@
 }
 
 impl TableState {
-    /// No rows, at revision 0.
+    /// Creates an empty table at revision 0.
     pub fn new(settings: &PlatformStandInSettings) -> TableState {
         TableState {
             rows: Rows::new(settings.feed_changes),
@@ -82,7 +82,7 @@
         self.rows.revision()
     }
 
-    /// Applies a transaction, all of it or nothing.
+    /// Applies a transaction atomically.
     pub fn transact(&mut self, transaction: Transaction) -> Result<u64, StoreError> {
         self.check_size(&transaction)?;
         let class = transaction_class(&transaction);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Forgets the feed up to a revision.
+    /// Compacts the feed up to a revision.
     pub fn compact_to(&mut self, revision: u64) {
         self.rows.compact_to(revision);
     }
@@ -164,12 +164,12 @@
         rows.take(limit).cloned().collect()
     }
 
-    /// Changes under a prefix after a revision; only whole transactions.
+    /// Changes under a prefix after a revision; never splits a transaction.
     pub fn changes(&self, prefix: &str, after: u64) -> Changes {
         self.rows.changes(prefix, after, self.maximum_answer)
     }
 
-    /// Everything that the feed holds under the prefixes, oldest first.
+    /// All writes under the prefixes that the feed holds, oldest first.
     pub fn history(&self, prefixes: &[&str], started: Instant) -> Vec<HistoryRow> {
         let wanted = |key: &str| prefixes.iter().any(|prefix| key.starts_with(prefix));
         let changes = self.rows.feed().filter(|(key, ..)| wanted(key));
@@ -183,7 +183,7 @@
             .collect()
     }
 
-    /// When a transaction was applied; zero when that is forgotten.
+    /// Time since `started` at which a transaction was applied; zero if no entry is kept for it.
     fn applied_at(&self, revision: u64, started: Instant) -> Duration {
         let index = self.applied.partition_point(|(other, _)| *other < revision);
         let applied = self.applied.get(index).map(|(_, at)| *at);
@@ -204,17 +204,16 @@
         self.applied.push_back((revision, Instant::now()));
     }
 
-    /// Counts a read.
     pub fn count_read(&mut self, key: &str) {
         self.counts.entry(class_of(key)).or_default().reads += 1;
     }
 
-    /// Calls by class of key.
+    /// Call counts by key class.
     pub fn counts(&self) -> BTreeMap<String, CallCounts> {
         self.counts.clone()
     }
 
-    /// Changes of configuration, oldest first.
+    /// Configuration changes, oldest first.
     pub fn configuration(&self) -> Vec<RevisionRecord> {
         self.configuration.clone()
     }
@@ -226,7 +225,7 @@
     }
 }
 
-/// Configuration rows that a transaction writes; `None` when it does not touch the configuration.
+/// Configuration keys that a transaction writes; `None` if it does not touch the configuration.
 fn configuration_keys(transaction: &Transaction) -> Option<Vec<String>> {
     let keys = || transaction.writes.iter().map(write_key);
     let chained = keys().any(|key| key == CONFIGURATION_HEAD);
--- a/crates/standin/src/platform/weights.rs
+++ b/crates/standin/src/platform/weights.rs
@@ -1,4 +1,4 @@
-//! State of the weight store: one rate for all readers, so that a stampede takes long.
+//! State of the weight store. Readers share one bandwidth and are served in order.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 }
 
 impl WeightState {
-    /// A store that gives versions of a size at a rate.
+    /// Creates a store in which every version has the same size.
     pub fn new(megabytes: f64, megabytes_per_s: f64, broken: &[String]) -> WeightState {
         let seconds = megabytes / megabytes_per_s.max(f64::EPSILON);
         WeightState {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Begins to read a version; returns how long it takes, in turn after the reads before it.
+    /// Queues a read of a version; returns its duration, including the wait for earlier reads.
     pub fn load(&mut self, now_us: u64, version: &str) -> Result<u64, String> {
         self.loads += 1;
         if self.broken.contains(version) {
@@ -33,7 +33,7 @@
         Ok(self.free_at_us - now_us)
     }
 
-    /// Marks a version as broken, or as whole again.
+    /// Sets whether loading a version fails.
     pub fn set_broken(&mut self, version: &str, broken: bool) {
         if broken {
             self.broken.insert(version.to_owned());
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Loads that were begun.
+    /// Number of loads started, failed ones included.
     pub fn loads(&self) -> u64 {
         self.loads
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server on a thread of its own, with its own runtime.
+//! Runs an HTTP server on a dedicated thread with its own runtime.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -7,30 +7,29 @@
 use actix_web::dev::{Server, ServerHandle};
 use actix_web::rt::System;
 
-/// How long idle connections are kept: longer than clients keep theirs, so that no client sends on
-/// a connection that the server is about to close.
+/// Idle timeout of connections. Longer than that of the clients, so that no client sends a request
+/// on a connection that the server is closing.
 pub(crate) const KEEP_ALIVE: Duration = Duration::from_secs(120);
 
-/// A server that runs.
+/// A running HTTP server.
 pub(crate) struct RunningServer {
     address: SocketAddr,
     handle: ServerHandle,
 }
 
 impl RunningServer {
-    /// Where it listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops it at once; open connections break.
+    /// Stops the server immediately and closes open connections.
     pub(crate) fn stop(&self) {
-        // The message is sent when `stop` is called; nobody waits for its answer.
+        // `stop` sends the message immediately; awaiting the future is optional.
         drop(self.handle.stop(false));
     }
 }
 
-/// Starts a thread that builds and runs a server.
+/// Builds and runs a server on a new thread. Returns once the server is bound.
 pub(crate) fn start(
     name: &str,
     build: impl FnOnce() -> std::io::Result<(Vec<SocketAddr>, Server)> + Send + 'static,
@@ -44,17 +43,17 @@
                 match built {
                     Ok((addresses, server)) => {
                         let address = addresses.first().copied();
-                        // The receiver waits for this message.
+                        // `start` blocks on the receiver, so the send cannot fail.
                         let _ = sender.send(Ok((address, server.handle())));
                         if let Err(error) = server.await {
-                            tracing::error!(%error, "an HTTP server of the stand-ins ended");
+                            tracing::error!(%error, "stand-in HTTP server failed");
                         }
                     }
                     Err(error) => drop(sender.send(Err(error))),
                 }
             });
         })?;
-    let ended = || std::io::Error::other("the server's thread ended");
+    let ended = || std::io::Error::other("server thread exited during startup");
     let (address, handle) = receiver.recv().map_err(|_| ended())??;
     Ok(RunningServer {
         address: address.ok_or_else(ended)?,
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,13 +1,13 @@
-//! What an engine answers: a pure function of (model version, prompt, offset).
+//! Generated text of an engine: a pure function of (model version, prompt, offset).
 //!
-//! Whoever produced a token, and on which engine, it can be checked byte for byte. Most answers run
-//! until the caller's limit; one prompt in [`STOP_SHARE`] ends by itself before.
+//! Every token can be verified byte for byte, whichever engine produced it. Most answers run to the
+//! caller's token limit; one prompt in [`STOP_SHARE`] has a stop position of its own.
 
 use dappleyard_wire::hash::hash_bytes;
 
-/// One prompt in this many ends by itself.
+/// One prompt in this many stops before the limit if the limit is large enough.
 const STOP_SHARE: u64 = 8;
-/// Shortest and longest answer that ends by itself, tokens.
+/// Range of the length of answers that stop, tokens.
 const STOP_SHORTEST: u64 = 16;
 const STOP_LONGEST: u64 = 256;
 
@@ -16,25 +16,24 @@
     "ba", "li", "fo", "ze", "ha", "ku", "wi", "ro", "ja", "te", "po", "ni", "ga", "lu", "me", "so",
 ];
 
-/// The answer of one model version to one prompt, without its limit.
+/// Generates the answer of one model version to one prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TextSource {
     seed: u64,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// Text of all tokens.
+    /// Concatenated tokens.
     pub text: String,
-    /// Number of tokens.
     pub tokens: u32,
-    /// Why it ends: "stop" or "length".
+    /// Finish reason: "stop" or "length".
     pub reason: &'static str,
 }
 
 impl TextSource {
-    /// The answer of `version` to `prompt`.
+    /// Creates the source for the answer of `version` to `prompt`.
     pub fn new(version: &str, prompt: &str) -> TextSource {
         let version_hash = hash_bytes(version.as_bytes());
         let prompt_hash = hash_bytes(prompt.as_bytes());
@@ -43,12 +42,12 @@
         }
     }
 
-    /// A key for the cached state of this answer's sequence.
+    /// Cache key for the KV state of this sequence.
     pub fn key(self) -> u64 {
         mix(self.seed)
     }
 
-    /// The token at `offset`: a short word with a space before it.
+    /// The token at `offset`: a short word with a leading space.
     pub fn piece(self, offset: u32) -> String {
         let bits = mix(self.seed ^ u64::from(offset).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut piece = String::with_capacity(8);
@@ -64,7 +63,7 @@
         (from..to).map(|offset| self.piece(offset)).collect()
     }
 
-    /// Length in tokens under a limit, and why it ends there: "stop" or "length".
+    /// Length in tokens under a limit, and the finish reason: "stop" or "length".
     pub fn end(self, max_tokens: u32) -> (u32, &'static str) {
         let limit = max_tokens.max(1);
         let bits = mix(self.seed ^ 0x5707);
@@ -85,7 +84,7 @@
     TextSource::new(version, prompt).piece(offset)
 }
 
-/// The whole answer of `version` to `prompt` under a limit.
+/// The complete answer of `version` to `prompt` under a token limit.
 pub fn expected(version: &str, prompt: &str, max_tokens: u32) -> Answer {
     let source = TextSource::new(version, prompt);
     let (tokens, reason) = source.end(max_tokens);
