--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -35,17 +35,17 @@
 
 /// How to treat one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Fate {
+pub(super) enum CallAction {
     /// Reject with 503.
     Refuse,
     /// Abort the connection.
-    Break,
+    Abort,
     /// Handle the call.
     Handle {
         /// Additional delay before the call is handled.
         delay: Duration,
         /// Drop the response after the call is handled.
-        lose_answer: bool,
+        drop_response: bool,
     },
 }
 
@@ -67,19 +67,19 @@
     }
 
     /// Selects how to treat the next call of a service.
-    pub(super) fn fate(&self, service: Service) -> Fate {
+    pub(super) fn next_action(&self, service: Service) -> CallAction {
         let (faults, rng) = &mut *self.state.lock();
         let fault = faults[service as usize];
         if fault.refusing {
-            return Fate::Refuse;
+            return CallAction::Refuse;
         }
         if fault.unreachable {
-            return Fate::Break;
+            return CallAction::Abort;
         }
         let share = fault.answer_lost.clamp(0.0, 1.0);
-        Fate::Handle {
+        CallAction::Handle {
             delay: fault.delay,
-            lose_answer: share > 0.0 && rng.random_bool(share),
+            drop_response: share > 0.0 && rng.random_bool(share),
         }
     }
 }
--- a/crates/standin/src/platform/host.rs
+++ b/crates/standin/src/platform/host.rs
@@ -13,7 +13,7 @@
 
 use super::faults::{Fault, Faults, Service};
 use super::http;
-use super::limiter::Limiter;
+use super::limiter::TokenBucket;
 use super::machines::MachineState;
 use super::objects::ObjectState;
 use super::settings::PlatformStandInSettings;
@@ -31,8 +31,8 @@
     pub(super) objects: Mutex<ObjectState>,
     machines: Mutex<MachineState>,
     weights: Mutex<WeightState>,
-    table_limit: Mutex<Limiter>,
-    object_limit: Mutex<Limiter>,
+    table_limit: Mutex<TokenBucket>,
+    object_limit: Mutex<TokenBucket>,
     revision: watch::Sender<u64>,
 }
 
@@ -43,8 +43,8 @@
             settings.weight_megabytes_per_s,
             &settings.broken_versions,
         );
-        let tables = Limiter::new(settings.table_calls_per_s, settings.table_calls_burst);
-        let objects = Limiter::new(settings.object_calls_per_s, settings.object_calls_burst);
+        let tables = TokenBucket::new(settings.table_calls_per_s, settings.table_calls_burst);
+        let objects = TokenBucket::new(settings.object_calls_per_s, settings.object_calls_burst);
         State {
             started: Instant::now(),
             faults: Faults::new(settings.seed),
@@ -109,9 +109,9 @@
     }
 
     /// The machine list as clients see it, delayed by the lag.
-    pub(super) fn machines_seen(&self) -> Vec<Machine> {
+    pub(super) fn visible_machines(&self) -> Vec<Machine> {
         let now_us = self.now_us();
-        self.machines.lock().seen(now_us)
+        self.machines.lock().visible(now_us)
     }
 }
 
@@ -248,7 +248,7 @@
 
     /// Replaces the machine list and its history; clients see it without lag.
     pub fn begin_with_machines(&self, machines: Vec<Machine>) {
-        self.state.machines.lock().begin_with(machines);
+        self.state.machines.lock().set_initial(machines);
     }
 
     /// Adds or replaces a machine; clients see it after the lag.
@@ -285,7 +285,7 @@
 
     /// The current machine list, without lag.
     pub fn machines(&self) -> Vec<Machine> {
-        self.state.machines.lock().truth().into_values().collect()
+        self.state.machines.lock().current().into_values().collect()
     }
 
     /// Sets whether loading a version fails.
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -14,7 +14,7 @@
 };
 use derive_more::{Display, Error};
 
-use super::faults::{Fate, Service};
+use super::faults::{CallAction, Service};
 use super::host::State;
 
 /// Largest body of a transaction as JSON, bytes.
@@ -25,7 +25,7 @@
 /// Error of a response body; closes the connection without a complete response.
 #[derive(Debug, Display, Error)]
 #[display("response dropped by an injected fault")]
-struct AnswerLost;
+struct ResponseDropped;
 
 /// Registers the routes.
 pub(super) fn configure(config: &mut web::ServiceConfig, maximum_object_bytes: usize) {
@@ -48,33 +48,38 @@
 }
 
 /// Handles a call subject to the rate limit, latency and faults of the service.
-async fn under_faults<F>(
-    state: &State,
-    service: Service,
-    handle: impl FnOnce() -> F,
-) -> HttpResponse
+async fn with_faults<F>(state: &State, service: Service, handle: impl FnOnce() -> F) -> HttpResponse
 where
     F: Future<Output = HttpResponse>,
 {
-    let (delay, lose_answer) = match state.faults.fate(service) {
-        Fate::Refuse => return HttpResponse::ServiceUnavailable().body("service unavailable"),
-        Fate::Break => return broken(),
-        Fate::Handle { delay, lose_answer } => (delay, lose_answer),
+    let (delay, drop_response) = match state.faults.next_action(service) {
+        CallAction::Refuse => {
+            return HttpResponse::ServiceUnavailable().body("service unavailable");
+        }
+        CallAction::Abort => return aborted_response(),
+        CallAction::Handle {
+            delay,
+            drop_response,
+        } => (delay, drop_response),
     };
     tokio::time::sleep(delay + state.latency(service)).await;
     if let Err(retry_after_ms) = state.admit(service) {
         return HttpResponse::TooManyRequests().json(RateLimitedBody { retry_after_ms });
     }
     let answer = handle().await;
-    if lose_answer { broken() } else { answer }
+    if drop_response {
+        aborted_response()
+    } else {
+        answer
+    }
 }
 
-fn broken() -> HttpResponse {
-    let lost = futures::stream::iter([Err::<Bytes, AnswerLost>(AnswerLost)]);
+fn aborted_response() -> HttpResponse {
+    let lost = futures::stream::iter([Err::<Bytes, ResponseDropped>(ResponseDropped)]);
     HttpResponse::Ok().streaming(lost)
 }
 
-fn failed(error: StoreError) -> HttpResponse {
+fn error_response(error: StoreError) -> HttpResponse {
     match error {
         StoreError::Conflict { key, actual } => {
             HttpResponse::Conflict().json(ConflictBody { key, actual })
@@ -88,17 +93,17 @@
 }
 
 async fn transact(state: Shared, body: web::Json<TransactionBody>) -> HttpResponse {
-    under_faults(&state, Service::Tables, || async {
+    with_faults(&state, Service::Tables, || async {
         match state.transact(body.into_inner().into()) {
             Ok(revision) => HttpResponse::Ok().json(CommittedBody { revision }),
-            Err(error) => failed(error),
+            Err(error) => error_response(error),
         }
     })
     .await
 }
 
 async fn row(state: Shared, query: web::Query<RowQuery>) -> HttpResponse {
-    under_faults(&state, Service::Tables, || async {
+    with_faults(&state, Service::Tables, || async {
         let row = state.tables.lock().get(&query.key);
         let rows = row.into_iter().map(RowBody::from).collect();
         HttpResponse::Ok().json(RowsBody { rows })
@@ -107,7 +112,7 @@
 }
 
 async fn range(state: Shared, query: web::Query<RangeQuery>) -> HttpResponse {
-    under_faults(&state, Service::Tables, || async {
+    with_faults(&state, Service::Tables, || async {
         let mut tables = state.tables.lock();
         let rows = tables.range(&query.prefix, &query.after, query.limit);
         drop(tables);
@@ -118,7 +123,7 @@
 }
 
 async fn changes(state: Shared, query: web::Query<ChangesQuery>) -> HttpResponse {
-    under_faults(&state, Service::Tables, || async {
+    with_faults(&state, Service::Tables, || async {
         let wait = Duration::from_millis(query.wait_ms.into());
         let changes = state.changes(&query.prefix, query.after, wait).await;
         HttpResponse::Ok().json(ChangesBody::from(changes))
@@ -127,17 +132,17 @@
 }
 
 async fn create(state: Shared, query: web::Query<ObjectQuery>, body: Bytes) -> HttpResponse {
-    under_faults(&state, Service::Objects, || async {
+    with_faults(&state, Service::Objects, || async {
         match state.objects.lock().create(&query.name, body) {
             Ok(()) => HttpResponse::Created().finish(),
-            Err(error) => failed(error),
+            Err(error) => error_response(error),
         }
     })
     .await
 }
 
 async fn read(state: Shared, query: web::Query<ObjectPartQuery>) -> HttpResponse {
-    under_faults(&state, Service::Objects, || async {
+    with_faults(&state, Service::Objects, || async {
         let mut objects = state.objects.lock();
         let part = objects.read(&query.name, query.offset, query.limit);
         drop(objects);
@@ -152,7 +157,7 @@
 }
 
 async fn delete(state: Shared, query: web::Query<ObjectQuery>) -> HttpResponse {
-    under_faults(&state, Service::Objects, || async {
+    with_faults(&state, Service::Objects, || async {
         state.objects.lock().delete(&query.name);
         HttpResponse::Ok().finish()
     })
@@ -160,7 +165,7 @@
 }
 
 async fn list(state: Shared, query: web::Query<RangeQuery>) -> HttpResponse {
-    under_faults(&state, Service::Objects, || async {
+    with_faults(&state, Service::Objects, || async {
         let objects = state.objects.lock();
         let listed = objects.list(&query.prefix, &query.after, query.limit);
         drop(objects);
@@ -174,8 +179,8 @@
 }
 
 async fn machines(state: Shared) -> HttpResponse {
-    under_faults(&state, Service::Machines, || async {
-        HttpResponse::Ok().json(state.machines_seen())
+    with_faults(&state, Service::Machines, || async {
+        HttpResponse::Ok().json(state.visible_machines())
     })
     .await
 }
--- a/crates/standin/src/platform/limiter.rs
+++ b/crates/standin/src/platform/limiter.rs
@@ -2,21 +2,21 @@
 
 /// Token bucket; times are microseconds.
 #[derive(Debug, Clone)]
-pub(super) struct Limiter {
+pub(super) struct TokenBucket {
     per_s: f64,
     burst: f64,
     tokens: f64,
-    at_us: u64,
+    updated_us: u64,
 }
 
-impl Limiter {
+impl TokenBucket {
     /// Creates a full bucket.
-    pub(super) fn new(per_s: f64, burst: f64) -> Limiter {
-        Limiter {
+    pub(super) fn new(per_s: f64, burst: f64) -> TokenBucket {
+        TokenBucket {
             per_s,
             burst: burst.max(1.0),
             tokens: burst.max(1.0),
-            at_us: 0,
+            updated_us: 0,
         }
     }
 
@@ -29,8 +29,8 @@
 
     /// Takes a token, or returns the time until one is available, milliseconds.
     pub(super) fn take(&mut self, now_us: u64) -> Result<(), u32> {
-        let passed_s = now_us.saturating_sub(self.at_us) as f64 / 1e6;
-        self.at_us = self.at_us.max(now_us);
+        let passed_s = now_us.saturating_sub(self.updated_us) as f64 / 1e6;
+        self.updated_us = self.updated_us.max(now_us);
         self.tokens = (self.tokens + passed_s * self.per_s).min(self.burst);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
--- a/crates/standin/src/platform/machines.rs
+++ b/crates/standin/src/platform/machines.rs
@@ -29,27 +29,27 @@
     }
 
     /// Replaces the list and its history; readers see it without lag.
-    pub fn begin_with(&mut self, machines: Vec<Machine>) {
+    pub fn set_initial(&mut self, machines: Vec<Machine>) {
         self.versions = VecDeque::from([(0, by_name(machines))]);
     }
 
     /// Changes the list; readers see it after the lag.
     pub fn change(&mut self, now_us: u64, change: impl FnOnce(&mut BTreeMap<String, Machine>)) {
-        let mut next = self.truth();
+        let mut next = self.current();
         change(&mut next);
         self.versions.push_back((now_us, Arc::new(next)));
     }
 
     /// The current list, without lag.
-    pub fn truth(&self) -> BTreeMap<String, Machine> {
+    pub fn current(&self) -> BTreeMap<String, Machine> {
         let newest = self.versions.back();
         newest.map(|(_, list)| (**list).clone()).unwrap_or_default()
     }
 
     /// The list as readers see it at `now_us`.
-    pub fn seen(&mut self, now_us: u64) -> Vec<Machine> {
-        let seen_at = now_us.saturating_sub(self.lag_us);
-        while self.versions.len() > 1 && self.versions[1].0 <= seen_at {
+    pub fn visible(&mut self, now_us: u64) -> Vec<Machine> {
+        let visible_at_us = now_us.saturating_sub(self.lag_us);
+        while self.versions.len() > 1 && self.versions[1].0 <= visible_at_us {
             self.versions.pop_front();
         }
         let oldest = self.versions.front();
--- a/crates/standin/src/platform/tables.rs
+++ b/crates/standin/src/platform/tables.rs
@@ -94,8 +94,8 @@
             Ok(revision) => {
                 counts.transactions += 1;
                 counts.rows_written += written;
-                self.note_applied(*revision);
-                self.note_configuration(*revision, configuration);
+                self.record_applied(*revision);
+                self.record_configuration(*revision, configuration);
             }
             Err(_) => counts.conflicts += 1,
         }
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    fn note_configuration(&mut self, revision: u64, keys: Option<Vec<String>>) {
+    fn record_configuration(&mut self, revision: u64, keys: Option<Vec<String>>) {
         if let Some(keys) = keys {
             self.configuration.push(RevisionRecord {
                 revision,
@@ -190,7 +190,7 @@
         applied.map_or(Duration::ZERO, |at| at.duration_since(started))
     }
 
-    fn note_applied(&mut self, revision: u64) {
+    fn record_applied(&mut self, revision: u64) {
         let known = self
             .applied
             .back()
@@ -205,7 +205,7 @@
     }
 
     pub fn count_read(&mut self, key: &str) {
-        self.counts.entry(class_of(key)).or_default().reads += 1;
+        self.counts.entry(key_class(key)).or_default().reads += 1;
     }
 
     /// Call counts by key class.
@@ -228,18 +228,18 @@
 /// Configuration keys that a transaction writes; `None` if it does not touch the configuration.
 fn configuration_keys(transaction: &Transaction) -> Option<Vec<String>> {
     let keys = || transaction.writes.iter().map(write_key);
-    let chained = keys().any(|key| key == CONFIGURATION_HEAD);
+    let writes_head = keys().any(|key| key == CONFIGURATION_HEAD);
     let rows = keys().filter(|key| key.starts_with(CONFIGURATION_PREFIX));
     let rows: Vec<String> = rows.map(str::to_owned).collect();
-    (chained || !rows.is_empty()).then_some(rows)
+    (writes_head || !rows.is_empty()).then_some(rows)
 }
 
-fn class_of(key: &str) -> String {
+fn key_class(key: &str) -> String {
     key.split('/').next().unwrap_or_default().to_owned()
 }
 
 fn transaction_class(transaction: &Transaction) -> String {
     let written = transaction.writes.first().map(write_key);
     let compared = transaction.compare.first().map(|(key, _)| key.as_str());
-    class_of(written.or(compared).unwrap_or_default())
+    key_class(written.or(compared).unwrap_or_default())
 }
--- a/crates/standin/src/platform/weights.rs
+++ b/crates/standin/src/platform/weights.rs
@@ -5,7 +5,7 @@
 /// State of the weight store. Times are microseconds.
 #[derive(Debug)]
 pub struct WeightState {
-    bytes_time_us: u64,
+    read_time_us: u64,
     free_at_us: u64,
     broken: BTreeSet<String>,
     loads: u64,
@@ -16,7 +16,7 @@
     pub fn new(megabytes: f64, megabytes_per_s: f64, broken: &[String]) -> WeightState {
         let seconds = megabytes / megabytes_per_s.max(f64::EPSILON);
         WeightState {
-            bytes_time_us: (seconds * 1e6) as u64,
+            read_time_us: (seconds * 1e6) as u64,
             free_at_us: 0,
             broken: broken.iter().cloned().collect(),
             loads: 0,
@@ -29,7 +29,7 @@
         if self.broken.contains(version) {
             return Err(format!("the weights of {version} are broken"));
         }
-        self.free_at_us = self.free_at_us.max(now_us) + self.bytes_time_us;
+        self.free_at_us = self.free_at_us.max(now_us) + self.read_time_us;
         Ok(self.free_at_us - now_us)
     }
 
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,15 +1,15 @@
 //! Generated text of an engine: a pure function of (model version, prompt, offset).
 //!
 //! Every token can be verified byte for byte, whichever engine produced it. Most answers run to the
-//! caller's token limit; one prompt in [`STOP_SHARE`] has a stop position of its own.
+//! caller's token limit; one prompt in [`STOP_ONE_IN`] has a stop position of its own.
 
 use dappleyard_wire::hash::hash_bytes;
 
 /// One prompt in this many stops before the limit if the limit is large enough.
-const STOP_SHARE: u64 = 8;
+const STOP_ONE_IN: u64 = 8;
 /// Range of the length of answers that stop, tokens.
-const STOP_SHORTEST: u64 = 16;
-const STOP_LONGEST: u64 = 256;
+const STOP_MIN_TOKENS: u64 = 16;
+const STOP_MAX_TOKENS: u64 = 256;
 
 const SYLLABLES: [&str; 32] = [
     "ka", "lo", "mi", "ru", "ta", "se", "no", "vi", "da", "pe", "gu", "ri", "ma", "to", "ne", "su",
@@ -52,8 +52,8 @@
         let bits = mix(self.seed ^ u64::from(offset).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut piece = String::with_capacity(8);
         piece.push(' ');
-        for place in 0..=(bits & 1) + 1 {
-            piece.push_str(SYLLABLES[(bits >> (1 + 5 * place)) as usize & 31]);
+        for syllable in 0..=(bits & 1) + 1 {
+            piece.push_str(SYLLABLES[(bits >> (1 + 5 * syllable)) as usize & 31]);
         }
         piece
     }
@@ -67,12 +67,12 @@
     pub fn end(self, max_tokens: u32) -> (u32, &'static str) {
         let limit = max_tokens.max(1);
         let bits = mix(self.seed ^ 0x5707);
-        if !bits.is_multiple_of(STOP_SHARE) {
+        if !bits.is_multiple_of(STOP_ONE_IN) {
             return (limit, "length");
         }
-        let natural = STOP_SHORTEST + (bits >> 8) % (STOP_LONGEST - STOP_SHORTEST + 1);
-        if natural <= u64::from(limit) {
-            (natural as u32, "stop")
+        let stop_length = STOP_MIN_TOKENS + (bits >> 8) % (STOP_MAX_TOKENS - STOP_MIN_TOKENS + 1);
+        if stop_length <= u64::from(limit) {
+            (stop_length as u32, "stop")
         } else {
             (limit, "length")
         }
--- a/crates/standin/tests/standin/platform_state.rs
+++ b/crates/standin/tests/standin/platform_state.rs
@@ -179,18 +179,18 @@
 #[gtest]
 fn machine_list_lags() {
     let mut machines = MachineState::new(2_000_000);
-    machines.begin_with(vec![machine("a")]);
-    expect_that!(machines.seen(0), len(eq(1)), "the start is seen at once");
+    machines.set_initial(vec![machine("a")]);
+    expect_that!(machines.visible(0), len(eq(1)), "the start is seen at once");
     machines.change(1_000_000, |list| {
         list.insert("b".to_owned(), machine("b"));
     });
     machines.change(1_500_000, |list| {
         list.remove("a");
     });
-    expect_that!(machines.truth().len(), eq(1));
-    expect_that!(machines.seen(2_900_000), len(eq(1)));
-    expect_that!(machines.seen(3_000_000), len(eq(2)));
-    let later = machines.seen(3_500_000);
+    expect_that!(machines.current().len(), eq(1));
+    expect_that!(machines.visible(2_900_000), len(eq(1)));
+    expect_that!(machines.visible(3_000_000), len(eq(2)));
+    let later = machines.visible(3_500_000);
     expect_that!(later, elements_are![field!(Machine.name, eq("b"))]);
 }
 
