--- a/crates/standin/examples/batch_ceiling.rs
+++ b/crates/standin/examples/batch_ceiling.rs
@@ -124,7 +124,7 @@
 
     /// Sends batch work up to the width: paused work first, then fresh work.
     fn fill(&mut self, now_us: u64) {
-        let allowed = self.engine.allowed_batch() as usize;
+        let allowed = self.engine.allowed_batch_width() as usize;
         while self.live.len() < self.width.min(allowed) {
             let call = match self.paused.pop_front() {
                 Some(paused) => paused,
@@ -149,7 +149,7 @@
 
     /// Pauses the newest batch work beyond what is allowed now.
     fn narrow(&mut self, now_us: u64) {
-        let allowed = self.engine.allowed_batch() as usize;
+        let allowed = self.engine.allowed_batch_width() as usize;
         while self.live.len() > allowed {
             let Some((stream, mut call)) = self.live.pop() else {
                 return;
@@ -214,7 +214,7 @@
         let records = self.engine.records().all();
         let batch = records.iter().filter(|record| !record.online);
         let preempted: u32 = batch.map(|record| record.preempted).sum();
-        let meter = self.engine.meter_as_it_stands();
+        let meter = self.engine.meter_without_update();
         let made = meter.batch_tokens() as f64;
         let share = made / meter.idle_tokens().max(1.0);
         let gaps = &mut self.token_gaps_us;
--- a/crates/standin/src/engine/host.rs
+++ b/crates/standin/src/engine/host.rs
@@ -200,35 +200,35 @@
 
     /// Kills an engine: drops its state, aborts open streams and fails further calls.
     pub fn kill(&self, server: &str) {
-        self.with(server, Slot::kill);
+        self.with_slot(server, Slot::kill);
     }
 
     /// Restarts a killed engine with empty state.
     pub fn revive(&self, server: &str) {
-        self.with(server, Slot::revive);
+        self.with_slot(server, Slot::revive);
     }
 
     /// Makes an engine hang, with its connections open but silent, or resumes it.
     pub fn set_hung(&self, server: &str, hung: bool) {
-        self.with(server, |slot| slot.set_hung(hung));
+        self.with_slot(server, |slot| slot.set_hung(hung));
     }
 
     /// Whether an engine exists and has not been killed.
     pub fn is_alive(&self, server: &str) -> bool {
-        self.with(server, Slot::is_alive).unwrap_or(false)
+        self.with_slot(server, Slot::is_alive).unwrap_or(false)
     }
 
     /// Adds a delay to an engine's reports and cache events, and optionally drops all cache events.
     pub fn set_publication_faults(&self, server: &str, extra_delay: Duration, drop_events: bool) {
         let extra_us = extra_delay.as_micros() as u64;
-        self.with(server, |slot| {
+        self.with_slot(server, |slot| {
             slot.set_publication_faults(extra_us, drop_events)
         });
     }
 
     /// The current state of an engine; `None` if it was killed or hangs.
     pub fn status(&self, server: &str) -> Option<EngineReport> {
-        self.with(server, |slot| slot.status().ok()).flatten()
+        self.with_slot(server, |slot| slot.status().ok()).flatten()
     }
 
     /// Records of all engines.
@@ -238,8 +238,8 @@
     }
 
     /// Records of one engine.
-    pub fn records_of(&self, server: &str) -> Vec<RunRecord> {
-        self.with(server, Slot::records).unwrap_or_default()
+    pub fn engine_records(&self, server: &str) -> Vec<RunRecord> {
+        self.with_slot(server, Slot::records).unwrap_or_default()
     }
 
     /// Number of records dropped because of the limit. If it is not 0, checks over the records are
@@ -257,7 +257,7 @@
 
     /// Meter totals of one engine.
     pub fn meter(&self, server: &str) -> MeterSummary {
-        let summed = self.with(server, |slot| slot.with_meters(sum));
+        let summed = self.with_slot(server, |slot| slot.with_meters(sum));
         summed.unwrap_or_default()
     }
 
@@ -277,7 +277,7 @@
             let samples = meters.iter().flat_map(|meter| meter.samples());
             samples.copied().collect()
         };
-        let samples = self.with(server, |slot| slot.with_meters(all));
+        let samples = self.with_slot(server, |slot| slot.with_meters(all));
         samples.unwrap_or_default()
     }
 
@@ -294,7 +294,7 @@
         }
     }
 
-    fn with<R>(&self, server: &str, read: impl FnOnce(&Slot) -> R) -> Option<R> {
+    fn with_slot<R>(&self, server: &str, read: impl FnOnce(&Slot) -> R) -> Option<R> {
         let slot = self.by_name.read().get(server).cloned();
         slot.map(|slot| read(&slot))
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -20,7 +20,7 @@
 /// Poll interval of calls that wait for a hanging engine.
 const HANG_POLL: Duration = Duration::from_millis(10);
 /// Upper bound on the tokens counted in the transfer time of imported KV state.
-const MAXIMUM_MOVED_TOKENS: u32 = 1_000_000;
+const MAXIMUM_TRANSFERRED_TOKENS: u32 = 1_000_000;
 /// Time without an event after which a blank line is sent, so that clients can tell a silent stream
 /// from a lost engine.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
 struct EngineLost;
 
 #[derive(Deserialize)]
-struct After {
+struct CacheEventsQuery {
     #[serde(default)]
     after: u64,
 }
@@ -88,7 +88,7 @@
         Ok(reader) => HttpResponse::Ok()
             .content_type("application/x-ndjson")
             .streaming(lines(reader)),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
@@ -97,7 +97,7 @@
     match call_engine(&slots, &server, |slot| slot.cancel(&stream)).await {
         Ok(true) => HttpResponse::Ok().finish(),
         Ok(false) => HttpResponse::NotFound().body("no such stream"),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
@@ -120,7 +120,7 @@
 async fn cache_events(
     slots: web::Data<SlotsByName>,
     server: web::Path<String>,
-    query: web::Query<After>,
+    query: web::Query<CacheEventsQuery>,
 ) -> HttpResponse {
     answer(&slots, &server, |slot| slot.cache_events(query.after)).await
 }
@@ -148,7 +148,7 @@
             tokio::time::sleep(slot.transfer_time(tokens)).await;
             HttpResponse::Ok().json(state)
         }
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
@@ -159,7 +159,7 @@
 ) -> HttpResponse {
     if let Ok(slot) = find(&slots, &server) {
         let tokens = state.prefix_tokens.saturating_add(state.tokens);
-        tokio::time::sleep(slot.transfer_time(tokens.min(MAXIMUM_MOVED_TOKENS))).await;
+        tokio::time::sleep(slot.transfer_time(tokens.min(MAXIMUM_TRANSFERRED_TOKENS))).await;
     }
     answer(&slots, &server, |slot| slot.import_kv(&state)).await
 }
@@ -171,11 +171,11 @@
 ) -> HttpResponse {
     match call_engine(slots, server, |slot| call(slot)).await {
         Ok(body) => HttpResponse::Ok().json(body),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
-fn failed(error: CallError) -> HttpResponse {
+fn error_response(error: CallError) -> HttpResponse {
     match error {
         CallError::NoSuchEngine => HttpResponse::NotFound().body("no such engine"),
         CallError::Refused(refusal) => {
--- a/crates/standin/src/engine/memory.rs
+++ b/crates/standin/src/engine/memory.rs
@@ -70,7 +70,7 @@
 
     /// Allocates blocks, evicting cached ones as needed. Returns `false` and changes nothing if not
     /// enough are available.
-    pub fn take(&mut self, blocks: u32) -> bool {
+    pub fn allocate(&mut self, blocks: u32) -> bool {
         if blocks > self.available() {
             return false;
         }
@@ -82,7 +82,7 @@
     }
 
     /// Frees allocated blocks.
-    pub fn give(&mut self, blocks: u32) {
+    pub fn free_blocks(&mut self, blocks: u32) {
         self.free += blocks;
     }
 
@@ -93,9 +93,9 @@
             entry.sequences += 1;
             return entry.blocks.min(wanted);
         }
-        let cached = self.take_cached(key);
+        let cached = self.remove_cached(key);
         let blocks = cached.min(wanted);
-        self.give(cached - blocks);
+        self.free_blocks(cached - blocks);
         if blocks > 0 {
             let entry = Pinned {
                 blocks,
@@ -106,19 +106,19 @@
         blocks
     }
 
-    /// Moves `grows` of a sequence's own blocks to the pinned entry and frees the rest of `given` as
-    /// duplicates. `counted` is set if the sequence has already pinned the entry.
-    pub fn share(&mut self, key: u64, grows: u32, given: u32, counted: bool) {
+    /// Moves `growth` of a sequence's own blocks to the pinned entry and frees the rest of `contributed` as
+    /// duplicates. `has_pin` is set if the sequence has already pinned the entry.
+    pub fn share(&mut self, key: u64, growth: u32, contributed: u32, has_pin: bool) {
         // Blocks cached under the key duplicate the shared ones.
-        let duplicate = self.take_cached(key);
+        let duplicate = self.remove_cached(key);
         self.free += duplicate;
         let entry = self.pinned.entry(key).or_insert(Pinned {
             blocks: 0,
             sequences: 0,
         });
-        entry.sequences += u32::from(!counted);
-        entry.blocks += grows;
-        self.free += given - grows;
+        entry.sequences += u32::from(!has_pin);
+        entry.blocks += growth;
+        self.free += contributed - growth;
     }
 
     /// Removes one sequence's pin; an entry without pins becomes cached.
@@ -130,12 +130,12 @@
         if entry.sequences == 0 {
             let blocks = entry.blocks;
             self.pinned.remove(&key);
-            self.retain(key, blocks);
+            self.add_cached(key, blocks);
         }
     }
 
     /// Caches blocks owned by a sequence under a key, replacing the entry there.
-    pub fn retain(&mut self, key: u64, blocks: u32) {
+    pub fn add_cached(&mut self, key: u64, blocks: u32) {
         if blocks == 0 {
             return;
         }
@@ -147,7 +147,7 @@
     }
 
     /// Removes the blocks cached under a key and transfers them to the caller.
-    pub fn take_cached(&mut self, key: u64) -> u32 {
+    pub fn remove_cached(&mut self, key: u64) -> u32 {
         let blocks = self.cached.pop(&key).unwrap_or(0);
         self.cached_blocks -= blocks;
         blocks
@@ -160,12 +160,12 @@
         if missing == 0 || self.pinned(key) > 0 {
             return true;
         }
-        let had = self.take_cached(key);
-        if !self.take(missing) {
-            self.retain(key, had);
+        let previous = self.remove_cached(key);
+        if !self.allocate(missing) {
+            self.add_cached(key, previous);
             return false;
         }
-        self.retain(key, had + missing);
+        self.add_cached(key, previous + missing);
         true
     }
 
@@ -194,11 +194,11 @@
         let Some((key, blocks)) = self.cached.pop_lru() else {
             return;
         };
-        let gone = blocks.min(wanted);
-        self.cached_blocks -= gone;
-        self.free += gone;
-        if gone < blocks {
-            self.cached.push(key, blocks - gone);
+        let evicted_blocks = blocks.min(wanted);
+        self.cached_blocks -= evicted_blocks;
+        self.free += evicted_blocks;
+        if evicted_blocks < blocks {
+            self.cached.push(key, blocks - evicted_blocks);
             self.cached.demote(&key);
         } else {
             self.evicted.push(key);
--- a/crates/standin/src/engine/meter.rs
+++ b/crates/standin/src/engine/meter.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use super::probe::{Prober, YieldProbe};
+use super::probe::{BurstTracker, YieldProbe};
 use super::settings::EngineModelSettings;
 
 /// Maximum number of samples per engine: one hour at the default interval.
@@ -51,7 +51,7 @@
 pub struct Meter {
     per_sequence_ms: f64,
     per_prefill_token_ms: f64,
-    slowdown: f64,
+    allowed_slowdown: f64,
     maximum_sequences: u32,
     total_blocks: u32,
     quiet_us: u64,
@@ -60,11 +60,11 @@
     idle_tokens: f64,
     batch_tokens: u64,
     online_tokens: u64,
-    sampled: (f64, u64, u64),
+    sampled_totals: (f64, u64, u64),
     samples: Vec<Sample>,
     online_ended_us: Option<u64>,
-    probe: Prober,
-    usual_probe: Prober,
+    probe: BurstTracker,
+    usual_probe: BurstTracker,
     steps: u64,
     online_step_ms: f64,
     online_alone_ms: f64,
@@ -80,20 +80,20 @@
         Meter {
             per_sequence_ms: settings.per_sequence_ms,
             per_prefill_token_ms: settings.per_prefill_token_ms,
-            slowdown: settings.online_slowdown_percent / 100.0,
+            allowed_slowdown: settings.online_slowdown_percent / 100.0,
             maximum_sequences: settings.maximum_sequences,
             total_blocks: settings.total_blocks(),
-            quiet_us: EngineModelSettings::micros(settings.probe_quiet_ms),
+            quiet_us: EngineModelSettings::milliseconds_to_us(settings.probe_quiet_ms),
             usual_base_ms: settings.usual_base_ms(),
             mean_batch_blocks: f64::from(typical),
             idle_tokens: 0.0,
             batch_tokens: 0,
             online_tokens: 0,
-            sampled: (0.0, 0, 0),
+            sampled_totals: (0.0, 0, 0),
             samples: Vec::new(),
             online_ended_us: Some(0),
-            probe: Prober::default(),
-            usual_probe: Prober::default(),
+            probe: BurstTracker::default(),
+            usual_probe: BurstTracker::default(),
             steps: 0,
             online_step_ms: 0.0,
             online_alone_ms: 0.0,
@@ -140,37 +140,37 @@
 
     /// Time until batch yielded, by the width that each step allows with its noise.
     pub fn probe(&self) -> &YieldProbe {
-        &self.probe.seen
+        &self.probe.histogram
     }
 
     /// Time until batch yielded, by the width that a step of mean length allows. A scheduler cannot
     /// know in advance that a step will be short and allow less.
     pub fn usual_probe(&self) -> &YieldProbe {
-        &self.usual_probe.seen
+        &self.usual_probe.histogram
     }
 
-    pub(super) fn stalled(&mut self, microseconds: u64) {
+    pub(super) fn record_lateness(&mut self, microseconds: u64) {
         self.stalled_us += microseconds;
     }
 
     /// Maximum batch width that slows the online sequences of the step by at most the allowed share
     /// and stays within the sequence and memory limits.
     pub(super) fn allowed_width(&self, step: &StepShape) -> u32 {
-        let by_sequences = self.maximum_sequences.saturating_sub(step.online);
+        let width_by_sequences = self.maximum_sequences.saturating_sub(step.online);
         let others = step.online_blocks + step.shared_blocks;
         let free_blocks = self.total_blocks.saturating_sub(others);
-        let by_memory = (f64::from(free_blocks) / self.mean_batch_blocks) as u32;
-        let width = by_sequences.min(by_memory);
+        let width_by_memory = (f64::from(free_blocks) / self.mean_batch_blocks) as u32;
+        let width = width_by_sequences.min(width_by_memory);
         if step.online == 0 {
             return width;
         }
-        let by_slowdown =
-            self.alone_ms(step) * self.slowdown / self.per_sequence_ms.max(f64::EPSILON);
-        width.min(by_slowdown as u32)
+        let width_by_slowdown = self.online_only_ms(step) * self.allowed_slowdown
+            / self.per_sequence_ms.max(f64::EPSILON);
+        width.min(width_by_slowdown as u32)
     }
 
     /// Time of the step without batch sequences, milliseconds.
-    fn alone_ms(&self, step: &StepShape) -> f64 {
+    fn online_only_ms(&self, step: &StepShape) -> f64 {
         step.noisy_base_ms
             + self.per_sequence_ms * f64::from(step.online)
             + self.per_prefill_token_ms * f64::from(step.online_prefill)
@@ -181,7 +181,7 @@
         self.steps += 1;
         if step.online > 0 {
             self.online_step_ms += step_ms;
-            self.online_alone_ms += self.alone_ms(step);
+            self.online_alone_ms += self.online_only_ms(step);
         }
         if step.batch > 0 {
             let blocks = f64::from(step.batch_blocks) / f64::from(step.batch);
@@ -190,14 +190,14 @@
         let allowed = self.allowed_width(step);
         self.idle_tokens += f64::from(allowed);
         if step.online > 0 && step.batch <= allowed {
-            self.probe.yielded(now_us);
+            self.probe.batch_yielded(now_us);
         }
         let usual = StepShape {
             noisy_base_ms: self.usual_base_ms,
             ..*step
         };
         if step.online > 0 && step.batch <= self.allowed_width(&usual) {
-            self.usual_probe.yielded(now_us);
+            self.usual_probe.batch_yielded(now_us);
         }
     }
 
@@ -237,15 +237,15 @@
     }
 
     /// Records that the last online sequence has left the engine.
-    pub(super) fn online_gone(&mut self, now_us: u64) {
+    pub(super) fn online_drained(&mut self, now_us: u64) {
         self.online_ended_us = Some(now_us);
         self.probe.burst_ends();
         self.usual_probe.burst_ends();
     }
 
     pub(super) fn sample(&mut self, at_us: u64, online: u32, batch: u32, batch_waiting: u32) {
-        let (idle, batch_made, online_made) = self.sampled;
-        self.sampled = (self.idle_tokens, self.batch_tokens, self.online_tokens);
+        let (idle, batch_made, online_made) = self.sampled_totals;
+        self.sampled_totals = (self.idle_tokens, self.batch_tokens, self.online_tokens);
         if self.samples.len() < MAXIMUM_SAMPLES {
             self.samples.push(Sample {
                 at_us,
--- a/crates/standin/src/engine/model.rs
+++ b/crates/standin/src/engine/model.rs
@@ -168,7 +168,7 @@
     }
 
     /// Ends all sequences as lost, without notifying readers. Returns the records, which are kept.
-    pub fn lose(&mut self, now_us: u64) -> Vec<RunRecord> {
+    pub fn end_as_lost(&mut self, now_us: u64) -> Vec<RunRecord> {
         self.catch_up(now_us);
         let lost = self.running.drain(..).chain(self.waiting.drain(..));
         for sequence in lost {
@@ -220,7 +220,7 @@
     }
 
     /// The meter as of the last update.
-    pub fn meter_as_it_stands(&self) -> &Meter {
+    pub fn meter_without_update(&self) -> &Meter {
         &self.meter
     }
 
--- a/crates/standin/src/engine/model/arrival.rs
+++ b/crates/standin/src/engine/model/arrival.rs
@@ -104,7 +104,7 @@
         let sequence = Sequence {
             stream,
             request_id,
-            priority: self.served_priority(call.priority),
+            priority: self.scheduling_priority(call.priority),
             online,
             text,
             prompt_tokens,
@@ -121,7 +121,7 @@
             cached_tokens: 0,
             own_blocks: 0,
             pinned_blocks: 0,
-            pins: false,
+            holds_pin: false,
             ran: false,
             record,
             detached_at: None,
@@ -134,7 +134,7 @@
         }
     }
 
-    fn served_priority(&self, priority: Priority) -> Priority {
+    fn scheduling_priority(&self, priority: Priority) -> Priority {
         if self.settings.ignore_priority {
             Priority::BATCH
         } else {
--- a/crates/standin/src/engine/model/orders.rs
+++ b/crates/standin/src/engine/model/orders.rs
@@ -15,7 +15,7 @@
     /// Waits for running and waiting sequences to end.
     Draining { model: LoadedModel },
     /// Waits for the caller to query the weight store for the duration.
-    Asking { model: LoadedModel },
+    QueryingSource { model: LoadedModel },
     /// Reads the weights.
     Reading {
         model: LoadedModel,
@@ -32,7 +32,7 @@
         match self {
             LoadPhase::None => None,
             LoadPhase::Draining { model }
-            | LoadPhase::Asking { model }
+            | LoadPhase::QueryingSource { model }
             | LoadPhase::Reading { model, .. } => Some(&model.version),
         }
     }
@@ -70,16 +70,16 @@
     }
 
     /// Service and version for which the caller must query the weight store.
-    pub fn wanted_load(&self) -> Option<(&str, &str)> {
+    pub fn load_to_query(&self) -> Option<(&str, &str)> {
         match &self.load {
-            LoadPhase::Asking { model } => Some((&model.service, &model.version)),
+            LoadPhase::QueryingSource { model } => Some((&model.service, &model.version)),
             _ => None,
         }
     }
 
     /// Sets the end time and result of the pending load, as reported by the weight store.
-    pub fn set_load(&mut self, until_us: u64, outcome: Result<(), String>) {
-        if let LoadPhase::Asking { model } = &self.load {
+    pub fn set_load_result(&mut self, until_us: u64, outcome: Result<(), String>) {
+        if let LoadPhase::QueryingSource { model } = &self.load {
             self.load = LoadPhase::Reading {
                 model: model.clone(),
                 until_us,
@@ -124,7 +124,7 @@
         let idle = self.running.is_empty() && self.waiting.is_empty();
         match &self.load {
             LoadPhase::Draining { model } if idle => {
-                self.load = LoadPhase::Asking {
+                self.load = LoadPhase::QueryingSource {
                     model: model.clone(),
                 };
             }
--- a/crates/standin/src/engine/model/schedule.rs
+++ b/crates/standin/src/engine/model/schedule.rs
@@ -11,7 +11,7 @@
                 return;
             }
             let mut sequence = self.waiting.remove(0);
-            self.take_memory(&mut sequence);
+            self.allocate_memory(&mut sequence);
             insert_ordered(&mut self.running, sequence);
         }
     }
@@ -32,9 +32,9 @@
             .running
             .iter()
             .filter(|other| other.priority < priority);
-        let takeable: u32 = lower.map(|other| other.own_blocks).sum();
+        let preemptible_blocks: u32 = lower.map(|other| other.own_blocks).sum();
         let first = first.clone();
-        if self.missing_blocks(&first) > takeable {
+        if self.missing_blocks(&first) > preemptible_blocks {
             return false;
         }
         if full {
@@ -69,16 +69,16 @@
     }
 
     /// Allocates memory for an admitted sequence. Cached tokens are not prefilled again.
-    fn take_memory(&mut self, sequence: &mut Sequence) {
+    fn allocate_memory(&mut self, sequence: &mut Sequence) {
         let block = self.settings.block_tokens;
         let needed = self.blocks_for(sequence);
         if sequence.prefix_blocks > 0 {
             let wanted = sequence.prefix_blocks;
             sequence.pinned_blocks = self.memory.pin(sequence.prefix_key, wanted);
-            sequence.pins = sequence.pinned_blocks > 0;
+            sequence.holds_pin = sequence.pinned_blocks > 0;
         }
         let own_key = sequence.text.key();
-        let own = self.memory.take_cached(own_key);
+        let own = self.memory.remove_cached(own_key);
         // Cached state after the prefix is usable only with the complete prefix.
         let whole_prefix = sequence.pinned_blocks == sequence.prefix_blocks;
         let still_needed = needed - sequence.pinned_blocks.min(needed);
@@ -87,9 +87,9 @@
         } else {
             0
         };
-        self.memory.give(own - reused);
+        self.memory.free_blocks(own - reused);
         let fresh = still_needed - reused;
-        if !self.memory.take(fresh) {
+        if !self.memory.allocate(fresh) {
             // `make_room` has checked that enough blocks are available.
             debug_assert!(false, "no memory for an admitted sequence");
         }
@@ -111,24 +111,24 @@
         let keep = whole_blocks
             .saturating_sub(sequence.pinned_blocks)
             .min(sequence.own_blocks);
-        self.memory.retain(sequence.text.key(), keep);
-        self.memory.give(sequence.own_blocks - keep);
+        self.memory.add_cached(sequence.text.key(), keep);
+        self.memory.free_blocks(sequence.own_blocks - keep);
         self.unpin(sequence);
         sequence.own_blocks = 0;
     }
 
     /// Frees the memory of a preempted sequence without caching it.
-    fn drop_memory(&mut self, sequence: &mut Sequence) {
-        self.memory.give(sequence.own_blocks);
+    fn free_memory(&mut self, sequence: &mut Sequence) {
+        self.memory.free_blocks(sequence.own_blocks);
         self.unpin(sequence);
         sequence.own_blocks = 0;
     }
 
     fn unpin(&mut self, sequence: &mut Sequence) {
-        if sequence.pins {
+        if sequence.holds_pin {
             self.memory.unpin(sequence.prefix_key);
         }
-        sequence.pins = false;
+        sequence.holds_pin = false;
         sequence.pinned_blocks = 0;
     }
 
@@ -138,7 +138,7 @@
         let Some(mut sequence) = self.running.pop() else {
             return;
         };
-        self.drop_memory(&mut sequence);
+        self.free_memory(&mut sequence);
         sequence.prefill_left = 0;
         sequence.prefill_now = 0;
         self.records
@@ -148,15 +148,15 @@
 
     /// Allocates blocks for the next token of each running sequence, highest priority first.
     /// Preempts the last sequence in that order when memory runs out.
-    pub(super) fn grow(&mut self) {
+    pub(super) fn allocate_next_blocks(&mut self) {
         let block = self.settings.block_tokens;
         let mut index = 0;
         while index < self.running.len() {
             let sequence = &self.running[index];
-            let has = sequence.blocks() * block;
-            if sequence.context() < has || self.memory.take(1) {
+            let capacity = sequence.blocks() * block;
+            if sequence.context() < capacity || self.memory.allocate(1) {
                 let sequence = &mut self.running[index];
-                sequence.own_blocks += u32::from(sequence.context() >= has);
+                sequence.own_blocks += u32::from(sequence.context() >= capacity);
                 index += 1;
             } else {
                 self.preempt_last();
@@ -176,29 +176,29 @@
         let (key, blocks) = (sequence.prefix_key, sequence.prefix_blocks);
         // Other sequences may have extended the prefix since this one was admitted, so only the
         // blocks beyond theirs are added.
-        let there = self.memory.pinned(key);
-        if there < sequence.pinned_blocks {
+        let already_pinned = self.memory.pinned(key);
+        if already_pinned < sequence.pinned_blocks {
             sequence.own_blocks += missing;
             return None;
         }
-        let counted = sequence.pins;
+        let has_pin = sequence.holds_pin;
         sequence.pinned_blocks = blocks;
-        sequence.pins = true;
+        sequence.holds_pin = true;
         self.memory
-            .share(key, blocks - (there.min(blocks)), missing, counted);
+            .share(key, blocks - (already_pinned.min(blocks)), missing, has_pin);
         Some((key, blocks))
     }
 
     /// Ends streams that have had no reader for the grace period.
-    pub(super) fn abandon_unread(&mut self, now_us: u64, effects: &mut Vec<Effect>) {
+    pub(super) fn end_detached_streams(&mut self, now_us: u64, effects: &mut Vec<Effect>) {
         let grace = self.settings.detach_grace_ms.saturating_mul(1_000);
         let all = self.running.iter().chain(self.waiting.iter());
-        let unread = all.filter(|sequence| {
+        let detached = all.filter(|sequence| {
             let since = sequence.detached_at;
             since.is_some_and(|since| now_us.saturating_sub(since) >= grace)
         });
-        let unread: Vec<_> = unread.map(|sequence| sequence.stream).collect();
-        for stream in unread {
+        let detached: Vec<_> = detached.map(|sequence| sequence.stream).collect();
+        for stream in detached {
             self.remove(now_us, stream, super::RunEnd::Abandoned, effects);
         }
     }
--- a/crates/standin/src/engine/model/step.rs
+++ b/crates/standin/src/engine/model/step.rs
@@ -25,7 +25,7 @@
                     self.end_step(step.due_us, effects);
                     let late = now_us - step.due_us;
                     let begin = if late > TOLERATED_LATENESS_US {
-                        self.meter.stalled(late);
+                        self.meter.record_lateness(late);
                         now_us
                     } else {
                         step.due_us
@@ -53,7 +53,7 @@
     }
 
     fn begin_step(&mut self, now_us: u64, effects: &mut Vec<Effect>) {
-        self.abandon_unread(now_us, effects);
+        self.end_detached_streams(now_us, effects);
         self.advance_load(now_us);
         self.schedule();
         if self.running.is_empty() {
@@ -65,7 +65,7 @@
         let noisy_base_ms = self.noisy_base_ms();
         let shape = self.shape(noisy_base_ms);
         self.mark_started(now_us);
-        self.count_waits();
+        self.count_online_waits();
         let sequences = self.running.len() as f64;
         let step_ms = shape.noisy_base_ms
             + self.settings.per_sequence_ms * sequences
@@ -90,8 +90,8 @@
 
     fn mark_started(&mut self, now_us: u64) {
         for sequence in &mut self.running {
-            let takes_part = sequence.prefill_left == 0 || sequence.prefill_now > 0;
-            if takes_part && !sequence.ran {
+            let participates = sequence.prefill_left == 0 || sequence.prefill_now > 0;
+            if participates && !sequence.ran {
                 sequence.ran = true;
                 self.records
                     .change(sequence.record, |record| record.started_us = Some(now_us));
@@ -100,7 +100,7 @@
     }
 
     /// Counts the step for each online sequence that waits while batch sequences are served.
-    fn count_waits(&mut self) {
+    fn count_online_waits(&mut self) {
         let batch = || self.running.iter().filter(|sequence| !sequence.online);
         let batch_prefills = batch().any(|sequence| sequence.prefill_now > 0);
         if batch().next().is_none() {
@@ -139,7 +139,7 @@
 
     /// Batch width that the definition of idle capacity allows beside the current sequences, for a
     /// step of mean length.
-    pub fn allowed_batch(&self) -> u32 {
+    pub fn allowed_batch_width(&self) -> u32 {
         let usual_ms = self.settings.usual_base_ms();
         self.meter.allowed_width(&self.shape(usual_ms))
     }
@@ -171,8 +171,8 @@
             }
         }
         self.meter.step_ended(online_tokens, batch_tokens);
-        self.take_ended(now_us, effects);
-        self.grow();
+        self.finish_completed(now_us, effects);
+        self.allocate_next_blocks();
         self.publish_evictions(now_us);
     }
 
@@ -206,7 +206,7 @@
         true
     }
 
-    fn take_ended(&mut self, now_us: u64, effects: &mut Vec<Effect>) {
+    fn finish_completed(&mut self, now_us: u64, effects: &mut Vec<Effect>) {
         let mut index = 0;
         while index < self.running.len() {
             let sequence = &self.running[index];
@@ -220,7 +220,7 @@
     }
 
     fn publish_cache(&mut self, now_us: u64, key: u64, tokens: u32) {
-        let delay_us = EngineModelSettings::micros(self.settings.cache_event_delay_ms);
+        let delay_us = EngineModelSettings::milliseconds_to_us(self.settings.cache_event_delay_ms);
         let loss = self.settings.cache_event_loss;
         self.publication
             .cache_event(now_us, delay_us, loss, &mut self.rng, (key, tokens));
@@ -239,7 +239,7 @@
             if next > now_us {
                 break;
             }
-            self.account_idle(next);
+            self.count_idle_time(next);
             if next == self.next_sample_us {
                 self.take_sample(next);
             }
@@ -247,10 +247,10 @@
                 self.publish_report(next);
             }
         }
-        self.account_idle(now_us);
+        self.count_idle_time(now_us);
     }
 
-    fn account_idle(&mut self, now_us: u64) {
+    fn count_idle_time(&mut self, now_us: u64) {
         let empty = self.step.is_none() && self.running.is_empty() && self.waiting.is_empty();
         if empty && now_us > self.idle_since_us {
             if matches!(self.load, LoadPhase::None) {
@@ -267,14 +267,16 @@
         let batch = self.running.len() - online;
         self.meter
             .sample(at_us, online as u32, batch as u32, batch_waiting);
-        self.next_sample_us += EngineModelSettings::micros(self.settings.sample_interval_ms.max(1));
+        self.next_sample_us +=
+            EngineModelSettings::milliseconds_to_us(self.settings.sample_interval_ms.max(1));
     }
 
     fn publish_report(&mut self, at_us: u64) {
         let report = self.snapshot();
-        let delay_us = EngineModelSettings::micros(self.settings.report_delay_ms);
+        let delay_us = EngineModelSettings::milliseconds_to_us(self.settings.report_delay_ms);
         self.publication
             .report(at_us, delay_us, &mut self.rng, report);
-        self.next_report_us += EngineModelSettings::micros(self.settings.report_interval_ms.max(1));
+        self.next_report_us +=
+            EngineModelSettings::milliseconds_to_us(self.settings.report_interval_ms.max(1));
     }
 }
--- a/crates/standin/src/engine/model/streams.rs
+++ b/crates/standin/src/engine/model/streams.rs
@@ -30,8 +30,8 @@
     ) -> Option<Started> {
         let offset = call.resume_offset;
         let version = self.version.clone();
-        let mut living = self.running.iter_mut().chain(self.waiting.iter_mut());
-        if let Some(sequence) = living.find(|sequence| sequence.stream == stream) {
+        let mut live = self.running.iter_mut().chain(self.waiting.iter_mut());
+        if let Some(sequence) = live.find(|sequence| sequence.stream == stream) {
             if *sequence.request_id != *call.request_id {
                 return None;
             }
@@ -80,8 +80,8 @@
 
     /// Records that a stream lost its reader. The stream continues for the grace period.
     pub fn detach(&mut self, now_us: u64, stream: StreamNumber) {
-        let mut living = self.running.iter_mut().chain(self.waiting.iter_mut());
-        if let Some(sequence) = living.find(|sequence| sequence.stream == stream) {
+        let mut live = self.running.iter_mut().chain(self.waiting.iter_mut());
+        if let Some(sequence) = live.find(|sequence| sequence.stream == stream) {
             sequence.detached_at = Some(now_us);
         }
     }
@@ -136,15 +136,15 @@
             record.end = Some(end);
         });
         if sequence.online && self.online_count() == 0 {
-            self.meter.online_gone(now_us);
+            self.meter.online_drained(now_us);
         }
         if end == RunEnd::Finished {
-            self.remember(now_us, &sequence);
+            self.retain_finished(now_us, &sequence);
         }
     }
 
-    fn remember(&mut self, now_us: u64, sequence: &Sequence) {
-        let grace = EngineModelSettings::micros(self.settings.finished_grace_ms);
+    fn retain_finished(&mut self, now_us: u64, sequence: &Sequence) {
+        let grace = EngineModelSettings::milliseconds_to_us(self.settings.finished_grace_ms);
         while let Some(oldest) = self.finished.front()
             && now_us.saturating_sub(oldest.at_us) > grace
         {
--- a/crates/standin/src/engine/probe.rs
+++ b/crates/standin/src/engine/probe.rs
@@ -29,9 +29,9 @@
 
 /// Tracks the current burst and collects the histograms.
 #[derive(Debug, Default)]
-pub(super) struct Prober {
-    open: Option<Burst>,
-    pub(super) seen: YieldProbe,
+pub(super) struct BurstTracker {
+    current: Option<Burst>,
+    pub(super) histogram: YieldProbe,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -40,9 +40,9 @@
     steps: u32,
 }
 
-impl Prober {
+impl BurstTracker {
     pub(super) fn burst_begins(&mut self, now_us: u64) {
-        self.open = Some(Burst {
+        self.current = Some(Burst {
             since_us: now_us,
             steps: 0,
         });
@@ -50,25 +50,25 @@
 
     /// Counts a step of the current burst.
     pub(super) fn step_ended(&mut self) {
-        if let Some(burst) = &mut self.open {
+        if let Some(burst) = &mut self.current {
             burst.steps += 1;
         }
     }
 
     /// Records that the batch is no wider than allowed, which completes the current burst.
-    pub(super) fn yielded(&mut self, now_us: u64) {
-        let Some(burst) = self.open.take() else {
+    pub(super) fn batch_yielded(&mut self, now_us: u64) {
+        let Some(burst) = self.current.take() else {
             return;
         };
-        let waited_ms = now_us.saturating_sub(burst.since_us).div_ceil(1_000);
-        *self.seen.steps.entry(burst.steps).or_default() += 1;
-        *self.seen.milliseconds.entry(waited_ms).or_default() += 1;
+        let elapsed_ms = now_us.saturating_sub(burst.since_us).div_ceil(1_000);
+        *self.histogram.steps.entry(burst.steps).or_default() += 1;
+        *self.histogram.milliseconds.entry(elapsed_ms).or_default() += 1;
     }
 
     /// Ends the current burst; it counts as `never` if batch has not yielded.
     pub(super) fn burst_ends(&mut self) {
-        if self.open.take().is_some() {
-            self.seen.never += 1;
+        if self.current.take().is_some() {
+            self.histogram.never += 1;
         }
     }
 }
--- a/crates/standin/src/engine/record.rs
+++ b/crates/standin/src/engine/record.rs
@@ -89,8 +89,8 @@
     }
 
     /// Modifies the record at a position, unless it was dropped.
-    pub fn change(&mut self, place: u64, change: impl FnOnce(&mut RunRecord)) {
-        let index = place.checked_sub(self.first);
+    pub fn change(&mut self, position: u64, change: impl FnOnce(&mut RunRecord)) {
+        let index = position.checked_sub(self.first);
         if let Some(record) = index.and_then(|index| self.kept.get_mut(index as usize)) {
             change(record);
         }
--- a/crates/standin/src/engine/reports.rs
+++ b/crates/standin/src/engine/reports.rs
@@ -11,7 +11,7 @@
 
 #[derive(Debug)]
 struct Delayed<T> {
-    made_us: u64,
+    created_us: u64,
     deliver_us: u64,
     item: T,
 }
@@ -51,29 +51,29 @@
         report.sequence = self.report_sequence;
         let delay = rng.random_range(0..=delay_us) + self.extra_delay_us;
         self.reports.push_back(Delayed {
-            made_us: now_us,
+            created_us: now_us,
             deliver_us: now_us + delay,
             item: report,
         });
-        self.forget_superseded(now_us);
+        self.drop_superseded(now_us);
     }
 
     /// The newest delivered report.
     pub(super) fn latest(&mut self, now_us: u64) -> Option<EngineReport> {
-        self.forget_superseded(now_us);
+        self.drop_superseded(now_us);
         let newest = self
             .reports
             .iter()
             .rev()
             .find(|report| report.deliver_us <= now_us)?;
         let mut report = newest.item.clone();
-        let age_ms = now_us.saturating_sub(newest.made_us) / 1_000;
+        let age_ms = now_us.saturating_sub(newest.created_us) / 1_000;
         report.age_ms = u32::try_from(age_ms).unwrap_or(u32::MAX);
         Some(report)
     }
 
     /// Drops reports older than the newest delivered one.
-    fn forget_superseded(&mut self, now_us: u64) {
+    fn drop_superseded(&mut self, now_us: u64) {
         let newest = self
             .reports
             .iter()
@@ -100,7 +100,7 @@
             self.events.pop_front();
         }
         self.events.push_back(Delayed {
-            made_us: now_us,
+            created_us: now_us,
             deliver_us: now_us + rng.random_range(0..=delay_us) + self.extra_delay_us,
             item: CacheEvent {
                 sequence: self.event_sequence,
--- a/crates/standin/src/engine/sequence.rs
+++ b/crates/standin/src/engine/sequence.rs
@@ -50,7 +50,7 @@
     /// Blocks of the pinned shared prefix that it uses.
     pub pinned_blocks: u32,
     /// Whether it holds a pin on the shared prefix.
-    pub pins: bool,
+    pub holds_pin: bool,
     /// Whether it took part in any step.
     pub ran: bool,
     /// Position of its record.
@@ -61,7 +61,7 @@
 
 impl Sequence {
     /// Scheduling order: higher priority first, then arrival.
-    pub fn rank(&self) -> (Reverse<Priority>, StreamNumber) {
+    pub fn scheduling_key(&self) -> (Reverse<Priority>, StreamNumber) {
         (Reverse(self.priority), self.stream)
     }
 
@@ -78,6 +78,6 @@
 
 /// Inserts a sequence into a list in scheduling order.
 pub(super) fn insert_ordered(list: &mut Vec<Sequence>, sequence: Sequence) {
-    let place = list.partition_point(|other| other.rank() < sequence.rank());
-    list.insert(place, sequence);
+    let index = list.partition_point(|other| other.scheduling_key() < sequence.scheduling_key());
+    list.insert(index, sequence);
 }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -111,7 +111,7 @@
     }
 
     /// Converts milliseconds to microseconds.
-    pub(crate) fn micros(milliseconds: u64) -> u64 {
+    pub(crate) fn milliseconds_to_us(milliseconds: u64) -> u64 {
         milliseconds.saturating_mul(1_000)
     }
 }
--- a/crates/standin/src/engine/slot.rs
+++ b/crates/standin/src/engine/slot.rs
@@ -52,10 +52,10 @@
     reader: u64,
 }
 
-struct Life {
+struct Inner {
     model: Option<EngineModel>,
     hung: bool,
-    past: Vec<EngineModel>,
+    retired: Vec<EngineModel>,
     sinks: HashMap<StreamNumber, Sink>,
     next_reader: u64,
     due_us: Option<u64>,
@@ -71,7 +71,7 @@
     started: Instant,
     wakeups: Arc<Wakeups>,
     weights: Option<Arc<dyn WeightSource>>,
-    life: Mutex<Life>,
+    inner: Mutex<Inner>,
 }
 
 /// Reader of a stream. Detaches the stream if dropped before its end.
@@ -97,10 +97,10 @@
         weights: Option<Arc<dyn WeightSource>>,
     ) -> Slot {
         let now_us = started.elapsed().as_micros() as u64;
-        let life = Life {
+        let inner = Inner {
             model: Some(EngineModel::new(&spec, now_us, 1)),
             hung: false,
-            past: Vec::new(),
+            retired: Vec::new(),
             sinks: HashMap::new(),
             next_reader: 1,
             due_us: None,
@@ -114,7 +114,7 @@
             started,
             wakeups,
             weights,
-            life: Mutex::new(life),
+            inner: Mutex::new(inner),
         }
     }
 
@@ -128,20 +128,20 @@
 
     /// Starts a call and returns the reader of its stream.
     pub(super) fn generate(self: &Arc<Self>, call: &GenerateCall) -> Result<Reader, CallError> {
-        let mut life = self.life.lock();
+        let mut inner = self.inner.lock();
         let now_us = self.now_us();
-        let mut effects = std::mem::take(&mut life.effects);
-        let model = life.answering()?;
+        let mut effects = std::mem::take(&mut inner.effects);
+        let model = inner.responsive_model()?;
         let started = model
             .generate(now_us, call, &mut effects)
             .map_err(CallError::Refused)?;
         let (sender, deliveries) = unbounded_channel();
-        let reader = life.next_reader;
-        life.next_reader += 1;
-        life.sinks.insert(started.stream, Sink { sender, reader });
-        life.effects = effects;
-        life.deliver();
-        self.pump_if_unscheduled(&mut life, now_us);
+        let reader = inner.next_reader;
+        inner.next_reader += 1;
+        inner.sinks.insert(started.stream, Sink { sender, reader });
+        inner.effects = effects;
+        inner.deliver();
+        self.advance_if_unscheduled(&mut inner, now_us);
         Ok(Reader {
             started,
             deliveries,
@@ -151,44 +151,44 @@
     }
 
     fn detach(&self, stream: StreamNumber, reader: u64) {
-        let mut life = self.life.lock();
-        let is_current = life
+        let mut inner = self.inner.lock();
+        let is_current = inner
             .sinks
             .get(&stream)
             .is_some_and(|sink| sink.reader == reader);
         if !is_current {
             return;
         }
-        life.sinks.remove(&stream);
+        inner.sinks.remove(&stream);
         let now_us = self.now_us();
-        if let Some(model) = &mut life.model {
+        if let Some(model) = &mut inner.model {
             model.detach(now_us, stream);
         }
     }
 
     /// Cancels a stream; `Ok(false)` if it is not live.
     pub(super) fn cancel(&self, name: &str) -> Result<bool, CallError> {
-        let mut life = self.life.lock();
+        let mut inner = self.inner.lock();
         let now_us = self.now_us();
-        let mut effects = std::mem::take(&mut life.effects);
-        let model = life.answering()?;
+        let mut effects = std::mem::take(&mut inner.effects);
+        let model = inner.responsive_model()?;
         let stream = parse_stream(name);
         let found = stream.is_some_and(|stream| model.cancel(now_us, stream, &mut effects));
-        life.effects = effects;
-        life.deliver();
+        inner.effects = effects;
+        inner.deliver();
         Ok(found)
     }
 
     pub(super) fn cancel_all(&self, names: &[String]) -> Result<(), CallError> {
-        let mut life = self.life.lock();
+        let mut inner = self.inner.lock();
         let now_us = self.now_us();
-        let mut effects = std::mem::take(&mut life.effects);
-        let model = life.answering()?;
+        let mut effects = std::mem::take(&mut inner.effects);
+        let model = inner.responsive_model()?;
         for stream in names.iter().filter_map(|name| parse_stream(name)) {
             model.cancel(now_us, stream, &mut effects);
         }
-        life.effects = effects;
-        life.deliver();
+        inner.effects = effects;
+        inner.deliver();
         Ok(())
     }
 
@@ -216,75 +216,75 @@
 
     /// Time to transfer the KV state of `tokens` tokens.
     pub(super) fn transfer_time(&self, tokens: u32) -> Duration {
-        let each_us = self.spec.model.kv_transfer_us_per_token;
-        Duration::from_micros(each_us.saturating_mul(tokens.into()))
+        let token_us = self.spec.model.kv_transfer_us_per_token;
+        Duration::from_micros(token_us.saturating_mul(tokens.into()))
     }
 
     fn with_model<R>(&self, read: impl FnOnce(&mut EngineModel, u64) -> R) -> Result<R, CallError> {
-        let mut life = self.life.lock();
+        let mut inner = self.inner.lock();
         let now_us = self.now_us();
-        let model = life.answering()?;
+        let model = inner.responsive_model()?;
         Ok(read(model, now_us))
     }
 
     pub(super) fn order(&self, order: &EngineOrder) -> Result<(), CallError> {
-        let mut life = self.life.lock();
+        let mut inner = self.inner.lock();
         let now_us = self.now_us();
-        let model = life.answering()?;
+        let model = inner.responsive_model()?;
         let result = model.order(now_us, order);
-        if life.orders.len() < MAXIMUM_ORDERS {
-            life.orders.push(OrderRecord {
+        if inner.orders.len() < MAXIMUM_ORDERS {
+            inner.orders.push(OrderRecord {
                 server: self.spec.server.clone(),
                 at_us: now_us,
                 order: order.clone(),
                 applied: result.is_ok(),
             });
         }
-        self.pump_if_unscheduled(&mut life, now_us);
+        self.advance_if_unscheduled(&mut inner, now_us);
         result.map_err(CallError::Refused)
     }
 
     /// Advances the engine; called by the driver at `due_us`. Returns the next due time, `None` if
     /// the engine was rescheduled in the meantime or is idle.
     pub(super) fn advance(&self, due_us: u64) -> Option<u64> {
-        let mut life = self.life.lock();
-        if life.due_us != Some(due_us) {
+        let mut inner = self.inner.lock();
+        if inner.due_us != Some(due_us) {
             return None;
         }
         let now_us = self.now_us();
-        self.pump(&mut life, now_us);
-        life.due_us
+        self.advance_model(&mut inner, now_us);
+        inner.due_us
     }
 
-    fn pump_if_unscheduled(&self, life: &mut Life, now_us: u64) {
-        if life.due_us.is_some() {
+    fn advance_if_unscheduled(&self, inner: &mut Inner, now_us: u64) {
+        if inner.due_us.is_some() {
             return;
         }
-        self.pump(life, now_us);
-        if let Some(due_us) = life.due_us {
+        self.advance_model(inner, now_us);
+        if let Some(due_us) = inner.due_us {
             self.wakeups.add(due_us, self.index);
         }
     }
 
-    fn pump(&self, life: &mut Life, now_us: u64) {
-        let mut effects = std::mem::take(&mut life.effects);
-        life.due_us = None;
-        if let Some(model) = &mut life.model
-            && !life.hung
+    fn advance_model(&self, inner: &mut Inner, now_us: u64) {
+        let mut effects = std::mem::take(&mut inner.effects);
+        inner.due_us = None;
+        if let Some(model) = &mut inner.model
+            && !inner.hung
         {
-            life.due_us = model.advance(now_us, &mut effects);
-            if let Some((service, version)) = model.wanted_load() {
-                let (load_us, outcome) = self.ask_weights(service, version);
-                model.set_load(now_us + load_us, outcome);
-                life.due_us = Some(now_us + load_us);
+            inner.due_us = model.advance(now_us, &mut effects);
+            if let Some((service, version)) = model.load_to_query() {
+                let (load_us, outcome) = self.query_weight_source(service, version);
+                model.set_load_result(now_us + load_us, outcome);
+                inner.due_us = Some(now_us + load_us);
             }
         }
-        life.effects = effects;
-        life.deliver();
+        inner.effects = effects;
+        inner.deliver();
     }
 
     /// Queries the duration, microseconds, and the result of a load.
-    fn ask_weights(&self, service: &str, version: &str) -> (u64, Result<(), String>) {
+    fn query_weight_source(&self, service: &str, version: &str) -> (u64, Result<(), String>) {
         let usual_us = self.spec.model.load_ms.saturating_mul(1_000);
         if self.spec.model.broken_versions.contains(version) {
             return (usual_us, Err(format!("weights of {version} are broken")));
@@ -299,9 +299,9 @@
     }
 }
 
-impl Life {
+impl Inner {
     /// The engine, unless it was killed or hangs.
-    fn answering(&mut self) -> Result<&mut EngineModel, CallError> {
+    fn responsive_model(&mut self) -> Result<&mut EngineModel, CallError> {
         match &mut self.model {
             None => Err(CallError::Dead),
             Some(_) if self.hung => Err(CallError::Hung),
--- a/crates/standin/src/engine/slot/experiment.rs
+++ b/crates/standin/src/engine/slot/experiment.rs
@@ -21,17 +21,17 @@
 
     /// Kills the engine: drops its state and aborts the connections of its readers.
     pub(in crate::engine) fn kill(&self) {
-        let mut life = self.life.lock();
+        let mut inner = self.inner.lock();
         let now_us = self.now_us();
-        let Some(mut model) = life.model.take() else {
+        let Some(mut model) = inner.model.take() else {
             return;
         };
-        model.lose(now_us);
-        life.next_stream = model.next_stream();
-        life.past.push(model);
-        life.hung = false;
-        life.due_us = None;
-        for (_, sink) in life.sinks.drain() {
+        model.end_as_lost(now_us);
+        inner.next_stream = model.next_stream();
+        inner.retired.push(model);
+        inner.hung = false;
+        inner.due_us = None;
+        for (_, sink) in inner.sinks.drain() {
             // Sending fails if the reader was dropped.
             let _ = sink.sender.send(Delivery::EngineLost);
         }
@@ -39,60 +39,60 @@
 
     /// Restarts a killed engine with empty state.
     pub(in crate::engine) fn revive(&self) {
-        let mut life = self.life.lock();
-        if life.model.is_none() {
+        let mut inner = self.inner.lock();
+        if inner.model.is_none() {
             let now_us = self.now_us();
-            life.model = Some(EngineModel::new(&self.spec, now_us, life.next_stream));
+            inner.model = Some(EngineModel::new(&self.spec, now_us, inner.next_stream));
         }
     }
 
     /// Makes the engine hang, or resumes it.
     pub(in crate::engine) fn set_hung(&self, hung: bool) {
-        let mut life = self.life.lock();
-        let was_hung = life.hung;
-        life.hung = hung && life.model.is_some();
+        let mut inner = self.inner.lock();
+        let was_hung = inner.hung;
+        inner.hung = hung && inner.model.is_some();
         if was_hung && !hung {
             let now_us = self.now_us();
-            if let Some(model) = &mut life.model {
+            if let Some(model) = &mut inner.model {
                 model.resume_after_hang(now_us);
             }
-            self.pump_if_unscheduled(&mut life, now_us);
+            self.advance_if_unscheduled(&mut inner, now_us);
         }
     }
 
     pub(in crate::engine) fn is_hung(&self) -> bool {
-        self.life.lock().hung
+        self.inner.lock().hung
     }
 
     pub(in crate::engine) fn is_alive(&self) -> bool {
-        self.life.lock().model.is_some()
+        self.inner.lock().model.is_some()
     }
 
     pub(in crate::engine) fn records(&self) -> Vec<RunRecord> {
-        let life = self.life.lock();
-        let lives = life.past.iter().chain(life.model.iter());
-        lives.flat_map(|model| model.records().all()).collect()
+        let inner = self.inner.lock();
+        let models = inner.retired.iter().chain(inner.model.iter());
+        models.flat_map(|model| model.records().all()).collect()
     }
 
     pub(in crate::engine) fn records_dropped(&self) -> u64 {
-        let life = self.life.lock();
-        let lives = life.past.iter().chain(life.model.iter());
-        lives.map(|model| model.records().dropped()).sum()
+        let inner = self.inner.lock();
+        let models = inner.retired.iter().chain(inner.model.iter());
+        models.map(|model| model.records().dropped()).sum()
     }
 
     pub(in crate::engine) fn orders(&self) -> Vec<OrderRecord> {
-        self.life.lock().orders.clone()
+        self.inner.lock().orders.clone()
     }
 
     /// Calls `read` with the meters of the engine, those before restarts included, oldest first.
     pub(in crate::engine) fn with_meters<R>(&self, read: impl FnOnce(&[&Meter]) -> R) -> R {
-        let mut life = self.life.lock();
+        let mut inner = self.inner.lock();
         let now_us = self.now_us();
-        if let Ok(model) = life.answering() {
+        if let Ok(model) = inner.responsive_model() {
             model.meter(now_us);
         }
-        let lives = life.past.iter().chain(life.model.iter());
-        let meters: Vec<&Meter> = lives.map(EngineModel::meter_as_it_stands).collect();
+        let models = inner.retired.iter().chain(inner.model.iter());
+        let meters: Vec<&Meter> = models.map(EngineModel::meter_without_update).collect();
         read(&meters)
     }
 }
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -35,7 +35,7 @@
 
 /// How to treat one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CallAction {
+pub(super) enum Action {
     /// Reject with 503.
     Refuse,
     /// Abort the connection.
@@ -67,17 +67,17 @@
     }
 
     /// Selects how to treat the next call of a service.
-    pub(super) fn next_action(&self, service: Service) -> CallAction {
+    pub(super) fn next_action(&self, service: Service) -> Action {
         let (faults, rng) = &mut *self.state.lock();
         let fault = faults[service as usize];
         if fault.refusing {
-            return CallAction::Refuse;
+            return Action::Refuse;
         }
         if fault.unreachable {
-            return CallAction::Abort;
+            return Action::Abort;
         }
         let share = fault.answer_lost.clamp(0.0, 1.0);
-        CallAction::Handle {
+        Action::Handle {
             delay: fault.delay,
             drop_response: share > 0.0 && rng.random_bool(share),
         }
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -14,7 +14,7 @@
 };
 use derive_more::{Display, Error};
 
-use super::faults::{CallAction, Service};
+use super::faults::{Action, Service};
 use super::host::State;
 
 /// Largest body of a transaction as JSON, bytes.
@@ -53,11 +53,9 @@
     F: Future<Output = HttpResponse>,
 {
     let (delay, drop_response) = match state.faults.next_action(service) {
-        CallAction::Refuse => {
-            return HttpResponse::ServiceUnavailable().body("service unavailable");
-        }
-        CallAction::Abort => return aborted_response(),
-        CallAction::Handle {
+        Action::Refuse => return HttpResponse::ServiceUnavailable().body("service unavailable"),
+        Action::Abort => return aborted_response(),
+        Action::Handle {
             delay,
             drop_response,
         } => (delay, drop_response),
--- a/crates/standin/tests/standin/engines_over_http.rs
+++ b/crates/standin/tests/standin/engines_over_http.rs
@@ -119,7 +119,7 @@
             engine.status(&base).await,
             err(matches_pattern!(EngineError::Lost { .. }))
         );
-        let records = host.records_of(SERVER);
+        let records = host.engine_records(SERVER);
         expect_that!(records[0].end, some(eq(RunEnd::Lost)));
 
         host.revive(SERVER);
--- a/crates/standin/tests/standin/orders.rs
+++ b/crates/standin/tests/standin/orders.rs
@@ -27,15 +27,20 @@
     bench.start(&call("runs", 10, 10, Priority::ONLINE));
     bench.order(1, 1, load("v2"));
     expect_that!(bench.engine.status(bench.now_us).loading, eq("v2"));
-    expect_that!(bench.engine.wanted_load(), none());
+    expect_that!(bench.engine.load_to_query(), none());
     let new = call("new", 10, 10, Priority::ONLINE);
     let refused = bench.engine.generate(bench.now_us, &new, &mut Vec::new());
     expect_that!(refused.map_err(|refusal| refusal.status), err(eq(&503)));
     bench.run_out();
-    expect_that!(bench.engine.wanted_load(), some(eq(("yard-assist", "v2"))));
+    expect_that!(
+        bench.engine.load_to_query(),
+        some(eq(("yard-assist", "v2")))
+    );
 
     let until_us = bench.now_us + 1_000;
-    bench.engine.set_load(until_us, Err("broken".to_owned()));
+    bench
+        .engine
+        .set_load_result(until_us, Err("broken".to_owned()));
     bench.due_us = Some(until_us);
     bench.run_out();
     let status = bench.engine.status(bench.now_us);
@@ -44,7 +49,7 @@
 
     bench.order(1, 2, load("v3"));
     let until_us = bench.now_us + 1_000;
-    bench.engine.set_load(until_us, Ok(()));
+    bench.engine.set_load_result(until_us, Ok(()));
     bench.due_us = Some(until_us);
     bench.run_out();
     let status = bench.engine.status(bench.now_us);
