--- a/crates/standin/examples/batch_ceiling.rs
+++ b/crates/standin/examples/batch_ceiling.rs
@@ -1,8 +1,9 @@
-//! How much of the idle capacity a policy without lag could use, in virtual time: batch work never
-//! ends, and at each step the batch is at most as wide as the meter allows.
+//! Simulates how much of the idle capacity a scheduling policy without lag could use. Batch work is
+//! unlimited, and at each step the batch is at most as wide as the meter allows.
 //!
-//! Fresh batch sequences cost online ones their prefill, which no width accounts for; so each width
-//! is tried with fresh starts beside online work at any step, at most one in some steps, and never.
+//! The prefill of new batch sequences slows online ones, which the allowed width does not cover.
+//! Each width is therefore run with different minimum numbers of steps between starts of new batch
+//! sequences beside online work.
 //!
 //! `cargo run --release -p dappleyard-standin --example batch_ceiling -- SLOWDOWN ONLINE_PER_S SECONDS`
 
@@ -14,9 +15,9 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-/// Widths tried; each run keeps at most so many batch sequences in the engine.
+/// Maximum numbers of batch sequences in the engine, one run each.
 const WIDTHS: [usize; 3] = [64, 96, 128];
-/// Least steps between fresh batch sequences while there is online work.
+/// Minimum numbers of steps between starts of new batch sequences beside online work.
 const STEPS_BETWEEN_STARTS: [u64; 6] = [0, 4, 10, 20, 40, u64::MAX];
 
 fn main() {
@@ -34,7 +35,7 @@
     );
     let report = |width, between| {
         let mut run = Run::new(slowdown, online_per_s, width, between);
-        run.until((seconds * 1e6) as u64);
+        run.run_until((seconds * 1e6) as u64);
         run.print(seconds);
     };
     report(0, 0);
@@ -97,24 +98,24 @@
         }
     }
 
-    fn until(&mut self, end_us: u64) {
+    fn run_until(&mut self, end_us: u64) {
         let mut now_us = 0;
         while now_us < end_us {
             while self.next_arrival_us <= now_us {
-                self.online_arrives(now_us);
+                self.submit_online(now_us);
             }
-            self.fill(now_us);
+            self.start_batch(now_us);
             let due_us = self.engine.advance(now_us, &mut self.effects);
             self.steps += 1;
             self.take_effects(now_us);
-            self.narrow(now_us);
+            self.pause_excess(now_us);
             now_us = due_us.unwrap_or(now_us + 1_000);
         }
     }
 
-    fn online_arrives(&mut self, now_us: u64) {
+    fn submit_online(&mut self, now_us: u64) {
         let call = self.call(400.0, 120.0, 200, Priority::ONLINE);
-        // A refusal is the engine's bound; the run goes on without the request.
+        // A request that the engine rejects for lack of capacity is skipped.
         if let Ok(started) = self.engine.generate(now_us, &call, &mut self.effects) {
             self.online.insert(started.stream, (now_us, false));
         }
@@ -122,13 +123,13 @@
         self.next_arrival_us += (gap_s * 1e6) as u64;
     }
 
-    /// Sends batch work up to the width: paused work first, then fresh work.
-    fn fill(&mut self, now_us: u64) {
+    /// Starts batch sequences up to the allowed width, paused ones before new ones.
+    fn start_batch(&mut self, now_us: u64) {
         let allowed = self.engine.allowed_batch_width() as usize;
         while self.live.len() < self.width.min(allowed) {
             let call = match self.paused.pop_front() {
                 Some(paused) => paused,
-                None if self.may_start() => self.call(600.0, 200.0, 300, Priority::BATCH),
+                None if self.may_start_new() => self.call(600.0, 200.0, 300, Priority::BATCH),
                 None => return,
             };
             let Ok(started) = self.engine.generate(now_us, &call, &mut self.effects) else {
@@ -138,7 +139,7 @@
         }
     }
 
-    fn may_start(&mut self) -> bool {
+    fn may_start_new(&mut self) -> bool {
         let since = self.steps - self.last_start;
         let may = self.online.is_empty() || since >= self.steps_between_starts;
         if may {
@@ -147,8 +148,8 @@
         may
     }
 
-    /// Pauses the newest batch work beyond what is allowed now.
-    fn narrow(&mut self, now_us: u64) {
+    /// Pauses the newest batch sequences beyond the allowed width.
+    fn pause_excess(&mut self, now_us: u64) {
         let allowed = self.engine.allowed_batch_width() as usize;
         while self.live.len() > allowed {
             let Some((stream, mut call)) = self.live.pop() else {
@@ -187,7 +188,8 @@
     fn call(&mut self, prompt: f64, output: f64, prefix: u32, priority: Priority) -> GenerateCall {
         self.number += 1;
         let mut length = |median: f64, sigma: f64| {
-            let lengths = LogNormal::new(median.ln(), sigma).expect("a sound distribution");
+            let lengths =
+                LogNormal::new(median.ln(), sigma).expect("valid distribution parameters");
             lengths.sample(&mut self.rng).clamp(32.0, 2_000.0) as u32
         };
         let prompt_tokens = length(prompt, 0.3).max(prefix + 16);
@@ -238,7 +240,7 @@
     }
 }
 
-/// A quantile of some times, milliseconds; 0 for none.
+/// Quantile of a list of times, milliseconds; 0 if the list is empty.
 fn quantile(times_us: &mut [u64], share: f64) -> f64 {
     times_us.sort_unstable();
     let last = times_us.len().saturating_sub(1) as f64;
--- a/crates/standin/examples/host_cost.rs
+++ b/crates/standin/examples/host_cost.rs
@@ -1,8 +1,9 @@
-//! What a host of engines costs the machine: closed loops of sequences over HTTP.
+//! Measures the CPU and memory use of a host of simulated engines under closed-loop HTTP load.
 //!
 //! `cargo run --release -p dappleyard-standin --example host_cost -- ENGINES BATCH ONLINE SECONDS`
 //!
-//! BATCH and ONLINE are sequences on each engine; online ones are streamed token by token.
+//! BATCH and ONLINE are the numbers of concurrent sequences per engine; online ones are streamed
+//! token by token.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -78,7 +79,7 @@
     while Instant::now() < end {
         number += 1;
         let call = call(format!("{base} {place} {number}"), priority);
-        let mut events = engine.generate(&base, call).await.expect("taken in");
+        let mut events = engine.generate(&base, call).await.expect("call accepted");
         while let Some(event) = events.next().await {
             if let EngineEvent::Finished { .. } = event.expect("an event") {
                 break;
@@ -107,7 +108,7 @@
     }
 }
 
-/// Processor time of each thread, as a share of one core.
+/// Prints the resident memory and the CPU use of each thread.
 fn print_threads(seconds: usize) {
     let ticks = procfs::ticks_per_second() as f64;
     let memory = Process::myself().and_then(|process| process.statm());
--- a/crates/standin/src/engine/memory.rs
+++ b/crates/standin/src/engine/memory.rs
@@ -106,8 +106,8 @@
         blocks
     }
 
-    /// Moves `growth` of a sequence's own blocks to the pinned entry and frees the rest of `contributed` as
-    /// duplicates. `has_pin` is set if the sequence has already pinned the entry.
+    /// Moves `growth` of a sequence's own blocks to the pinned entry and frees the rest of
+    /// `contributed` as duplicates. `has_pin` is set if the sequence has already pinned the entry.
     pub fn share(&mut self, key: u64, growth: u32, contributed: u32, has_pin: bool) {
         // Blocks cached under the key duplicate the shared ones.
         let duplicate = self.remove_cached(key);
--- a/crates/standin/tests/standin/broken_answers.rs
+++ b/crates/standin/tests/standin/broken_answers.rs
@@ -1,4 +1,4 @@
-//! What the clients say of engines and stores that answer in part, wrongly or not at all.
+//! Errors of the HTTP clients for truncated, malformed and missing responses.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,8 +15,8 @@
 const FINISHED: &str =
     r#"{"event":"finished","reason":"stop","total_tokens":0,"cached_tokens":0,"ran":true}"#;
 
-/// A server that gives one raw answer to one connection and closes it.
-fn answer_once(answer: String) -> SocketAddr {
+/// Starts a server that accepts one connection, sends a raw response and closes it.
+fn serve_once(answer: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     std::thread::spawn(move || {
@@ -27,7 +27,7 @@
     address
 }
 
-/// Reads the head and the body of a request.
+/// Reads a request, headers and body.
 fn read_request(connection: &mut TcpStream) {
     let mut request = Vec::new();
     let mut part = [0; 4096];
@@ -48,7 +48,7 @@
     }
 }
 
-fn chunked(lines: &[&str], whole: bool) -> String {
+fn chunked_response(lines: &[&str], whole: bool) -> String {
     let mut answer = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_owned();
     for line in lines {
         answer.push_str(&format!("{:x}\r\n{line}\r\n", line.len()));
@@ -79,9 +79,9 @@
     }
 }
 
-/// All events that come of one raw answer; a refusal of the call counts as one error.
+/// The events that the client yields for a raw response; a failed call yields one error.
 fn events_of(answer: String) -> Vec<std::result::Result<EngineEvent, EngineError>> {
-    let address = answer_once(answer);
+    let address = serve_once(answer);
     crate::run(async {
         let engine = HttpEngine::new(Duration::from_secs(5), Duration::from_secs(5));
         let base = format!("http://{address}");
@@ -92,49 +92,55 @@
     })
 }
 
-fn ends_lost(answer: String) -> bool {
+fn ends_with_lost(answer: String) -> bool {
     let events = events_of(answer);
     matches!(events.last(), Some(Err(EngineError::Lost { .. })))
 }
 
 #[gtest]
-fn events_cut_anywhere_are_put_together() {
+fn events_split_across_chunks_are_reassembled() {
     let lines = format!("{ACCEPTED}\n\n\r\n{FINISHED}\n");
     let parts: Vec<&str> = lines
         .as_bytes()
         .chunks(7)
         .map(|part| std::str::from_utf8(part).expect("plain text"))
         .collect();
-    let events = events_of(chunked(&parts, true));
+    let events = events_of(chunked_response(&parts, true));
     expect_that!(events.len(), eq(2));
     expect_true!(events.iter().all(std::result::Result::is_ok));
 }
 
 #[gtest]
-fn answer_without_its_end_is_lost() {
+fn truncated_response_is_lost() {
     let accepted = format!("{ACCEPTED}\n");
-    expect_true!(ends_lost(chunked(&[&accepted], true)));
-    expect_true!(ends_lost(chunked(&[&accepted], false)));
-    expect_true!(ends_lost(chunked(&[&accepted, "{\"event\":\"tok"], false)));
-    expect_true!(ends_lost(String::new()));
-    expect_true!(ends_lost("HTTP/1.1 200".to_owned()));
-    expect_true!(ends_lost("garbage\r\n\r\n".to_owned()));
+    expect_true!(ends_with_lost(chunked_response(&[&accepted], true)));
+    expect_true!(ends_with_lost(chunked_response(&[&accepted], false)));
+    expect_true!(ends_with_lost(chunked_response(
+        &[&accepted, "{\"event\":\"tok"],
+        false
+    )));
+    expect_true!(ends_with_lost(String::new()));
+    expect_true!(ends_with_lost("HTTP/1.1 200".to_owned()));
+    expect_true!(ends_with_lost("garbage\r\n\r\n".to_owned()));
 }
 
 #[gtest]
-fn line_that_is_no_event_is_lost() {
-    expect_true!(ends_lost(chunked(&["not an event\n"], true)));
-    expect_true!(ends_lost(chunked(&["{\"event\":\"unheard of\"}\n"], true)));
+fn malformed_event_is_lost() {
+    expect_true!(ends_with_lost(chunked_response(&["not an event\n"], true)));
+    expect_true!(ends_with_lost(chunked_response(
+        &["{\"event\":\"unheard of\"}\n"],
+        true
+    )));
 }
 
 #[gtest]
-fn nothing_follows_the_last_event() {
+fn events_after_the_final_one_are_ignored() {
     let after = format!("{FINISHED}\n{ACCEPTED}\n");
-    expect_that!(events_of(chunked(&[&after], true)).len(), eq(1));
+    expect_that!(events_of(chunked_response(&[&after], true)).len(), eq(1));
 }
 
 #[gtest]
-fn only_known_refusals_say_that_nothing_ran() {
+fn only_known_statuses_are_refusals() {
     let answer = |status: &str| format!("HTTP/1.1 {status}\r\ncontent-length: 4\r\n\r\nbusy");
     for status in ["429 Busy", "503 Leaving", "404 None", "409 Old"] {
         let events = events_of(answer(status));
@@ -150,13 +156,13 @@
         "408 Slow",
         "302 Elsewhere",
     ] {
-        expect_true!(ends_lost(answer(status)));
+        expect_true!(ends_with_lost(answer(status)));
     }
 }
 
-/// What a write to the table service gives when it is answered so.
-fn write_answered(answer: &str) -> StoreError {
-    let address = answer_once(answer.to_owned());
+/// The error of a write to the table service that gets a raw response.
+fn write_error(answer: &str) -> StoreError {
+    let address = serve_once(answer.to_owned());
     crate::run(async {
         let platform = direct(&PlatformSettings {
             tables_url: format!("http://{address}"),
@@ -170,21 +176,28 @@
     })
 }
 
-fn store_answer(status: &str, body: &str) -> String {
+fn http_response(status: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n\r\n{body}")
 }
 
 #[gtest]
-fn write_without_a_whole_answer_is_ambiguous() {
-    let cut = "HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\n{\"rev";
-    let garbage = store_answer("200 OK", "[]");
-    let elsewhere = store_answer("302 Elsewhere", "");
-    let broken = store_answer("500 Broken", "");
-    let odd_conflict = store_answer("409 Conflict", "what?");
-    for answer in ["", cut, &garbage, &elsewhere, &broken, &odd_conflict] {
+fn write_with_an_incomplete_response_is_ambiguous() {
+    let truncated = "HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\n{\"rev";
+    let garbage = http_response("200 OK", "[]");
+    let elsewhere = http_response("302 Elsewhere", "");
+    let broken = http_response("500 Broken", "");
+    let malformed_conflict = http_response("409 Conflict", "what?");
+    for answer in [
+        "",
+        truncated,
+        &garbage,
+        &elsewhere,
+        &broken,
+        &malformed_conflict,
+    ] {
         expect_that!(
-            write_answered(answer),
+            write_error(answer),
             matches_pattern!(StoreError::Ambiguous { .. }),
             "{answer}"
         );
@@ -192,12 +205,12 @@
 }
 
 #[gtest]
-fn object_cut_in_its_middle_is_not_taken_for_the_whole() {
+fn truncated_object_read_fails() {
     let head = "HTTP/1.1 200 OK\r\nx-object-size: 8\r\n";
-    let cut_of_known_length = format!("{head}content-length: 8\r\n\r\nhalf");
-    let cut_in_chunks = format!("{head}transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n");
-    for answer in [cut_of_known_length, cut_in_chunks] {
-        let address = answer_once(answer);
+    let truncated_content_length = format!("{head}content-length: 8\r\n\r\nhalf");
+    let truncated_chunked = format!("{head}transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n");
+    for answer in [truncated_content_length, truncated_chunked] {
+        let address = serve_once(answer);
         let read = actix_rt::System::new().block_on(async {
             let platform = direct(&PlatformSettings {
                 objects_url: format!("http://{address}"),
@@ -211,22 +224,22 @@
 }
 
 #[gtest]
-fn refusal_of_a_write_changed_nothing() {
+fn rejected_write_is_not_ambiguous() {
     expect_that!(
-        write_answered(&store_answer("503 Down", "")),
+        write_error(&http_response("503 Down", "")),
         matches_pattern!(StoreError::Unavailable { .. })
     );
     expect_that!(
-        write_answered(&store_answer("429 Slow", "soon")),
+        write_error(&http_response("429 Slow", "soon")),
         matches_pattern!(StoreError::RateLimited { .. })
     );
     expect_that!(
-        write_answered(&store_answer("400 Bad", "")),
+        write_error(&http_response("400 Bad", "")),
         matches_pattern!(StoreError::Invalid { .. })
     );
-    let conflict = store_answer("409 Conflict", r#"{"key": "a", "actual": 3}"#);
+    let conflict = http_response("409 Conflict", r#"{"key": "a", "actual": 3}"#);
     expect_that!(
-        write_answered(&conflict),
+        write_error(&conflict),
         eq(&StoreError::Conflict {
             key: "a".to_owned(),
             actual: Some(3)
--- a/crates/standin/tests/standin/control.rs
+++ b/crates/standin/tests/standin/control.rs
@@ -1,4 +1,4 @@
-//! The control interface of stand-ins that run as a plain process.
+//! HTTP control interface of the stand-ins.
 
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
         expect_that!(
             set.expect("an answer").status().as_u16(),
             eq(400),
-            "no content type"
+            "missing content type"
         );
         let fault = http.put(format!("{control}/faults/tables"));
         let body = serde_json::json!({"refusing": true});
--- a/crates/standin/tests/standin/engines_over_http.rs
+++ b/crates/standin/tests/standin/engines_over_http.rs
@@ -1,4 +1,4 @@
-//! Engines as their client sees them, over HTTP.
+//! Engines through their HTTP client.
 
 use std::time::Duration;
 
@@ -68,12 +68,12 @@
         }
     }
     Err(EngineError::Lost {
-        reason: "no end".to_owned(),
+        reason: "stream closed without a final event".to_owned(),
     })
 }
 
 #[gtest]
-fn answers_are_the_expected_text_streamed_or_whole() {
+fn answers_match_the_expected_text() {
     run(async {
         let host = host();
         let (engine, base) = (client(), host.base(SERVER));
@@ -99,7 +99,7 @@
 }
 
 #[gtest]
-fn killed_engine_breaks_its_streams_and_answers_nothing() {
+fn killed_engine_aborts_streams_and_fails_calls() {
     run(async {
         let host = host();
         let (engine, base) = (client(), host.base(SERVER));
@@ -131,17 +131,17 @@
 }
 
 #[gtest]
-fn hung_engine_is_silent_and_goes_on_where_it_stood() {
+fn hung_engine_is_silent_until_it_resumes() {
     run(async {
         let host = host();
         let base = host.base(SERVER);
-        let impatient = HttpEngine::new(Duration::from_secs(1), Duration::from_millis(1_500));
+        let short_timeout = HttpEngine::new(Duration::from_secs(1), Duration::from_millis(1_500));
         let mut held = client()
             .generate(&base, call("held", 40, true))
             .await
             .expect("a stream");
         host.set_hung(SERVER, true);
-        let status = impatient.status(&base).await;
+        let status = short_timeout.status(&base).await;
         expect_that!(status, err(matches_pattern!(EngineError::Lost { .. })));
         host.set_hung(SERVER, false);
         let mut text = String::new();
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn sequence_of_a_reader_that_went_is_abandoned() {
+fn sequence_without_reader_is_abandoned() {
     run(async {
         let host = host_with(EngineModelSettings {
             detach_grace_ms: 50,
@@ -177,7 +177,7 @@
 }
 
 #[gtest]
-fn cancelled_batch_call_gives_what_was_made() {
+fn cancelled_call_reports_cancellation() {
     run(async {
         let host = host();
         let (engine, base) = (client(), host.base(SERVER));
@@ -192,7 +192,7 @@
         engine
             .cancel(&base, &name)
             .await
-            .expect("no error when gone");
+            .expect("cancelling an ended stream succeeds");
         let rest: Vec<_> = stream.collect().await;
         expect_that!(
             rest.last(),
@@ -205,7 +205,7 @@
 }
 
 #[gtest]
-fn wrong_service_and_garbage_are_refused() {
+fn wrong_service_and_malformed_requests_are_rejected() {
     run(async {
         let host = host();
         let (engine, base) = (client(), host.base(SERVER));
@@ -244,7 +244,7 @@
 }
 
 #[gtest]
-fn extreme_numbers_in_calls_do_no_harm() {
+fn extreme_numbers_in_calls_are_handled() {
     run(async {
         let host = host();
         let (engine, base) = (client(), host.base(SERVER));
@@ -284,7 +284,7 @@
 }
 
 #[gtest]
-fn answers_that_end_are_whole_while_the_engine_dies_and_hangs() {
+fn finished_answers_are_complete_under_kills_and_hangs() {
     run(async {
         let host = host();
         let (engine, base) = (client(), host.base(SERVER));
@@ -324,7 +324,7 @@
         expect_that!(
             runs_lost.count(),
             le(lost),
-            "whoever was lost has been told"
+            "every lost run was reported to its caller"
         );
     });
 }
--- a/crates/standin/tests/standin/bench.rs
+++ b/crates/standin/tests/standin/harness.rs
@@ -1,4 +1,4 @@
-//! An engine in virtual time, for the tests of its state machine.
+//! Test harness that drives an engine state machine in virtual time.
 
 use dappleyard_engine::{EngineOrder, GenerateCall, OrderKind, Priority};
 use dappleyard_standin::engine::{
@@ -6,8 +6,8 @@
 };
 use googletest::prelude::*;
 
-/// An engine without noise, with its clock.
-pub struct Bench {
+/// An engine with its clock and the effects it has produced.
+pub struct EngineHarness {
     pub engine: EngineModel,
     pub now_us: u64,
     pub due_us: Option<u64>,
@@ -22,7 +22,7 @@
     }
 }
 
-pub fn bench(model: EngineModelSettings) -> Bench {
+pub fn harness(model: EngineModelSettings) -> EngineHarness {
     let spec = EngineSpec {
         server: "server-1".to_owned(),
         service: "yard-assist".to_owned(),
@@ -31,7 +31,7 @@
         model,
         seed: 7,
     };
-    Bench {
+    EngineHarness {
         engine: EngineModel::new(&spec, 0, 1),
         now_us: 0,
         due_us: None,
@@ -39,17 +39,17 @@
     }
 }
 
-impl Bench {
+impl EngineHarness {
     pub fn start(&mut self, call: &GenerateCall) -> Started {
         let started = self
             .engine
             .generate(self.now_us, call, &mut self.effects)
-            .expect("taken in");
+            .expect("call accepted");
         self.due_us = self.engine.advance(self.now_us, &mut self.effects);
         started
     }
 
-    /// Goes on to the end of the step at hand; `false` when there is none.
+    /// Advances to the end of the current step; `false` if there is none.
     pub fn step(&mut self) -> bool {
         let Some(due_us) = self.due_us else {
             return false;
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn run_out(&mut self) {
+    pub fn run_until_idle(&mut self) {
         while self.step() {}
     }
 
@@ -81,13 +81,13 @@
         applied
     }
 
-    /// Outputs of a stream so far.
+    /// Outputs sent to a stream so far.
     pub fn outputs(&self, stream: u64) -> Vec<Output> {
         let of_stream = self.effects.iter().filter(|effect| effect.stream == stream);
         of_stream.map(|effect| effect.output.clone()).collect()
     }
 
-    pub fn cached_of(&self, stream: u64) -> Option<u32> {
+    pub fn cached_tokens_of(&self, stream: u64) -> Option<u32> {
         self.outputs(stream)
             .into_iter()
             .find_map(|output| match output {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A call whose answer goes on to its limit.
+/// A call whose answer runs to its token limit.
 pub fn call(name: &str, prompt_tokens: u32, max_tokens: u32, priority: Priority) -> GenerateCall {
     let endings = (0..).map(|number| format!("{name} {number}"));
     let prompt = endings
@@ -106,7 +106,7 @@
             let source = dappleyard_standin::text::TextSource::new("v1", prompt);
             source.end(max_tokens).1 == "length"
         })
-        .expect("most prompts do not end by themselves");
+        .expect("most answers run to the limit");
     GenerateCall {
         request_id: name.to_owned(),
         attempt: 1,
--- a/crates/standin/tests/standin/histories.rs
+++ b/crates/standin/tests/standin/histories.rs
@@ -1,4 +1,5 @@
-//! Random histories of one engine: memory stays whole, and so does each stream.
+//! Random sequences of operations on one engine, checking that no memory block is lost and that
+//! streams have no gaps or repeated tokens.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +13,7 @@
 const HISTORIES: u64 = 150;
 const EVENTS: usize = 400;
 
-/// What the reader of a stream has been sent.
+/// What has been sent to the reader of a stream.
 #[derive(Default)]
 struct Received {
     next: u32,
@@ -60,21 +61,21 @@
 
     fn event(&mut self) {
         match self.rng.random_range(0..10) {
-            0..3 => self.arrive(),
+            0..3 => self.submit(),
             3 => self.attach(),
             4 => self.cancel(),
             5 => self.detach(),
-            6 => self.move_state(),
-            _ => self.go_on(),
+            6 => self.transfer_kv(),
+            _ => self.run_steps(),
         }
-        self.take_effects();
+        self.check_effects();
         assert!(
             self.engine.memory_is_consistent(),
-            "blocks are lost or doubled"
+            "blocks lost or counted twice"
         );
     }
 
-    fn arrive(&mut self) {
+    fn submit(&mut self) {
         let prompt_tokens = self.rng.random_range(1..900);
         let max_tokens = self.rng.random_range(1..120);
         let call = GenerateCall {
@@ -102,8 +103,8 @@
             attach_only: false,
             stream: self.rng.random_bool(0.5),
         };
-        let taken = self.engine.generate(self.now_us, &call, &mut self.effects);
-        if let Ok(started) = taken {
+        let accepted = self.engine.generate(self.now_us, &call, &mut self.effects);
+        if let Ok(started) = accepted {
             let (target, _) = started.text.end(call.max_tokens);
             let received = Received {
                 next: call.resume_offset.min(target),
@@ -113,7 +114,7 @@
             self.streams.insert(started.stream, received);
             self.calls.push((started.stream, call));
         }
-        self.wake();
+        self.schedule();
     }
 
     fn attach(&mut self) {
@@ -156,19 +157,19 @@
         }
     }
 
-    fn move_state(&mut self) {
+    fn transfer_kv(&mut self) {
         let query = KvExportRequest {
             prompt: format!("prompt {}", self.rng.random_range(0..30)),
             prefix_hash: self.rng.random_range(0..4),
         };
         if let Ok(mut state) = self.engine.export_kv(self.now_us, &query) {
             state.key = state.key.wrapping_add(self.rng.random_range(0..2));
-            // No room is a fair answer too.
+            // A rejection for lack of memory is valid.
             let _ = self.engine.import_kv(self.now_us, &state);
         }
     }
 
-    fn go_on(&mut self) {
+    fn run_steps(&mut self) {
         for _ in 0..self.rng.random_range(1..30) {
             let Some(due_us) = self.due_us else { return };
             self.now_us = due_us + self.rng.random_range(0..200);
@@ -176,13 +177,13 @@
         }
     }
 
-    fn wake(&mut self) {
+    fn schedule(&mut self) {
         if self.due_us.is_none() {
             self.due_us = self.engine.advance(self.now_us, &mut self.effects);
         }
     }
 
-    fn take_effects(&mut self) {
+    fn check_effects(&mut self) {
         for effect in std::mem::take(&mut self.effects) {
             let received = self
                 .streams
@@ -190,15 +191,18 @@
                 .expect("a known stream");
             match effect.output {
                 Output::Tokens { from, to } => {
-                    assert!(!received.ended, "tokens after the end");
-                    assert_eq!(from, received.next, "a gap or a token twice");
+                    assert!(!received.ended, "tokens after the end of the stream");
+                    assert_eq!(from, received.next, "gap or repeated token");
                     assert!(from < to);
                     assert!(!received.streaming || to - from >= 1);
                     received.next = to;
                 }
                 Output::Finished { total, .. } => {
-                    assert!(!received.ended, "ended twice");
-                    assert_eq!(total, received.next, "an end without all tokens");
+                    assert!(!received.ended, "stream ended twice");
+                    assert_eq!(
+                        total, received.next,
+                        "stream ended before all tokens were sent"
+                    );
                     received.ended = true;
                 }
             }
@@ -207,7 +211,7 @@
 }
 
 #[gtest]
-fn random_histories_keep_memory_and_streams_whole() {
+fn random_histories_keep_memory_and_streams_consistent() {
     let mut ended = 0;
     for seed in 0..HISTORIES {
         let mut history = History::new(seed);
@@ -215,11 +219,11 @@
             history.event();
         }
         while history.due_us.is_some() {
-            history.go_on();
-            history.take_effects();
+            history.run_steps();
+            history.check_effects();
         }
         for (stream, received) in &history.streams {
-            assert!(received.ended, "stream {stream} of seed {seed} never ended");
+            assert!(received.ended, "stream {stream} did not end (seed {seed})");
         }
         let records = history.engine.records().all();
         assert!(records.iter().all(|record| record.end.is_some()));
--- a/crates/standin/tests/standin/main.rs
+++ b/crates/standin/tests/standin/main.rs
@@ -1,9 +1,9 @@
-//! Tests of the stand-ins and of the clients that speak to them.
+//! Tests of the simulated engines and platform services, and of their HTTP clients.
 
-mod bench;
 mod broken_answers;
 mod control;
 mod engines_over_http;
+mod harness;
 mod histories;
 mod memory;
 mod meters;
@@ -13,7 +13,7 @@
 mod steps;
 mod streams;
 
-/// Runs a test that needs the runtime.
+/// Runs an async test.
 fn run<F: Future>(test: F) -> F::Output {
     actix_rt::System::new().block_on(test)
 }
--- a/crates/standin/tests/standin/memory.rs
+++ b/crates/standin/tests/standin/memory.rs
@@ -1,31 +1,31 @@
-//! KV memory: preemption, prefix cache, resumption, moved state.
+//! KV memory: preemption, prefix cache, resumption, transfer of KV state.
 
 use dappleyard_engine::{KvExportRequest, Priority};
 use dappleyard_standin::engine::{EngineModelSettings, Output};
 use googletest::prelude::*;
 
-use crate::bench::{bench, call, settings, with_prefix};
+use crate::harness::{call, harness, settings, with_prefix};
 
 #[gtest]
-fn online_takes_memory_of_batch_and_batch_resumes_by_itself() {
-    let mut bench = bench(EngineModelSettings {
+fn online_preempts_batch_and_batch_resumes() {
+    let mut harness = harness(EngineModelSettings {
         memory_tokens: 1_600,
         ..settings()
     });
-    let batch = bench
+    let batch = harness
         .start(&call("batch", 700, 100, Priority::BATCH))
         .stream;
-    bench.start(&call("other batch", 600, 100, Priority::BATCH));
-    bench.steps(6);
-    let online = bench
+    harness.start(&call("other batch", 600, 100, Priority::BATCH));
+    harness.steps(6);
+    let online = harness
         .start(&call("online", 800, 50, Priority::ONLINE))
         .stream;
-    bench.step();
-    let status = bench.engine.status(bench.now_us);
+    harness.step();
+    let status = harness.engine.status(harness.now_us);
     expect_that!((status.running_online, status.waiting_batch), eq((1, 1)));
-    bench.run_out();
+    harness.run_until_idle();
     for (stream, total) in [(batch, 100), (online, 50)] {
-        let last = bench.outputs(stream).pop();
+        let last = harness.outputs(stream).pop();
         expect_that!(
             last,
             some(matches_pattern!(Output::Finished {
@@ -34,7 +34,7 @@
             }))
         );
     }
-    let made: u32 = bench
+    let made: u32 = harness
         .outputs(batch)
         .iter()
         .map(|output| match output {
@@ -42,48 +42,48 @@
             Output::Finished { .. } => 0,
         })
         .sum();
-    expect_that!(made, eq(100), "no token is sent twice over a preemption");
+    expect_that!(made, eq(100), "preemption does not repeat tokens");
 }
 
 #[gtest]
 fn shared_prefix_is_prefilled_once_and_batch_evicts_it() {
-    let mut bench = bench(EngineModelSettings {
+    let mut harness = harness(EngineModelSettings {
         memory_tokens: 3_200,
         ..settings()
     });
     let first = with_prefix(call("first", 400, 2, Priority::ONLINE), 9, 320);
     let second = with_prefix(call("second", 400, 2, Priority::ONLINE), 9, 320);
     let third = with_prefix(call("third", 400, 2, Priority::ONLINE), 9, 320);
-    let first = bench.start(&first).stream;
-    bench.run_out();
-    let second = bench.start(&second).stream;
-    bench.run_out();
-    expect_that!(bench.cached_of(first), some(eq(0)));
-    expect_that!(bench.cached_of(second), some(eq(320)));
+    let first = harness.start(&first).stream;
+    harness.run_until_idle();
+    let second = harness.start(&second).stream;
+    harness.run_until_idle();
+    expect_that!(harness.cached_tokens_of(first), some(eq(0)));
+    expect_that!(harness.cached_tokens_of(second), some(eq(320)));
 
-    bench.start(&call("batch", 3_000, 50, Priority::BATCH));
-    bench.run_out();
-    let third = bench.start(&third).stream;
-    bench.run_out();
-    let cached = bench.cached_of(third);
-    expect_that!(cached, some(lt(320)), "batch has evicted from the prefix");
+    harness.start(&call("batch", 3_000, 50, Priority::BATCH));
+    harness.run_until_idle();
+    let third = harness.start(&third).stream;
+    harness.run_until_idle();
+    let cached = harness.cached_tokens_of(third);
+    expect_that!(cached, some(lt(320)), "batch evicted part of the prefix");
 }
 
 #[gtest]
-fn resume_soon_skips_prefill_and_resume_after_eviction_does_not() {
-    let mut bench = bench(EngineModelSettings {
+fn resume_skips_prefill_unless_evicted() {
+    let mut harness = harness(EngineModelSettings {
         memory_tokens: 3_200,
         ..settings()
     });
     let mut resumed = call("batch", 800, 300, Priority::BATCH);
-    let stream = bench.start(&resumed).stream;
-    bench.steps(100);
+    let stream = harness.start(&resumed).stream;
+    harness.steps(100);
     expect_true!(
-        bench
+        harness
             .engine
-            .cancel(bench.now_us, stream, &mut bench.effects)
+            .cancel(harness.now_us, stream, &mut harness.effects)
     );
-    let made = match bench.outputs(stream).pop() {
+    let made = match harness.outputs(stream).pop() {
         Some(Output::Finished {
             total,
             reason: "cancelled",
@@ -93,24 +93,24 @@
     };
     resumed.attempt = 2;
     resumed.resume_offset = made;
-    let begun = bench.now_us;
-    let stream = bench.start(&resumed).stream;
-    let first_step_ms = (bench.due_us.expect("a step") - begun) / 1_000;
-    expect_that!(first_step_ms, eq(3), "at most a block is prefilled");
-    bench.steps(10);
-    bench
+    let begun = harness.now_us;
+    let stream = harness.start(&resumed).stream;
+    let first_step_ms = (harness.due_us.expect("a step") - begun) / 1_000;
+    expect_that!(first_step_ms, eq(3), "at most one block is prefilled");
+    harness.steps(10);
+    harness
         .engine
-        .cancel(bench.now_us, stream, &mut bench.effects);
+        .cancel(harness.now_us, stream, &mut harness.effects);
 
-    bench.start(&call("other", 3_100, 20, Priority::BATCH));
-    bench.run_out();
+    harness.start(&call("other", 3_100, 20, Priority::BATCH));
+    harness.run_until_idle();
     resumed.attempt = 3;
-    let begun = bench.now_us;
-    bench.start(&resumed);
-    let first_step_ms = (bench.due_us.expect("a step") - begun) / 1_000;
-    expect_that!(first_step_ms, eq(5), "a full chunk is prefilled again");
-    bench.run_out();
-    let record = bench.engine.records().all().pop().expect("a record");
+    let begun = harness.now_us;
+    harness.start(&resumed);
+    let first_step_ms = (harness.due_us.expect("a step") - begun) / 1_000;
+    expect_that!(first_step_ms, eq(5), "a full prefill chunk is recomputed");
+    harness.run_until_idle();
+    let record = harness.engine.records().all().pop().expect("a record");
     expect_that!(
         (record.resumed, record.from, record.to),
         eq((true, made, 300))
@@ -118,9 +118,9 @@
 }
 
 #[gtest]
-fn moved_state_spares_the_prefill_elsewhere() {
-    let mut from = bench(settings());
-    let mut to = bench(settings());
+fn imported_kv_state_skips_prefill() {
+    let mut from = harness(settings());
+    let mut to = harness(settings());
     let mut moved = with_prefix(call("batch", 800, 300, Priority::BATCH), 9, 320);
     let stream = from.start(&moved).stream;
     from.steps(100);
@@ -141,7 +141,7 @@
     moved.resume_offset = 98;
     to.start(&moved);
     let prefilled_us = to.due_us.expect("a step") - 3_210;
-    expect_that!(prefilled_us, le(16 * 4), "at most a block");
-    to.run_out();
+    expect_that!(prefilled_us, le(16 * 4), "at most one block is prefilled");
+    to.run_until_idle();
     expect_true!(from.engine.memory_is_consistent());
 }
--- a/crates/standin/tests/standin/platform_over_http.rs
+++ b/crates/standin/tests/standin/platform_over_http.rs
@@ -1,4 +1,4 @@
-//! The platform as its clients see it, over HTTP.
+//! Platform services through their HTTP clients.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn garbage_to_the_platform_is_refused() {
+fn malformed_platform_requests_are_rejected() {
     run(async {
         let (handle, platform) = platform();
         let http = awc::Client::default();
@@ -67,8 +67,8 @@
         });
         let refused = platform.tables.transact(too_many).await;
         expect_that!(refused, err(matches_pattern!(StoreError::Invalid { .. })));
-        let odd = platform.objects.read("none", u64::MAX, u64::MAX).await;
-        expect_that!(odd, ok(none()));
+        let beyond_end = platform.objects.read("none", u64::MAX, u64::MAX).await;
+        expect_that!(beyond_end, ok(none()));
     });
 }
 
@@ -136,7 +136,7 @@
 }
 
 #[gtest]
-fn failures_tell_what_is_known_of_the_change() {
+fn errors_distinguish_rejected_from_ambiguous_writes() {
     run(async {
         let (handle, platform) = platform();
         let tables = &platform.tables;
@@ -190,7 +190,7 @@
 }
 
 #[gtest]
-fn nobody_listening_is_unavailable() {
+fn closed_port_is_unavailable() {
     run(async {
         let (handle, _) = platform();
         let address = handle.address();
--- a/crates/standin/tests/standin/platform_state.rs
+++ b/crates/standin/tests/standin/platform_state.rs
@@ -1,4 +1,4 @@
-//! States of the platform's services, without sockets.
+//! State of the platform services, without HTTP.
 
 use std::time::Instant;
 
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn transaction_takes_effect_whole_or_not_at_all() {
+fn transactions_are_atomic() {
     let mut tables = tables();
     tables.transact(put("a", "1")).expect("applied");
     let both = Transaction::default()
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn comparison_alone_changes_nothing() {
+fn transaction_without_writes_keeps_the_revision() {
     let mut tables = tables();
     tables.transact(put("a", "1")).expect("applied");
     let only = Transaction::default().expect("a", Expect::Present);
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn row_made_anew_has_a_new_revision() {
+fn recreated_row_has_a_new_revision() {
     let mut tables = tables();
     tables.transact(put("a", "1")).expect("applied");
     tables
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn range_goes_on_after_a_key_and_stays_under_its_prefix() {
+fn range_continues_after_a_key_within_its_prefix() {
     let mut tables = tables();
     for key in ["job/a/1", "job/a/2", "job/a/3", "job0", "jo", "job/b"] {
         tables.transact(put(key, "x")).expect("applied");
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn feed_gives_whole_transactions_in_order_until_all_are_read() {
+fn feed_does_not_split_transactions() {
     let mut tables = tables();
     tables
         .transact(put("c/1", "x").put("c/2", "x"))
@@ -109,7 +109,11 @@
 
     let first = tables.changes("c/", 0);
     let revisions: Vec<u64> = first.rows.iter().map(|row| row.1).collect();
-    expect_that!(revisions, eq(&[1, 1, 3, 3, 3]), "a transaction is not cut");
+    expect_that!(
+        revisions,
+        eq(&[1, 1, 3, 3, 3]),
+        "transactions are not split"
+    );
     expect_that!(first.rows[4].2, none());
     expect_that!(first.up_to, eq(3));
     let second = tables.changes("c/", first.up_to);
@@ -119,7 +123,7 @@
 }
 
 #[gtest]
-fn feed_says_when_it_does_not_reach_back() {
+fn feed_reports_compaction() {
     let mut tables = tables();
     for number in 0..12 {
         tables
@@ -137,7 +141,7 @@
 }
 
 #[gtest]
-fn history_tells_each_written_row_and_when() {
+fn history_lists_writes_in_order() {
     let started = Instant::now();
     let mut tables = tables();
     tables
@@ -180,7 +184,11 @@
 fn machine_list_lags() {
     let mut machines = MachineState::new(2_000_000);
     machines.set_initial(vec![machine("a")]);
-    expect_that!(machines.visible(0), len(eq(1)), "the start is seen at once");
+    expect_that!(
+        machines.visible(0),
+        len(eq(1)),
+        "the initial list has no lag"
+    );
     machines.change(1_000_000, |list| {
         list.insert("b".to_owned(), machine("b"));
     });
@@ -195,7 +203,7 @@
 }
 
 #[gtest]
-fn loads_share_the_rate_of_the_weight_store() {
+fn loads_share_the_bandwidth_of_the_weight_store() {
     let mut weights = WeightState::new(1_000.0, 500.0, &["broken".to_owned()]);
     expect_that!(weights.load(0, "v1"), ok(eq(&2_000_000)));
     expect_that!(weights.load(500_000, "v1"), ok(eq(&3_500_000)));
