--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -184,11 +184,9 @@
                 .body(refusal.reason)
         }
         // The body fails before its first byte, which closes the connection without a response.
-        CallError::Dead | CallError::Hung => {
-            HttpResponse::Ok().streaming(futures::stream::iter([Err::<Bytes, EngineLost>(
-                EngineLost,
-            )]))
-        }
+        CallError::Killed | CallError::Hung => HttpResponse::Ok().streaming(futures::stream::iter(
+            [Err::<Bytes, EngineLost>(EngineLost)],
+        )),
     }
 }
 
--- a/crates/standin/src/engine/meter.rs
+++ b/crates/standin/src/engine/meter.rs
@@ -244,7 +244,7 @@
     }
 
     pub(super) fn sample(&mut self, at_us: u64, online: u32, batch: u32, batch_waiting: u32) {
-        let (idle, batch_made, online_made) = self.sampled_totals;
+        let (idle, previous_batch, previous_online) = self.sampled_totals;
         self.sampled_totals = (self.idle_tokens, self.batch_tokens, self.online_tokens);
         if self.samples.len() < MAXIMUM_SAMPLES {
             self.samples.push(Sample {
@@ -253,8 +253,8 @@
                 batch,
                 batch_waiting,
                 idle_tokens: self.idle_tokens - idle,
-                batch_tokens: self.batch_tokens - batch_made,
-                online_tokens: self.online_tokens - online_made,
+                batch_tokens: self.batch_tokens - previous_batch,
+                online_tokens: self.online_tokens - previous_online,
             });
         }
     }
--- a/crates/standin/src/engine/slot.rs
+++ b/crates/standin/src/engine/slot.rs
@@ -40,7 +40,7 @@
     /// The host has no such engine.
     NoSuchEngine,
     /// The engine was killed; the connection is aborted.
-    Dead,
+    Killed,
     /// The engine hangs; the call waits until it resumes.
     Hung,
     /// The engine rejected the call.
@@ -303,7 +303,7 @@
     /// The engine, unless it was killed or hangs.
     fn responsive_model(&mut self) -> Result<&mut EngineModel, CallError> {
         match &mut self.model {
-            None => Err(CallError::Dead),
+            None => Err(CallError::Killed),
             Some(_) if self.hung => Err(CallError::Hung),
             Some(model) => Ok(model),
         }
--- a/crates/standin/src/platform/host.rs
+++ b/crates/standin/src/platform/host.rs
@@ -13,11 +13,11 @@
 
 use super::faults::{Fault, Faults, Service};
 use super::http;
-use super::limiter::TokenBucket;
 use super::machines::MachineState;
 use super::objects::ObjectState;
 use super::settings::PlatformStandInSettings;
-use super::tables::{CallCounts, HistoryRow, RevisionRecord, TableState};
+use super::tables::{CallCounts, ConfigurationChange, HistoryRow, TableState};
+use super::token_bucket::TokenBucket;
 use super::weights::WeightState;
 use crate::engine::host::WeightSource;
 use crate::server::{self, RunningServer};
@@ -221,7 +221,7 @@
     }
 
     /// Applied configuration changes, oldest first.
-    pub fn configuration_log(&self) -> Vec<RevisionRecord> {
+    pub fn configuration_log(&self) -> Vec<ConfigurationChange> {
         self.state.tables.lock().configuration()
     }
 
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -13,9 +13,9 @@
 pub mod weights;
 
 mod http;
-mod limiter;
+mod token_bucket;
 
 pub use faults::{Fault, Service};
 pub use host::{PlatformHandle, PlatformStandIn};
 pub use settings::PlatformStandInSettings;
-pub use tables::{CallCounts, HistoryRow, RevisionRecord};
+pub use tables::{CallCounts, ConfigurationChange, HistoryRow};
--- a/crates/standin/src/platform/tables.rs
+++ b/crates/standin/src/platform/tables.rs
@@ -26,7 +26,7 @@
 
 /// A transaction that changed the configuration, for the invariant checker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RevisionRecord {
+pub struct ConfigurationChange {
     /// Revision of the store.
     pub revision: u64,
     /// Configuration keys that it wrote.
@@ -54,7 +54,7 @@
     rows: Rows,
     /// Revision and time of recent transactions; bounded like the feed.
     applied: VecDeque<(u64, Instant)>,
-    configuration: Vec<RevisionRecord>,
+    configuration: Vec<ConfigurationChange>,
     counts: BTreeMap<String, CallCounts>,
     maximum_rows: usize,
     maximum_value: usize,
@@ -128,7 +128,7 @@
 
     fn record_configuration(&mut self, revision: u64, keys: Option<Vec<String>>) {
         if let Some(keys) = keys {
-            self.configuration.push(RevisionRecord {
+            self.configuration.push(ConfigurationChange {
                 revision,
                 keys,
                 at: Instant::now(),
@@ -183,7 +183,8 @@
             .collect()
     }
 
-    /// Time since `started` at which a transaction was applied; zero if no entry is kept for it.
+    /// Time since `started` of the first kept transaction at or after a revision; zero if there is
+    /// none.
     fn applied_at(&self, revision: u64, started: Instant) -> Duration {
         let index = self.applied.partition_point(|(other, _)| *other < revision);
         let applied = self.applied.get(index).map(|(_, at)| *at);
@@ -214,7 +215,7 @@
     }
 
     /// Configuration changes, oldest first.
-    pub fn configuration(&self) -> Vec<RevisionRecord> {
+    pub fn configuration(&self) -> Vec<ConfigurationChange> {
         self.configuration.clone()
     }
 }
