--- a/crates/standin/tests/standin/broken_answers.rs
+++ b/crates/standin/tests/standin/broken_answers.rs
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn write_with_an_incomplete_response_is_ambiguous() {
+fn write_with_an_unusable_response_is_ambiguous() {
     let truncated = "HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\n{\"rev";
     let garbage = http_response("200 OK", "[]");
     let elsewhere = http_response("302 Elsewhere", "");
