--- a/crates/standin/src/engine/meter.rs
+++ b/crates/standin/src/engine/meter.rs
@@ -1,14 +1,14 @@
-//! Idle capacity, widths over time, harm to online steps, and how soon batch yields.
+//! Idle capacity, batch sizes over time, slowdown of online steps, and how soon batch yields.
 
 use serde::Serialize;
 
-use super::probe::{Prober, YieldProbe};
+use super::probe::{BurstTracker, YieldProbe};
 use super::settings::EngineModelSettings;
 
-/// Most samples kept for each engine: an hour at the usual interval.
+/// Maximum number of samples per engine: one hour at the default interval.
 const MAXIMUM_SAMPLES: usize = 36_000;
 
-/// Widths at one moment, and what was made since the sample before.
+/// Batch sizes at one time, and tokens since the previous sample.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Sample {
     /// Microseconds since the host started.
@@ -19,26 +19,26 @@
     pub batch: u32,
     /// Waiting batch sequences in the engine.
     pub batch_waiting: u32,
-    /// Batch tokens that could have been made.
+    /// Batch tokens that fit into the idle capacity.
     pub idle_tokens: f64,
-    /// Batch tokens made.
+    /// Batch tokens produced.
     pub batch_tokens: u64,
-    /// Online tokens made.
+    /// Online tokens produced.
     pub online_tokens: u64,
 }
 
-/// One step as the meter sees it.
+/// Composition of one step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StepShape {
-    /// Base time with its noise, milliseconds.
+    /// Base time including noise, milliseconds.
     pub noisy_base_ms: f64,
-    /// Running sequences.
+    /// Online sequences in the step.
     pub online: u32,
     /// Running batch sequences.
     pub batch: u32,
     /// Prefill tokens of online sequences in the step.
     pub online_prefill: u32,
-    /// KV blocks of shared prefixes in use, each counted once.
+    /// KV blocks of pinned prefixes, each counted once.
     pub shared_blocks: u32,
     /// Other KV blocks of online sequences.
     pub online_blocks: u32,
@@ -46,12 +46,12 @@
     pub batch_blocks: u32,
 }
 
-/// Meter of one engine.
+/// Capacity and throughput counters of one engine.
 #[derive(Debug)]
 pub struct Meter {
     per_sequence_ms: f64,
     per_prefill_token_ms: f64,
-    slowdown: f64,
+    allowed_slowdown: f64,
     maximum_sequences: u32,
     total_blocks: u32,
     quiet_us: u64,
@@ -60,18 +60,18 @@
     idle_tokens: f64,
     batch_tokens: u64,
     online_tokens: u64,
-    sampled: (f64, u64, u64),
+    sampled_totals: (f64, u64, u64),
     samples: Vec<Sample>,
     online_ended_us: Option<u64>,
-    probe: Prober,
-    usual_probe: Prober,
+    probe: BurstTracker,
+    usual_probe: BurstTracker,
     steps: u64,
     online_step_ms: f64,
     online_alone_ms: f64,
     stalled_us: u64,
 }
 
-/// Weight of the newest step in the mean memory of a batch sequence.
+/// Weight of the newest step in the moving average of blocks per batch sequence.
 const MEAN_WEIGHT: f64 = 0.05;
 
 impl Meter {
@@ -80,20 +80,20 @@
         Meter {
             per_sequence_ms: settings.per_sequence_ms,
             per_prefill_token_ms: settings.per_prefill_token_ms,
-            slowdown: settings.online_slowdown_percent / 100.0,
+            allowed_slowdown: settings.online_slowdown_percent / 100.0,
             maximum_sequences: settings.maximum_sequences,
             total_blocks: settings.total_blocks(),
-            quiet_us: EngineModelSettings::micros(settings.probe_quiet_ms),
+            quiet_us: EngineModelSettings::milliseconds_to_us(settings.probe_quiet_ms),
             usual_base_ms: settings.usual_base_ms(),
             mean_batch_blocks: f64::from(typical),
             idle_tokens: 0.0,
             batch_tokens: 0,
             online_tokens: 0,
-            sampled: (0.0, 0, 0),
+            sampled_totals: (0.0, 0, 0),
             samples: Vec::new(),
             online_ended_us: Some(0),
-            probe: Prober::default(),
-            usual_probe: Prober::default(),
+            probe: BurstTracker::default(),
+            usual_probe: BurstTracker::default(),
             steps: 0,
             online_step_ms: 0.0,
             online_alone_ms: 0.0,
@@ -101,87 +101,87 @@
         }
     }
 
-    /// Batch tokens that could have been made so far.
+    /// Batch tokens that fit into the idle capacity so far.
     pub fn idle_tokens(&self) -> f64 {
         self.idle_tokens
     }
 
-    /// Batch tokens made so far.
+    /// Batch tokens produced so far.
     pub fn batch_tokens(&self) -> u64 {
         self.batch_tokens
     }
 
-    /// Online tokens made so far.
+    /// Online tokens produced so far.
     pub fn online_tokens(&self) -> u64 {
         self.online_tokens
     }
 
-    /// Steps made so far.
+    /// Steps executed so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// Time of all steps with online sequences, and what it would have been without batch work,
-    /// milliseconds. Their ratio is the harm that batch does to online tokens, free of noise.
+    /// Total time of steps with online sequences, and the time of the same steps without batch
+    /// sequences, milliseconds. Their ratio is the slowdown of online tokens by batch.
     pub fn online_step_ms(&self) -> (f64, f64) {
         (self.online_step_ms, self.online_alone_ms)
     }
 
-    /// Time by which the machine drove the engine too late, microseconds. A run in which this is
-    /// more than a small share of the time measured the machine and not the product.
+    /// Total lateness of steps that exceeded the tolerance, microseconds. If this is more than a
+    /// small share of a run, the machine was overloaded and the measurements are invalid.
     pub fn stalled_us(&self) -> u64 {
         self.stalled_us
     }
 
-    /// Samples of widths.
+    /// Batch size samples, oldest first.
     pub fn samples(&self) -> &[Sample] {
         &self.samples
     }
 
-    /// How soon batch yielded to what each step allowed with its own noise.
+    /// Time until batch yielded, by the width that each step allows with its noise.
     pub fn probe(&self) -> &YieldProbe {
-        &self.probe.seen
+        &self.probe.histogram
     }
 
-    /// How soon batch yielded to what a step of usual length allows: a short step allows less, which
-    /// nobody can know before.
+    /// Time until batch yielded, by the width that a step of mean length allows. A scheduler cannot
+    /// know in advance that a step will be short and allow less.
     pub fn usual_probe(&self) -> &YieldProbe {
-        &self.usual_probe.seen
+        &self.usual_probe.histogram
     }
 
-    pub(super) fn stalled(&mut self, microseconds: u64) {
+    pub(super) fn record_lateness(&mut self, microseconds: u64) {
         self.stalled_us += microseconds;
     }
 
-    /// The widest batch that slows the step's online sequences by at most the allowed share, inside
-    /// the limits of sequences and memory.
+    /// Maximum batch width that slows the online sequences of the step by at most the allowed share
+    /// and stays within the sequence and memory limits.
     pub(super) fn allowed_width(&self, step: &StepShape) -> u32 {
-        let by_sequences = self.maximum_sequences.saturating_sub(step.online);
+        let width_by_sequences = self.maximum_sequences.saturating_sub(step.online);
         let others = step.online_blocks + step.shared_blocks;
         let free_blocks = self.total_blocks.saturating_sub(others);
-        let by_memory = (f64::from(free_blocks) / self.mean_batch_blocks) as u32;
-        let width = by_sequences.min(by_memory);
+        let width_by_memory = (f64::from(free_blocks) / self.mean_batch_blocks) as u32;
+        let width = width_by_sequences.min(width_by_memory);
         if step.online == 0 {
             return width;
         }
-        let by_slowdown =
-            self.alone_ms(step) * self.slowdown / self.per_sequence_ms.max(f64::EPSILON);
-        width.min(by_slowdown as u32)
+        let width_by_slowdown = self.online_only_ms(step) * self.allowed_slowdown
+            / self.per_sequence_ms.max(f64::EPSILON);
+        width.min(width_by_slowdown as u32)
     }
 
-    /// Time of the step if its online sequences were alone, milliseconds.
-    fn alone_ms(&self, step: &StepShape) -> f64 {
+    /// Time of the step without batch sequences, milliseconds.
+    fn online_only_ms(&self, step: &StepShape) -> f64 {
         step.noisy_base_ms
             + self.per_sequence_ms * f64::from(step.online)
             + self.per_prefill_token_ms * f64::from(step.online_prefill)
     }
 
-    /// A step begins that takes `step_ms`.
+    /// Records the start of a step that takes `step_ms`.
     pub(super) fn step_begins(&mut self, now_us: u64, step: &StepShape, step_ms: f64) {
         self.steps += 1;
         if step.online > 0 {
             self.online_step_ms += step_ms;
-            self.online_alone_ms += self.alone_ms(step);
+            self.online_alone_ms += self.online_only_ms(step);
         }
         if step.batch > 0 {
             let blocks = f64::from(step.batch_blocks) / f64::from(step.batch);
@@ -190,18 +190,18 @@
         let allowed = self.allowed_width(step);
         self.idle_tokens += f64::from(allowed);
         if step.online > 0 && step.batch <= allowed {
-            self.probe.yielded(now_us);
+            self.probe.batch_yielded(now_us);
         }
         let usual = StepShape {
             noisy_base_ms: self.usual_base_ms,
             ..*step
         };
         if step.online > 0 && step.batch <= self.allowed_width(&usual) {
-            self.usual_probe.yielded(now_us);
+            self.usual_probe.batch_yielded(now_us);
         }
     }
 
-    /// A step ended, having made some tokens.
+    /// Records the end of a step and the tokens it produced.
     pub(super) fn step_ended(&mut self, online_tokens: u64, batch_tokens: u64) {
         self.online_tokens += online_tokens;
         self.batch_tokens += batch_tokens;
@@ -209,7 +209,7 @@
         self.usual_probe.step_ended();
     }
 
-    /// The engine had nothing at all to do for some time: it could have run full batches.
+    /// Records time without any sequence, in which full batches could have run.
     pub(super) fn idle_for(&mut self, microseconds: u64) {
         let empty = StepShape {
             noisy_base_ms: self.usual_base_ms,
@@ -225,7 +225,7 @@
         self.idle_tokens += microseconds as f64 / 1_000.0 / step_ms * width;
     }
 
-    /// An online sequence arrived; `others` are in the engine already.
+    /// Records an online arrival; `others` online sequences are already in the engine.
     pub(super) fn online_arrived(&mut self, now_us: u64, others: usize) {
         let quiet_since = self.online_ended_us.filter(|_| others == 0);
         let quiet = quiet_since.is_some_and(|since| now_us - since.min(now_us) >= self.quiet_us);
@@ -236,17 +236,16 @@
         self.online_ended_us = None;
     }
 
-    /// The last online sequence has gone.
-    pub(super) fn online_gone(&mut self, now_us: u64) {
+    /// Records that the last online sequence has left the engine.
+    pub(super) fn online_drained(&mut self, now_us: u64) {
         self.online_ended_us = Some(now_us);
         self.probe.burst_ends();
         self.usual_probe.burst_ends();
     }
 
-    /// Takes a sample.
     pub(super) fn sample(&mut self, at_us: u64, online: u32, batch: u32, batch_waiting: u32) {
-        let (idle, batch_made, online_made) = self.sampled;
-        self.sampled = (self.idle_tokens, self.batch_tokens, self.online_tokens);
+        let (idle, previous_batch, previous_online) = self.sampled_totals;
+        self.sampled_totals = (self.idle_tokens, self.batch_tokens, self.online_tokens);
         if self.samples.len() < MAXIMUM_SAMPLES {
             self.samples.push(Sample {
                 at_us,
@@ -254,8 +253,8 @@
                 batch,
                 batch_waiting,
                 idle_tokens: self.idle_tokens - idle,
-                batch_tokens: self.batch_tokens - batch_made,
-                online_tokens: self.online_tokens - online_made,
+                batch_tokens: self.batch_tokens - previous_batch,
+                online_tokens: self.online_tokens - previous_online,
             });
         }
     }
--- a/crates/standin/src/engine/reports.rs
+++ b/crates/standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! Publication of an engine's reports and cache events: late, and events with gaps.
+//! Delayed publication of an engine's reports and cache events, with loss of events.
 
 use std::collections::VecDeque;
 
@@ -6,17 +6,17 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Most cache events kept for late readers.
+/// Maximum number of cache events kept for readers.
 const MAXIMUM_CACHE_EVENTS: usize = 4_096;
 
 #[derive(Debug)]
 struct Delayed<T> {
-    made_us: u64,
+    created_us: u64,
     deliver_us: u64,
     item: T,
 }
 
-/// Reports and cache events on their way to readers.
+/// Published reports and cache events, including those not delivered yet.
 #[derive(Debug)]
 pub(super) struct Publication {
     reports: VecDeque<Delayed<EngineReport>>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Publishes a report; it is delivered after a random delay.
+    /// Publishes a report with a random delivery delay of at most `delay_us`.
     pub(super) fn report(
         &mut self,
         now_us: u64,
@@ -51,29 +51,29 @@
         report.sequence = self.report_sequence;
         let delay = rng.random_range(0..=delay_us) + self.extra_delay_us;
         self.reports.push_back(Delayed {
-            made_us: now_us,
+            created_us: now_us,
             deliver_us: now_us + delay,
             item: report,
         });
-        self.forget_superseded(now_us);
+        self.drop_superseded(now_us);
     }
 
-    /// The newest report that has been delivered.
+    /// The newest delivered report.
     pub(super) fn latest(&mut self, now_us: u64) -> Option<EngineReport> {
-        self.forget_superseded(now_us);
+        self.drop_superseded(now_us);
         let newest = self
             .reports
             .iter()
             .rev()
             .find(|report| report.deliver_us <= now_us)?;
         let mut report = newest.item.clone();
-        let age_ms = now_us.saturating_sub(newest.made_us) / 1_000;
+        let age_ms = now_us.saturating_sub(newest.created_us) / 1_000;
         report.age_ms = u32::try_from(age_ms).unwrap_or(u32::MAX);
         Some(report)
     }
 
-    /// Drops reports older than one that has been delivered.
-    fn forget_superseded(&mut self, now_us: u64) {
+    /// Drops reports older than the newest delivered one.
+    fn drop_superseded(&mut self, now_us: u64) {
         let newest = self
             .reports
             .iter()
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Publishes a cache event; some are lost, and leave a gap in the numbers.
+    /// Publishes a cache event. A lost event leaves a gap in the sequence numbers.
     pub(super) fn cache_event(
         &mut self,
         now_us: u64,
@@ -100,7 +100,7 @@
             self.events.pop_front();
         }
         self.events.push_back(Delayed {
-            made_us: now_us,
+            created_us: now_us,
             deliver_us: now_us + rng.random_range(0..=delay_us) + self.extra_delay_us,
             item: CacheEvent {
                 sequence: self.event_sequence,
@@ -110,8 +110,8 @@
         });
     }
 
-    /// Delivered cache events after a number, in order. An event that is still on its way holds
-    /// back those after it.
+    /// Delivered cache events with a sequence number greater than `after`, in order. An event that
+    /// is not delivered yet holds back later ones.
     pub(super) fn cache_events(&self, now_us: u64, after: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
