--- a/crates/lab/src/faults/inject.rs
+++ b/crates/lab/src/faults/inject.rs
@@ -232,7 +232,7 @@
         let server = self.fleet.servers[index].name.clone();
         self.fleet.engines.kill(&server);
         tokio::time::sleep(length).await;
-        self.fleet.engines.revive(&server);
+        self.fleet.engines.restart(&server);
         server
     }
 
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -113,7 +113,7 @@
             region: server.spot.region.as_str().into(),
             zone: server.spot.zone.as_str().into(),
             hall: server.spot.zone.clone(),
-            address: engines.base(&server.name),
+            address: engines.base_url(&server.name),
             service: scenario.service_of(policy, index).into(),
             leaving: false,
             name: server.name,
@@ -131,7 +131,7 @@
     ) -> Result<Fleet, LabError> {
         let platform = start_platform(scenario, policy, seed)?;
         let engines = start_engines(scenario, policy, &platform, seed, settings::ANY_PORT)?;
-        platform.begin_with_machines(server_machines(scenario, policy, &engines));
+        platform.set_initial_machines(server_machines(scenario, policy, &engines));
         let mut fleet = Fleet {
             network: Network::new(scenario.network.clone()),
             servers: names::servers(scenario),
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -21,7 +21,7 @@
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
             let Some(sample) = judged else { continue };
-            verdict.case(sample.revision >= change.revision, || {
+            verdict.count_case(sample.revision >= change.revision, || {
                 format!(
                     "revision {} ({}) accepted {}, but {node} has {} at {}",
                     change.revision,
@@ -62,7 +62,7 @@
             if before.start != after.start {
                 continue;
             }
-            verdict.case(after.revision >= before.revision, || {
+            verdict.count_case(after.revision >= before.revision, || {
                 format!(
                     "{node} had revision {} at {} and {} at {}",
                     before.revision,
@@ -90,7 +90,7 @@
             }
             let Some(served) = served else { continue };
             let floor = in_force_everywhere(&nodes, before.at);
-            verdict.case(served.revision >= floor, || {
+            verdict.count_case(served.revision >= floor, || {
                 format!(
                     "{node} serves again at {} with revision {}, but {floor} was in force everywhere",
                     at(served.at),
--- a/crates/lab/src/invariants/jobs.rs
+++ b/crates/lab/src/invariants/jobs.rs
@@ -13,7 +13,7 @@
     for job in &evidence.observations.jobs {
         let Some(id) = job.id() else { continue };
         let one_job = job.ids.iter().all(|other| other == id);
-        verdict.case(one_job, || {
+        verdict.count_case(one_job, || {
             format!("{}: one key, several jobs {:?}", job.name, job.ids)
         });
         judge_items(&mut verdict, job, id);
@@ -26,7 +26,7 @@
         let items = u64::from(job.items);
         let unread = job.unread.as_deref().unwrap_or("it has not ended");
         let accepted = at(job.accepted.unwrap_or_default());
-        verdict.cases(items, false, || {
+        verdict.count_cases(items, false, || {
             format!(
                 "{} ({id}, accepted {accepted}): status {}, {items} items without result: {unread}",
                 job.name, job.status
@@ -34,12 +34,12 @@
         });
         return;
     };
-    verdict.cases(u64::from(results.right), true, String::new);
+    verdict.count_cases(u64::from(results.right), true, String::new);
     let cancelled = job.status == "cancelled";
     for finding in &results.findings {
         let holds =
             cancelled && matches!(finding, ItemFinding::Missing(_) | ItemFinding::Failed(_));
-        verdict.case(holds, || format!("{} ({id}): {finding:?}", job.name));
+        verdict.count_case(holds, || format!("{} ({id}): {finding:?}", job.name));
     }
 }
 
@@ -54,13 +54,13 @@
     {
         let (Some(first), again) = (&job.results, &job.results_again) else {
             let reason = job.unread.as_deref().unwrap_or_default();
-            verdict.case(false, || format!("{}: not read: {reason}", job.name));
+            verdict.count_case(false, || format!("{}: not read: {reason}", job.name));
             continue;
         };
         let same = again.as_ref().is_some_and(|again| {
             again.right == first.right && again.fingerprint == first.fingerprint
         });
-        verdict.case(same, || {
+        verdict.count_case(same, || {
             format!(
                 "{} ({:?}): {} right results at first, {:?} later",
                 job.name,
@@ -87,14 +87,14 @@
             run.started
                 .is_some_and(|started| started > cancel.answered + bound)
         });
-        verdict.case(late.is_none(), || {
+        verdict.count_case(late.is_none(), || {
             format!(
                 "{} ({id}) cancelled at {}: {late:?}",
                 job.name,
                 at(cancel.answered)
             )
         });
-        verdict.case(matches!(job.status.as_str(), "cancelled"), || {
+        verdict.count_case(matches!(job.status.as_str(), "cancelled"), || {
             format!(
                 "{} ({id}) cancelled at {}, but its status is {}",
                 job.name,
--- a/crates/lab/src/invariants/leaving.rs
+++ b/crates/lab/src/invariants/leaving.rs
@@ -25,7 +25,7 @@
                 && run.arrived > closed_from
                 && run.arrived < drain.taken_back
         });
-        verdict.case(late.is_none(), || {
+        verdict.count_case(late.is_none(), || {
             format!(
                 "{} told to leave at {}: {late:?}",
                 drain.server,
@@ -42,7 +42,7 @@
     let mut verdict = Verdict::default();
     for stop in evidence.stops() {
         let bound = Duration::from_millis(stop.bound_ms);
-        verdict.case(stop.stopped - stop.told <= bound, || {
+        verdict.count_case(stop.stopped - stop.told <= bound, || {
             format!(
                 "{} told at {} stopped only at {}",
                 stop.node,
@@ -55,7 +55,7 @@
         }
         for record in &evidence.observations.online {
             if overlap((record.sent, record.ended), (stop.told, stop.stopped)) {
-                verdict.case(!was_cut(record), || {
+                verdict.count_case(!was_cut(record), || {
                     format!(
                         "{} ({}) sent {}, ended {} while {} stopped {}..{}: {:?}",
                         record.name,
--- a/crates/lab/src/invariants/requests.rs
+++ b/crates/lab/src/invariants/requests.rs
@@ -18,7 +18,7 @@
         let batch = batch.get(run.server.as_str()).unwrap_or(&none);
         let begun = run.started.or(run.ended).unwrap_or(evidence.end);
         let overtaken = batch_started_between(batch, run.arrived, begun);
-        verdict.case(
+        verdict.count_case(
             overtaken.is_none() && run.steps_behind_batch <= bound,
             || {
                 format!(
@@ -71,7 +71,7 @@
         if record.text_bytes == 0 && record.refusal().is_some() {
             continue;
         }
-        verdict.case(record.wrong_text.is_none() && !broken, || {
+        verdict.count_case(record.wrong_text.is_none() && !broken, || {
             format!(
                 "{} ({}) sent {}, ended {} {:?}: {}",
                 record.name,
@@ -100,7 +100,7 @@
             continue;
         };
         let run = ran.get(record.request_id.as_str());
-        verdict.case(run.is_none(), || {
+        verdict.count_case(run.is_none(), || {
             format!(
                 "{} ({}) refused at {} as {} with ran=no, but {run:?}",
                 record.name,
@@ -145,7 +145,7 @@
             .flatten()
             .copied()
             .collect();
-        verdict.case(runs.len() <= 1, || {
+        verdict.count_case(runs.len() <= 1, || {
             format!("key {key} was run {} times: {runs:?}", runs.len())
         });
     }
--- a/crates/lab/src/overhead/request.rs
+++ b/crates/lab/src/overhead/request.rs
@@ -4,7 +4,7 @@
 
 use awc::Client;
 use dappleyard_engine::{Engine, EngineEvent, GenerateCall, HttpEngine, Priority};
-use dappleyard_sidecar::prompt::{PromptMessage, canonical};
+use dappleyard_sidecar::prompt::{PromptMessage, chat_prompt};
 use dappleyard_wire::ids::RequestId;
 use futures::StreamExt;
 use serde_json::json;
@@ -121,7 +121,7 @@
         message("system", "You match fittings."),
         message("user", &request.text),
     ];
-    let prompt = canonical(&messages, "");
+    let prompt = chat_prompt(&messages, "");
     let call = GenerateCall {
         request_id: RequestId::random().to_string(),
         attempt: 1,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -43,7 +43,7 @@
         .get_many("runs")
         .map(|runs| runs.cloned().collect())
         .unwrap_or_default();
-    let html = page::of_directories(&directories).map_err(LabError::failed)?;
+    let html = page::render_directories(&directories).map_err(LabError::failed)?;
     let out = match arguments.get_one::<PathBuf>("out") {
         Some(out) => out.clone(),
         None => directories[0].join(FILE_NAME),
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -75,7 +75,7 @@
         scenario.seed,
         &listen("engines")?,
     )?;
-    platform.begin_with_machines(server_machines(&scenario, policy, &engines));
+    platform.set_initial_machines(server_machines(&scenario, policy, &engines));
     let engines = Arc::new(engines);
     let control = control::start(&listen("control")?, engines.clone(), platform.clone())
         .map_err(|error| LabError::failed(format!("the control interface: {error}")))?;
--- a/crates/lab/src/tradeoff.rs
+++ b/crates/lab/src/tradeoff.rs
@@ -5,7 +5,7 @@
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use dappleyard_report::compare::MEASURES;
-use dappleyard_report::tradeoff::{Setting, curve};
+use dappleyard_report::tradeoff::{TradeoffSetting, draw_curve};
 
 use crate::error::{LabError, report};
 
@@ -69,11 +69,11 @@
 }
 
 fn draw(arguments: &ArgMatches) -> Result<(), LabError> {
-    let settings: Vec<Setting> = arguments
+    let settings: Vec<TradeoffSetting> = arguments
         .get_many::<(String, PathBuf)>("settings")
         .into_iter()
         .flatten()
-        .map(|(label, directory)| Setting {
+        .map(|(label, directory)| TradeoffSetting {
             label: label.clone(),
             directory: directory.clone(),
         })
@@ -91,6 +91,6 @@
     let harm = harm
         .and_then(|name| MEASURES.iter().find(|measure| measure.name == name))
         .ok_or_else(|| LabError::usage("no such measure"))?;
-    let svg = curve(title, harm, &path("baseline"), &settings).map_err(LabError::failed)?;
+    let svg = draw_curve(title, harm, &path("baseline"), &settings).map_err(LabError::failed)?;
     std::fs::write(path("out"), svg).map_err(LabError::failed)
 }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -19,7 +19,7 @@
 }
 
 /// Renders the page for all runs found under the directories.
-pub fn of_directories(directories: &[PathBuf]) -> Result<String, PageError> {
+pub fn render_directories(directories: &[PathBuf]) -> Result<String, PageError> {
     let groups = runs::group(runs::read(directories)?);
     Ok(render(&groups)?)
 }
--- a/crates/report/src/summary.rs
+++ b/crates/report/src/summary.rs
@@ -40,12 +40,12 @@
 
 impl Verdict {
     /// Records a case. `example` is called only for violations.
-    pub fn case(&mut self, holds: bool, example: impl FnOnce() -> String) {
-        self.cases(1, holds, example);
+    pub fn count_case(&mut self, holds: bool, example: impl FnOnce() -> String) {
+        self.count_cases(1, holds, example);
     }
 
     /// Records several cases with the same result and one example.
-    pub fn cases(&mut self, count: u64, hold: bool, example: impl FnOnce() -> String) {
+    pub fn count_cases(&mut self, count: u64, hold: bool, example: impl FnOnce() -> String) {
         self.checked += count;
         if !hold {
             self.violated += count;
--- a/crates/report/src/tradeoff.rs
+++ b/crates/report/src/tradeoff.rs
@@ -9,7 +9,7 @@
 use crate::summary::Summary;
 
 /// Runs with one value of the setting.
-pub struct Setting {
+pub struct TradeoffSetting {
     /// Value, for example `10%`.
     pub label: String,
     pub directory: PathBuf,
@@ -17,11 +17,11 @@
 
 /// Draws an online measure relative to `baseline` (the same seeds without batch work) on the
 /// horizontal axis, and batch items per second on the vertical axis.
-pub fn curve(
+pub fn draw_curve(
     title: &str,
     harm: &Measure,
     baseline: &PathBuf,
-    settings: &[Setting],
+    settings: &[TradeoffSetting],
 ) -> Result<String, PageError> {
     let baseline = runs::read(std::slice::from_ref(baseline))?;
     let mut points = Vec::new();
--- a/crates/sidecar/src/prepare.rs
+++ b/crates/sidecar/src/prepare.rs
@@ -11,7 +11,7 @@
 use crate::api::responses::Endpoint;
 use crate::error::ApiError;
 use crate::headers::{CallerHeaders, MAXIMUM_NAME_BYTES};
-use crate::prompt::{CanonicalPrompt, canonical, canonical_completion};
+use crate::prompt::{CanonicalPrompt, chat_prompt, completion_prompt};
 
 /// A validated request, ready to forward.
 #[derive(Debug, Clone)]
@@ -41,7 +41,7 @@
     headers: CallerHeaders,
     settings: &SidecarSettings,
 ) -> Result<PreparedRequest, ApiError> {
-    let prompt = canonical(&body.prompt_messages()?, &headers.session);
+    let prompt = chat_prompt(&body.prompt_messages()?, &headers.session);
     let max_tokens = body.max_completion_tokens.or(common.max_tokens);
     let input = GenerationInput {
         endpoint: Endpoint::Chat,
@@ -59,7 +59,7 @@
     headers: CallerHeaders,
     settings: &SidecarSettings,
 ) -> Result<PreparedRequest, ApiError> {
-    let prompt = canonical_completion(body.prompt.text()?, &headers.session);
+    let prompt = completion_prompt(body.prompt.text()?, &headers.session);
     let input = GenerationInput {
         endpoint: Endpoint::Completion,
         model: &body.model,
--- a/crates/sidecar/src/prompt.rs
+++ b/crates/sidecar/src/prompt.rs
@@ -40,7 +40,7 @@
 }
 
 /// Builds the prompt of a chat. `session` is empty for none.
-pub fn canonical(messages: &[PromptMessage], session: &str) -> CanonicalPrompt {
+pub fn chat_prompt(messages: &[PromptMessage], session: &str) -> CanonicalPrompt {
     let text = join(messages);
     let system_messages = messages
         .iter()
@@ -59,7 +59,7 @@
 }
 
 /// Builds the prompt of a completion, whose text is passed unchanged.
-pub fn canonical_completion(prompt: &str, session: &str) -> CanonicalPrompt {
+pub fn completion_prompt(prompt: &str, session: &str) -> CanonicalPrompt {
     let text = prompt.to_owned();
     if session.is_empty() {
         return build_without_prefix(text);
--- a/crates/sidecar/tests/rules.rs
+++ b/crates/sidecar/tests/rules.rs
@@ -3,7 +3,7 @@
 use dappleyard_settings::Location;
 use dappleyard_sidecar::forward::retry_policy::{Decision, FailureContext, decide};
 use dappleyard_sidecar::node_selection::{Candidate, SelectionPolicy, select_node};
-use dappleyard_sidecar::prompt::{PromptMessage, canonical, canonical_completion};
+use dappleyard_sidecar::prompt::{PromptMessage, chat_prompt, completion_prompt};
 use dappleyard_wire::{ErrorKind, Ran, Repeat};
 use googletest::prelude::*;
 
@@ -179,7 +179,7 @@
         message("system", "Match parts."),
         message("user", "Which one?"),
     ];
-    let prompt = canonical(&chat, "");
+    let prompt = chat_prompt(&chat, "");
     expect_that!(prompt.text, eq("system: Match parts.\nuser: Which one?\n"));
     expect_that!(prompt.tokens, eq(6));
     expect_that!(prompt.prefix_tokens, eq(3));
@@ -188,7 +188,7 @@
 #[gtest]
 fn prefix_hash_is_equal_for_shared_prefixes() {
     let ask = |text: &str, session: &str| {
-        canonical(
+        chat_prompt(
             &[message("system", "Match parts."), message("user", text)],
             session,
         )
@@ -200,8 +200,8 @@
         not(eq(ask("a", "t").prefix_hash))
     );
     let long: String = "word ".repeat(40);
-    let first = canonical_completion(&format!("{long} one"), "");
-    let second = canonical_completion(&format!("{long} two"), "");
+    let first = completion_prompt(&format!("{long} one"), "");
+    let second = completion_prompt(&format!("{long} two"), "");
     expect_that!(first.prefix_hash, eq(second.prefix_hash));
     expect_that!(first.prefix_tokens, eq(32));
 }
--- a/crates/standin/examples/host_cost.rs
+++ b/crates/standin/examples/host_cost.rs
@@ -60,7 +60,7 @@
                 true => Priority::BATCH,
                 false => Priority::ONLINE,
             };
-            let (engine, base) = (engine.clone(), host.base(&server));
+            let (engine, base) = (engine.clone(), host.base_url(&server));
             loops.push(closed_loop(engine, base, place, priority, end));
         }
     }
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -79,7 +79,7 @@
     let engines = &handles.engines;
     match action.as_str() {
         "kill" => engines.kill(&server),
-        "revive" => engines.revive(&server),
+        "revive" => engines.restart(&server),
         "hang" => engines.set_hung(&server, true),
         "go-on" => engines.set_hung(&server, false),
         _ => return HttpResponse::NotFound().body("kill, revive, hang or go-on"),
--- a/crates/standin/src/engine/host.rs
+++ b/crates/standin/src/engine/host.rs
@@ -163,7 +163,7 @@
     }
 
     /// Base URL of an engine's HTTP interface.
-    pub fn base(&self, server: &str) -> String {
+    pub fn base_url(&self, server: &str) -> String {
         format!("http://{}/engines/{server}", self.address())
     }
 
@@ -204,8 +204,8 @@
     }
 
     /// Restarts a killed engine with empty state.
-    pub fn revive(&self, server: &str) {
-        self.with_slot(server, Slot::revive);
+    pub fn restart(&self, server: &str) {
+        self.with_slot(server, Slot::restart);
     }
 
     /// Makes an engine hang, with its connections open but silent, or resumes it.
--- a/crates/standin/src/engine/slot/experiment.rs
+++ b/crates/standin/src/engine/slot/experiment.rs
@@ -38,7 +38,7 @@
     }
 
     /// Restarts a killed engine with empty state.
-    pub(in crate::engine) fn revive(&self) {
+    pub(in crate::engine) fn restart(&self) {
         let mut inner = self.inner.lock();
         if inner.model.is_none() {
             let now_us = self.now_us();
--- a/crates/standin/src/platform/host.rs
+++ b/crates/standin/src/platform/host.rs
@@ -247,7 +247,7 @@
     }
 
     /// Replaces the machine list and its history; clients see it without lag.
-    pub fn begin_with_machines(&self, machines: Vec<Machine>) {
+    pub fn set_initial_machines(&self, machines: Vec<Machine>) {
         self.state.machines.lock().set_initial(machines);
     }
 
--- a/crates/standin/tests/standin/engines_over_http.rs
+++ b/crates/standin/tests/standin/engines_over_http.rs
@@ -76,7 +76,7 @@
 fn answers_match_the_expected_text() {
     run(async {
         let host = host();
-        let (engine, base) = (client(), host.base(SERVER));
+        let (engine, base) = (client(), host.base_url(SERVER));
         for (prompt, stream) in [("one", true), ("two", false), ("three", true)] {
             let answer = collect(&engine, &base, call(prompt, 30, stream)).await;
             let expected = text::expected("v1", prompt, 30);
@@ -102,7 +102,7 @@
 fn killed_engine_aborts_streams_and_fails_calls() {
     run(async {
         let host = host();
-        let (engine, base) = (client(), host.base(SERVER));
+        let (engine, base) = (client(), host.base_url(SERVER));
         let mut stream = engine
             .generate(&base, call("long", 2_000, true))
             .await
@@ -122,7 +122,7 @@
         let records = host.engine_records(SERVER);
         expect_that!(records[0].end, some(eq(RunEnd::Lost)));
 
-        host.revive(SERVER);
+        host.restart(SERVER);
         let (text, _) = collect(&engine, &base, call("again", 5, true))
             .await
             .expect("an answer after the restart");
@@ -134,7 +134,7 @@
 fn hung_engine_is_silent_until_it_resumes() {
     run(async {
         let host = host();
-        let base = host.base(SERVER);
+        let base = host.base_url(SERVER);
         let short_timeout = HttpEngine::new(Duration::from_secs(1), Duration::from_millis(1_500));
         let mut held = client()
             .generate(&base, call("held", 40, true))
@@ -161,7 +161,7 @@
             detach_grace_ms: 50,
             ..EngineModelSettings::default()
         });
-        let (engine, base) = (client(), host.base(SERVER));
+        let (engine, base) = (client(), host.base_url(SERVER));
         for (number, streaming) in [true, false].into_iter().enumerate() {
             let call = call(&format!("left {streaming}"), 20_000, streaming);
             let mut stream = engine.generate(&base, call).await.expect("a stream");
@@ -180,7 +180,7 @@
 fn cancelled_call_reports_cancellation() {
     run(async {
         let host = host();
-        let (engine, base) = (client(), host.base(SERVER));
+        let (engine, base) = (client(), host.base_url(SERVER));
         let mut stream = engine
             .generate(&base, call("cut short", 3_000, false))
             .await
@@ -208,7 +208,7 @@
 fn wrong_service_and_malformed_requests_are_rejected() {
     run(async {
         let host = host();
-        let (engine, base) = (client(), host.base(SERVER));
+        let (engine, base) = (client(), host.base_url(SERVER));
         let mut wrong = call("x", 5, true);
         wrong.service = "other".to_owned();
         expect_that!(
@@ -247,7 +247,7 @@
 fn extreme_numbers_in_calls_are_handled() {
     run(async {
         let host = host();
-        let (engine, base) = (client(), host.base(SERVER));
+        let (engine, base) = (client(), host.base_url(SERVER));
         let change = |change: fn(&mut GenerateCall)| {
             let mut call = call("extreme", 4, true);
             change(&mut call);
@@ -287,7 +287,7 @@
 fn finished_answers_are_complete_under_kills_and_hangs() {
     run(async {
         let host = host();
-        let (engine, base) = (client(), host.base(SERVER));
+        let (engine, base) = (client(), host.base_url(SERVER));
         let callers = (0..40).map(|number| {
             let (engine, base) = (&engine, &base);
             async move {
@@ -307,7 +307,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 if round % 3 == 2 {
                     host.kill(SERVER);
-                    host.revive(SERVER);
+                    host.restart(SERVER);
                 } else {
                     host.set_hung(SERVER, round % 3 == 0);
                 }
