--- a/crates/spec/src/catalogue.rs
+++ b/crates/spec/src/catalogue.rs
@@ -11,43 +11,43 @@
 use crate::once::{self, Once};
 use crate::plans::{self, Plans};
 
-/// A plausible mistake that the checker has to catch.
+/// A bug that the checker must detect.
 pub struct Mutant {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// The promise that it breaks.
+    /// The invariant that it violates.
     pub breaks: &'static str,
 }
 
-/// One specification that can be explored by name.
+/// A specification that can be explored by name.
 pub struct Entry {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it is about.
+    /// One-line description.
     pub about: &'static str,
-    /// The mistakes that can be put into it.
+    /// The bugs that can be injected.
     pub mutants: &'static [Mutant],
-    /// Faults in one run, for tests that should end in seconds.
+    /// Maximum faults in one trace for quick tests.
     pub quick_faults: u8,
-    /// Faults in one run, for a thorough exploration.
+    /// Maximum faults in one trace for a thorough exploration.
     pub faults: u8,
     run: fn(mutant: Option<&str>, faults: u8) -> Exploration,
 }
 
 impl Entry {
-    /// Explores the protocol as it is, with at most this many faults in one run.
+    /// Explores the unmodified protocol with at most `faults` faults in one trace.
     pub fn explore(&self, faults: u8) -> Exploration {
         (self.run)(None, faults)
     }
 
-    /// Explores the protocol with a mistake in it; `None` when it has no mutant of this name.
+    /// Explores the protocol with a mutant; `None` if there is no mutant of this name.
     pub fn explore_mutant(&self, mutant: &str, faults: u8) -> Option<Exploration> {
         let known = self.mutants.iter().any(|known| known.name == mutant);
         known.then(|| (self.run)(Some(mutant), faults))
     }
 }
 
-/// The entry of this name.
+/// Looks up a specification by name.
 pub fn find(name: &str) -> Option<&'static Entry> {
     ALL.iter().find(|entry| entry.name == name)
 }
--- a/crates/spec/src/checker.rs
+++ b/crates/spec/src/checker.rs
@@ -8,77 +8,77 @@
 use derive_more::Display;
 use pathfinding::directed::bfs::bfs;
 
-/// A protocol as states and steps.
+/// A protocol as a transition system.
 pub trait Specification {
-    /// Everything that matters at one moment: processes, store, network, and what has been observed.
+    /// State of the processes, the store and the network, with the history that the invariants need.
     type State: Clone + Eq + Hash;
     /// One step of one process, of the network or of the store.
     type Action: Display;
 
-    /// Where every run begins.
+    /// The initial state.
     fn initial(&self) -> Self::State;
 
-    /// All steps possible in a state, each with the state that it leads to.
+    /// The enabled actions of a state, each with its successor state.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
 
-    /// The promise that this state breaks, in words; `None` when all hold.
+    /// A description of the invariant that this state violates; `None` when all hold.
     fn violation(&self, state: &Self::State) -> Option<String>;
 
-    /// Names of the interesting situations that this state shows. A situation that no state shows
-    /// means that the specification is too narrow to prove anything about it.
-    fn situations(&self, state: &Self::State) -> Vec<&'static str>;
+    /// Labels of the coverage conditions that hold in this state. A condition that no reachable state
+    /// satisfies means that the bounds are too small to check the behaviour it stands for.
+    fn coverage(&self, state: &Self::State) -> Vec<&'static str>;
 
-    /// The bounds of the exploration, in words.
+    /// A description of the bounds of the exploration.
     fn bounds(&self) -> String;
 }
 
-/// The shortest run of steps that breaks a promise.
+/// A shortest trace to an invariant violation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample {
     /// The steps, in order.
     pub steps: Vec<String>,
-    /// The promise that is broken at the end.
+    /// The invariant violated by the last state.
     pub violation: String,
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-#[display("{}", describe(self))]
+#[display("{}", render_report(self))]
 pub struct Exploration {
-    /// Different states visited.
+    /// Distinct states visited.
     pub states: usize,
-    /// Steps taken between them.
+    /// Transitions between them.
     pub transitions: usize,
-    /// Number of states that show each situation.
-    pub situations: BTreeMap<&'static str, usize>,
+    /// Number of states in which each coverage condition holds.
+    pub coverage: BTreeMap<&'static str, usize>,
     /// The bounds of the exploration.
     pub bounds: String,
-    /// The shortest way to a broken promise; `None` when every promise holds in every state.
+    /// A shortest counterexample; `None` when every invariant holds in every state.
     pub counterexample: Option<Counterexample>,
 }
 
-/// A state of the search: a state of the specification, or the end of a path to a broken promise.
+/// A vertex of the search graph: a state, or the sink behind every violating state.
 #[derive(Clone, PartialEq, Eq, Hash)]
 enum Vertex<S> {
     State(S),
-    Broken,
+    Violated,
 }
 
-/// Visits every reachable state, or stops at the first one that breaks a promise.
+/// Visits every reachable state, or stops at the first one that violates an invariant.
 pub fn explore<S: Specification>(specification: &S) -> Exploration {
     let states = Cell::new(0);
     let transitions = Cell::new(0);
-    let situations = RefCell::new(BTreeMap::new());
+    let coverage = RefCell::new(BTreeMap::new());
     let successors = |vertex: &Vertex<S::State>| {
         let Vertex::State(state) = vertex else {
             return Vec::new();
         };
         states.set(states.get() + 1);
-        for situation in specification.situations(state) {
-            *situations.borrow_mut().entry(situation).or_insert(0) += 1;
+        for situation in specification.coverage(state) {
+            *coverage.borrow_mut().entry(situation).or_insert(0) += 1;
         }
         if specification.violation(state).is_some() {
-            return vec![Vertex::Broken];
+            return vec![Vertex::Violated];
         }
         let next = specification.steps(state);
         transitions.set(transitions.get() + next.len());
@@ -87,28 +87,31 @@
             .collect()
     };
     let start = Vertex::State(specification.initial());
-    let path = bfs(&start, successors, |vertex| *vertex == Vertex::Broken);
+    let path = bfs(&start, successors, |vertex| *vertex == Vertex::Violated);
     Exploration {
         states: states.get(),
         transitions: transitions.get(),
-        situations: situations.into_inner(),
+        coverage: coverage.into_inner(),
         bounds: specification.bounds(),
-        counterexample: path.map(|path| explain(specification, &path)),
+        counterexample: path.map(|path| counterexample_along(specification, &path)),
     }
 }
 
-/// Names the steps along a path of states.
-fn explain<S: Specification>(specification: &S, path: &[Vertex<S::State>]) -> Counterexample {
+/// Reconstructs the actions along a path of states.
+fn counterexample_along<S: Specification>(
+    specification: &S,
+    path: &[Vertex<S::State>],
+) -> Counterexample {
     let states: Vec<&S::State> = path
         .iter()
         .filter_map(|vertex| match vertex {
             Vertex::State(state) => Some(state),
-            Vertex::Broken => None,
+            Vertex::Violated => None,
         })
         .collect();
     let steps = states
         .windows(2)
-        .map(|pair| name_of_step(specification, pair[0], pair[1]))
+        .map(|pair| action_between(specification, pair[0], pair[1]))
         .collect();
     let violation = states
         .last()
@@ -117,7 +120,7 @@
     Counterexample { steps, violation }
 }
 
-fn name_of_step<S: Specification>(specification: &S, from: &S::State, to: &S::State) -> String {
+fn action_between<S: Specification>(specification: &S, from: &S::State, to: &S::State) -> String {
     specification
         .steps(from)
         .into_iter()
@@ -126,13 +129,13 @@
         .unwrap_or_default()
 }
 
-fn describe(exploration: &Exploration) -> String {
+fn render_report(exploration: &Exploration) -> String {
     let mut lines = vec![
         format!(
             "{} states, {} transitions ({})",
             exploration.states, exploration.transitions, exploration.bounds
         ),
-        format!("situations seen: {:?}", exploration.situations),
+        format!("situations seen: {:?}", exploration.coverage),
     ];
     match &exploration.counterexample {
         None => lines.push("every promise holds in every state".to_owned()),
--- a/crates/spec/src/chunks.rs
+++ b/crates/spec/src/chunks.rs
@@ -1,10 +1,10 @@
 //! Claim, takeover, hand-back, commit and cancel of one batch chunk by two nodes.
 //!
-//! A chunk of a holder that is believed gone is opened again under a higher epoch, and then claimed
-//! like any other. An item that must not repeat is marked in the chunk row before it is started.
+//! A chunk whose holder is suspected is reopened under a higher epoch and then claimed like any other.
+//! An item that must not repeat is marked in the chunk row before it is started.
 //!
-//! A node that takes no step for a while is a paused holder; a wrong suspicion may come at any time;
-//! a call may take effect long after its sender has given up on it.
+//! Nodes may pause, live holders may be suspected at any time, and a call may take effect long after
+//! its sender timed out.
 
 mod protocol;
 mod state;
@@ -14,44 +14,44 @@
 
 use dappleyard_wire::messages::{ChunkPhase, ChunkRow, Repeat};
 
-use self::state::{NODES, Node, Work, forget_spent_calls, outlived};
+use self::state::{NODES, Node, Work, drop_expired_calls, has_orphaned_call};
 use crate::checker::Specification;
 use crate::store::Versioned;
 
-pub use self::state::{Action, Item, Reason, Run, State};
+pub use self::state::{Action, Item, ReopenReason, Run, State};
 
-/// Plausible mistakes.
+/// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A commit does not compare the epoch under which the result was made.
+    /// A commit does not compare the epoch under which the result was produced.
     EpochNotCompared,
     /// An item that may have run is started again.
     RetryAfterMaybe,
-    /// A takeover forgets that items may have been started.
+    /// A takeover clears the record that items may have been started.
     TakeoverForgetsStart,
-    /// An item is started before its mark stands in the row.
+    /// An item is started before its mark is written to the row.
     StartedBeforeMark,
     /// A commit does not compare the job row.
     CancelNotCompared,
 }
 
-/// How far the exploration goes.
+/// Bounds of the exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Lost calls, lost answers, early time-outs, lost engines and crashes in one run.
+    /// Maximum faults in one trace: lost calls and answers, early timeouts, lost engines, crashes.
     pub faults: u8,
-    /// Suspicions of a holder that is alive.
+    /// Maximum suspicions of a live holder in one trace.
     pub suspicions: u8,
 }
 
-/// The specification.
+/// Specification of the protocol in this module.
 #[derive(Debug, Clone)]
 pub struct Chunks {
     /// Whether the items of the chunk may be run more than once.
     pub repeat: Repeat,
-    /// The mistake to make; `None` for the protocol as it is.
+    /// The injected bug; `None` for the unmodified protocol.
     pub mutant: Option<Mutant>,
-    /// How far to explore.
+    /// Bounds of the exploration.
     pub limits: Limits,
 }
 
@@ -78,7 +78,7 @@
             runs: 0,
             faults: 0,
             suspicions: 0,
-            flaw: None,
+            observed_violation: None,
         }
     }
 
@@ -100,25 +100,25 @@
             steps.push((Action::Collect, next));
         }
         for (_, next) in &mut steps {
-            forget_spent_calls(next);
+            drop_expired_calls(next);
         }
         steps
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        if let Some(flaw) = state.flaw {
-            return Some(flaw.to_owned());
+        if let Some(observed_violation) = state.observed_violation {
+            return Some(observed_violation.to_owned());
         }
         if self.repeat == Repeat::Never && state.runs > 1 {
             return Some("an item that must not repeat ran twice".to_owned());
         }
-        if !self.finishes(state) {
+        if !self.terminates(state) {
             return Some("the chunk is never finished, though nothing fails any more".to_owned());
         }
         None
     }
 
-    fn situations(&self, state: &State) -> Vec<&'static str> {
+    fn coverage(&self, state: &State) -> Vec<&'static str> {
         let row = &state.row.value;
         let stale = state.nodes.iter().any(
             |node| matches!(&node.work, Work::Holding { row: held, .. } if held.value.epoch < row.epoch),
@@ -129,7 +129,7 @@
             ("taken over", row.epoch > 1),
             ("stale holder", stale),
             ("settled as unknown", row.failed > 0),
-            ("call outlives its sender", outlived(state)),
+            ("call outlives its sender", has_orphaned_call(state)),
         ];
         seen.into_iter()
             .filter_map(|(name, seen)| seen.then_some(name))
--- a/crates/spec/src/chunks/protocol.rs
+++ b/crates/spec/src/chunks/protocol.rs
@@ -1,4 +1,4 @@
-//! What a node does with a chunk, and what the network and the store do with its calls.
+//! Transitions of a node on a chunk, and effects of the network and the store on its calls.
 
 use dappleyard_decide::chunks::{
     ChunkResult, ClaimDecision, CommitDecision, claim, commit, mark_started, may_start_item, reopen,
@@ -6,8 +6,8 @@
 use dappleyard_wire::messages::{ChunkPhase, ChunkRow, JobRow, Repeat};
 
 use super::state::{
-    Call, Change, HEALING_ROUNDS, Item, NODES, Reason, Run, State, Work, apply_commit, claimant,
-    is_marked, name, read_back, send, settle_unknown,
+    Call, Change, FAULT_FREE_ROUNDS, Item, NODES, ReopenReason, Run, State, Work, apply_commit,
+    claimant, is_marked, node_name, read_back, send_call, settle_unknown,
 };
 use super::{Chunks, Mutant};
 use crate::store::{Delivery, Versioned};
@@ -19,13 +19,12 @@
             return false;
         };
         let revision = state.row.revision;
-        send(state, node, next.clone(), revision, Change::Claim);
+        send_call(state, node, next.clone(), revision, Change::Claim);
         state.nodes[node].work = Work::Claiming { next };
         true
     }
 
-    /// Sends the opening of a claimed chunk and forgets the chunk; `revision` is what the row is
-    /// expected to be at.
+    /// Sends a reopen of a claimed chunk, conditional on the revision of `row`, and drops the chunk.
     pub(super) fn reopen(
         &self,
         state: &mut State,
@@ -40,21 +39,21 @@
             next.maybe_started = false;
             next.started_items = 0;
         }
-        send(state, node, next, row.revision, Change::Reopen);
+        send_call(state, node, next, row.revision, Change::Reopen);
         state.nodes[node].work = Work::Idle;
         true
     }
 
-    /// Why an idle node may open the chunk again, if it may.
-    pub(super) fn reason(&self, state: &State, node: usize) -> Option<Reason> {
+    /// The reason for which an idle node may reopen the chunk, if any.
+    pub(super) fn reopen_reason(&self, state: &State, node: usize) -> Option<ReopenReason> {
         let row = &state.row.value;
-        let holder = (0..NODES).find(|other| row.holder == name(*other))?;
+        let holder = (0..NODES).find(|other| row.holder == node_name(*other))?;
         if row.holder_incarnation < state.nodes[holder].incarnation {
-            Some(Reason::Restarted)
+            Some(ReopenReason::Restarted)
         } else if holder == node {
-            Some(Reason::Unknown)
+            Some(ReopenReason::Unknown)
         } else {
-            (state.suspicions < self.limits.suspicions).then_some(Reason::Suspected)
+            (state.suspicions < self.limits.suspicions).then_some(ReopenReason::Suspected)
         }
     }
 
@@ -72,7 +71,7 @@
     pub(super) fn mark(state: &mut State, node: usize) {
         if let Work::Holding { row, .. } = state.nodes[node].work.clone() {
             let next = mark_started(&row.value, 0);
-            send(state, node, next, row.revision, Change::Mark);
+            send_call(state, node, next, row.revision, Change::Mark);
             state.nodes[node].work = Work::Marking { row };
         }
     }
@@ -81,15 +80,16 @@
         let Work::Holding { item, .. } = &mut state.nodes[node].work else {
             return;
         };
-        let again = self.repeat == Repeat::Allowed || self.mutant == Some(Mutant::RetryAfterMaybe);
+        let retryable =
+            self.repeat == Repeat::Allowed || self.mutant == Some(Mutant::RetryAfterMaybe);
         *item = match run {
             Run::Completes => Item::Completed,
-            Run::AnswerLost | Run::Lost if again => Item::NotStarted,
+            Run::AnswerLost | Run::Lost if retryable => Item::NotStarted,
             Run::AnswerLost | Run::Lost => Item::Unknown,
         };
         if run != Run::Lost {
-            let most = if self.repeat == Repeat::Never { 2 } else { 1 };
-            state.runs = (state.runs + 1).min(most);
+            let maximum = if self.repeat == Repeat::Never { 2 } else { 1 };
+            state.runs = (state.runs + 1).min(maximum);
         }
     }
 
@@ -116,7 +116,7 @@
             CommitDecision::Write(next) => {
                 let job_revision = state.job.revision;
                 let change = Change::Commit { job_revision, item };
-                send(state, node, next, current.revision, change);
+                send_call(state, node, next, current.revision, change);
                 Work::Committing { row, item }
             }
             CommitDecision::AlreadyCommitted
@@ -130,7 +130,7 @@
         if delivery == Delivery::Lost {
             return;
         }
-        let done = self.take_effect(state, &call);
+        let done = self.apply_call(state, &call);
         let restarted = state.nodes[call.node].incarnation != call.incarnation;
         if delivery == Delivery::AnswerLost || restarted {
             return;
@@ -148,12 +148,12 @@
             (Work::Marking { .. }, Change::Mark) if done => *work = Work::Holding { row, item },
             (Work::Committing { .. }, Change::Commit { .. }) if done => *work = Work::Idle,
             (_, Change::Reopen) => {}
-            // A conflict may be with a call of its own that took effect earlier.
+            // The conflict may be with an earlier call of the same node that took effect.
             _ => read_back(state, call.node),
         }
     }
 
-    pub(super) fn take_effect(&self, state: &mut State, call: &Call) -> bool {
+    pub(super) fn apply_call(&self, state: &mut State, call: &Call) -> bool {
         if let Change::Commit { job_revision, item } = call.change {
             let compared = self.mutant != Some(Mutant::CancelNotCompared);
             if compared && state.job.revision != job_revision {
@@ -164,10 +164,10 @@
         state.row.compare_and_swap(call.revision, call.next.clone())
     }
 
-    /// Whether the chunk is settled once every call is answered and nothing fails any more.
-    pub(super) fn finishes(&self, state: &State) -> bool {
+    /// Liveness: without further faults the chunk is done or its job is cancelled.
+    pub(super) fn terminates(&self, state: &State) -> bool {
         let mut state = state.clone();
-        for _ in 0..HEALING_ROUNDS {
+        for _ in 0..FAULT_FREE_ROUNDS {
             if state.job.value || state.row.value.phase() == ChunkPhase::ChunkDone {
                 return true;
             }
@@ -175,19 +175,21 @@
                 self.deliver(&mut state, 0, Delivery::Answered);
             }
             for node in 0..NODES {
-                self.proceed(&mut state, node);
+                self.advance(&mut state, node);
             }
         }
         false
     }
 
-    pub(super) fn proceed(&self, state: &mut State, node: usize) {
+    pub(super) fn advance(&self, state: &mut State, node: usize) {
         match state.nodes[node].work.clone() {
             Work::Idle if self.claim(state, node) => {}
             Work::Idle => {
-                let reason = self.reason(state, node);
+                let reopen_reason = self.reopen_reason(state, node);
                 let row = state.row.clone();
-                if reason.is_some_and(|reason| reason != Reason::Suspected) {
+                if reopen_reason
+                    .is_some_and(|reopen_reason| reopen_reason != ReopenReason::Suspected)
+                {
                     self.reopen(state, node, &row, true);
                 }
             }
--- a/crates/spec/src/chunks/state.rs
+++ b/crates/spec/src/chunks/state.rs
@@ -1,4 +1,4 @@
-//! State of the store, the nodes and the network, and the names of the steps.
+//! State of the store, the nodes and the network, and the actions.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,14 @@
 
 pub(super) const NODES: usize = 2;
 
-/// Rounds after which a protocol that can still finish has done so, when nothing fails any more.
-pub(super) const HEALING_ROUNDS: usize = 12;
+/// Fault-free rounds within which a live protocol must terminate.
+pub(super) const FAULT_FREE_ROUNDS: usize = 12;
 
-/// What became of the item of the chunk on one holder.
+/// State of the chunk's item on one holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Item {
     /// Not started by this holder under this epoch.
     NotStarted,
-    /// Completed.
     Completed,
     /// Settled as `outcome_unknown`.
     Unknown,
@@ -57,7 +56,7 @@
     Commit { job_revision: u8, item: Item },
 }
 
-/// A call to the store that is on its way.
+/// A call to the store in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Call {
     pub(super) node: usize,
@@ -67,7 +66,7 @@
     pub(super) change: Change,
 }
 
-/// State of the store, the nodes and the network, and what has been observed.
+/// State of the store, the nodes and the network, with the first observed violation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) row: Versioned<ChunkRow>,
@@ -80,10 +79,10 @@
     pub(super) runs: u8,
     pub(super) faults: u8,
     pub(super) suspicions: u8,
-    pub(super) flaw: Option<&'static str>,
+    pub(super) observed_violation: Option<&'static str>,
 }
 
-/// What an engine did with the item.
+/// Outcome of the item on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Run {
     /// It ran and answered.
@@ -92,25 +91,25 @@
     /// It ran and the answer was lost.
     #[display("runs, answer lost")]
     AnswerLost,
-    /// It did not run, which the node cannot know.
+    /// It did not run, but the node cannot tell.
     #[display("lost before it ran")]
     Lost,
 }
 
-/// Why a chunk is opened again.
+/// Why a chunk is reopened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Reason {
+pub enum ReopenReason {
     /// Its holder has restarted.
     #[display("its holder has restarted")]
     Restarted,
-    /// Its holder is believed gone, and is not.
-    #[display("its holder is wrongly believed gone")]
+    /// Its holder is alive but suspected.
+    #[display("its live holder is suspected")]
     Suspected,
-    /// The row names the node itself, which does not know of it: a claim took effect late.
-    #[display("it is its own without its knowing")]
+    /// A claim of this node took effect after the node stopped waiting for it.
+    #[display("its own claim took effect late")]
     Unknown,
-    /// The holder gives it back.
-    #[display("it gives it back")]
+    /// The holder hands it back.
+    #[display("hand-back")]
     HandBack,
 }
 
@@ -123,13 +122,13 @@
         /// The node.
         node: usize,
     },
-    /// A node opens a chunk again that is claimed.
-    #[display("node {node} opens the chunk again: {why}")]
+    /// A node reopens a claimed chunk.
+    #[display("node {node} reopens the chunk: {reason}")]
     Reopen {
         /// The node.
         node: usize,
-        /// Its reason.
-        why: Reason,
+        /// The reason.
+        reason: ReopenReason,
     },
     /// A holder marks the item as started.
     #[display("node {node} marks the item")]
@@ -137,29 +136,29 @@
         /// The node.
         node: usize,
     },
-    /// The network treats the oldest or a later call.
+    /// The network delivers or loses a call.
     #[display("call {index} is {delivery}")]
     Network {
-        /// Which call.
+        /// Index of the call.
         index: usize,
-        /// What becomes of it.
+        /// Outcome of the call.
         delivery: Delivery,
     },
-    /// A node gives up waiting for the store and reads the row back.
-    #[display("node {node} stops waiting and reads back")]
+    /// A node times out waiting for the store and reads the row.
+    #[display("node {node} times out and reads the row")]
     TimeOut {
         /// The node.
         node: usize,
     },
-    /// A node has the item run.
+    /// A node runs the item on an engine.
     #[display("node {node} starts the item: {run}")]
     Start {
         /// The node.
         node: usize,
-        /// What the engine did.
+        /// Outcome on the engine.
         run: Run,
     },
-    /// A node settles an item, which it must not start, as unknown.
+    /// A node settles an item that it must not start as unknown.
     #[display("node {node} settles the item as unknown")]
     SettleUnknown {
         /// The node.
@@ -174,8 +173,8 @@
     /// The job is cancelled.
     #[display("the job is cancelled")]
     Cancel,
-    /// Objects of epochs below that of the row are removed.
-    #[display("objects of old epochs are collected")]
+    /// Garbage collection removes result objects of epochs below that of the row.
+    #[display("result objects of old epochs are removed")]
     Collect,
     /// A node crashes and starts again.
     #[display("node {node} crashes and restarts")]
@@ -185,13 +184,13 @@
     },
 }
 
-pub(super) fn name(node: usize) -> String {
+pub(super) fn node_name(node: usize) -> String {
     node.to_string()
 }
 
 pub(super) fn claimant(state: &State, node: usize) -> Claimant {
     Claimant {
-        node: name(node),
+        node: node_name(node),
         incarnation: state.nodes[node].incarnation,
     }
 }
@@ -200,7 +199,13 @@
     !row.maybe_started && row.started_items != 0
 }
 
-pub(super) fn send(state: &mut State, node: usize, next: ChunkRow, revision: u8, change: Change) {
+pub(super) fn send_call(
+    state: &mut State,
+    node: usize,
+    next: ChunkRow,
+    revision: u8,
+    change: Change,
+) {
     state.calls.push(Call {
         node,
         incarnation: state.nodes[node].incarnation,
@@ -217,20 +222,20 @@
     }
     let object = call.next.result_object.parse().unwrap_or_default();
     if was_done {
-        state.flaw = Some("a committed result was replaced");
+        state.observed_violation = Some("a committed result was replaced");
     } else if state.job.value {
-        state.flaw = Some("a result was committed after the cancel");
+        state.observed_violation = Some("a result was committed after the cancel");
     } else if !state.objects.contains(&object) {
-        state.flaw = Some("a committed result cannot be read");
+        state.observed_violation = Some("a committed result cannot be read");
     } else if item == Item::Completed && state.runs == 0 {
-        state.flaw = Some("an item is completed that never ran");
+        state.observed_violation = Some("an item is completed that never ran");
     }
     true
 }
 
-/// What a node does after an ambiguous answer or a conflict: it reads the row, and holds the chunk if
-/// its own claim is what stands there. A mark that stands is taken for its own, since only the holder
-/// writes marks under its epoch; a commit is decided afresh.
+/// Resolves an ambiguous answer or a conflict by reading the row. The node holds the chunk if the row
+/// contains its claim. A mark under the same epoch is its own, since only the holder writes marks; a
+/// commit is retried.
 pub(super) fn read_back(state: &mut State, node: usize) {
     let row = state.row.clone();
     let claimed = row.value.phase() == ChunkPhase::ChunkClaimed;
@@ -251,8 +256,8 @@
     state.nodes[node].work = Work::Holding { row, item };
 }
 
-/// Drops calls that can neither take effect nor be answered: the row has moved on, and nobody waits.
-pub(super) fn forget_spent_calls(state: &mut State) {
+/// Drops calls in flight that can neither take effect nor be answered, to reduce the state space.
+pub(super) fn drop_expired_calls(state: &mut State) {
     let (row, job, nodes) = (state.row.revision, state.job.revision, &state.nodes);
     state.calls.retain(|call| {
         let node = &nodes[call.node];
@@ -266,7 +271,7 @@
     });
 }
 
-pub(super) fn outlived(state: &State) -> bool {
+pub(super) fn has_orphaned_call(state: &State) -> bool {
     state.calls.iter().any(|call| {
         let node = &state.nodes[call.node];
         node.incarnation != call.incarnation || matches!(node.work, Work::Idle)
--- a/crates/spec/src/chunks/steps.rs
+++ b/crates/spec/src/chunks/steps.rs
@@ -1,10 +1,10 @@
-//! The steps that are possible in a state.
+//! The enabled actions of a state.
 
 use dappleyard_wire::messages::ChunkRow;
 
 use super::Chunks;
 use super::state::{
-    Action, Call, Change, Item, Reason, Run, State, Work, read_back, settle_unknown,
+    Action, Call, Change, Item, ReopenReason, Run, State, Work, read_back, settle_unknown,
 };
 use crate::store::{Delivery, Versioned};
 
@@ -38,15 +38,15 @@
         }
     }
 
-    /// Chunks of a cancelled job are neither claimed nor opened: a node reads the job row too.
+    /// Chunks of a cancelled job are neither claimed nor reopened, since a node also reads the job row.
     pub(super) fn steps_of_idle(
         &self,
         state: &State,
         node: usize,
         steps: &mut Vec<(Action, State)>,
     ) {
-        let opening = |call: &Call| call.node == node && call.change == Change::Reopen;
-        if state.job.value || state.calls.iter().any(opening) {
+        let is_pending_reopen = |call: &Call| call.node == node && call.change == Change::Reopen;
+        if state.job.value || state.calls.iter().any(is_pending_reopen) {
             return;
         }
         let mut next = state.clone();
@@ -54,13 +54,13 @@
             steps.push((Action::Claim { node }, next));
             return;
         }
-        let Some(why) = self.reason(state, node) else {
+        let Some(reason) = self.reopen_reason(state, node) else {
             return;
         };
         let mut next = state.clone();
-        next.suspicions += u8::from(why == Reason::Suspected);
+        next.suspicions += u8::from(reason == ReopenReason::Suspected);
         if self.reopen(&mut next, node, &state.row, true) {
-            steps.push((Action::Reopen { node, why }, next));
+            steps.push((Action::Reopen { node, reason }, next));
         }
     }
 
@@ -84,11 +84,11 @@
             }
             return;
         }
-        let mut given_back = state.clone();
-        given_back.faults += 1;
-        if faults_left && self.reopen(&mut given_back, node, row, false) {
-            let why = Reason::HandBack;
-            steps.push((Action::Reopen { node, why }, given_back));
+        let mut handed_back = state.clone();
+        handed_back.faults += 1;
+        if faults_left && self.reopen(&mut handed_back, node, row, false) {
+            let reason = ReopenReason::HandBack;
+            steps.push((Action::Reopen { node, reason }, handed_back));
         }
         if self.must_mark(&row.value) {
             Self::mark(&mut next, node);
--- a/crates/spec/src/configuration.rs
+++ b/crates/spec/src/configuration.rs
@@ -1,38 +1,38 @@
-//! Spread of configuration revisions over three nodes.
+//! Replication of configuration revisions to three nodes.
 //!
-//! The first node reads the store's change feed; the others learn by gossip, of which any part may
-//! arrive at any time, again, late or never, and by answers to digests. Nodes are cut off and restart.
-//! A node that has restarted serves again once it has taken a snapshot of a node that serves, or has
-//! read the store; one that was cut off once it has caught up with a node that serves.
+//! The first node reads the store's change feed; the others learn changes by gossip, which may be
+//! delayed, duplicated, reordered or lost, and by answers to digests. Nodes restart and are
+//! partitioned. A restarted or partitioned node serves again once it has taken a snapshot from a
+//! serving node or has read the store.
 
 mod protocol;
 mod state;
 mod steps;
 
-use self::state::{Answer, CHANGES, NODES, Node, head, started};
+use self::state::{Answer, CHANGES, NODES, Node, latest_revision, new_node};
 use crate::checker::Specification;
 
 pub use self::state::{Action, State};
 
-/// Plausible mistakes.
+/// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A change is applied whatever revision the node is at.
+    /// A change is applied without comparing it with the node's revision.
     OlderApplied,
-    /// A change is applied when only one of its parts is there.
+    /// A change is applied when only one of its parts has arrived.
     PartApplied,
-    /// An answer is merged whatever revision it was made for.
+    /// An answer is merged without comparing the revision it starts from.
     BasisNotCompared,
-    /// A restarted node takes the snapshot of one that does not serve itself.
+    /// A restarted node accepts a snapshot from a node that is not serving.
     UnreadyPeerTrusted,
 }
 
-/// The specification.
+/// Specification of the protocol in this module.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// The mistake to make; `None` for the protocol as it is.
+    /// The injected bug; `None` for the unmodified protocol.
     pub mutant: Option<Mutant>,
-    /// Restarts, cuts and lost answers in one run.
+    /// Maximum restarts and partitions in one trace.
     pub faults: u8,
 }
 
@@ -41,15 +41,15 @@
     type Action = Action;
 
     fn initial(&self) -> State {
-        let mut node = started();
+        let mut node = new_node();
         node.serves = true;
         State {
             committed: 0,
             nodes: [node.clone(), node.clone(), node],
             answer: None,
             faults: 0,
-            everywhere: 0,
-            flaw: None,
+            reached_by_all: 0,
+            observed_violation: None,
         }
     }
 
@@ -65,31 +65,31 @@
         }
         if state.answer.is_some() {
             let mut next = state.clone();
-            self.arrive(&mut next);
+            self.receive_answer(&mut next);
             steps.push((Action::Arrive, next));
             let mut next = state.clone();
             next.answer = None;
             steps.push((Action::Lose, next));
         }
         for (action, next) in &mut steps {
-            Self::observe(state, next, action);
+            Self::check_transition(state, next, action);
         }
         steps.retain(|(_, next)| next != state);
         steps
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        if let Some(flaw) = state.flaw {
-            return Some(flaw.to_owned());
+        if let Some(observed_violation) = state.observed_violation {
+            return Some(observed_violation.to_owned());
         }
         (!self.converges(state)).then(|| "a node never catches up in a whole network".to_owned())
     }
 
-    fn situations(&self, state: &State) -> Vec<&'static str> {
+    fn coverage(&self, state: &State) -> Vec<&'static str> {
         let any = |what: fn(&Node) -> bool| state.nodes.iter().any(what);
-        let head = head(state.committed);
+        let latest_revision = latest_revision(state.committed);
         let seen = [
-            ("cut off", any(|node| node.cut)),
+            ("cut off", any(|node| node.partitioned)),
             ("not serving", any(|node| !node.serves)),
             (
                 "change held back",
@@ -97,7 +97,7 @@
             ),
             (
                 "in force everywhere",
-                state.committed > 0 && state.everywhere == head,
+                state.committed > 0 && state.reached_by_all == latest_revision,
             ),
             (
                 "late answer",
--- a/crates/spec/src/configuration/protocol.rs
+++ b/crates/spec/src/configuration/protocol.rs
@@ -1,15 +1,15 @@
-//! What a node does with what it hears, and what is observed of it.
+//! Handling of gossip and answers by a node, and the invariants checked on each transition.
 
 use dappleyard_wire::messages::ConfigurationEntry;
 
 use super::state::{
-    Action, Answer, HEALING_ROUNDS, NODES, Node, State, TRUTH, WATCHER, apply_pending, feed, head,
-    in_force,
+    Action, Answer, EXPECTED_ROWS, FAULT_FREE_ROUNDS, NODES, Node, State, WATCHER, apply_feed,
+    apply_pending, latest_revision, live_rows,
 };
 use super::{Configuration, Mutant};
 
 impl Configuration {
-    pub(super) fn hear(&self, node: &mut Node, entry: &ConfigurationEntry) {
+    pub(super) fn receive_gossip(&self, node: &mut Node, entry: &ConfigurationEntry) {
         match self.mutant {
             Some(Mutant::OlderApplied)
                 if entry.parts == 1 && entry.revision < node.state.revision =>
@@ -29,35 +29,35 @@
     }
 
     pub(super) fn answer(&self, state: &State, from: usize, to: usize) -> Option<Answer> {
-        let (giver, asker) = (&state.nodes[from], &state.nodes[to]);
-        let trusted = giver.serves || self.mutant == Some(Mutant::UnreadyPeerTrusted);
-        if from == to || giver.cut || asker.cut || !trusted {
+        let (responder, requester) = (&state.nodes[from], &state.nodes[to]);
+        let trusted = responder.serves || self.mutant == Some(Mutant::UnreadyPeerTrusted);
+        if from == to || responder.partitioned || requester.partitioned || !trusted {
             return None;
         }
-        if !asker.serves {
-            return Some(Answer::Snapshot(giver.state.clone()));
+        if !requester.serves {
+            return Some(Answer::Snapshot(responder.state.clone()));
         }
-        let after = asker.state.revision;
-        let up_to = giver.state.revision;
+        let after = requester.state.revision;
+        let up_to = responder.state.revision;
         if up_to <= after {
             return None;
         }
-        Some(match giver.state.entries_after(after) {
+        Some(match responder.state.entries_after(after) {
             Some(entries) => Answer::Entries {
                 after,
                 entries,
                 up_to,
             },
-            None => Answer::Snapshot(giver.state.clone()),
+            None => Answer::Snapshot(responder.state.clone()),
         })
     }
 
-    pub(super) fn arrive(&self, state: &mut State) {
+    pub(super) fn receive_answer(&self, state: &mut State) {
         let Some((to, answer)) = state.answer.take() else {
             return;
         };
         let node = &mut state.nodes[to];
-        if node.cut {
+        if node.partitioned {
             return;
         }
         match answer {
@@ -80,49 +80,52 @@
         apply_pending(node);
     }
 
-    /// Whether all nodes reach the store's revision, once nothing fails any more.
+    /// Liveness: without further faults all nodes serve the store's latest revision.
     pub(super) fn converges(&self, state: &State) -> bool {
         let mut state = state.clone();
         for node in &mut state.nodes {
-            node.cut = false;
+            node.partitioned = false;
         }
-        self.arrive(&mut state);
-        for _ in 0..HEALING_ROUNDS {
-            feed(&mut state, WATCHER);
+        self.receive_answer(&mut state);
+        for _ in 0..FAULT_FREE_ROUNDS {
+            apply_feed(&mut state, WATCHER);
             for to in 0..NODES {
                 for from in 0..NODES {
                     if let Some(answer) = self.answer(&state, from, to) {
                         state.answer = Some((to, answer));
-                        self.arrive(&mut state);
+                        self.receive_answer(&mut state);
                     }
                 }
             }
         }
-        let head = head(state.committed);
-        let up_to_date = |node: &Node| node.serves && node.state.revision == head;
+        let latest_revision = latest_revision(state.committed);
+        let up_to_date = |node: &Node| node.serves && node.state.revision == latest_revision;
         state.nodes.iter().all(up_to_date)
     }
 
-    /// Looks at a step: what a node has in force must never go back without a restart.
-    pub(super) fn observe(before: &State, after: &mut State, action: &Action) {
+    /// Checks a transition and records a violation: a revision that goes back without a restart, a
+    /// partly applied change, or a stale node that serves.
+    pub(super) fn check_transition(before: &State, after: &mut State, action: &Action) {
         let restart = matches!(action, Action::Restart { .. });
         let pairs = before.nodes.iter().zip(&after.nodes);
         let reverted = pairs
             .clone()
             .any(|(before, after)| after.state.revision < before.state.revision);
-        let torn = after
+        let partially_applied = after
             .nodes
             .iter()
-            .any(|node| in_force(&node.state) != TRUTH[&node.state.revision]);
-        let everywhere = after.nodes.iter().map(|node| node.state.revision).min();
-        after.everywhere = before.everywhere.max(everywhere.unwrap_or_default());
-        let behind = |node: &Node| node.serves && node.state.revision < after.everywhere;
+            .any(|node| live_rows(&node.state) != EXPECTED_ROWS[&node.state.revision]);
+        let reached_by_all = after.nodes.iter().map(|node| node.state.revision).min();
+        after.reached_by_all = before
+            .reached_by_all
+            .max(reached_by_all.unwrap_or_default());
+        let behind = |node: &Node| node.serves && node.state.revision < after.reached_by_all;
         if reverted && !restart {
-            after.flaw = Some("a node went back to an older revision");
-        } else if torn {
-            after.flaw = Some("a node has part of a change in force");
+            after.observed_violation = Some("a node went back to an older revision");
+        } else if partially_applied {
+            after.observed_violation = Some("a node has part of a change in force");
         } else if after.nodes.iter().any(behind) {
-            after.flaw =
+            after.observed_violation =
                 Some("a node serves a revision older than one that was in force everywhere");
         }
     }
--- a/crates/spec/src/configuration/state.rs
+++ b/crates/spec/src/configuration/state.rs
@@ -1,5 +1,4 @@
-//! State of the store, the nodes and the network, the changes that are committed, and the names of the
-//! steps.
+//! State of the store, the nodes and the network, the committed changes, and the actions.
 
 use std::collections::BTreeMap;
 use std::sync::LazyLock;
@@ -15,16 +14,16 @@
 /// The node that reads the change feed.
 pub(super) const WATCHER: usize = 0;
 
-/// Rounds after which every node has caught up, when nothing fails any more.
-pub(super) const HEALING_ROUNDS: usize = 6;
+/// Fault-free rounds within which every node must have caught up.
+pub(super) const FAULT_FREE_ROUNDS: usize = 6;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Node {
     pub(super) state: ConfigurationState,
     pub(super) pending: PendingChanges,
-    /// Has learnt the configuration since it started or was cut off.
+    /// Whether the node has caught up since it started or was partitioned.
     pub(super) serves: bool,
-    pub(super) cut: bool,
+    pub(super) partitioned: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -37,18 +36,18 @@
     },
 }
 
-/// State of the store, the nodes and the network, and what has been observed.
+/// State of the store, the nodes and the network, with the first observed violation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Changes committed to the store.
+    /// Number of changes committed to the store.
     pub(super) committed: usize,
     pub(super) nodes: [Node; NODES],
-    /// An answer on its way to a node, given by one that serves or not.
+    /// An answer in flight and its recipient.
     pub(super) answer: Option<(usize, Answer)>,
     pub(super) faults: u8,
-    /// Highest revision that all nodes had at once.
-    pub(super) everywhere: u64,
-    pub(super) flaw: Option<&'static str>,
+    /// Highest revision that all nodes had reached at the same time.
+    pub(super) reached_by_all: u64,
+    pub(super) observed_violation: Option<&'static str>,
 }
 
 /// One step.
@@ -64,16 +63,16 @@
         node: usize,
     },
     /// One part of a change reaches a node by gossip.
-    #[display("node {node} hears part {part} of change {change}")]
+    #[display("node {node} receives part {part} of change {change}")]
     Gossip {
         /// The node.
         node: usize,
-        /// Which change.
+        /// Index of the change.
         change: usize,
-        /// Which part of it.
+        /// Index of the part.
         part: usize,
     },
-    /// A node asks another for what it lacks, and is answered.
+    /// A node asks another for the revisions it lacks and is answered.
     #[display("node {from} answers node {to}")]
     Ask {
         /// The node that answers.
@@ -87,19 +86,19 @@
     /// The answer is lost.
     #[display("the answer is lost")]
     Lose,
-    /// A node is cut off.
-    #[display("node {node} is cut off")]
-    Cut {
+    /// A node is partitioned from the others.
+    #[display("node {node} is partitioned")]
+    Partition {
         /// The node.
         node: usize,
     },
-    /// A node is back in touch.
-    #[display("node {node} is back in touch")]
-    Mend {
+    /// The partition of a node heals.
+    #[display("the partition of node {node} heals")]
+    Heal {
         /// The node.
         node: usize,
     },
-    /// A node restarts with nothing.
+    /// A node restarts with an empty state.
     #[display("node {node} restarts")]
     Restart {
         /// The node.
@@ -107,11 +106,11 @@
     },
 }
 
-/// The changes that are committed in turn: a row, two rows at once, the removal of a row.
+/// The changes, in commit order: a row, two rows at once, the removal of a row.
 pub(super) static CHANGES: LazyLock<Vec<Vec<ConfigurationEntry>>> = LazyLock::new(changes);
 
-/// What must be in force at each revision: the rows that are not deleted.
-pub(super) static TRUTH: LazyLock<BTreeMap<u64, Rows>> = LazyLock::new(truth);
+/// Expected rows at each revision, without the deleted ones.
+pub(super) static EXPECTED_ROWS: LazyLock<BTreeMap<u64, Rows>> = LazyLock::new(expected_rows);
 
 pub(super) type Rows = Vec<(String, Vec<u8>)>;
 
@@ -130,40 +129,40 @@
     changes_from_feed(&rows, 0)
 }
 
-pub(super) fn truth() -> BTreeMap<u64, Rows> {
+pub(super) fn expected_rows() -> BTreeMap<u64, Rows> {
     let mut state = ConfigurationState::default();
-    let mut truth = BTreeMap::from([(0, Rows::new())]);
+    let mut expected_rows = BTreeMap::from([(0, Rows::new())]);
     for change in CHANGES.iter() {
         state.apply(change);
-        truth.insert(state.revision, in_force(&state));
+        expected_rows.insert(state.revision, live_rows(&state));
     }
-    truth
+    expected_rows
 }
 
-pub(super) fn in_force(state: &ConfigurationState) -> Rows {
+pub(super) fn live_rows(state: &ConfigurationState) -> Rows {
     let kept = state.entries.values().filter(|entry| !entry.deleted);
     kept.map(|entry| (entry.key.clone(), entry.value.to_vec()))
         .collect()
 }
 
-pub(super) fn started() -> Node {
+pub(super) fn new_node() -> Node {
     Node {
         state: ConfigurationState::default(),
         pending: PendingChanges::default(),
         serves: false,
-        cut: false,
+        partitioned: false,
     }
 }
 
-/// A snapshot comes over a link, which ends with the process that asked.
-pub(super) fn forget_snapshot(state: &mut State, node: usize) {
+/// Drops a snapshot in flight to a restarted node: its link ended with the process.
+pub(super) fn drop_snapshot_in_flight(state: &mut State, node: usize) {
     let asked = matches!(&state.answer, Some((to, Answer::Snapshot(_))) if *to == node);
     if asked {
         state.answer = None;
     }
 }
 
-pub(super) fn head(committed: usize) -> u64 {
+pub(super) fn latest_revision(committed: usize) -> u64 {
     CHANGES
         .iter()
         .take(committed)
@@ -172,8 +171,8 @@
         .unwrap_or_default()
 }
 
-/// Reads the feed after the node's revision. What the store holds is up to date, so the node serves.
-pub(super) fn feed(state: &mut State, node: usize) {
+/// Applies the store's feed to a node, which then serves, since the store is up to date.
+pub(super) fn apply_feed(state: &mut State, node: usize) {
     let committed = state.committed;
     let node = &mut state.nodes[node];
     for change in CHANGES.iter().take(committed) {
--- a/crates/spec/src/configuration/steps.rs
+++ b/crates/spec/src/configuration/steps.rs
@@ -1,7 +1,9 @@
-//! The steps of one node.
+//! The enabled actions of one node.
 
 use super::Configuration;
-use super::state::{Action, CHANGES, NODES, State, WATCHER, feed, forget_snapshot, started};
+use super::state::{
+    Action, CHANGES, NODES, State, WATCHER, apply_feed, drop_snapshot_in_flight, new_node,
+};
 
 impl Configuration {
     pub(super) fn steps_of_node(
@@ -11,16 +13,16 @@
         steps: &mut Vec<(Action, State)>,
     ) {
         let this = &state.nodes[node];
-        if node == WATCHER && !this.cut {
+        if node == WATCHER && !this.partitioned {
             let mut next = state.clone();
-            feed(&mut next, node);
+            apply_feed(&mut next, node);
             steps.push((Action::Feed { node }, next));
         }
-        if node != WATCHER && !this.cut {
+        if node != WATCHER && !this.partitioned {
             for (change, parts) in CHANGES.iter().enumerate().take(state.committed) {
                 for (part, entry) in parts.iter().enumerate() {
                     let mut next = state.clone();
-                    self.hear(&mut next.nodes[node], entry);
+                    self.receive_gossip(&mut next.nodes[node], entry);
                     steps.push((Action::Gossip { node, change, part }, next));
                 }
             }
@@ -32,25 +34,25 @@
                 steps.push((Action::Ask { from, to: node }, next));
             }
         }
-        if this.cut {
+        if this.partitioned {
             let mut next = state.clone();
-            next.nodes[node].cut = false;
-            steps.push((Action::Mend { node }, next));
+            next.nodes[node].partitioned = false;
+            steps.push((Action::Heal { node }, next));
         }
         if state.faults < self.faults {
             let mut next = state.clone();
             next.faults += 1;
-            next.nodes[node] = started();
-            next.nodes[node].cut = this.cut;
-            forget_snapshot(&mut next, node);
+            next.nodes[node] = new_node();
+            next.nodes[node].partitioned = this.partitioned;
+            drop_snapshot_in_flight(&mut next, node);
             steps.push((Action::Restart { node }, next));
         }
-        if state.faults < self.faults && !this.cut {
+        if state.faults < self.faults && !this.partitioned {
             let mut next = state.clone();
             next.faults += 1;
-            next.nodes[node].cut = true;
+            next.nodes[node].partitioned = true;
             next.nodes[node].serves = false;
-            steps.push((Action::Cut { node }, next));
+            steps.push((Action::Partition { node }, next));
         }
     }
 }
--- a/crates/spec/src/fence.rs
+++ b/crates/spec/src/fence.rs
@@ -1,8 +1,8 @@
 //! Fenced orders to one engine from two controllers.
 //!
-//! A controller raises the epoch row, and sends orders under (epoch, sequence). Orders may be late,
-//! come twice, or overtake one another; a controller may be replaced while it is paused, and may
-//! crash and start again. The engine keeps its position while it runs.
+//! A controller increments the epoch row and sends orders numbered (epoch, sequence). Orders may be
+//! delayed, duplicated or reordered; a controller may be replaced while it is paused, and may crash
+//! and restart. The engine keeps the position of its latest order while it runs.
 
 use dappleyard_decide::fence::{OrderPosition, admits};
 use derive_more::Display;
@@ -11,29 +11,28 @@
 use crate::store::{Delivery, Versioned};
 
 const CONTROLLERS: usize = 2;
-const ORDERS_OF_AN_EPOCH: u64 = 2;
+const ORDERS_PER_EPOCH: u64 = 2;
 
-/// Plausible mistakes.
+/// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// The engine applies whatever order comes.
+    /// The engine applies every order without comparing positions.
     FenceIgnored,
-    /// A controller takes any row with its epoch for its own.
+    /// A controller treats any row with its epoch as its own.
     HolderNotCompared,
 }
 
-/// The specification.
+/// Specification of the protocol in this module.
 #[derive(Debug, Clone)]
 pub struct Fence {
-    /// The mistake to make; `None` for the protocol as it is.
+    /// The injected bug; `None` for the unmodified protocol.
     pub mutant: Option<Mutant>,
-    /// Lost calls, lost or repeated orders, early time-outs and crashes in one run.
+    /// Maximum faults in one trace: lost calls, duplicated orders, early timeouts and crashes.
     pub faults: u8,
-    /// Epochs in one run.
+    /// Maximum epochs in one trace.
     pub epochs: u64,
 }
 
-/// The epoch row: epoch, holder and its incarnation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct EpochRow {
     epoch: u64,
@@ -45,7 +44,7 @@
 enum Phase {
     Idle,
     Claiming(EpochRow),
-    Ruling(OrderPosition),
+    Leading(OrderPosition),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -69,28 +68,28 @@
     orders: Vec<OrderPosition>,
     applied: OrderPosition,
     faults: u8,
-    flaw: Option<&'static str>,
+    observed_violation: Option<&'static str>,
 }
 
 /// One step.
 #[derive(Debug, Clone, Copy, Display)]
 pub enum Action {
-    /// A controller reads the epoch row and asks to raise it.
+    /// A controller reads the epoch row and sends an increment.
     #[display("controller {controller} claims the service")]
     Claim {
         /// The controller.
         controller: usize,
     },
-    /// The network treats a claim.
+    /// The network delivers or loses a claim.
     #[display("claim {index} is {delivery}")]
     Network {
-        /// Which claim.
+        /// Index of the claim.
         index: usize,
-        /// What becomes of it.
+        /// Outcome of the claim.
         delivery: Delivery,
     },
-    /// A controller stops waiting and reads the row back.
-    #[display("controller {controller} reads back")]
+    /// A controller times out and reads the row.
+    #[display("controller {controller} times out and reads the row")]
     ReadBack {
         /// The controller.
         controller: usize,
@@ -102,14 +101,14 @@
         controller: usize,
     },
     /// An order reaches the engine.
-    #[display("order {index} arrives{}", if *again { ", and will come again" } else { "" })]
+    #[display("order {index} arrives{}", if *duplicated { ", and a duplicate is in flight" } else { "" })]
     Arrive {
-        /// Which order.
+        /// Index of the order.
         index: usize,
-        /// Another copy is still on its way.
-        again: bool,
+        /// Whether another copy is still in flight.
+        duplicated: bool,
     },
-    /// A controller crashes and starts again.
+    /// A controller crashes and restarts.
     #[display("controller {controller} crashes and restarts")]
     Crash {
         /// The controller.
@@ -130,7 +129,7 @@
         let controller = &mut state.controllers[claim.next.holder];
         if controller.phase == Phase::Claiming(claim.next) {
             controller.phase = if done {
-                rule(claim.next.epoch)
+                lead(claim.next.epoch)
             } else {
                 Phase::Idle
             };
@@ -147,14 +146,15 @@
             Some(Mutant::HolderNotCompared) => row.epoch == next.epoch,
             _ => row == next,
         };
-        this.phase = if own { rule(next.epoch) } else { Phase::Idle };
+        this.phase = if own { lead(next.epoch) } else { Phase::Idle };
     }
 
-    fn arrive(&self, state: &mut State, order: OrderPosition) {
+    fn receive_order(&self, state: &mut State, order: OrderPosition) {
         let admitted = admits(state.applied, order) || self.mutant == Some(Mutant::FenceIgnored);
         if admitted {
             if order <= state.applied {
-                state.flaw = Some("the engine obeyed an order older than one it had obeyed");
+                state.observed_violation =
+                    Some("the engine obeyed an order older than one it had obeyed");
             }
             state.applied = order;
         }
@@ -191,16 +191,16 @@
                     steps.push((Action::ReadBack { controller }, next));
                 }
             }
-            Phase::Ruling(position) if position.sequence < ORDERS_OF_AN_EPOCH => {
+            Phase::Leading(position) if position.sequence < ORDERS_PER_EPOCH => {
                 let order = OrderPosition {
                     sequence: position.sequence + 1,
                     ..position
                 };
                 next.orders.push(order);
-                next.controllers[controller].phase = Phase::Ruling(order);
+                next.controllers[controller].phase = Phase::Leading(order);
                 steps.push((Action::Order { controller }, next));
             }
-            Phase::Ruling(_) => {}
+            Phase::Leading(_) => {}
         }
         if faults_left {
             let mut next = state.clone();
@@ -226,18 +226,18 @@
             }
         }
         for index in 0..state.orders.len() {
-            for again in [false, true] {
-                if again && !faults_left {
+            for duplicated in [false, true] {
+                if duplicated && !faults_left {
                     continue;
                 }
                 let mut next = state.clone();
-                next.faults += u8::from(again);
+                next.faults += u8::from(duplicated);
                 let order = next.orders[index];
-                if !again {
+                if !duplicated {
                     next.orders.remove(index);
                 }
-                self.arrive(&mut next, order);
-                steps.push((Action::Arrive { index, again }, next));
+                self.receive_order(&mut next, order);
+                steps.push((Action::Arrive { index, duplicated }, next));
             }
         }
     }
@@ -259,7 +259,7 @@
             orders: Vec::new(),
             applied: OrderPosition::default(),
             faults: 0,
-            flaw: None,
+            observed_violation: None,
         }
     }
 
@@ -273,28 +273,28 @@
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        if let Some(flaw) = state.flaw {
-            return Some(flaw.to_owned());
+        if let Some(observed_violation) = state.observed_violation {
+            return Some(observed_violation.to_owned());
         }
         let epochs = state.controllers.map(|controller| match controller.phase {
-            Phase::Ruling(position) => Some(position.epoch),
+            Phase::Leading(position) => Some(position.epoch),
             Phase::Idle | Phase::Claiming(_) => None,
         });
         let shared = epochs[0].is_some() && epochs[0] == epochs[1];
         shared.then(|| "two controllers rule under one epoch".to_owned())
     }
 
-    fn situations(&self, state: &State) -> Vec<&'static str> {
+    fn coverage(&self, state: &State) -> Vec<&'static str> {
         let epoch = state.row.value.epoch;
         let replaced = state.controllers.iter().any(|controller| {
-            matches!(controller.phase, Phase::Ruling(position) if position.epoch < epoch)
+            matches!(controller.phase, Phase::Leading(position) if position.epoch < epoch)
         });
         let late = state.orders.iter().any(|order| *order < state.applied);
         let seen = [
-            ("replaced controller that does not know it", replaced),
+            ("stale controller", replaced),
             ("late order", late),
             ("order obeyed", state.applied.epoch > 0),
-            ("claim outlives its sender", outlived(state)),
+            ("claim outlives its sender", has_orphaned_call(state)),
         ];
         seen.into_iter()
             .filter_map(|(name, seen)| seen.then_some(name))
@@ -303,17 +303,17 @@
 
     fn bounds(&self) -> String {
         format!(
-            "{CONTROLLERS} controllers, 1 engine, up to {} epochs of {ORDERS_OF_AN_EPOCH} orders, {} faults",
+            "{CONTROLLERS} controllers, 1 engine, up to {} epochs of {ORDERS_PER_EPOCH} orders, {} faults",
             self.epochs, self.faults
         )
     }
 }
 
-fn rule(epoch: u64) -> Phase {
-    Phase::Ruling(OrderPosition { epoch, sequence: 0 })
+fn lead(epoch: u64) -> Phase {
+    Phase::Leading(OrderPosition { epoch, sequence: 0 })
 }
 
-fn outlived(state: &State) -> bool {
+fn has_orphaned_call(state: &State) -> bool {
     state
         .claims
         .iter()
--- a/crates/spec/src/jobs.rs
+++ b/crates/spec/src/jobs.rs
@@ -1,9 +1,9 @@
-//! A job on the row store: accept with lost and late answers, claim, commit at a position, end.
+//! Acceptance, claim, commit and end of a job on the row store.
 //!
-//! Two nodes share one row. A call to the store may be refused, lost, done without an answer, or
-//! done later if its condition still holds. A node repeats a call in doubt as it was. Any node may
-//! claim the job at any moment, which stands for a paused owner that wakes. The caller sends the
-//! job twice at most, reads results and ends the job.
+//! Two nodes share one row. A call to the store may be refused, lost, applied without an answer, or
+//! applied committed_after_end if its condition still holds. A node retries an in-doubt call unchanged. Any node may
+//! claim the job at any time, so a paused owner may resume after it was replaced. The caller submits
+//! the job at most twice, reads results and ends the job.
 
 use derive_more::Display;
 
@@ -14,27 +14,27 @@
 const ITEMS: u8 = 2;
 const SUBMISSIONS: u8 = 2;
 
-/// Plausible mistakes.
+/// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A node says "not run" although an answer of the store was lost.
+    /// A node answers "not run" although a call to the store is in doubt.
     DoubtForgotten,
-    /// An acceptance writes over a job that is there.
+    /// An acceptance overwrites an existing job.
     AbsenceNotCompared,
-    /// A commit writes whatever the row's revision.
+    /// A commit does not compare the row's revision.
     RevisionNotCompared,
-    /// An owner whose commit fails goes on with the row that it finds, ended or not.
+    /// An owner whose commit fails continues with the row as found, even if the job has ended.
     EndNotCompared,
 }
 
-/// The specification.
+/// Specification of the protocol in this module.
 #[derive(Debug, Clone)]
 pub struct Jobs {
-    /// The mistake to make; `None` for the protocol as it is.
+    /// The injected bug; `None` for the unmodified protocol.
     pub mutant: Option<Mutant>,
-    /// Refused, lost and late calls and crashes in one run.
+    /// Maximum faults in one trace: refused, lost and delayed calls, crashes.
     pub faults: u8,
-    /// Claims in one run.
+    /// Maximum claims in one trace.
     pub claims: u8,
 }
 
@@ -42,24 +42,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Row {
     owner: usize,
-    life: u8,
+    incarnation: u8,
     epoch: u8,
-    listed: Vec<u8>,
+    committed: Vec<u8>,
     ended: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Kind {
+enum CallKind {
     Accept,
     Commit,
     Claim,
     End,
 }
 
-/// A conditional write on its way.
+/// A conditional write that a node has sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Call {
-    kind: Kind,
+    kind: CallKind,
     expected: u8,
     next: Row,
     in_doubt: bool,
@@ -67,17 +67,17 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Node {
-    life: u8,
+    incarnation: u8,
     owned: Option<Versioned<Row>>,
     call: Option<Call>,
 }
 
-/// What the caller was told of one submission.
+/// The answer to one submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Told {
+enum Reported {
     Accepted,
     NotRun,
-    Nothing,
+    Unanswered,
 }
 
 /// State of the row, the nodes, the network and the caller.
@@ -85,31 +85,31 @@
 pub struct State {
     row: Versioned<Option<Row>>,
     nodes: [Node; NODES],
-    late: Vec<Call>,
+    delayed: Vec<Call>,
     submitted: u8,
-    told: Vec<Told>,
-    seen: Vec<u8>,
-    listed_at_end: Option<usize>,
+    reported: Vec<Reported>,
+    read_results: Vec<u8>,
+    committed_at_end: Option<usize>,
     faults: u8,
     claims: u8,
 }
 
-/// What becomes of a call to the store.
+/// Outcome of a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Fate {
-    /// It is done and answered.
+pub enum CallOutcome {
+    /// It is applied and answered.
     #[display("answered")]
     Answered,
-    /// Nothing is done, and the node knows it.
+    /// It is not applied, and the node learns it.
     #[display("refused")]
     Refused,
-    /// Nothing is done, and the node does not know.
+    /// It is not applied, and the node cannot tell.
     #[display("lost")]
     Lost,
-    /// It is done, and the node does not know.
+    /// It is applied, and the node cannot tell.
     #[display("done without an answer")]
     AnswerLost,
-    /// It may be done later, and the node does not know.
+    /// It may be applied committed_after_end, and the node cannot tell.
     #[display("late")]
     Late,
 }
@@ -117,24 +117,24 @@
 /// One step.
 #[derive(Debug, Clone, Copy, Display)]
 pub enum Action {
-    /// The caller sends the job.
+    /// The caller submits the job.
     #[display("the caller sends the job to node {_0}")]
     Submit(usize),
-    /// A call of a node meets its fate.
-    #[display("the call of node {node} is {fate}")]
+    /// A call of a node is answered or fails.
+    #[display("the call of node {node} is {outcome}")]
     Deliver {
         /// The node.
         node: usize,
-        /// What becomes of the call.
-        fate: Fate,
+        /// Outcome of the call.
+        outcome: CallOutcome,
     },
-    /// A late call reaches the store.
+    /// A delayed call reaches the store.
     #[display("late call {_0} reaches the store")]
     Late(usize),
-    /// A node gives an acceptance or an end up and answers the caller.
+    /// A node gives up an acceptance or an end and answers the caller.
     #[display("node {_0} gives its call up")]
     GiveUp(usize),
-    /// A node runs an item that is not listed and asks to commit it.
+    /// A node runs an uncommitted item and sends its commit.
     #[display("node {node} commits item {item}")]
     Commit {
         /// The node.
@@ -142,7 +142,7 @@
         /// The item.
         item: u8,
     },
-    /// A node asks to take the job over.
+    /// A node sends a claim of the job.
     #[display("node {_0} claims the job")]
     Claim(usize),
     /// The caller asks a node to end the job.
@@ -159,9 +159,9 @@
 impl Jobs {
     fn apply(&self, state: &mut State, call: &Call) -> bool {
         let unchecked = match call.kind {
-            Kind::Accept => self.mutant == Some(Mutant::AbsenceNotCompared),
-            Kind::Commit => self.mutant == Some(Mutant::RevisionNotCompared),
-            Kind::Claim | Kind::End => false,
+            CallKind::Accept => self.mutant == Some(Mutant::AbsenceNotCompared),
+            CallKind::Commit => self.mutant == Some(Mutant::RevisionNotCompared),
+            CallKind::Claim | CallKind::End => false,
         };
         let next = Some(call.next.clone());
         if unchecked {
@@ -171,26 +171,26 @@
         state.row.compare_and_swap(call.expected, next)
     }
 
-    fn answered(&self, state: &mut State, node: usize, call: &Call, done: bool) {
+    fn handle_answer(&self, state: &mut State, node: usize, call: &Call, done: bool) {
         let found = state.row.clone();
         let owned = Versioned {
             value: call.next.clone(),
             revision: found.revision,
         };
         match (call.kind, done) {
-            (Kind::Accept, true) => {
+            (CallKind::Accept, true) => {
                 state.nodes[node].owned = Some(owned);
-                state.told.push(Told::Accepted);
+                state.reported.push(Reported::Accepted);
             }
-            // The row is there: it is this job, whoever wrote it.
-            (Kind::Accept, false) => state.told.push(Told::Accepted),
-            (Kind::Commit | Kind::Claim, true) => state.nodes[node].owned = Some(owned),
-            (Kind::Commit, false) => self.commit_failed(state, node, call),
-            (Kind::Claim, false) => {}
-            (Kind::End, true) => state.listed_at_end = Some(call.next.listed.len()),
-            (Kind::End, false) => {
+            // The row exists, so the job is accepted whichever node wrote it.
+            (CallKind::Accept, false) => state.reported.push(Reported::Accepted),
+            (CallKind::Commit | CallKind::Claim, true) => state.nodes[node].owned = Some(owned),
+            (CallKind::Commit, false) => self.commit_failed(state, node, call),
+            (CallKind::Claim, false) => {}
+            (CallKind::End, true) => state.committed_at_end = Some(call.next.committed.len()),
+            (CallKind::End, false) => {
                 if let Some(row) = found.value.filter(|row| row.ended) {
-                    state.listed_at_end = Some(row.listed.len());
+                    state.committed_at_end = Some(row.committed.len());
                 }
             }
         }
@@ -203,10 +203,12 @@
             return;
         };
         let own = state.nodes[node].owned.as_ref().map(|owned| &owned.value);
-        let lenient = self.mutant == Some(Mutant::EndNotCompared);
+        let ignores_end = self.mutant == Some(Mutant::EndNotCompared);
         let still_owned = row == call.next
             || own == Some(&row)
-            || (lenient && row.owner == call.next.owner && row.life == call.next.life);
+            || (ignores_end
+                && row.owner == call.next.owner
+                && row.incarnation == call.next.incarnation);
         state.nodes[node].owned = still_owned.then_some(Versioned {
             value: Row {
                 ended: false,
@@ -216,26 +218,26 @@
         });
     }
 
-    fn deliver(&self, state: &State, node: usize, fate: Fate) -> State {
+    fn deliver(&self, state: &State, node: usize, outcome: CallOutcome) -> State {
         let mut next = state.clone();
         let Some(mut call) = next.nodes[node].call.take() else {
             return next;
         };
-        next.faults += u8::from(fate != Fate::Answered);
-        match fate {
-            Fate::Answered => {
+        next.faults += u8::from(outcome != CallOutcome::Answered);
+        match outcome {
+            CallOutcome::Answered => {
                 let done = self.apply(&mut next, &call);
-                self.answered(&mut next, node, &call, done);
+                self.handle_answer(&mut next, node, &call, done);
                 return next;
             }
-            Fate::Refused => {}
-            Fate::Lost => call.in_doubt = true,
-            Fate::AnswerLost => {
+            CallOutcome::Refused => {}
+            CallOutcome::Lost => call.in_doubt = true,
+            CallOutcome::AnswerLost => {
                 self.apply(&mut next, &call);
                 call.in_doubt = true;
             }
-            Fate::Late => {
-                next.late.push(call.clone());
+            CallOutcome::Late => {
+                next.delayed.push(call.clone());
                 call.in_doubt = true;
             }
         }
@@ -247,16 +249,16 @@
         let call = state.nodes[node].call.as_ref()?;
         let mut next = state.clone();
         match call.kind {
-            Kind::Accept => {
+            CallKind::Accept => {
                 let certain = !call.in_doubt || self.mutant == Some(Mutant::DoubtForgotten);
-                next.told.push(match certain {
-                    true => Told::NotRun,
-                    false => Told::Nothing,
+                next.reported.push(match certain {
+                    true => Reported::NotRun,
+                    false => Reported::Unanswered,
                 });
             }
-            Kind::End => {}
-            // These are repeated until they are answered.
-            Kind::Commit | Kind::Claim => return None,
+            CallKind::End => {}
+            // Commits and claims are retried until they are answered.
+            CallKind::Commit | CallKind::Claim => return None,
         }
         next.nodes[node].call = None;
         Some(next)
@@ -264,20 +266,20 @@
 
     fn submit(&self, state: &State, node: usize) -> Option<State> {
         let free = state.nodes[node].call.is_none();
-        let waiting = state.submitted as usize > state.told.len();
+        let waiting = state.submitted as usize > state.reported.len();
         if !free || waiting || state.submitted == SUBMISSIONS {
             return None;
         }
         let mut next = state.clone();
         next.submitted += 1;
         next.nodes[node].call = Some(Call {
-            kind: Kind::Accept,
+            kind: CallKind::Accept,
             expected: 0,
             next: Row {
                 owner: node,
-                life: state.nodes[node].life,
+                incarnation: state.nodes[node].incarnation,
                 epoch: 1,
-                listed: Vec::new(),
+                committed: Vec::new(),
                 ended: false,
             },
             in_doubt: false,
@@ -288,14 +290,14 @@
     fn commit(&self, state: &State, node: usize, item: u8) -> Option<State> {
         let held = &state.nodes[node];
         let owned = held.owned.as_ref().filter(|_| held.call.is_none())?;
-        if owned.value.listed.contains(&item) {
+        if owned.value.committed.contains(&item) {
             return None;
         }
         let mut row = owned.value.clone();
-        row.listed.push(item);
+        row.committed.push(item);
         let mut next = state.clone();
         next.nodes[node].call = Some(Call {
-            kind: Kind::Commit,
+            kind: CallKind::Commit,
             expected: owned.revision,
             next: row,
             in_doubt: false,
@@ -312,11 +314,11 @@
         let mut next = state.clone();
         next.claims += 1;
         next.nodes[node].call = Some(Call {
-            kind: Kind::Claim,
+            kind: CallKind::Claim,
             expected: state.row.revision,
             next: Row {
                 owner: node,
-                life: held.life,
+                incarnation: held.incarnation,
                 epoch: row.epoch + 1,
                 ..row.clone()
             },
@@ -327,13 +329,13 @@
 
     fn end(&self, state: &State, node: usize) -> Option<State> {
         let row = state.row.value.as_ref().filter(|row| !row.ended)?;
-        let accepted = state.told.contains(&Told::Accepted);
+        let accepted = state.reported.contains(&Reported::Accepted);
         if state.nodes[node].call.is_some() || !accepted {
             return None;
         }
         let mut next = state.clone();
         next.nodes[node].call = Some(Call {
-            kind: Kind::End,
+            kind: CallKind::End,
             expected: state.row.revision,
             next: Row {
                 ended: true,
@@ -350,16 +352,16 @@
         }
         let mut next = state.clone();
         let crashed = Node {
-            life: state.nodes[node].life + 1,
+            incarnation: state.nodes[node].incarnation + 1,
             ..Node::default()
         };
         let before = std::mem::replace(&mut next.nodes[node], crashed);
         if let Some(call) = before.call {
-            // What was sent may still arrive; the caller hears nothing.
-            if call.kind == Kind::Accept {
-                next.told.push(Told::Nothing);
+            // The call may still reach the store; the caller gets no answer.
+            if call.kind == CallKind::Accept {
+                next.reported.push(Reported::Unanswered);
             }
-            next.late.push(call);
+            next.delayed.push(call);
         }
         next.faults += 1;
         Some(next)
@@ -374,11 +376,11 @@
         State {
             row: Versioned::default(),
             nodes: Default::default(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             submitted: 0,
-            told: Vec::new(),
-            seen: Vec::new(),
-            listed_at_end: None,
+            reported: Vec::new(),
+            read_results: Vec::new(),
+            committed_at_end: None,
             faults: 0,
             claims: 0,
         }
@@ -401,64 +403,67 @@
                     self.commit(state, node, item),
                 );
             }
-            let fates = [
-                Fate::Answered,
-                Fate::Refused,
-                Fate::Lost,
-                Fate::AnswerLost,
-                Fate::Late,
+            let outcomes = [
+                CallOutcome::Answered,
+                CallOutcome::Refused,
+                CallOutcome::Lost,
+                CallOutcome::AnswerLost,
+                CallOutcome::Late,
             ];
-            for fate in fates {
-                let possible = fate == Fate::Answered || state.faults < self.faults;
+            for outcome in outcomes {
+                let possible = outcome == CallOutcome::Answered || state.faults < self.faults;
                 if possible && state.nodes[node].call.is_some() {
-                    let next = self.deliver(state, node, fate);
-                    add(Action::Deliver { node, fate }, Some(next));
+                    let next = self.deliver(state, node, outcome);
+                    add(Action::Deliver { node, outcome }, Some(next));
                 }
             }
         }
-        for late in 0..state.late.len() {
+        for delayed in 0..state.delayed.len() {
             let mut next = state.clone();
-            let call = next.late.remove(late);
+            let call = next.delayed.remove(delayed);
             self.apply(&mut next, &call);
-            steps.push((Action::Late(late), next));
+            steps.push((Action::Late(delayed), next));
         }
-        let listed = state.row.value.as_ref().map(|row| row.listed.clone());
-        if let Some(listed) = listed.filter(|listed| *listed != state.seen) {
+        let committed = state.row.value.as_ref().map(|row| row.committed.clone());
+        if let Some(committed) = committed.filter(|committed| *committed != state.read_results) {
             let mut next = state.clone();
-            next.seen = listed;
+            next.read_results = committed;
             steps.push((Action::Read, next));
         }
         steps
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        let accepted = state.told.contains(&Told::Accepted);
-        let refused = !state.told.is_empty()
-            && state.told.len() == state.submitted as usize
-            && state.told.iter().all(|told| *told == Told::NotRun);
+        let accepted = state.reported.contains(&Reported::Accepted);
+        let refused = !state.reported.is_empty()
+            && state.reported.len() == state.submitted as usize
+            && state
+                .reported
+                .iter()
+                .all(|reported| *reported == Reported::NotRun);
         let Some(row) = &state.row.value else {
             return accepted.then(|| "an accepted job is not there".to_owned());
         };
         if refused {
             return Some("a job that was refused as not run was accepted".to_owned());
         }
-        let first = row.listed.first();
-        if row.listed.len() > 1 && row.listed[1..].iter().any(|item| Some(item) == first) {
+        let first = row.committed.first();
+        if row.committed.len() > 1 && row.committed[1..].iter().any(|item| Some(item) == first) {
             return Some("an item is listed twice".to_owned());
         }
-        if !row.listed.starts_with(&state.seen) {
+        if !row.committed.starts_with(&state.read_results) {
             return Some("a result that was read is gone or at another position".to_owned());
         }
-        let later = state
-            .listed_at_end
-            .is_some_and(|at_end| row.listed.len() > at_end);
-        later.then(|| "a result was listed after the end was acknowledged".to_owned())
+        let committed_after_end = state
+            .committed_at_end
+            .is_some_and(|at_end| row.committed.len() > at_end);
+        committed_after_end.then(|| "a result was listed after the end was acknowledged".to_owned())
     }
 
-    fn situations(&self, state: &State) -> Vec<&'static str> {
-        let mut situations = Vec::new();
-        if state.told.contains(&Told::Nothing) && state.row.value.is_some() {
-            situations.push("accepted without the caller's knowing");
+    fn coverage(&self, state: &State) -> Vec<&'static str> {
+        let mut coverage = Vec::new();
+        if state.reported.contains(&Reported::Unanswered) && state.row.value.is_some() {
+            coverage.push("accepted without the caller's knowing");
         }
         if state
             .nodes
@@ -467,20 +472,20 @@
             .count()
             == NODES
         {
-            situations.push("two nodes take themselves for the owner");
+            coverage.push("two nodes take themselves for the owner");
         }
         if state
             .row
             .value
             .as_ref()
-            .is_some_and(|row| row.listed.len() == ITEMS as usize)
+            .is_some_and(|row| row.committed.len() == ITEMS as usize)
         {
-            situations.push("every item listed");
+            coverage.push("every item listed");
         }
-        if state.listed_at_end.is_some() {
-            situations.push("ended");
+        if state.committed_at_end.is_some() {
+            coverage.push("ended");
         }
-        situations
+        coverage
     }
 
     fn bounds(&self) -> String {
--- a/crates/spec/src/leaving.rs
+++ b/crates/spec/src/leaving.rs
@@ -1,8 +1,8 @@
-//! A leaving server and two nodes that dispatch to it: the one that owned it and the one that owns it
-//! now, of which neither need know of the other.
+//! A draining server and two nodes that dispatch to it, its former and its current owner, which may
+//! not know of each other.
 //!
-//! Time goes in ticks. A node may be paused between any two steps, in particular between an answer of
-//! the engine and its reading.
+//! Time is discrete. A node may pause between any two steps, such as between the engine's answer and
+//! its handling.
 
 use dappleyard_decide::freshness::{is_fresh, valid_at};
 use dappleyard_decide::time::Millis;
@@ -11,41 +11,41 @@
 use crate::checker::Specification;
 
 const NODES: usize = 2;
-/// Ticks after which nothing new may be sent to a server that leaves.
-const BOUND: u64 = 2;
-/// Ages of the engine's words when it sends them, ticks.
-const AGES: [u64; 2] = [0, 1];
+/// Ticks after the start of a drain beyond which no new work may be sent.
+const DRAIN_TICKS: u64 = 2;
+/// Possible ages of an engine status when it is sent, ticks.
+const STATUS_AGES: [u64; 2] = [0, 1];
 
-/// Plausible mistakes.
+/// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// An answer is taken for as true as when it is read.
+    /// The time of an answer is taken from its handling instead of from the request.
     TimeOfReading,
-    /// The age of a word is not looked at before work is sent.
+    /// The age of the status is not checked before work is sent.
     AgeNotLookedAt,
 }
 
-/// The specification.
+/// Specification of the protocol in this module.
 #[derive(Debug, Clone)]
 pub struct Leaving {
-    /// The mistake to make; `None` for the protocol as it is.
+    /// The injected bug; `None` for the unmodified protocol.
     pub mutant: Option<Mutant>,
-    /// Last tick.
+    /// Number of ticks in one trace.
     pub ticks: u8,
 }
 
-/// The engine's word: whether it takes new work, and how old that was when it was sent.
+/// An engine status: whether it accepts new work, and the age of that information when sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Word {
+struct EngineStatus {
     accepting: bool,
     age: u64,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct Node {
-    /// When the engine was asked, and what it answered.
-    call: Option<(u64, Option<Word>)>,
-    /// The latest word, and when it was true.
+    /// The request in flight: when it was sent, and the answer if it has arrived.
+    call: Option<(u64, Option<EngineStatus>)>,
+    /// The latest status, and the time at which it was valid.
     known: Option<(bool, u64)>,
 }
 
@@ -53,36 +53,36 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     now: u64,
-    left: Option<u64>,
+    drain_started: Option<u64>,
     nodes: [Node; NODES],
-    late: bool,
+    sent_too_late: bool,
 }
 
 /// One step.
 #[derive(Debug, Clone, Copy, Display)]
 pub enum Action {
-    /// Time goes on.
-    #[display("a tick")]
+    /// Time advances by one tick.
+    #[display("time advances by one tick")]
     Tick,
-    /// The server begins to leave.
-    #[display("the server begins to leave")]
+    /// The server starts to drain.
+    #[display("the server starts to drain")]
     Leave,
-    /// A node asks the engine.
-    #[display("node {node} asks the engine")]
+    /// A node requests the engine's status.
+    #[display("node {node} requests the engine's status")]
     Ask {
         /// The node.
         node: usize,
     },
     /// The engine answers.
-    #[display("the engine answers node {node} with a word {age} ticks old")]
+    #[display("the engine answers node {node} with a status {age} ticks old")]
     Answer {
         /// The node.
         node: usize,
-        /// Age of its word.
+        /// Age of the status.
         age: u64,
     },
-    /// A node reads the answer.
-    #[display("node {node} reads the answer")]
+    /// A node handles the answer.
+    #[display("node {node} handles the answer")]
     Read {
         /// The node.
         node: usize,
@@ -96,25 +96,25 @@
 }
 
 impl Leaving {
-    fn read(&self, state: &mut State, node: usize, asked: u64, word: Word) {
+    fn handle_answer(&self, state: &mut State, node: usize, asked: u64, status: EngineStatus) {
         let this = &mut state.nodes[node];
-        let basis = match self.mutant {
+        let reference_time = match self.mutant {
             Some(Mutant::TimeOfReading) => state.now,
             _ => asked,
         };
-        let said = valid_at(Millis(basis), word.age).0;
-        if this.known.is_none_or(|(_, known)| said >= known) {
-            this.known = Some((word.accepting, said));
+        let valid_since = valid_at(Millis(reference_time), status.age).0;
+        if this.known.is_none_or(|(_, known)| valid_since >= known) {
+            this.known = Some((status.accepting, valid_since));
         }
         this.call = None;
     }
 
     fn may_send(&self, state: &State, node: usize) -> bool {
-        let Some((true, said)) = state.nodes[node].known else {
+        let Some((true, valid_since)) = state.nodes[node].known else {
             return false;
         };
         let checked = self.mutant != Some(Mutant::AgeNotLookedAt);
-        !checked || is_fresh(Millis(said), Millis(state.now), BOUND)
+        !checked || is_fresh(Millis(valid_since), Millis(state.now), DRAIN_TICKS)
     }
 
     fn steps_of_node(&self, state: &State, node: usize, steps: &mut Vec<(Action, State)>) {
@@ -125,22 +125,26 @@
                 steps.push((Action::Ask { node }, next));
             }
             Some((asked, None)) => {
-                for age in AGES.into_iter().filter(|age| *age <= state.now) {
+                for age in STATUS_AGES.into_iter().filter(|age| *age <= state.now) {
                     let then = state.now - age;
-                    let accepting = state.left.is_none_or(|left| then < left);
+                    let accepting = state
+                        .drain_started
+                        .is_none_or(|drain_started| then < drain_started);
                     let mut next = state.clone();
-                    next.nodes[node].call = Some((asked, Some(Word { accepting, age })));
+                    next.nodes[node].call = Some((asked, Some(EngineStatus { accepting, age })));
                     steps.push((Action::Answer { node, age }, next));
                 }
             }
-            Some((asked, Some(word))) => {
-                self.read(&mut next, node, asked, word);
+            Some((asked, Some(status))) => {
+                self.handle_answer(&mut next, node, asked, status);
                 steps.push((Action::Read { node }, next));
             }
         }
         if self.may_send(state, node) {
             let mut next = state.clone();
-            next.late = state.left.is_some_and(|left| state.now > left + BOUND);
+            next.sent_too_late = state
+                .drain_started
+                .is_some_and(|drain_started| state.now > drain_started + DRAIN_TICKS);
             steps.push((Action::Send { node }, next));
         }
     }
@@ -153,9 +157,9 @@
     fn initial(&self) -> State {
         State {
             now: 0,
-            left: None,
+            drain_started: None,
             nodes: [Node::default(); NODES],
-            late: false,
+            sent_too_late: false,
         }
     }
 
@@ -166,9 +170,9 @@
             next.now += 1;
             steps.push((Action::Tick, next));
         }
-        if state.left.is_none() {
+        if state.drain_started.is_none() {
             let mut next = state.clone();
-            next.left = Some(state.now);
+            next.drain_started = Some(state.now);
             steps.push((Action::Leave, next));
         }
         for node in 0..NODES {
@@ -179,25 +183,30 @@
 
     fn violation(&self, state: &State) -> Option<String> {
         state
-            .late
+            .sent_too_late
             .then(|| "a leaving server was sent new work after the bound".to_owned())
     }
 
-    fn situations(&self, state: &State) -> Vec<&'static str> {
-        let gone = state.left.is_some_and(|left| state.now > left + BOUND);
+    fn coverage(&self, state: &State) -> Vec<&'static str> {
+        let gone = state
+            .drain_started
+            .is_some_and(|drain_started| state.now > drain_started + DRAIN_TICKS);
         let known = |accepting: bool| {
-            let is = |node: &Node| node.known.is_some_and(|(word, _)| word == accepting);
+            let is = |node: &Node| node.known.is_some_and(|(status, _)| status == accepting);
             state.nodes.iter().any(is)
         };
         let unread = |node: &Node| {
             node.call
-                .is_some_and(|(asked, word)| word.is_some() && asked < state.now)
+                .is_some_and(|(asked, status)| status.is_some() && asked < state.now)
         };
         let seen = [
             ("past the bound", gone),
-            ("believed to take work past the bound", gone && known(true)),
-            ("known to be leaving", known(false)),
-            ("answer not read at once", state.nodes.iter().any(unread)),
+            (
+                "believed to accept work past the bound",
+                gone && known(true),
+            ),
+            ("known to be draining", known(false)),
+            ("answer handled later", state.nodes.iter().any(unread)),
         ];
         seen.into_iter()
             .filter_map(|(name, seen)| seen.then_some(name))
@@ -206,7 +215,7 @@
 
     fn bounds(&self) -> String {
         format!(
-            "1 server, {NODES} nodes, {} ticks, a bound of {BOUND}",
+            "1 server, {NODES} nodes, {} ticks, a bound of {DRAIN_TICKS}",
             self.ticks
         )
     }
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,19 +1,18 @@
-//! Small specifications of the core protocols, explored exhaustively.
+//! Models of the core protocols, checked exhaustively.
 //!
-//! Each specification describes a few processes, the store and the network between them as a set of
-//! states and steps, and calls the same functions of `dappleyard-decide` as the product. The
-//! [`checker`] visits every state that can be reached, breadth first, and prints the shortest run of
-//! steps to a state that breaks a promise. Each specification can be weakened by a named mutant, a
-//! plausible mistake that the checker has to catch; this shows that the check can fail at all.
+//! Each specification is a state machine of a few processes, the store and the network between them,
+//! and calls the same functions of `dappleyard-decide` as the production code. The [`checker`] visits
+//! every reachable state breadth first and reports the shortest trace to a state that violates an
+//! invariant. Named mutants inject a plausible bug into a specification; the checker must detect each.
 //!
 //! - [`chunks`]: claim, takeover, commit and cancel of a batch chunk;
-//! - [`jobs`]: a job on the row store, accepted, claimed, committed at positions, ended;
+//! - [`jobs`]: acceptance, claim, commit and end of a job on the row store;
 //! - [`once`]: the at-most-once record;
-//! - [`configuration`]: spread of configuration revisions;
-//! - [`fence`]: orders to an engine from two controllers;
-//! - [`leaving`]: a leaving server under two owners;
+//! - [`configuration`]: replication of configuration revisions;
+//! - [`fence`]: orders to one engine from two controllers;
+//! - [`leaving`]: a draining server with two owners;
 //! - [`plans`]: confirmation of conflicting plans;
-//! - [`catalogue`]: all of them by name, for the command line and for tests.
+//! - [`catalogue`]: all specifications by name, for the command line and for tests.
 
 pub mod catalogue;
 pub mod checker;
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -1,10 +1,9 @@
-//! The at-most-once record with two attempts under one key.
+//! The at-most-once record with two concurrent attempts for one key.
 //!
-//! An attempt asks the recorder of its cell for the record and, when that does not answer in time,
-//! writes the record itself, with the same token: two loops of reading and creating may run at once.
-//! An attempt that stops waiting refuses its caller with "not run" and gives the key up. Membership
-//! may wrongly believe the node of an attempt gone; calls may take effect after their sender has
-//! given up on them.
+//! An attempt asks the recorder of its cell to create the record and, on a timeout, writes the record
+//! itself with the same token, so two read-and-create loops of one attempt may run at once. An attempt
+//! that stops waiting answers its caller "not run" and releases the key. The failure detector may
+//! suspect the node of a live attempt, and calls may take effect after their sender timed out.
 
 mod protocol;
 mod state;
@@ -13,40 +12,40 @@
 use dappleyard_decide::once::unknown_outcome;
 use dappleyard_wire::messages::{OncePhase, OnceRow};
 
-use self::state::{ATTEMPTS, Attempt, LOOPS, Loop, Phase, forget_spent_calls};
+use self::state::{ATTEMPTS, Attempt, LOOPS, Loop, Phase, drop_expired_calls};
 use crate::checker::Specification;
 use crate::store::Versioned;
 
 pub use self::state::{Action, Run, State};
 
-/// Plausible mistakes.
+/// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A run whose answer was lost is recorded as not run, so that the key is used again.
+    /// A run whose answer was lost is recorded as not run, so that the key can run again.
     RetryAfterMaybe,
-    /// Any record that has started is taken for the attempt's own.
+    /// An attempt treats any started record as its own.
     WriterNotCompared,
-    /// A create that was not confirmed is not given up.
+    /// An attempt does not release the key after an unconfirmed create.
     NotGivenUp,
-    /// A loop goes on to create the record after its attempt has stopped waiting for it.
+    /// A loop still creates the record after its attempt has stopped waiting for it.
     LoopOutlivesWait,
 }
 
-/// How far the exploration goes.
+/// Bounds of the exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Lost calls, lost answers, early time-outs, lost engines and crashes in one run.
+    /// Maximum faults in one trace: lost calls and answers, early timeouts, lost engines, crashes.
     pub faults: u8,
-    /// Times that a live attempt is believed gone.
+    /// Maximum suspicions of a live attempt in one trace.
     pub suspicions: u8,
 }
 
-/// The specification.
+/// Specification of the protocol in this module.
 #[derive(Debug, Clone)]
 pub struct Once {
-    /// The mistake to make; `None` for the protocol as it is.
+    /// The injected bug; `None` for the unmodified protocol.
     pub mutant: Option<Mutant>,
-    /// How far to explore.
+    /// Bounds of the exploration.
     pub limits: Limits,
 }
 
@@ -57,9 +56,9 @@
     fn initial(&self) -> State {
         let attempt = Attempt {
             phase: Phase::Idle,
-            loops: [Loop::NotBegun; LOOPS],
+            loops: [Loop::NotStarted; LOOPS],
             crashed: false,
-            told_not_run: false,
+            reported_not_run: false,
             ran: false,
         };
         State {
@@ -79,25 +78,25 @@
         }
         self.steps_of_network(state, &mut steps);
         for (_, next) in &mut steps {
-            forget_spent_calls(next);
+            drop_expired_calls(next);
         }
         steps
     }
 
     fn violation(&self, state: &State) -> Option<String> {
         let runs = state.attempts.iter().filter(|attempt| attempt.ran).count();
-        let lied = |attempt: &Attempt| attempt.told_not_run && attempt.ran;
+        let wrongly_reported = |attempt: &Attempt| attempt.reported_not_run && attempt.ran;
         let answered = state.row.value.as_ref().is_some_and(|row| {
             let outcome = row.outcome.as_ref();
             outcome.is_some_and(|outcome| outcome.kind == 0)
         });
         let broken = if runs > 1 {
             "the request ran twice"
-        } else if state.attempts.iter().any(lied) {
+        } else if state.attempts.iter().any(wrongly_reported) {
             "an attempt that was refused as not run has run"
         } else if answered && runs == 0 {
             "an answer is recorded that nobody gave"
-        } else if !self.finishes(state) {
+        } else if !self.terminates(state) {
             "the key stays in progress for good, with nobody running the request"
         } else {
             return None;
@@ -105,7 +104,7 @@
         Some(broken.to_owned())
     }
 
-    fn situations(&self, state: &State) -> Vec<&'static str> {
+    fn coverage(&self, state: &State) -> Vec<&'static str> {
         let phase = state.row.value.as_ref().map(OnceRow::phase);
         let unknown = state.row.value.as_ref().is_some_and(|row| {
             row.outcome
--- a/crates/spec/src/once/protocol.rs
+++ b/crates/spec/src/once/protocol.rs
@@ -1,57 +1,61 @@
-//! What an attempt does with its record, and what the network and the store do with its calls.
+//! Transitions of an attempt on its record, and effects of the network and the store on its calls.
 
 use dappleyard_decide::once::{OnceDecision, decide, give_up, may_settle, settle, unknown_outcome};
 use dappleyard_wire::ErrorKind;
 use dappleyard_wire::messages::{OnceOutcome, OncePhase, Ran};
 
 use super::state::{
-    ATTEMPTS, Attempt, HEALING_ROUNDS, LOOPS, Loop, Phase, Run, Source, State, answer, asker,
-    is_gone, listens, send,
+    ATTEMPTS, Attempt, FAULT_FREE_ROUNDS, LOOPS, Loop, Phase, Run, Source, State, finish_loop,
+    has_crashed, is_waiting_for, once_attempt, send_call,
 };
 use super::{Mutant, Once};
 use crate::store::Delivery;
 
 impl Once {
-    /// One round of a loop: decides on the record as read and sends a create, or answers.
-    pub(super) fn round(
+    /// One iteration of a loop: sends a create, or ends the loop, depending on the record as read.
+    pub(super) fn iterate(
         &self,
         state: &mut State,
         attempt: usize,
-        way: usize,
+        loop_index: usize,
         ambiguous: bool,
         first: bool,
     ) {
-        if !self.may_create(&state.attempts[attempt], way) {
-            state.attempts[attempt].loops[way] = Loop::Answered;
+        if !self.may_create(&state.attempts[attempt], loop_index) {
+            state.attempts[attempt].loops[loop_index] = Loop::Answered;
             return;
         }
         let row = if first { None } else { state.row.value.clone() };
         let revision = if first { 0 } else { state.row.revision };
-        let mut decision = decide(row.as_ref(), &asker(attempt), true);
+        let mut decision = decide(row.as_ref(), &once_attempt(attempt), true);
         if self.mutant == Some(Mutant::WriterNotCompared) && decision == OnceDecision::InProgress {
             decision = OnceDecision::Run;
         }
-        let fresh = match decision {
+        let may_run = match decision {
             OnceDecision::Create(next) => {
-                state.attempts[attempt].loops[way] = Loop::Waiting { ambiguous };
-                let source = Source::Loop(way);
-                return send(state, attempt, source, next, revision);
+                state.attempts[attempt].loops[loop_index] = Loop::Waiting { ambiguous };
+                let source = Source::Loop(loop_index);
+                return send_call(state, attempt, source, next, revision);
             }
             OnceDecision::Run => true,
             _ => false,
         };
-        answer(
+        finish_loop(
             state,
             attempt,
-            way,
-            if fresh { Phase::Running } else { Phase::Ended },
+            loop_index,
+            if may_run {
+                Phase::Running
+            } else {
+                Phase::Ended
+            },
         );
     }
 
-    /// A loop goes on only while its attempt waits for it: the time that it was given has passed
-    /// before the attempt asks by another way, gives up or ends.
-    pub(super) fn may_create(&self, attempt: &Attempt, way: usize) -> bool {
-        listens(attempt, way) || self.mutant == Some(Mutant::LoopOutlivesWait)
+    /// Whether a loop may continue: only while its attempt waits for it. Its timeout has passed before
+    /// the attempt starts the other loop, gives up or ends.
+    pub(super) fn may_create(&self, attempt: &Attempt, loop_index: usize) -> bool {
+        is_waiting_for(attempt, loop_index) || self.mutant == Some(Mutant::LoopOutlivesWait)
     }
 
     pub(super) fn deliver(&self, state: &mut State, index: usize, delivery: Delivery) {
@@ -66,14 +70,15 @@
             return;
         }
         match call.source {
-            Source::Loop(way) => {
-                let Loop::Waiting { ambiguous } = state.attempts[call.attempt].loops[way] else {
+            Source::Loop(loop_index) => {
+                let Loop::Waiting { ambiguous } = state.attempts[call.attempt].loops[loop_index]
+                else {
                     return;
                 };
                 if done {
-                    answer(state, call.attempt, way, Phase::Running);
+                    finish_loop(state, call.attempt, loop_index, Phase::Running);
                 } else {
-                    self.round(state, call.attempt, way, ambiguous, false);
+                    self.iterate(state, call.attempt, loop_index, ambiguous, false);
                 }
             }
             Source::Settle | Source::GiveUp => {
@@ -85,21 +90,21 @@
         }
     }
 
-    /// The store is known to have done nothing. Whether the key must be given up depends on whether
-    /// any create was sent before and never confirmed.
+    /// The store rejected the call without effect. The key must be released if an earlier create of
+    /// the attempt is unconfirmed.
     pub(super) fn refuse(&self, state: &mut State, index: usize) {
         let call = state.calls.remove(index);
-        let Source::Loop(way) = call.source else {
+        let Source::Loop(loop_index) = call.source else {
             return;
         };
         let attempt = &state.attempts[call.attempt];
-        let Loop::Waiting { ambiguous } = attempt.loops[way] else {
+        let Loop::Waiting { ambiguous } = attempt.loops[loop_index] else {
             return;
         };
-        let unconfirmed = ambiguous || way > 0;
+        let unconfirmed = ambiguous || loop_index > 0;
         let phase = self.phase_when_refused(unconfirmed);
-        if answer(state, call.attempt, way, phase) {
-            state.attempts[call.attempt].told_not_run = true;
+        if finish_loop(state, call.attempt, loop_index, phase) {
+            state.attempts[call.attempt].reported_not_run = true;
         }
     }
 
@@ -128,19 +133,21 @@
             _ if self.mutant == Some(Mutant::RetryAfterMaybe) => refused,
             Run::AnswerLost | Run::Lost => unknown_outcome(),
         };
-        attempt.told_not_run |= run == Run::Refused;
+        attempt.reported_not_run |= run == Run::Refused;
         attempt.phase = Phase::Settling(outcome);
     }
 
-    /// Sends the settlement or the release, or finds that there is nothing to write.
+    /// Sends the settlement or the release, or ends the attempt if neither needs to be written.
     pub(super) fn write(&self, state: &mut State, attempt: usize) {
         let row = state.row.value.clone();
-        let asker = asker(attempt);
+        let once_attempt = once_attempt(attempt);
         let next = match &state.attempts[attempt].phase {
             Phase::Settling(outcome) => row
-                .filter(|row| may_settle(row, &asker.request_id, &asker.writer, outcome))
+                .filter(|row| {
+                    may_settle(row, &once_attempt.request_id, &once_attempt.writer, outcome)
+                })
                 .map(|row| settle(&row, outcome.clone())),
-            Phase::GivingUp => give_up(row.as_ref(), &asker),
+            Phase::GivingUp => give_up(row.as_ref(), &once_attempt),
             _ => return,
         };
         let source = match state.attempts[attempt].phase {
@@ -150,35 +157,35 @@
         match next {
             Some(next) => {
                 let revision = state.row.revision;
-                send(state, attempt, source, next, revision);
+                send_call(state, attempt, source, next, revision);
             }
             None => state.attempts[attempt].phase = Phase::Ended,
         }
     }
 
-    /// Whether the record ends settled, released or with a writer that is gone, once every call is
-    /// answered and nothing fails any more.
-    pub(super) fn finishes(&self, state: &State) -> bool {
+    /// Liveness: without further faults the record ends up settled, released or with a crashed writer.
+    pub(super) fn terminates(&self, state: &State) -> bool {
         let mut state = state.clone();
-        for _ in 0..HEALING_ROUNDS {
+        for _ in 0..FAULT_FREE_ROUNDS {
             while !state.calls.is_empty() {
                 self.deliver(&mut state, 0, Delivery::Answered);
             }
             for attempt in 0..ATTEMPTS {
-                self.proceed(&mut state, attempt);
+                self.advance(&mut state, attempt);
             }
         }
-        state
-            .row
-            .value
-            .as_ref()
-            .is_none_or(|row| row.phase() != OncePhase::OnceStarted || is_gone(&state, &row.writer))
+        state.row.value.as_ref().is_none_or(|row| {
+            row.phase() != OncePhase::OnceStarted || has_crashed(&state, &row.writer)
+        })
     }
 
-    pub(super) fn proceed(&self, state: &mut State, attempt: usize) {
-        for way in 0..LOOPS {
-            if matches!(state.attempts[attempt].loops[way], Loop::Waiting { .. }) {
-                self.round(state, attempt, way, true, false);
+    pub(super) fn advance(&self, state: &mut State, attempt: usize) {
+        for loop_index in 0..LOOPS {
+            if matches!(
+                state.attempts[attempt].loops[loop_index],
+                Loop::Waiting { .. }
+            ) {
+                self.iterate(state, attempt, loop_index, true, false);
             }
         }
         match state.attempts[attempt].phase {
--- a/crates/spec/src/once/state.rs
+++ b/crates/spec/src/once/state.rs
@@ -1,4 +1,4 @@
-//! State of the record, the attempts and the network, and the names of the steps.
+//! State of the record, the attempts and the network, and the actions.
 
 use dappleyard_decide::once::OnceAttempt;
 use dappleyard_wire::messages::{OnceOutcome, OnceRow};
@@ -12,13 +12,13 @@
 
 pub(super) const FINGERPRINT: u64 = 1;
 
-/// Rounds after which a protocol that can still finish has done so, when nothing fails any more.
-pub(super) const HEALING_ROUNDS: usize = 12;
+/// Fault-free rounds within which a live protocol must terminate.
+pub(super) const FAULT_FREE_ROUNDS: usize = 12;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Loop {
-    NotBegun,
-    /// `ambiguous`: an earlier create of this loop was not confirmed.
+    NotStarted,
+    /// `ambiguous`: an earlier create of this loop is unconfirmed.
     Waiting {
         ambiguous: bool,
     },
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     Idle,
-    /// Waits for the answer of its latest loop.
+    /// Waits for its latest loop.
     Asking,
     Running,
     Settling(OnceOutcome),
@@ -41,7 +41,7 @@
     pub(super) phase: Phase,
     pub(super) loops: [Loop; LOOPS],
     pub(super) crashed: bool,
-    pub(super) told_not_run: bool,
+    pub(super) reported_not_run: bool,
     pub(super) ran: bool,
 }
 
@@ -60,7 +60,7 @@
     pub(super) revision: u8,
 }
 
-/// State of the record, the attempts and the network, and what has been observed.
+/// State of the record, the attempts and the network.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) row: Versioned<Option<OnceRow>>,
@@ -70,7 +70,7 @@
     pub(super) suspicions: u8,
 }
 
-/// What an engine did with the request.
+/// Outcome of a request on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Run {
     /// It ran and answered.
@@ -82,7 +82,7 @@
     /// It ran and the answer was lost.
     #[display("runs, answer lost")]
     AnswerLost,
-    /// It did not run, which the node cannot know.
+    /// It did not run, but the node cannot tell.
     #[display("lost before it ran")]
     Lost,
 }
@@ -90,58 +90,58 @@
 /// One step.
 #[derive(Debug, Clone, Copy, Display)]
 pub enum Action {
-    /// An attempt begins to ask for the record, or asks by its second way.
-    #[display("attempt {attempt} asks by way {way}")]
+    /// An attempt starts its first or second loop.
+    #[display("attempt {attempt} starts loop {loop_index}")]
     Ask {
         /// The attempt.
         attempt: usize,
-        /// 0 for the recorder of the cell, 1 for the store itself.
-        way: usize,
+        /// Loop index: 0 through the recorder of the cell, 1 directly to the store.
+        loop_index: usize,
     },
-    /// The network treats a call to the store.
+    /// The network delivers or loses a call to the store.
     #[display("call {index} is {delivery}")]
     Network {
-        /// Which call.
+        /// Index of the call.
         index: usize,
-        /// What becomes of it.
+        /// Outcome of the call.
         delivery: Delivery,
     },
-    /// The store is known to have refused a call.
-    #[display("call {index} is refused by the store")]
+    /// The store rejects a call, and the sender learns it.
+    #[display("call {index} is rejected by the store")]
     Unavailable {
-        /// Which call.
+        /// Index of the call.
         index: usize,
     },
-    /// A loop stops waiting for the store and reads back.
-    #[display("way {way} of attempt {attempt} reads back")]
+    /// A loop times out waiting for the store and reads the record.
+    #[display("loop {loop_index} of attempt {attempt} times out and reads the record")]
     ReadBack {
         /// The attempt.
         attempt: usize,
-        /// Which loop.
-        way: usize,
+        /// Loop index.
+        loop_index: usize,
     },
-    /// An attempt stops waiting and refuses its caller.
+    /// An attempt stops waiting and answers its caller "not run".
     #[display("attempt {attempt} gives up")]
     GiveUp {
         /// The attempt.
         attempt: usize,
     },
-    /// An attempt has the request run.
+    /// An attempt runs the request on an engine.
     #[display("attempt {attempt} runs the request: {run}")]
     Start {
         /// The attempt.
         attempt: usize,
-        /// What the engine did.
+        /// Outcome on the engine.
         run: Run,
     },
-    /// An attempt sends its settlement or its release again or for the first time.
+    /// An attempt sends or resends its settlement or release.
     #[display("attempt {attempt} writes the record")]
     Write {
         /// The attempt.
         attempt: usize,
     },
-    /// An attempt believes the writer of the record gone, and settles it as unknown.
-    #[display("attempt {attempt} believes the writer gone")]
+    /// An attempt suspects the writer of the record and settles it as unknown.
+    #[display("attempt {attempt} suspects the writer")]
     SettleUnknown {
         /// The attempt.
         attempt: usize,
@@ -154,7 +154,7 @@
     },
 }
 
-pub(super) fn asker(attempt: usize) -> OnceAttempt {
+pub(super) fn once_attempt(attempt: usize) -> OnceAttempt {
     OnceAttempt {
         request_id: attempt.to_string(),
         fingerprint: FINGERPRINT,
@@ -167,13 +167,19 @@
     Action::Start { attempt, run }
 }
 
-pub(super) fn is_gone(state: &State, writer: &str) -> bool {
+pub(super) fn has_crashed(state: &State, writer: &str) -> bool {
     writer
         .parse::<usize>()
         .is_ok_and(|attempt| state.attempts[attempt].crashed)
 }
 
-pub(super) fn send(state: &mut State, attempt: usize, source: Source, next: OnceRow, revision: u8) {
+pub(super) fn send_call(
+    state: &mut State,
+    attempt: usize,
+    source: Source,
+    next: OnceRow,
+    revision: u8,
+) {
     state.calls.push(Call {
         attempt,
         source,
@@ -182,29 +188,34 @@
     });
 }
 
-/// Ends a loop and, when the attempt still listens to it, moves the attempt on; says whether it did.
-pub(super) fn answer(state: &mut State, attempt: usize, way: usize, phase: Phase) -> bool {
+/// Ends a loop and, if the attempt still waits for it, sets the phase; returns whether it did.
+pub(super) fn finish_loop(
+    state: &mut State,
+    attempt: usize,
+    loop_index: usize,
+    phase: Phase,
+) -> bool {
     let this = &mut state.attempts[attempt];
-    this.loops[way] = Loop::Answered;
-    let listens = listens(this, way);
-    if listens {
+    this.loops[loop_index] = Loop::Answered;
+    let is_waiting_for = is_waiting_for(this, loop_index);
+    if is_waiting_for {
         this.phase = phase;
     }
-    listens
+    is_waiting_for
 }
 
-pub(super) fn listens(attempt: &Attempt, way: usize) -> bool {
-    let latest = way + 1 == LOOPS || attempt.loops[way + 1] == Loop::NotBegun;
+pub(super) fn is_waiting_for(attempt: &Attempt, loop_index: usize) -> bool {
+    let latest = loop_index + 1 == LOOPS || attempt.loops[loop_index + 1] == Loop::NotStarted;
     latest && attempt.phase == Phase::Asking
 }
 
-/// Drops calls that can neither take effect nor be answered.
-pub(super) fn forget_spent_calls(state: &mut State) {
+/// Drops calls in flight that can neither take effect nor be answered, to reduce the state space.
+pub(super) fn drop_expired_calls(state: &mut State) {
     let (revision, attempts) = (state.row.revision, &state.attempts);
     state.calls.retain(|call| {
         let this = &attempts[call.attempt];
         let waits = match call.source {
-            Source::Loop(way) => matches!(this.loops[way], Loop::Waiting { .. }),
+            Source::Loop(loop_index) => matches!(this.loops[loop_index], Loop::Waiting { .. }),
             Source::Settle | Source::GiveUp => false,
         };
         waits || call.revision == revision
--- a/crates/spec/src/once/steps.rs
+++ b/crates/spec/src/once/steps.rs
@@ -1,10 +1,12 @@
-//! The steps that are possible in a state.
+//! The enabled actions of a state.
 
 use dappleyard_decide::once::{settle, unknown_outcome};
 use dappleyard_wire::messages::OncePhase;
 
 use super::Once;
-use super::state::{Action, LOOPS, Loop, Phase, Run, Source, State, asker, is_gone, send, start};
+use super::state::{
+    Action, LOOPS, Loop, Phase, Run, Source, State, has_crashed, once_attempt, send_call, start,
+};
 use crate::store::Delivery;
 
 impl Once {
@@ -25,18 +27,32 @@
         };
         let this = &state.attempts[attempt];
         match &this.phase {
-            Phase::Idle => step(Action::Ask { attempt, way: 0 }, false, &|next| {
-                next.attempts[attempt].phase = Phase::Asking;
-                self.round(next, attempt, 0, false, true);
-            }),
+            Phase::Idle => step(
+                Action::Ask {
+                    attempt,
+                    loop_index: 0,
+                },
+                false,
+                &|next| {
+                    next.attempts[attempt].phase = Phase::Asking;
+                    self.iterate(next, attempt, 0, false, true);
+                },
+            ),
             Phase::Asking => {
-                if this.loops[1] == Loop::NotBegun {
-                    step(Action::Ask { attempt, way: 1 }, true, &|next| {
-                        self.round(next, attempt, 1, false, true);
-                    });
+                if this.loops[1] == Loop::NotStarted {
+                    step(
+                        Action::Ask {
+                            attempt,
+                            loop_index: 1,
+                        },
+                        true,
+                        &|next| {
+                            self.iterate(next, attempt, 1, false, true);
+                        },
+                    );
                 }
                 step(Action::GiveUp { attempt }, true, &|next| {
-                    next.attempts[attempt].told_not_run = true;
+                    next.attempts[attempt].reported_not_run = true;
                     next.attempts[attempt].phase = self.phase_when_refused(true);
                 });
             }
@@ -61,16 +77,23 @@
             }
             Phase::Ended => {}
         }
-        for way in 0..LOOPS {
-            if matches!(this.loops[way], Loop::Waiting { .. }) {
-                let source = Source::Loop(way);
+        for loop_index in 0..LOOPS {
+            if matches!(this.loops[loop_index], Loop::Waiting { .. }) {
+                let source = Source::Loop(loop_index);
                 let early = state
                     .calls
                     .iter()
                     .any(|call| call.attempt == attempt && call.source == source);
-                step(Action::ReadBack { attempt, way }, early, &|next| {
-                    self.round(next, attempt, way, true, false);
-                });
+                step(
+                    Action::ReadBack {
+                        attempt,
+                        loop_index,
+                    },
+                    early,
+                    &|next| {
+                        self.iterate(next, attempt, loop_index, true, false);
+                    },
+                );
             }
         }
         if !this.crashed && this.phase != Phase::Idle && this.phase != Phase::Ended {
@@ -83,7 +106,7 @@
         }
     }
 
-    /// An attempt that finds the record started by another, which it believes gone.
+    /// An attempt that finds a record started by a writer it suspects settles it as unknown.
     pub(super) fn steps_of_suspicion(
         &self,
         state: &State,
@@ -93,7 +116,7 @@
         let Some(row) = &state.row.value else { return };
         let this = &state.attempts[attempt];
         let asks = matches!(this.phase, Phase::Asking | Phase::Ended) && !this.crashed;
-        let other = row.writer != asker(attempt).writer;
+        let other = row.writer != once_attempt(attempt).writer;
         let sent = state
             .calls
             .iter()
@@ -101,13 +124,13 @@
         if !asks || !other || sent || row.phase() != OncePhase::OnceStarted {
             return;
         }
-        let gone = is_gone(state, &row.writer);
+        let gone = has_crashed(state, &row.writer);
         if gone || state.suspicions < self.limits.suspicions {
             let mut next = state.clone();
             next.suspicions += u8::from(!gone);
             let unknown = settle(row, unknown_outcome());
             let revision = next.row.revision;
-            send(&mut next, attempt, Source::Settle, unknown, revision);
+            send_call(&mut next, attempt, Source::Settle, unknown, revision);
             steps.push((Action::SettleUnknown { attempt }, next));
         }
     }
--- a/crates/spec/src/plans.rs
+++ b/crates/spec/src/plans.rs
@@ -1,8 +1,8 @@
-//! Confirmation of two plans that rest on the same row.
+//! Confirmation of two plans that depend on the same row.
 //!
-//! A confirmation is one transaction that compares the plan row and every row that the plan rests on.
-//! An operator who gets no answer reads the plan row back, which carries the token of the confirmation
-//! that was accepted; a plan whose basis has changed is closed as overtaken.
+//! A confirmation is one transaction that compares the plan row and every row that the plan depends
+//! on. An operator who gets no answer reads the plan row again; a plan whose basis has changed is
+//! closed as overtaken.
 
 use derive_more::Display;
 
@@ -10,24 +10,24 @@
 use crate::store::{Delivery, Versioned};
 
 const PLANS: usize = 2;
-/// Rounds after which both operators have their answer, when nothing fails any more.
-const HEALING_ROUNDS: usize = 6;
+/// Fault-free rounds within which both operators must have their answer.
+const FAULT_FREE_ROUNDS: usize = 6;
 
-/// Plausible mistakes.
+/// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     /// The confirmation compares only the plan's own row.
     BasisNotCompared,
-    /// A refusal after a lost answer says "not run".
+    /// An operator whose answer is lost is was_told that the plan was refused.
     LostAnswerRefused,
 }
 
-/// The specification.
+/// Specification of the protocol in this module.
 #[derive(Debug, Clone)]
 pub struct Plans {
-    /// The mistake to make; `None` for the protocol as it is.
+    /// The injected bug; `None` for the unmodified protocol.
     pub mutant: Option<Mutant>,
-    /// Lost calls, lost answers and early time-outs in one run.
+    /// Maximum faults in one trace: lost calls, lost answers and early timeouts.
     pub faults: u8,
 }
 
@@ -39,7 +39,7 @@
     Overtaken,
 }
 
-/// What an operator knows.
+/// State of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Operator {
     Reading,
@@ -49,7 +49,7 @@
     /// Told that the plan was not confirmed.
     Refused,
     /// Told that it may have been confirmed.
-    Unsure,
+    Unknown,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -62,7 +62,7 @@
 /// State of the rows, the operators and the network.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The row that both plans rest on, read at revision 0.
+    /// The row that both plans depend on, read at revision 0.
     basis: Versioned<()>,
     plans: [Versioned<PlanPhase>; PLANS],
     operators: [Operator; PLANS],
@@ -73,27 +73,27 @@
 /// One step.
 #[derive(Debug, Clone, Copy, Display)]
 pub enum Action {
-    /// An operator reads the plan row, and sends what should follow.
+    /// An operator reads the plan row and sends a confirmation or closes the plan as overtaken.
     #[display("operator {operator} reads and sends")]
     Proceed {
         /// The operator.
         operator: usize,
     },
-    /// The network treats a call.
+    /// The network delivers or loses a call.
     #[display("call {index} is {delivery}")]
     Network {
-        /// Which call.
+        /// Index of the call.
         index: usize,
-        /// What becomes of it.
+        /// Outcome of the call.
         delivery: Delivery,
     },
-    /// An operator stops waiting and reads the plan row back.
-    #[display("operator {operator} reads back")]
+    /// An operator times out and reads the plan row again.
+    #[display("operator {operator} times out and reads the plan row")]
     ReadBack {
         /// The operator.
         operator: usize,
     },
-    /// An operator stops asking.
+    /// An operator stops waiting without an answer.
     #[display("operator {operator} gives up")]
     GiveUp {
         /// The operator.
@@ -139,27 +139,29 @@
         }
         let waits = state.operators[call.plan] == Operator::Waiting;
         if delivery == Delivery::Answered && waits {
-            state.operators[call.plan] = read_again(state, call.plan);
+            state.operators[call.plan] = operator_after_read(state, call.plan);
         }
     }
 
-    fn finishes(&self, state: &State) -> bool {
+    fn terminates(&self, state: &State) -> bool {
         let mut state = state.clone();
-        for _ in 0..HEALING_ROUNDS {
+        for _ in 0..FAULT_FREE_ROUNDS {
             while !state.calls.is_empty() {
                 self.deliver(&mut state, 0, Delivery::Answered);
             }
             for operator in 0..PLANS {
                 match state.operators[operator] {
                     Operator::Reading => Self::proceed(&mut state, operator),
-                    Operator::Waiting => state.operators[operator] = read_again(&state, operator),
+                    Operator::Waiting => {
+                        state.operators[operator] = operator_after_read(&state, operator)
+                    }
                     _ => {}
                 }
             }
         }
         let done = |operator: &Operator| !matches!(operator, Operator::Waiting);
         state.operators.iter().all(done)
-            && (confirmed(&state) > 0 || state.operators.contains(&Operator::Unsure))
+            && (confirmed(&state) > 0 || state.operators.contains(&Operator::Unknown))
     }
 }
 
@@ -191,17 +193,17 @@
                     let early = state.calls.iter().any(|call| call.plan == operator);
                     if !early || faults_left {
                         next.faults += u8::from(early);
-                        let mut gone = next.clone();
-                        next.operators[operator] = read_again(&next, operator);
+                        let mut gave_up = next.clone();
+                        next.operators[operator] = operator_after_read(&next, operator);
                         steps.push((Action::ReadBack { operator }, next));
-                        gone.operators[operator] = match self.mutant {
+                        gave_up.operators[operator] = match self.mutant {
                             Some(Mutant::LostAnswerRefused) => Operator::Refused,
-                            _ => Operator::Unsure,
+                            _ => Operator::Unknown,
                         };
-                        steps.push((Action::GiveUp { operator }, gone));
+                        steps.push((Action::GiveUp { operator }, gave_up));
                     }
                 }
-                Operator::Accepted | Operator::Refused | Operator::Unsure => {}
+                Operator::Accepted | Operator::Refused | Operator::Unknown => {}
             }
         }
         for index in 0..state.calls.len() {
@@ -219,17 +221,17 @@
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        let told = |operator: Operator, phase: PlanPhase| {
+        let was_told = |operator: Operator, phase: PlanPhase| {
             (0..PLANS)
                 .any(|plan| state.operators[plan] == operator && state.plans[plan].value == phase)
         };
         let broken = if confirmed(state) > 1 {
             "both of two conflicting plans are confirmed"
-        } else if told(Operator::Refused, PlanPhase::Running) {
+        } else if was_told(Operator::Refused, PlanPhase::Running) {
             "an operator was told that a confirmed plan was refused"
-        } else if told(Operator::Accepted, PlanPhase::Proposed) {
+        } else if was_told(Operator::Accepted, PlanPhase::Proposed) {
             "an operator was told that a plan is confirmed that is not"
-        } else if !self.finishes(state) {
+        } else if !self.terminates(state) {
             "neither plan is confirmed, though nothing fails any more"
         } else {
             return None;
@@ -237,7 +239,7 @@
         Some(broken.to_owned())
     }
 
-    fn situations(&self, state: &State) -> Vec<&'static str> {
+    fn coverage(&self, state: &State) -> Vec<&'static str> {
         let seen = [
             ("confirmed", confirmed(state) == 1),
             (
@@ -247,8 +249,8 @@
                     .iter()
                     .any(|plan| plan.value == PlanPhase::Overtaken),
             ),
-            ("unsure", state.operators.contains(&Operator::Unsure)),
-            ("two calls of one plan", two_calls(state)),
+            ("unsure", state.operators.contains(&Operator::Unknown)),
+            ("two calls of one plan", has_concurrent_calls(state)),
         ];
         seen.into_iter()
             .filter_map(|(name, seen)| seen.then_some(name))
@@ -263,7 +265,7 @@
     }
 }
 
-fn read_again(state: &State, plan: usize) -> Operator {
+fn operator_after_read(state: &State, plan: usize) -> Operator {
     match state.plans[plan].value {
         PlanPhase::Running => Operator::Accepted,
         PlanPhase::Overtaken => Operator::Refused,
@@ -276,6 +278,6 @@
     state.plans.iter().filter(running).count()
 }
 
-fn two_calls(state: &State) -> bool {
+fn has_concurrent_calls(state: &State) -> bool {
     (0..PLANS).any(|plan| state.calls.iter().filter(|call| call.plan == plan).count() > 1)
 }
--- a/crates/spec/src/store.rs
+++ b/crates/spec/src/store.rs
@@ -1,5 +1,5 @@
-//! The table service as the specifications see it: rows with revisions, changed by compare-and-swap,
-//! over a network that may delay or drop a call, or lose the answer after the change took effect.
+//! Model of the table service: versioned rows changed by compare-and-swap, over a network that may
+//! delay or drop a call, or lose the answer after the change took effect.
 
 use derive_more::Display;
 
@@ -8,12 +8,12 @@
 pub struct Versioned<T> {
     /// The row.
     pub value: T,
-    /// Grows by one with each write.
+    /// Incremented by each write.
     pub revision: u8,
 }
 
 impl<T> Versioned<T> {
-    /// Writes the row if it still has the expected revision; says whether it did.
+    /// Writes the row if it still has the expected revision; returns whether it did.
     pub fn compare_and_swap(&mut self, expected: u8, value: T) -> bool {
         let matches = self.revision == expected;
         if matches {
@@ -22,28 +22,27 @@
         matches
     }
 
-    /// Writes the row.
     pub fn write(&mut self, value: T) {
         self.value = value;
         self.revision += 1;
     }
 }
 
-/// What the network does with a call to the store or to an engine.
+/// Outcome of a call to the store or to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Delivery {
-    /// The call takes place and its answer arrives.
+    /// The call takes effect and its answer arrives.
     #[display("answered")]
     Answered,
-    /// The call takes place and its answer is lost.
+    /// The call takes effect and its answer is lost.
     #[display("answer lost after the effect")]
     AnswerLost,
-    /// The call is lost.
+    /// The call is lost without effect.
     #[display("lost without effect")]
     Lost,
 }
 
 impl Delivery {
-    /// All of them.
+    /// All outcomes.
     pub const ALL: [Delivery; 3] = [Delivery::Answered, Delivery::AnswerLost, Delivery::Lost];
 }
--- a/crates/spec/tests/counterexamples.rs
+++ b/crates/spec/tests/counterexamples.rs
@@ -1,14 +1,13 @@
-//! Runs that the model checker found to break a promise, kept as tests of the decision functions.
+//! Regression tests of the decision functions for counterexamples found by the model checker.
 
 use dappleyard_decide::chunks::{ClaimDecision, Claimant, claim};
 use dappleyard_decide::once::{OnceAttempt, OnceDecision, decide, give_up};
 use dappleyard_wire::messages::{ChunkRow, OncePhase};
 use googletest::prelude::*;
 
-/// A node gives up on its claim, which takes effect later: the chunk had a live holder that did not
-/// know of it, and nobody could claim it again.
+/// Guards against a chunk stuck with a holder whose claim took effect after it timed out.
 #[gtest]
-fn a_claim_that_outlives_its_sender_is_found_again() {
+fn a_claim_applied_after_its_timeout_is_recognized_by_its_sender() {
     let claimant = Claimant {
         node: "a".to_owned(),
         incarnation: 7,
@@ -33,10 +32,9 @@
     }
 }
 
-/// An attempt gives its key up while a slow loop of its own goes on: the loop took the key back, and
-/// it stayed in progress with nobody running the request.
+/// Guards against a slow loop of an attempt that re-creates the key after the attempt released it.
 #[gtest]
-fn a_key_given_up_is_not_taken_back_by_the_same_attempt() {
+fn a_released_key_is_not_recreated_by_the_same_attempt() {
     let released = give_up(None, &attempt("a")).expect("an absent record is released");
     expect_that!(released.phase(), eq(OncePhase::OnceReleased));
     let own = decide(Some(&released), &attempt("a"), true);
@@ -45,10 +43,9 @@
     expect_that!(other, pat!(OnceDecision::Create(_)));
 }
 
-/// An attempt gives up while its create over a record that another attempt released is under way:
-/// with nothing written the create took effect later, for nobody.
+/// Guards against a pending create over a released record that takes effect after the attempt gave up.
 #[gtest]
-fn giving_up_also_overtakes_a_create_over_a_released_record() {
+fn giving_up_invalidates_a_pending_create_over_a_released_record() {
     let released = give_up(None, &attempt("a")).expect("an absent record is released");
     expect_that!(give_up(Some(&released), &attempt("b")), some(anything()));
     expect_that!(give_up(Some(&released), &attempt("a")), none());
--- a/crates/spec/tests/specifications.rs
+++ b/crates/spec/tests/specifications.rs
@@ -1,4 +1,4 @@
-//! Every specification holds within its bounds, and catches its mutants.
+//! Checks that every specification holds within its bounds and that every mutant is detected.
 
 use std::thread;
 
@@ -6,7 +6,7 @@
 use dappleyard_spec::checker::Exploration;
 use googletest::prelude::*;
 
-/// Explores all specifications at once, one thread each.
+/// Explores all specifications in parallel, one thread each.
 fn explore_all<R: Send>(explore: impl Fn(&'static Entry) -> R + Sync) -> Vec<(&'static Entry, R)> {
     thread::scope(|scope| {
         let explore = &explore;
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn every_promise_holds() {
+fn every_invariant_holds() {
     for (entry, found) in explore_all(|entry| entry.explore(entry.quick_faults)) {
         println!("{}: {found}", entry.name);
         expect_that!(found.counterexample, none(), "{}", entry.name);
@@ -30,7 +30,7 @@
 }
 
 #[gtest]
-fn every_mutant_is_caught() {
+fn every_mutant_is_detected() {
     let explore = |entry: &'static Entry| -> Vec<Exploration> {
         let mutants = entry.mutants.iter();
         mutants
