--- a/crates/transport/src/datagram.rs
+++ b/crates/transport/src/datagram.rs
@@ -1,4 +1,4 @@
-//! UDP messages between nodes: one prost message a datagram.
+//! UDP messages between nodes, one protobuf message per datagram.
 
 use std::net::SocketAddr;
 
@@ -9,21 +9,21 @@
 
 use crate::policy::SharedPolicy;
 
-/// Bytes read for one datagram; those that fill the buffer are malformed.
+/// Receive buffer size; a datagram that fills it may be truncated and is treated as malformed.
 const RECEIVE_BUFFER_BYTES: usize = 4 * MAXIMUM_DATAGRAM_BYTES;
 
 /// A bound UDP socket that sends and receives [`Datagram`]s through the link policy.
 pub struct DatagramSocket {
     socket: std::rc::Rc<UdpSocket>,
     policy: SharedPolicy,
-    generator: std::cell::Cell<u64>,
+    rng_state: std::cell::Cell<u64>,
     buffer: std::cell::RefCell<Vec<u8>>,
 }
 
-/// One thing received.
+/// A received datagram.
 #[derive(Debug)]
 pub enum Received {
-    /// A well-formed datagram of this many bytes.
+    /// A well-formed datagram.
     Message {
         /// Sender's address.
         from: SocketAddr,
@@ -32,7 +32,7 @@
         /// Size on the wire, bytes.
         bytes: usize,
     },
-    /// Bytes that are not a datagram of ours: counted and dropped by the caller.
+    /// Bytes that do not decode as a [`Datagram`].
     Malformed {
         /// Sender's address.
         from: SocketAddr,
@@ -40,15 +40,15 @@
 }
 
 impl DatagramSocket {
-    /// Binds `address`; port 0 takes a free one. Must be called on an actix arbiter.
+    /// Binds `address`; port 0 selects a free port. Must be called on an actix arbiter.
     pub async fn bind(address: SocketAddr, policy: SharedPolicy) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
-        // Until the runtime has seen the socket as writable, what is sent would be dropped.
+        // `try_send_to` fails until the runtime has registered the socket as writable.
         socket.writable().await?;
         Ok(Self::from_socket(socket, policy))
     }
 
-    /// Wraps a socket that is bound already.
+    /// Wraps a bound socket.
     pub fn from_socket(socket: UdpSocket, policy: SharedPolicy) -> Self {
         let seed = socket
             .local_addr()
@@ -56,7 +56,7 @@
         Self {
             socket: std::rc::Rc::new(socket),
             policy,
-            generator: std::cell::Cell::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            rng_state: std::cell::Cell::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             buffer: std::cell::RefCell::new(vec![0; RECEIVE_BUFFER_BYTES]),
         }
     }
@@ -66,8 +66,8 @@
         self.socket.local_addr()
     }
 
-    /// Sends a datagram and returns its size in bytes. Loss, cuts and delay of the policy apply;
-    /// send errors are not reported, as for a lost datagram.
+    /// Sends a datagram, subject to the link policy, and returns its size in bytes. Send errors are
+    /// ignored, like a lost datagram.
     pub fn send(&self, to: SocketAddr, datagram: &Datagram) -> usize {
         let bytes = datagram.encode_to_vec();
         let size = bytes.len();
@@ -101,13 +101,13 @@
         }
     }
 
-    /// A cheap generator for loss only (xorshift); no decision of the product depends on it.
+    /// A uniform number in `[0, 1)` from an xorshift generator, used only for emulated loss.
     fn uniform(&self) -> f64 {
-        let mut state = self.generator.get().max(1);
+        let mut state = self.rng_state.get().max(1);
         state ^= state << 13;
         state ^= state >> 7;
         state ^= state << 17;
-        self.generator.set(state);
+        self.rng_state.set(state);
         (state >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,9 +1,9 @@
-//! Framed connections, datagrams and the link policy between processes of the system.
+//! Multiplexed TCP links, UDP datagrams and traffic shaping between processes.
 //!
-//! A link is one TCP connection that carries length-delimited [`Frame`]s of many streams. The
-//! connecting end opens streams; stream 0 belongs to the link itself. [`link`] dials and serves
-//! links, [`pool`] keeps links to other nodes, [`datagram`] sends and receives UDP messages, and [`policy`] is the port through which an
-//! experiment adds delay, loss and cuts; the product uses [`policy::DirectPolicy`].
+//! A link is one TCP connection that multiplexes length-delimited [`Frame`]s of many streams. The
+//! dialling end opens streams; stream 0 carries control frames. [`link`] dials and serves links,
+//! [`pool`] shares links to other nodes, [`datagram`] sends and receives UDP messages, and [`policy`]
+//! lets experiments add delay, loss and partitions. Production uses [`policy::DirectPolicy`].
 //!
 //! [`Frame`]: dappleyard_wire::messages::Frame
 
--- a/crates/transport/src/link/client.rs
+++ b/crates/transport/src/link/client.rs
@@ -13,7 +13,7 @@
 
 use super::LinkError;
 use super::outgoing::Outgoing;
-use super::session::{Session, Wired, send_now};
+use super::session::{FramedConnection, Session, send_now};
 use super::settings::LinkSettings;
 use super::stream::{StreamReceiver, StreamTable};
 use crate::policy::SharedPolicy;
@@ -28,21 +28,21 @@
 struct LinkShared {
     peer: Hello,
     outgoing: Rc<Outgoing>,
-    told: Rc<Told>,
+    peer_status: Rc<PeerStatus>,
     streams: Rc<StreamTable>,
     next_stream: Cell<u64>,
     lost: watch::Receiver<bool>,
 }
 
-/// What the peer has told about itself.
-struct Told {
+/// Latest status announced by the peer.
+struct PeerStatus {
     going_away: Cell<bool>,
     ready: Cell<bool>,
     peers: RefCell<Peers>,
     load: RefCell<Option<NodeLoad>>,
 }
 
-/// Tells when a link is lost, without keeping it open.
+/// Signal of a link's loss that does not keep the link open.
 pub struct LossSignal(watch::Receiver<bool>);
 
 impl LossSignal {
@@ -64,14 +64,14 @@
             address: address.to_owned(),
             reason,
         };
-        let handshake = shake_hands(address, hello, settings, &policy);
-        let (wired, peer) = tokio::time::timeout(settings.connect_timeout, handshake)
+        let handshake = exchange_hello(address, hello, settings, &policy);
+        let (connection, peer) = tokio::time::timeout(settings.connect_timeout, handshake)
             .await
             .map_err(|_| failed("timed out".to_owned()))?
             .map_err(failed)?;
         Ok(Link::start(
             address.to_owned(),
-            wired,
+            connection,
             peer,
             settings.clone(),
             policy,
@@ -80,7 +80,7 @@
 
     fn start(
         address: String,
-        wired: Wired,
+        connection: FramedConnection,
         peer: Hello,
         settings: LinkSettings,
         policy: SharedPolicy,
@@ -88,7 +88,7 @@
         let (outgoing, queue) = Outgoing::new(&address, &settings, policy.clone());
         let (lost_sender, lost) = watch::channel(false);
         let streams = StreamTable::new(settings.maximum_stream_bytes);
-        let told = Rc::new(Told {
+        let peer_status = Rc::new(PeerStatus {
             going_away: Cell::new(false),
             ready: Cell::new(true),
             peers: RefCell::default(),
@@ -97,7 +97,7 @@
         let shared = Rc::new(LinkShared {
             peer,
             outgoing,
-            told: told.clone(),
+            peer_status: peer_status.clone(),
             streams: streams.clone(),
             next_stream: Cell::new(1),
             lost,
@@ -108,63 +108,63 @@
                 policy: &policy,
                 peer: &address,
             };
-            let incoming = |received: Frame, size: usize| {
+            let on_frame = |received: Frame, size: usize| {
                 let Some(body) = received.body else { return };
                 if received.stream == 0 {
-                    told.hear(body);
+                    peer_status.apply_update(body);
                 } else {
                     let _ = streams.deliver(received.stream, body, size);
                 }
             };
-            session.run(wired, queue, incoming).await;
+            session.run(connection, queue, on_frame).await;
             lost_sender.send_replace(true);
             streams.clear();
         });
         Link { shared }
     }
 
-    /// Hello of the other end.
+    /// Hello of the peer.
     pub fn peer(&self) -> &Hello {
         &self.shared.peer
     }
 
-    /// Whether the link is up.
+    /// Whether the link is connected.
     pub fn is_up(&self) -> bool {
         !*self.shared.lost.borrow()
     }
 
-    /// Whether the link is up and the peer takes new work.
+    /// Whether the link is connected and the peer accepts new work.
     pub fn takes_new_work(&self) -> bool {
-        let told = &self.shared.told;
-        self.is_up() && !told.going_away.get() && told.ready.get()
+        let peer_status = &self.shared.peer_status;
+        self.is_up() && !peer_status.going_away.get() && peer_status.ready.get()
     }
 
-    /// Nodes that the peer has told of.
+    /// Nodes announced by the peer.
     pub fn peers(&self) -> Peers {
-        self.shared.told.peers.borrow().clone()
+        self.shared.peer_status.peers.borrow().clone()
     }
 
-    /// Reads the nodes that the peer has told of, without copying them.
+    /// Reads the nodes announced by the peer without copying them.
     pub fn read_peers<R>(&self, reader: impl FnOnce(&Peers) -> R) -> R {
-        reader(&self.shared.told.peers.borrow())
+        reader(&self.shared.peer_status.peers.borrow())
     }
 
-    /// Last load that the peer has told of.
+    /// Latest load announced by the peer.
     pub fn load(&self) -> Option<NodeLoad> {
-        self.shared.told.load.borrow().clone()
+        self.shared.peer_status.load.borrow().clone()
     }
 
-    /// Reads the last load that the peer has told of, without copying it.
+    /// Reads the latest load announced by the peer without copying it.
     pub fn read_load<R>(&self, reader: impl FnOnce(Option<&NodeLoad>) -> R) -> R {
-        reader(self.shared.told.load.borrow().as_ref())
+        reader(self.shared.peer_status.load.borrow().as_ref())
     }
 
-    /// Number of streams that are open on this link.
+    /// Number of open streams.
     pub fn open_streams(&self) -> usize {
         self.shared.streams.len()
     }
 
-    /// Closes the link; its streams end as with a link that was lost.
+    /// Closes the link; its streams end with [`LinkError::Lost`].
     pub fn close(&self) {
         self.shared.outgoing.close();
     }
@@ -174,12 +174,12 @@
         self.loss_signal().wait().await;
     }
 
-    /// A signal of the link's loss that does not keep the link open.
+    /// Returns a signal of the link's loss.
     pub fn loss_signal(&self) -> LossSignal {
         LossSignal(self.shared.lost.clone())
     }
 
-    /// Opens a stream with its first frame.
+    /// Opens a stream and sends its first frame.
     pub fn open(&self, body: frame::Body) -> Result<ClientStream, LinkError> {
         if !self.is_up() {
             return Err(LinkError::Connect {
@@ -199,12 +199,12 @@
     }
 }
 
-async fn shake_hands(
+async fn exchange_hello(
     address: &str,
     hello: Hello,
     settings: &LinkSettings,
     policy: &SharedPolicy,
-) -> Result<(Wired, Hello), String> {
+) -> Result<(FramedConnection, Hello), String> {
     while policy.path(address).cut {
         tokio::time::sleep(settings.ping_interval).await;
     }
@@ -212,30 +212,30 @@
         .await
         .map_err(|error| error.to_string())?;
     let _ = socket.set_nodelay(true);
-    let mut wired = Framed::new(socket, settings.codec());
+    let mut connection = Framed::new(socket, settings.codec());
     tokio::time::sleep(policy.path(address).delay).await;
-    send_now(&mut wired, frame::Body::Hello(hello)).await?;
-    let answer = wired.next().await;
+    send_now(&mut connection, frame::Body::Hello(hello)).await?;
+    let answer = connection.next().await;
     let peer = match answer.map(|read| read.map(Frame::decode)) {
         Some(Ok(Ok(Frame {
             body: Some(frame::Body::Hello(peer)),
             ..
         }))) => peer,
-        _ => return Err("no Hello in answer".to_owned()),
+        _ => return Err("peer did not answer with Hello".to_owned()),
     };
     if peer.protocol != PROTOCOL_VERSION {
-        return Err(format!("peer speaks protocol {}", peer.protocol));
+        return Err(format!("unsupported protocol version {}", peer.protocol));
     }
-    Ok((wired, peer))
+    Ok((connection, peer))
 }
 
-impl Told {
-    fn hear(&self, body: frame::Body) {
+impl PeerStatus {
+    fn apply_update(&self, body: frame::Body) {
         match body {
             frame::Body::GoAway(_) => self.going_away.set(true),
             frame::Body::Pong(pong) => {
                 self.ready.set(pong.ready);
-                // A peer that takes new work again no longer goes away: its drain was taken back.
+                // A ready pong after GoAway means that the drain was cancelled.
                 self.going_away.set(self.going_away.get() && !pong.ready);
             }
             frame::Body::Peers(peers) => *self.peers.borrow_mut() = peers,
@@ -245,7 +245,7 @@
     }
 }
 
-/// The opening end of one stream. Dropping it forgets the stream; it sends no Cancel by itself.
+/// The opening end of one stream. Dropping it removes the stream without sending Cancel.
 pub struct ClientStream {
     id: u64,
     receiver: StreamReceiver,
@@ -261,7 +261,7 @@
         self.link.shared.outgoing.send(self.id, body)
     }
 
-    /// Next frame of this stream; an error once the link is lost.
+    /// Receives the next frame; an error once the link is lost.
     pub async fn receive(&mut self) -> Result<frame::Body, LinkError> {
         self.receiver.recv().await.ok_or_else(|| self.lost())
     }
--- a/crates/transport/src/link/metrics.rs
+++ b/crates/transport/src/link/metrics.rs
@@ -1,16 +1,16 @@
-//! Counters of links, of one process.
+//! Link metrics of one process.
 
 use prometheus::core::Collector;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
-/// Counters of links. Counts from its making on; [`LinkMetrics::register`] shows it.
+/// Link metrics; [`LinkMetrics::register`] exposes them.
 #[derive(Debug)]
 pub struct LinkMetrics {
-    /// Links open, dialled and accepted.
+    /// Open links, dialled and accepted.
     pub open: IntGauge,
     /// Links closed, by reason.
     pub closed: IntCounterVec,
-    /// Links that were not taken up, by reason.
+    /// Links rejected during the handshake or by the link limit, by reason.
     pub rejected: IntCounterVec,
     /// Frames sent.
     pub frames_sent: IntCounter,
@@ -20,9 +20,9 @@
     pub frames_received: IntCounter,
     /// Bytes of frames received.
     pub bytes_received: IntCounter,
-    /// Streams refused, since too many were open.
+    /// Streams refused by the stream limit.
     pub streams_refused: IntCounter,
-    /// Frames dropped, by reason.
+    /// Received frames dropped, by reason.
     pub frames_dropped: IntCounterVec,
 }
 
@@ -30,7 +30,7 @@
     fn default() -> Self {
         let gauge = IntGauge::new("dappleyard_links_open", "Links open");
         Self {
-            open: gauge.expect("the name is well formed"),
+            open: gauge.expect("metric name is valid"),
             closed: counters("closed_total", "Links closed"),
             rejected: counters("rejected_total", "Links not taken up"),
             frames_sent: counter("frames_sent_total", "Frames sent"),
@@ -44,7 +44,7 @@
 }
 
 impl LinkMetrics {
-    /// Shows these counters in a registry.
+    /// Registers the metrics.
     pub fn register(&self, registry: &Registry) -> Result<(), prometheus::Error> {
         let collectors: [Box<dyn Collector>; 9] = [
             Box::new(self.open.clone()),
@@ -87,10 +87,10 @@
 }
 
 fn counter(name: &str, help: &str) -> IntCounter {
-    IntCounter::new(format!("dappleyard_link_{name}"), help).expect("the name is well formed")
+    IntCounter::new(format!("dappleyard_link_{name}"), help).expect("metric name is valid")
 }
 
 fn counters(name: &str, help: &str) -> IntCounterVec {
     let options = Opts::new(format!("dappleyard_link_{name}"), help);
-    IntCounterVec::new(options, &["reason"]).expect("the name is well formed")
+    IntCounterVec::new(options, &["reason"]).expect("metric name is valid")
 }
--- a/crates/transport/src/link/mod.rs
+++ b/crates/transport/src/link/mod.rs
@@ -1,13 +1,13 @@
-//! Links: TCP connections that carry frames of many streams.
+//! Links: TCP connections that multiplex frames of many streams.
 //!
 //! The dialling end holds a [`Link`] and opens streams with [`Link::open`]. The accepting end runs a
 //! [`LinkServer`], which hands each opened stream to a handler as a [`ServerStream`]. Both ends send
-//! pings; a link on which nothing was heard for [`LinkSettings::idle_timeout`] is closed, and all of
-//! its streams end with [`LinkError::Lost`].
+//! pings; a link on which nothing was received for [`LinkSettings::idle_timeout`] is closed, and all
+//! of its streams end with [`LinkError::Lost`].
 //!
-//! Nothing here grows without a bound: frames that wait to be sent are counted in bytes for each
-//! link, frames that wait to be read for each stream, and streams and links are counted. A peer that
-//! does not read loses its link; a stream that is not read ends alone.
+//! All queues are bounded: outgoing frames in bytes per link, incoming frames in bytes per stream, and
+//! the number of links and of streams per link. A peer that does not read loses its link; a stream
+//! that is not read is closed without affecting the link.
 
 mod announce;
 mod client;
@@ -30,22 +30,22 @@
 /// Why a link or stream ended.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum LinkError {
-    /// Never connected: nothing was sent.
+    /// No connection was established, and nothing was sent.
     #[display("no link to {address}: {reason}")]
     Connect {
-        /// Address dialled.
+        /// Dialled address.
         address: String,
-        /// What was seen.
+        /// Description of the cause.
         reason: String,
     },
-    /// Lost after frames may have been sent.
-    #[display("the link to {peer} was lost")]
+    /// The link was lost; frames may have been sent.
+    #[display("link to {peer} was lost")]
     Lost {
         /// Peer's id or address.
         peer: String,
     },
-    /// The frame is larger than a link carries: it was not sent.
-    #[display("a frame of {bytes} bytes is larger than a link carries")]
+    /// The frame exceeds the size limit and was not sent.
+    #[display("frame of {bytes} bytes exceeds the link's frame size limit")]
     TooLarge {
         /// Size of the frame, bytes.
         bytes: usize,
--- a/crates/transport/src/link/outgoing.rs
+++ b/crates/transport/src/link/outgoing.rs
@@ -1,4 +1,4 @@
-//! Frames that wait to be sent on one link, counted in bytes.
+//! The outgoing frame queue of one link, bounded in bytes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,28 +14,27 @@
 use super::settings::LinkSettings;
 use crate::policy::SharedPolicy;
 
-/// A frame that waits to be sent.
+/// A queued frame.
 pub(super) struct Queued {
-    /// When it may be written, by the delay of the path.
+    /// Earliest time of the write, after the path's delay.
     pub due: Instant,
     /// The encoded frame.
     pub bytes: Bytes,
 }
 
-/// What the two ends of a queue share.
+/// State shared by the two ends of a queue.
 #[derive(Default)]
 pub(super) struct QueueState {
     bytes: Cell<usize>,
-    ended: Cell<Option<CloseReason>>,
+    close_reason: Cell<Option<CloseReason>>,
     end: Notify,
 }
 
 impl QueueState {
-    /// Resolves when this end gives the link up: it was closed, or more waited than the bound
-    /// allows, since the peer does not read.
-    pub async fn wait_end(&self) -> CloseReason {
+    /// Resolves when this end closes the link, explicitly or because the queue overflowed.
+    pub async fn wait_closed(&self) -> CloseReason {
         loop {
-            if let Some(reason) = self.ended.get() {
+            if let Some(reason) = self.close_reason.get() {
                 return reason;
             }
             self.end.notified().await;
@@ -43,11 +42,12 @@
     }
 
     fn end(&self, reason: CloseReason) {
-        self.ended.set(self.ended.get().or(Some(reason)));
+        self.close_reason
+            .set(self.close_reason.get().or(Some(reason)));
         self.end.notify_one();
     }
 
-    /// A frame was written.
+    /// Releases the queue space of a written frame.
     pub fn written(&self, bytes: usize) {
         self.bytes.set(self.bytes.get().saturating_sub(bytes));
     }
@@ -63,14 +63,14 @@
     maximum_queued_bytes: usize,
 }
 
-/// The reading end of a link's queue.
+/// The receiving end of a link's queue.
 pub(super) struct OutgoingQueue {
     pub frames: mpsc::UnboundedReceiver<Queued>,
     pub state: Rc<QueueState>,
 }
 
 impl Outgoing {
-    /// A queue towards `peer`, the name by which the policy knows the path.
+    /// Creates a queue to `peer`, the name of the path in the policy.
     pub fn new(
         peer: &str,
         settings: &LinkSettings,
@@ -89,28 +89,28 @@
         (outgoing, OutgoingQueue { frames, state })
     }
 
-    /// Queues a frame. When more waits than the bound allows, the link is given up.
+    /// Queues a frame. Closes the link if the queue would exceed its limit.
     pub fn send(&self, stream: u64, body: frame::Body) -> Result<(), LinkError> {
         let bytes = encode(stream, body);
         let size = bytes.len();
         if size > self.maximum_frame_bytes {
             return Err(LinkError::TooLarge { bytes: size });
         }
-        let waiting = self.state.bytes.get() + size;
-        if waiting > self.maximum_queued_bytes {
+        let queued_bytes = self.state.bytes.get() + size;
+        if queued_bytes > self.maximum_queued_bytes {
             self.state.end(CloseReason::SlowPeer);
         }
-        if self.state.ended.get().is_some() {
+        if self.state.close_reason.get().is_some() {
             return Err(self.lost());
         }
-        self.state.bytes.set(waiting);
+        self.state.bytes.set(queued_bytes);
         let due = Instant::now() + self.policy.path(&self.peer).delay;
         self.queue
             .send(Queued { due, bytes })
             .map_err(|_| self.lost())
     }
 
-    /// Gives the link up.
+    /// Closes the link.
     pub fn close(&self) {
         self.state.end(CloseReason::LocalEnd);
     }
@@ -122,7 +122,7 @@
     }
 }
 
-/// A frame in bytes; `stream` 0 is the link itself.
+/// Encodes a frame; `stream` 0 carries control frames of the link.
 pub(super) fn encode(stream: u64, body: frame::Body) -> Bytes {
     let frame = Frame {
         stream,
--- a/crates/transport/src/link/server.rs
+++ b/crates/transport/src/link/server.rs
@@ -16,23 +16,23 @@
 use super::LinkError;
 use super::announce::{Announcement, announce};
 use super::outgoing::Outgoing;
-use super::session::{Session, Wired, send_now};
+use super::session::{FramedConnection, Session, send_now};
 use super::settings::LinkSettings;
 use super::stream::{Delivery, StreamReceiver, StreamTable};
 use crate::policy::SharedPolicy;
 
-/// Advice to a peer whose stream was refused, milliseconds.
+/// Retry delay advised to a peer whose stream was refused, milliseconds.
 const REFUSED_RETRY_AFTER_MS: u32 = 200;
 
 /// The accepting end of links.
 pub struct LinkServer {
     /// Hello sent on each link.
     pub hello: Hello,
-    /// Bounds and timers.
+    /// Limits and timeouts.
     pub settings: LinkSettings,
-    /// Shaping.
+    /// Traffic shaping.
     pub policy: SharedPolicy,
-    /// What is announced; a change is sent on every link.
+    /// Status to announce; changes are sent on every link.
     pub announcement: watch::Receiver<Announcement>,
 }
 
@@ -42,7 +42,7 @@
     pub peer: Rc<Hello>,
     /// First frame: a Submit or a Call.
     pub first: frame::Body,
-    /// Frames after the first, and `None` when the peer's link is lost.
+    /// Receiver of the frames after the first.
     pub receiver: StreamReceiver,
     id: u64,
     outgoing: Rc<Outgoing>,
@@ -54,7 +54,7 @@
         self.sender().send(body)
     }
 
-    /// A handle that can send on this stream while it is being received from.
+    /// Returns a sender that is independent of the receiver.
     pub fn sender(&self) -> ServerStreamSender {
         ServerStreamSender {
             id: self.id,
@@ -71,13 +71,13 @@
 }
 
 impl ServerStreamSender {
-    /// Sends a frame on this stream; an error once the link is lost. In place of a frame larger than
-    /// a link carries the peer is told that the answer failed, so that it does not wait for it.
+    /// Sends a frame on this stream; an error once the link is lost. An oversize frame is replaced by a
+    /// Refused frame, so that the peer does not wait for the answer.
     pub fn send(&self, body: frame::Body) -> Result<(), LinkError> {
         let sent = self.outgoing.send(self.id, body);
         if let Err(LinkError::TooLarge { bytes }) = &sent {
             let message =
-                format!("the answer has a frame of {bytes} bytes, more than a link carries");
+                format!("answer frame of {bytes} bytes exceeds the link's frame size limit");
             let failure = Failure::maybe_ran(ErrorKind::Internal, message);
             let _ = self
                 .outgoing
@@ -88,8 +88,8 @@
 }
 
 impl LinkServer {
-    /// Accepts links for ever and hands each stream to `handler`, on this arbiter. Dropping the
-    /// future ends all links.
+    /// Accepts links and passes each stream to `handler` on this arbiter. Dropping the future closes
+    /// all links.
     pub async fn serve(
         self: Rc<Self>,
         listener: TcpListener,
@@ -110,7 +110,7 @@
                     links.spawn_local(server.serve_link(socket, from, handler));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "a link could not be accepted");
+                    tracing::warn!(%error, "failed to accept a link");
                     tokio::time::sleep(self.settings.ping_interval).await;
                 }
             }
@@ -124,17 +124,17 @@
         handler: Rc<dyn Fn(ServerStream)>,
     ) {
         let _ = socket.set_nodelay(true);
-        let mut wired = Framed::new(socket, self.settings.codec());
-        let peer = match self.shake_hands(&mut wired).await {
+        let mut connection = Framed::new(socket, self.settings.codec());
+        let peer = match self.exchange_hello(&mut connection).await {
             Ok(peer) => Rc::new(peer),
             Err(reason) => {
                 self.settings.metrics.count_rejected(reason);
-                tracing::debug!(%from, reason, "a link was not taken up");
+                tracing::debug!(%from, reason, "link rejected");
                 return;
             }
         };
         let (outgoing, queue) = Outgoing::new(&peer.id, &self.settings, self.policy.clone());
-        let announcing = actix_rt::spawn(announce(self.announcement.clone(), outgoing.clone()));
+        let announce_task = actix_rt::spawn(announce(self.announcement.clone(), outgoing.clone()));
         let accepted = AcceptedLink {
             server: &self,
             peer: peer.clone(),
@@ -148,14 +148,17 @@
             policy: &self.policy,
             peer: &peer.id,
         };
-        let incoming = |received: Frame, size: usize| accepted.receive(received, size);
-        session.run(wired, queue, incoming).await;
-        announcing.abort();
+        let on_frame = |received: Frame, size: usize| accepted.receive(received, size);
+        session.run(connection, queue, on_frame).await;
+        announce_task.abort();
         accepted.streams.clear();
     }
 
-    async fn shake_hands(&self, wired: &mut Wired) -> Result<Hello, &'static str> {
-        let first = tokio::time::timeout(self.settings.connect_timeout, wired.next()).await;
+    async fn exchange_hello(
+        &self,
+        connection: &mut FramedConnection,
+    ) -> Result<Hello, &'static str> {
+        let first = tokio::time::timeout(self.settings.connect_timeout, connection.next()).await;
         let bytes = match first {
             Err(_) => return Err("no_hello_in_time"),
             Ok(None) => return Err("closed"),
@@ -171,7 +174,7 @@
         };
         tokio::time::sleep(self.policy.path(&peer.id).delay).await;
         let hello = frame::Body::Hello(self.hello.clone());
-        send_now(wired, hello).await.map_err(|_| "closed")?;
+        send_now(connection, hello).await.map_err(|_| "closed")?;
         if peer.protocol != PROTOCOL_VERSION {
             return Err("protocol");
         }
@@ -179,7 +182,6 @@
     }
 }
 
-/// One accepted link.
 struct AcceptedLink<'a> {
     server: &'a LinkServer,
     peer: Rc<Hello>,
@@ -222,7 +224,7 @@
     fn open(&self, id: u64, first: frame::Body) {
         if self.streams.len() >= self.server.settings.maximum_streams {
             self.server.settings.metrics.streams_refused.inc();
-            let message = "too many streams are open on this link";
+            let message = "too many open streams on this link";
             let failure = Failure::not_run(ErrorKind::Overloaded, message)
                 .retry_after(REFUSED_RETRY_AFTER_MS);
             let _ = self
--- a/crates/transport/src/link/session.rs
+++ b/crates/transport/src/link/session.rs
@@ -1,4 +1,4 @@
-//! The life of one connection after Hello: frames both ways until it ends.
+//! The frame loop of one connection after the handshake.
 
 use std::time::Duration;
 
@@ -16,32 +16,32 @@
 use crate::policy::SharedPolicy;
 
 /// A connection that carries frames.
-pub(super) type Wired = Framed<TcpStream, LengthDelimitedCodec>;
+pub(super) type FramedConnection = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Shortest pause between two looks at a path that is cut.
-const CUT_LOOK: Duration = Duration::from_millis(5);
+/// Polling interval while the path is partitioned.
+const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a connection ended.
+/// Why a connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Nobody here uses it any more.
+    /// This end closed it or no longer uses it.
     LocalEnd,
-    /// The peer closed it, or it broke.
+    /// The peer closed it or an I/O error occurred.
     PeerEnd,
-    /// Nothing was heard for the idle timeout.
+    /// Nothing was received for the idle timeout.
     Idle,
-    /// Nothing could be written for the idle timeout.
+    /// A write made no progress for the idle timeout.
     Stalled,
-    /// More frames waited than the bound allows.
+    /// The outgoing queue exceeded its limit.
     SlowPeer,
-    /// The peer sent a frame larger than the bound.
+    /// The peer sent a frame larger than the limit.
     Oversize,
-    /// The peer sent bytes that are no frame.
+    /// The peer sent bytes that do not decode as a frame.
     Garbage,
 }
 
 impl CloseReason {
-    /// Label in metrics.
+    /// Metric label.
     pub const fn name(self) -> &'static str {
         match self {
             CloseReason::LocalEnd => "local_end",
@@ -55,26 +55,31 @@
     }
 }
 
-/// One connection and its way to the peer.
+/// A connection with its settings and policy.
 pub(super) struct Session<'a> {
     pub settings: &'a LinkSettings,
     pub policy: &'a SharedPolicy,
-    /// Name by which the policy knows the path.
+    /// Name of the path in the policy.
     pub peer: &'a str,
 }
 
 impl Session<'_> {
-    /// Moves frames both ways until the connection ends; `incoming` is given each frame with its
-    /// size in bytes.
-    pub async fn run(&self, wired: Wired, queue: OutgoingQueue, incoming: impl Fn(Frame, usize)) {
+    /// Sends and receives frames until the connection ends; `on_frame` is called with each received
+    /// frame and its size in bytes.
+    pub async fn run(
+        &self,
+        connection: FramedConnection,
+        queue: OutgoingQueue,
+        on_frame: impl Fn(Frame, usize),
+    ) {
         let metrics = &self.settings.metrics;
         metrics.open.inc();
-        let (sink, source) = wired.split();
+        let (sink, source) = connection.split();
         let state = queue.state.clone();
         let reason = tokio::select! {
             reason = self.send_all(sink, queue) => reason,
-            reason = self.receive_all(source, incoming) => reason,
-            reason = state.wait_end() => reason,
+            reason = self.receive_all(source, on_frame) => reason,
+            reason = state.wait_closed() => reason,
         };
         metrics.open.dec();
         metrics.count_closed(reason.name());
@@ -82,8 +87,8 @@
 
     async fn receive_all(
         &self,
-        mut source: SplitStream<Wired>,
-        incoming: impl Fn(Frame, usize),
+        mut source: SplitStream<FramedConnection>,
+        on_frame: impl Fn(Frame, usize),
     ) -> CloseReason {
         loop {
             let next = tokio::time::timeout(self.settings.idle_timeout, source.next()).await;
@@ -99,21 +104,22 @@
             let size = bytes.len();
             self.settings.metrics.count_received(size);
             match Frame::decode(bytes) {
-                Ok(received) => incoming(received, size),
+                Ok(received) => on_frame(received, size),
                 Err(_) => return CloseReason::Garbage,
             }
         }
     }
 
-    /// Writes queued frames in order, each after the path's delay; holds them while it is cut.
+    /// Writes queued frames in order, each after the path's delay; pauses while the path is
+    /// partitioned.
     async fn send_all(
         &self,
-        mut sink: SplitSink<Wired, Bytes>,
+        mut sink: SplitSink<FramedConnection, Bytes>,
         mut queue: OutgoingQueue,
     ) -> CloseReason {
         let mut pings = tokio::time::interval(self.settings.ping_interval);
         loop {
-            // Queued frames first: a ping made now is due later than they are, and would hold them up.
+            // Queued frames first: a new ping is due later than they are and would delay them.
             let queued = tokio::select! {
                 biased;
                 queued = queue.frames.recv() => match queued {
@@ -139,7 +145,7 @@
 
     async fn write(
         &self,
-        sink: &mut SplitSink<Wired, Bytes>,
+        sink: &mut SplitSink<FramedConnection, Bytes>,
         queued: Queued,
     ) -> Result<(), CloseReason> {
         if queued.due > Instant::now() {
@@ -147,7 +153,7 @@
             dappleyard_clock::sleep_until(queued.due).await;
         }
         while self.policy.path(self.peer).cut {
-            tokio::time::sleep(CUT_LOOK).await;
+            tokio::time::sleep(PARTITION_POLL_INTERVAL).await;
         }
         self.settings.metrics.count_sent(queued.bytes.len());
         self.within_idle_timeout(sink.feed(queued.bytes)).await
@@ -172,8 +178,11 @@
     }
 }
 
-/// Writes one frame of the link itself, outside a session.
-pub(super) async fn send_now(wired: &mut Wired, body: frame::Body) -> Result<(), String> {
-    let sent = wired.send(encode(0, body)).await;
+/// Writes one control frame directly, before a session runs.
+pub(super) async fn send_now(
+    connection: &mut FramedConnection,
+    body: frame::Body,
+) -> Result<(), String> {
+    let sent = connection.send(encode(0, body)).await;
     sent.map_err(|error| error.to_string())
 }
--- a/crates/transport/src/link/settings.rs
+++ b/crates/transport/src/link/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds and timers of links.
+//! Limits and timeouts of links.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,26 +8,26 @@
 
 use super::metrics::LinkMetrics;
 
-/// Bounds and timers of links.
+/// Limits and timeouts of links.
 #[derive(Debug, Clone)]
 pub struct LinkSettings {
-    /// Longest time to connect and exchange Hello.
+    /// Maximum time to connect and exchange Hello.
     pub connect_timeout: Duration,
-    /// Time between pings.
+    /// Interval between pings.
     pub ping_interval: Duration,
-    /// A link on which nothing was heard, or nothing could be written, for this long is lost.
+    /// Time without reads, or without progress on a write, after which a link is closed.
     pub idle_timeout: Duration,
-    /// Largest frame, bytes.
+    /// Maximum frame size, bytes.
     pub maximum_frame_bytes: usize,
-    /// Most bytes that wait to be sent on one link.
+    /// Maximum bytes queued for sending on one link.
     pub maximum_queued_bytes: usize,
-    /// Most bytes that wait to be read on one stream.
+    /// Maximum received bytes buffered on one stream.
     pub maximum_stream_bytes: usize,
-    /// Most streams open on one accepted link.
+    /// Maximum open streams on one accepted link.
     pub maximum_streams: usize,
-    /// Most links accepted at once.
+    /// Maximum accepted links.
     pub maximum_links: usize,
-    /// Where links are counted.
+    /// Metrics of all links with these settings.
     pub metrics: Arc<LinkMetrics>,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl LinkSettings {
-    /// The codec of frames: a length of four bytes before each.
+    /// The frame codec: each frame has a length prefix of four bytes.
     pub(super) fn codec(&self) -> LengthDelimitedCodec {
         LengthDelimitedCodec::builder()
             .max_frame_length(self.maximum_frame_bytes)
--- a/crates/transport/src/link/stream.rs
+++ b/crates/transport/src/link/stream.rs
@@ -1,4 +1,4 @@
-//! Open streams of one link, and the frames that wait to be read on each.
+//! Open streams of one link, each with a buffer of received frames.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,14 +7,14 @@
 use dappleyard_wire::messages::frame;
 use tokio::sync::mpsc;
 
-/// What became of a received frame.
+/// Result of delivering a received frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// It waits to be read.
+    /// The frame was buffered.
     Delivered,
-    /// No such stream is open.
+    /// The stream is not open.
     Unknown,
-    /// More waited than the bound allows: the stream was ended.
+    /// The buffer limit was exceeded, and the stream was closed.
     Overflow,
 }
 
@@ -25,11 +25,11 @@
 }
 
 struct StreamSender {
-    frames: mpsc::UnboundedSender<Waiting>,
+    frames: mpsc::UnboundedSender<BufferedFrame>,
     bytes: Rc<Cell<usize>>,
 }
 
-struct Waiting {
+struct BufferedFrame {
     body: frame::Body,
     size: usize,
 }
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Opens a stream; it is forgotten when its receiver is dropped.
+    /// Opens a stream; it is removed when its receiver is dropped.
     pub fn insert(self: &Rc<Self>, id: u64) -> StreamReceiver {
         let (sender, frames) = mpsc::unbounded_channel();
         let bytes = Rc::new(Cell::new(0));
@@ -59,19 +59,19 @@
         })
     }
 
-    /// Hands a frame of `size` bytes to its stream.
+    /// Delivers a frame of `size` bytes to its stream.
     pub fn deliver(&self, id: u64, body: frame::Body, size: usize) -> Delivery {
         let mut open = self.open.borrow_mut();
         let Some(sender) = open.get(&id) else {
             return Delivery::Unknown;
         };
-        let waiting = sender.bytes.get() + size;
-        if waiting > self.maximum_stream_bytes {
+        let buffered = sender.bytes.get() + size;
+        if buffered > self.maximum_stream_bytes {
             open.remove(&id);
             return Delivery::Overflow;
         }
-        sender.bytes.set(waiting);
-        match sender.frames.send(Waiting { body, size }) {
+        sender.bytes.set(buffered);
+        match sender.frames.send(BufferedFrame { body, size }) {
             Ok(()) => Delivery::Delivered,
             Err(_) => Delivery::Unknown,
         }
@@ -81,7 +81,7 @@
         self.open.borrow().len()
     }
 
-    /// Ends all streams: their receivers see `None` after what waits.
+    /// Closes all streams; their receivers return `None` after the buffered frames.
     pub fn clear(&self) {
         let ended = std::mem::take(&mut *self.open.borrow_mut());
         drop(ended);
@@ -93,7 +93,7 @@
 
 enum Source {
     Link {
-        frames: mpsc::UnboundedReceiver<Waiting>,
+        frames: mpsc::UnboundedReceiver<BufferedFrame>,
         bytes: Rc<Cell<usize>>,
         id: u64,
         table: Weak<StreamTable>,
@@ -102,13 +102,13 @@
 }
 
 impl StreamReceiver {
-    /// Next frame; `None` after the link was lost or the stream was ended.
+    /// Receives the next frame; `None` once the link is lost or the stream is closed.
     pub async fn recv(&mut self) -> Option<frame::Body> {
         match &mut self.0 {
             Source::Link { frames, bytes, .. } => {
-                let waiting = frames.recv().await?;
-                bytes.set(bytes.get().saturating_sub(waiting.size));
-                Some(waiting.body)
+                let buffered = frames.recv().await?;
+                bytes.set(bytes.get().saturating_sub(buffered.size));
+                Some(buffered.body)
             }
             Source::Local(frames) => frames.recv().await,
         }
@@ -116,7 +116,7 @@
 }
 
 impl From<mpsc::UnboundedReceiver<frame::Body>> for StreamReceiver {
-    /// The receiving end of a stream within one worker.
+    /// Creates the receiver of a stream within one worker.
     fn from(frames: mpsc::UnboundedReceiver<frame::Body>) -> Self {
         Self(Source::Local(frames))
     }
--- a/crates/transport/src/policy.rs
+++ b/crates/transport/src/policy.rs
@@ -1,4 +1,4 @@
-//! The port through which an experiment shapes traffic between two processes.
+//! Interface through which experiments shape traffic between two processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 pub struct LinkState {
     /// One-way delay added to each frame or datagram.
     pub delay: Duration,
-    /// Nothing passes: frames wait until the path is whole, datagrams are dropped.
+    /// Whether the path is partitioned: frames wait until it heals, datagrams are dropped.
     pub cut: bool,
-    /// Share of datagrams dropped, 0 to 1.
+    /// Fraction of datagrams dropped, 0 to 1.
     pub loss: f64,
 }
 
 impl LinkState {
-    /// A path without delay, cut or loss.
+    /// A path without delay, partition or loss.
     pub const DIRECT: LinkState = LinkState {
         delay: Duration::ZERO,
         cut: false,
@@ -23,15 +23,15 @@
     };
 }
 
-/// Says what the path to a peer is like at this moment. Asked for each frame and datagram by the
-/// sender, so both directions are shaped. `peer` is the address dialled, or for the accepting end
-/// of a TCP link the id in the peer's Hello.
+/// Current state of the path to each peer. The sender queries it for each frame and datagram, so both
+/// directions are shaped. `peer` is the dialled address or, at the accepting end of a link, the id in
+/// the peer's Hello.
 pub trait LinkPolicy: Send + Sync {
-    /// State of the path from the process that holds this policy to `peer`.
+    /// State of the path from this process to `peer`.
     fn path(&self, peer: &str) -> LinkState;
 }
 
-/// No shaping.
+/// A policy without shaping.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct DirectPolicy;
 
@@ -41,5 +41,4 @@
     }
 }
 
-/// A shared policy.
 pub type SharedPolicy = Arc<dyn LinkPolicy>;
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -1,4 +1,4 @@
-//! Links from one worker thread to other nodes, by address.
+//! Pool of links from one worker thread to other nodes, by address.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,8 +14,8 @@
 use crate::link::{Link, LinkError, LinkSettings};
 use crate::policy::SharedPolicy;
 
-/// Time for which a failed dial is not tried again, so that a lost node costs each request nothing.
-const REDIAL_PAUSE: Duration = Duration::from_millis(200);
+/// Time for which a failed dial is cached, so that requests to a lost node fail immediately.
+const REDIAL_BACKOFF: Duration = Duration::from_millis(200);
 
 type Dial = Shared<LocalBoxFuture<'static, Result<Link, LinkError>>>;
 
@@ -26,10 +26,10 @@
 }
 
 impl Slot {
-    /// Addresses of nodes that are gone for good do not pile up.
-    fn is_forgotten(&self) -> bool {
+    /// Whether the slot can be removed, so that addresses of removed nodes do not accumulate.
+    fn is_expired(&self) -> bool {
         match self {
-            Slot::Failed(_, at) => at.elapsed() >= REDIAL_PAUSE,
+            Slot::Failed(_, at) => at.elapsed() >= REDIAL_BACKOFF,
             Slot::Up(link) => !link.is_up(),
             Slot::Dialling(_) => false,
         }
@@ -39,21 +39,21 @@
 /// Why a unary call gave no reply.
 #[derive(Debug, Clone, PartialEq, Display, Error)]
 pub enum CallError {
-    /// No link: the call was not sent.
+    /// The link could not be used, and the call was not sent.
     #[display("{_0}")]
     NotSent(#[error(not(source))] LinkError),
-    /// The link was lost, or the reply did not come in time: the call may have taken effect.
+    /// The link was lost or the reply timed out; the call may have taken effect.
     #[display("no reply: {reason}")]
     NoReply {
-        /// What was seen.
+        /// Description of the cause.
         reason: String,
     },
-    /// The peer refused.
+    /// The peer refused the call.
     #[display("refused: {}", _0.message)]
     Refused(#[error(not(source))] Refused),
 }
 
-/// Links by address; each is dialled once and shared by all streams of the thread.
+/// Links by address. Concurrent requests share one dial, and all streams of the thread one link.
 pub struct LinkPool {
     hello: Hello,
     settings: LinkSettings,
@@ -62,7 +62,7 @@
 }
 
 impl LinkPool {
-    /// An empty pool whose links introduce themselves with `hello`.
+    /// Creates an empty pool whose links send `hello`.
     pub fn new(hello: Hello, settings: LinkSettings, policy: SharedPolicy) -> LinkPool {
         LinkPool {
             hello,
@@ -72,11 +72,11 @@
         }
     }
 
-    /// A link to `address`, dialled when there is none.
+    /// Returns a link to `address`, dialling it if there is none.
     pub async fn get(&self, address: &str) -> Result<Link, LinkError> {
         let dial = match self.links.borrow().get(address) {
             Some(Slot::Up(link)) if link.is_up() => return Ok(link.clone()),
-            Some(Slot::Failed(error, at)) if at.elapsed() < REDIAL_PAUSE => {
+            Some(Slot::Failed(error, at)) if at.elapsed() < REDIAL_BACKOFF => {
                 return Err(error.clone());
             }
             Some(Slot::Dialling(dial)) => Some(dial.clone()),
@@ -89,31 +89,31 @@
             Err(error) => Slot::Failed(error.clone(), Instant::now()),
         };
         let mut links = self.links.borrow_mut();
-        links.retain(|_, slot| !slot.is_forgotten());
+        links.retain(|_, slot| !slot.is_expired());
         if matches!(links.get(address), Some(Slot::Dialling(_))) {
             links.insert(address.to_owned(), slot);
         }
         result
     }
 
-    /// Sends a unary call and waits for its reply for at most `patience`.
+    /// Sends a unary call and waits at most `reply_timeout` for its reply.
     pub async fn call(
         &self,
         address: &str,
         mut call: Call,
-        patience: Duration,
+        reply_timeout: Duration,
     ) -> Result<Reply, CallError> {
-        call.budget_ms = u32::try_from(patience.as_millis()).unwrap_or(u32::MAX);
+        call.budget_ms = u32::try_from(reply_timeout.as_millis()).unwrap_or(u32::MAX);
         let link = self.get(address).await.map_err(CallError::NotSent)?;
         let mut stream = link
             .open(frame::Body::Call(call))
             .map_err(CallError::NotSent)?;
-        match tokio::time::timeout(patience, stream.receive()).await {
+        match tokio::time::timeout(reply_timeout, stream.receive()).await {
             Ok(Ok(frame::Body::Reply(reply))) => Ok(reply),
             Ok(Ok(frame::Body::Refused(refused))) => Err(CallError::Refused(refused)),
-            Ok(Ok(_)) => Err(no_reply("another frame came in its place")),
+            Ok(Ok(_)) => Err(no_reply("unexpected frame type")),
             Ok(Err(error)) => Err(no_reply(&error.to_string())),
-            Err(_) => Err(no_reply("the time for it passed")),
+            Err(_) => Err(no_reply("timed out")),
         }
     }
 
--- a/crates/transport/tests/datagram.rs
+++ b/crates/transport/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams between two sockets: what passes, what is dropped, what is not ours.
+//! Datagrams between two sockets: delivery, loss, delay and malformed input.
 
 mod support;
 
@@ -10,14 +10,14 @@
 use dappleyard_transport::datagram::Received;
 use dappleyard_wire::messages::{Datagram, Probe, datagram};
 use googletest::prelude::*;
-use support::SwitchedPolicy;
+use support::AdjustablePolicy;
 
-async fn socket(policy: &Arc<SwitchedPolicy>) -> DatagramSocket {
+async fn socket(policy: &Arc<AdjustablePolicy>) -> DatagramSocket {
     let address = "127.0.0.1:0".parse().unwrap();
     DatagramSocket::bind(address, policy.clone()).await.unwrap()
 }
 
-fn numbered(sequence: u64) -> Datagram {
+fn datagram_with_sequence(sequence: u64) -> Datagram {
     Datagram {
         from: "node-1".to_owned(),
         sequence,
@@ -36,9 +36,12 @@
 #[gtest]
 #[actix_rt::test]
 async fn a_datagram_arrives_with_its_size_and_sender() {
-    let policy = SwitchedPolicy::direct();
+    let policy = AdjustablePolicy::direct();
     let (sender, receiver) = (socket(&policy).await, socket(&policy).await);
-    let size = sender.send(receiver.local_address().unwrap(), &numbered(7));
+    let size = sender.send(
+        receiver.local_address().unwrap(),
+        &datagram_with_sequence(7),
+    );
     let Received::Message {
         from,
         datagram,
@@ -47,15 +50,15 @@
     else {
         panic!("malformed");
     };
-    expect_that!(*datagram, eq(&numbered(7)));
+    expect_that!(*datagram, eq(&datagram_with_sequence(7)));
     expect_that!(bytes, eq(size));
     expect_that!(from, eq(sender.local_address().unwrap()));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn garbage_is_told_apart_and_what_follows_is_read() {
-    let policy = SwitchedPolicy::direct();
+async fn malformed_datagrams_are_reported_and_later_ones_are_received() {
+    let policy = AdjustablePolicy::direct();
     let (sender, receiver) = (socket(&policy).await, socket(&policy).await);
     let to = receiver.local_address().unwrap();
     let raw = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -69,36 +72,39 @@
             })
         );
     }
-    sender.send(to, &numbered(1));
+    sender.send(to, &datagram_with_sequence(1));
     expect_that!(next_sequence(&receiver).await, eq(1));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn what_is_cut_or_lost_does_not_arrive() {
-    let policy = SwitchedPolicy::direct();
+async fn datagrams_on_a_partitioned_or_lossy_path_are_dropped() {
+    let policy = AdjustablePolicy::direct();
     let (sender, receiver) = (socket(&policy).await, socket(&policy).await);
     let to = receiver.local_address().unwrap();
     policy.set(|path| path.cut = true);
-    sender.send(to, &numbered(1));
+    sender.send(to, &datagram_with_sequence(1));
     policy.set(|path| path.cut = false);
     policy.set(|path| path.loss = 1.0);
-    sender.send(to, &numbered(2));
+    sender.send(to, &datagram_with_sequence(2));
     policy.set(|path| path.loss = 0.0);
-    sender.send(to, &numbered(3));
+    sender.send(to, &datagram_with_sequence(3));
     expect_that!(next_sequence(&receiver).await, eq(3));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_delay_holds_a_datagram() {
-    let policy = SwitchedPolicy::direct();
+async fn a_path_delay_is_applied_to_a_datagram() {
+    let policy = AdjustablePolicy::direct();
     let (sender, receiver) = (socket(&policy).await, socket(&policy).await);
     tokio::time::pause();
     let delay = Duration::from_secs(5);
     policy.set(|path| path.delay = delay);
     let sent_at = Instant::now();
-    sender.send(receiver.local_address().unwrap(), &numbered(1));
+    sender.send(
+        receiver.local_address().unwrap(),
+        &datagram_with_sequence(1),
+    );
     expect_that!(next_sequence(&receiver).await, eq(1));
     expect_that!(sent_at.elapsed(), ge(delay));
 }
--- a/crates/transport/tests/hostile_peer.rs
+++ b/crates/transport/tests/hostile_peer.rs
@@ -1,5 +1,4 @@
-//! What a peer that does not speak the protocol, or speaks it badly, can do: nothing but lose its
-//! own link.
+//! A peer that violates the protocol loses its own link and does not affect others.
 
 mod support;
 
@@ -10,28 +9,28 @@
 use dappleyard_wire::messages::{Cancel, Frame, frame};
 use googletest::prelude::*;
 use prost::Message;
-use support::{TestServer, chunk, echo_server, hello, serve, settings, submit, until};
+use support::{TestServer, chunk, echo_server, hello, serve, settings, submit, wait_until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-async fn raw(server: &TestServer) -> TcpStream {
+async fn connect_raw(server: &TestServer) -> TcpStream {
     TcpStream::connect(server.address).await.unwrap()
 }
 
-fn framed(stream: u64, body: frame::Body) -> Vec<u8> {
+fn encode_frame(stream: u64, body: frame::Body) -> Vec<u8> {
     let frame = Frame {
         stream,
         body: Some(body),
     };
     let bytes = frame.encode_to_vec();
-    let mut framed = u32::try_from(bytes.len()).unwrap().to_be_bytes().to_vec();
-    framed.extend_from_slice(&bytes);
-    framed
+    let mut encode_frame = u32::try_from(bytes.len()).unwrap().to_be_bytes().to_vec();
+    encode_frame.extend_from_slice(&bytes);
+    encode_frame
 }
 
-async fn raw_after_hello(server: &TestServer) -> TcpStream {
-    let mut socket = raw(server).await;
-    let greeting = framed(0, frame::Body::Hello(hello("raw")));
+async fn connect_raw_with_hello(server: &TestServer) -> TcpStream {
+    let mut socket = connect_raw(server).await;
+    let greeting = encode_frame(0, frame::Body::Hello(hello("raw")));
     socket.write_all(&greeting).await.unwrap();
     let mut length = [0_u8; 4];
     socket.read_exact(&mut length).await.unwrap();
@@ -40,7 +39,7 @@
     socket
 }
 
-async fn expect_others_undisturbed(server: &TestServer) {
+async fn expect_other_links_work(server: &TestServer) {
     let link = server.dial().await.unwrap();
     let mut stream = link.open(submit()).unwrap();
     expect_that!(stream.receive().await, ok(eq(&chunk(1))));
@@ -48,23 +47,23 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn garbage_in_place_of_hello_is_rejected() {
+async fn malformed_hello_is_rejected() {
     let server = echo_server(settings()).await;
-    let mut socket = raw(&server).await;
+    let mut socket = connect_raw(&server).await;
     let bytes = b"GET / HTTP/1.1\r\nHost: nobody\r\n\r\n";
     socket.write_all(bytes).await.unwrap();
-    until(|| server.rejected("garbage") == 1).await;
-    expect_others_undisturbed(&server).await;
+    wait_until(|| server.rejected("garbage") == 1).await;
+    expect_other_links_work(&server).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_connection_that_says_nothing_is_given_up() {
+async fn a_silent_connection_is_rejected_after_the_timeout() {
     let server = echo_server(settings()).await;
-    let _socket = raw(&server).await;
+    let _socket = connect_raw(&server).await;
     tokio::time::sleep(Duration::from_millis(1)).await;
     tokio::time::pause();
-    until(|| server.rejected("no_hello_in_time") == 1).await;
+    wait_until(|| server.rejected("no_hello_in_time") == 1).await;
 }
 
 #[gtest]
@@ -73,42 +72,42 @@
     let server = echo_server(settings()).await;
     let mut other = hello("raw");
     other.protocol = 99;
-    let mut socket = raw(&server).await;
-    let greeting = framed(0, frame::Body::Hello(other));
+    let mut socket = connect_raw(&server).await;
+    let greeting = encode_frame(0, frame::Body::Hello(other));
     socket.write_all(&greeting).await.unwrap();
-    until(|| server.rejected("protocol") == 1).await;
+    wait_until(|| server.rejected("protocol") == 1).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn garbage_after_hello_ends_only_this_link() {
+async fn a_malformed_frame_closes_only_its_link() {
     let server = echo_server(settings()).await;
-    let mut socket = raw_after_hello(&server).await;
+    let mut socket = connect_raw_with_hello(&server).await;
     socket
         .write_all(&[0, 0, 0, 5, 255, 255, 255, 255, 255])
         .await
         .unwrap();
-    until(|| server.closed("garbage") == 1).await;
-    expect_others_undisturbed(&server).await;
+    wait_until(|| server.closed("garbage") == 1).await;
+    expect_other_links_work(&server).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn an_oversize_frame_ends_only_this_link() {
+async fn an_oversize_frame_closes_only_its_link() {
     let server = echo_server(settings()).await;
-    let mut socket = raw_after_hello(&server).await;
+    let mut socket = connect_raw_with_hello(&server).await;
     socket.write_all(&[127, 0, 0, 0, 1, 2, 3]).await.unwrap();
-    until(|| server.closed("oversize") == 1).await;
-    expect_others_undisturbed(&server).await;
+    wait_until(|| server.closed("oversize") == 1).await;
+    expect_other_links_work(&server).await;
 }
 
 #[gtest]
 #[actix_rt::test]
 async fn frames_of_streams_that_are_not_open_are_dropped_and_counted() {
     let server = echo_server(settings()).await;
-    let mut socket = raw_after_hello(&server).await;
+    let mut socket = connect_raw_with_hello(&server).await;
     let cancel = frame::Body::Cancel(Cancel::default());
-    for body in [framed(5, cancel), framed(6, chunk(1))] {
+    for body in [encode_frame(5, cancel), encode_frame(6, chunk(1))] {
         socket.write_all(&body).await.unwrap();
     }
     let dropped = server
@@ -116,7 +115,7 @@
         .metrics
         .frames_dropped
         .with_label_values(&["no_stream"]);
-    until(|| dropped.get() == 2).await;
+    wait_until(|| dropped.get() == 2).await;
 }
 
 #[gtest]
@@ -126,16 +125,16 @@
     let count = handled.clone();
     let handler = Rc::new(move |_: ServerStream| count.set(count.get() + 1));
     let server = serve(settings(), handler).await;
-    let mut socket = raw_after_hello(&server).await;
+    let mut socket = connect_raw_with_hello(&server).await;
     for _ in 0..3 {
-        socket.write_all(&framed(4, submit())).await.unwrap();
+        socket.write_all(&encode_frame(4, submit())).await.unwrap();
     }
     let dropped = server
         .settings
         .metrics
         .frames_dropped
         .with_label_values(&["no_stream"]);
-    until(|| dropped.get() == 2).await;
+    wait_until(|| dropped.get() == 2).await;
     expect_that!(handled.get(), eq(1));
 }
 
@@ -144,7 +143,7 @@
 async fn a_peer_that_does_not_read_loses_its_link() {
     let mut bounds = settings();
     bounds.maximum_queued_bytes = 1_000_000;
-    // A busy machine may take longer to fill the queue than a silent peer is borne.
+    // On a busy machine filling the queue may take longer than the default idle timeout.
     bounds.idle_timeout = Duration::from_secs(3_600);
     let handler = Rc::new(|stream: ServerStream| {
         actix_rt::spawn(async move {
@@ -154,9 +153,9 @@
         });
     });
     let server = serve(bounds, handler).await;
-    let mut socket = raw_after_hello(&server).await;
-    socket.write_all(&framed(1, submit())).await.unwrap();
-    until(|| server.closed("slow_peer") == 1).await;
+    let mut socket = connect_raw_with_hello(&server).await;
+    socket.write_all(&encode_frame(1, submit())).await.unwrap();
+    wait_until(|| server.closed("slow_peer") == 1).await;
     drop(socket);
 }
 
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between two ends: streams, announcements, loss, shaping.
+//! Links between two ends: streams, announcements, loss and traffic shaping.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use dappleyard_wire::ErrorKind;
 use dappleyard_wire::messages::{NodeLoad, PeerNode, Peers, frame};
 use googletest::prelude::*;
-use support::{SwitchedPolicy, chunk, echo_server, serve, settings, submit, until};
+use support::{AdjustablePolicy, chunk, echo_server, serve, settings, submit, wait_until};
 
 #[gtest]
 #[actix_rt::test]
@@ -46,25 +46,25 @@
         now.peers.nodes.push(PeerNode::default());
         now.load = Some(load.clone());
     });
-    until(|| link.load().is_some()).await;
+    wait_until(|| link.load().is_some()).await;
     expect_that!(link.peers().nodes.len(), eq(1));
     server.announcement.send_modify(|now| now.ready = false);
-    until(|| !link.takes_new_work()).await;
+    wait_until(|| !link.takes_new_work()).await;
     server.announcement.send_modify(|now| now.ready = true);
-    until(|| link.takes_new_work()).await;
+    wait_until(|| link.takes_new_work()).await;
     server
         .announcement
         .send_modify(|now| now.go_away_ms = Some(1_000));
-    until(|| !link.takes_new_work()).await;
+    wait_until(|| !link.takes_new_work()).await;
     expect_that!(link.is_up(), eq(true));
-    // A drain that is taken back: the same link is used again.
+    // After a cancelled drain the same link accepts work again.
     server.announcement.send_modify(|now| now.go_away_ms = None);
-    until(|| link.takes_new_work()).await;
+    wait_until(|| link.takes_new_work()).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_link_that_comes_late_is_told_everything() {
+async fn a_new_link_receives_the_full_status() {
     let server = echo_server(settings()).await;
     server.announcement.send_replace(Announcement {
         ready: false,
@@ -75,13 +75,13 @@
         load: None,
     });
     let link = server.dial().await.unwrap();
-    until(|| !link.takes_new_work()).await;
+    wait_until(|| !link.takes_new_work()).await;
     expect_that!(link.peers().nodes.len(), eq(1));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn streams_end_when_the_server_is_gone() {
+async fn streams_end_when_the_server_stops() {
     let server = echo_server(settings()).await;
     let link = server.dial().await.unwrap();
     let mut stream = link.open(submit()).unwrap();
@@ -100,20 +100,20 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_link_is_closed_when_its_last_user_is_gone() {
+async fn a_link_is_closed_when_its_last_clone_is_dropped() {
     let server = echo_server(settings()).await;
     let link = server.dial().await.unwrap();
     let clone = link.clone();
     drop(link);
     expect_that!(server.closed("peer_end"), eq(0));
     drop(clone);
-    until(|| server.closed("peer_end") == 1).await;
+    wait_until(|| server.closed("peer_end") == 1).await;
     expect_that!(server.settings.metrics.open.get(), eq(0));
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_path_that_is_cut_is_noticed_by_silence_at_both_ends() {
+async fn a_partition_is_detected_by_the_idle_timeout() {
     let server = echo_server(settings()).await;
     let link = server.dial().await.unwrap();
     tokio::time::pause();
@@ -121,14 +121,14 @@
     server.policy.set(|path| path.cut = true);
     link.wait_lost().await;
     expect_that!(cut_at.elapsed(), ge(settings().idle_timeout));
-    until(|| server.closed("peer_end") + server.closed("idle") == 1).await;
+    wait_until(|| server.closed("peer_end") + server.closed("idle") == 1).await;
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn frames_wait_while_the_path_is_cut_and_pass_in_order_after_it() {
+async fn frames_are_held_during_a_partition_and_delivered_in_order_after_it() {
     let server = echo_server(settings()).await;
-    let policy = SwitchedPolicy::direct();
+    let policy = AdjustablePolicy::direct();
     let link = server.dial_through(policy.clone()).await.unwrap();
     let mut stream = link.open(submit()).unwrap();
     stream.receive().await.unwrap();
@@ -143,11 +143,11 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_cut_that_begins_between_two_queued_frames_holds_the_second() {
-    let mut patient = settings();
-    patient.idle_timeout = Duration::from_secs(600);
-    let server = echo_server(patient).await;
-    let policy = SwitchedPolicy::direct();
+async fn a_partition_between_two_queued_frames_holds_the_second() {
+    let mut long_timeout = settings();
+    long_timeout.idle_timeout = Duration::from_secs(600);
+    let server = echo_server(long_timeout).await;
+    let policy = AdjustablePolicy::direct();
     let link = server.dial_through(policy.clone()).await.unwrap();
     let mut stream = link.open(submit()).unwrap();
     stream.receive().await.unwrap();
@@ -168,7 +168,7 @@
 #[actix_rt::test]
 async fn a_delay_is_added_to_each_frame_but_not_summed_over_frames() {
     let server = echo_server(settings()).await;
-    let policy = SwitchedPolicy::direct();
+    let policy = AdjustablePolicy::direct();
     let link = server.dial_through(policy.clone()).await.unwrap();
     let mut stream = link.open(submit()).unwrap();
     stream.receive().await.unwrap();
@@ -205,7 +205,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_frame_larger_than_the_bound_is_not_sent_and_harms_no_one() {
+async fn an_oversize_frame_is_not_sent_and_the_stream_stays_usable() {
     let server = echo_server(settings()).await;
     let link = server.dial().await.unwrap();
     let mut stream = link.open(submit()).unwrap();
@@ -220,7 +220,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn an_answer_larger_than_a_frame_is_told_as_a_failure() {
+async fn an_oversize_answer_is_replaced_by_a_refusal() {
     let handler = Rc::new(|stream: ServerStream| drop(stream.send(chunk(20_000))));
     let server = serve(settings(), handler).await;
     let link = server.dial().await.unwrap();
@@ -234,7 +234,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_stream_that_is_not_read_ends_alone() {
+async fn a_stream_that_is_not_read_is_closed_without_closing_the_link() {
     let mut bounds = settings();
     bounds.maximum_stream_bytes = 10_000;
     let handler = Rc::new(|stream: ServerStream| {
@@ -254,6 +254,6 @@
         .metrics
         .frames_dropped
         .with_label_values(&["stream_not_read"]);
-    until(|| dropped.get() == 1).await;
+    wait_until(|| dropped.get() == 1).await;
     expect_that!(link.is_up(), eq(true));
 }
--- a/crates/transport/tests/pool.rs
+++ b/crates/transport/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Links to other nodes by address: dialled once, dialled again when lost, unary calls.
+//! The link pool: shared dials, redials after a loss, and unary calls.
 
 mod support;
 
@@ -11,11 +11,11 @@
 use dappleyard_wire::messages::{Call, ListModels, Reply, call, frame};
 use dappleyard_wire::{ErrorKind, Failure};
 use googletest::prelude::*;
-use support::{SwitchedPolicy, echo_server, hello, serve, settings, submit, until};
+use support::{AdjustablePolicy, echo_server, hello, serve, settings, submit, wait_until};
 use tokio::net::TcpListener;
 
 fn pool() -> LinkPool {
-    LinkPool::new(hello("client"), settings(), SwitchedPolicy::direct())
+    LinkPool::new(hello("client"), settings(), AdjustablePolicy::direct())
 }
 
 fn list_models() -> Call {
@@ -44,13 +44,13 @@
     let pool = pool();
     let link = pool.get(&listener.to_string()).await.unwrap();
     server.serving.abort();
-    until(|| !link.is_up()).await;
+    wait_until(|| !link.is_up()).await;
     expect_that!(pool.get(&listener.to_string()).await.is_err(), is_true());
 }
 
 #[gtest]
 #[actix_rt::test]
-async fn a_failed_dial_is_answered_from_memory_for_a_while() {
+async fn a_failed_dial_is_cached() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
@@ -79,15 +79,15 @@
     });
     let server = serve(settings(), handler).await;
     let (pool, address) = (pool(), server.address.to_string());
-    let patience = Duration::from_millis(100);
-    let reply = pool.call(&address, list_models(), patience).await;
+    let reply_timeout = Duration::from_millis(100);
+    let reply = pool.call(&address, list_models(), reply_timeout).await;
     expect_that!(reply, ok(eq(&Reply::default())));
-    let refused = pool.call(&address, list_models(), patience).await;
+    let refused = pool.call(&address, list_models(), reply_timeout).await;
     expect_that!(
         refused,
         err(matches_pattern!(CallError::Refused(anything())))
     );
-    let silent = pool.call(&address, list_models(), patience).await;
+    let silent = pool.call(&address, list_models(), reply_timeout).await;
     expect_that!(silent, err(matches_pattern!(CallError::NoReply { .. })));
     expect_that!(calls.get(), eq(3));
 }
--- a/crates/transport/tests/support/mod.rs
+++ b/crates/transport/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A link server on a free port, and a policy that tests can change.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A link server on a free port and a link policy that tests can change.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// One state for all paths, changed by the test.
+/// A policy with one state for all paths, which the test can change.
 #[derive(Debug)]
-pub struct SwitchedPolicy(Mutex<LinkState>);
+pub struct AdjustablePolicy(Mutex<LinkState>);
 
-impl SwitchedPolicy {
+impl AdjustablePolicy {
     pub fn direct() -> Arc<Self> {
         Arc::new(Self(Mutex::new(LinkState::DIRECT)))
     }
@@ -29,7 +29,7 @@
     }
 }
 
-impl LinkPolicy for SwitchedPolicy {
+impl LinkPolicy for AdjustablePolicy {
     fn path(&self, _peer: &str) -> LinkState {
         *self.0.lock().unwrap()
     }
@@ -39,7 +39,7 @@
     pub address: SocketAddr,
     pub announcement: watch::Sender<Announcement>,
     pub settings: LinkSettings,
-    pub policy: Arc<SwitchedPolicy>,
+    pub policy: Arc<AdjustablePolicy>,
     pub serving: actix_rt::task::JoinHandle<()>,
 }
 
@@ -65,7 +65,7 @@
         ready: true,
         ..Announcement::default()
     });
-    let policy = SwitchedPolicy::direct();
+    let policy = AdjustablePolicy::direct();
     let server = Rc::new(LinkServer {
         hello: hello("server"),
         settings: settings.clone(),
@@ -84,7 +84,7 @@
     }
 }
 
-/// A server that answers each stream with one chunk and keeps it open.
+/// A server that sends one chunk on each stream and then echoes every frame.
 pub async fn echo_server(settings: LinkSettings) -> TestServer {
     let handler = Rc::new(|mut stream: ServerStream| {
         actix_rt::spawn(async move {
@@ -99,10 +99,10 @@
 
 impl TestServer {
     pub async fn dial(&self) -> Result<Link, LinkError> {
-        self.dial_through(SwitchedPolicy::direct()).await
+        self.dial_through(AdjustablePolicy::direct()).await
     }
 
-    pub async fn dial_through(&self, policy: Arc<SwitchedPolicy>) -> Result<Link, LinkError> {
+    pub async fn dial_through(&self, policy: Arc<AdjustablePolicy>) -> Result<Link, LinkError> {
         let address = self.address.to_string();
         Link::connect(&address, hello("client"), &settings(), policy).await
     }
@@ -138,8 +138,8 @@
     })
 }
 
-/// Waits until something holds; the test runner bounds the whole test.
-pub async fn until(mut holds: impl FnMut() -> bool) {
+/// Polls until the condition holds; the test runner's timeout applies.
+pub async fn wait_until(mut holds: impl FnMut() -> bool) {
     while !holds() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
