--- a/crates/wire-gen/src/lib.rs
+++ b/crates/wire-gen/src/lib.rs
@@ -1,27 +1,27 @@
-//! Regenerates the message types of `dappleyard-wire` from its `.proto` files, with a
-//! compiler written in Rust, so that neither the build nor this step needs `protoc`.
+//! Generates the message types of `dappleyard-wire` from its `.proto` files with a compiler written in
+//! Rust, so that `protoc` is not needed.
 
 use std::path::{Path, PathBuf};
 
 use derive_more::{Display, Error, From};
 
-/// Why the message types could not be generated.
+/// Error of [`generate`].
 #[derive(Debug, Display, Error, From)]
 pub enum GenerateError {
-    /// The `.proto` files do not compile.
-    #[display("the .proto files do not compile: {_0}")]
+    /// The `.proto` files failed to compile.
+    #[display("failed to compile .proto files: {_0}")]
     Compile(protox::Error),
-    /// The generated code could not be written.
-    #[display("generated code could not be written: {_0}")]
+    /// Writing the generated code failed.
+    #[display("failed to write generated code: {_0}")]
     Write(std::io::Error),
 }
 
-/// The directory of the `.proto` files in this repository.
+/// Directory of the `.proto` files.
 pub fn proto_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../wire/proto")
 }
 
-/// The directory of the committed generated code.
+/// Directory of the committed generated code.
 pub fn generated_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../wire/src/generated")
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,8 +1,8 @@
-//! The one closed list of error kinds, and the table from kind to answer.
+//! Error kinds and their mapping to API answers.
 //!
-//! Every refusal in the system is a [`Failure`]: a kind, what is known of whether the request ran,
-//! when to come back, and a sentence. [`ErrorKind::answer`] is the only place that maps a kind to an
-//! HTTP status, to an OpenAI error type, and to who must act.
+//! Every refusal is a [`Failure`]: a kind, whether the request ran, a retry delay and a message.
+//! [`ErrorKind::answer`] is the only place that maps a kind to an HTTP status, an OpenAI error type
+//! and the party that must act.
 
 use derive_more::{Display, Error};
 
@@ -17,20 +17,20 @@
     CallerLater,
     /// The operator must act.
     Operator,
-    /// Nobody: the system repairs itself.
+    /// Nobody: the system recovers by itself.
     Nobody,
 }
 
-/// What a kind means to a caller.
+/// The API answer for an error kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// Stable name of the kind, the `code` of OpenAI's error object.
+    /// Stable name of the kind; the `code` of OpenAI's error object.
     pub code: &'static str,
     /// HTTP status.
     pub status: u16,
     /// The `type` of OpenAI's error object.
     pub error_type: &'static str,
-    /// Whether the system itself may try another node or server, provided that nothing ran.
+    /// Whether the system may retry on another node or server, provided that nothing ran.
     pub retryable: bool,
     /// Who must act.
     pub actor: Actor,
@@ -39,16 +39,16 @@
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $code:literal, $status:literal,
         $error_type:literal, $retryable:literal, $actor:ident;)*) => {
-        /// The closed list of error kinds.
+        /// Kind of an error.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[repr(u32)]
         pub enum ErrorKind { $($(#[$doc])* $name = $number,)* }
 
         impl ErrorKind {
-            /// All kinds, in order of their numbers.
+            /// All kinds, ordered by number.
             pub const ALL: &'static [ErrorKind] = &[$(ErrorKind::$name,)*];
 
-            /// The table from kind to answer.
+            /// The API answer for this kind.
             pub const fn answer(self) -> Answer {
                 match self {
                     $(ErrorKind::$name => Answer {
@@ -61,8 +61,7 @@
                 }
             }
 
-            /// The kind of a number received from another process; unknown numbers are
-            /// [`ErrorKind::Internal`].
+            /// The kind with this number on the wire; [`ErrorKind::Internal`] if it is unknown.
             pub const fn from_number(number: u32) -> ErrorKind {
                 match number {
                     $($number => ErrorKind::$name,)*
@@ -80,23 +79,23 @@
     NotFound = 2, "not_found", 404, "invalid_request_error", false, Caller;
     /// No service of this name.
     UnknownModel = 3, "model_not_found", 404, "invalid_request_error", false, Caller;
-    /// The body or prompt is larger than a limit.
+    /// The body or prompt exceeds a size limit.
     TooLarge = 4, "too_large", 413, "invalid_request_error", false, Caller;
     /// The body did not arrive in time.
     SlowSender = 5, "request_timeout", 408, "invalid_request_error", false, Caller;
-    /// The tenant's rate limit is used up.
+    /// The tenant's rate limit is exceeded.
     TenantRate = 6, "rate_limit_exceeded", 429, "rate_limit_error", false, CallerLater;
-    /// The tenant's concurrent token limit is used up.
+    /// The tenant's limit of concurrent tokens is exceeded.
     TenantConcurrency = 7, "concurrency_limit_exceeded", 429, "rate_limit_error", false, CallerLater;
     /// The fleet cannot meet the deadline, or its queues are full.
     Overloaded = 8, "overloaded", 503, "server_error", true, CallerLater;
     /// The deadline passed.
     DeadlineExceeded = 9, "deadline_exceeded", 504, "server_error", false, CallerLater;
-    /// No server carries the service at present.
+    /// No server currently serves the service.
     NoServer = 10, "no_server", 503, "server_error", true, Operator;
-    /// The owner does not own, or will not use, the server any more: place again.
+    /// The owner no longer owns or uses the server; the request must be placed again.
     Bounced = 11, "bounced", 503, "server_error", true, Nobody;
-    /// The node is stopping or cannot vouch for its configuration.
+    /// The node is stopping, or its configuration may be stale.
     NotReady = 12, "not_ready", 503, "server_error", true, Nobody;
     /// The link or node was lost.
     NodeLost = 13, "node_lost", 502, "server_error", true, Nobody;
@@ -104,46 +103,46 @@
     EngineLost = 14, "engine_lost", 502, "server_error", true, Nobody;
     /// The store is unreachable and the request needs it.
     StoreUnavailable = 15, "store_unavailable", 503, "server_error", false, CallerLater;
-    /// A must-not-repeat request may have run and its outcome is lost.
+    /// A must-not-repeat request may have run, and its outcome is unknown.
     OutcomeUnknown = 16, "outcome_unknown", 409, "server_error", false, Caller;
     /// A must-not-repeat request with this key is still running.
     InProgress = 17, "in_progress", 409, "server_error", false, CallerLater;
-    /// The idempotency or client key was used for another request.
+    /// The idempotency or client key was already used for another request.
     KeyReused = 18, "key_reused", 422, "invalid_request_error", false, Caller;
-    /// The plan or row has changed under the caller.
+    /// The plan or row was changed concurrently.
     Conflict = 19, "conflict", 409, "invalid_request_error", false, Caller;
     /// The work was cancelled.
     Cancelled = 20, "cancelled", 499, "invalid_request_error", false, Caller;
-    /// A change cannot be in force everywhere, since a region is cut off.
+    /// A change cannot take effect everywhere because a region is unreachable.
     RegionUnreachable = 21, "region_unreachable", 409, "server_error", false, Operator;
-    /// The model version that began the answer is gone.
+    /// The model version that started the answer is no longer served.
     VersionGone = 22, "version_gone", 503, "server_error", false, CallerLater;
-    /// A fault of the system itself.
+    /// An internal error.
     Internal = 23, "internal", 500, "server_error", false, Operator;
     /// The order or write was made under an old epoch.
     Fenced = 24, "fenced", 409, "server_error", false, Nobody;
-    /// A disruption budget does not allow the step now.
+    /// A disruption budget currently does not allow the step.
     BudgetExhausted = 25, "budget_exhausted", 409, "server_error", false, CallerLater;
-    /// As many servers as may have ended while they ran the request; it is not run again.
+    /// The limit of servers that ended while running the request is reached; it is not run again.
     ServersEnded = 26, "servers_ended", 502, "server_error", false, Caller;
 }
 
-/// A refusal, with the truth about execution.
+/// A refusal, with what is known about execution.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{}: {message}", kind.answer().code)]
 pub struct Failure {
     /// Kind of the failure.
     pub kind: ErrorKind,
-    /// What is known of whether any attempt ran.
+    /// Whether any attempt ran, as far as known.
     pub ran: Ran,
-    /// When the caller may come back, milliseconds; 0 for no advice.
+    /// Delay before a retry, milliseconds; 0 for none advised.
     pub retry_after_ms: u32,
-    /// One sentence for a person, saying what to do next where there is something to do.
+    /// Human-readable message, with the next step where there is one.
     pub message: String,
 }
 
 impl Failure {
-    /// A failure before anything ran.
+    /// Creates a failure of a request that did not run.
     pub fn not_run(kind: ErrorKind, message: impl Into<String>) -> Failure {
         Failure {
             kind,
@@ -153,7 +152,7 @@
         }
     }
 
-    /// A failure after which it is not known whether the request ran.
+    /// Creates a failure of a request that may have run.
     pub fn maybe_ran(kind: ErrorKind, message: impl Into<String>) -> Failure {
         Failure {
             kind,
@@ -163,21 +162,21 @@
         }
     }
 
-    /// The same failure with advice when to come back, milliseconds.
+    /// Sets the advised retry delay, milliseconds.
     #[must_use]
     pub fn retry_after(mut self, milliseconds: u32) -> Failure {
         self.retry_after_ms = milliseconds;
         self
     }
 
-    /// The same failure with what other attempts did: execution truth only grows.
+    /// Joins `ran` with that of earlier attempts.
     #[must_use]
     pub fn after(mut self, earlier: Ran) -> Failure {
         self.ran = join_ran(self.ran, earlier);
         self
     }
 
-    /// The message form.
+    /// Converts to the wire message.
     pub fn to_refused(&self) -> Refused {
         Refused {
             kind: self.kind as u32,
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Reads the message form. An unknown `ran` is taken as `maybe`.
+    /// Converts from the wire message. An unknown `ran` becomes [`Ran::Maybe`].
     pub fn from_refused(refused: &Refused) -> Failure {
         Failure {
             kind: ErrorKind::from_number(refused.kind),
@@ -199,7 +198,7 @@
     }
 }
 
-/// Joins what two attempts are known to have done. `No` is the neutral element; nothing goes back.
+/// Joins the execution states of two attempts by taking the greater number; [`Ran::No`] is the least.
 pub fn join_ran(left: Ran, right: Ran) -> Ran {
     if left as i32 >= right as i32 {
         left
@@ -208,7 +207,7 @@
     }
 }
 
-/// The name of an execution fact in headers and JSON: `no`, `maybe` or `yes`.
+/// Name of an execution state in headers and JSON: `no`, `maybe` or `yes`.
 pub const fn ran_name(ran: Ran) -> &'static str {
     match ran {
         Ran::No => "no",
--- a/crates/wire/src/hash.rs
+++ b/crates/wire/src/hash.rs
@@ -1,8 +1,8 @@
-//! The one hash used for placement: XXH3 with 64 bits, stable across processes and builds.
+//! Placement hash: 64-bit XXH3, stable across processes and builds.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Hash of some bytes.
+/// Hashes `bytes`.
 pub fn hash_bytes(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers: newtypes over strings, so that a node id is never passed for a server id.
+//! Identifiers as string newtypes, so that different kinds cannot be mixed up.
 
 use std::sync::Arc;
 
@@ -59,7 +59,7 @@
 }
 
 impl RequestId {
-    /// A new random request id: 32 hexadecimal digits.
+    /// Generates a random request id of 32 hexadecimal digits.
     pub fn random() -> RequestId {
         RequestId::from(uuid::Uuid::new_v4().simple().to_string())
     }
--- a/crates/wire/src/keys.rs
+++ b/crates/wire/src/keys.rs
@@ -1,17 +1,17 @@
-//! Keys of rows in the table service and names of objects, in one place.
+//! Keys of rows in the table service and names of objects in the object store.
 
 use crate::ids::{JobId, PlanId, RegionId, TenantId};
 
-/// Prefix of all configuration rows; the change feed of this prefix is what nodes apply.
+/// Prefix of all configuration rows; nodes apply the change feed of this prefix.
 pub const CONFIGURATION_PREFIX: &str = "config/";
-/// Row that chains configuration changes: its value is the last configuration revision.
+/// Row that serializes configuration changes; its value is the latest configuration revision.
 pub const CONFIGURATION_HEAD: &str = "config-head";
 /// Prefix of job rows.
 pub const JOB_PREFIX: &str = "job/";
 /// Prefix of chunk rows.
 pub const CHUNK_PREFIX: &str = "chunk/";
-/// Prefix of chunks that wait for a holder: `open-chunk/{job}/{index}`. The value is the chunk row,
-/// written by the same transaction, so that both have the same revision.
+/// Prefix of unclaimed chunks: `open-chunk/{job}/{index}`. The value is the chunk row, written in the
+/// same transaction, so that both have the same revision.
 pub const OPEN_CHUNK_PREFIX: &str = "open-chunk/";
 /// Prefix of plan rows.
 pub const PLAN_PREFIX: &str = "plan/";
@@ -30,18 +30,18 @@
     format!("{ACTIVE_PLAN_PREFIX}{plan}")
 }
 
-/// Row that orders the plans which take capacity from a service.
+/// Row that serializes plans which take capacity from a service.
 pub fn plan_guard(service: &str) -> String {
     format!("plan-guard/{service}")
 }
 
-/// Row of the disruptions in flight of a service.
+/// Row of the ongoing disruptions of a service.
 pub fn disruption(service: &str) -> String {
     format!("disruption/{service}")
 }
 
-/// Object with a batch of a node's decision records, written at a wall-clock time (milliseconds since
-/// 1970) as its `number`-th. Names of one node sort by time.
+/// Object with the `number`-th batch of a node's decision records, written at `unix_ms` (milliseconds
+/// since 1970). Names of one node sort by time.
 pub fn journal_object(node: &str, unix_ms: u64, number: u64) -> String {
     format!("{JOURNAL_PREFIX}{node}/{unix_ms:013}-{number:06}")
 }
@@ -61,7 +61,7 @@
     format!("{CHUNK_PREFIX}{job}/{index:06}")
 }
 
-/// Row of a chunk that waits for a holder.
+/// Row of an unclaimed chunk.
 pub fn open_chunk(job: &JobId, index: u32) -> String {
     format!("{OPEN_CHUNK_PREFIX}{job}/{index:06}")
 }
@@ -74,18 +74,18 @@
     format!("{HELD_CHUNK_PREFIX}{node}/{job}/{index:06}")
 }
 
-/// Prefix of jobs that are not finished; their change feed wakes every node.
+/// Prefix of unfinished jobs; every node watches their change feed.
 pub const ACTIVE_JOB_PREFIX: &str = "active-job/";
 
-/// Row of a job that is not finished.
+/// Row of an unfinished job.
 pub fn active_job(job: &JobId) -> String {
     format!("{ACTIVE_JOB_PREFIX}{job}")
 }
 
-/// Prefix of jobs whose chunk rows are still to be written.
+/// Prefix of jobs whose chunk rows are not written yet.
 pub const SPLIT_JOB_PREFIX: &str = "split-job/";
 
-/// Row of a job whose chunk rows are still to be written.
+/// Row of a job whose chunk rows are not written yet.
 pub fn split_job(job: &JobId) -> String {
     format!("{SPLIT_JOB_PREFIX}{job}")
 }
@@ -145,12 +145,12 @@
     format!("{}/{offset:012}", file_object(tenant, file))
 }
 
-/// Object that holds what a holder had finished of a chunk when it handed it back.
+/// Object with the partial results of a chunk that its holder handed back.
 pub fn partial_object(job: &JobId, index: u32, epoch: u64) -> String {
     format!("partial/{job}/{index:06}-{epoch}")
 }
 
-/// Object that holds the result of a chunk as committed under an epoch.
+/// Object with the result of a chunk for one epoch.
 pub fn result_object(job: &JobId, index: u32, epoch: u64) -> String {
     format!("results/{job}/{index:06}-{epoch}")
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages, identifiers and error kinds that the processes of the system exchange.
+//! Messages, identifiers and error kinds exchanged between processes.
 //!
-//! [`messages`] is generated from `proto/*.proto` by the `dappleyard-wire-gen` crate and committed,
-//! so that a build needs no generator. [`error`] holds the one closed list of error kinds with the
-//! table from kind to answer; [`ids`] the identifiers; [`hash`] the one hash used for placement.
+//! [`messages`] is generated from `proto/*.proto` by the `dappleyard-wire-gen` crate and committed, so
+//! that a build needs no code generator. [`error`] defines error kinds and their API answers, [`ids`]
+//! the identifiers, [`keys`] row keys and object names, [`hash`] the placement hash, and [`prompt`] the
+//! canonical prompt text.
 
 pub mod error;
 pub mod hash;
@@ -19,11 +20,11 @@
 pub use error::{Answer, ErrorKind, Failure};
 pub use messages::{Class, Ran, Repeat};
 
-/// Version of the protocol between processes; a link with another version is refused.
+/// Version of the link protocol; a peer with another version is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Largest frame accepted on a link, bytes. A setting may lower it.
+/// Maximum frame size on a link, bytes. A setting may lower it.
 pub const MAXIMUM_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Largest datagram sent between nodes, bytes; fits an Ethernet frame.
+/// Intended maximum size of a datagram between nodes, bytes; fits an Ethernet frame.
 pub const MAXIMUM_DATAGRAM_BYTES: usize = 1400;
--- a/crates/wire/src/prompt.rs
+++ b/crates/wire/src/prompt.rs
@@ -1,11 +1,11 @@
-//! The canonical prompt text and its length, the same for online requests and batch items.
+//! Canonical prompt text and token count, shared by online requests and batch items.
 
 use crate::hash::hash_bytes;
 
-/// Tokens of the prompt's head that count as its shared prefix, besides the system messages.
+/// Number of leading words covered by [`prefix_hash`].
 pub const PREFIX_WORDS: usize = 64;
 
-/// Canonical text of chat messages given as (role, content): one line a message.
+/// Canonical text of chat messages given as (role, content), one line per message.
 pub fn canonical_chat<'a>(messages: impl IntoIterator<Item = (&'a str, &'a str)>) -> String {
     let mut text = String::new();
     for (role, content) in messages {
@@ -17,14 +17,14 @@
     text
 }
 
-/// Length of a text in tokens: its words, at least one.
+/// Token count of a text: its number of words, at least one.
 pub fn count_tokens(text: &str) -> u32 {
     u32::try_from(text.split_whitespace().count())
         .unwrap_or(u32::MAX)
         .max(1)
 }
 
-/// Hash of the head of a prompt, for cache affinity.
+/// Hash of the first [`PREFIX_WORDS`] words of a prompt, for cache affinity.
 pub fn prefix_hash(prompt: &str) -> u64 {
     let end = prompt
         .split_whitespace()
--- a/crates/wire/tests/properties.rs
+++ b/crates/wire/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the wire format and of the table of error kinds.
+//! Properties of the wire format and of the error kinds.
 
 use std::collections::BTreeSet;
 
@@ -16,8 +16,8 @@
     M::decode(message.encode_to_vec().as_slice()).is_ok_and(|read| read == *message)
 }
 
-/// Whatever was read can be written and read again.
-fn reads_stably<M: Message + Default + PartialEq>(bytes: &[u8]) -> bool {
+/// Whether bytes that decode survive another round trip.
+fn reencodes_unchanged<M: Message + Default + PartialEq>(bytes: &[u8]) -> bool {
     M::decode(bytes).map_or(true, |message| round_trip(&message))
 }
 
@@ -48,18 +48,18 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in any::<Vec<u8>>()) {
-        // Messages with floats are only read: a float that is not a number differs from itself.
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in any::<Vec<u8>>()) {
+        // Messages with floats are only decoded, since NaN does not compare equal to itself.
         let _ = Frame::decode(bytes.as_slice());
         let _ = JobRow::decode(bytes.as_slice());
         let _ = Datagram::decode(bytes.as_slice());
-        prop_assert!(reads_stably::<ChunkRow>(&bytes));
-        prop_assert!(reads_stably::<OnceRow>(&bytes));
-        prop_assert!(reads_stably::<EpochRow>(&bytes));
+        prop_assert!(reencodes_unchanged::<ChunkRow>(&bytes));
+        prop_assert!(reencodes_unchanged::<OnceRow>(&bytes));
+        prop_assert!(reencodes_unchanged::<EpochRow>(&bytes));
     }
 
     #[test]
-    fn a_damaged_datagram_is_read_or_refused(
+    fn a_corrupted_datagram_is_decoded_or_rejected(
         entries in entries(),
         at in any::<prop::sample::Index>(),
         bit in 0..8_u8,
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn rows_survive_writing_and_reading(
+    fn rows_round_trip(
         text in ".{0,40}",
         numbers in any::<[u64; 4]>(),
         pieces in prop::collection::vec(".{0,8}", 0..6),
@@ -102,7 +102,7 @@
     }
 
     #[test]
-    fn what_is_known_of_execution_never_shrinks(facts in prop::collection::vec(0..3_i32, 0..8)) {
+    fn joined_execution_states_never_decrease(facts in prop::collection::vec(0..3_i32, 0..8)) {
         let facts = facts.into_iter().map(|fact| Ran::try_from(fact).unwrap_or(Ran::Maybe));
         let facts: Vec<Ran> = facts.collect();
         let joined = facts.iter().copied().fold(Ran::No, join_ran);
@@ -111,7 +111,7 @@
     }
 
     #[test]
-    fn a_refusal_keeps_kind_and_truth(kind in any::<u32>(), ran in any::<i32>(), text in ".{0,20}") {
+    fn a_refusal_round_trips(kind in any::<u32>(), ran in any::<i32>(), text in ".{0,20}") {
         let refused = Refused { kind, ran, message: text, ..Refused::default() };
         let failure = Failure::from_refused(&refused);
         if Ran::try_from(ran).is_err() {
@@ -123,7 +123,7 @@
 }
 
 #[gtest]
-fn the_table_of_error_kinds_is_sound() {
+fn error_kinds_have_unique_codes_and_valid_answers() {
     let codes = ErrorKind::ALL.iter().map(|kind| kind.answer().code);
     expect_that!(
         codes.collect::<BTreeSet<_>>(),
