--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
 //! Emulated platform for tests and experiments.
 //!
-//! [`EmulatedRows`] keeps the contract of the row store's port and fails on demand or at random,
-//! from a seed. [`EmulatedServer`] is a model server on loopback that answers as a script says.
+//! [`EmulatedRows`] is an in-memory row store with scripted or seeded random faults. [`EmulatedServer`]
+//! is a model server on loopback with scripted answers.
 
 mod rows;
 mod server;
--- a/crates/emulator/src/rows.rs
+++ b/crates/emulator/src/rows.rs
@@ -1,4 +1,4 @@
-//! The row store in memory, with lost answers, late effects, refusals and a history that ends.
+//! In-memory row store with lost answers, delayed effects, refusals and a compacted history.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,35 +12,36 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::watch;
 
-/// How a call to the store fails.
+/// Fault of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowFault {
-    /// Nothing is done.
+    /// The transaction is refused without effect.
     Refused,
-    /// The answer is lost, and nothing is done.
+    /// The answer is lost, and the transaction has no effect.
     LostBefore,
-    /// The answer is lost after the effect.
+    /// The answer is lost after the transaction took effect.
     LostAfter,
-    /// The answer is lost, and the effect follows at the next transaction if its conditions hold.
+    /// The answer is lost, and the transaction is applied before the next one if its conditions still
+    /// hold.
     LostLate,
 }
 
-type Place = (&'static str, String, String);
+type RowKey = (&'static str, String, String);
 
 #[derive(Debug, Clone)]
-struct Held {
+struct StoredRow {
     value: Bytes,
     revision: u64,
 }
 
 #[derive(Default)]
 struct State {
-    rows: BTreeMap<Place, Held>,
-    history: VecDeque<(u64, Place)>,
-    forgotten: u64,
+    rows: BTreeMap<RowKey, StoredRow>,
+    history: VecDeque<(u64, RowKey)>,
+    compacted_revision: u64,
     revision: u64,
     faults: VecDeque<Option<RowFault>>,
-    late: Vec<Transaction>,
+    delayed: Vec<Transaction>,
     down: bool,
     random: Option<(ChaCha8Rng, f64)>,
     random_reads: Option<(ChaCha8Rng, f64)>,
@@ -48,7 +49,7 @@
     feeds: u64,
 }
 
-/// The row store; clones share one state.
+/// An in-memory row store; clones share one state.
 #[derive(Clone)]
 pub struct EmulatedRows {
     state: Arc<Mutex<State>>,
@@ -67,44 +68,44 @@
 }
 
 impl EmulatedRows {
-    /// The next transactions fail so, one after the other; `None` goes well.
+    /// Queues faults for the next transactions, in order; `None` is a success.
     pub fn script(&self, faults: impl IntoIterator<Item = Option<RowFault>>) {
         self.state.lock().faults.extend(faults);
     }
 
-    /// A share of all transactions fails, drawn from a seed.
+    /// Fails a fraction `share` of the transactions at random, from a seed.
     pub fn fail_at_random(&self, seed: u64, share: f64) {
         self.state.lock().random = Some((ChaCha8Rng::seed_from_u64(seed), share));
     }
 
-    /// A share of all reads of rows is refused, drawn from a seed.
+    /// Refuses a fraction `share` of the row reads at random, from a seed.
     pub fn refuse_reads_at_random(&self, seed: u64, share: f64) {
         self.state.lock().random_reads = Some((ChaCha8Rng::seed_from_u64(seed), share));
     }
 
-    /// Whether all calls are refused.
+    /// Sets whether all calls are refused.
     pub fn set_down(&self, down: bool) {
         self.state.lock().down = down;
     }
 
-    /// Forgets the history up to now.
+    /// Discards the history up to the current revision; older feed positions become compacted.
     pub fn forget_history(&self) {
         let mut state = self.state.lock();
-        state.forgotten = state.revision;
+        state.compacted_revision = state.revision;
         state.history.clear();
     }
 
-    /// Number of transactions asked for.
+    /// Number of transactions requested.
     pub fn transactions(&self) -> u64 {
         self.state.lock().transactions
     }
 
-    /// Number of calls for changes.
+    /// Number of feed calls.
     pub fn feeds(&self) -> u64 {
         self.state.lock().feeds
     }
 
-    /// Writes a row, as another party of the store does.
+    /// Writes a row as another client of the store.
     pub fn write(&self, table: &'static str, part: &str, key: &str, value: impl Into<Bytes>) {
         let mut state = self.state.lock();
         let revision = state.revision + 1;
@@ -114,7 +115,7 @@
         self.changed.send_replace(revision);
     }
 
-    /// Removes a row, as another party of the store does.
+    /// Removes a row as another client of the store.
     pub fn remove(&self, table: &'static str, part: &str, key: &str) {
         let mut state = self.state.lock();
         let revision = state.revision + 1;
@@ -127,8 +128,8 @@
     /// All rows of a table: partition, key and value.
     pub fn table(&self, table: &'static str) -> Vec<(String, String, Bytes)> {
         let state = self.state.lock();
-        let rows = state.rows.iter().filter(|(place, _)| place.0 == table);
-        rows.map(|(place, held)| (place.1.clone(), place.2.clone(), held.value.clone()))
+        let rows = state.rows.iter().filter(|(row_key, _)| row_key.0 == table);
+        rows.map(|(row_key, stored)| (row_key.1.clone(), row_key.2.clone(), stored.value.clone()))
             .collect()
     }
 
@@ -138,15 +139,15 @@
 }
 
 impl State {
-    fn put(&mut self, place: Place, value: Bytes) {
+    fn put(&mut self, row_key: RowKey, value: Bytes) {
         let revision = self.revision;
-        self.history.push_back((revision, place.clone()));
-        self.rows.insert(place, Held { value, revision });
+        self.history.push_back((revision, row_key.clone()));
+        self.rows.insert(row_key, StoredRow { value, revision });
     }
 
-    fn remove(&mut self, place: Place) {
-        if self.rows.remove(&place).is_some() {
-            self.history.push_back((self.revision, place));
+    fn remove(&mut self, row_key: RowKey) {
+        if self.rows.remove(&row_key).is_some() {
+            self.history.push_back((self.revision, row_key));
         }
     }
 
@@ -168,15 +169,15 @@
     }
 
     fn refuses_read(&mut self) -> bool {
-        let drawn = self.random_reads.as_mut();
-        drawn.is_some_and(|(random, share)| random.random_bool(*share))
+        let generator = self.random_reads.as_mut();
+        generator.is_some_and(|(random, share)| random.random_bool(*share))
     }
 
     fn apply(&mut self, transaction: &Transaction) -> Result<u64, Vec<Row>> {
         let fails = transaction.conditions.iter().any(|condition| {
             let row = &condition.row;
-            let place = (row.table, row.part.clone(), row.key.clone());
-            let revision = self.rows.get(&place).map_or(0, |held| held.revision);
+            let row_key = (row.table, row.part.clone(), row.key.clone());
+            let revision = self.rows.get(&row_key).map_or(0, |stored| stored.revision);
             revision != condition.revision
         });
         if fails {
@@ -199,24 +200,24 @@
         Ok(self.revision)
     }
 
-    fn row(&self, place: &Place) -> Row {
-        let held = self.rows.get(place);
+    fn row(&self, row_key: &RowKey) -> Row {
+        let stored = self.rows.get(row_key);
         Row {
-            part: place.1.clone(),
-            key: place.2.clone(),
-            value: held.map(|held| held.value.clone()),
-            revision: held.map_or(0, |held| held.revision),
+            part: row_key.1.clone(),
+            key: row_key.2.clone(),
+            value: stored.map(|stored| stored.value.clone()),
+            revision: stored.map_or(0, |stored| stored.revision),
         }
     }
 }
 
-fn lost() -> StoreError {
+fn ambiguous() -> StoreError {
     StoreError::Ambiguous {
         reason: "emulated".to_owned(),
     }
 }
 
-fn refused() -> StoreError {
+fn unavailable() -> StoreError {
     StoreError::Unavailable {
         reason: "emulated".to_owned(),
     }
@@ -225,29 +226,29 @@
 #[async_trait(?Send)]
 impl RowStore for EmulatedRows {
     async fn transact(&self, transaction: &Transaction) -> Result<Committed, StoreError> {
-        // A call takes its time, so that others come in between.
+        // Lets other tasks interleave with the call.
         tokio::task::yield_now().await;
         let outcome = {
             let mut state = self.state.lock();
             state.transactions += 1;
-            let late = std::mem::take(&mut state.late);
-            for late in late {
-                // A late effect whose conditions no longer hold is no effect.
-                let _ = state.apply(&late);
+            let delayed = std::mem::take(&mut state.delayed);
+            for delayed in delayed {
+                // A delayed transaction whose conditions no longer hold has no effect.
+                let _ = state.apply(&delayed);
             }
             if state.down {
-                return Err(refused());
+                return Err(unavailable());
             }
             match state.next_fault() {
-                Some(RowFault::Refused) => Err(refused()),
-                Some(RowFault::LostBefore) => Err(lost()),
+                Some(RowFault::Refused) => Err(unavailable()),
+                Some(RowFault::LostBefore) => Err(ambiguous()),
                 Some(RowFault::LostAfter) => {
                     let _ = state.apply(transaction);
-                    Err(lost())
+                    Err(ambiguous())
                 }
                 Some(RowFault::LostLate) => {
-                    state.late.push(transaction.clone());
-                    Err(lost())
+                    state.delayed.push(transaction.clone());
+                    Err(ambiguous())
                 }
                 None => state
                     .apply(transaction)
@@ -273,14 +274,16 @@
         tokio::task::yield_now().await;
         let mut state = self.state.lock();
         if state.down || state.refuses_read() {
-            return Err(refused());
+            return Err(unavailable());
         }
         let mut rows: Vec<Row> = state
             .rows
             .keys()
-            .filter(|place| place.0 == table && place.1 == part)
-            .filter(|place| place.2.as_str() >= from && (to.is_empty() || place.2.as_str() < to))
-            .map(|place| state.row(place))
+            .filter(|row_key| row_key.0 == table && row_key.1 == part)
+            .filter(|row_key| {
+                row_key.2.as_str() >= from && (to.is_empty() || row_key.2.as_str() < to)
+            })
+            .map(|row_key| state.row(row_key))
             .collect();
         let more = rows.len() > limit;
         rows.truncate(limit);
@@ -296,13 +299,13 @@
         tokio::task::yield_now().await;
         let state = self.state.lock();
         if state.down {
-            return Err(refused());
+            return Err(unavailable());
         }
         let mut parts: Vec<String> = state
             .rows
             .keys()
-            .filter(|place| place.0 == table)
-            .map(|place| place.1.clone())
+            .filter(|row_key| row_key.0 == table)
+            .map(|row_key| row_key.1.clone())
             .collect();
         parts.dedup();
         Ok(parts)
@@ -322,16 +325,16 @@
             {
                 let state = self.state.lock();
                 if state.down {
-                    return Err(refused());
+                    return Err(unavailable());
                 }
-                if after < state.forgotten {
+                if after < state.compacted_revision {
                     return Err(StoreError::Compacted);
                 }
                 let mut rows: Vec<Row> = Vec::new();
-                for (revision, place) in &state.history {
-                    if *revision > after && place.0 == table {
-                        rows.retain(|row| (&row.part, &row.key) != (&place.1, &place.2));
-                        let row = state.row(place);
+                for (revision, row_key) in &state.history {
+                    if *revision > after && row_key.0 == table {
+                        rows.retain(|row| (&row.part, &row.key) != (&row_key.1, &row_key.2));
+                        let row = state.row(row_key);
                         let revision = row.revision.max(*revision);
                         rows.push(Row { revision, ..row });
                     }
@@ -344,7 +347,7 @@
                     });
                 }
             }
-            // The end of the wait is an answer too.
+            // On a timeout the next iteration returns an empty feed.
             let _ = tokio::time::timeout_at(until, changed.changed()).await;
         }
     }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! A model server on loopback that answers as a script says, byte for byte.
+//! Model server on loopback with scripted answers, byte for byte.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,29 +9,30 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// One step of an answer.
+/// One step of a scripted answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// Sends bytes; `{id}` stands for the identifier of the request.
+    /// Sends bytes; `{id}` is replaced by the request identifier.
     Send(String),
-    /// Waits.
+    /// Waits. Ends the connection if the peer disconnects, and the wait if the peer sends a byte.
     Pause(Duration),
-    /// Says nothing until the peer leaves.
+    /// Sends nothing until the peer disconnects or sends a byte, or an hour has passed, and closes the
+    /// connection.
     Hang,
     /// Closes the connection.
     Close,
-    /// Ends the server: its port refuses connections, and those it has break off.
+    /// Crashes the server: closes its port and drops all connections.
     Crash,
-    /// The same, but the port closes a little later than the connections.
+    /// Drops all connections at once and closes the port after the delay.
     CrashSlowly(Duration),
 }
 
-/// What a server saw.
+/// An event observed by the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Seen {
-    /// A whole request: its head, and its body.
+    /// A complete request: its head and its body.
     Request(String, Vec<u8>),
-    /// The peer left while the server was at work.
+    /// The peer disconnected during an answer.
     Left,
 }
 
@@ -39,35 +40,35 @@
 struct State {
     script: VecDeque<Vec<Reply>>,
     otherwise: Vec<Reply>,
-    /// What requests with a certain body are answered with, before any other script.
+    /// A request body and the answer to it, which precedes the script.
     on_body: Option<(Vec<u8>, Vec<Reply>)>,
     listener: Option<TcpListener>,
-    /// Tasks that hold the connections.
+    /// Connection tasks.
     tasks: Vec<tokio::task::AbortHandle>,
     ended: bool,
     seen: Vec<Seen>,
     connections: u64,
-    /// Answers that are not sent to their end.
+    /// Number of answers in progress.
     answering: usize,
 }
 
-/// Counts an answer as not sent to its end until it is dropped.
-struct Answering(Arc<Mutex<State>>);
+/// Counts an answer as in progress until dropped.
+struct AnswerGuard(Arc<Mutex<State>>);
 
-impl Answering {
+impl AnswerGuard {
     fn begin(state: &Arc<Mutex<State>>) -> Self {
         state.lock().answering += 1;
         Self(state.clone())
     }
 }
 
-impl Drop for Answering {
+impl Drop for AnswerGuard {
     fn drop(&mut self) {
         self.0.lock().answering -= 1;
     }
 }
 
-/// A scripted server.
+/// A scripted model server.
 #[derive(Clone)]
 pub struct EmulatedServer {
     address: SocketAddr,
@@ -75,19 +76,18 @@
     state: Arc<Mutex<State>>,
 }
 
-/// Bytes of events numbered from `from` to `to`, data `token-N`.
+/// Text of the events numbered `from` to `to`, with data `token-N`.
 pub fn numbered_events(from: u64, to: u64) -> String {
     (from..=to).map(event_text).collect()
 }
 
-/// Bytes of one event.
+/// Text of one event.
 pub fn event_text(number: u64) -> String {
     format!("id: {number}\ndata: token-{number}\n\n")
 }
 
 impl EmulatedServer {
-    /// Starts a server on a port of the operating system's choice; `id_header` names the header
-    /// with the identifier of a request.
+    /// Starts a server on a free port; `id_header` names the header with the request identifier.
     pub async fn start(id_header: &str) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let server = Self {
@@ -95,49 +95,49 @@
             id_header: id_header.to_ascii_lowercase(),
             state: Arc::default(),
         };
-        let accepting = server.clone();
+        let acceptor = server.clone();
         server.state.lock().listener = Some(listener);
         tokio::task::spawn_local(async move {
-            while let Some(stream) = accepting.accept().await {
-                accepting.state.lock().connections += 1;
-                let server = accepting.clone();
+            while let Some(stream) = acceptor.accept().await {
+                acceptor.state.lock().connections += 1;
+                let server = acceptor.clone();
                 let serve = tokio::task::spawn_local(async move {
-                    // A peer that leaves ends the connection.
+                    // I/O errors only end this connection.
                     let _ = server.serve(stream).await;
                 });
-                accepting.state.lock().tasks.push(serve.abort_handle());
+                acceptor.state.lock().tasks.push(serve.abort_handle());
             }
         });
         Ok(server)
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The next request is answered so.
+    /// Appends the answer to one request to the script.
     pub fn next(&self, reply: Vec<Reply>) {
         self.state.lock().script.push_back(reply);
     }
 
-    /// Requests without a script of their own are answered so.
+    /// Sets the answer to requests beyond the script.
     pub fn otherwise(&self, reply: Vec<Reply>) {
         self.state.lock().otherwise = reply;
     }
 
-    /// Requests with this body are answered so.
+    /// Sets the answer to requests with this body.
     pub fn on_body(&self, body: &[u8], reply: Vec<Reply>) {
         self.state.lock().on_body = Some((body.to_vec(), reply));
     }
 
-    /// Ends the server as a crash does: its port refuses connections, and those it has break off.
+    /// Crashes the server: closes its port and drops all connections.
     pub fn crash(&self) {
         self.state.lock().listener = None;
         self.break_off();
     }
 
-    /// Breaks off all connections; the port is still open.
+    /// Drops all connections and leaves the port open.
     pub fn break_off(&self) {
         let mut state = self.state.lock();
         state.ended = true;
@@ -155,17 +155,17 @@
         .map(|(stream, _)| stream)
     }
 
-    /// Whether the server has ended.
+    /// Whether the server crashed or dropped its connections.
     pub fn has_ended(&self) -> bool {
         self.state.lock().ended
     }
 
-    /// What the server saw.
+    /// Events observed by the server, in order.
     pub fn seen(&self) -> Vec<Seen> {
         self.state.lock().seen.clone()
     }
 
-    /// Number of requests seen.
+    /// Number of complete requests received.
     pub fn requests(&self) -> usize {
         let state = self.state.lock();
         let requests = state.seen.iter();
@@ -174,12 +174,12 @@
             .count()
     }
 
-    /// Answers that the server keeps: neither sent to their end nor given up.
+    /// Number of answers in progress.
     pub fn answering(&self) -> usize {
         self.state.lock().answering
     }
 
-    /// Number of connections taken.
+    /// Number of accepted connections.
     pub fn connections(&self) -> u64 {
         self.state.lock().connections
     }
@@ -199,7 +199,7 @@
                 let next = on_body.or_else(|| state.script.pop_front());
                 next.unwrap_or_else(|| state.otherwise.clone())
             };
-            let _answering = Answering::begin(&self.state);
+            let _answering = AnswerGuard::begin(&self.state);
             for step in reply {
                 match step {
                     Reply::Send(text) => {
@@ -208,19 +208,19 @@
                             .await?;
                     }
                     Reply::Pause(time) => {
-                        if self.left_within(&mut stream, time).await {
+                        if self.disconnected_within(&mut stream, time).await {
                             return Ok(());
                         }
                     }
                     Reply::Hang => {
-                        self.left_within(&mut stream, Duration::from_secs(3600))
+                        self.disconnected_within(&mut stream, Duration::from_secs(3600))
                             .await;
                         return Ok(());
                     }
                     Reply::Close => return stream.shutdown().await,
                     Reply::Crash => {
                         self.crash();
-                        // This task ends here too.
+                        // The crash aborts this task at the next await.
                         std::future::pending::<()>().await;
                     }
                     Reply::CrashSlowly(later) => {
@@ -237,7 +237,7 @@
         }
     }
 
-    async fn left_within(&self, stream: &mut TcpStream, time: Duration) -> bool {
+    async fn disconnected_within(&self, stream: &mut TcpStream, time: Duration) -> bool {
         let mut byte = [0_u8; 1];
         match tokio::time::timeout(time, stream.read(&mut byte)).await {
             Ok(Ok(0) | Err(_)) => {
