--- a/crates/spec/src/catalogue.rs
+++ b/crates/spec/src/catalogue.rs
@@ -94,7 +94,7 @@
     },
     Entry {
         name: "jobs",
-        about: "a job on the row store: accept in doubt, claim, commit at a position, end",
+        about: "acceptance, claim, commit and end of a job on the row store",
         mutants: &[
             Mutant {
                 name: "doubt-forgotten",
@@ -102,15 +102,15 @@
             },
             Mutant {
                 name: "absence-not-compared",
-                breaks: "a result that was read is gone or at another position",
+                breaks: "a result that was read is missing or at another position",
             },
             Mutant {
                 name: "revision-not-compared",
-                breaks: "a result was listed after the end was acknowledged",
+                breaks: "a result was committed after the end was acknowledged",
             },
             Mutant {
                 name: "end-not-compared",
-                breaks: "a result was listed after the end was acknowledged",
+                breaks: "a result was committed after the end was acknowledged",
             },
         ],
         quick_faults: 1,
@@ -119,7 +119,7 @@
     },
     Entry {
         name: "once",
-        about: "the at-most-once record with two senders",
+        about: "the at-most-once record with two concurrent attempts",
         mutants: &[
             Mutant {
                 name: "retry-after-maybe",
@@ -131,11 +131,11 @@
             },
             Mutant {
                 name: "loop-outlives-wait",
-                breaks: "the key stays in progress for good, with nobody running the request",
+                breaks: "the key stays in progress although no attempt runs the request",
             },
             Mutant {
                 name: "not-given-up",
-                breaks: "the key stays in progress for good, with nobody running the request",
+                breaks: "the key stays in progress although no attempt runs the request",
             },
         ],
         quick_faults: 2,
@@ -144,7 +144,7 @@
     },
     Entry {
         name: "configuration",
-        about: "spread of configuration revisions",
+        about: "replication of configuration revisions",
         mutants: &[
             Mutant {
                 name: "older-applied",
@@ -152,15 +152,15 @@
             },
             Mutant {
                 name: "part-applied",
-                breaks: "a node has part of a change in force",
+                breaks: "a node has applied part of a change",
             },
             Mutant {
                 name: "basis-not-compared",
-                breaks: "a node has part of a change in force",
+                breaks: "a node has applied part of a change",
             },
             Mutant {
                 name: "unready-peer-trusted",
-                breaks: "a node serves a revision older than one that was in force everywhere",
+                breaks: "a node serves a revision older than one that all nodes had reached",
             },
         ],
         quick_faults: 1,
@@ -173,11 +173,11 @@
         mutants: &[
             Mutant {
                 name: "fence-ignored",
-                breaks: "the engine obeyed an order older than one it had obeyed",
+                breaks: "the engine applied an order that is not newer than its latest",
             },
             Mutant {
                 name: "holder-not-compared",
-                breaks: "two controllers rule under one epoch",
+                breaks: "two controllers lead under one epoch",
             },
         ],
         quick_faults: 2,
@@ -203,15 +203,15 @@
     },
     Entry {
         name: "leaving",
-        about: "a leaving server and two nodes that believe to own it; faults are ticks",
+        about: "a draining server and two nodes that act as its owner; faults are ticks",
         mutants: &[
             Mutant {
                 name: "time-of-reading",
-                breaks: "a leaving server was sent new work after the bound",
+                breaks: "a draining server was sent new work after the bound",
             },
             Mutant {
                 name: "age-not-looked-at",
-                breaks: "a leaving server was sent new work after the bound",
+                breaks: "a draining server was sent new work after the bound",
             },
         ],
         quick_faults: 4,
--- a/crates/spec/src/checker.rs
+++ b/crates/spec/src/checker.rs
@@ -135,12 +135,12 @@
             "{} states, {} transitions ({})",
             exploration.states, exploration.transitions, exploration.bounds
         ),
-        format!("situations seen: {:?}", exploration.coverage),
+        format!("coverage: {:?}", exploration.coverage),
     ];
     match &exploration.counterexample {
-        None => lines.push("every promise holds in every state".to_owned()),
+        None => lines.push("every invariant holds in every state".to_owned()),
         Some(found) => {
-            lines.push(format!("BROKEN: {}", found.violation));
+            lines.push(format!("VIOLATED: {}", found.violation));
             let numbered = found.steps.iter().enumerate();
             lines.extend(numbered.map(|(index, step)| format!("  {}. {step}", index + 1)));
         }
--- a/crates/spec/src/chunks.rs
+++ b/crates/spec/src/chunks.rs
@@ -113,7 +113,7 @@
             return Some("an item that must not repeat ran twice".to_owned());
         }
         if !self.terminates(state) {
-            return Some("the chunk is never finished, though nothing fails any more".to_owned());
+            return Some("the chunk does not finish although no further fault occurs".to_owned());
         }
         None
     }
@@ -123,7 +123,7 @@
         let stale = state.nodes.iter().any(
             |node| matches!(&node.work, Work::Holding { row: held, .. } if held.value.epoch < row.epoch),
         );
-        let seen = [
+        let holds = [
             ("done", row.phase() == ChunkPhase::ChunkDone),
             ("cancelled", state.job.value),
             ("taken over", row.epoch > 1),
@@ -131,8 +131,9 @@
             ("settled as unknown", row.failed > 0),
             ("call outlives its sender", has_orphaned_call(state)),
         ];
-        seen.into_iter()
-            .filter_map(|(name, seen)| seen.then_some(name))
+        holds
+            .into_iter()
+            .filter_map(|(name, holds)| holds.then_some(name))
             .collect()
     }
 
--- a/crates/spec/src/chunks/state.rs
+++ b/crates/spec/src/chunks/state.rs
@@ -228,7 +228,7 @@
     } else if !state.objects.contains(&object) {
         state.observed_violation = Some("a committed result cannot be read");
     } else if item == Item::Completed && state.runs == 0 {
-        state.observed_violation = Some("an item is completed that never ran");
+        state.observed_violation = Some("an item that never ran is completed");
     }
     true
 }
--- a/crates/spec/src/configuration.rs
+++ b/crates/spec/src/configuration.rs
@@ -82,21 +82,22 @@
         if let Some(observed_violation) = state.observed_violation {
             return Some(observed_violation.to_owned());
         }
-        (!self.converges(state)).then(|| "a node never catches up in a whole network".to_owned())
+        (!self.converges(state))
+            .then(|| "a node does not catch up although no further fault occurs".to_owned())
     }
 
     fn coverage(&self, state: &State) -> Vec<&'static str> {
         let any = |what: fn(&Node) -> bool| state.nodes.iter().any(what);
         let latest_revision = latest_revision(state.committed);
-        let seen = [
-            ("cut off", any(|node| node.partitioned)),
+        let holds = [
+            ("partitioned", any(|node| node.partitioned)),
             ("not serving", any(|node| !node.serves)),
             (
                 "change held back",
                 any(|node| node.pending.highest().is_some()),
             ),
             (
-                "in force everywhere",
+                "reached by all nodes",
                 state.committed > 0 && state.reached_by_all == latest_revision,
             ),
             (
@@ -107,8 +108,9 @@
                 }),
             ),
         ];
-        seen.into_iter()
-            .filter_map(|(name, seen)| seen.then_some(name))
+        holds
+            .into_iter()
+            .filter_map(|(name, holds)| holds.then_some(name))
             .collect()
     }
 
--- a/crates/spec/src/configuration/protocol.rs
+++ b/crates/spec/src/configuration/protocol.rs
@@ -123,10 +123,10 @@
         if reverted && !restart {
             after.observed_violation = Some("a node went back to an older revision");
         } else if partially_applied {
-            after.observed_violation = Some("a node has part of a change in force");
+            after.observed_violation = Some("a node has applied part of a change");
         } else if after.nodes.iter().any(behind) {
             after.observed_violation =
-                Some("a node serves a revision older than one that was in force everywhere");
+                Some("a node serves a revision older than one that all nodes had reached");
         }
     }
 }
--- a/crates/spec/src/fence.rs
+++ b/crates/spec/src/fence.rs
@@ -154,7 +154,7 @@
         if admitted {
             if order <= state.applied {
                 state.observed_violation =
-                    Some("the engine obeyed an order older than one it had obeyed");
+                    Some("the engine applied an order that is not newer than its latest");
             }
             state.applied = order;
         }
@@ -281,7 +281,7 @@
             Phase::Idle | Phase::Claiming(_) => None,
         });
         let shared = epochs[0].is_some() && epochs[0] == epochs[1];
-        shared.then(|| "two controllers rule under one epoch".to_owned())
+        shared.then(|| "two controllers lead under one epoch".to_owned())
     }
 
     fn coverage(&self, state: &State) -> Vec<&'static str> {
@@ -290,14 +290,15 @@
             matches!(controller.phase, Phase::Leading(position) if position.epoch < epoch)
         });
         let late = state.orders.iter().any(|order| *order < state.applied);
-        let seen = [
+        let holds = [
             ("stale controller", replaced),
             ("late order", late),
-            ("order obeyed", state.applied.epoch > 0),
+            ("order applied", state.applied.epoch > 0),
             ("claim outlives its sender", has_orphaned_call(state)),
         ];
-        seen.into_iter()
-            .filter_map(|(name, seen)| seen.then_some(name))
+        holds
+            .into_iter()
+            .filter_map(|(name, holds)| holds.then_some(name))
             .collect()
     }
 
--- a/crates/spec/src/jobs.rs
+++ b/crates/spec/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Acceptance, claim, commit and end of a job on the row store.
 //!
 //! Two nodes share one row. A call to the store may be refused, lost, applied without an answer, or
-//! applied committed_after_end if its condition still holds. A node retries an in-doubt call unchanged. Any node may
+//! applied later if its condition still holds. A node retries an in-doubt call unchanged. Any node may
 //! claim the job at any time, so a paused owner may resume after it was replaced. The caller submits
 //! the job at most twice, reads results and ends the job.
 
@@ -109,7 +109,7 @@
     /// It is applied, and the node cannot tell.
     #[display("done without an answer")]
     AnswerLost,
-    /// It may be applied committed_after_end, and the node cannot tell.
+    /// It may be applied later, and the node cannot tell.
     #[display("late")]
     Late,
 }
@@ -442,28 +442,29 @@
                 .iter()
                 .all(|reported| *reported == Reported::NotRun);
         let Some(row) = &state.row.value else {
-            return accepted.then(|| "an accepted job is not there".to_owned());
+            return accepted.then(|| "an accepted job is missing".to_owned());
         };
         if refused {
             return Some("a job that was refused as not run was accepted".to_owned());
         }
         let first = row.committed.first();
         if row.committed.len() > 1 && row.committed[1..].iter().any(|item| Some(item) == first) {
-            return Some("an item is listed twice".to_owned());
+            return Some("an item is committed twice".to_owned());
         }
         if !row.committed.starts_with(&state.read_results) {
-            return Some("a result that was read is gone or at another position".to_owned());
+            return Some("a result that was read is missing or at another position".to_owned());
         }
         let committed_after_end = state
             .committed_at_end
             .is_some_and(|at_end| row.committed.len() > at_end);
-        committed_after_end.then(|| "a result was listed after the end was acknowledged".to_owned())
+        committed_after_end
+            .then(|| "a result was committed after the end was acknowledged".to_owned())
     }
 
     fn coverage(&self, state: &State) -> Vec<&'static str> {
         let mut coverage = Vec::new();
         if state.reported.contains(&Reported::Unanswered) && state.row.value.is_some() {
-            coverage.push("accepted without the caller's knowing");
+            coverage.push("accepted without an answer to the caller");
         }
         if state
             .nodes
@@ -472,7 +473,7 @@
             .count()
             == NODES
         {
-            coverage.push("two nodes take themselves for the owner");
+            coverage.push("two nodes believe they own the job");
         }
         if state
             .row
@@ -480,7 +481,7 @@
             .as_ref()
             .is_some_and(|row| row.committed.len() == ITEMS as usize)
         {
-            coverage.push("every item listed");
+            coverage.push("every item committed");
         }
         if state.committed_at_end.is_some() {
             coverage.push("ended");
--- a/crates/spec/src/leaving.rs
+++ b/crates/spec/src/leaving.rs
@@ -184,7 +184,7 @@
     fn violation(&self, state: &State) -> Option<String> {
         state
             .sent_too_late
-            .then(|| "a leaving server was sent new work after the bound".to_owned())
+            .then(|| "a draining server was sent new work after the bound".to_owned())
     }
 
     fn coverage(&self, state: &State) -> Vec<&'static str> {
@@ -199,7 +199,7 @@
             node.call
                 .is_some_and(|(asked, status)| status.is_some() && asked < state.now)
         };
-        let seen = [
+        let holds = [
             ("past the bound", gone),
             (
                 "believed to accept work past the bound",
@@ -208,8 +208,9 @@
             ("known to be draining", known(false)),
             ("answer handled later", state.nodes.iter().any(unread)),
         ];
-        seen.into_iter()
-            .filter_map(|(name, seen)| seen.then_some(name))
+        holds
+            .into_iter()
+            .filter_map(|(name, holds)| holds.then_some(name))
             .collect()
     }
 
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -90,18 +90,18 @@
             let outcome = row.outcome.as_ref();
             outcome.is_some_and(|outcome| outcome.kind == 0)
         });
-        let broken = if runs > 1 {
+        let message = if runs > 1 {
             "the request ran twice"
         } else if state.attempts.iter().any(wrongly_reported) {
-            "an attempt that was refused as not run has run"
+            "an attempt that was reported as not run has run"
         } else if answered && runs == 0 {
-            "an answer is recorded that nobody gave"
+            "an answer is recorded although the request never ran"
         } else if !self.terminates(state) {
-            "the key stays in progress for good, with nobody running the request"
+            "the key stays in progress although no attempt runs the request"
         } else {
             return None;
         };
-        Some(broken.to_owned())
+        Some(message.to_owned())
     }
 
     fn coverage(&self, state: &State) -> Vec<&'static str> {
@@ -112,7 +112,7 @@
                 .is_some_and(|outcome| *outcome == unknown_outcome())
         });
         let gave_up = |attempt: &Attempt| attempt.phase == Phase::GivingUp;
-        let seen = [
+        let holds = [
             ("settled", phase == Some(OncePhase::OnceSettled)),
             ("released", phase == Some(OncePhase::OnceReleased)),
             ("recorded as unknown", unknown),
@@ -123,14 +123,15 @@
                 state.attempts.iter().any(|attempt| attempt.crashed),
             ),
         ];
-        seen.into_iter()
-            .filter_map(|(name, seen)| seen.then_some(name))
+        holds
+            .into_iter()
+            .filter_map(|(name, holds)| holds.then_some(name))
             .collect()
     }
 
     fn bounds(&self) -> String {
         format!(
-            "1 key, {ATTEMPTS} attempts with {LOOPS} ways to the record each, up to {} faults and {} \
+            "1 key, {ATTEMPTS} attempts with {LOOPS} loops each, up to {} faults and {} \
              wrong suspicions",
             self.limits.faults, self.limits.suspicions
         )
--- a/crates/spec/src/plans.rs
+++ b/crates/spec/src/plans.rs
@@ -18,7 +18,7 @@
 pub enum Mutant {
     /// The confirmation compares only the plan's own row.
     BasisNotCompared,
-    /// An operator whose answer is lost is was_told that the plan was refused.
+    /// An operator whose answer is lost is told that the plan was refused.
     LostAnswerRefused,
 }
 
@@ -225,22 +225,22 @@
             (0..PLANS)
                 .any(|plan| state.operators[plan] == operator && state.plans[plan].value == phase)
         };
-        let broken = if confirmed(state) > 1 {
+        let message = if confirmed(state) > 1 {
             "both of two conflicting plans are confirmed"
         } else if was_told(Operator::Refused, PlanPhase::Running) {
             "an operator was told that a confirmed plan was refused"
         } else if was_told(Operator::Accepted, PlanPhase::Proposed) {
-            "an operator was told that a plan is confirmed that is not"
+            "an operator was told that an unconfirmed plan is confirmed"
         } else if !self.terminates(state) {
-            "neither plan is confirmed, though nothing fails any more"
+            "neither plan is confirmed although no further fault occurs"
         } else {
             return None;
         };
-        Some(broken.to_owned())
+        Some(message.to_owned())
     }
 
     fn coverage(&self, state: &State) -> Vec<&'static str> {
-        let seen = [
+        let holds = [
             ("confirmed", confirmed(state) == 1),
             (
                 "overtaken",
@@ -249,11 +249,15 @@
                     .iter()
                     .any(|plan| plan.value == PlanPhase::Overtaken),
             ),
-            ("unsure", state.operators.contains(&Operator::Unknown)),
+            (
+                "outcome unknown",
+                state.operators.contains(&Operator::Unknown),
+            ),
             ("two calls of one plan", has_concurrent_calls(state)),
         ];
-        seen.into_iter()
-            .filter_map(|(name, seen)| seen.then_some(name))
+        holds
+            .into_iter()
+            .filter_map(|(name, holds)| holds.then_some(name))
             .collect()
     }
 
