--- a/crates/spec/src/catalogue.rs
+++ b/crates/spec/src/catalogue.rs
@@ -177,7 +177,7 @@
             },
             Mutant {
                 name: "holder-not-compared",
-                breaks: "two controllers lead under one epoch",
+                breaks: "two controllers rule under one epoch",
             },
         ],
         quick_faults: 2,
--- a/crates/spec/src/configuration.rs
+++ b/crates/spec/src/configuration.rs
@@ -90,14 +90,14 @@
         let any = |what: fn(&Node) -> bool| state.nodes.iter().any(what);
         let latest_revision = latest_revision(state.committed);
         let holds = [
-            ("partitioned", any(|node| node.partitioned)),
+            ("cut off", any(|node| node.partitioned)),
             ("not serving", any(|node| !node.serves)),
             (
                 "change held back",
                 any(|node| node.pending.highest().is_some()),
             ),
             (
-                "reached by all nodes",
+                "in force everywhere",
                 state.committed > 0 && state.reached_by_all == latest_revision,
             ),
             (
--- a/crates/spec/src/fence.rs
+++ b/crates/spec/src/fence.rs
@@ -281,7 +281,7 @@
             Phase::Idle | Phase::Claiming(_) => None,
         });
         let shared = epochs[0].is_some() && epochs[0] == epochs[1];
-        shared.then(|| "two controllers lead under one epoch".to_owned())
+        shared.then(|| "two controllers rule under one epoch".to_owned())
     }
 
     fn coverage(&self, state: &State) -> Vec<&'static str> {
