--- a/crates/transport/tests/pool.rs
+++ b/crates/transport/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The link pool: shared dials, redials after a loss, and unary calls.
+//! The link pool: shared dials, lost links, failed dials and unary calls.
 
 mod support;
 
@@ -38,7 +38,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn a_lost_link_is_dialled_again() {
+async fn a_lost_link_is_not_reused() {
     let server = echo_server(settings()).await;
     let listener = server.address;
     let pool = pool();
