--- a/crates/spec/src/catalogue.rs
+++ b/crates/spec/src/catalogue.rs
@@ -11,43 +11,43 @@
 use crate::once::{self, Once};
 use crate::plans::{self, Plans};
 
-/// A plausible mistake that the checker has to catch.
+/// A bug that the checker must detect.
 pub struct Mutant {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// The promise that it breaks.
+    /// The invariant that it violates.
     pub breaks: &'static str,
 }
 
-/// One specification that can be explored by name.
+/// A specification that can be explored by name.
 pub struct Entry {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it is about.
+    /// One-line description.
     pub about: &'static str,
-    /// The mistakes that can be put into it.
+    /// The bugs that can be injected.
     pub mutants: &'static [Mutant],
-    /// Faults in one run, for tests that should end in seconds.
+    /// Maximum faults in one trace for quick tests.
     pub quick_faults: u8,
-    /// Faults in one run, for a thorough exploration.
+    /// Maximum faults in one trace for a thorough exploration.
     pub faults: u8,
     run: fn(mutant: Option<&str>, faults: u8) -> Exploration,
 }
 
 impl Entry {
-    /// Explores the protocol as it is, with at most this many faults in one run.
+    /// Explores the unmodified protocol with at most `faults` faults in one trace.
     pub fn explore(&self, faults: u8) -> Exploration {
         (self.run)(None, faults)
     }
 
-    /// Explores the protocol with a mistake in it; `None` when it has no mutant of this name.
+    /// Explores the protocol with a mutant; `None` if there is no mutant of this name.
     pub fn explore_mutant(&self, mutant: &str, faults: u8) -> Option<Exploration> {
         let known = self.mutants.iter().any(|known| known.name == mutant);
         known.then(|| (self.run)(Some(mutant), faults))
     }
 }
 
-/// The entry of this name.
+/// Looks up a specification by name.
 pub fn find(name: &str) -> Option<&'static Entry> {
     ALL.iter().find(|entry| entry.name == name)
 }
@@ -94,7 +94,7 @@
     },
     Entry {
         name: "jobs",
-        about: "a job on the row store: accept in doubt, claim, commit at a position, end",
+        about: "acceptance, claim, commit and end of a job on the row store",
         mutants: &[
             Mutant {
                 name: "doubt-forgotten",
@@ -102,15 +102,15 @@
             },
             Mutant {
                 name: "absence-not-compared",
-                breaks: "a result that was read is gone or at another position",
+                breaks: "a result that was read is missing or at another position",
             },
             Mutant {
                 name: "revision-not-compared",
-                breaks: "a result was listed after the end was acknowledged",
+                breaks: "a result was committed after the end was acknowledged",
             },
             Mutant {
                 name: "end-not-compared",
-                breaks: "a result was listed after the end was acknowledged",
+                breaks: "a result was committed after the end was acknowledged",
             },
         ],
         quick_faults: 1,
@@ -119,7 +119,7 @@
     },
     Entry {
         name: "once",
-        about: "the at-most-once record with two senders",
+        about: "the at-most-once record with two concurrent attempts",
         mutants: &[
             Mutant {
                 name: "retry-after-maybe",
@@ -131,11 +131,11 @@
             },
             Mutant {
                 name: "loop-outlives-wait",
-                breaks: "the key stays in progress for good, with nobody running the request",
+                breaks: "the key stays in progress although no attempt runs the request",
             },
             Mutant {
                 name: "not-given-up",
-                breaks: "the key stays in progress for good, with nobody running the request",
+                breaks: "the key stays in progress although no attempt runs the request",
             },
         ],
         quick_faults: 2,
@@ -144,7 +144,7 @@
     },
     Entry {
         name: "configuration",
-        about: "spread of configuration revisions",
+        about: "replication of configuration revisions",
         mutants: &[
             Mutant {
                 name: "older-applied",
@@ -152,15 +152,15 @@
             },
             Mutant {
                 name: "part-applied",
-                breaks: "a node has part of a change in force",
+                breaks: "a node has applied part of a change",
             },
             Mutant {
                 name: "basis-not-compared",
-                breaks: "a node has part of a change in force",
+                breaks: "a node has applied part of a change",
             },
             Mutant {
                 name: "unready-peer-trusted",
-                breaks: "a node serves a revision older than one that was in force everywhere",
+                breaks: "a node serves a revision older than one that all nodes had reached",
             },
         ],
         quick_faults: 1,
@@ -173,7 +173,7 @@
         mutants: &[
             Mutant {
                 name: "fence-ignored",
-                breaks: "the engine obeyed an order older than one it had obeyed",
+                breaks: "the engine applied an order that is not newer than its latest",
             },
             Mutant {
                 name: "holder-not-compared",
@@ -203,15 +203,15 @@
     },
     Entry {
         name: "leaving",
-        about: "a leaving server and two nodes that believe to own it; faults are ticks",
+        about: "a draining server and two nodes that act as its owner; faults are ticks",
         mutants: &[
             Mutant {
                 name: "time-of-reading",
-                breaks: "a leaving server was sent new work after the bound",
+                breaks: "a draining server was sent new work after the bound",
             },
             Mutant {
                 name: "age-not-looked-at",
-                breaks: "a leaving server was sent new work after the bound",
+                breaks: "a draining server was sent new work after the bound",
             },
         ],
         quick_faults: 4,
