--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -378,7 +378,7 @@
         advance(3_000).await;
         rows.remove("op", "", "evacuate/north");
         rows.write("op", "", "evacuate/south", "{}");
-        rows.forget_history();
+        rows.compact_history();
         rows.set_down(false);
         advance(1_000).await;
         expect_that!(
@@ -424,7 +424,7 @@
                     0 | 1 => rows.write("op", "", &key, "{}"),
                     2 | 3 => rows.remove("op", "", &key),
                     4 => rows.set_down(random.random_bool(0.5)),
-                    _ => rows.forget_history(),
+                    _ => rows.compact_history(),
                 }
                 advance(random.random_range(0..300)).await;
             }
--- a/crates/cluster/tests/follow.rs
+++ b/crates/cluster/tests/follow.rs
@@ -107,7 +107,7 @@
         tokio::time::sleep(Duration::from_secs(3)).await;
         rows.write(TABLE, "", "b", "1");
         rows.remove(TABLE, "", "a");
-        rows.forget_history();
+        rows.compact_history();
         rows.set_down(false);
         tokio::time::sleep(Duration::from_secs(1)).await;
         expect_that!(keys(&sink), eq(&["b"]));
@@ -152,13 +152,13 @@
         let sink = start(&rows);
         sink.pace.set(Duration::from_millis(200));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let before = rows.feeds();
+        let before = rows.feed_calls();
         for number in 0..400 {
             rows.write(TABLE, "", &format!("key-{}", number % 7), "1");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         // Two seconds of changes, with 200 ms between calls.
-        expect_that!(rows.feeds() - before, le(11));
+        expect_that!(rows.feed_calls() - before, le(11));
         tokio::time::sleep(Duration::from_millis(210)).await;
         expect_that!(keys(&sink).len(), eq(7));
         expect_that!(sink.newest.get(), eq(400));
--- a/crates/emulator/src/rows.rs
+++ b/crates/emulator/src/rows.rs
@@ -46,7 +46,7 @@
     random: Option<(ChaCha8Rng, f64)>,
     random_reads: Option<(ChaCha8Rng, f64)>,
     transactions: u64,
-    feeds: u64,
+    feed_calls: u64,
 }
 
 /// An in-memory row store; clones share one state.
@@ -89,7 +89,7 @@
     }
 
     /// Discards the history up to the current revision; older feed positions become compacted.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.state.lock();
         state.compacted_revision = state.revision;
         state.history.clear();
@@ -101,8 +101,8 @@
     }
 
     /// Number of feed calls.
-    pub fn feeds(&self) -> u64 {
-        self.state.lock().feeds
+    pub fn feed_calls(&self) -> u64 {
+        self.state.lock().feed_calls
     }
 
     /// Writes a row as another client of the store.
@@ -317,7 +317,7 @@
         after: u64,
         wait_ms: u64,
     ) -> Result<Feed, StoreError> {
-        self.state.lock().feeds += 1;
+        self.state.lock().feed_calls += 1;
         let mut changed = self.changed.subscribe();
         let until = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
         loop {
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -24,32 +24,32 @@
     /// Crashes the server: closes its port and drops all connections.
     Crash,
     /// Drops all connections at once and closes the port after the delay.
-    CrashSlowly(Duration),
+    DropThenCrash(Duration),
 }
 
 /// An event observed by the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
+pub enum ServerEvent {
     /// A complete request: its head and its body.
     Request(String, Vec<u8>),
     /// The peer disconnected during an answer.
-    Left,
+    Disconnected,
 }
 
 #[derive(Default)]
 struct State {
     script: VecDeque<Vec<Reply>>,
-    otherwise: Vec<Reply>,
+    default_reply: Vec<Reply>,
     /// A request body and the answer to it, which precedes the script.
-    on_body: Option<(Vec<u8>, Vec<Reply>)>,
+    reply_to_body: Option<(Vec<u8>, Vec<Reply>)>,
     listener: Option<TcpListener>,
     /// Connection tasks.
     tasks: Vec<tokio::task::AbortHandle>,
     ended: bool,
-    seen: Vec<Seen>,
+    seen: Vec<ServerEvent>,
     connections: u64,
     /// Number of answers in progress.
-    answering: usize,
+    answers_in_progress: usize,
 }
 
 /// Counts an answer as in progress until dropped.
@@ -57,14 +57,14 @@
 
 impl AnswerGuard {
     fn begin(state: &Arc<Mutex<State>>) -> Self {
-        state.lock().answering += 1;
+        state.lock().answers_in_progress += 1;
         Self(state.clone())
     }
 }
 
 impl Drop for AnswerGuard {
     fn drop(&mut self) {
-        self.0.lock().answering -= 1;
+        self.0.lock().answers_in_progress -= 1;
     }
 }
 
@@ -117,28 +117,28 @@
     }
 
     /// Appends the answer to one request to the script.
-    pub fn next(&self, reply: Vec<Reply>) {
+    pub fn push_reply(&self, reply: Vec<Reply>) {
         self.state.lock().script.push_back(reply);
     }
 
     /// Sets the answer to requests beyond the script.
-    pub fn otherwise(&self, reply: Vec<Reply>) {
-        self.state.lock().otherwise = reply;
+    pub fn default_reply(&self, reply: Vec<Reply>) {
+        self.state.lock().default_reply = reply;
     }
 
     /// Sets the answer to requests with this body.
-    pub fn on_body(&self, body: &[u8], reply: Vec<Reply>) {
-        self.state.lock().on_body = Some((body.to_vec(), reply));
+    pub fn reply_to_body(&self, body: &[u8], reply: Vec<Reply>) {
+        self.state.lock().reply_to_body = Some((body.to_vec(), reply));
     }
 
     /// Crashes the server: closes its port and drops all connections.
     pub fn crash(&self) {
         self.state.lock().listener = None;
-        self.break_off();
+        self.drop_connections();
     }
 
     /// Drops all connections and leaves the port open.
-    pub fn break_off(&self) {
+    pub fn drop_connections(&self) {
         let mut state = self.state.lock();
         state.ended = true;
         state.tasks.drain(..).for_each(|task| task.abort());
@@ -161,7 +161,7 @@
     }
 
     /// Events observed by the server, in order.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn observed_events(&self) -> Vec<ServerEvent> {
         self.state.lock().seen.clone()
     }
 
@@ -170,13 +170,13 @@
         let state = self.state.lock();
         let requests = state.seen.iter();
         requests
-            .filter(|seen| matches!(seen, Seen::Request(..)))
+            .filter(|seen| matches!(seen, ServerEvent::Request(..)))
             .count()
     }
 
     /// Number of answers in progress.
-    pub fn answering(&self) -> usize {
-        self.state.lock().answering
+    pub fn answers_in_progress(&self) -> usize {
+        self.state.lock().answers_in_progress
     }
 
     /// Number of accepted connections.
@@ -193,11 +193,14 @@
             let id = header(&head, &self.id_header).unwrap_or_default();
             let reply = {
                 let mut state = self.state.lock();
-                let on_body = state.on_body.as_ref().filter(|(told, _)| *told == body);
-                let on_body = on_body.map(|(_, reply)| reply.clone());
-                state.seen.push(Seen::Request(head, body));
-                let next = on_body.or_else(|| state.script.pop_front());
-                next.unwrap_or_else(|| state.otherwise.clone())
+                let reply_to_body = state
+                    .reply_to_body
+                    .as_ref()
+                    .filter(|(told, _)| *told == body);
+                let reply_to_body = reply_to_body.map(|(_, reply)| reply.clone());
+                state.seen.push(ServerEvent::Request(head, body));
+                let next = reply_to_body.or_else(|| state.script.pop_front());
+                next.unwrap_or_else(|| state.default_reply.clone())
             };
             let _answering = AnswerGuard::begin(&self.state);
             for step in reply {
@@ -223,13 +226,13 @@
                         // The crash aborts this task at the next await.
                         std::future::pending::<()>().await;
                     }
-                    Reply::CrashSlowly(later) => {
+                    Reply::DropThenCrash(later) => {
                         let server = self.clone();
                         tokio::task::spawn_local(async move {
                             tokio::time::sleep(later).await;
                             server.crash();
                         });
-                        self.break_off();
+                        self.drop_connections();
                         std::future::pending::<()>().await;
                     }
                 }
@@ -241,7 +244,7 @@
         let mut byte = [0_u8; 1];
         match tokio::time::timeout(time, stream.read(&mut byte)).await {
             Ok(Ok(0) | Err(_)) => {
-                self.state.lock().seen.push(Seen::Left);
+                self.state.lock().seen.push(ServerEvent::Disconnected);
                 true
             }
             _ => false,
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -12,7 +12,7 @@
 use dappleyard_store::{Machine, MachineRole};
 use dappleyard_tables::{Identity, NodeTables};
 use dappleyard_transport::link::{Announcement, LinkServer};
-use dappleyard_transport::policy::{LinkPolicy, LinkState};
+use dappleyard_transport::policy::{LinkPolicy, PathState};
 use dappleyard_transport::{DatagramSocket, LinkSettings, ServerStream};
 use dappleyard_wire::PROTOCOL_VERSION;
 use dappleyard_wire::messages::{Hello, NodeLoad, Reply, ServiceLoad, call, frame, reply};
@@ -46,10 +46,10 @@
 }
 
 impl LinkPolicy for NodePolicy {
-    fn path(&self, peer: &str) -> LinkState {
+    fn path(&self, peer: &str) -> PathState {
         let cut = self.faults.cut.read();
         let is_cut = !cut.is_empty() && (cut.contains(peer) || cut.contains(&*self.own.read()));
-        LinkState {
+        PathState {
             delay: Duration::ZERO,
             cut: is_cut,
             loss: self.faults.loss,
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -4,12 +4,12 @@
 use std::time::Instant;
 
 use clap::{Arg, ArgMatches, Command, value_parser};
-use dappleyard_spec::catalogue::{ALL, Entry, find};
+use dappleyard_spec::catalogue::{CatalogueEntry, SPECIFICATIONS, find};
 use dappleyard_spec::checker::Exploration;
 
 /// The subcommand's arguments.
 pub fn command() -> Command {
-    let names: Vec<&str> = ALL.iter().map(|entry| entry.name).collect();
+    let names: Vec<&str> = SPECIFICATIONS.iter().map(|entry| entry.name).collect();
     Command::new("model")
         .about("Explores the protocol specifications and prints states and counterexamples")
         .long_about(format!(
@@ -53,7 +53,7 @@
         return run_mutant(chosen.map_or("", String::as_str), mutant, faults);
     }
     let mut holds = true;
-    for entry in ALL {
+    for entry in SPECIFICATIONS {
         if chosen.is_none_or(|name| name == entry.name) {
             let found = timed(entry.name, || entry.explore(faults.unwrap_or(entry.faults)));
             holds &= found.counterexample.is_none();
@@ -107,7 +107,7 @@
 }
 
 fn listing() -> String {
-    let lines: Vec<String> = ALL
+    let lines: Vec<String> = SPECIFICATIONS
         .iter()
         .map(|entry| {
             format!(
@@ -121,7 +121,7 @@
     lines.join("\n")
 }
 
-fn mutants(entry: &Entry) -> String {
+fn mutants(entry: &CatalogueEntry) -> String {
     let names: Vec<&str> = entry.mutants.iter().map(|mutant| mutant.name).collect();
     names.join(", ")
 }
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dappleyard_transport::policy::{LinkPolicy, LinkState, SharedPolicy};
+use dappleyard_transport::policy::{LinkPolicy, PathState, SharedPolicy};
 use derive_more::Display;
 use parking_lot::RwLock;
 
@@ -98,9 +98,9 @@
     }
 
     /// State of the path between two spots.
-    pub fn between(&self, one: &Spot, other: &Spot) -> LinkState {
+    pub fn between(&self, one: &Spot, other: &Spot) -> PathState {
         let faults = self.faults.read();
-        LinkState {
+        PathState {
             delay: self.delay(one, other),
             cut: faults
                 .cuts
@@ -133,9 +133,9 @@
 
 impl LinkPolicy for ProcessPolicy {
     /// Peers that are not known yet are reached without delay.
-    fn path(&self, peer: &str) -> LinkState {
+    fn path(&self, peer: &str) -> PathState {
         let spots = self.network.spots.read();
-        spots.get(peer).map_or(LinkState::DIRECT, |spot| {
+        spots.get(peer).map_or(PathState::DIRECT, |spot| {
             self.network.between(&self.own, spot)
         })
     }
--- a/crates/online/src/metrics.rs
+++ b/crates/online/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Prometheus metrics of the online path.
 
-use dappleyard_wire::{ErrorKind, Failure, error::ran_name};
+use dappleyard_wire::{ErrorKind, Failure, error::ran_label};
 use prometheus::{Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
 /// Bucket bounds of the duration histograms, seconds.
@@ -69,7 +69,7 @@
     pub fn count_refusal(&self, failure: &Failure) {
         let kind: ErrorKind = failure.kind;
         self.refused
-            .with_label_values(&[kind.answer().code, ran_name(failure.ran)])
+            .with_label_values(&[kind.answer().code, ran_label(failure.ran)])
             .inc();
     }
 }
--- a/crates/online/src/settle.rs
+++ b/crates/online/src/settle.rs
@@ -2,7 +2,7 @@
 
 use dappleyard_decide::once::unknown_outcome;
 use dappleyard_tables::decisions::{Decision, DecisionKind, Subject};
-use dappleyard_wire::error::ran_name;
+use dappleyard_wire::error::ran_label;
 use dappleyard_wire::messages::OnceOutcome;
 use dappleyard_wire::{ErrorKind, Failure, Ran};
 
@@ -78,7 +78,7 @@
         return;
     }
     let inputs = vec![
-        ("ran".to_owned(), ran_name(failure.ran).to_owned()),
+        ("ran".to_owned(), ran_label(failure.ran).to_owned()),
         ("attempt".to_owned(), incoming.attempt.to_string()),
         ("left_ms".to_owned(), incoming.remaining_ms().to_string()),
     ];
@@ -89,7 +89,7 @@
 
 /// Records a repeated placement as a decision.
 pub(crate) fn record_retry(worker: &OnlineWorker, incoming: &Incoming, cause: &str, ran: Ran) {
-    let inputs = vec![("ran".to_owned(), ran_name(ran).to_owned())];
+    let inputs = vec![("ran".to_owned(), ran_label(ran).to_owned())];
     let kind = DecisionKind::PlacedAgain;
     record(worker, incoming, kind, cause, inputs, "placed again");
 }
--- a/crates/operate/src/api/bodies.rs
+++ b/crates/operate/src/api/bodies.rs
@@ -2,7 +2,7 @@
 
 use actix_web::http::StatusCode;
 use actix_web::{HttpResponse, ResponseError};
-use dappleyard_wire::error::ran_name;
+use dappleyard_wire::error::ran_label;
 use dappleyard_wire::messages::{DrainRow, ServiceRow, TenantRow, WindowRow};
 use dappleyard_wire::{ErrorKind, Failure};
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,7 @@
             error: ErrorDetail {
                 code: failure.kind.answer().code.to_owned(),
                 message: failure.message.clone(),
-                ran: ran_name(failure.ran).to_owned(),
+                ran: ran_label(failure.ran).to_owned(),
                 retry_after_ms: failure.retry_after_ms,
                 changed: self.0.changed.clone(),
             },
--- a/crates/relay/tests/evacuations.rs
+++ b/crates/relay/tests/evacuations.rs
@@ -103,7 +103,7 @@
     .await;
     withdraw_order(&rows, "first");
     issue_order(&rows, "second");
-    rows.forget_history();
+    rows.compact_history();
     // The last known orders stay in force.
     expect_that!(a.knows(&["first"]), eq(true));
     b.cut.set(false);
--- a/crates/sidecar/src/error.rs
+++ b/crates/sidecar/src/error.rs
@@ -4,7 +4,7 @@
 use actix_web::http::StatusCode;
 use actix_web::http::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use actix_web::{HttpResponse, ResponseError};
-use dappleyard_wire::error::ran_name;
+use dappleyard_wire::error::ran_label;
 use dappleyard_wire::{ErrorKind, Failure};
 use derive_more::{Display, Error};
 use serde::Serialize;
@@ -52,7 +52,7 @@
                 param: (!self.parameter.is_empty()).then_some(&self.parameter),
                 code: answer.code,
                 kind: answer.code,
-                ran: ran_name(self.failure.ran),
+                ran: ran_label(self.failure.ran),
                 retry_after_ms: self.failure.retry_after_ms,
             },
         }
@@ -79,7 +79,7 @@
         let mut response = HttpResponse::build(self.status_code());
         response.insert_header((
             RAN_HEADER,
-            HeaderValue::from_static(ran_name(self.failure.ran)),
+            HeaderValue::from_static(ran_label(self.failure.ran)),
         ));
         if self.failure.retry_after_ms > 0 {
             let seconds = self.failure.retry_after_ms.div_ceil(1000);
--- a/crates/spec/src/catalogue.rs
+++ b/crates/spec/src/catalogue.rs
@@ -20,7 +20,7 @@
 }
 
 /// A specification that can be explored by name.
-pub struct Entry {
+pub struct CatalogueEntry {
     /// Name on the command line.
     pub name: &'static str,
     /// One-line description.
@@ -34,7 +34,7 @@
     run: fn(mutant: Option<&str>, faults: u8) -> Exploration,
 }
 
-impl Entry {
+impl CatalogueEntry {
     /// Explores the unmodified protocol with at most `faults` faults in one trace.
     pub fn explore(&self, faults: u8) -> Exploration {
         (self.run)(None, faults)
@@ -48,13 +48,13 @@
 }
 
 /// Looks up a specification by name.
-pub fn find(name: &str) -> Option<&'static Entry> {
-    ALL.iter().find(|entry| entry.name == name)
+pub fn find(name: &str) -> Option<&'static CatalogueEntry> {
+    SPECIFICATIONS.iter().find(|entry| entry.name == name)
 }
 
 /// All specifications.
-pub const ALL: &[Entry] = &[
-    Entry {
+pub const SPECIFICATIONS: &[CatalogueEntry] = &[
+    CatalogueEntry {
         name: "chunks",
         about: "claim, takeover, commit and cancel of a chunk whose items may repeat",
         mutants: &[
@@ -71,7 +71,7 @@
         faults: 3,
         run: |mutant, faults| explore(&chunks(Repeat::Allowed, mutant, faults)),
     },
-    Entry {
+    CatalogueEntry {
         name: "chunks-never",
         about: "the same for items that must not repeat",
         mutants: &[
@@ -92,7 +92,7 @@
         faults: 3,
         run: |mutant, faults| explore(&chunks(Repeat::Never, mutant, faults)),
     },
-    Entry {
+    CatalogueEntry {
         name: "jobs",
         about: "acceptance, claim, commit and end of a job on the row store",
         mutants: &[
@@ -117,7 +117,7 @@
         faults: 2,
         run: |mutant, faults| explore(&jobs(mutant, faults)),
     },
-    Entry {
+    CatalogueEntry {
         name: "once",
         about: "the at-most-once record with two concurrent attempts",
         mutants: &[
@@ -142,7 +142,7 @@
         faults: 3,
         run: |mutant, faults| explore(&once(mutant, faults)),
     },
-    Entry {
+    CatalogueEntry {
         name: "configuration",
         about: "replication of configuration revisions",
         mutants: &[
@@ -167,7 +167,7 @@
         faults: 2,
         run: |mutant, faults| explore(&configuration(mutant, faults)),
     },
-    Entry {
+    CatalogueEntry {
         name: "fence",
         about: "fenced orders to an engine from two controllers",
         mutants: &[
@@ -184,7 +184,7 @@
         faults: 3,
         run: |mutant, faults| explore(&fence(mutant, faults)),
     },
-    Entry {
+    CatalogueEntry {
         name: "plans",
         about: "confirmation of two conflicting plans",
         mutants: &[
@@ -201,7 +201,7 @@
         faults: 5,
         run: |mutant, faults| explore(&plans(mutant, faults)),
     },
-    Entry {
+    CatalogueEntry {
         name: "leaving",
         about: "a draining server and two nodes that act as its owner; faults are ticks",
         mutants: &[
--- a/crates/spec/tests/specifications.rs
+++ b/crates/spec/tests/specifications.rs
@@ -2,15 +2,17 @@
 
 use std::thread;
 
-use dappleyard_spec::catalogue::{ALL, Entry};
+use dappleyard_spec::catalogue::{CatalogueEntry, SPECIFICATIONS};
 use dappleyard_spec::checker::Exploration;
 use googletest::prelude::*;
 
 /// Explores all specifications in parallel, one thread each.
-fn explore_all<R: Send>(explore: impl Fn(&'static Entry) -> R + Sync) -> Vec<(&'static Entry, R)> {
+fn explore_all<R: Send>(
+    explore: impl Fn(&'static CatalogueEntry) -> R + Sync,
+) -> Vec<(&'static CatalogueEntry, R)> {
     thread::scope(|scope| {
         let explore = &explore;
-        let threads: Vec<_> = ALL
+        let threads: Vec<_> = SPECIFICATIONS
             .iter()
             .map(|entry| (entry, scope.spawn(move || explore(entry))))
             .collect();
@@ -31,7 +33,7 @@
 
 #[gtest]
 fn every_mutant_is_detected() {
-    let explore = |entry: &'static Entry| -> Vec<Exploration> {
+    let explore = |entry: &'static CatalogueEntry| -> Vec<Exploration> {
         let mutants = entry.mutants.iter();
         mutants
             .filter_map(|mutant| entry.explore_mutant(mutant.name, entry.faults))
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -16,5 +16,5 @@
 pub use link::{
     Link, LinkError, LinkMetrics, LinkServer, LinkSettings, ServerStream, StreamReceiver,
 };
-pub use policy::{DirectPolicy, LinkPolicy, LinkState};
+pub use policy::{DirectPolicy, LinkPolicy, PathState};
 pub use pool::{CallError, LinkPool};
--- a/crates/transport/src/policy.rs
+++ b/crates/transport/src/policy.rs
@@ -5,7 +5,7 @@
 
 /// State of the path from one process to another.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LinkState {
+pub struct PathState {
     /// One-way delay added to each frame or datagram.
     pub delay: Duration,
     /// Whether the path is partitioned: frames wait until it heals, datagrams are dropped.
@@ -14,9 +14,9 @@
     pub loss: f64,
 }
 
-impl LinkState {
+impl PathState {
     /// A path without delay, partition or loss.
-    pub const DIRECT: LinkState = LinkState {
+    pub const DIRECT: PathState = PathState {
         delay: Duration::ZERO,
         cut: false,
         loss: 0.0,
@@ -28,7 +28,7 @@
 /// the peer's Hello.
 pub trait LinkPolicy: Send + Sync {
     /// State of the path from this process to `peer`.
-    fn path(&self, peer: &str) -> LinkState;
+    fn path(&self, peer: &str) -> PathState;
 }
 
 /// A policy without shaping.
@@ -36,8 +36,8 @@
 pub struct DirectPolicy;
 
 impl LinkPolicy for DirectPolicy {
-    fn path(&self, _peer: &str) -> LinkState {
-        LinkState::DIRECT
+    fn path(&self, _peer: &str) -> PathState {
+        PathState::DIRECT
     }
 }
 
--- a/crates/transport/tests/support/mod.rs
+++ b/crates/transport/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dappleyard_transport::link::{Announcement, LinkServer, LinkSettings, ServerStream};
-use dappleyard_transport::policy::{LinkPolicy, LinkState};
+use dappleyard_transport::policy::{LinkPolicy, PathState};
 use dappleyard_transport::{Link, LinkError};
 use dappleyard_wire::PROTOCOL_VERSION;
 use dappleyard_wire::messages::{Call, Chunk, Hello, ListModels, call, frame};
@@ -17,20 +17,20 @@
 
 /// A policy with one state for all paths, which the test can change.
 #[derive(Debug)]
-pub struct AdjustablePolicy(Mutex<LinkState>);
+pub struct AdjustablePolicy(Mutex<PathState>);
 
 impl AdjustablePolicy {
     pub fn direct() -> Arc<Self> {
-        Arc::new(Self(Mutex::new(LinkState::DIRECT)))
+        Arc::new(Self(Mutex::new(PathState::DIRECT)))
     }
 
-    pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
+    pub fn set(&self, change: impl FnOnce(&mut PathState)) {
         change(&mut self.0.lock().unwrap());
     }
 }
 
 impl LinkPolicy for AdjustablePolicy {
-    fn path(&self, _peer: &str) -> LinkState {
+    fn path(&self, _peer: &str) -> PathState {
         *self.0.lock().unwrap()
     }
 }
--- a/crates/upstream/tests/exchange.rs
+++ b/crates/upstream/tests/exchange.rs
@@ -29,7 +29,7 @@
 #[gtest]
 fn truncated_chunked_body_is_an_error() {
     with_server(|server| async move {
-        server.next(vec![send(CHUNKED), send("3\r\nabc\r\n"), Reply::Close]);
+        server.push_reply(vec![send(CHUNKED), send("3\r\nabc\r\n"), Reply::Close]);
         let mut connection = open(&server).await;
         expect_that!(connection.send(REQUEST).await.is_ok(), eq(true));
         expect_that!(
@@ -44,7 +44,7 @@
 #[gtest]
 fn body_shorter_than_content_length_is_an_error() {
     with_server(|server| async move {
-        server.next(vec![
+        server.push_reply(vec![
             send("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc"),
             Reply::Close,
         ]);
@@ -57,7 +57,7 @@
 #[gtest]
 fn body_without_length_ends_with_the_connection() {
     with_server(|server| async move {
-        server.next(vec![send("HTTP/1.1 200 OK\r\n\r\nabc"), Reply::Close]);
+        server.push_reply(vec![send("HTTP/1.1 200 OK\r\n\r\nabc"), Reply::Close]);
         let mut connection = open(&server).await;
         let head = connection.send(REQUEST).await.expect("a head");
         expect_that!(head.keep_alive, eq(false));
@@ -69,7 +69,7 @@
 #[gtest]
 fn extra_bytes_prevent_reuse() {
     with_server(|server| async move {
-        server.next(vec![send(
+        server.push_reply(vec![send(
             "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\n",
         )]);
         let mut connection = open(&server).await;
@@ -82,7 +82,7 @@
 #[gtest]
 fn early_response_prevents_reuse() {
     with_server(|server| async move {
-        server.next(vec![send(
+        server.push_reply(vec![send(
             "HTTP/1.1 413 No\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
         )]);
         let mut connection = open(&server).await;
@@ -100,12 +100,12 @@
             "nonsense\r\n\r\n",
             "HTTP/1.1 200 OK\r\ncontent-length: x\r\n\r\n",
         ] {
-            server.next(vec![send(bytes), Reply::Close]);
+            server.push_reply(vec![send(bytes), Reply::Close]);
             let mut connection = open(&server).await;
             let error = connection.send(REQUEST).await.expect_err("no answer");
             expect_that!(error.stage, eq(Stage::Head));
         }
-        server.next(vec![send(CHUNKED), send("zz\r\n"), Reply::Close]);
+        server.push_reply(vec![send(CHUNKED), send("zz\r\n"), Reply::Close]);
         let mut connection = open(&server).await;
         expect_that!(connection.send(REQUEST).await.is_ok(), eq(true));
         expect_that!(connection.whole_body(LIMIT).await.is_err(), eq(true));
@@ -126,7 +126,7 @@
 #[gtest]
 fn interim_responses_are_skipped() {
     with_server(|server| async move {
-        server.next(vec![
+        server.push_reply(vec![
             send("HTTP/1.1 100 Continue\r\n\r\n"),
             send("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na"),
         ]);
@@ -144,8 +144,8 @@
             margin: Duration::from_millis(100),
         };
         let pool = Pool::new(limit, 4);
-        server.next(vec![send("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na")]);
-        server.next(vec![send(
+        server.push_reply(vec![send("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na")]);
+        server.push_reply(vec![send(
             "HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: 1\r\n\r\nb",
         )]);
         let mut connection = open(&server).await;
--- a/crates/upstream/tests/suspension.rs
+++ b/crates/upstream/tests/suspension.rs
@@ -17,7 +17,7 @@
     actix_rt::System::new().block_on(async {
         let server = EmulatedServer::start("id").await.expect("a server");
         let head = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_owned();
-        server.otherwise(vec![Reply::Send(head)]);
+        server.default_reply(vec![Reply::Send(head)]);
         let pool = Pool::new(IDLE, 4);
         for suspended in [Duration::ZERO, 2 * IDLE.default] {
             let limit = Duration::from_secs(2);
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -208,7 +208,7 @@
 }
 
 /// Name of an execution state in headers and JSON: `no`, `maybe` or `yes`.
-pub const fn ran_name(ran: Ran) -> &'static str {
+pub const fn ran_label(ran: Ran) -> &'static str {
     match ran {
         Ran::No => "no",
         Ran::Maybe => "maybe",
