--- a/crates/batch/src/input/parts.rs
+++ b/crates/batch/src/input/parts.rs
@@ -85,7 +85,7 @@
         }
         let data = objects.read(&part.object, part_offset, limit).await?;
         let data = data.ok_or_else(|| StoreError::Invalid {
-            reason: format!("input part {} is missing", part.object),
+            reason: format!("part {} is gone", part.object),
         })?;
         Ok(data.bytes)
     }
@@ -103,7 +103,7 @@
             let bytes = self.read(objects, offset, end - offset).await?;
             if bytes.is_empty() {
                 return Err(StoreError::Invalid {
-                    reason: format!("input ends at byte {offset}, expected {end}"),
+                    reason: format!("the input ends at {offset}, before {end}"),
                 });
             }
             offset += bytes.len() as u64;
--- a/crates/batch/src/store.rs
+++ b/crates/batch/src/store.rs
@@ -37,7 +37,7 @@
     match M::decode(value.clone()) {
         Ok(row) => Ok(Versioned { row, revision }),
         Err(error) => Err(StoreError::Invalid {
-            reason: format!("failed to decode row {key}: {error}"),
+            reason: format!("row {key} does not decode: {error}"),
         }),
     }
 }
--- a/crates/decide/src/disruption.rs
+++ b/crates/decide/src/disruption.rs
@@ -86,7 +86,7 @@
             |zone| format!("in zone {zone}"),
         );
         format!(
-            "{} of at most {} servers are already unavailable {place}",
+            "{} of at most {} servers are unavailable {place} already",
             self.unavailable, self.limit
         )
     }
--- a/crates/decide/src/reassembly.rs
+++ b/crates/decide/src/reassembly.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum AssemblyError {
     /// The model version of the attempt differs from that of the received pieces.
-    #[display("version {offered} cannot continue a response of version {held}")]
+    #[display("version {offered} cannot continue an answer of version {held}")]
     VersionChanged {
         /// Version of the received pieces.
         held: String,
@@ -30,13 +30,13 @@
         offered: String,
     },
     /// A piece was received again with different text.
-    #[display("piece {offset} was received twice with different text")]
+    #[display("piece {offset} came twice with different text")]
     Conflict { offset: u32 },
     /// A limit of [`AssemblyBounds`] was exceeded.
-    #[display("more pieces than the limit of {bound}")]
+    #[display("more pieces than the bound of {bound}")]
     Bound { bound: usize },
     /// A piece is at or past the announced end.
-    #[display("piece {offset} is past the end at {total}")]
+    #[display("piece {offset} lies behind the end at {total}")]
     PastEnd {
         offset: u32,
         /// Announced number of pieces.
--- a/crates/decide/src/rollout.rs
+++ b/crates/decide/src/rollout.rs
@@ -162,7 +162,7 @@
     let mut plan = LoadPlan::default();
     for (assignment, view) in pending(assignments, servers) {
         let held = if available == 0 {
-            Some(format!("{} loads are already running", bounds.concurrency))
+            Some(format!("{} loads are running already", bounds.concurrency))
         } else {
             let context = BudgetContext {
                 replicas: &replicas,
@@ -233,7 +233,7 @@
     match may_disrupt(&view.replica(), context, bounds.budget) {
         DisruptionDecision::Allowed | DisruptionDecision::AllowedUnhealthy => None,
         DisruptionDecision::AlreadyInFlight => {
-            Some("its previous disruption is still in progress".to_owned())
+            Some("its last disruption is not over yet".to_owned())
         }
         DisruptionDecision::Denied(exhausted) => Some(exhausted.description()),
     }
@@ -329,7 +329,7 @@
     let too_many = looks >= MIN_OBSERVATIONS && failed * 100 > looks * percent;
     too_many.then(|| {
         format!(
-            "servers with {} failed in {failed} of {looks} observations, more than {percent} %",
+            "servers with {} failed at {failed} of {looks} looks, more than {percent} %",
             target.canary
         )
     })
@@ -349,7 +349,7 @@
     let canary_ms = median(judged.map(|view| view.step_ms))?;
     (canary_ms * 100.0 > stable_ms * f64::from(percent)).then(|| {
         format!(
-            "a step takes {canary_ms:.1} ms with {}, {stable_ms:.1} ms with {}, more than {percent} %",
+            "a step of {} takes {canary_ms:.1} ms against {stable_ms:.1} ms of {}, more than {percent} %",
             target.canary, target.version
         )
     })
--- a/crates/engine/src/client/line_buffer.rs
+++ b/crates/engine/src/client/line_buffer.rs
@@ -7,7 +7,7 @@
 const MAXIMUM_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("a line of the response exceeds {MAXIMUM_LINE_BYTES} bytes")]
+#[display("a line of the answer is longer than {MAXIMUM_LINE_BYTES} bytes")]
 pub(super) struct LineTooLong;
 
 /// Received bytes that have not yet been returned as lines.
--- a/crates/engine/src/client/mod.rs
+++ b/crates/engine/src/client/mod.rs
@@ -87,7 +87,7 @@
     async fn with_timeout<F: Future>(&self, call: F) -> Result<F::Output, EngineError> {
         tokio::time::timeout(self.idle_timeout, call)
             .await
-            .map_err(|_| lost_error("the engine did not respond in time"))
+            .map_err(|_| lost_error("the engine did not answer in time"))
     }
 }
 
@@ -194,8 +194,8 @@
             }
             let read = tokio::time::timeout(idle_timeout, self.response.next()).await;
             match read {
-                Err(_) => return Err(lost_error("the engine sent no data in time")),
-                Ok(None) => return Err(lost_error("the response ended before its final event")),
+                Err(_) => return Err(lost_error("the engine fell silent")),
+                Ok(None) => return Err(lost_error("the answer ended before its last event")),
                 Ok(Some(Err(error))) => return Err(lost_error(error)),
                 Ok(Some(Ok(bytes))) => self.line_buffer.push(&bytes).map_err(lost_error)?,
             }
--- a/crates/engine/src/port.rs
+++ b/crates/engine/src/port.rs
@@ -191,13 +191,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum EngineError {
     /// No connection to the engine was established. The call did not run.
-    #[display("failed to connect to the engine: {reason}")]
+    #[display("the engine was not reached: {reason}")]
     Unreachable { reason: String },
     /// The connection was lost after the call was sent. The call may have run.
-    #[display("the connection to the engine was lost: {reason}")]
+    #[display("the engine was lost: {reason}")]
     Lost { reason: String },
     /// The engine refused the call. The call did not run.
-    #[display("the engine refused the call (status {status}): {reason}")]
+    #[display("the engine refused ({status}): {reason}")]
     Refused {
         /// HTTP status: 404 wrong model or unknown stream, 409 stale order, 429 full, 503 draining.
         status: u16,
@@ -258,6 +258,6 @@
 fn kv_transfer_unsupported() -> EngineError {
     EngineError::Refused {
         status: 501,
-        reason: "the engine does not support KV state transfer".to_owned(),
+        reason: "the engine does not move KV state".to_owned(),
     }
 }
--- a/crates/fleet/src/actor/changes.rs
+++ b/crates/fleet/src/actor/changes.rs
@@ -156,7 +156,7 @@
                 ("gone".to_owned(), gone.to_string()),
                 ("known".to_owned(), known.to_string()),
             ],
-            outcome: "recorded as one event".to_owned(),
+            outcome: "taken as one event".to_owned(),
         });
     }
 
--- a/crates/fleet/src/configuration_gossip.rs
+++ b/crates/fleet/src/configuration_gossip.rs
@@ -146,7 +146,7 @@
             node: node.clone(),
             kind: DecisionKind::ConfigurationApplied,
             subjects: vec![Subject::Node(node)],
-            cause: format!("configuration received as {}", source.name()),
+            cause: format!("configuration came as {}", source.name()),
             inputs: vec![("revision".to_owned(), revision.to_string())],
             outcome: format!("revision {revision} is in force on this node"),
         });
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -43,7 +43,7 @@
         if !inputs.synced {
             return (
                 Lifecycle::Starting,
-                "members and configuration have not been received yet",
+                "members and configuration are not known yet",
             );
         }
         match inputs.standing {
@@ -73,7 +73,10 @@
             );
         }
         self.recovering = false;
-        (Lifecycle::Ready, "members and configuration are confirmed")
+        (
+            Lifecycle::Ready,
+            "members and configuration are vouched for",
+        )
     }
 }
 
--- a/crates/ingress/src/admission.rs
+++ b/crates/ingress/src/admission.rs
@@ -105,7 +105,7 @@
     node.quotas.apply_configuration(configuration);
     node.quotas.take(&tenant.name).map_err(|shortage| {
         let level = node.quotas.level(&tenant.name).unwrap_or_default();
-        let detail = format!("tenant {}: {level:.2} requests of quota left", tenant.name);
+        let detail = format!("tenant {}: {level:.2} requests of credit", tenant.name);
         if shortage.alone {
             // Another node may be able to decide.
             return Refusal::new(ErrorKind::QuotaInDoubt, detail);
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -75,13 +75,13 @@
     if port == listen.ready.port() && port != listen.front.port() {
         return match endpoint {
             Endpoint::Ready => ready(&node),
-            _ => not_found(&node, "this port only serves readiness checks"),
+            _ => not_found(&node, "only readiness is told here"),
         };
     }
     if port == listen.directory.port() && port != listen.front.port() {
         return match endpoint {
             Endpoint::Resolve => resolve(&node, request.query_string()),
-            _ => not_found(&node, "this port only serves the directory"),
+            _ => not_found(&node, "only the directory is here"),
         };
     }
     if port == node.settings.peer_port {
@@ -91,8 +91,7 @@
         let asked = operator_call(&node, request.method(), request.path());
         return match request.path() {
             "/metrics" => metrics(&node),
-            _ => asked
-                .unwrap_or_else(|| not_found(&node, "this port only serves metrics and crashes")),
+            _ => asked.unwrap_or_else(|| not_found(&node, "only metrics and crashes are here")),
         };
     }
     let in_flight = InFlightGuard::begin(&node);
@@ -133,7 +132,7 @@
         Endpoint::JobItem { job, item } => jobs.item(&caller, &job, &item).await,
         Endpoint::JobEnd { job } => jobs.end(&caller, &job).await,
         Endpoint::Ready | Endpoint::Resolve | Endpoint::Routed => {
-            return not_found(node, "not a job call");
+            return not_found(node, "no call about a job");
         }
     };
     job_response(node, reply)
@@ -143,7 +142,7 @@
     match read_body(payload, DEFAULT_BODY_LIMIT).await {
         Ok(call) => HttpResponse::Ok().body((data.peers)(call).await),
         Err(kind) => {
-            let refused = Refusal::new(kind, "body of a peer call");
+            let refused = Refusal::new(kind, "body of a node's call");
             error_response(data.upstreams.node(), &refused)
         }
     }
@@ -217,7 +216,7 @@
     // while it sends.
     let body = match read_body(payload, limit).await {
         Ok(body) => body,
-        Err(kind) => return refuse(&node, &facts.id, &Refusal::new(kind, "request body")),
+        Err(kind) => return refuse(&node, &facts.id, &Refusal::new(kind, "body")),
     };
     let Some(configuration) = node.view.configuration() else {
         let refused = Refusal::new(ErrorKind::NotReady, "no configuration yet");
@@ -232,7 +231,7 @@
         Err(refused) => return refuse(&node, &facts.id, &refused),
     };
     if facts.id.is_empty() {
-        let refused = Refusal::new(ErrorKind::NoRequestId, "the request ID is missing");
+        let refused = Refusal::new(ErrorKind::NoRequestId, "no identifier");
         return refuse(&node, &facts.id, &refused);
     }
     if route.kind == RouteKind::Batch {
@@ -319,12 +318,12 @@
             if kind == ErrorKind::ServersEnded {
                 Metrics::count(&node.metrics.servers_ended_refused);
                 let ended = node.crashes.ended_under(&request.fingerprint);
-                let detail = format!("servers crashed while running it: {}", ended.join(", "));
+                let detail = format!("servers ended while they ran it: {}", ended.join(", "));
                 return refuse(&node, &request.facts.id, &Refusal::new(kind, detail));
             }
             let none = kind == ErrorKind::NoServer;
             let out_of_homes = none && request.homes.is_restricted() && request.tried.is_empty();
-            let detail = || format!("{} servers tried", request.tried.len());
+            let detail = || format!("{} servers asked", request.tried.len());
             let refused = match none && node.view.is_evacuated(&request.service) {
                 // Only the evacuation orders leave the request without a server.
                 true => Refusal::new(ErrorKind::ZonesEvacuated, orders_text(&node)),
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -44,7 +44,7 @@
             }
             Some(_) if self.refuses_calls() => Err(Failure::not_run(
                 ErrorKind::NotReady,
-                "the node is not ready for new calls; use another node",
+                "the node does not take new calls at present; use another node",
             )),
             Some(_) => self.jobs.call(call).await,
             None => Err(Failure::not_run(
--- a/crates/online/src/admit.rs
+++ b/crates/online/src/admit.rs
@@ -34,7 +34,7 @@
     }
     Err(Failure::not_run(
         ErrorKind::DeadlineExceeded,
-        "the deadline had passed when the request arrived",
+        "the deadline had passed when the request came",
     ))
 }
 
@@ -71,7 +71,7 @@
     }
     Err(Failure::not_run(
         ErrorKind::UnknownModel,
-        format!("unknown service {service}"),
+        format!("there is no service {service}"),
     ))
 }
 
@@ -81,7 +81,7 @@
     }
     Err(Failure::not_run(
         ErrorKind::TooLarge,
-        format!("the {what} of {tokens} tokens exceeds the service's limit of {maximum}"),
+        format!("the {what} of {tokens} tokens is longer than the service's {maximum}"),
     ))
 }
 
@@ -117,7 +117,7 @@
     let Some(wait_ms) = worker.view().shortest_wait_ms(service) else {
         let failure = Failure::not_run(
             ErrorKind::NoServer,
-            format!("no server currently offers service {service}"),
+            format!("no server carries service {service} at present"),
         );
         return Err(failure.retry_after(NO_SERVER_RETRY_AFTER_MS));
     };
@@ -134,10 +134,10 @@
     admission::feasible(wait_ms, incoming.remaining_ms(), maximum).map_err(|(why, retry_after)| {
         let message = match why {
             Infeasible::Queue => {
-                format!("the expected wait of {wait_ms} ms exceeds the limit of {maximum} ms")
+                format!("the queue is {wait_ms} ms long; {maximum} are allowed")
             }
             Infeasible::Deadline => {
-                format!("the expected wait of {wait_ms} ms exceeds the deadline")
+                format!("the wait of {wait_ms} ms reaches the deadline")
             }
         };
         Failure::not_run(ErrorKind::Overloaded, message).retry_after(retry_after)
--- a/crates/online/src/dispatch.rs
+++ b/crates/online/src/dispatch.rs
@@ -51,7 +51,7 @@
     let Some((selected, wait_ms)) = best else {
         return Err(Failure::not_run(
             ErrorKind::Bounced,
-            "no server owned by this node can accept the request",
+            "this node owns no server that takes the request",
         ));
     };
     admit::check_wait(worker, incoming, wait_ms)?;
@@ -134,11 +134,7 @@
             false
         }
         Err(_) => {
-            reports::record_failure(
-                &worker.tables,
-                &selected.server,
-                "the status request timed out",
-            );
+            reports::record_failure(&worker.tables, &selected.server, "no status in time");
             false
         }
     }
--- a/crates/online/src/idempotency.rs
+++ b/crates/online/src/idempotency.rs
@@ -124,7 +124,7 @@
     }
     let failure = Failure::maybe_ran(
         ErrorKind::InProgress,
-        "a request with this idempotency key is running; retry to get its answer",
+        "a request with this idempotency key is running; ask again for its answer",
     );
     Err(failure.retry_after(IN_PROGRESS_RETRY_AFTER_MS))
 }
--- a/crates/online/src/ingress/attempt.rs
+++ b/crates/online/src/ingress/attempt.rs
@@ -45,7 +45,7 @@
                     }
                 }
                 () = dappleyard_clock::sleep_until(until) => {
-                    self.cancel_at_owner(&link, "the deadline or the grace period has passed");
+                    self.cancel_at_owner(&link, "nobody waits any more");
                     let passed = self.deadline_passed();
                     return if passed { TargetOutcome::Deadline } else { TargetOutcome::CallerDisconnected };
                 }
--- a/crates/online/src/ingress/mod.rs
+++ b/crates/online/src/ingress/mod.rs
@@ -115,7 +115,7 @@
                 TargetOutcome::NotSent(reason) => Failure::not_run(ErrorKind::NodeLost, reason),
                 TargetOutcome::Refused(failure) => failure,
                 TargetOutcome::Lost => {
-                    Failure::maybe_ran(ErrorKind::NodeLost, "the connection to the owner was lost")
+                    Failure::maybe_ran(ErrorKind::NodeLost, "the owner was lost")
                 }
             };
             self.ran = join_ran(self.ran, failure.ran);
@@ -164,7 +164,10 @@
             return bounced(last);
         }
         let last = last.unwrap_or_else(|| {
-            Failure::not_run(ErrorKind::NoServer, "no node currently offers the service")
+            Failure::not_run(
+                ErrorKind::NoServer,
+                "no node carries the service at present",
+            )
         });
         let pinned = !self.earlier.version.is_empty() && !self.pieces.is_empty();
         let kind = match last.kind {
@@ -233,9 +236,6 @@
 /// Refusal of a cell that could not place the request. The sender tries another target.
 fn bounced(last: Option<Failure>) -> Failure {
     last.unwrap_or_else(|| {
-        Failure::not_run(
-            ErrorKind::Bounced,
-            "no owner in this cell can accept the request",
-        )
+        Failure::not_run(ErrorKind::Bounced, "no owner of this cell can take it")
     })
 }
--- a/crates/online/src/receive.rs
+++ b/crates/online/src/receive.rs
@@ -54,10 +54,10 @@
         let ran_before = Ran::try_from(submit.ran_before).unwrap_or(Ran::Maybe);
         let request = submit
             .request
-            .ok_or_else(|| invalid("the submission contains no request"))?;
+            .ok_or_else(|| invalid("the submission holds no request"))?;
         check(&request).map_err(|failure| failure.after(ran_before))?;
         if submit.resume_offset as usize != submit.resumed_pieces.len() {
-            let failure = invalid("the number of resumed tokens does not match the resume offset");
+            let failure = invalid("the tokens to resume after do not match the offset");
             return Err(failure.after(ran_before));
         }
         let received = Instant::now();
@@ -101,10 +101,10 @@
         return Err(invalid("the request id is empty or too long"));
     }
     if request.service.is_empty() {
-        return Err(invalid("the request has no model service"));
+        return Err(invalid("the request names no model service"));
     }
     if request.max_tokens == 0 {
-        return Err(invalid("the maximum number of output tokens must not be 0"));
+        return Err(invalid("the request allows no output token"));
     }
     let key = &request.idempotency_key;
     if request.repeat() == Repeat::Never && (key.is_empty() || key.len() > MAXIMUM_KEY_BYTES) {
--- a/crates/online/src/recorder.rs
+++ b/crates/online/src/recorder.rs
@@ -169,7 +169,7 @@
 
     async fn read_back(&self, key: &str) -> Result<StoredRecord, Failure> {
         let mut last = StoreError::Unavailable {
-            reason: "the store was not read".to_owned(),
+            reason: "not asked yet".to_owned(),
         };
         for _ in 0..MAXIMUM_ATTEMPTS {
             match self.writer.tables.get(key).await {
@@ -213,7 +213,7 @@
             .map_err(|error| {
                 Failure::not_run(
                     ErrorKind::Internal,
-                    format!("failed to decode a record: {error}"),
+                    format!("a record does not decode: {error}"),
                 )
             })
     })
@@ -231,7 +231,7 @@
 fn write_contention() -> Failure {
     Failure::not_run(
         ErrorKind::StoreUnavailable,
-        "the record was modified concurrently at each attempt to write it",
+        "the record changed under each attempt to write it",
     )
     .retry_after(STORE_RETRY_AFTER_MS)
 }
@@ -239,7 +239,7 @@
 fn unresolved() -> Failure {
     Failure::not_run(
         ErrorKind::OutcomeUnknown,
-        "the result of creating the record could not be read back",
+        "the fate of the record's create could not be read back",
     )
 }
 
--- a/crates/online/src/relay.rs
+++ b/crates/online/src/relay.rs
@@ -63,7 +63,7 @@
                     }
                 }
                 Some(Err(error)) => return RelayEnd::Engine(error),
-                None => return RelayEnd::Engine(lost_error("the stream ended before its final event")),
+                None => return RelayEnd::Engine(lost_error("the stream ended in the middle")),
             },
         }
     }
@@ -133,14 +133,10 @@
 
 fn finished(run: &OwnerRun, reason: String, total_tokens: u32, cached_tokens: u32) -> RelayEnd {
     if reason == "cancelled" {
-        return RelayEnd::Engine(lost_error(
-            "the engine cancelled the stream without a cancel request",
-        ));
+        return RelayEnd::Engine(lost_error("the engine cancelled the stream by itself"));
     }
     if total_tokens != run.next_offset {
-        return RelayEnd::Engine(lost_error(
-            "the stream ended before all tokens were received",
-        ));
+        return RelayEnd::Engine(lost_error("the stream ended before all its tokens came"));
     }
     RelayEnd::Finished {
         reason,
--- a/crates/online/src/reports.rs
+++ b/crates/online/src/reports.rs
@@ -129,7 +129,7 @@
                     .with(server, |state| state.foreign_online = foreign);
             }
             Ok(Err(error)) => record_failure(&self.tables, server, &error.to_string()),
-            Err(_) => record_failure(&self.tables, server, "the report request timed out"),
+            Err(_) => record_failure(&self.tables, server, "no report in time"),
         }
     }
 }
@@ -154,7 +154,7 @@
         change
     });
     if let Some(Some(cause)) = change {
-        record_decision(tables, server, cause, "reported by the engine");
+        record_decision(tables, server, cause, "as the engine says");
     }
 }
 
@@ -204,19 +204,11 @@
             return false;
         }
         let newly = state.withdrawn.is_none();
-        state.withdrawn = Some((
-            "the engine refused a call because it is draining".to_owned(),
-            now,
-        ));
+        state.withdrawn = Some(("the engine refused a call: it leaves".to_owned(), now));
         newly
     });
     if withdrawn == Some(true) {
-        record_decision(
-            tables,
-            server,
-            "takes no new work",
-            "the engine refused a call",
-        );
+        record_decision(tables, server, "takes no new work", "it refused a call");
     }
 }
 
@@ -229,6 +221,6 @@
         subjects: vec![Subject::Server(server.to_string())],
         cause: cause.to_owned(),
         inputs: vec![("engine".to_owned(), input.to_owned())],
-        outcome: "placement of new work updated".to_owned(),
+        outcome: "new work goes accordingly".to_owned(),
     });
 }
--- a/crates/online/src/settle.rs
+++ b/crates/online/src/settle.rs
@@ -18,7 +18,7 @@
 pub(crate) fn not_ready() -> Failure {
     Failure::not_run(
         ErrorKind::NotReady,
-        "the node accepts no new work; use another node",
+        "the node takes no new work at present; use another node",
     )
     .retry_after(OTHER_NODE_RETRY_AFTER_MS)
 }
--- a/crates/online/src/shared.rs
+++ b/crates/online/src/shared.rs
@@ -163,9 +163,7 @@
 fn concurrency_refusal(tenant: &str, maximum: u64) -> Failure {
     Failure::not_run(
         ErrorKind::TenantConcurrency,
-        format!(
-            "tenant {tenant} has reached its limit of {maximum} concurrent tokens at this node"
-        ),
+        format!("tenant {tenant} has its {maximum} tokens at this node in progress; wait for one"),
     )
     .retry_after(CONCURRENCY_RETRY_AFTER_MS)
 }
@@ -173,9 +171,7 @@
 fn rate_refusal(tenant: &str, rate: f64, wait_ms: u32) -> Failure {
     Failure::not_run(
         ErrorKind::TenantRate,
-        format!(
-            "tenant {tenant} has exceeded its limit of {rate:.1} requests per second at this node"
-        ),
+        format!("tenant {tenant} has used its {rate:.1} requests per second at this node"),
     )
     .retry_after(wait_ms)
 }
--- a/crates/online/src/worker.rs
+++ b/crates/online/src/worker.rs
@@ -122,7 +122,7 @@
             _ => {
                 return Err(Failure::not_run(
                     ErrorKind::InvalidRequest,
-                    "the call is not supported by the recorder",
+                    "the call is none of a recorder's",
                 ));
             }
         };
@@ -150,7 +150,7 @@
         let slot = self.shared.open_stream().ok_or_else(|| {
             Failure::not_run(
                 ErrorKind::Overloaded,
-                "the node has reached its limit of concurrent streams",
+                "the node has as many streams as it may have",
             )
             .retry_after(FULL_RETRY_AFTER_MS)
             .after(ran_before)
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -62,7 +62,7 @@
         match answer {
             Some(AnswerKind::Failure(failure)) => Err(failure.into()),
             Some(answer) => Ok(answer),
-            None => Err(ambiguous(address, "malformed answer")),
+            None => Err(ambiguous(address, "not an answer")),
         }
     }
 
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -273,8 +273,7 @@
     ) -> Result<Transaction, String> {
         let key = |message: &RowMessage| {
             let known = table(&message.table);
-            let known =
-                known.ok_or_else(|| format!("table {} is not open to nodes", message.table))?;
+            let known = known.ok_or_else(|| format!("{}: no table of nodes", message.table))?;
             Ok::<_, String>(RowKey::new(
                 known,
                 message.part.clone(),
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -184,7 +184,7 @@
             .calls
             .call(source.address, CallKind::Changes(call), limit);
         let AnswerKind::Changes(answer) = answer.await? else {
-            return Err(unavailable("the answer has the wrong type"));
+            return Err(unavailable("the answer to another call"));
         };
         if answer.tables.is_empty() {
             return Ok(PollOutcome::NotReady);
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -69,7 +69,7 @@
 
 fn wrong_answer_type() -> StoreError {
     StoreError::Ambiguous {
-        reason: "the answer of another node has the wrong type".to_owned(),
+        reason: "another node gave the answer to another call".to_owned(),
     }
 }
 
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -53,7 +53,7 @@
             },
             Some(CallKind::Transact(call)) => self.transact(call).await,
             Some(CallKind::Read(call)) => self.read(call).await,
-            None => Err(invalid("malformed call")),
+            None => Err(invalid("not a call")),
         };
         let kind = outcome.unwrap_or_else(AnswerKind::from);
         Bytes::from(RelayAnswer { kind: Some(kind) }.encode_to_vec())
@@ -61,7 +61,7 @@
 
     async fn changes(&self, call: ChangesCall) -> Result<Bytes, StoreError> {
         if !call.reads_digests {
-            return Err(unavailable("this node serves rows in digest form only"));
+            return Err(unavailable("this node keeps digests only"));
         }
         let wait = Duration::from_millis(u64::from(call.wait_ms)).min(MAX_POLL_WAIT);
         let until = Instant::now() + wait;
@@ -94,16 +94,18 @@
         // A delegate may serve copies: each update carries the time since the store sent the data.
         let serves = self.access.path() == Path::Direct || self.access.serves_others();
         if !serves && !starting {
-            return Err(unavailable("this node does not serve tables to others"));
+            return Err(unavailable(
+                "this node does not follow the tables for others",
+            ));
         }
         let mut tables = Vec::with_capacity(call.tables.len());
         for position in &call.tables {
             let history = self.histories.get(&position.table);
-            let history = history.ok_or_else(|| invalid("table is not replicated"))?;
+            let history = history.ok_or_else(|| invalid("no such table is followed"))?;
             let Some(updates) = history.updates(position.revision) else {
                 return match starting {
                     true => Ok(None),
-                    false => Err(unavailable("the table is not loaded yet")),
+                    false => Err(unavailable("the table is not known yet")),
                 };
             };
             tables.push((position.table.clone(), updates));
@@ -124,7 +126,7 @@
     async fn read(&self, call: ReadCall) -> Result<AnswerKind, StoreError> {
         self.ensure_store_reachable()?;
         let table = self.table(&call.table);
-        let table = table.ok_or_else(|| invalid("table is not open to nodes"))?;
+        let table = table.ok_or_else(|| invalid("no table of nodes"))?;
         let limit = call.limit as usize;
         let read = self
             .direct
--- a/crates/store/src/client/objects.rs
+++ b/crates/store/src/client/objects.rs
@@ -83,7 +83,7 @@
             let read = answer.bytes.len();
             return Err(unanswered(
                 Effect::Read,
-                format!("truncated body: {read} of {expected} bytes of {name}"),
+                format!("{read} of {expected} bytes of {name} were read"),
             ));
         }
         Ok(Some(ObjectData {
--- a/crates/store/src/gate/caller.rs
+++ b/crates/store/src/gate/caller.rs
@@ -125,7 +125,7 @@
     fn breaker_error(&self, retry_after_ms: u64) -> StoreError {
         StoreError::Unavailable {
             reason: format!(
-                "circuit breaker of the {} store is open; next probe in {retry_after_ms} ms",
+                "the {} store did not answer lately; it is asked again in {retry_after_ms} ms",
                 self.store
             ),
         }
--- a/crates/store/src/gate/group.rs
+++ b/crates/store/src/gate/group.rs
@@ -78,7 +78,7 @@
         }
         answered.await.unwrap_or_else(|_| {
             Err(StoreError::Ambiguous {
-                reason: "the group commit task was dropped".to_owned(),
+                reason: "the sender of the transaction ended".to_owned(),
             })
         })
     }
--- a/crates/upstream/src/body.rs
+++ b/crates/upstream/src/body.rs
@@ -89,7 +89,7 @@
                         return Ok(None);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err("chunk data is not followed by CRLF");
+                        return Err("chunk end");
                     }
                     buffer.advance(2);
                     *self = BodyReader::ChunkSize;
@@ -123,11 +123,9 @@
             buffer.advance(length);
             Ok(Some(size))
         }
-        Ok(httparse::Status::Partial) if buffer.len() > MAX_SIZE_LINE => {
-            Err("chunk size line too long")
-        }
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_SIZE_LINE => Err("chunk size"),
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err("invalid chunk size"),
+        Err(_) => Err("chunk size"),
     }
 }
 
@@ -138,7 +136,7 @@
             buffer.advance(length + 2);
             Ok(Some(length == 0))
         }
-        None if buffer.len() > MAX_SIZE_LINE * 16 => Err("trailer line too long"),
+        None if buffer.len() > MAX_SIZE_LINE * 16 => Err("trailer"),
         None => Ok(None),
     }
 }
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -129,7 +129,7 @@
         let mut whole = BytesMut::new();
         while let Some(piece) = self.next_piece().await? {
             if whole.len() + piece.len() > limit {
-                return Err(ExchangeError::new(Stage::Body, "response body too long"));
+                return Err(ExchangeError::new(Stage::Body, "answer too long"));
             }
             whole.extend_from_slice(&piece);
         }
--- a/crates/upstream/src/head.rs
+++ b/crates/upstream/src/head.rs
@@ -53,12 +53,10 @@
 pub(crate) fn take_head(buffer: &mut BytesMut) -> Result<Option<AnswerHead>, &'static str> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut slots);
-    let parsed = response
-        .parse(buffer)
-        .map_err(|_| "invalid response head")?;
+    let parsed = response.parse(buffer).map_err(|_| "not an answer")?;
     let httparse::Status::Complete(length) = parsed else {
         if buffer.len() > MAX_HEAD_BYTES {
-            return Err("response head too long");
+            return Err("head too long");
         }
         return Ok(None);
     };
@@ -66,9 +64,8 @@
     let http11 = response.version == Some(1);
     let mut headers = HeaderMap::with_capacity(response.headers.len());
     for header in response.headers.iter() {
-        let name =
-            HeaderName::from_bytes(header.name.as_bytes()).map_err(|_| "invalid header name")?;
-        let value = HeaderValue::from_bytes(header.value).map_err(|_| "invalid header value")?;
+        let name = HeaderName::from_bytes(header.name.as_bytes()).map_err(|_| "header name")?;
+        let value = HeaderValue::from_bytes(header.value).map_err(|_| "header value")?;
         headers.append(name, value);
     }
     let framing = framing(status, &headers)?;
@@ -91,7 +88,7 @@
     if let Some(encoding) = headers.get(TRANSFER_ENCODING) {
         return match encoding.as_bytes().eq_ignore_ascii_case(b"chunked") {
             true => Ok(BodyFraming::Chunked),
-            false => Err("unsupported transfer encoding"),
+            false => Err("transfer encoding"),
         };
     }
     match headers.get(CONTENT_LENGTH) {
@@ -100,7 +97,7 @@
             .ok()
             .and_then(|text| text.trim().parse().ok())
             .map(BodyFraming::Length)
-            .ok_or("invalid content length"),
+            .ok_or("content length"),
         None => Ok(BodyFraming::UntilClose),
     }
 }
