--- a/crates/operate/src/api/plans.rs
+++ b/crates/operate/src/api/plans.rs
@@ -51,7 +51,7 @@
     record_plan(
         &api,
         &plan,
-        &format!("requested by {}", operator_label(&body.operator)),
+        &format!("{} asked for it", operator_label(&body.operator)),
     );
     Ok(Json(plan.document()?))
 }
@@ -110,7 +110,7 @@
     record_plan(
         &api,
         &plan,
-        "it was confirmed and none of the rows it depends on had changed",
+        "it was confirmed and nothing that it rests on had changed",
     );
     Ok(Json(first_step(&api, plan).await?.document()?))
 }
@@ -136,13 +136,13 @@
 pub async fn abort(api: Data<OperateApi>, id: Path<String>) -> Result<Json<PlanDocument>, Refused> {
     let now = api.tables.clock.unix_ms();
     let plan = abort_plan(&*api.platform.tables, &id, now).await?;
-    record_plan(&api, &plan, "aborted by an operator");
+    record_plan(&api, &plan, "an operator aborted it");
     Ok(Json(plan.document()?))
 }
 
 fn operator_label(operator: &str) -> &str {
     match operator {
-        "" => "an unnamed operator",
+        "" => "an operator without a name",
         name => name,
     }
 }
--- a/crates/operate/src/controller/loads.rs
+++ b/crates/operate/src/controller/loads.rs
@@ -84,7 +84,7 @@
         if window != WindowState::Closed {
             Some("a demand window is open or near")
         } else if !self.observed.is_complete() {
-            Some("not every server has been polled yet")
+            Some("not every server has been looked at yet")
         } else {
             None
         }
@@ -168,8 +168,8 @@
 
     fn load_cause(&self, server: &str) -> String {
         match self.version_of(server) {
-            "" => "the server has no version loaded and the service row assigns one".to_owned(),
-            version => format!("the server has {version} loaded and another version is assigned"),
+            "" => "the server carries nothing and the service row asks for it".to_owned(),
+            version => format!("the server carries {version} and another version is wanted"),
         }
     }
 
@@ -200,6 +200,6 @@
             .about(Subject::Server(load.server.clone()))
             .about(Subject::Service(self.service.clone()))
             .input("version", &load.version)
-            .outcome("the load is deferred");
+            .outcome("the load waits");
     }
 }
--- a/crates/operate/src/controller/mod.rs
+++ b/crates/operate/src/controller/mod.rs
@@ -125,10 +125,10 @@
         record(
             deps.tables,
             DecisionKind::Fenced,
-            "another controller incremented the service's epoch",
+            "another controller raised the service's epoch",
         )
         .about(Subject::Service(service.to_owned()))
-        .outcome("this controller released the service; its orders and writes were rejected");
+        .outcome("this controller gave the service up; its orders and writes were refused");
     }
 }
 
--- a/crates/operate/src/controller/service.rs
+++ b/crates/operate/src/controller/service.rs
@@ -204,12 +204,12 @@
             Err(EngineError::Refused { status, reason }) if status == STALE_ORDER_STATUS => (
                 OrderOutcome::Fenced,
                 "fenced",
-                format!("the engine rejected it as outdated: {reason}"),
+                format!("the engine refused it as old: {reason}"),
             ),
             Err(EngineError::Refused { reason, .. }) => (
                 OrderOutcome::NotAccepted,
                 "refused",
-                format!("the engine rejected it: {reason}"),
+                format!("the engine refused it: {reason}"),
             ),
             Err(error) => (OrderOutcome::NotAccepted, "unreachable", error.to_string()),
         };
--- a/crates/operate/src/describe.rs
+++ b/crates/operate/src/describe.rs
@@ -26,7 +26,7 @@
         ["job", ..] => JobRow::decode(value).map(|row| describe_job(&row)),
         _ => return format!("{} bytes", value.len()),
     };
-    description.unwrap_or_else(|_| "a row that cannot be decoded".to_owned())
+    description.unwrap_or_else(|_| "a row that this version cannot read".to_owned())
 }
 
 /// Describes what a row key refers to.
--- a/crates/operate/src/explain.rs
+++ b/crates/operate/src/explain.rs
@@ -154,17 +154,17 @@
     match kind {
         DecisionKind::Refused => "refused the request",
         DecisionKind::PlacedAgain => "placed the request again",
-        DecisionKind::Preempted => "preempted batch work",
+        DecisionKind::Preempted => "paused batch work",
         DecisionKind::TakenOver => "took over",
-        DecisionKind::Fenced => "rejected an outdated write or order",
-        DecisionKind::Ordered => "sent an order to the engine",
-        DecisionKind::PlanStep => "executed or deferred a step",
+        DecisionKind::Fenced => "held back an old write or order",
+        DecisionKind::Ordered => "gave the engine an order",
+        DecisionKind::PlanStep => "took a step or held one back",
         DecisionKind::Withdrawn => "stopped new work",
-        DecisionKind::MemberChanged => "changed the state of a member",
-        DecisionKind::ConfigurationApplied => "applied configuration",
+        DecisionKind::MemberChanged => "changed its mind about a member",
+        DecisionKind::ConfigurationApplied => "put configuration in force",
         DecisionKind::StoreGate => "changed its calls to the store",
         DecisionKind::JobChanged => "changed the job",
-        DecisionKind::Rollout => "advanced or rolled back the rollout",
+        DecisionKind::Rollout => "moved the rollout",
     }
 }
 
@@ -202,8 +202,8 @@
         (Some(last), _) => format!("{name}: node {} {}", last.node, describe_record(last)),
         (None, Some(state)) => format!("{name}: {state}; no decision about it is on record"),
         (None, None) if unknown.is_empty() => format!(
-            "{name}: no state and no records were found; records are kept for a limited time, and undisturbed requests leave none"
+            "{name}: nothing is known of it; records are kept for a limited time, and undisturbed requests leave none"
         ),
-        (None, None) => format!("{name}: nothing was found, but not every source could be queried"),
+        (None, None) => format!("{name}: nothing was found, but not every place could be asked"),
     }
 }
--- a/crates/operate/src/jobs.rs
+++ b/crates/operate/src/jobs.rs
@@ -91,7 +91,7 @@
         Some(reply::Result::Job(state)) => Ok(job_summary(&state)),
         _ => Err(Failure::not_run(
             ErrorKind::Internal,
-            "the response contains no job",
+            "no job in the answer",
         )),
     }
 }
@@ -143,7 +143,7 @@
             now_unix_s - job.deadline_unix_s
         )
     } else if job.expected_unix_s > 0 && slowdown.is_infinite() {
-        "no capacity is left for it during the plan".to_owned()
+        "no capacity is left for it meanwhile".to_owned()
     } else if job.expected_unix_s > 0 && expected > job.deadline_unix_s {
         format!(
             "{} of {} items are left and would end {} s after the deadline",
--- a/crates/operate/src/plans/abort.rs
+++ b/crates/operate/src/plans/abort.rs
@@ -19,10 +19,8 @@
 
 /// Aborts a plan. Aborting an aborted plan does nothing.
 pub async fn abort(tables: &dyn TableStore, id: &str, unix_ms: u64) -> Result<StoredPlan, Failure> {
-    let mut last_failure = Failure::not_run(
-        ErrorKind::Conflict,
-        "the plan keeps changing; retry the abort",
-    );
+    let mut last_failure =
+        Failure::not_run(ErrorKind::Conflict, "the plan keeps moving; abort again");
     for _ in 0..MAX_ATTEMPTS {
         let plan = read_plan(tables, id).await?;
         match plan.row.phase() {
@@ -74,7 +72,7 @@
             message
         }
         Intent::Drain(target) if running => format!(
-            "aborted; drained servers stay drained: `dappleyard ctl plan undrain {} {}` returns them to service",
+            "aborted; servers that are out stay out: `dappleyard ctl plan undrain {} {}` takes them back",
             target.kind.name(),
             target.name
         ),
@@ -102,13 +100,13 @@
                 .await
                 .map_err(|error| store_failure(&error))?;
             let transaction = snapshot.guard(transaction).put(key, encoded(&row));
-            let message = format!("aborted; the canaries are reverted to {}", row.version);
+            let message = format!("aborted; the canaries go back to {}", row.version);
             Ok((head.chain(transaction), message))
         }
         Some(row) if row.version == rollout.version => Ok((
             transaction,
             format!(
-                "aborted; {} is already the version of all servers: to revert, plan a rollout of the previous version",
+                "no longer followed; {} is the version of all servers already: plan a rollout of the earlier version to go back",
                 row.version
             ),
         )),
--- a/crates/operate/src/plans/body.rs
+++ b/crates/operate/src/plans/body.rs
@@ -112,7 +112,7 @@
         let bytes = BASE64.decode(text).map_err(|error| {
             Failure::not_run(
                 ErrorKind::Internal,
-                format!("the plan cannot be decoded: {error}"),
+                format!("the plan cannot be read: {error}"),
             )
         })?;
         Ok(Some(bytes))
--- a/crates/operate/src/plans/changes.rs
+++ b/crates/operate/src/plans/changes.rs
@@ -138,20 +138,20 @@
 fn rollout_writes(rollout: &Rollout, snapshot: &Snapshot) -> Result<Vec<PlannedWrite>, Failure> {
     let mut row = service_row(&rollout.service, snapshot)?;
     if rollout.version.is_empty() {
-        return Err(invalid("the version to roll out is missing"));
+        return Err(invalid("name the version to roll out"));
     }
     if !(1..=MAX_PERCENT).contains(&rollout.canary_percent) {
         return Err(invalid("canary_percent must be from 1 to 100"));
     }
     if !row.canary.is_empty() {
         return Err(conflict(format!(
-            "{} is already rolling out {}; wait for that plan or abort it",
+            "{} is rolling out {} already; wait for that plan or abort it",
             row.name, row.canary
         )));
     }
     if row.version == rollout.version {
         return Err(conflict(format!(
-            "{} already has version {}",
+            "{} has version {} already",
             row.name, row.version
         )));
     }
@@ -174,14 +174,14 @@
     };
     if !known {
         return Err(not_found(format!(
-            "{} {} is not a known node and has no server in the machine list; `dappleyard ctl status` lists them",
+            "no server of the machine list is in {} {}, or it is no node; `dappleyard ctl status` lists them",
             target.kind.name(),
             target.name
         )));
     }
     if snapshot.value(&drain_key(target)).is_some() {
         return Err(conflict(format!(
-            "{} {} is already drained",
+            "{} {} is drained already",
             target.kind.name(),
             target.name
         )));
@@ -332,7 +332,7 @@
     let phase = row.state.as_ref().map(JobState::phase);
     if phase != Some(JobPhase::JobPlanned) {
         return Err(conflict(format!(
-            "job {} is not waiting for confirmation",
+            "job {} does not wait for a confirmation",
             job.job
         )));
     }
--- a/crates/operate/src/plans/confirm.rs
+++ b/crates/operate/src/plans/confirm.rs
@@ -148,7 +148,7 @@
     Failure::not_run(
         ErrorKind::Conflict,
         format!(
-            "plan {} is {} ({}) and can no longer be confirmed; create a new plan",
+            "plan {} is {} ({}) and can no longer be confirmed; ask for a new plan",
             plan.row.id,
             phase_name(plan.row.phase()),
             plan.row.message
@@ -163,7 +163,7 @@
 
 fn confirmed_row(plan: &StoredPlan, intent: &Intent, confirmation: &Confirmation) -> PlanRow {
     let (phase, message) = if has_steps(intent) {
-        (PlanPhase::PlanRunning, "confirmed; its steps are starting")
+        (PlanPhase::PlanRunning, "confirmed; its steps begin")
     } else {
         (PlanPhase::PlanDone, "confirmed and written")
     };
@@ -239,7 +239,7 @@
         Err(StoreError::Conflict { key, .. }) if key == CONFIGURATION_HEAD || key == plan_key => {
             Attempt::Retry(Failure::not_run(
                 ErrorKind::Conflict,
-                "other configuration changes keep committing first; confirm again",
+                "other configuration changes keep coming first; confirm again",
             ))
         }
         Err(StoreError::Conflict { .. }) => {
--- a/crates/operate/src/plans/drain.rs
+++ b/crates/operate/src/plans/drain.rs
@@ -347,7 +347,10 @@
 fn next_row(plan: &StoredPlan, next: &DrainStep<'_>, finished: bool) -> PlanRow {
     let progress = next.progress();
     let (phase, message) = if finished {
-        (PlanPhase::PlanDone, "all servers are idle".to_owned())
+        (
+            PlanPhase::PlanDone,
+            "nothing runs there any more".to_owned(),
+        )
     } else if progress.waiting_for.is_empty() {
         let message = format!(
             "{} of {} servers are out",
--- a/crates/operate/src/plans/effects.rs
+++ b/crates/operate/src/plans/effects.rs
@@ -83,15 +83,13 @@
     Effects {
         steps: vec![Step {
             what: format!(
-                "run {items} items, due in {due_s} s, in the idle capacity of {} servers, alongside {} jobs",
+                "run {items} items, due in {due_s} s, in the idle capacity of {} servers, beside {} jobs",
                 servers.count(),
                 competing.count()
             ),
             ..Step::default()
         }],
-        warnings: vec![
-            "its completion time is estimated once its first chunks are done".to_owned(),
-        ],
+        warnings: vec!["its finish is foreseen once its first chunks are done".to_owned()],
         ..Effects::default()
     }
 }
@@ -129,7 +127,13 @@
     let waves = waves(&targets, &all_servers(context), &bounds, AfterWave::StayOut);
     let steps = waves
         .iter()
-        .map(|wave| step_from_wave(wave, "drain and wait until idle", EXPECTED_DRAIN_MS))
+        .map(|wave| {
+            step_from_wave(
+                wave,
+                "take out and wait until nothing runs there",
+                EXPECTED_DRAIN_MS,
+            )
+        })
         .collect();
     Effects {
         steps,
@@ -142,7 +146,7 @@
     Effects {
         steps: vec![Step {
             what: format!(
-                "node {} accepts no new work and finishes its requests in progress; its servers move to other nodes",
+                "node {} takes nothing new, finishes what it has; its servers pass to other nodes",
                 target.name
             ),
             expected_ms: EXPECTED_DRAIN_MS,
@@ -172,7 +176,7 @@
     let mut steps = load_steps(first, &all, &bounds, "canary: load", rollout, load_ms);
     steps.push(Step {
         what: format!(
-            "watch the canaries; roll back on a failed load, on more than {} % failures or on step times above {} % of the other servers'",
+            "watch the canaries; roll back on a failed load, on more than {} % failures or on steps above {} % of the others'",
             context.settings.canary_error_percent, context.settings.canary_step_percent
         ),
         expected_ms: context.settings.canary_watch_ms,
--- a/crates/operate/src/plans/propose.rs
+++ b/crates/operate/src/plans/propose.rs
@@ -132,7 +132,7 @@
         basis: snapshot.basis(),
         created_unix_ms: inputs.unix_ms,
         created_by: inputs.operator.to_owned(),
-        message: "waiting for confirmation".to_owned(),
+        message: "waits for a confirmation".to_owned(),
         changed_unix_ms: inputs.unix_ms,
         ..PlanRow::default()
     };
--- a/crates/operate/src/plans/runner.rs
+++ b/crates/operate/src/plans/runner.rs
@@ -99,11 +99,7 @@
                 .expect(key.clone(), Expect::Absent)
                 .put(key, encoded(&row)),
         );
-        let next = plan.with_phase(
-            PlanPhase::PlanRunning,
-            "waiting for the node to drain",
-            view.unix_ms,
-        );
+        let next = plan.with_phase(PlanPhase::PlanRunning, "the node is told", view.unix_ms);
         return write(tables, plan, next, transaction).await;
     }
     let node = view
@@ -114,7 +110,7 @@
     let is_gone = node.is_none_or(|node| matches!(node.member.as_str(), "dead" | "left"));
     let empty = node.is_some_and(|node| node.lifecycle == "draining" && node.busy == 0);
     if is_gone || empty {
-        let next = completed_row(plan, "the node is idle", view);
+        let next = completed_row(plan, "the node runs nothing any more", view);
         return write(tables, plan, next, Transaction::default()).await;
     }
     let busy = node.map_or(0, |node| node.busy);
@@ -155,10 +151,7 @@
     let progress = rollout_progress(rollout, in_canary_stage, view.status);
     let finished = !in_canary_stage && progress.done.len() == progress.servers;
     if finished {
-        let message = format!(
-            "all {} servers have version {}",
-            progress.servers, rollout.version
-        );
+        let message = format!("all {} servers carry {}", progress.servers, rollout.version);
         let mut next = completed_row(plan, &message, view);
         next.progress_json = serde_json::to_string(&progress).unwrap_or_default();
         return write(tables, plan, next, Transaction::default()).await;
--- a/crates/operate/src/snapshot.rs
+++ b/crates/operate/src/snapshot.rs
@@ -93,7 +93,7 @@
     match error {
         StoreError::Ambiguous { .. } => Failure::maybe_ran(
             ErrorKind::StoreUnavailable,
-            format!("{error}; retry to find out whether the change took effect"),
+            format!("{error}; ask again to learn whether the change took effect"),
         )
         .retry_after(RETRY_AFTER_MS),
         StoreError::RateLimited { retry_after_ms } => {
--- a/crates/operate/src/status.rs
+++ b/crates/operate/src/status.rs
@@ -272,7 +272,7 @@
         return ("withdrawn", reason.clone());
     }
     if !live.loading.is_empty() {
-        return ("loading", format!("loading {}", live.loading));
+        return ("loading", format!("loads {}", live.loading));
     }
     if live.version.is_empty() {
         return ("empty", live.load_failure.clone());
--- a/crates/operate/src/subject_state.rs
+++ b/crates/operate/src/subject_state.rs
@@ -40,7 +40,7 @@
         entry.service, entry.hall, entry.zone
     )];
     if entry.leaving {
-        description.push("it is marked as leaving in the machine list".to_owned());
+        description.push("the machine list says that it is leaving".to_owned());
     }
     let configuration = tables.configuration.current();
     let locations = [
@@ -90,7 +90,7 @@
     if let Ok(plan) = read_plan(&*platform.tables, id).await {
         description.push(plan.row.message.clone());
         if let Ok(body) = plan.body() {
-            description.push(format!("its summary is: {}", body.summary));
+            description.push(format!("it is to {}", body.summary));
         }
     }
     (description, unknown)
@@ -101,7 +101,7 @@
         Ok(jobs) => {
             let known = jobs.into_iter().find(|job| job.job == id);
             let description = known.map_or_else(
-                || "no job with this id was found".to_owned(),
+                || "no job of this id was found".to_owned(),
                 |job| {
                     format!(
                         "it is {} for tenant {}, {} of {} items settled, due at {} (Unix s)",
