--- a/crates/standin/src/engine/model/arrival.rs
+++ b/crates/standin/src/engine/model/arrival.rs
@@ -24,7 +24,7 @@
             return Ok(started);
         }
         if call.attach_only {
-            return Err(Refusal::new(404, "stream to attach to not found"));
+            return Err(Refusal::new(404, "no such stream to attach to"));
         }
         self.check(call)?;
         Ok(self.begin(now_us, call))
@@ -32,37 +32,31 @@
 
     fn check(&self, call: &GenerateCall) -> Result<(), Refusal> {
         if !self.accepting {
-            return Err(Refusal::new(503, "the engine does not accept new work"));
+            return Err(Refusal::new(503, "the engine takes no new work"));
         }
         let Some(model) = &self.model else {
             return Err(Refusal::new(503, "the engine is loading a model"));
         };
         if model.service != call.service {
-            return Err(Refusal::new(404, "the engine does not serve this service"));
+            return Err(Refusal::new(404, "the engine does not carry this service"));
         }
         if !call.version.is_empty() && model.version != call.version {
-            return Err(Refusal::new(404, "the engine does not serve this version"));
+            return Err(Refusal::new(404, "the engine does not carry this version"));
         }
         if !call.adapter.is_empty() && !model.adapters.contains(&call.adapter) {
-            return Err(Refusal::new(
-                404,
-                "the engine does not have this adapter loaded",
-            ));
+            return Err(Refusal::new(404, "the engine does not carry this adapter"));
         }
         let tokens = u64::from(call.prompt_tokens) + u64::from(call.max_tokens);
         // A running sequence also needs space for its next token.
         let room = u64::from(self.memory.total()) * u64::from(self.settings.block_tokens);
         if tokens + 1 > room {
-            return Err(Refusal::new(400, "prompt and answer exceed the KV memory"));
+            return Err(Refusal::new(400, "prompt and answer do not fit the memory"));
         }
         if call.resume_offset > call.max_tokens {
-            return Err(Refusal::new(
-                400,
-                "resume offset exceeds the maximum number of tokens",
-            ));
+            return Err(Refusal::new(400, "the answer ends before the offset"));
         }
         if self.waiting.len() >= self.settings.maximum_waiting as usize {
-            return Err(Refusal::new(429, "too many waiting sequences"));
+            return Err(Refusal::new(429, "too many sequences wait"));
         }
         Ok(())
     }
--- a/crates/standin/src/engine/model/kv.rs
+++ b/crates/standin/src/engine/model/kv.rs
@@ -25,7 +25,7 @@
             }
         };
         if blocks == 0 {
-            return Err(Refusal::new(404, "no KV state for this sequence"));
+            return Err(Refusal::new(404, "no state of this sequence"));
         }
         Ok(KvState {
             version: self.version.to_string(),
@@ -40,7 +40,7 @@
     pub fn import_kv(&mut self, now_us: u64, state: &KvState) -> Result<(), Refusal> {
         self.catch_up(now_us);
         if self.model.is_none() || *state.version != *self.version {
-            return Err(Refusal::new(409, "KV state belongs to another version"));
+            return Err(Refusal::new(409, "state of another version"));
         }
         let block = self.settings.block_tokens.max(1);
         let prefix_blocks = state.prefix_tokens / block;
@@ -49,7 +49,7 @@
         if room {
             Ok(())
         } else {
-            Err(Refusal::new(429, "not enough memory for the KV state"))
+            Err(Refusal::new(429, "no memory for the state"))
         }
     }
 }
--- a/crates/standin/src/engine/model/orders.rs
+++ b/crates/standin/src/engine/model/orders.rs
@@ -48,10 +48,7 @@
             sequence: order.sequence,
         };
         if !admits(self.position, offered) {
-            return Err(Refusal::new(
-                409,
-                "stale order: a later one was already applied",
-            ));
+            return Err(Refusal::new(409, "a later order was applied"));
         }
         match &order.kind {
             OrderKind::SetAccepting { accepting } => self.accepting = *accepting,
--- a/crates/standin/src/engine/slot.rs
+++ b/crates/standin/src/engine/slot.rs
@@ -287,7 +287,7 @@
     fn query_weight_source(&self, service: &str, version: &str) -> (u64, Result<(), String>) {
         let usual_us = self.spec.model.load_ms.saturating_mul(1_000);
         if self.spec.model.broken_versions.contains(version) {
-            return (usual_us, Err(format!("weights of {version} are broken")));
+            return (usual_us, Err(format!("{version} is broken")));
         }
         let Some(weights) = &self.weights else {
             return (usual_us, Ok(()));
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -53,7 +53,7 @@
     F: Future<Output = HttpResponse>,
 {
     let (delay, drop_response) = match state.faults.next_action(service) {
-        Action::Refuse => return HttpResponse::ServiceUnavailable().body("service unavailable"),
+        Action::Refuse => return HttpResponse::ServiceUnavailable().body("the service is down"),
         Action::Abort => return aborted_response(),
         Action::Handle {
             delay,
