--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -41,7 +41,7 @@
 
     /// Minimum interval between two calls for changes. In a busy table each call returns at once,
     /// so the call rate would otherwise be limited by the store's latency only.
-    fn pace(&self) -> Duration {
+    fn min_poll_interval(&self) -> Duration {
         Duration::ZERO
     }
 
@@ -101,7 +101,7 @@
                 synced = true;
                 revision = reached.max(revision);
                 backoff = INITIAL_BACKOFF;
-                dappleyard_clock::sleep_until(started + sink.pace()).await;
+                dappleyard_clock::sleep_until(started + sink.min_poll_interval()).await;
                 continue;
             }
             Err(StoreError::Compacted) => {
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -127,7 +127,7 @@
         let mut round = 0_u32;
         let mut rounds = 1;
         let mut next = Instant::now();
-        let mut pace = ChangeThrottle::new(Instant::now());
+        let mut throttle = ChangeThrottle::new(Instant::now());
         loop {
             tokio::select! {
                 () = dappleyard_clock::sleep_until(next) => {
@@ -141,10 +141,10 @@
                     rounds = 1;
                     next = next.min(Instant::now() + ROUND_INTERVAL);
                 }
-                () = self.loads.changed(), if !pace.is_pending() => pace.note_change(),
-                () = dappleyard_clock::sleep_until(pace.next()), if pace.is_pending() => {
+                () = self.loads.changed(), if !throttle.is_pending() => throttle.note_change(),
+                () = dappleyard_clock::sleep_until(throttle.next()), if throttle.is_pending() => {
                     // Sent early to keep other nodes from filling the same slots.
-                    pace.note_sent(Instant::now());
+                    throttle.note_sent(Instant::now());
                     self.send_change();
                 }
                 received = self.socket.recv_from(&mut buffer) => {
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -64,17 +64,17 @@
     /// enough to count it as unresponsive.
     #[prost(bool, tag = "11")]
     pub doubted: bool,
-    /// Age of the newest pace reported by the server, plus one; 0 without a recent one.
+    /// Age of the newest slowdown reported by the server, plus one; 0 without a recent one.
     #[prost(uint32, tag = "12")]
     pub pace_age_ms: u32,
-    /// The reported pace in percent of the usual duration.
+    /// The reported slowdown in percent; 100 is normal.
     #[prost(uint32, tag = "13")]
     pub pace_percent: u32,
-    /// Age of the newest measurement of how much longer answers take than the reported pace
+    /// Age of the newest measurement of how much longer answers take than the reported slowdown
     /// implies, plus one; 0 without a recent one.
     #[prost(uint32, tag = "14")]
     pub excess_pace_age_ms: u32,
-    /// The measured duration in percent of the one that the reported pace implies.
+    /// The measured duration in percent of the one that the reported slowdown implies.
     #[prost(uint32, tag = "15")]
     pub excess_pace_percent: u32,
 }
--- a/crates/cluster/src/servers_sink.rs
+++ b/crates/cluster/src/servers_sink.rs
@@ -62,7 +62,7 @@
         false
     }
 
-    fn pace(&self) -> Duration {
+    fn min_poll_interval(&self) -> Duration {
         READ_INTERVAL
     }
 
--- a/crates/cluster/src/slowdown.rs
+++ b/crates/cluster/src/slowdown.rs
@@ -136,8 +136,8 @@
     /// Whether both the newest sample and the long-term average are close to normal.
     pub fn is_normal(&self, now: Instant) -> bool {
         let newest = self.newest(now).map(|(_, slowdown)| slowdown);
-        let mut paces = newest.into_iter().chain([self.long_term(now)]);
-        !paces.any(|slowdown| slowdown.differs_significantly(Slowdown::NORMAL))
+        let mut estimates = newest.into_iter().chain([self.long_term(now)]);
+        !estimates.any(|slowdown| slowdown.differs_significantly(Slowdown::NORMAL))
     }
 
     /// The current estimate: the newest sample, blended into the long-term average as it ages.
--- a/crates/cluster/src/zone_digest.rs
+++ b/crates/cluster/src/zone_digest.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether a sum differs from the one sent last. Fields that change all the time do not count:
-    /// the time since a server was heard, its completed requests, and small changes of its pace.
+    /// the time since a server was heard, its completed requests, and small changes of its slowdown.
     fn has_changed(&self, sum: &LoadEntry) -> bool {
         let last = self.sent.get(&sum.server);
         if self.coarse {
--- a/crates/cluster/tests/follow.rs
+++ b/crates/cluster/tests/follow.rs
@@ -20,7 +20,7 @@
     contact: Cell<Option<Instant>>,
     newest: Cell<u64>,
     revision_decreased: Cell<bool>,
-    pace: Cell<Duration>,
+    min_poll_interval: Cell<Duration>,
     partitioned: Cell<bool>,
 }
 
@@ -33,8 +33,8 @@
         self.partitioned.get()
     }
 
-    fn pace(&self) -> Duration {
-        self.pace.get()
+    fn min_poll_interval(&self) -> Duration {
+        self.min_poll_interval.get()
     }
 
     fn replace(&self, rows: Vec<Row>, _revision: u64) {
@@ -146,11 +146,11 @@
 }
 
 #[gtest]
-fn busy_table_is_polled_at_its_pace() {
+fn busy_table_is_polled_at_its_min_interval() {
     in_virtual_time(async {
         let rows = EmulatedRows::default();
         let sink = start(&rows);
-        sink.pace.set(Duration::from_millis(200));
+        sink.min_poll_interval.set(Duration::from_millis(200));
         tokio::time::sleep(Duration::from_millis(50)).await;
         let before = rows.feeds();
         for number in 0..400 {
--- a/crates/cluster/tests/slowdown.rs
+++ b/crates/cluster/tests/slowdown.rs
@@ -172,8 +172,8 @@
     })
     .await;
     let others_know = || {
-        let mut paces = nodes.iter().map(|node| node.loads.slowdown("i-1"));
-        paces.all(|slowdown| slowdown.percent() > 250)
+        let mut slowdowns = nodes.iter().map(|node| node.loads.slowdown("i-1"));
+        slowdowns.all(|slowdown| slowdown.percent() > 250)
     };
     for _ in 0..200 {
         nodes[7]
--- a/crates/dappleyard/src/serve/assembly.rs
+++ b/crates/dappleyard/src/serve/assembly.rs
@@ -156,8 +156,8 @@
         self.0.is_partitioned()
     }
 
-    fn pace(&self) -> Duration {
-        self.0.pace()
+    fn min_poll_interval(&self) -> Duration {
+        self.0.min_poll_interval()
     }
 
     fn replace(&self, rows: Vec<Row>, revision: u64) {
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -199,7 +199,7 @@
         };
         self.node.loads.note_received(&server.id);
         if let Some(load) = facts.load {
-            self.note_told_pace(server, load);
+            self.record_reported_slowdown(server, load);
             let mut overcommit = self.overcommit.get();
             overcommit.record(load);
             self.overcommit.set(overcommit);
--- a/crates/ingress/src/cold_limit.rs
+++ b/crates/ingress/src/cold_limit.rs
@@ -48,7 +48,7 @@
 
     /// Whether a request may be sent to a server now.
     pub fn allows(&self, server: &ServerRecord) -> bool {
-        match temperature(self.node, server).0 {
+        match server_warmup_state(self.node, server).0 {
             WarmupState::Warm => true,
             WarmupState::Unknown => false,
             WarmupState::Cold | WarmupState::InDoubt => {
@@ -60,7 +60,7 @@
 
     /// Uses up one request of the limit. Returns `false` if none is left.
     fn try_acquire(&self, server: &ServerRecord) -> bool {
-        match temperature(self.node, server).0 {
+        match server_warmup_state(self.node, server).0 {
             WarmupState::Warm => true,
             WarmupState::Unknown => false,
             WarmupState::Cold | WarmupState::InDoubt => {
@@ -71,9 +71,12 @@
     }
 }
 
-/// WarmupState of a server and the source of that information. A server in a zone that was
+/// Warm-up state of a server and the source of that information. A server in a zone that was
 /// evacuated and restored may have become cold in the meantime.
-pub(crate) fn temperature(node: &Node, server: &ServerRecord) -> (WarmupState, WarmupSource) {
+pub(crate) fn server_warmup_state(
+    node: &Node,
+    server: &ServerRecord,
+) -> (WarmupState, WarmupSource) {
     if let Some(at) = node.view.restored_at(&server.zone) {
         node.loads.note_restored(&server.id, at);
     }
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -103,7 +103,7 @@
                 .dialect
                 .answer_metadata(head.status, &head.headers);
             if let Some(load) = facts.load {
-                self.note_told_pace(server, load);
+                self.record_reported_slowdown(server, load);
             }
             connection.whole_body(MAX_STALE_RESPONSE_BYTES).await.ok()?;
             self.pool.forget(server.address);
--- a/crates/ingress/src/event_gaps.rs
+++ b/crates/ingress/src/event_gaps.rs
@@ -1,7 +1,7 @@
 //! Measures how much slower a server is than it reports, from the gaps between its events.
 //!
-//! Some servers report no pace or a wrong one. The gap between events of a service is nearly
-//! constant at the normal pace, so a longer gap shows a slow server. The time to the first event is
+//! Some servers report no slowdown or a wrong one. The gap between events of a service is nearly
+//! constant at normal speed, so a longer gap shows a slow server. The time to the first event is
 //! unsuitable because it includes queueing and the prompt.
 
 use std::time::Duration;
@@ -35,9 +35,9 @@
     }
 }
 
-/// Ratio of the measured gap to the one expected at the reported pace, or `Slowdown::NORMAL` if the
+/// Ratio of the measured gap to the one expected at the reported slowdown, or `Slowdown::NORMAL` if the
 /// ratio is small.
-pub fn excess_pace(gap: Duration, expected: Duration, reported: Slowdown) -> Slowdown {
+pub fn excess_slowdown(gap: Duration, expected: Duration, reported: Slowdown) -> Slowdown {
     let ratio = gap.as_secs_f64() / (expected.as_secs_f64() * reported.times());
     match ratio >= MIN_RATIO {
         true => Slowdown::new(ratio),
--- a/crates/ingress/src/metrics.rs
+++ b/crates/ingress/src/metrics.rs
@@ -73,11 +73,11 @@
     pub batch_closings: AtomicU64,
     /// Requests and items refused by the rate limit of a cold server.
     pub cold_held_back: AtomicU64,
-    /// Health checks of servers of unknown temperature.
+    /// Health checks of servers of unknown warm-up state.
     pub health_questions: AtomicU64,
     /// Cold servers.
     pub servers_cold: AtomicU64,
-    /// Servers of unknown temperature.
+    /// Servers of unknown warm-up state.
     pub servers_unknown: AtomicU64,
     /// Times the servers of a zone became unreachable together.
     pub zones_suspected: AtomicU64,
@@ -89,7 +89,7 @@
     pub requests_blamed: AtomicU64,
     /// Requests refused as over the crash limit.
     pub servers_ended_refused: AtomicU64,
-    /// Significant changes of a server's pace.
+    /// Significant changes of a server's slowdown.
     pub pace_changes: AtomicU64,
     /// Requests refused because they would miss their target.
     pub refused_for_room: AtomicU64,
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -29,7 +29,7 @@
 /// Weight of a cold server under a rate limit. It is smaller than that of another zone, so that a
 /// restored zone gets its own requests at once.
 const COLD_WEIGHT: f64 = 3.0;
-/// Weight of the processing before the first event at the usual pace. Scales the penalty of an idle
+/// Weight of the processing before the first event at normal speed. Scales the penalty of an idle
 /// slow server.
 const FIRST_EVENT_WEIGHT: f64 = 5.0;
 
@@ -137,24 +137,24 @@
         .max_by_key(|server| xxh3_64_with_seed(server.id.as_bytes(), shared))
 }
 
-/// Weight of a candidate's load, scaled by its pace: at a third of the speed each request counts
+/// Weight of a candidate's load, scaled by its slowdown: at a third of the speed each request counts
 /// three times. A free slot never weighs more than a full server, since a request starts there at
 /// once.
 fn load_weight(candidate: &Candidate) -> f64 {
     let load = &candidate.load;
     let slots = f64::from(candidate.server.slots);
-    let pace = load.slowdown.times();
+    let slowdown_ratio = load.slowdown.times();
     let requests = f64::from(load.online + load.batch);
     let over = (requests + 1.0 - slots).max(0.0);
     let counted = match requests < slots {
-        true => (requests * pace).min(slots - 1.0),
+        true => (requests * slowdown_ratio).min(slots - 1.0),
         false => requests,
     };
     let uncached_tokens = f64::from(load.unread_tokens) / TOKENS_PER_REQUEST;
     counted
-        + uncached_tokens * pace
-        + over * QUEUED_WEIGHT * pace.max(1.0)
-        + FIRST_EVENT_WEIGHT * (pace - 1.0)
+        + uncached_tokens * slowdown_ratio
+        + over * QUEUED_WEIGHT * slowdown_ratio.max(1.0)
+        + FIRST_EVENT_WEIGHT * (slowdown_ratio - 1.0)
 }
 
 /// Total weight of a candidate; the lowest is chosen.
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -155,7 +155,7 @@
             let (service, pause) = (&self.request.service, since.elapsed());
             node.response_times.record_gap(service, pause);
             if let Some(pause) = self.gaps.record(pause) {
-                upstreams.record_gap_pace(server, pause);
+                upstreams.record_gap_slowdown(server, pause);
             }
         }
         Ok(piece)
--- a/crates/ingress/src/response_times.rs
+++ b/crates/ingress/src/response_times.rs
@@ -116,7 +116,7 @@
 pub struct ResponseTimes {
     first: Mutex<HashMap<(String, u32), LatencyHistogram>>,
     gaps: Mutex<HashMap<String, LatencyHistogram>>,
-    /// Gaps between events, divided by the pace that the server reports.
+    /// Gaps between events, divided by the slowdown that the server reports.
     normalized_gaps: Mutex<HashMap<String, LatencyHistogram>>,
 }
 
@@ -144,7 +144,7 @@
             .record(elapsed, Instant::now());
     }
 
-    /// Records a gap normalized to the usual pace. Returns the median, or `None` with too few
+    /// Records a gap normalized to a slowdown of 1. Returns the median, or `None` with too few
     /// samples.
     pub fn record_normalized_gap(&self, service: &str, pause: Duration) -> Option<Duration> {
         let mut times = self.normalized_gaps.lock();
--- a/crates/ingress/src/silence_limits.rs
+++ b/crates/ingress/src/silence_limits.rs
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Time until a server of this pace becomes suspect: longer for a slow server, up to `most`.
+    /// Time until a server with this slowdown becomes suspect: longer for a slow server, up to `most`.
     /// The time until the attempt is abandoned is unaffected, so repeatable requests leave slow
     /// servers as early as others.
-    pub fn suspect_time(self, pace: Slowdown, most: Duration) -> Duration {
-        let stretched = self.suspect_after.mul_f64(pace.times().max(1.0));
+    pub fn suspect_time(self, slowdown: Slowdown, most: Duration) -> Duration {
+        let stretched = self.suspect_after.mul_f64(slowdown.times().max(1.0));
         stretched.min(most).max(self.suspect_after)
     }
 
--- a/crates/ingress/src/pace.rs
+++ b/crates/ingress/src/slowdown.rs
@@ -1,4 +1,4 @@
-//! Records the pace of servers, as reported by them and as measured from event gaps.
+//! Records the slowdown of servers, as reported by them and as measured from event gaps.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use dappleyard_model::{ServerLoad, ServerRecord};
 
 use crate::attempt::Upstreams;
-use crate::event_gaps::excess_pace;
+use crate::event_gaps::excess_slowdown;
 use crate::metrics::Metrics;
 
 impl Upstreams {
-    /// Records the pace that a server reports.
-    pub(crate) fn note_told_pace(&self, server: &ServerRecord, load: ServerLoad) {
-        let Some(pace) = load.work_percent.and_then(Slowdown::of_percent) else {
+    /// Records the slowdown that a server reports.
+    pub(crate) fn record_reported_slowdown(&self, server: &ServerRecord, load: ServerLoad) {
+        let Some(slowdown) = load.work_percent.and_then(Slowdown::of_percent) else {
             return;
         };
-        if self.node.loads.note_reported_slowdown(&server.id, pace) {
-            self.log_pace(server, pace, "told");
+        if self.node.loads.note_reported_slowdown(&server.id, slowdown) {
+            self.log_slowdown(server, slowdown, "told");
         }
     }
 
-    /// Records a measured event gap. For servers that report no pace it is ignored, since longer
+    /// Records a measured event gap. For servers that report no slowdown it is ignored, since longer
     /// gaps may result from load, which already counts.
-    pub(crate) fn record_gap_pace(&self, server: &ServerRecord, gap: Duration) {
+    pub(crate) fn record_gap_slowdown(&self, server: &ServerRecord, gap: Duration) {
         if !self.node.loads.reports_slowdown(&server.id) {
             return;
         }
@@ -32,21 +32,21 @@
         let Some(usual) = times.record_normalized_gap(&server.service, usual) else {
             return;
         };
-        let excess_pace = excess_pace(gap, usual, reported);
+        let excess_slowdown = excess_slowdown(gap, usual, reported);
         if self
             .node
             .loads
-            .note_excess_slowdown(&server.id, excess_pace)
+            .note_excess_slowdown(&server.id, excess_slowdown)
         {
-            self.log_pace(server, excess_pace, "excess");
+            self.log_slowdown(server, excess_slowdown, "excess");
         }
     }
 
-    fn log_pace(&self, server: &ServerRecord, pace: Slowdown, by: &str) {
+    fn log_slowdown(&self, server: &ServerRecord, slowdown: Slowdown, by: &str) {
         Metrics::count(&self.node.metrics.pace_changes);
         self.node.log.write(
             "server_pace",
-            || serde_json::json!({"server": server.id, "percent": pace.percent(), "by": by}),
+            || serde_json::json!({"server": server.id, "percent": slowdown.percent(), "by": by}),
         );
     }
 }
--- a/crates/ingress/src/temperature_monitor.rs
+++ b/crates/ingress/src/warmup_monitor.rs
@@ -1,4 +1,4 @@
-//! Queries servers of unknown temperature for their health and logs temperature changes.
+//! Queries servers of unknown warm-up state for their health and logs changes of it.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use crate::attempt::Upstreams;
-use crate::cold_limit::{ColdLimit, cold_share, temperature};
+use crate::cold_limit::{ColdLimit, cold_share, server_warmup_state};
 use crate::connections::HEALTH_TIMEOUT;
 use crate::metrics::Metrics;
 
@@ -29,14 +29,14 @@
 
 /// Last observed state of a server.
 struct ObservedServer {
-    temperature: WarmupState,
+    server_warmup_state: WarmupState,
     next_check: Option<Instant>,
     seen: Instant,
 }
 
 type ObservedServers = Rc<RefCell<HashMap<String, ObservedServer>>>;
 
-/// Monitors the temperatures of the servers this node uses. Returns at once if no limit for cold
+/// Monitors the warm-up states of the servers this node uses. Returns at once if no limit for cold
 /// servers is configured.
 pub async fn monitor_warmup(upstreams: Upstreams) {
     let observed_servers = ObservedServers::default();
@@ -82,24 +82,26 @@
     server: &Arc<ServerRecord>,
     now: Instant,
 ) -> WarmupState {
-    let (temperature, teller) = temperature(upstreams.node(), server);
+    let (server_warmup_state, source) = server_warmup_state(upstreams.node(), server);
     let mut servers = observed_servers.borrow_mut();
     let observed = servers.entry(server.id.clone()).or_insert(ObservedServer {
-        temperature: WarmupState::Warm,
+        server_warmup_state: WarmupState::Warm,
         next_check: None,
         seen: now,
     });
     observed.seen = now;
-    if std::mem::replace(&mut observed.temperature, temperature) != temperature {
-        log_change(upstreams, server, temperature, teller);
+    if std::mem::replace(&mut observed.server_warmup_state, server_warmup_state)
+        != server_warmup_state
+    {
+        log_change(upstreams, server, server_warmup_state, source);
     }
-    if matches!(temperature, WarmupState::Warm | WarmupState::Cold) {
+    if matches!(server_warmup_state, WarmupState::Warm | WarmupState::Cold) {
         observed.next_check = None;
-        return temperature;
+        return server_warmup_state;
     }
     let next = match (
         observed.next_check,
-        check_delay(upstreams, limit, server, teller),
+        check_delay(upstreams, limit, server, source),
     ) {
         (_, None) => None,
         (Some(next), Some(check_delay)) if next <= now => {
@@ -110,20 +112,20 @@
         (None, Some(check_delay)) => Some(now + check_delay),
     };
     observed.next_check = next;
-    temperature
+    server_warmup_state
 }
 
-/// Delay before this node checks a server of unknown temperature; `None` if it leaves the check to
+/// Delay before this node checks a server of unknown warm-up state; `None` if it leaves the check to
 /// others.
 fn check_delay(
     upstreams: &Upstreams,
     limit: &ColdLimit<'_>,
     server: &ServerRecord,
-    teller: WarmupSource,
+    source: WarmupSource,
 ) -> Option<Duration> {
     let node = upstreams.node();
     let idle = node.last_request.lock().elapsed() > IDLE_AFTER;
-    if teller == WarmupSource::Unused && idle {
+    if source == WarmupSource::Unused && idle {
         return None;
     }
     match limit.rank(server) {
@@ -183,16 +185,16 @@
 fn log_change(
     upstreams: &Upstreams,
     server: &ServerRecord,
-    temperature: WarmupState,
-    teller: WarmupSource,
+    server_warmup_state: WarmupState,
+    source: WarmupSource,
 ) {
-    let event = match temperature {
+    let event = match server_warmup_state {
         WarmupState::Warm => "server_warm",
         WarmupState::Cold => "server_cold",
         WarmupState::InDoubt | WarmupState::Unknown => "server_temperature_unknown",
     };
     upstreams.node().log.write(event, || {
-        serde_json::json!({"server": server.id, "zone": server.zone, "told_by": teller.to_string(),
-            "temperature": temperature.to_string()})
+        serde_json::json!({"server": server.id, "zone": server.zone, "told_by": source.to_string(),
+            "temperature": server_warmup_state.to_string()})
     });
 }
--- a/crates/ingress/tests/event_gaps.rs
+++ b/crates/ingress/tests/event_gaps.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dappleyard_cluster::Slowdown;
-use dappleyard_ingress::{EventGaps, excess_pace};
+use dappleyard_ingress::{EventGaps, excess_slowdown};
 use googletest::prelude::*;
 
 const fn ms(ms: u64) -> Duration {
@@ -19,9 +19,9 @@
 }
 
 #[gtest]
-fn no_reported_pace() {
+fn no_reported_slowdown() {
     expect_that!(
-        excess_pace(ms(90), ms(30), Slowdown::NORMAL),
+        excess_slowdown(ms(90), ms(30), Slowdown::NORMAL),
         eq(Slowdown::new(3.0))
     );
 }
@@ -29,21 +29,21 @@
 #[gtest]
 fn accurate_report() {
     expect_that!(
-        excess_pace(ms(90), ms(30), Slowdown::new(3.0)),
+        excess_slowdown(ms(90), ms(30), Slowdown::new(3.0)),
         eq(Slowdown::NORMAL)
     );
 }
 
 #[gtest]
 fn report_too_low() {
-    let times = excess_pace(ms(126), ms(30), Slowdown::new(0.7)).times();
+    let times = excess_slowdown(ms(126), ms(30), Slowdown::new(0.7)).times();
     expect_that!(times, near(6.0, 0.01));
 }
 
 #[gtest]
 fn small_deviation() {
     expect_that!(
-        excess_pace(ms(40), ms(30), Slowdown::NORMAL),
+        excess_slowdown(ms(40), ms(30), Slowdown::NORMAL),
         eq(Slowdown::NORMAL)
     );
 }
@@ -52,7 +52,7 @@
 #[gtest]
 fn report_too_high() {
     expect_that!(
-        excess_pace(ms(30), ms(30), Slowdown::new(8.0)),
+        excess_slowdown(ms(30), ms(30), Slowdown::new(8.0)),
         eq(Slowdown::NORMAL)
     );
 }
--- a/crates/ingress/tests/pace_placement.rs
+++ b/crates/ingress/tests/slowdown_placement.rs
@@ -1,4 +1,4 @@
-//! Server selection among servers of different slowdown.
+//! Server selection among servers with different slowdowns.
 
 use std::sync::Arc;
 
@@ -41,10 +41,10 @@
     chosen.expect("one of them").server.id.clone()
 }
 
-/// At the usual slowdown the weights are: one per request, six per request beyond the slots, one per
+/// At normal speed the weights are: one per request, six per request beyond the slots, one per
 /// thousand tokens, six for another zone.
 #[gtest]
-fn usual_pace() {
+fn normal_slowdown() {
     let mut random = StdRng::seed_from_u64(3);
     for _ in 0..2_000 {
         let mut candidates: Vec<Candidate> = (0..6)
@@ -60,12 +60,12 @@
         let weight = |held: &Candidate| {
             let requests = f64::from(held.load.online + held.load.batch);
             let over = (requests + 1.0 - f64::from(SLOTS)).max(0.0);
-            let way = if held.server.zone == "north" {
+            let distance_weight = if held.server.zone == "north" {
                 0.0
             } else {
                 6.0
             };
-            requests + f64::from(held.load.unread_tokens) / 1_000.0 + over * 6.0 + way
+            requests + f64::from(held.load.unread_tokens) / 1_000.0 + over * 6.0 + distance_weight
         };
         let least = candidates
             .iter()
@@ -138,7 +138,7 @@
     /// Multiplies requests and queue by the slowdown.
     Products,
     /// The weighting of `choose`.
-    Paces,
+    Placement,
 }
 
 /// A simulated server: the end times of its requests.
@@ -149,16 +149,16 @@
 
 /// Whether the slowdown of servers stays the same or changes every 600 ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PaceChange {
+enum SlowdownPattern {
     Lasting,
     Flipping,
 }
 
-impl PaceChange {
+impl SlowdownPattern {
     fn slowdown(self, server: usize, at_ms: f64) -> f64 {
         let turn = match self {
-            PaceChange::Lasting => 0,
-            PaceChange::Flipping => (at_ms / 600.0) as usize,
+            SlowdownPattern::Lasting => 0,
+            SlowdownPattern::Flipping => (at_ms / 600.0) as usize,
         };
         match (server + turn).is_multiple_of(3) {
             true => 3.0,
@@ -203,7 +203,7 @@
 
 /// Fraction of requests whose first event takes more than 300 ms, at some load on 24 servers and
 /// with load information of some age.
-fn late(weighting: Weighting, information_age_ms: f64, pace_change: PaceChange, load: f64) -> f64 {
+fn late(weighting: Weighting, information_age_ms: f64, pattern: SlowdownPattern, load: f64) -> f64 {
     let mut random = StdRng::seed_from_u64(11);
     let zone_distances = ZoneDistances::single_region("north");
     let mut simulated: Vec<SimulatedServer> = (0..24)
@@ -227,8 +227,8 @@
                 let number: usize = server.id.parse().expect("a number");
                 let slowdown = match weighting {
                     Weighting::Counts => 1.0,
-                    Weighting::Products | Weighting::Paces => {
-                        pace_change.slowdown(number, known_at_ms)
+                    Weighting::Products | Weighting::Placement => {
+                        pattern.slowdown(number, known_at_ms)
                     }
                 };
                 let online = simulated[number].online(known_at_ms);
@@ -237,32 +237,32 @@
             .collect();
         let id = match weighting {
             Weighting::Products => least_product(&candidates),
-            Weighting::Counts | Weighting::Paces => chosen(&candidates),
+            Weighting::Counts | Weighting::Placement => chosen(&candidates),
         };
         let number: usize = id.parse().expect("a number");
-        let first_ms = simulated[number].take(at_ms, pace_change.slowdown(number, at_ms));
+        let first_ms = simulated[number].take(at_ms, pattern.slowdown(number, at_ms));
         late += u32::from(first_ms > 300.0);
     }
     f64::from(late) / 3_000.0
 }
 
 #[gtest]
-fn lasting_paces() {
+fn lasting_slowdowns() {
     for information_age_ms in [25.0, 100.0, 500.0] {
         let counts = late(
             Weighting::Counts,
             information_age_ms,
-            PaceChange::Lasting,
+            SlowdownPattern::Lasting,
             0.95,
         );
-        let paces = late(
-            Weighting::Paces,
+        let placement = late(
+            Weighting::Placement,
             information_age_ms,
-            PaceChange::Lasting,
+            SlowdownPattern::Lasting,
             0.95,
         );
         expect_that!(
-            paces,
+            placement,
             lt(counts / 2.0),
             "information aged {information_age_ms} ms: {counts} by counts"
         );
@@ -271,28 +271,28 @@
 
 /// Outdated slowdown reports must not concentrate requests on servers that were fast a moment ago.
 #[gtest]
-fn flipping_paces() {
+fn flipping_slowdowns() {
     for information_age_ms in [25.0, 100.0] {
         let counts = late(
             Weighting::Counts,
             information_age_ms,
-            PaceChange::Flipping,
+            SlowdownPattern::Flipping,
             0.75,
         );
         let products = late(
             Weighting::Products,
             information_age_ms,
-            PaceChange::Flipping,
+            SlowdownPattern::Flipping,
             0.75,
         );
-        let paces = late(
-            Weighting::Paces,
+        let placement = late(
+            Weighting::Placement,
             information_age_ms,
-            PaceChange::Flipping,
+            SlowdownPattern::Flipping,
             0.75,
         );
         expect_that!(
-            paces,
+            placement,
             lt(counts.min(products)),
             "{information_age_ms} ms: {counts}, {products}"
         );
@@ -301,8 +301,8 @@
 
 /// Slowdown reports that are half a second old must not make placement much worse than no reports.
 #[gtest]
-fn outdated_paces() {
-    let counts = late(Weighting::Counts, 500.0, PaceChange::Flipping, 0.75);
-    let paces = late(Weighting::Paces, 500.0, PaceChange::Flipping, 0.75);
-    expect_that!(paces, le(counts * 1.1), "{counts} by counts");
+fn outdated_slowdowns() {
+    let counts = late(Weighting::Counts, 500.0, SlowdownPattern::Flipping, 0.75);
+    let placement = late(Weighting::Placement, 500.0, SlowdownPattern::Flipping, 0.75);
+    expect_that!(placement, le(counts * 1.1), "{counts} by counts");
 }
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -155,7 +155,7 @@
         true
     }
 
-    fn pace(&self) -> Duration {
+    fn min_poll_interval(&self) -> Duration {
         MIN_POLL_INTERVAL
     }
 
--- a/crates/jobs/tests/policies.rs
+++ b/crates/jobs/tests/policies.rs
@@ -56,7 +56,7 @@
         };
         capacity(8, &load)
     };
-    // Without a temperature limit, the temperature is not tracked.
+    // Without a limit for cold servers, the warm-up state is not tracked.
     let warm = [None, Some(WarmupState::Warm)].map(at);
     expect_that!(warm, each(eq(7)));
     let other = [
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -335,8 +335,8 @@
         self.sink.is_partitioned()
     }
 
-    fn pace(&self) -> Duration {
-        self.sink.pace()
+    fn min_poll_interval(&self) -> Duration {
+        self.sink.min_poll_interval()
     }
 
     fn wait(&self) -> Duration {
