--- a/crates/cluster/src/cadence.rs
+++ b/crates/cluster/src/cadence.rs
@@ -47,7 +47,7 @@
     /// Load sums of a delegate to its zone and to other zones.
     pub sums: bool,
     /// Liveness records with the sums.
-    pub signs: bool,
+    pub liveness: bool,
     /// The sums to other zones cover all servers instead of the changed ones only.
     pub all: bool,
     /// The sums go to other regions as well.
@@ -86,7 +86,7 @@
         heartbeat: round.is_multiple_of(heartbeat),
         far: round.is_multiple_of(far),
         sums: round.is_multiple_of(rounds),
-        signs: round.is_multiple_of(LIVENESS_ROUNDS),
+        liveness: round.is_multiple_of(LIVENESS_ROUNDS),
         all: round.is_multiple_of(FULL_SUMS_ROUNDS),
         regions: round.is_multiple_of(REGION_ROUNDS),
     }
--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -18,7 +18,7 @@
 
 struct OwnDemand {
     waiting: u32,
-    returns: RetrySchedule,
+    retries: RetrySchedule,
     tenants: HashMap<u32, u32>,
 }
 
@@ -36,7 +36,7 @@
         Demand {
             service,
             waiting: self.waiting,
-            returns: self.returns.due(now),
+            returns: self.retries.due(now),
             tenants,
         }
     }
@@ -52,7 +52,7 @@
     fn own(&mut self, service: u32, now: Instant) -> &mut OwnDemand {
         self.own.entry(service).or_insert_with(|| OwnDemand {
             waiting: 0,
-            returns: RetrySchedule::new(now),
+            retries: RetrySchedule::new(now),
             tenants: HashMap::new(),
         })
     }
@@ -162,7 +162,7 @@
         let mut state = self.state.lock();
         state
             .own(service_hash(service), now)
-            .returns
+            .retries
             .note(after, now);
     }
 
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -13,7 +13,7 @@
 const MAX_WITHDRAWN: usize = 64;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum ZoneState {
     /// The order is active; this node learned of it at this time.
     Evacuated(Instant),
     /// The order was withdrawn; this node learned of it at this time.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct OrderEntry {
     revision: u64,
-    standing: Standing,
+    state: ZoneState,
 }
 
 /// An active order.
@@ -73,7 +73,7 @@
         revision: u64,
         now: Instant,
     ) -> Option<EvacuationChange> {
-        self.set(zone, revision, Standing::Evacuated(now))
+        self.set(zone, revision, ZoneState::Evacuated(now))
     }
 
     /// Applies a withdrawal and returns the change, if any.
@@ -83,7 +83,7 @@
         revision: u64,
         now: Instant,
     ) -> Option<EvacuationChange> {
-        let change = self.set(zone, revision, Standing::Restored(now));
+        let change = self.set(zone, revision, ZoneState::Restored(now));
         self.prune_withdrawn();
         change
     }
@@ -116,16 +116,16 @@
 
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let held = self.zones.get(zone);
-        held.is_some_and(|held| matches!(held.standing, Standing::Evacuated(_)))
+        held.is_some_and(|held| matches!(held.state, ZoneState::Evacuated(_)))
     }
 
     /// When this node learned that the zone was restored; `None` without a known order or while one
     /// is active. Warm-up states from before that time are invalid, since the servers may have
     /// cooled down meanwhile.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
-        match self.zones.get(zone)?.standing {
-            Standing::Restored(at) => Some(at),
-            Standing::Evacuated(_) => None,
+        match self.zones.get(zone)?.state {
+            ZoneState::Restored(at) => Some(at),
+            ZoneState::Evacuated(_) => None,
         }
     }
 
@@ -133,13 +133,13 @@
     pub fn active(&self) -> impl Iterator<Item = Evacuation> + '_ {
         self.zones
             .iter()
-            .filter_map(|(zone, held)| match held.standing {
-                Standing::Evacuated(since) => Some(Evacuation {
+            .filter_map(|(zone, held)| match held.state {
+                ZoneState::Evacuated(since) => Some(Evacuation {
                     zone: zone.clone(),
                     revision: held.revision,
                     since,
                 }),
-                Standing::Restored(_) => None,
+                ZoneState::Restored(_) => None,
             })
     }
 
@@ -147,25 +147,25 @@
         &mut self,
         zone: &ZoneName,
         revision: u64,
-        standing: Standing,
+        state: ZoneState,
     ) -> Option<EvacuationChange> {
         let known = self.zones.get(zone);
         if revision <= known.map_or(self.stale_up_to, |held| held.revision) {
             return None;
         }
         self.zones
-            .insert(zone.clone(), OrderEntry { revision, standing });
+            .insert(zone.clone(), OrderEntry { revision, state });
         Some(EvacuationChange {
             zone: zone.clone(),
             revision,
-            evacuated: matches!(standing, Standing::Evacuated(_)),
+            evacuated: matches!(state, ZoneState::Evacuated(_)),
         })
     }
 
     /// Drops the oldest withdrawals above the limit. Their revision becomes the lower bound for new
     /// rows, so that a stale row cannot restore an order.
     fn prune_withdrawn(&mut self) {
-        let withdrawn = |held: &OrderEntry| matches!(held.standing, Standing::Restored(_));
+        let withdrawn = |held: &OrderEntry| matches!(held.state, ZoneState::Restored(_));
         let mut revisions: Vec<u64> = self
             .zones
             .values()
--- a/crates/cluster/src/large_fleet.rs
+++ b/crates/cluster/src/large_fleet.rs
@@ -58,7 +58,7 @@
     /// As a delegate, sends each node of the zone the load of all others.
     fn send_zone_summaries(&self, roster: &Roster, due_messages: DueMessages) {
         let (signs, remaining) = self.due_liveness(None, due_messages);
-        let evacuated = match due_messages.signs {
+        let evacuated = match due_messages.liveness {
             true => self.view.evacuated_work(&self.loads),
             false => Vec::new(),
         };
@@ -100,7 +100,7 @@
         zone: Option<&str>,
         due_messages: DueMessages,
     ) -> (Option<LivenessRecords>, Vec<LivenessRecords>) {
-        if !due_messages.signs {
+        if !due_messages.liveness {
             return (None, Vec::new());
         }
         let mut signs = self.peers.liveness_records(zone).into_iter();
@@ -161,17 +161,17 @@
         due_messages: DueMessages,
     ) {
         let zone = &self.settings.zone;
-        let told = digest
+        let message_sums = digest
             .borrow_mut()
             .next(self.loads.zone_sums(), due_messages.all);
         let (signs, remaining) = self.due_liveness(Some(zone), due_messages);
         let message = PacketKind::Summary(Summary {
             of_zone: true,
-            loads: told.loads,
-            changes_only: told.changes_only,
+            loads: message_sums.loads,
+            changes_only: message_sums.changes_only,
             waiting: self.loads.waiting.zone_sum(),
             demands: self.loads.demand.zone_sum(),
-            passed: self.quotas.zone_passed(due_messages.signs),
+            passed: self.quotas.zone_passed(due_messages.liveness),
             heard_permille: (self.quotas.zone_heard() * 1_000.0) as u32,
             signs,
             ..self.summary()
--- a/crates/cluster/src/receiving.rs
+++ b/crates/cluster/src/receiving.rs
@@ -135,13 +135,13 @@
             (true, true) => {
                 let zone = self.peers.zone_of(&summary.name).unwrap_or_default();
                 let delegate = (node_number(&summary.name), summary.life);
-                let told = ZonePassed {
+                let zone_passed = ZonePassed {
                     counts: &summary.passed,
                     heard_fraction: f64::from(summary.heard_permille) / 1_000.0,
                 };
                 let delay = self.view.zone_distances().extra_rtt(&zone) / 2;
                 let number = node_number(&zone);
-                self.quotas.note_zone(number, delegate, &told, delay);
+                self.quotas.note_zone(number, delegate, &zone_passed, delay);
                 let source = Source::Zone(node_number(&zone));
                 if self.is_in_own_region(&summary.name) {
                     self.loads.waiting.set_source(source, summary.waiting);
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -40,7 +40,7 @@
     /// Servers over which prompts are hashed for cache affinity: all, or in a large fleet those of
     /// the own zone if there are any. Servers of other regions are included only if the own region
     /// has none.
-    pub homes: Vec<Arc<ServerRecord>>,
+    pub affinity_servers: Vec<Arc<ServerRecord>>,
 }
 
 impl ServerSet {
@@ -84,22 +84,26 @@
         if all.len() <= MAX_ALL_USED {
             return ServerSet {
                 used: all.clone(),
-                homes: all.clone(),
+                affinity_servers: all.clone(),
                 all,
             };
         }
         let is_near = |server: &&Arc<ServerRecord>| server.zone == self.zone_distances.zone();
-        let homes: Vec<_> = all.iter().filter(is_near).cloned().collect();
-        if homes.is_empty() {
+        let affinity_servers: Vec<_> = all.iter().filter(is_near).cloned().collect();
+        if affinity_servers.is_empty() {
             return ServerSet {
                 used: self.select(all.iter(), OWN_ZONE_USED + REMOTE_USED),
-                homes: all.clone(),
+                affinity_servers: all.clone(),
                 all,
             };
         }
-        let mut used = self.select(homes.iter(), OWN_ZONE_USED);
+        let mut used = self.select(affinity_servers.iter(), OWN_ZONE_USED);
         used.extend(self.select(all.iter().filter(|server| !is_near(server)), REMOTE_USED));
-        ServerSet { used, homes, all }
+        ServerSet {
+            used,
+            affinity_servers,
+            all,
+        }
     }
 
     /// Selects up to `most` servers by a hash that differs from node to node.
@@ -140,14 +144,14 @@
         used.extend(at_distance(Distance::OtherRegion, remote));
         ServerSet {
             used,
-            homes: self.multi_region_homes(&all),
+            affinity_servers: self.multi_region_affinity_servers(&all),
             all,
         }
     }
 
     /// Servers for prompt hashing: those of the own zone in a large fleet, otherwise those of the
     /// region, or all if the region has none.
-    fn multi_region_homes(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
+    fn multi_region_affinity_servers(&self, all: &[Arc<ServerRecord>]) -> Vec<Arc<ServerRecord>> {
         let within = |farthest: Distance| -> Vec<_> {
             let servers = all.iter();
             let matching =
--- a/crates/cluster/src/view.rs
+++ b/crates/cluster/src/view.rs
@@ -56,7 +56,7 @@
 pub struct View {
     pub(crate) known: Mutex<ViewState>,
     pub(crate) changed: Notify,
-    standpoint: ServerSelector,
+    selector: ServerSelector,
     log: Arc<EventLog>,
 }
 
@@ -73,7 +73,7 @@
         log: Arc<EventLog>,
     ) -> Self {
         Self {
-            standpoint: ServerSelector::with_zone_distances(node, zone_distances),
+            selector: ServerSelector::with_zone_distances(node, zone_distances),
             known: Mutex::default(),
             changed: Notify::new(),
             log,
@@ -82,7 +82,7 @@
 
     /// Distances from this node to the servers of each zone.
     pub fn zone_distances(&self) -> &Arc<ZoneDistances> {
-        self.standpoint.zone_distances()
+        self.selector.zone_distances()
     }
 
     pub(crate) fn log(&self) -> &EventLog {
@@ -115,7 +115,7 @@
         let open = servers.filter(|server| {
             server.service == service && Self::exclusion_of(known, server).is_none()
         });
-        let set = Arc::new(self.standpoint.servers(open.cloned().collect()));
+        let set = Arc::new(self.selector.servers(open.cloned().collect()));
         let held = CachedSet {
             set: set.clone(),
             stale: false,
--- a/crates/cluster/tests/cadence.rs
+++ b/crates/cluster/tests/cadence.rs
@@ -60,7 +60,7 @@
                 due_messages.sums && of(due_messages)
             })
         };
-        expect_that!(due(|due_messages| due_messages.signs), eq(4));
+        expect_that!(due(|due_messages| due_messages.liveness), eq(4));
         expect_that!(due(|due_messages| due_messages.all), eq(3));
     }
 }
--- a/crates/cluster/tests/evacuations.rs
+++ b/crates/cluster/tests/evacuations.rs
@@ -203,7 +203,7 @@
     /// Zones of the servers that get requests.
     fn zones(&self) -> Vec<String> {
         let servers = self.view.servers("llm");
-        let sets = [&servers.all, &servers.used, &servers.homes];
+        let sets = [&servers.all, &servers.used, &servers.affinity_servers];
         let zones = sets.into_iter().flatten().map(|server| server.zone.clone());
         BTreeSet::from_iter(zones).into_iter().collect()
     }
@@ -241,7 +241,7 @@
     held.evacuate("north", 3);
     let servers = held.view.servers("llm");
     expect_that!(servers.used.len(), eq(48));
-    expect_that!(servers.homes.len(), eq(140));
+    expect_that!(servers.affinity_servers.len(), eq(140));
     expect_that!(held.zones().iter().any(|zone| zone == "north"), eq(false));
     // The remaining zone still forms a large set.
     held.evacuate("south", 4);
--- a/crates/cluster/tests/loads.rs
+++ b/crates/cluster/tests/loads.rs
@@ -71,7 +71,10 @@
 #[gtest]
 fn small_fleet_uses_all_servers() {
     let servers = ServerSelector::new("a", "north").servers(fleet(60));
-    expect_that!((servers.used.len(), servers.homes.len()), eq((60, 60)));
+    expect_that!(
+        (servers.used.len(), servers.affinity_servers.len()),
+        eq((60, 60))
+    );
     expect_that!(servers.is_large(), eq(false));
 }
 
@@ -83,7 +86,10 @@
         let servers = node.servers(fleet(3_000));
         expect_that!(servers.used.len(), eq(48));
         expect_that!(
-            servers.homes.iter().all(|home| home.zone == "north"),
+            servers
+                .affinity_servers
+                .iter()
+                .all(|affinity_server| affinity_server.zone == "north"),
             eq(true)
         );
         for server in servers.used.iter().filter(|server| server.zone == "north") {
--- a/crates/cluster/tests/regions.rs
+++ b/crates/cluster/tests/regions.rs
@@ -76,9 +76,10 @@
             eq(expected),
             "{servers} servers"
         );
-        let near = |home: &Arc<ServerRecord>| zone_distances.is_near(&home.zone);
-        expect_that!(set.homes.iter().all(near), eq(true));
-        expect_that!(set.homes.is_empty(), eq(false));
+        let near =
+            |affinity_server: &Arc<ServerRecord>| zone_distances.is_near(&affinity_server.zone);
+        expect_that!(set.affinity_servers.iter().all(near), eq(true));
+        expect_that!(set.affinity_servers.is_empty(), eq(false));
     }
 }
 
@@ -100,7 +101,7 @@
     let node = ServerSelector::with_zone_distances("node-1", zone_distances("a1"));
     let set = node.servers(fleet(60, &["b1", "c2"]));
     expect_that!(set.used.len(), eq(40));
-    expect_that!(set.homes.len(), eq(60));
+    expect_that!(set.affinity_servers.len(), eq(60));
 }
 
 #[gtest]
@@ -138,7 +139,7 @@
     let due = |of: fn(&dappleyard_cluster::DueMessages) -> bool| all.clone().filter(of).count();
     expect_that!(due(|due_messages| due_messages.regions), eq(24));
     expect_that!(
-        due(|due_messages| due_messages.signs && due_messages.regions),
+        due(|due_messages| due_messages.liveness && due_messages.regions),
         eq(4)
     );
     expect_that!(
--- a/crates/cluster/tests/scale.rs
+++ b/crates/cluster/tests/scale.rs
@@ -112,11 +112,14 @@
         .collect();
     let set = ServerSelector::new("front-north-0", "north").servers(all.clone());
     expect_that!(
-        (set.used.len(), set.homes.len(), set.all.len()),
+        (set.used.len(), set.affinity_servers.len(), set.all.len()),
         eq((48, SERVERS / 5, SERVERS))
     );
     expect_that!(set.all.is_sorted_by(|a, b| a.id <= b.id), eq(true));
-    expect_that!(set.homes.is_sorted_by(|a, b| a.id <= b.id), eq(true));
+    expect_that!(
+        set.affinity_servers.is_sorted_by(|a, b| a.id <= b.id),
+        eq(true)
+    );
     // Removing an unused server does not change the used ones.
     let unused = set.all.iter().find(|server| !set.used.contains(server));
     let unused = unused.expect("most are not used");
--- a/crates/cluster/tests/zone_loss.rs
+++ b/crates/cluster/tests/zone_loss.rs
@@ -180,7 +180,7 @@
     // It keeps its delegates, so that loads and quotas are summed within it.
     let own = fleet.tables["north"].delegates("north");
     assert_that!(own.len(), eq(2));
-    // It keeps sending life signs to the delegates of the other zones, which receive them once the
+    // It keeps sending liveness records to the delegates of the other zones, which receive them once the
     // partition heals.
     let there = fleet.tables["south"].delegates("south");
     fleet.run(SECOND, partition).await;
--- a/crates/ingress/benches/online.rs
+++ b/crates/ingress/benches/online.rs
@@ -57,7 +57,9 @@
             bencher.iter(|| black_box(decide()));
         });
         group.bench_function(BenchmarkId::new("home", count), |bencher| {
-            bencher.iter(|| black_box(affinity_server(&servers.homes, black_box(77)).is_some()));
+            bencher.iter(|| {
+                black_box(affinity_server(&servers.affinity_servers, black_box(77)).is_some())
+            });
         });
     }
     group.finish();
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dappleyard_model::{AnswerMetadata, HomeRegions, ServerHeaders, ServerRecord, TenantHeader};
+use dappleyard_model::{HomeRegions, ResponseMetadata, ServerHeaders, ServerRecord, TenantHeader};
 use dappleyard_upstream::{
-    AnswerHead, BodyFraming, Connection, ExchangeError, IdleLimit, Pool, Stage, request_bytes,
+    BodyFraming, Connection, ExchangeError, IdleLimit, Pool, ResponseHead, Stage, request_bytes,
 };
 use derive_more::{Display, Error};
 use http::header::{
@@ -114,9 +114,9 @@
 /// A response whose body has not been read yet.
 pub struct Exchange {
     pub connection: Connection,
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Facts taken from the response headers.
-    pub facts: AnswerMetadata,
+    pub facts: ResponseMetadata,
     pub server: Arc<ServerRecord>,
 }
 
@@ -289,13 +289,13 @@
         connection: &mut Connection,
         request: &[u8],
         id: &str,
-    ) -> Result<(AnswerHead, AnswerMetadata), AttemptError> {
+    ) -> Result<(ResponseHead, ResponseMetadata), AttemptError> {
         let mut head = connection.send(request).await.map_err(exchange_failed)?;
         for _ in 0..MAX_STALE_RESPONSES {
             let facts = self
                 .node
                 .dialect
-                .answer_metadata(head.status, &head.headers);
+                .response_metadata(head.status, &head.headers);
             match &facts.request_id {
                 Some(answered) if answered != id => {
                     self.node.log.write("answer_of_another_request", || {
@@ -329,19 +329,19 @@
 
     fn request(&self, server: &ServerRecord, attempt: &Attempt<'_>) -> Vec<u8> {
         let dialect = &self.node.dialect;
-        let stamp = ServerHeaders {
+        let header_values = ServerHeaders {
             remaining_ms: attempt.remaining_ms,
             expect_instance: &server.instance,
             last_event_id: attempt.last_event_id,
             tenant: attempt.tenant,
         };
-        let stamped = dialect.server_headers(&stamp);
-        let own = stamped.iter().map(|(name, value)| (name, value));
+        let added_headers = dialect.server_headers(&header_values);
+        let own = added_headers.iter().map(|(name, value)| (name, value));
         let passed = attempt
             .headers
             .iter()
             .filter(|(name, _)| is_end_to_end(name, attempt.headers))
-            .filter(|(name, _)| !dialect.is_system_header(name, &stamp));
+            .filter(|(name, _)| !dialect.is_system_header(name, &header_values));
         request_bytes(
             attempt.method,
             attempt.target,
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -197,8 +197,8 @@
 fn compute_capacity(node: &Node, service: &str, homes: &HomeRegions) -> Option<Capacity> {
     let SlotUsage { slots, online } = slot_usage(node, &node.view.servers(service), homes);
     // Queue lengths are only exchanged within a region.
-    let told_here = homes.allows_zone(&node.settings.zone, &node.settings.places);
-    let demand = match told_here {
+    let demand_known = homes.allows_zone(&node.settings.zone, &node.settings.places);
+    let demand = match demand_known {
         true => node.loads.demand.pressure_on(service),
         false => Demand::default(),
     };
@@ -211,7 +211,7 @@
         online,
         trend_per_s,
         waiting: demand.waiting,
-        returns: demand.returns,
+        expected_retries: demand.returns,
         hold_time: node.capacities.hold_time(service),
     })
 }
@@ -272,7 +272,7 @@
         serde_json::json!({"request": request.facts.id, "route": request.route.name,
             "tenant": request.caller.tenant_name(), "again": request.is_retry,
             "slots": capacity.slots, "online": capacity.online, "trend_per_s": capacity.trend_per_s, "waiting": capacity.waiting,
-            "returns": capacity.returns, "hold_ms": capacity.hold_time.as_millis() as u64,
+            "returns": capacity.expected_retries, "hold_ms": capacity.hold_time.as_millis() as u64,
             "wait_ms": capacity.wait().as_millis() as u64, "age_ms": admission_request.age.as_millis() as u64,
             "target_ms": admission_request.target.as_millis() as u64, "left_ms": admission_request.left.as_millis() as u64,
             "retry_after_ms": retry_after.as_millis() as u64})
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dappleyard_model::{AnswerMetadata, ServerRecord};
+use dappleyard_model::{ResponseMetadata, ServerRecord};
 use dappleyard_upstream::{Connection, request_bytes};
 use http::header::HOST;
 use http::{HeaderValue, Method};
@@ -90,7 +90,7 @@
         server: &ServerRecord,
         path: &str,
         limit: Duration,
-    ) -> Option<(u16, AnswerMetadata)> {
+    ) -> Option<(u16, ResponseMetadata)> {
         let host = HeaderValue::from_str(&server.address.to_string()).ok()?;
         let headers = [(&HOST, &host)].into_iter();
         let request = request_bytes(&Method::GET, path, headers, &Bytes::new());
@@ -101,7 +101,7 @@
             let facts = self
                 .node
                 .dialect
-                .answer_metadata(head.status, &head.headers);
+                .response_metadata(head.status, &head.headers);
             if let Some(load) = facts.load {
                 self.record_reported_slowdown(server, load);
             }
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -116,14 +116,14 @@
         &self,
         run: RunGuard,
         server: &Arc<ServerRecord>,
-        broken: &InterruptedRun<'_>,
+        interrupted_run: &InterruptedRun<'_>,
     ) {
-        if !broken.error.broken_off {
+        if !interrupted_run.error.broken_off {
             return;
         }
-        let output = broken.output_duration;
+        let output = interrupted_run.output_duration;
         match self.check_address(server).await {
-            Evidence::Ended => self.note_ended(&run, server, &broken.error.reason, output),
+            Evidence::Ended => self.note_ended(&run, server, &interrupted_run.error.reason, output),
             Evidence::Leaving => {}
             Evidence::Alive | Evidence::Unknown => self.check_again(run, server.clone(), output),
         }
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -177,11 +177,13 @@
         let exchange = match outcome {
             Ok(exchange) => exchange,
             Err(error) => {
-                let broken = InterruptedRun {
+                let interrupted_run = InterruptedRun {
                     error: &error,
                     output_duration: None,
                 };
-                upstreams.check_for_crash(run, &server, &broken).await;
+                upstreams
+                    .check_for_crash(run, &server, &interrupted_run)
+                    .await;
                 record_failure(upstreams, request, &server, &error);
                 let limit = ColdLimit::of(&node, &request.service);
                 if error.ran == Ran::No && limit.is_some_and(|limit| !limit.allows(&server)) {
--- a/crates/ingress/src/node.rs
+++ b/crates/ingress/src/node.rs
@@ -78,12 +78,12 @@
         public: bool,
         key: Option<&KeyDigest>,
     ) -> Result<Caller, KeyRefusal> {
-        let standing = ConfigurationStatus {
+        let status = ConfigurationStatus {
             age: self.view.configuration_age(),
             in_majority: self.peers.count() * 2 >= self.peers.expected(),
         };
         let bounds = &self.settings.bounds;
-        identify(configuration, public, key, standing, bounds)
+        identify(configuration, public, key, status, bounds)
     }
 
     /// Directory response for a client of a zone that asks for a host; `None` if no ready node is
@@ -101,16 +101,16 @@
         if !nodes.iter().any(|node| node.ready) {
             return None;
         }
-        let ground = DirectoryContext {
+        let context = DirectoryContext {
             own_zone: &self.settings.zone,
             places: &self.settings.places,
             tolerated: self.settings.tolerated,
         };
         let configuration = self.view.configuration();
         let homes = home_regions::host_homes(configuration.as_deref(), host);
-        let regions = home_regions::directory_regions(&homes, zone, ground.places);
+        let regions = home_regions::directory_regions(&homes, zone, context.places);
         let response =
-            |regions| directory::addresses_for(DirectoryQuery { zone, regions }, ground, &nodes);
+            |regions| directory::addresses_for(DirectoryQuery { zone, regions }, context, &nodes);
         let mut addresses = response(regions.as_ref());
         if addresses.is_empty() && regions.is_some() {
             // Any node can tell the client when to retry.
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -207,8 +207,8 @@
     let shortest_wait = healthy.map(queue_weight).fold(f64::INFINITY, f64::min);
     // Paths within the region are ignored, since every queue here involves one.
     let serves = |entry: &Candidate| {
-        let way = zone_distances.rtt_cost(&entry.server.zone, PATH_WEIGHTS);
-        has_free_slot(entry) && (is_near(entry) || way < shortest_wait)
+        let path_cost = zone_distances.rtt_cost(&entry.server.zone, PATH_WEIGHTS);
+        has_free_slot(entry) && (is_near(entry) || path_cost < shortest_wait)
     };
     match candidates.iter().any(serves) {
         true => candidates.into_iter().filter(serves).collect(),
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -1,4 +1,4 @@
-//! Forwards responses to clients and resumes broken streams at another server.
+//! Forwards responses to clients and resumes interrupted streams at another server.
 
 use std::time::Duration;
 
@@ -230,15 +230,15 @@
         self.splitter.rest();
         let mut server = None;
         if let Some(started) = failed {
-            let broken = started.exchange.server;
-            let run = InterruptedRun {
+            let failed_server = started.exchange.server;
+            let interrupted_run = InterruptedRun {
                 error: &error,
                 output_duration: self.output_since.map(|since| since.elapsed()),
             };
             self.upstreams
-                .check_for_crash(started.run, &broken, &run)
+                .check_for_crash(started.run, &failed_server, &interrupted_run)
                 .await;
-            server = Some(broken.id.clone());
+            server = Some(failed_server.id.clone());
         }
         if let Some(server) = server.as_ref().filter(|_| error.unreachable) {
             node.loads.mark_suspect(server, SUSPECT_DURATION);
--- a/crates/ingress/src/response_times.rs
+++ b/crates/ingress/src/response_times.rs
@@ -146,10 +146,10 @@
 
     /// Records a gap normalized to a slowdown of 1. Returns the median, or `None` with too few
     /// samples.
-    pub fn record_normalized_gap(&self, service: &str, pause: Duration) -> Option<Duration> {
+    pub fn record_normalized_gap(&self, service: &str, gap: Duration) -> Option<Duration> {
         let mut times = self.normalized_gaps.lock();
         let histogram = times.entry(service.to_owned()).or_default();
-        histogram.record(pause, Instant::now());
+        histogram.record(gap, Instant::now());
         histogram.median()
     }
 
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -190,7 +190,7 @@
     let affinity_server = request
         .shape
         .shared
-        .and_then(|shared| affinity_server(&servers.homes, shared));
+        .and_then(|shared| affinity_server(&servers.affinity_servers, shared));
     let candidate = |server: &Arc<ServerRecord>| Candidate {
         server: server.clone(),
         load: node.loads.summary(&server.id),
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -291,21 +291,21 @@
     }
 
     /// Metrics of a tenant from the latest shares of each service.
-    fn figures(&self, tenant: &TenantName) -> TenantShare {
+    fn tenant_share(&self, tenant: &TenantName) -> TenantShare {
         let number = tenant_number(tenant.as_str());
         let state = self.state.lock();
         let weight = state.weights.of(number);
-        let mut figures = TenantShare {
+        let mut tenant_share = TenantShare {
             refused: state.refused.get(tenant).copied().unwrap_or_default(),
             ..TenantShare::default()
         };
         for snapshot in state.snapshots.values() {
-            figures.in_flight += snapshot.requests.get(&number).copied().unwrap_or_default();
+            tenant_share.in_flight += snapshot.requests.get(&number).copied().unwrap_or_default();
             if let Some(share) = snapshot.shares.of(weight) {
-                figures.share = Some(figures.share.unwrap_or_default() + share);
+                tenant_share.share = Some(tenant_share.share.unwrap_or_default() + share);
             }
         }
-        figures
+        tenant_share
     }
 }
 
@@ -323,22 +323,22 @@
     let (named, _) = node.quotas.busiest(NAMED_TENANTS);
     let all: Vec<(TenantName, TenantShare)> = named
         .into_iter()
-        .map(|(name, _)| (name.clone(), node.shares.figures(&name)))
+        .map(|(name, _)| (name.clone(), node.shares.tenant_share(&name)))
         .collect();
     let mut text = String::from("# TYPE dappleyard_tenant_under_way gauge\n");
-    for (name, figures) in &all {
-        let (name, value) = (name.as_str(), figures.in_flight);
+    for (name, tenant_share) in &all {
+        let (name, value) = (name.as_str(), tenant_share.in_flight);
         text += &format!("dappleyard_tenant_under_way{{tenant={name:?}}} {value}\n");
     }
     text += "# TYPE dappleyard_tenant_share_slots gauge\n";
-    for (name, figures) in &all {
-        if let (name, Some(value)) = (name.as_str(), figures.share) {
+    for (name, tenant_share) in &all {
+        if let (name, Some(value)) = (name.as_str(), tenant_share.share) {
             text += &format!("dappleyard_tenant_share_slots{{tenant={name:?}}} {value:.1}\n");
         }
     }
     text += "# TYPE dappleyard_tenant_over_share_total counter\n";
-    for (name, figures) in &all {
-        let (name, value) = (name.as_str(), figures.refused);
+    for (name, tenant_share) in &all {
+        let (name, value) = (name.as_str(), tenant_share.refused);
         text += &format!("dappleyard_tenant_over_share_total{{tenant={name:?}}} {value}\n");
     }
     text
--- a/crates/ingress/tests/events_and_placement.rs
+++ b/crates/ingress/tests/events_and_placement.rs
@@ -125,11 +125,11 @@
         );
         let shared = shape.shared.expect("a long shared part");
         let before = affinity_server(&servers, shared)
-            .expect("a home")
+            .expect("an affinity server")
             .id
             .clone();
         let after = affinity_server(&servers[1..], shared)
-            .expect("a home")
+            .expect("an affinity server")
             .id
             .clone();
         moved += usize::from(before != after && before != "i-0");
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -110,13 +110,13 @@
     let mut exchange = match runner.upstreams.attempt(server, &attempt).await {
         Ok(exchange) => exchange,
         Err(error) => {
-            let broken = InterruptedRun {
+            let interrupted_run = InterruptedRun {
                 error: &error,
                 output_duration: None,
             };
             runner
                 .upstreams
-                .check_for_crash(tracked_run, server, &broken)
+                .check_for_crash(tracked_run, server, &interrupted_run)
                 .await;
             return RunOutcome::Interrupted(error);
         }
@@ -142,13 +142,13 @@
             RunOutcome::Completed
         }
         Err(error) => {
-            let broken = InterruptedRun {
+            let interrupted_run = InterruptedRun {
                 error: &error,
                 output_duration: output_since.get().map(|since: Instant| since.elapsed()),
             };
             runner
                 .upstreams
-                .check_for_crash(tracked_run, server, &broken)
+                .check_for_crash(tracked_run, server, &interrupted_run)
                 .await;
             RunOutcome::Interrupted(error)
         }
--- a/crates/model/src/dialect.rs
+++ b/crates/model/src/dialect.rs
@@ -1,11 +1,11 @@
-//! Trait for the formats of requests, server answers and configuration.
+//! Trait for the formats of requests, server responses and configuration.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
 use crate::{
-    AnswerMetadata, Configuration, ItemSubmission, RequestMetadata, ServerRecord, ZoneName,
+    Configuration, ItemSubmission, RequestMetadata, ResponseMetadata, ServerRecord, ZoneName,
 };
 
 /// Endpoint addressed by a request to the node.
@@ -107,16 +107,16 @@
     fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Headers that the system adds to a request for a server.
-    fn server_headers(&self, stamp: &ServerHeaders<'_>) -> Vec<(HeaderName, HeaderValue)>;
+    fn server_headers(&self, header_values: &ServerHeaders<'_>) -> Vec<(HeaderName, HeaderValue)>;
 
     /// Whether the system sets or removes this header, so that the caller's value is not forwarded.
-    fn is_system_header(&self, name: &HeaderName, stamp: &ServerHeaders<'_>) -> bool;
+    fn is_system_header(&self, name: &HeaderName, header_values: &ServerHeaders<'_>) -> bool;
 
     /// Header that carries the request identifier.
     fn request_id_header(&self) -> HeaderName;
 
-    /// Parses the status and headers of a server's answer.
-    fn answer_metadata(&self, status: u16, headers: &HeaderMap) -> AnswerMetadata;
+    /// Parses the status and headers of a server's response.
+    fn response_metadata(&self, status: u16, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Body of the answer to [`Endpoint::Resolve`].
     fn resolve_answer(&self, addresses: &[String], ttl_ms: u64) -> Bytes;
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -22,7 +22,7 @@
 pub use homes::HomeRegions;
 pub use place::{Distance, RegionName, Topology, ZoneName};
 pub use request::{
-    AnswerMetadata, ItemSubmission, PromptPart, RequestMetadata, ServerLoad, ServerRecord,
+    ItemSubmission, PromptPart, RequestMetadata, ResponseMetadata, ServerLoad, ServerRecord,
 };
 pub use rows::{Committed, Condition, Feed, Row, RowKey, RowStore, Rows, StoreError, Transaction};
 pub use settings::{
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -49,20 +49,20 @@
     pub work_percent: Option<u32>,
 }
 
-/// Data from the status and headers of a server's answer.
+/// Data from the status and headers of a server's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerMetadata {
+pub struct ResponseMetadata {
     /// Identifier of the answered request.
     pub request_id: Option<String>,
     /// The server reports that it did not run the request.
     pub not_run: bool,
-    /// The answer carries the header by which servers mark their own answers.
+    /// The response carries the header by which servers mark their own responses.
     pub sealed: bool,
     /// Load of the server, if reported.
     pub load: Option<ServerLoad>,
-    /// Remaining warm-up time, from an answer to a health check; `None` if not reported.
+    /// Remaining warm-up time, from the response to a health check; `None` if not reported.
     pub cold_left_ms: Option<u64>,
-    /// Instance that answered, from an answer to a health check.
+    /// Instance that answered, from the response to a health check.
     pub instance: Option<String>,
 }
 
--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -154,12 +154,14 @@
     let wanted = f64::from(capacity.slots) + ends * SERVER_QUEUE.as_secs_f64();
     let missing = wanted - f64::from(capacity.online) - rise;
     let budget = ends * interval + missing * interval / CORRECTION_PERIOD.as_secs_f64();
-    let returns = capacity.retries_per_s() * interval;
-    let reserved = returns.min(budget * RETRY_RESERVE);
+    let expected_retries = capacity.retries_per_s() * interval;
+    let reserved = expected_retries.min(budget * RETRY_RESERVE);
     let competing = f64::from(capacity.waiting) + arrivals * interval;
     match (request.is_retry, request.has_waited) {
         (false, _) => (budget - reserved) / competing.max(1.0),
-        (true, false) => (budget * RETRY_RESERVE / returns.max(0.001)).max(budget - competing),
+        (true, false) => {
+            (budget * RETRY_RESERVE / expected_retries.max(0.001)).max(budget - competing)
+        }
         (true, true) => budget - competing,
     }
 }
--- a/crates/room/src/capacity.rs
+++ b/crates/room/src/capacity.rs
@@ -37,7 +37,7 @@
     /// Requests waiting at nodes for a slot.
     pub waiting: u32,
     /// Expected retries by interval from now on.
-    pub returns: Vec<u32>,
+    pub expected_retries: Vec<u32>,
     pub hold_time: Duration,
 }
 
@@ -62,23 +62,23 @@
     pub fn arrivals_per_s(&self) -> f64 {
         let online = f64::from(self.online.min(self.slots));
         let served = online / self.hold_time.as_secs_f64().max(0.001) + self.trend_per_s.max(0.0);
-        let spans = self.returns.iter().enumerate();
-        let (away, away_s) = spans.fold((0.0, 0.0), |(away, away_s), (span, due)| {
+        let spans = self.expected_retries.iter().enumerate();
+        let (retries, retries_s) = spans.fold((0.0, 0.0), |(retries, retries_s), (span, due)| {
             let due = f64::from(*due);
             (
-                away + due,
-                away_s + due * (span as f64 + 0.5) * RETRY_INTERVAL.as_secs_f64(),
+                retries + due,
+                retries_s + due * (span as f64 + 0.5) * RETRY_INTERVAL.as_secs_f64(),
             )
         });
-        match away > 0.0 {
-            true => served + away * away / (2.0 * away_s),
+        match retries > 0.0 {
+            true => served + retries * retries / (2.0 * retries_s),
             false => served,
         }
     }
 
     /// Rate of retries expected now.
     pub fn retries_per_s(&self) -> f64 {
-        let due = self.returns.first().copied().unwrap_or_default();
+        let due = self.expected_retries.first().copied().unwrap_or_default();
         f64::from(due) / RETRY_INTERVAL.as_secs_f64()
     }
 
@@ -90,7 +90,11 @@
         let reserved = self.completions_per_s() * RETRY_RESERVE * RETRY_INTERVAL.as_secs_f64();
         let spans = (most.as_secs_f64() / RETRY_INTERVAL.as_secs_f64()) as usize;
         let open = (1..spans.min(RETRY_INTERVALS)).find(|span| {
-            let promised = self.returns.get(*span).copied().unwrap_or_default();
+            let promised = self
+                .expected_retries
+                .get(*span)
+                .copied()
+                .unwrap_or_default();
             f64::from(promised) < reserved * random.random::<f64>()
         });
         match open {
--- a/crates/room/tests/admission.rs
+++ b/crates/room/tests/admission.rs
@@ -26,7 +26,7 @@
         online,
         trend_per_s: 0.0,
         waiting,
-        returns: Vec::new(),
+        expected_retries: Vec::new(),
         hold_time: ms(500),
     }
 }
@@ -145,7 +145,7 @@
 #[gtest]
 fn retries_use_the_reserve() {
     let mut full = capacity(50, 20);
-    full.returns = vec![1];
+    full.expected_retries = vec![1];
     let is_retry = AdmissionRequest {
         is_retry: true,
         ..admission_request(0)
@@ -153,7 +153,7 @@
     expect_that!(counts(&full, &is_retry)[0], eq(1_000));
     expect_that!(counts(&full, &admission_request(0))[0], lt(500));
     // Too many retries for the reserved slots.
-    full.returns = vec![40];
+    full.expected_retries = vec![40];
     expect_that!(counts(&full, &is_retry)[0], lt(250));
 }
 
@@ -168,7 +168,7 @@
     let first = full.retry_delay(ms(1_000), &mut random);
     expect_that!(first, le(ms(200)));
     // No reserved slots left: late and spread out.
-    full.returns = vec![50; 32];
+    full.expected_retries = vec![50; 32];
     let late = full.retry_delay(ms(1_000), &mut random);
     expect_that!(late, ge(ms(500)));
     expect_that!(full.retry_delay(ms(1_000), &mut random), not(eq(late)));
@@ -233,9 +233,9 @@
 }
 
 #[gtest]
-fn returns_within_the_schedule() {
+fn retries_within_the_schedule() {
     let mut full = capacity(90, 40);
-    full.returns = vec![1_000; RETRY_INTERVALS];
+    full.expected_retries = vec![1_000; RETRY_INTERVALS];
     let mut random = random();
     let after = full.retry_delay(ms(20_000), &mut random);
     expect_that!(after, le(RETRY_INTERVAL * RETRY_INTERVALS as u32));
--- a/crates/room/tests/demand.rs
+++ b/crates/room/tests/demand.rs
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn returns_fall_due() {
+fn retries_fall_due() {
     let began = Instant::now();
     let mut schedule = RetrySchedule::new(began);
     schedule.note(RETRY_INTERVAL * 2, began);
--- a/crates/room/tests/goodput.rs
+++ b/crates/room/tests/goodput.rs
@@ -102,7 +102,7 @@
 struct Totals {
     online: u32,
     waiting: u32,
-    returns: VecDeque<u32>,
+    expected_retries: VecDeque<u32>,
 }
 
 fn simulate(policy: Policy, load: Load) -> Outcome {
@@ -130,7 +130,7 @@
             checks.push(Reverse((ms, call)));
         }
         if ms % RETRY_INTERVAL.as_millis() as u64 == 0 {
-            now.returns.pop_front();
+            now.expected_retries.pop_front();
         }
         while checks.peek().is_some_and(|interval| interval.0.0 <= ms) {
             let Some(Reverse((_, mut call))) = checks.pop() else {
@@ -148,7 +148,7 @@
                 online: seen.online,
                 trend_per_s: (f64::from(seen.online) - f64::from(before)) * 10.0,
                 waiting: seen.waiting,
-                returns: seen.returns.into(),
+                expected_retries: seen.expected_retries.into(),
                 hold_time: Duration::from_millis(HOLD_MS),
             };
             let spent = if call.is_retry { 1_000 } else { 0 };
@@ -183,8 +183,9 @@
                     if !call.is_retry {
                         let after = retry_after.as_millis() as u64;
                         let span = (after / RETRY_INTERVAL.as_millis() as u64) as usize;
-                        now.returns.resize(RETRY_INTERVALS.max(span + 1), 0);
-                        now.returns[span] += 1;
+                        now.expected_retries
+                            .resize(RETRY_INTERVALS.max(span + 1), 0);
+                        now.expected_retries[span] += 1;
                         let at = ms + after.min(CLIENT_DEADLINE_MS / 3);
                         let call = SimulatedRequest {
                             came_ms: at,
@@ -306,7 +307,7 @@
 }
 
 #[gtest]
-fn returns_are_bounded() {
+fn retries_are_bounded() {
     let outcome = steady(Policy::Capacity, |_| 2.0);
     expect_that!(outcome.second, gt(0));
     expect_that!(outcome.second, le(outcome.first));
--- a/crates/tenants/src/identity.rs
+++ b/crates/tenants/src/identity.rs
@@ -79,7 +79,7 @@
     configuration: &Configuration,
     public: bool,
     key: Option<&KeyDigest>,
-    standing: ConfigurationStatus,
+    status: ConfigurationStatus,
     bounds: &Bounds,
 ) -> Result<Caller, KeyRefusal> {
     let Some(tenants) = &configuration.tenants else {
@@ -87,9 +87,9 @@
     };
     let holder = key.and_then(|key| tenants.holder(key));
     match holder {
-        Some(tenant) if standing.may_accept(bounds) => Ok(Caller::Tenant(tenant.clone())),
+        Some(tenant) if status.may_accept(bounds) => Ok(Caller::Tenant(tenant.clone())),
         Some(_) if !public => Err(KeyRefusal::Unverifiable),
-        None if !public && standing.is_current(bounds) => Err(KeyRefusal::Unknown),
+        None if !public && status.is_current(bounds) => Err(KeyRefusal::Unknown),
         None if !public => Err(KeyRefusal::Unverifiable),
         _ => Ok(Caller::Anonymous),
     }
--- a/crates/tenants/tests/identity.rs
+++ b/crates/tenants/tests/identity.rs
@@ -67,10 +67,10 @@
 fn identify_name(
     key: Option<&str>,
     public: bool,
-    standing: ConfigurationStatus,
+    status: ConfigurationStatus,
 ) -> Result<String, KeyRefusal> {
     let key = key.map(KeyDigest::of);
-    let caller = identify(&two_tenants(), public, key.as_ref(), standing, &BOUNDS);
+    let caller = identify(&two_tenants(), public, key.as_ref(), status, &BOUNDS);
     caller.map(|caller| caller.tenant_name().to_owned())
 }
 
@@ -140,8 +140,8 @@
         ..BOUNDS
     };
     let key = KeyDigest::of("one");
-    let standing = aged(6, true);
-    let result = identify(&two_tenants(), false, Some(&key), standing, &strict);
+    let status = aged(6, true);
+    let result = identify(&two_tenants(), false, Some(&key), status, &strict);
     expect_that!(result, err(eq(&KeyRefusal::Unverifiable)));
 }
 
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 use crate::body::BodyReader;
-use crate::head::{AnswerHead, take_head};
+use crate::head::{ResponseHead, take_head};
 use dappleyard_clock::Instant;
 
 /// Minimum buffer capacity for each read, in bytes.
@@ -77,14 +77,14 @@
     }
 
     /// Sends a request and waits for the response head.
-    pub async fn send(&mut self, request: &[u8]) -> Result<AnswerHead, ExchangeError> {
+    pub async fn send(&mut self, request: &[u8]) -> Result<ResponseHead, ExchangeError> {
         self.answered = false;
         self.write(request).await?;
         self.next_head().await
     }
 
     /// Waits for the next response head, skipping interim (1xx) responses.
-    pub async fn next_head(&mut self) -> Result<AnswerHead, ExchangeError> {
+    pub async fn next_head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
             let head = take_head(&mut self.buffer)
                 .map_err(|reason| ExchangeError::new(Stage::Head, reason))?;
--- a/crates/upstream/src/head.rs
+++ b/crates/upstream/src/head.rs
@@ -13,7 +13,7 @@
 
 /// Response head.
 #[derive(Debug, Clone)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     pub status: u16,
     pub headers: HeaderMap,
     pub framing: BodyFraming,
@@ -50,7 +50,7 @@
 }
 
 /// Takes a response head off the front of `buffer`; `None` if it is incomplete.
-pub(crate) fn take_head(buffer: &mut BytesMut) -> Result<Option<AnswerHead>, &'static str> {
+pub(crate) fn take_head(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, &'static str> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut slots);
     let parsed = response.parse(buffer).map_err(|_| "not an answer")?;
@@ -72,7 +72,7 @@
     let keep_alive = http11 && !has_close_option(&headers) && framing != BodyFraming::UntilClose;
     let keep_alive_s = keep_alive_seconds(&headers);
     let _ = buffer.split_to(length);
-    Ok(Some(AnswerHead {
+    Ok(Some(ResponseHead {
         status,
         headers,
         framing,
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -10,5 +10,5 @@
 
 pub use body::BodyFraming;
 pub use connection::{Connection, ExchangeError, Stage};
-pub use head::{AnswerHead, request_bytes};
+pub use head::{ResponseHead, request_bytes};
 pub use pool::{IdleLimit, Pool};
