--- a/crates/lab/src/capacity/changes.rs
+++ b/crates/lab/src/capacity/changes.rs
@@ -17,31 +17,31 @@
 
 /// When a revision was written or came into force.
 #[derive(Debug, Clone, Copy)]
-struct Moment {
+struct RevisionTime {
     revision: u64,
     at: Instant,
 }
 
 /// Writes of the experiment, and what nodes saw of them.
 #[derive(Debug, Clone, Default)]
-pub struct Journal {
-    writes: Arc<Mutex<Vec<Moment>>>,
+pub struct ChangeTracker {
+    writes: Arc<Mutex<Vec<RevisionTime>>>,
     /// For each node by its number the revisions put in force, in order.
-    seen: Arc<Mutex<BTreeMap<usize, Vec<Moment>>>>,
+    applied: Arc<Mutex<BTreeMap<usize, Vec<RevisionTime>>>>,
 }
 
 /// Times from a write until it was in force, milliseconds.
 #[derive(Debug, Clone, Default)]
-pub struct InForceTimes {
+pub struct PropagationTimes {
     /// On each node, for each write.
-    pub on_a_node: Vec<f64>,
+    pub per_node: Vec<f64>,
     /// On the last node, for each write.
-    pub everywhere: Vec<f64>,
-    /// Writes that were not in force everywhere when the experiment ended.
+    pub all_nodes: Vec<f64>,
+    /// Writes that were not in force all_nodes when the experiment ended.
     pub missing: usize,
 }
 
-impl Journal {
+impl ChangeTracker {
     /// Writes the limits of one tenant.
     pub async fn write(&self, platform: &MemoryPlatform, number: u64) -> Result<(), StoreError> {
         let name = format!("tenant-{:03}", number % TENANTS);
@@ -56,13 +56,13 @@
         let transaction = Transaction::default().put(keys::tenant(&name), row.encode_to_vec());
         let at = Instant::now();
         let revision = platform.transact(transaction).await?;
-        self.writes.lock().push(Moment { revision, at });
+        self.writes.lock().push(RevisionTime { revision, at });
         Ok(())
     }
 
     /// Fills the configuration before the experiment; not part of the times.
-    pub async fn fill(platform: &MemoryPlatform) -> Result<(), StoreError> {
-        let unmeasured = Journal::default();
+    pub async fn prepopulate(platform: &MemoryPlatform) -> Result<(), StoreError> {
+        let unmeasured = ChangeTracker::default();
         for number in 0..TENANTS {
             unmeasured.write(platform, number).await?;
         }
@@ -75,8 +75,12 @@
         loop {
             let revision = configuration.borrow_and_update().revision;
             let at = Instant::now();
-            let moment = Moment { revision, at };
-            self.seen.lock().entry(node).or_default().push(moment);
+            let revision_time = RevisionTime { revision, at };
+            self.applied
+                .lock()
+                .entry(node)
+                .or_default()
+                .push(revision_time);
             if configuration.changed().await.is_err() {
                 return;
             }
@@ -84,13 +88,13 @@
     }
 
     /// Times of all writes over the nodes that were watched throughout.
-    pub fn times(&self, nodes: &[usize]) -> InForceTimes {
-        let seen = self.seen.lock();
-        let mut times = InForceTimes::default();
+    pub fn times(&self, nodes: &[usize]) -> PropagationTimes {
+        let applied = self.applied.lock();
+        let mut times = PropagationTimes::default();
         for write in self.writes.lock().iter() {
             let on_nodes: Vec<Option<Duration>> = nodes
                 .iter()
-                .map(|node| first_at_least(seen.get(node)?, write))
+                .map(|node| propagation_delay(applied.get(node)?, write))
                 .collect();
             let known: Vec<f64> = on_nodes
                 .iter()
@@ -101,18 +105,18 @@
                 times.missing += 1;
             } else {
                 times
-                    .everywhere
+                    .all_nodes
                     .push(known.iter().copied().fold(0.0, f64::max));
             }
-            times.on_a_node.extend(known);
+            times.per_node.extend(known);
         }
         times
     }
 }
 
-fn first_at_least(moments: &[Moment], write: &Moment) -> Option<Duration> {
-    let first = moments
+fn propagation_delay(revision_times: &[RevisionTime], write: &RevisionTime) -> Option<Duration> {
+    let first = revision_times
         .iter()
-        .find(|moment| moment.revision >= write.revision)?;
+        .find(|revision_time| revision_time.revision >= write.revision)?;
     Some(first.at.saturating_duration_since(write.at))
 }
--- a/crates/lab/src/capacity/detection.rs
+++ b/crates/lab/src/capacity/detection.rs
@@ -7,9 +7,9 @@
 use super::hollow::HollowFleet;
 
 /// Time between two looks at the tables.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for a loss to be known everywhere.
-const LONGEST: Duration = Duration::from_secs(45);
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(45);
 
 /// Times from a loss until it was known, milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
@@ -30,16 +30,16 @@
         .iter()
         .filter(|node| node.index != lost)
         .collect();
-    fleet.cut(lost);
+    fleet.isolate(lost);
     let since = Instant::now();
     let mut detection = Detection::default();
-    while since.elapsed() < LONGEST && detection.all_ms.is_none() {
-        tokio::time::sleep(LOOK_EVERY).await;
-        let knows =
+    while since.elapsed() < DETECTION_TIMEOUT && detection.all_ms.is_none() {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let is_down =
             |state: MemberState| matches!(state, MemberState::MemberDead | MemberState::MemberLeft);
         let known = others.iter().filter(|node| {
             let member = node.tables.members.get(&id);
-            member.is_none_or(|member| knows(member.state()))
+            member.is_none_or(|member| is_down(member.state()))
         });
         let known = known.count();
         let elapsed = since.elapsed().as_secs_f64() * 1000.0;
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -22,7 +22,7 @@
 use tokio::sync::oneshot;
 
 use super::Options;
-use super::changes::Journal;
+use super::changes::ChangeTracker;
 use crate::error::LabError;
 
 /// Services that each node carries.
@@ -31,7 +31,7 @@
 const REFUTATION_BITS: u32 = 16;
 
 /// Number of the first start, seconds since 1970.
-const FIRST_START: u64 = 1_780_000_000;
+const FIRST_START_UNIX_S: u64 = 1_780_000_000;
 
 /// Loss and cuts of the whole fleet.
 pub struct Faults {
@@ -42,13 +42,14 @@
 /// The paths of one node.
 struct NodePolicy {
     faults: Arc<Faults>,
-    own: RwLock<String>,
+    own_address: RwLock<String>,
 }
 
 impl LinkPolicy for NodePolicy {
     fn path(&self, peer: &str) -> LinkState {
         let cut = self.faults.cut.read();
-        let is_cut = !cut.is_empty() && (cut.contains(peer) || cut.contains(&*self.own.read()));
+        let is_cut =
+            !cut.is_empty() && (cut.contains(peer) || cut.contains(&*self.own_address.read()));
         LinkState {
             delay: Duration::ZERO,
             cut: is_cut,
@@ -87,7 +88,9 @@
     pub async fn start(options: &Options) -> Result<HollowFleet, LabError> {
         let platform = MemoryPlatform::default();
         platform.set_machines(servers(options));
-        Journal::fill(&platform).await.map_err(LabError::failed)?;
+        ChangeTracker::prepopulate(&platform)
+            .await
+            .map_err(LabError::failed)?;
         let mut fleet = HollowFleet {
             nodes: Vec::new(),
             platform,
@@ -137,7 +140,7 @@
     }
 
     /// Cuts a node off from all others, which is what a kill looks like to them.
-    pub fn cut(&self, index: usize) {
+    pub fn isolate(&self, index: usize) {
         let address = self.nodes[index].address.clone();
         self.faults.cut.write().insert(address);
     }
@@ -161,7 +164,7 @@
         zone: format!("zone-{zone}").into(),
         region: format!("region-{}", zone % options.regions).into(),
         // As long as a real one, which is made of the wall clock.
-        incarnation: (FIRST_START + start) << REFUTATION_BITS,
+        incarnation: (FIRST_START_UNIX_S + start) << REFUTATION_BITS,
     }
 }
 
@@ -199,12 +202,12 @@
         let tables = NodeTables::new(self.identity);
         let policy = Arc::new(NodePolicy {
             faults: self.faults,
-            own: RwLock::default(),
+            own_address: RwLock::default(),
         });
         let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
         let socket = DatagramSocket::bind(any, policy.clone()).await?;
         let address = socket.local_address()?.to_string();
-        policy.own.write().clone_from(&address);
+        policy.own_address.write().clone_from(&address);
         let (stop, stopped) = tokio::sync::watch::channel(false);
         let link_address = serve_snapshots(&tables, &policy, stopped.clone()).await?;
         let handle = dappleyard_fleet::start(FleetContext {
@@ -220,8 +223,8 @@
             policy,
             link_settings: LinkSettings::default(),
         });
-        let random = ChaCha8Rng::seed_from_u64(self.seed.wrapping_add(self.index as u64));
-        actix_rt::spawn(vary_load(tables.clone(), random, stopped));
+        let rng = ChaCha8Rng::seed_from_u64(self.seed.wrapping_add(self.index as u64));
+        actix_rt::spawn(vary_load(tables.clone(), rng, stopped));
         Ok(HollowNode {
             index: self.index,
             tables,
@@ -254,12 +257,12 @@
         policy: policy.clone(),
         announcement,
     });
-    let answering = tables.clone();
+    let snapshot_tables = tables.clone();
     let handler = Rc::new(move |stream: ServerStream| {
         if let frame::Body::Call(call) = &stream.first
             && let Some(call::Method::CellSync(_)) = &call.method
         {
-            let answer = dappleyard_fleet::cell_sync(&answering);
+            let answer = dappleyard_fleet::cell_sync(&snapshot_tables);
             let result = Some(reply::Result::CellSync(answer));
             let _ = stream.send(frame::Body::Reply(Reply { result }));
         }
@@ -277,7 +280,7 @@
 /// Puts a load that changes all the time, as the online part of a busy node does.
 async fn vary_load(
     tables: Arc<NodeTables>,
-    mut random: ChaCha8Rng,
+    mut rng: ChaCha8Rng,
     stopped: tokio::sync::watch::Receiver<bool>,
 ) {
     let node = tables.identity.node.to_string();
@@ -287,9 +290,9 @@
         let services = SERVICES.map(|service| ServiceLoad {
             service: service.to_owned(),
             servers: 10,
-            online_sequences: random.random_range(100..400),
-            free_sequences: random.random_range(0..600),
-            wait_ms: random.random_range(0..40),
+            online_sequences: rng.random_range(100..400),
+            free_sequences: rng.random_range(0..600),
+            wait_ms: rng.random_range(0..40),
             versions: vec!["2026-11-30".to_owned()],
         });
         let load = NodeLoad {
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -9,24 +9,24 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Options;
-use super::changes::{InForceTimes, Journal};
+use super::changes::{ChangeTracker, PropagationTimes};
 use super::detection::{Detection, detect};
 use super::hollow::HollowFleet;
 use super::movement::{Movement, movement};
 use crate::error::LabError;
 
 /// Longest time for a fleet to become ready.
-const LONGEST_START: Duration = Duration::from_secs(120);
+const START_TIMEOUT: Duration = Duration::from_secs(120);
 /// Pause before the window, so that the costs of the start are over.
-const SETTLING: Duration = Duration::from_secs(8);
+const SETTLE_TIME: Duration = Duration::from_secs(8);
 /// Time after the window for the last changes to arrive.
-const DRAINING: Duration = Duration::from_secs(8);
+const PROPAGATION_WAIT: Duration = Duration::from_secs(8);
 /// Nodes lost after the window.
-const LOSSES: usize = 3;
+const FAILED_NODES: usize = 3;
 
 /// What was measured.
 #[derive(Debug, Clone)]
-pub struct Measured {
+pub struct Measurement {
     /// What it is about.
     pub options: Options,
     /// Time until all nodes were ready and knew each other, seconds.
@@ -52,7 +52,7 @@
     /// Nodes believed dead that were alive, in all nodes' views.
     pub false_deaths: f64,
     /// Times until changes were in force.
-    pub in_force: InForceTimes,
+    pub propagation: PropagationTimes,
     /// Losses of a node.
     pub detections: Vec<Detection>,
     /// Ownership.
@@ -73,28 +73,28 @@
 }
 
 /// Starts the fleet, measures the window, then the losses.
-pub async fn measure(options: &Options) -> Result<Measured, LabError> {
+pub async fn measure(options: &Options) -> Result<Measurement, LabError> {
     let memory_before = memory_bytes()?;
     let mut fleet = HollowFleet::start(options).await?;
     let start_s = wait_ready(&fleet).await?;
     eprintln!("{} nodes ready after {start_s:.1} s", options.nodes);
-    tokio::time::sleep(SETTLING).await;
-    let journal = Journal::default();
+    tokio::time::sleep(SETTLE_TIME).await;
+    let tracker = ChangeTracker::default();
     for node in &fleet.nodes {
-        actix_rt::spawn(journal.clone().watch(node.index, node.tables.clone()));
+        actix_rt::spawn(tracker.clone().watch(node.index, node.tables.clone()));
     }
     let before = totals(&fleet)?;
-    let restarted = run_window(&mut fleet, options, &journal).await?;
+    let restarted = run_window(&mut fleet, options, &tracker).await?;
     let after = totals(&fleet)?;
     let memory_after = memory_bytes()?;
-    tokio::time::sleep(DRAINING).await;
-    let lasting: Vec<usize> = (0..options.nodes)
+    tokio::time::sleep(PROPAGATION_WAIT).await;
+    let never_restarted: Vec<usize> = (0..options.nodes)
         .filter(|n| !restarted.contains(n))
         .collect();
-    let in_force = journal.times(&lasting);
+    let propagation = tracker.times(&never_restarted);
     let mut detections = Vec::new();
-    if options.nodes > LOSSES * 2 {
-        for lost in 0..LOSSES {
+    if options.nodes > FAILED_NODES * 2 {
+        for lost in 0..FAILED_NODES {
             detections.push(detect(&fleet, options.nodes - 1 - lost).await);
         }
     }
@@ -117,7 +117,7 @@
         .iter()
         .zip(&bytes_in)
         .map(|(out, into)| out + into);
-    Ok(Measured {
+    Ok(Measurement {
         options: options.clone(),
         start_s,
         cpu_percent: (after.cpu_s - before.cpu_s) / window / nodes * 100.0,
@@ -130,7 +130,7 @@
         feed_reads: (after.feed_reads - before.feed_reads) / window,
         false_suspicions_per_hour: suspicions.iter().sum::<f64>() * 3600.0,
         false_deaths: deaths.iter().sum::<f64>() * window,
-        in_force,
+        propagation,
         detections,
         movement: movement(options, FleetSettings::default().cell_size),
     })
@@ -148,7 +148,7 @@
         if ready == count {
             return Ok(since.elapsed().as_secs_f64());
         }
-        if since.elapsed() > LONGEST_START {
+        if since.elapsed() > START_TIMEOUT {
             return Err(LabError::failed(format!(
                 "only {ready} of {count} nodes became ready"
             )));
@@ -161,9 +161,9 @@
 async fn run_window(
     fleet: &mut HollowFleet,
     options: &Options,
-    journal: &Journal,
+    tracker: &ChangeTracker,
 ) -> Result<Vec<usize>, LabError> {
-    let mut random = ChaCha8Rng::seed_from_u64(options.seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     let mut restarted = Vec::new();
     let began = Instant::now();
     let mut next_change = 0.0;
@@ -175,14 +175,14 @@
         let elapsed = began.elapsed().as_secs_f64();
         if elapsed >= next_change && options.changes_per_s > 0.0 {
             number += 1;
-            journal
+            tracker
                 .write(&fleet.platform, number)
                 .await
                 .map_err(LabError::failed)?;
-            next_change += random.random_range(0.5..1.5) / options.changes_per_s;
+            next_change += rng.random_range(0.5..1.5) / options.changes_per_s;
         }
         if elapsed >= next_restart && options.nodes > 1 {
-            let index = random.random_range(0..options.nodes);
+            let index = rng.random_range(0..options.nodes);
             fleet.restart(index).await?;
             restarted.push(index);
             next_restart += options.restart_every.as_secs_f64();
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -115,7 +115,7 @@
                 seed: arguments.get_one("seed").copied().unwrap_or(1),
             };
             let result = actix_rt::System::new().block_on(measure::measure(&options))?;
-            eprintln!("{}", report::line(&result));
+            eprintln!("{}", report::summary_line(&result));
             results.push(result);
             report::write(out, &results)?;
         }
--- a/crates/lab/src/capacity/movement.rs
+++ b/crates/lab/src/capacity/movement.rs
@@ -7,7 +7,7 @@
 use super::Options;
 
 /// Most nodes that are tried as the one that leaves.
-const MAXIMUM_TRIALS: usize = 40;
+const MAX_TRIALS: usize = 40;
 
 /// Balance and movement of ownership.
 #[derive(Debug, Clone, Copy, Default)]
@@ -59,7 +59,7 @@
     let mean = options.servers as f64 / options.nodes as f64;
     let most = owned.values().max().copied().unwrap_or_default();
     let mut ratios = Vec::new();
-    for index in 0..options.nodes.min(MAXIMUM_TRIALS) {
+    for index in 0..options.nodes.min(MAX_TRIALS) {
         nodes[index].eligible = false;
         let after = assign(&nodes);
         let moved = before
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -4,33 +4,33 @@
 
 use serde_json::{Value, json};
 
-use super::measure::Measured;
+use super::measure::Measurement;
 use crate::error::LabError;
 
 /// One line for the person who waits.
-pub fn line(measured: &Measured) -> String {
-    let times = &measured.in_force;
+pub fn summary_line(measurement: &Measurement) -> String {
+    let times = &measurement.propagation;
     format!(
         "{} nodes, loss {}: cpu {:.2}% of a core, {:.0} B/s out, {:.0} B/s in, {:.1} MB a node; \
          in force everywhere p50 {:.0} ms, worst {:.0} ms ({} changes, {} missing); \
          {:.0} false suspicions/h, {} false deaths",
-        measured.options.nodes,
-        measured.options.loss,
-        measured.cpu_percent,
-        measured.bytes_out,
-        measured.bytes_in,
-        measured.memory_mb,
-        quantile(&times.everywhere, 0.5),
-        quantile(&times.everywhere, 1.0),
-        times.everywhere.len() + times.missing,
+        measurement.options.nodes,
+        measurement.options.loss,
+        measurement.cpu_percent,
+        measurement.bytes_out,
+        measurement.bytes_in,
+        measurement.memory_mb,
+        quantile(&times.all_nodes, 0.5),
+        quantile(&times.all_nodes, 1.0),
+        times.all_nodes.len() + times.missing,
         times.missing,
-        measured.false_suspicions_per_hour,
-        measured.false_deaths,
+        measurement.false_suspicions_per_hour,
+        measurement.false_deaths,
     )
 }
 
 /// Writes `capacity.json` and `capacity.md`.
-pub fn write(out: &Path, results: &[Measured]) -> Result<(), LabError> {
+pub fn write(out: &Path, results: &[Measurement]) -> Result<(), LabError> {
     let values: Vec<Value> = results.iter().map(to_json).collect();
     let text = serde_json::to_string_pretty(&values).map_err(LabError::failed)?;
     std::fs::write(out.join("capacity.json"), text).map_err(LabError::failed)?;
@@ -38,7 +38,7 @@
 }
 
 /// The tables of `docs/CAPACITY.md`.
-pub fn markdown(results: &[Measured]) -> String {
+pub fn markdown(results: &[Measurement]) -> String {
     let mut text = String::from(
         "| nodes | loss | CPU, % of a core | B/s out | B/s in | B/s worst node | datagrams/s out | \
          memory, MB | in force on a node p50 / p99, ms | in force everywhere p50 / worst, ms | \
@@ -47,45 +47,45 @@
     );
     text.push_str(&"|---".repeat(15));
     text.push_str("|\n");
-    for measured in results {
-        text.push_str(&row(measured));
+    for measurement in results {
+        text.push_str(&row(measurement));
     }
     text
 }
 
-fn row(measured: &Measured) -> String {
-    let times = &measured.in_force;
-    let halves = detection_range(measured, |detection| detection.half_ms);
-    let alls = detection_range(measured, |detection| detection.all_ms);
+fn row(measurement: &Measurement) -> String {
+    let times = &measurement.propagation;
+    let halves = detection_range(measurement, |detection| detection.half_ms);
+    let alls = detection_range(measurement, |detection| detection.all_ms);
     format!(
         "| {} | {} | {:.2} | {:.0} | {:.0} | {:.0} | {:.1} | {:.1} | {:.0} / {:.0} | {:.0} / {:.0} \
          | {halves} / {alls} | {:.0} | {} | {:.2} / {:.2} | {:.2} |\n",
-        measured.options.nodes,
-        measured.options.loss,
-        measured.cpu_percent,
-        measured.bytes_out,
-        measured.bytes_in,
-        measured.bytes_worst,
-        measured.datagrams_out,
-        measured.memory_mb,
-        quantile(&times.on_a_node, 0.5),
-        quantile(&times.on_a_node, 0.99),
-        quantile(&times.everywhere, 0.5),
-        quantile(&times.everywhere, 1.0),
-        measured.false_suspicions_per_hour,
-        measured.false_deaths,
-        measured.movement.mean_moved,
-        measured.movement.worst_moved,
-        measured.movement.imbalance,
+        measurement.options.nodes,
+        measurement.options.loss,
+        measurement.cpu_percent,
+        measurement.bytes_out,
+        measurement.bytes_in,
+        measurement.bytes_worst,
+        measurement.datagrams_out,
+        measurement.memory_mb,
+        quantile(&times.per_node, 0.5),
+        quantile(&times.per_node, 0.99),
+        quantile(&times.all_nodes, 0.5),
+        quantile(&times.all_nodes, 1.0),
+        measurement.false_suspicions_per_hour,
+        measurement.false_deaths,
+        measurement.movement.mean_moved,
+        measurement.movement.worst_moved,
+        measurement.movement.imbalance,
     )
 }
 
 /// Least and greatest time of the losses; "not seen" where one was not.
 fn detection_range(
-    measured: &Measured,
+    measurement: &Measurement,
     time: impl Fn(&super::detection::Detection) -> Option<f64>,
 ) -> String {
-    let times: Option<Vec<f64>> = measured.detections.iter().map(time).collect();
+    let times: Option<Vec<f64>> = measurement.detections.iter().map(time).collect();
     match times {
         None => "not seen".to_owned(),
         Some(times) if times.is_empty() => "not measured".to_owned(),
@@ -96,10 +96,10 @@
     }
 }
 
-fn to_json(measured: &Measured) -> Value {
-    let options = &measured.options;
-    let times = &measured.in_force;
-    let detections: Vec<Value> = measured
+fn to_json(measurement: &Measurement) -> Value {
+    let options = &measurement.options;
+    let times = &measurement.propagation;
+    let detections: Vec<Value> = measurement
         .detections
         .iter()
         .map(|detection| {
@@ -117,25 +117,25 @@
         "loss": options.loss,
         "window_s": options.window.as_secs(),
         "changes_per_s": options.changes_per_s,
-        "start_s": measured.start_s,
-        "cpu_percent_per_node": measured.cpu_percent,
-        "bytes_out_per_s": measured.bytes_out,
-        "bytes_in_per_s": measured.bytes_in,
-        "bytes_worst_per_s": measured.bytes_worst,
-        "datagrams_out_per_s": measured.datagrams_out,
-        "memory_mb_per_node": measured.memory_mb,
-        "machine_lists_per_s": measured.machine_lists,
-        "feed_reads_per_s": measured.feed_reads,
-        "false_suspicions_per_hour": measured.false_suspicions_per_hour,
-        "false_deaths": measured.false_deaths,
-        "in_force_on_a_node_ms": quantiles(&times.on_a_node),
-        "in_force_everywhere_ms": quantiles(&times.everywhere),
-        "changes": times.everywhere.len() + times.missing,
+        "start_s": measurement.start_s,
+        "cpu_percent_per_node": measurement.cpu_percent,
+        "bytes_out_per_s": measurement.bytes_out,
+        "bytes_in_per_s": measurement.bytes_in,
+        "bytes_worst_per_s": measurement.bytes_worst,
+        "datagrams_out_per_s": measurement.datagrams_out,
+        "memory_mb_per_node": measurement.memory_mb,
+        "machine_lists_per_s": measurement.machine_lists,
+        "feed_reads_per_s": measurement.feed_reads,
+        "false_suspicions_per_hour": measurement.false_suspicions_per_hour,
+        "false_deaths": measurement.false_deaths,
+        "in_force_on_a_node_ms": quantiles(&times.per_node),
+        "in_force_everywhere_ms": quantiles(&times.all_nodes),
+        "changes": times.all_nodes.len() + times.missing,
         "changes_missing": times.missing,
         "detections": detections,
-        "moved_mean": measured.movement.mean_moved,
-        "moved_worst": measured.movement.worst_moved,
-        "imbalance": measured.movement.imbalance,
+        "moved_mean": measurement.movement.mean_moved,
+        "moved_worst": measurement.movement.worst_moved,
+        "imbalance": measurement.movement.imbalance,
     })
 }
 
--- a/crates/lab/src/faults/inject.rs
+++ b/crates/lab/src/faults/inject.rs
@@ -11,25 +11,25 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::held::HeldFaults;
+use super::active::ActiveFaults;
 use super::{Fault, FaultKind, Target, operators};
 use crate::fleet::Fleet;
-use crate::ledger::{Drain, Event, FaultRecord, Unavailable};
-use crate::load::drive::ClientMoods;
-use crate::network::Cut;
+use crate::load::drive::ClientBehavior;
+use crate::network::Partition;
+use crate::observations::{Drain, Event, FaultRecord, Unavailable};
 
 /// Carries out faults on one fleet.
 pub struct Injector {
     fleet: Rc<Fleet>,
-    moods: Arc<ClientMoods>,
+    client_behavior: Arc<ClientBehavior>,
     start: Duration,
-    held: HeldFaults,
+    active: ActiveFaults,
     publication: Cell<(Duration, bool)>,
     list_lag: Cell<Duration>,
 }
 
 /// A fault with its place drawn.
-struct Placed {
+struct TargetedFault {
     fault: Fault,
     number: u32,
     node: usize,
@@ -39,45 +39,49 @@
 
 impl Injector {
     /// An injector whose times count from `start` on the run's clock.
-    pub fn new(fleet: Rc<Fleet>, moods: Arc<ClientMoods>, start: Duration) -> Rc<Injector> {
+    pub fn new(
+        fleet: Rc<Fleet>,
+        client_behavior: Arc<ClientBehavior>,
+        start: Duration,
+    ) -> Rc<Injector> {
         let list_lag = Duration::from_millis(fleet.scenario.platform.machine_list_lag_ms);
         Rc::new(Injector {
             list_lag: Cell::new(list_lag),
             fleet,
-            moods,
+            client_behavior,
             start,
-            held: HeldFaults::default(),
+            active: ActiveFaults::default(),
             publication: Cell::default(),
         })
     }
 
     /// Carries out all faults; returns when the last has ended.
     pub async fn run(self: Rc<Self>, faults: Vec<Fault>, seed: u64) {
-        let placed = self.place(faults, seed);
-        let tasks = placed.into_iter().map(|placed| {
+        let targeted = self.assign_targets(faults, seed);
+        let tasks = targeted.into_iter().map(|targeted| {
             let injector = self.clone();
-            actix_rt::spawn(async move { injector.carry_out(placed).await })
+            actix_rt::spawn(async move { injector.run_fault(targeted).await })
         });
         join_all(tasks).await;
     }
 
     /// Draws the places of faults that name none.
-    fn place(&self, faults: Vec<Fault>, seed: u64) -> Vec<Placed> {
-        let mut generator = ChaCha8Rng::seed_from_u64(seed ^ 0xFA17);
+    fn assign_targets(&self, faults: Vec<Fault>, seed: u64) -> Vec<TargetedFault> {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xFA17);
         let nodes = self.fleet.node_count();
         let servers = self.fleet.servers.len();
         let zones = self.fleet.scenario.zones.len();
         let numbered = faults.into_iter().zip(0_u32..);
         numbered
             .map(|(fault, number)| {
-                let drawn: usize = generator.random_range(0..usize::MAX / 2);
+                let drawn: usize = rng.random_range(0..usize::MAX / 2);
                 let index = |count: usize| match fault.target {
                     Some(Target::Node(index) | Target::Server(index) | Target::Zone(index)) => {
                         index % count
                     }
                     None => drawn % count,
                 };
-                Placed {
+                TargetedFault {
                     node: index(nodes),
                     server: index(servers),
                     zone: index(zones),
@@ -88,14 +92,14 @@
             .collect()
     }
 
-    async fn carry_out(&self, placed: Placed) {
-        let clock = self.fleet.ledger.clock;
-        let due = clock.instant(self.start + placed.fault.start());
+    async fn run_fault(&self, targeted: TargetedFault) {
+        let clock = self.fleet.recorder.clock;
+        let due = clock.instant(self.start + targeted.fault.start());
         tokio::time::sleep_until(due.into()).await;
         let from = clock.now();
-        let place = self.act(&placed).await;
-        self.fleet.ledger.add_event(Event::Fault(FaultRecord {
-            kind: placed.fault.what,
+        let place = self.apply(&targeted).await;
+        self.fleet.recorder.add_event(Event::Fault(FaultRecord {
+            kind: targeted.fault.what,
             place,
             from,
             to: clock.now(),
@@ -103,28 +107,28 @@
     }
 
     /// Carries out one fault from its start to its end and says where it was.
-    async fn act(&self, placed: &Placed) -> String {
+    async fn apply(&self, targeted: &TargetedFault) -> String {
         let fleet = &self.fleet;
-        let (length, amount) = (placed.fault.length(), placed.fault.amount);
-        match placed.fault.what {
-            FaultKind::NodeKill => return self.kill_node(placed.node, length).await,
-            FaultKind::NodePause => return self.pause_node(placed.node, length).await,
-            FaultKind::NodeStop => return self.stop_node(placed.node, length).await,
+        let (length, amount) = (targeted.fault.length(), targeted.fault.amount);
+        match targeted.fault.what {
+            FaultKind::NodeKill => return self.kill_node(targeted.node, length).await,
+            FaultKind::NodePause => return self.pause_node(targeted.node, length).await,
+            FaultKind::NodeStop => return self.stop_node(targeted.node, length).await,
             FaultKind::RollingRestart => self.restart_all(length).await,
-            FaultKind::EngineKill => return self.kill_engine(placed.server, length).await,
-            FaultKind::ServerLeaving => return self.leave(placed.server, length).await,
+            FaultKind::EngineKill => return self.kill_engine(targeted.server, length).await,
+            FaultKind::ServerLeaving => return self.mark_leaving(targeted.server, length).await,
             FaultKind::ServerDrain => {
-                let server = fleet.servers[placed.server].name.clone();
+                let server = fleet.servers[targeted.server].name.clone();
                 operators::drain_server(fleet, &server, length).await;
                 return server;
             }
             FaultKind::ZoneCut => {
-                let zone = fleet.scenario.zones[placed.zone].name.clone();
-                return self.cut(Cut::Zone(zone), length).await;
+                let zone = fleet.scenario.zones[targeted.zone].name.clone();
+                return self.partition(Partition::Zone(zone), length).await;
             }
             FaultKind::RegionCut => {
-                let region = fleet.scenario.zones[placed.zone].region.clone();
-                return self.cut(Cut::Region(region), length).await;
+                let region = fleet.scenario.zones[targeted.zone].region.clone();
+                return self.partition(Partition::Region(region), length).await;
             }
             FaultKind::StoreDown => {
                 let down = PlatformFault {
@@ -156,9 +160,9 @@
                 self.platform_fault(Service::Objects, down, length).await;
             }
             FaultKind::UdpLoss => {
-                fleet.network.lose(amount / 100.0);
+                fleet.network.set_loss(amount / 100.0);
                 tokio::time::sleep(length).await;
-                fleet.network.lose(0.0);
+                fleet.network.set_loss(0.0);
             }
             FaultKind::MachineListLag => {
                 let usual = self.list_lag.get();
@@ -173,28 +177,34 @@
             FaultKind::CacheEventsDropped => {
                 self.publication_fault(Duration::ZERO, true, length).await;
             }
-            FaultKind::ClientResend => self.mood(&self.moods.resend, length).await,
-            FaultKind::CancelCommitting => self.mood(&self.moods.cancel_committing, length).await,
-            FaultKind::RacingIntents => operators::race(fleet, placed.number).await,
+            FaultKind::ClientResend => {
+                self.set_client_behavior(&self.client_behavior.resend, length)
+                    .await
+            }
+            FaultKind::CancelCommitting => {
+                self.set_client_behavior(&self.client_behavior.cancel_committing, length)
+                    .await
+            }
+            FaultKind::RacingIntents => operators::race_operators(fleet, targeted.number).await,
             FaultKind::ConfigurationChange => {
-                operators::change_configuration(fleet, placed.number).await;
+                operators::change_configuration(fleet, targeted.number).await;
             }
         }
         "fleet".to_owned()
     }
 
     async fn kill_node(&self, index: usize, length: Duration) -> String {
-        let node = self.fleet.node_place(index).name;
+        let node = self.fleet.node_instance(index).name;
         if !self.fleet.kill_node(index).await {
             return format!("{node} (did not run)");
         }
         tokio::time::sleep(length).await;
-        self.start_again(FaultKind::NodeKill, index).await;
+        self.restart_node(FaultKind::NodeKill, index).await;
         node
     }
 
     async fn pause_node(&self, index: usize, length: Duration) -> String {
-        let node = self.fleet.node_place(index).name;
+        let node = self.fleet.node_instance(index).name;
         if !self.fleet.pause_node(index, length) {
             return format!("{node} (did not run)");
         }
@@ -203,12 +213,12 @@
     }
 
     async fn stop_node(&self, index: usize, length: Duration) -> String {
-        let node = self.fleet.node_place(index).name;
+        let node = self.fleet.node_instance(index).name;
         if !self.fleet.stop_node(index).await {
             return format!("{node} (did not run)");
         }
         tokio::time::sleep(length).await;
-        self.start_again(FaultKind::NodeStop, index).await;
+        self.restart_node(FaultKind::NodeStop, index).await;
         node
     }
 
@@ -222,9 +232,9 @@
         }
     }
 
-    async fn start_again(&self, kind: FaultKind, index: usize) {
+    async fn restart_node(&self, kind: FaultKind, index: usize) {
         if let Err(error) = self.fleet.start_node(index).await {
-            self.fleet.not_done(kind, &error.to_string());
+            self.fleet.record_not_done(kind, &error.to_string());
         }
     }
 
@@ -237,65 +247,65 @@
     }
 
     /// The drain counts from when the list shows it.
-    async fn leave(&self, index: usize, length: Duration) -> String {
+    async fn mark_leaving(&self, index: usize, length: Duration) -> String {
         let server = self.fleet.servers[index].name.clone();
         let lag = self.list_lag.get();
         self.fleet.platform.set_leaving(&server, true);
-        let told = self.fleet.ledger.clock.now() + lag;
+        let told = self.fleet.recorder.clock.now() + lag;
         tokio::time::sleep(length).await;
         self.fleet.platform.set_leaving(&server, false);
-        self.fleet.ledger.add_event(Event::Drain(Drain {
+        self.fleet.recorder.add_event(Event::Drain(Drain {
             server: server.clone(),
             told,
-            taken_back: self.fleet.ledger.clock.now(),
+            taken_back: self.fleet.recorder.clock.now(),
         }));
         server
     }
 
-    async fn cut(&self, cut: Cut, length: Duration) -> String {
-        let from = self.fleet.ledger.clock.now();
-        self.fleet.network.cut(cut.clone());
+    async fn partition(&self, partition: Partition, length: Duration) -> String {
+        let from = self.fleet.recorder.clock.now();
+        self.fleet.network.add_partition(partition.clone());
         tokio::time::sleep(length).await;
-        self.fleet.network.join(&cut);
-        let to = self.fleet.ledger.clock.now();
+        self.fleet.network.remove_partition(&partition);
+        let to = self.fleet.recorder.clock.now();
         for index in 0..self.fleet.node_count() {
-            let placed = self.fleet.node_place(index);
-            if cut.holds(&placed.spot) {
-                let node = placed.name;
+            let instance = self.fleet.node_instance(index);
+            if partition.contains(&instance.location) {
+                let node = instance.name;
                 self.fleet
-                    .ledger
+                    .recorder
                     .add_event(Event::Unavailable(Unavailable { node, from, to }));
             }
         }
-        cut.to_string()
+        partition.to_string()
     }
 
     async fn platform_fault(&self, service: Service, fault: PlatformFault, length: Duration) {
-        let held = self.held.hold(service, fault);
+        let fault_number = self.active.add(service, fault);
         self.fleet
             .platform
-            .set_fault(service, self.held.joined(service));
+            .set_fault(service, self.active.combined(service));
         tokio::time::sleep(length).await;
-        self.held.release(held);
+        self.active.remove(fault_number);
         self.fleet
             .platform
-            .set_fault(service, self.held.joined(service));
+            .set_fault(service, self.active.combined(service));
     }
 
     async fn publication_fault(&self, lag: Duration, drop_events: bool, length: Duration) {
         let (old_lag, old_drop) = self.publication.get();
-        self.publish(lag.max(old_lag), drop_events || old_drop);
+        self.apply_publication(lag.max(old_lag), drop_events || old_drop);
         tokio::time::sleep(length).await;
-        let (held_lag, held_drop) = self.publication.get();
-        let left_lag = if lag.is_zero() {
-            held_lag
+        let (current_lag, current_drop) = self.publication.get();
+        let remaining_lag = if lag.is_zero() {
+            current_lag
         } else {
             Duration::ZERO
         };
-        self.publish(left_lag, held_drop && !drop_events);
+        self.apply_publication(remaining_lag, current_drop && !drop_events);
     }
 
-    fn publish(&self, lag: Duration, drop_events: bool) {
+    fn apply_publication(&self, lag: Duration, drop_events: bool) {
         self.publication.set((lag, drop_events));
         for server in &self.fleet.servers {
             self.fleet
@@ -309,9 +319,9 @@
         self.fleet.platform.set_machine_lag(lag);
     }
 
-    async fn mood(&self, mood: &AtomicBool, length: Duration) {
-        mood.store(true, Ordering::Relaxed);
+    async fn set_client_behavior(&self, setting: &AtomicBool, length: Duration) {
+        setting.store(true, Ordering::Relaxed);
         tokio::time::sleep(length).await;
-        mood.store(false, Ordering::Relaxed);
+        setting.store(false, Ordering::Relaxed);
     }
 }
--- a/crates/lab/src/faults/mod.rs
+++ b/crates/lab/src/faults/mod.rs
@@ -1,7 +1,7 @@
 //! Faults: a typed list of (at, for, what, where), read from a TOML file and carried out by
 //! [`inject`]. [`routine`] gives the mild events of every run in the same form.
 
-mod held;
+mod active;
 pub mod inject;
 mod operators;
 pub mod routine;
--- a/crates/lab/src/faults/operators.rs
+++ b/crates/lab/src/faults/operators.rs
@@ -8,16 +8,16 @@
 use super::FaultKind;
 use crate::fleet::Fleet;
 use crate::fleet::admin::{self, AdminError, Operator};
-use crate::ledger::{Drain, Event};
+use crate::observations::{Drain, Event};
 
 /// Attempts of an operator whose call fails: enough to outlast an outage of the store.
-const ATTEMPTS: usize = 24;
+const MAX_ATTEMPTS: usize = 24;
 /// Wait between two attempts.
-const ATTEMPT_WAIT: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two looks at whether a confirmed drain is in the configuration.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time within which a confirmed drain must be in the configuration.
-const DRAIN_BOUND: Duration = Duration::from_secs(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Status of a plan that was overtaken.
 const CONFLICT: u16 = 409;
 /// Tenant whose limits are changed for the sake of a change.
@@ -28,59 +28,59 @@
 /// Changes a tenant's limits; the number makes each change differ.
 pub async fn change_configuration(fleet: &Fleet, number: u32) {
     let intent = admin::tenant_intent(CHANGED_TENANT, number + 1);
-    let done = persist(fleet, &intent).await;
-    note_failure(fleet, FaultKind::ConfigurationChange, done);
+    let done = plan_and_confirm(fleet, &intent).await;
+    record_failure(fleet, FaultKind::ConfigurationChange, done);
 }
 
 /// Drains a server, waits, and takes it back. The drain counts from the moment that its row is in
 /// the table service.
 pub async fn drain_server(fleet: &Fleet, server: &str, length: Duration) {
-    if let Err(error) = persist(fleet, &admin::drain_intent(server)).await {
-        return note_failure(fleet, FaultKind::ServerDrain, Err(error));
+    if let Err(error) = plan_and_confirm(fleet, &admin::drain_intent(server)).await {
+        return record_failure(fleet, FaultKind::ServerDrain, Err(error));
     }
     let row = keys::drain("server", server);
-    let looked = tokio::time::timeout(DRAIN_BOUND, async {
+    let row_present = tokio::time::timeout(DRAIN_TIMEOUT, async {
         while fleet.platform.row(&row).is_none() {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     });
-    if looked.await.is_err() {
-        return fleet.not_done(FaultKind::ServerDrain, "its row did not appear");
+    if row_present.await.is_err() {
+        return fleet.record_not_done(FaultKind::ServerDrain, "its row did not appear");
     }
-    let told = fleet.ledger.clock.now();
+    let told = fleet.recorder.clock.now();
     tokio::time::sleep(length).await;
-    let taken_back = fleet.ledger.clock.now();
-    fleet.ledger.add_event(Event::Drain(Drain {
+    let taken_back = fleet.recorder.clock.now();
+    fleet.recorder.add_event(Event::Drain(Drain {
         server: server.to_owned(),
         told,
         taken_back,
     }));
-    let done = persist(fleet, &admin::undrain_intent(server)).await;
-    note_failure(fleet, FaultKind::ServerDrain, done);
+    let done = plan_and_confirm(fleet, &admin::undrain_intent(server)).await;
+    record_failure(fleet, FaultKind::ServerDrain, done);
 }
 
-/// Two operators at two nodes plan conflicting intents, then confirm both at once: one at most may
+/// Two operators at two nodes plan conflicting intents, then confirm both at once: first_node at most may
 /// be accepted.
-pub async fn race(fleet: &Fleet, number: u32) {
+pub async fn race_operators(fleet: &Fleet, number: u32) {
     let addresses = fleet.admin_addresses();
-    let (Some(one), Some(other)) = (addresses.first(), addresses.last()) else {
-        return fleet.not_done(FaultKind::RacingIntents, "no node runs");
+    let (Some(first_node), Some(second_node)) = (addresses.first(), addresses.last()) else {
+        return fleet.record_not_done(FaultKind::RacingIntents, "no node runs");
     };
-    let (one, other) = (Operator::new(one), Operator::new(other));
+    let (first_node, second_node) = (Operator::new(first_node), Operator::new(second_node));
     let (first, second) = (
         admin::tenant_intent(RACED_TENANT, 1_000 + number),
         admin::tenant_intent(RACED_TENANT, 2_000 + number),
     );
-    let plans = futures::join!(one.plan(&first), other.plan(&second));
+    let plans = futures::join!(first_node.plan(&first), second_node.plan(&second));
     let (Ok(first), Ok(second)) = plans else {
-        return fleet.not_done(FaultKind::RacingIntents, &format!("{plans:?}"));
+        return fleet.record_not_done(FaultKind::RacingIntents, &format!("{plans:?}"));
     };
-    let confirmed = futures::join!(one.confirm(&first), other.confirm(&second));
+    let confirmed = futures::join!(first_node.confirm(&first), second_node.confirm(&second));
     let count = |wanted: fn(&Result<Value, AdminError>) -> bool| {
         u32::from(wanted(&confirmed.0)) + u32::from(wanted(&confirmed.1))
     };
-    fleet.ledger.add_event(Event::Race {
-        at: fleet.ledger.clock.now(),
+    fleet.recorder.add_event(Event::Race {
+        at: fleet.recorder.clock.now(),
         accepted: count(Result::is_ok),
         overtaken: count(|answer| {
             matches!(
@@ -95,26 +95,26 @@
     });
 }
 
-/// Plans and confirms, at one node after another, until it is done. A confirmation that may have
+/// Plans and confirms, at first_node node after another, until it is done. A confirmation that may have
 /// taken effect is repeated for the same plan; a plan that was overtaken is made anew.
-async fn persist(fleet: &Fleet, intent: &Value) -> Result<(), String> {
+async fn plan_and_confirm(fleet: &Fleet, intent: &Value) -> Result<(), String> {
     let mut last = "no node runs".to_owned();
     let mut plan: Option<String> = None;
-    for attempt in 0..ATTEMPTS {
+    for attempt in 0..MAX_ATTEMPTS {
         let addresses = fleet.admin_addresses();
         if let Some(address) = addresses.get(attempt % addresses.len().max(1)) {
             let operator = Operator::new(address);
-            match carry_out(&operator, intent, &mut plan).await {
+            match attempt_intent(&operator, intent, &mut plan).await {
                 Ok(()) => return Ok(()),
                 Err(error) => last = describe(&error),
             }
         }
-        tokio::time::sleep(ATTEMPT_WAIT).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
     Err(last)
 }
 
-async fn carry_out(
+async fn attempt_intent(
     operator: &Operator,
     intent: &Value,
     plan: &mut Option<String>,
@@ -136,8 +136,8 @@
     error.to_string().chars().take(300).collect()
 }
 
-fn note_failure(fleet: &Fleet, kind: FaultKind, done: Result<(), String>) {
+fn record_failure(fleet: &Fleet, kind: FaultKind, done: Result<(), String>) {
     if let Err(reason) = done {
-        fleet.not_done(kind, &reason);
+        fleet.record_not_done(kind, &reason);
     }
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -17,17 +17,17 @@
 use dappleyard_tables::Lifecycle;
 
 use crate::error::LabError;
-use crate::ledger::{Event, Ledger, RevisionSample};
 use crate::network::Network;
+use crate::observations::{Event, Recorder, RevisionSample};
 use crate::scenario::{Policy, Scenario};
 
-pub use names::Placed;
+pub use names::Instance;
 use node::NodeSlot;
 
 /// Time between two looks at whether the fleet is ready.
-const READY_POLL: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time within which the fleet must be ready.
-const READY_BOUND: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running fleet. Lives on the main arbiter.
 pub struct Fleet {
@@ -36,13 +36,13 @@
     /// Network between the processes.
     pub network: Arc<Network>,
     /// Where observations go.
-    pub ledger: Ledger,
+    pub recorder: Recorder,
     /// Platform.
     pub platform: PlatformHandle,
     /// Engines.
     pub engines: EngineHandle,
     /// Servers, in the order of the scenario.
-    pub servers: Vec<Placed>,
+    pub servers: Vec<Instance>,
     policy: Policy,
     nodes: RefCell<Vec<NodeSlot>>,
     sidecars: Vec<SidecarHandle>,
@@ -61,7 +61,7 @@
     let platform = PlatformStandIn::start(settings)
         .map_err(|error| LabError::failed(format!("the platform did not start: {error}")))?;
     platform
-        .transact(settings::first_configuration(scenario, policy))
+        .transact(settings::initial_configuration(scenario, policy))
         .map_err(|error| LabError::failed(format!("the first configuration: {error}")))?;
     Ok(platform)
 }
@@ -110,9 +110,9 @@
         .enumerate()
         .map(|(index, server)| Machine {
             role: MachineRole::Server,
-            region: server.spot.region.as_str().into(),
-            zone: server.spot.zone.as_str().into(),
-            hall: server.spot.zone.clone(),
+            region: server.location.region.as_str().into(),
+            zone: server.location.zone.as_str().into(),
+            hall: server.location.zone.clone(),
             address: engines.base(&server.name),
             service: scenario.service_of(policy, index).into(),
             leaving: false,
@@ -127,7 +127,7 @@
         scenario: &Scenario,
         seed: u64,
         policy: Policy,
-        ledger: Ledger,
+        recorder: Recorder,
     ) -> Result<Fleet, LabError> {
         let platform = start_platform(scenario, policy, seed)?;
         let engines = start_engines(scenario, policy, &platform, seed, settings::ANY_PORT)?;
@@ -143,7 +143,7 @@
             ),
             sidecars: Vec::new(),
             scenario: scenario.clone(),
-            ledger,
+            recorder,
             platform,
             engines,
             policy,
@@ -157,19 +157,20 @@
     }
 
     fn start_sidecars(&mut self) -> Result<(), LabError> {
-        for placed in names::sidecars(&self.scenario) {
-            self.network.place(placed.name.clone(), &placed.spot);
-            let policy = self.network.policy(&placed.spot);
-            let settings = settings::sidecar(self, &placed);
+        for instance in names::sidecars(&self.scenario) {
+            self.network
+                .set_location(instance.name.clone(), &instance.location);
+            let policy = self.network.policy(&instance.location);
+            let settings = settings::sidecar(self, &instance);
             let sidecar = dappleyard_sidecar::start(settings, policy)
-                .map_err(|error| LabError::failed(format!("{}: {error}", placed.name)))?;
+                .map_err(|error| LabError::failed(format!("{}: {error}", instance.name)))?;
             self.sidecars.push(sidecar);
         }
         Ok(())
     }
 
     async fn wait_until_ready(&self) -> Result<(), LabError> {
-        let deadline = tokio::time::Instant::now() + READY_BOUND;
+        let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
         loop {
             let waiting = self.nodes_not_ready();
             if waiting.is_empty() {
@@ -178,7 +179,7 @@
             if tokio::time::Instant::now() >= deadline {
                 return Err(LabError::failed(format!("not ready in time: {waiting:?}")));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
@@ -193,18 +194,22 @@
                 let lifecycle = *tables.lifecycle.borrow();
                 let known = tables.directory.len();
                 let ready = lifecycle == Lifecycle::Ready && known >= servers;
-                (!ready)
-                    .then(|| format!("{} {lifecycle:?}, {known} servers known", slot.placed.name))
+                (!ready).then(|| {
+                    format!(
+                        "{} {lifecycle:?}, {known} servers known",
+                        slot.instance.name
+                    )
+                })
             })
             .collect()
     }
 
     /// Notes that something was set out to be done and could not be.
-    pub fn not_done(&self, what: impl ToString, reason: &str) {
-        self.ledger.add_event(Event::NotDone {
+    pub fn record_not_done(&self, what: impl ToString, reason: &str) {
+        self.recorder.add_event(Event::NotDone {
             what: what.to_string(),
             reason: reason.to_owned(),
-            at: self.ledger.clock.now(),
+            at: self.recorder.clock.now(),
         });
     }
 
@@ -218,11 +223,11 @@
 
     /// Notes the revision in force on each live node.
     pub fn sample_revisions(&self) {
-        let at = self.ledger.clock.now();
+        let at = self.recorder.clock.now();
         for slot in self.nodes.borrow().iter() {
             if let Some(handle) = slot.handle() {
-                self.ledger.add_revision(RevisionSample {
-                    node: slot.placed.name.clone(),
+                self.recorder.add_revision(RevisionSample {
+                    node: slot.instance.name.clone(),
                     start: slot.starts(),
                     at,
                     revision: handle.tables().configuration.revision(),
--- a/crates/lab/src/fleet/names.rs
+++ b/crates/lab/src/fleet/names.rs
@@ -1,44 +1,44 @@
 //! Names of processes and servers, from the scenario alone.
 
-use crate::network::Spot;
+use crate::network::NetworkLocation;
 use crate::scenario::{Scenario, ZoneScenario};
 
 /// A process or server and where it stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placed {
+pub struct Instance {
     /// Name.
     pub name: String,
     /// Where it stands.
-    pub spot: Spot,
+    pub location: NetworkLocation,
 }
 
 /// Nodes in the order of the scenario file.
-pub fn nodes(scenario: &Scenario) -> Vec<Placed> {
-    placed(scenario, "node", false, |zone| zone.nodes)
+pub fn nodes(scenario: &Scenario) -> Vec<Instance> {
+    instances(scenario, "node", false, |zone| zone.nodes)
 }
 
 /// Servers in the order of the scenario file.
-pub fn servers(scenario: &Scenario) -> Vec<Placed> {
-    placed(scenario, "server", false, |zone| zone.servers)
+pub fn servers(scenario: &Scenario) -> Vec<Instance> {
+    instances(scenario, "server", false, |zone| zone.servers)
 }
 
 /// Sidecars in the order of the scenario file.
-pub fn sidecars(scenario: &Scenario) -> Vec<Placed> {
-    placed(scenario, "sidecar", true, |zone| zone.sidecars)
+pub fn sidecars(scenario: &Scenario) -> Vec<Instance> {
+    instances(scenario, "sidecar", true, |zone| zone.sidecars)
 }
 
-fn placed(
+fn instances(
     scenario: &Scenario,
     kind: &str,
     sidecar: bool,
     count: impl Fn(&ZoneScenario) -> usize,
-) -> Vec<Placed> {
+) -> Vec<Instance> {
     let mut all = Vec::new();
     for zone in &scenario.zones {
         for number in 1..=count(zone) {
-            all.push(Placed {
+            all.push(Instance {
                 name: format!("{}-{kind}-{number}", zone.name),
-                spot: Spot {
+                location: NetworkLocation {
                     zone: zone.name.clone(),
                     region: zone.region.clone(),
                     sidecar,
--- a/crates/lab/src/fleet/node.rs
+++ b/crates/lab/src/fleet/node.rs
@@ -6,14 +6,14 @@
 use dappleyard_store::{Machine, MachineRole};
 use dappleyard_tables::decisions::Decision;
 
-use super::{Fleet, Placed, settings};
+use super::{Fleet, Instance, settings};
 use crate::error::LabError;
-use crate::ledger::{Event, PlannedStop, Unavailable};
+use crate::observations::{Event, PlannedStop, Unavailable};
 
 /// A place for a node, whether it runs or not.
 pub struct NodeSlot {
     /// Name and place.
-    pub placed: Placed,
+    pub instance: Instance,
     handle: Option<NodeHandle>,
     starts: u32,
     down_since: Option<Duration>,
@@ -21,9 +21,9 @@
 
 impl NodeSlot {
     /// A place without a node.
-    pub fn new(placed: Placed) -> NodeSlot {
+    pub fn new(instance: Instance) -> NodeSlot {
         NodeSlot {
-            placed,
+            instance,
             handle: None,
             starts: 0,
             down_since: None,
@@ -55,8 +55,8 @@
     }
 
     /// Name and place of a node.
-    pub fn node_place(&self, index: usize) -> Placed {
-        self.nodes.borrow()[index].placed.clone()
+    pub fn node_instance(&self, index: usize) -> Instance {
+        self.nodes.borrow()[index].instance.clone()
     }
 
     /// Indexes of the nodes that run.
@@ -104,27 +104,27 @@
 
     /// Starts a node; a new start of the same id has a greater incarnation.
     pub async fn start_node(&self, index: usize) -> Result<(), LabError> {
-        let placed = self.node_place(index);
-        let settings = settings::node(self, &placed);
-        let policy = self.network.policy(&placed.spot);
+        let instance = self.node_instance(index);
+        let settings = settings::node(self, &instance);
+        let policy = self.network.policy(&instance.location);
         let handle = dappleyard_node::start(settings, policy)
             .await
-            .map_err(|error| LabError::failed(format!("{}: {error}", placed.name)))?;
+            .map_err(|error| LabError::failed(format!("{}: {error}", instance.name)))?;
         let addresses = [handle.link_address(), handle.gossip_address()];
-        for name in addresses.into_iter().chain([placed.name.as_str()]) {
-            self.network.place(name, &placed.spot);
+        for name in addresses.into_iter().chain([instance.name.as_str()]) {
+            self.network.set_location(name, &instance.location);
         }
         self.platform
-            .put_machine(node_machine(&placed, handle.gossip_address()));
+            .put_machine(node_machine(&instance, handle.gossip_address()));
         let mut nodes = self.nodes.borrow_mut();
         let slot = &mut nodes[index];
         slot.handle = Some(handle);
         slot.starts += 1;
         if let Some(from) = slot.down_since.take() {
-            self.ledger.add_event(Event::Unavailable(Unavailable {
-                node: placed.name,
+            self.recorder.add_event(Event::Unavailable(Unavailable {
+                node: instance.name,
                 from,
-                to: self.ledger.clock.now(),
+                to: self.recorder.clock.now(),
             }));
         }
         Ok(())
@@ -134,7 +134,7 @@
         let mut nodes = self.nodes.borrow_mut();
         let slot = &mut nodes[index];
         let handle = slot.handle.take()?;
-        slot.down_since = Some(self.ledger.clock.now());
+        slot.down_since = Some(self.recorder.clock.now());
         Some(handle)
     }
 
@@ -143,15 +143,15 @@
         let Some(handle) = self.take_node(index) else {
             return false;
         };
-        let node = self.node_place(index).name;
-        let told = self.ledger.clock.now();
+        let node = self.node_instance(index).name;
+        let told = self.recorder.clock.now();
         self.platform.set_leaving(&node, true);
         handle.stop().await;
         self.platform.remove_machine(&node);
-        self.ledger.add_event(Event::Stop(PlannedStop {
+        self.recorder.add_event(Event::Stop(PlannedStop {
             node,
             told,
-            stopped: self.ledger.clock.now(),
+            stopped: self.recorder.clock.now(),
             bound_ms: self.scenario.processes.stop_bound_ms,
         }));
         true
@@ -173,9 +173,9 @@
             return false;
         };
         handle.pause(length);
-        let from = self.ledger.clock.now();
-        self.ledger.add_event(Event::Unavailable(Unavailable {
-            node: nodes[index].placed.name.clone(),
+        let from = self.recorder.clock.now();
+        self.recorder.add_event(Event::Unavailable(Unavailable {
+            node: nodes[index].instance.name.clone(),
             from,
             to: from + length,
         }));
@@ -183,13 +183,13 @@
     }
 }
 
-fn node_machine(placed: &Placed, gossip_address: &str) -> Machine {
+fn node_machine(instance: &Instance, gossip_address: &str) -> Machine {
     Machine {
-        name: placed.name.clone(),
+        name: instance.name.clone(),
         role: MachineRole::Node,
-        region: placed.spot.region.as_str().into(),
-        zone: placed.spot.zone.as_str().into(),
-        hall: placed.spot.zone.clone(),
+        region: instance.location.region.as_str().into(),
+        zone: instance.location.zone.as_str().into(),
+        hall: instance.location.zone.clone(),
         address: gossip_address.to_owned(),
         service: "".into(),
         leaving: false,
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -8,19 +8,19 @@
 use dappleyard_wire::messages::{ServiceRow, TenantRow};
 use prost::Message;
 
-use super::{Fleet, Placed};
+use super::{Fleet, Instance};
 use crate::load::plan::ONCE_TENANT;
 use crate::scenario::{Policy, Scenario};
 
 /// An address of loopback with a port of the operating system's choice.
 pub const ANY_PORT: &str = "127.0.0.1:0";
 /// Limit of tenants that are not to be refused.
-const AMPLE: f64 = 100_000.0;
+const HIGH_RATE_LIMIT: f64 = 100_000.0;
 /// Jobs up to this many items run without a person.
-const STANDING_ITEMS: u32 = 400_000;
+const AUTO_APPROVED_ITEMS: u32 = 400_000;
 
 /// The configuration rows that stand before the first node starts, as one change.
-pub fn first_configuration(scenario: &Scenario, policy: Policy) -> Transaction {
+pub fn initial_configuration(scenario: &Scenario, policy: Policy) -> Transaction {
     let mut change = Transaction::default().put(keys::CONFIGURATION_HEAD, "0");
     for name in scenario.services(policy) {
         let service = service(scenario, name);
@@ -46,30 +46,39 @@
 }
 
 fn tenants(scenario: &Scenario) -> Vec<TenantRow> {
-    let ample = |name: &str| TenantRow {
+    let with_high_limits = |name: &str| TenantRow {
         name: name.to_owned(),
-        requests_per_s: AMPLE,
-        requests_burst: AMPLE,
+        requests_per_s: HIGH_RATE_LIMIT,
+        requests_burst: HIGH_RATE_LIMIT,
         concurrent_tokens: 0,
         batch_weight: 1,
-        standing_batch_items: STANDING_ITEMS,
+        standing_batch_items: AUTO_APPROVED_ITEMS,
     };
-    let mut tenants = vec![ample(&scenario.online.tenant), ample(ONCE_TENANT)];
-    tenants.extend(scenario.batch.tenants.iter().map(|name| ample(name)));
+    let mut tenants = vec![
+        with_high_limits(&scenario.online.tenant),
+        with_high_limits(ONCE_TENANT),
+    ];
+    tenants.extend(
+        scenario
+            .batch
+            .tenants
+            .iter()
+            .map(|name| with_high_limits(name)),
+    );
     tenants.push(TenantRow {
         requests_per_s: scenario.refused.allowed_per_s,
         requests_burst: scenario.refused.allowed_per_s.max(1.0),
-        ..ample(&scenario.refused.tenant)
+        ..with_high_limits(&scenario.refused.tenant)
     });
     tenants
 }
 
 /// Settings of a node.
-pub fn node(fleet: &Fleet, placed: &Placed) -> NodeSettings {
+pub fn node(fleet: &Fleet, instance: &Instance) -> NodeSettings {
     let processes = &fleet.scenario.processes;
     NodeSettings {
-        id: placed.name.clone(),
-        place: place(placed),
+        id: instance.name.clone(),
+        place: location(instance),
         link_listen: ANY_PORT.to_owned(),
         gossip_listen: ANY_PORT.to_owned(),
         admin_listen: ANY_PORT.to_owned(),
@@ -100,10 +109,10 @@
 }
 
 /// Settings of a sidecar.
-pub fn sidecar(fleet: &Fleet, placed: &Placed) -> SidecarSettings {
+pub fn sidecar(fleet: &Fleet, instance: &Instance) -> SidecarSettings {
     SidecarSettings {
-        id: placed.name.clone(),
-        place: place(placed),
+        id: instance.name.clone(),
+        place: location(instance),
         listen: ANY_PORT.to_owned(),
         nodes: fleet.link_addresses(),
         workers: fleet.scenario.processes.sidecar_workers,
@@ -111,9 +120,9 @@
     }
 }
 
-fn place(placed: &Placed) -> Location {
+fn location(instance: &Instance) -> Location {
     Location {
-        zone: placed.spot.zone.clone(),
-        region: placed.spot.region.clone(),
+        zone: instance.location.zone.clone(),
+        region: instance.location.region.clone(),
     }
 }
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -3,32 +3,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Evidence, Verdict, at, overlap};
-use crate::ledger::{ConfigurationAccepted, Event, RevisionSample};
+use super::{Evidence, Verdict, format_time, overlap};
+use crate::observations::{ConfigurationAccepted, Event, RevisionSample};
 
 /// Time that a node which was away gets to catch up after it is back, besides the bound.
-const CATCH_UP: Duration = Duration::from_millis(500);
+const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 
 /// Each accepted change is in force on each node that serves, within the bound. A node that was
-/// away, cut off or standing still in that time is judged once it has been back for as long.
+/// away, cut off or standing still in that time is checked_sample once it has been back for as long.
 pub fn config_convergence(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.configuration_ms);
     for change in accepted(evidence) {
         for (node, samples) in by_node(evidence) {
             let due = due_on(evidence, node, change.accepted, bound);
-            let judged = samples
+            let checked_sample = samples
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
-            let Some(sample) = judged else { continue };
+            let Some(sample) = checked_sample else {
+                continue;
+            };
             verdict.case(sample.revision >= change.revision, || {
                 format!(
                     "revision {} ({}) accepted {}, but {node} has {} at {}",
                     change.revision,
                     change.key,
-                    at(change.accepted),
+                    format_time(change.accepted),
                     sample.revision,
-                    at(sample.at)
+                    format_time(sample.at)
                 )
             });
         }
@@ -46,7 +48,7 @@
     spans.sort_by_key(|away| away.from);
     for away in spans {
         if overlap((away.from, away.to), (accepted, due)) {
-            due = due.max(away.to + bound + CATCH_UP);
+            due = due.max(away.to + bound + CATCH_UP_TIME);
         }
     }
     due
@@ -66,18 +68,18 @@
                 format!(
                     "{node} had revision {} at {} and {} at {}",
                     before.revision,
-                    at(before.at),
+                    format_time(before.at),
                     after.revision,
-                    at(after.at)
+                    format_time(after.at)
                 )
             });
         }
     }
-    judge_starts(evidence, &mut verdict);
+    check_restarts(evidence, &mut verdict);
     verdict
 }
 
-fn judge_starts(evidence: &Evidence, verdict: &mut Verdict) {
+fn check_restarts(evidence: &Evidence, verdict: &mut Verdict) {
     let nodes = by_node(evidence);
     for (node, samples) in &nodes {
         for pair in samples.windows(2) {
@@ -93,7 +95,7 @@
             verdict.case(served.revision >= floor, || {
                 format!(
                     "{node} serves again at {} with revision {}, but {floor} was in force everywhere",
-                    at(served.at),
+                    format_time(served.at),
                     served.revision
                 )
             });
--- a/crates/lab/src/invariants/jobs.rs
+++ b/crates/lab/src/invariants/jobs.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{EngineRun, Evidence, Verdict, at};
-use crate::ledger::{ItemFinding, JobRecord};
+use super::{EngineRun, Evidence, Verdict, format_time};
+use crate::observations::{ItemFinding, JobRecord};
 
 /// Each item of each accepted job has exactly one right result; of a cancelled job, at most one.
 /// A job that was submitted several times with one key is one job.
@@ -16,16 +16,16 @@
         verdict.case(one_job, || {
             format!("{}: one key, several jobs {:?}", job.name, job.ids)
         });
-        judge_items(&mut verdict, job, id);
+        check_items(&mut verdict, job, id);
     }
     verdict
 }
 
-fn judge_items(verdict: &mut Verdict, job: &JobRecord, id: &str) {
+fn check_items(verdict: &mut Verdict, job: &JobRecord, id: &str) {
     let Some(results) = &job.results else {
         let items = u64::from(job.items);
         let unread = job.unread.as_deref().unwrap_or("it has not ended");
-        let accepted = at(job.accepted.unwrap_or_default());
+        let accepted = format_time(job.accepted.unwrap_or_default());
         verdict.cases(items, false, || {
             format!(
                 "{} ({id}, accepted {accepted}): status {}, {items} items without result: {unread}",
@@ -91,14 +91,14 @@
             format!(
                 "{} ({id}) cancelled at {}: {late:?}",
                 job.name,
-                at(cancel.answered)
+                format_time(cancel.answered)
             )
         });
         verdict.case(matches!(job.status.as_str(), "cancelled"), || {
             format!(
                 "{} ({id}) cancelled at {}, but its status is {}",
                 job.name,
-                at(cancel.answered),
+                format_time(cancel.answered),
                 job.status
             )
         });
--- a/crates/lab/src/invariants/leaving.rs
+++ b/crates/lab/src/invariants/leaving.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use super::{Evidence, Verdict, at, overlap};
-use crate::ledger::{OnlineEnd, OnlineRecord, PlannedStop};
+use super::{Evidence, Verdict, format_time, overlap};
+use crate::observations::{OnlineEnd, OnlineRecord, PlannedStop};
 
 /// Time before a planned stop within which an abrupt fault's after-effects may still end requests.
-const ABRUPT_SHADOW: Duration = Duration::from_secs(4);
+const ABRUPT_FAULT_GRACE: Duration = Duration::from_secs(4);
 
 /// A server that was told to leave receives nothing new after the bound, whichever source said so.
 pub fn drain_no_new_work(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.drain_ms);
     for event in &evidence.observations.events {
-        let crate::ledger::Event::Drain(drain) = event else {
+        let crate::observations::Event::Drain(drain) = event else {
             continue;
         };
         let closed_from = drain.told + bound;
@@ -29,7 +29,7 @@
             format!(
                 "{} told to leave at {}: {late:?}",
                 drain.server,
-                at(drain.told)
+                format_time(drain.told)
             )
         });
     }
@@ -46,25 +46,25 @@
             format!(
                 "{} told at {} stopped only at {}",
                 stop.node,
-                at(stop.told),
-                at(stop.stopped)
+                format_time(stop.told),
+                format_time(stop.stopped)
             )
         });
-        if hidden_by_abrupt_fault(evidence, stop) {
+        if overlaps_abrupt_fault(evidence, stop) {
             continue;
         }
         for record in &evidence.observations.online {
             if overlap((record.sent, record.ended), (stop.told, stop.stopped)) {
-                verdict.case(!was_cut(record), || {
+                verdict.case(!was_interrupted(record), || {
                     format!(
                         "{} ({}) sent {}, ended {} while {} stopped {}..{}: {:?}",
                         record.name,
                         record.request_id,
-                        at(record.sent),
-                        at(record.ended),
+                        format_time(record.sent),
+                        format_time(record.ended),
                         stop.node,
-                        at(stop.told),
-                        at(stop.stopped),
+                        format_time(stop.told),
+                        format_time(stop.stopped),
                         record.end
                     )
                 });
@@ -74,20 +74,20 @@
     verdict
 }
 
-fn hidden_by_abrupt_fault(evidence: &Evidence, stop: &PlannedStop) -> bool {
+fn overlaps_abrupt_fault(evidence: &Evidence, stop: &PlannedStop) -> bool {
     evidence
         .faults()
         .filter(|fault| fault.kind.is_abrupt())
         .any(|fault| {
             overlap(
-                (fault.from, fault.to + ABRUPT_SHADOW),
+                (fault.from, fault.to + ABRUPT_FAULT_GRACE),
                 (stop.told, stop.stopped),
             )
         })
 }
 
 /// Kinds of refusal that a node's stop must not cause at a caller.
-const CAUSED_BY_STOP: [&str; 6] = [
+const SHUTDOWN_ERROR_KINDS: [&str; 6] = [
     "node_lost",
     "not_ready",
     "engine_lost",
@@ -96,10 +96,10 @@
     "internal",
 ];
 
-fn was_cut(record: &OnlineRecord) -> bool {
+fn was_interrupted(record: &OnlineRecord) -> bool {
     match &record.end {
         OnlineEnd::Whole => false,
         OnlineEnd::Broken(_) => true,
-        OnlineEnd::Refused(refusal) => CAUSED_BY_STOP.contains(&refusal.kind.as_str()),
+        OnlineEnd::Refused(refusal) => SHUTDOWN_ERROR_KINDS.contains(&refusal.kind.as_str()),
     }
 }
--- a/crates/lab/src/invariants/mod.rs
+++ b/crates/lab/src/invariants/mod.rs
@@ -1,7 +1,7 @@
 //! The invariants: what must hold in every run, judged from what callers received and from what the
 //! engines and the platform say happened, never from the nodes' own counters.
 //!
-//! Each module judges one side of the product; [`judge`] gives all verdicts by name.
+//! Each module judges one side of the product; [`check_all`] gives all verdicts by name.
 
 mod configuration;
 mod jobs;
@@ -13,7 +13,7 @@
 use dappleyard_report::summary::{Verdict, Verdicts};
 use serde::Serialize;
 
-use crate::ledger::{Event, FaultRecord, Observations, PlannedStop, Unavailable};
+use crate::observations::{Event, FaultRecord, Observations, PlannedStop, Unavailable};
 use crate::scenario::Bounds;
 
 /// Names of all invariants, as in summary.json.
@@ -67,7 +67,7 @@
     pub runs: Vec<EngineRun>,
     /// Engine records that were dropped for lack of room: evidence is then incomplete.
     pub dropped_runs: u64,
-    /// Bounds to judge by.
+    /// Bounds to check_all by.
     pub bounds: Bounds,
     /// End of the run.
     pub end: Duration,
@@ -106,7 +106,7 @@
 }
 
 /// Judges all invariants.
-pub fn judge(evidence: &Evidence) -> Verdicts {
+pub fn check_all(evidence: &Evidence) -> Verdicts {
     let verdicts = [
         jobs::exactly_once(evidence),
         jobs::results_readable(evidence),
@@ -145,6 +145,6 @@
 }
 
 /// A time as shown in examples, seconds.
-fn at(time: Duration) -> String {
+fn format_time(time: Duration) -> String {
     format!("{:.3}s", time.as_secs_f64())
 }
--- a/crates/lab/src/invariants/requests.rs
+++ b/crates/lab/src/invariants/requests.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use super::{EngineRun, Evidence, Verdict, at};
-use crate::ledger::{OnlineEnd, OnlineRecord};
+use super::{EngineRun, Evidence, Verdict, format_time};
+use crate::observations::{OnlineEnd, OnlineRecord};
 
 /// No batch sequence enters an engine while an online one waits there, and an online one waits no
 /// more steps than the bound while batch work is served. Both are told by the engine's own account
@@ -25,10 +25,10 @@
                     "{} on {} arrived {}, begun {}, {} steps behind batch, overtaken by {:?}",
                     run.request_id,
                     run.server,
-                    at(run.arrived),
-                    at(begun),
+                    format_time(run.arrived),
+                    format_time(begun),
                     run.steps_behind_batch,
-                    overtaken.map(|other| (&other.request_id, other.started.map(at)))
+                    overtaken.map(|other| (&other.request_id, other.started.map(format_time)))
                 )
             },
         );
@@ -76,8 +76,8 @@
                 "{} ({}) sent {}, ended {} {:?}: {}",
                 record.name,
                 record.request_id,
-                at(record.sent),
-                at(record.ended),
+                format_time(record.sent),
+                format_time(record.ended),
                 record.end,
                 record.wrong_text.as_deref().unwrap_or_default()
             )
@@ -105,7 +105,7 @@
                 "{} ({}) refused at {} as {} with ran=no, but {run:?}",
                 record.name,
                 record.request_id,
-                at(record.ended),
+                format_time(record.ended),
                 refusal.kind
             )
         });
--- a/crates/lab/src/load/batch.rs
+++ b/crates/lab/src/load/batch.rs
@@ -11,20 +11,20 @@
 use super::client::{CallError, Caller};
 use super::plan::{ItemPlan, JobArrival};
 use super::results;
-use crate::ledger::{CancelRecord, JobRecord, JobResults, Ledger, Refusal};
+use crate::observations::{CancelRecord, JobRecord, JobResults, Recorder, Refusal};
 use crate::scenario::BatchScenario;
 
 /// Wait before a failed call is made again.
-const RETRY_WAIT: Duration = Duration::from_millis(400);
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 /// Most refusals kept of one job.
-const REFUSALS_KEPT: usize = 20;
+const MAX_REFUSALS: usize = 20;
 
 /// What batch callers of one thread share.
 pub struct BatchCallers {
     /// HTTP client of this thread.
     pub http: Client,
     /// Where observations go.
-    pub ledger: Ledger,
+    pub recorder: Recorder,
     /// Base URLs of the sidecars.
     pub sidecars: Rc<Vec<String>>,
     /// Model service.
@@ -34,9 +34,9 @@
     /// Shape of the jobs.
     pub batch: BatchScenario,
     /// When callers give up, after the start of the run.
-    pub give_up: Duration,
+    pub give_up_at: Duration,
     /// When results are read a second time, after the start of the run.
-    pub read_again: Duration,
+    pub reread_at: Duration,
     /// Whether every job is sent twice at present.
     pub always_resend: Rc<dyn Fn() -> bool>,
     /// Whether jobs are to be cancelled while they commit at present.
@@ -78,25 +78,28 @@
             name: arrival.name.clone(),
             tenant: arrival.tenant.clone(),
             items: arrival.items,
-            submitted: self.ledger.clock.now(),
+            submitted: self.recorder.clock.now(),
             status: "not accepted".to_owned(),
             ..JobRecord::default()
         };
         let caller = self.caller(arrival, 0);
-        if let Some(last) = self.follow(&caller, arrival, &items, &mut record).await {
+        if let Some(last) = self
+            .submit_and_poll(&caller, arrival, &items, &mut record)
+            .await
+        {
             record.status.clone_from(&last.status);
             if last.has_ended() {
-                record.ended = Some(self.ledger.clock.now());
+                record.ended = Some(self.recorder.clock.now());
                 let read = self.read_results(&caller, &last, &items).await;
                 match read {
                     Ok(results) => record.results = Some(results),
                     Err(error) => record.unread = Some(format!("{error:?}")),
                 }
                 let other = self.caller(arrival, 1);
-                record.results_again = self.read_at_end(&other, &last, &items).await;
+                record.results_again = self.reread_results(&other, &last, &items).await;
             }
         }
-        self.ledger.add_job(record);
+        self.recorder.add_job(record);
     }
 
     fn caller(&self, arrival: &JobArrival, offset: usize) -> Caller {
@@ -107,12 +110,12 @@
         }
     }
 
-    fn may_go_on(&self) -> bool {
-        self.ledger.clock.now() < self.give_up
+    fn has_time_left(&self) -> bool {
+        self.recorder.clock.now() < self.give_up_at
     }
 
     /// Submits the job and looks at it until it has ended or the caller gives up.
-    async fn follow(
+    async fn submit_and_poll(
         &self,
         caller: &Caller,
         arrival: &JobArrival,
@@ -126,19 +129,19 @@
         }
         let accepted = record.accepted.unwrap_or_default();
         let cancelling = Cell::new(arrival.cancel_after.map(|wait| accepted + wait));
-        while !last.has_ended() && self.may_go_on() {
+        while !last.has_ended() && self.has_time_left() {
             tokio::time::sleep(self.poll_wait(&cancelling)).await;
             let due = cancelling
                 .get()
-                .is_some_and(|at| self.ledger.clock.now() >= at);
+                .is_some_and(|at| self.recorder.clock.now() >= at);
             if due && record.cancel.is_none() {
                 self.cancel(caller, record).await;
             }
-            let looked: Result<BatchObject, _> =
+            let polled: Result<BatchObject, _> =
                 caller.get(&format!("/v1/batches/{}", last.id)).await;
-            match looked {
+            match polled {
                 Ok(seen) => last = seen,
-                Err(error) => note(record, error.into_refusal()),
+                Err(error) => record_refusal(record, error.into_refusal()),
             }
             if (self.cancel_committing)() && nearly_done(&last, arrival.items) {
                 cancelling.set(Some(Duration::ZERO));
@@ -149,7 +152,7 @@
 
     fn poll_wait(&self, cancelling: &Cell<Option<Duration>>) -> Duration {
         let poll = Duration::from_millis(self.batch.poll_ms);
-        let now = self.ledger.clock.now();
+        let now = self.recorder.clock.now();
         match cancelling.get() {
             Some(at) if at > now => poll.min(at - now),
             _ => poll,
@@ -164,15 +167,15 @@
         record: &mut JobRecord,
     ) -> Option<String> {
         let content = self.input_file(items);
-        while self.may_go_on() {
+        while self.has_time_left() {
             match caller
                 .upload(&format!("{}.jsonl", arrival.name), &content)
                 .await
             {
                 Ok(id) => return Some(id),
-                Err(error) => note(record, error.into_refusal()),
+                Err(error) => record_refusal(record, error.into_refusal()),
             }
-            tokio::time::sleep(RETRY_WAIT).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         None
     }
@@ -206,16 +209,16 @@
         file: &str,
         record: &mut JobRecord,
     ) -> Option<BatchObject> {
-        while self.may_go_on() {
+        while self.has_time_left() {
             match submit_once(caller, arrival, file).await {
                 Ok(batch) => {
-                    record.accepted = Some(self.ledger.clock.now());
+                    record.accepted = Some(self.recorder.clock.now());
                     record.ids.push(batch.id.clone());
                     return Some(batch);
                 }
-                Err(error) => note(record, error.into_refusal()),
+                Err(error) => record_refusal(record, error.into_refusal()),
             }
-            tokio::time::sleep(RETRY_WAIT).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         None
     }
@@ -224,7 +227,7 @@
     async fn resend(&self, arrival: &JobArrival, file: &str, record: &mut JobRecord) {
         match submit_once(&self.caller(arrival, 1), arrival, file).await {
             Ok(batch) => record.ids.push(batch.id),
-            Err(error) => note(record, error.into_refusal()),
+            Err(error) => record_refusal(record, error.into_refusal()),
         }
     }
 
@@ -238,31 +241,31 @@
         match answer {
             Ok(batch) if matches!(batch.status.as_str(), "cancelling" | "cancelled") => {
                 record.cancel = Some(CancelRecord {
-                    answered: self.ledger.clock.now(),
+                    answered: self.recorder.clock.now(),
                 });
             }
             Ok(_) => {}
-            Err(error) => note(record, error.into_refusal()),
+            Err(error) => record_refusal(record, error.into_refusal()),
         }
     }
 
     /// Reads the results a second time, later in the run.
-    async fn read_at_end(
+    async fn reread_results(
         &self,
         caller: &Caller,
         last: &BatchObject,
         items: &[ItemPlan],
     ) -> Option<JobResults> {
-        let due = self.ledger.clock.instant(self.read_again);
+        let due = self.recorder.clock.instant(self.reread_at);
         tokio::time::sleep_until(due.into()).await;
         loop {
             if let Ok(results) = self.read_results(caller, last, items).await {
                 return Some(results);
             }
-            if !self.may_go_on() {
+            if !self.has_time_left() {
                 return None;
             }
-            tokio::time::sleep(RETRY_WAIT).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -282,7 +285,7 @@
                 lines.push(b'\n');
             }
         }
-        Ok(results::judge(&lines, items, &self.versions))
+        Ok(results::check_results(&lines, items, &self.versions))
     }
 
     /// Reads a file, again while the system says that it cannot now.
@@ -292,8 +295,10 @@
                 Err(CallError::Refused(refusal)) if refusal.status < 500 => {
                     return Err(CallError::Refused(refusal));
                 }
-                Ok(content) if self.is_whole(caller, file, &content).await => return Ok(content),
-                Ok(_) | Err(_) if self.may_go_on() => tokio::time::sleep(RETRY_WAIT).await,
+                Ok(content) if self.is_complete(caller, file, &content).await => {
+                    return Ok(content);
+                }
+                Ok(_) | Err(_) if self.has_time_left() => tokio::time::sleep(RETRY_INTERVAL).await,
                 Ok(_) => return Err(CallError::Broken("shorter than its size says".to_owned())),
                 Err(error) => return Err(error),
             }
@@ -302,7 +307,7 @@
 
     /// Whether a download has the size that the file's state says: the HTTP client takes a
     /// connection that breaks within a body for its end.
-    async fn is_whole(&self, caller: &Caller, file: &str, content: &[u8]) -> bool {
+    async fn is_complete(&self, caller: &Caller, file: &str, content: &[u8]) -> bool {
         let state: Result<Value, _> = caller.get(&format!("/v1/files/{file}")).await;
         state.is_ok_and(|state| state["bytes"].as_u64() == Some(content.len() as u64))
     }
@@ -330,8 +335,8 @@
     batch.status == "finalizing" || completed * 2 >= items
 }
 
-fn note(record: &mut JobRecord, refusal: Refusal) {
-    if record.refused.len() < REFUSALS_KEPT {
+fn record_refusal(record: &mut JobRecord, refusal: Refusal) {
+    if record.refused.len() < MAX_REFUSALS {
         record.refused.push(refusal);
     }
 }
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::ledger::Refusal;
+use crate::observations::Refusal;
 
 /// Header that names the tenant.
 pub const TENANT: &str = "dappleyard-tenant";
@@ -108,7 +108,7 @@
             .http
             .get(format!("{}{path}", self.base))
             .insert_header((TENANT, self.tenant.as_str()));
-        whole(request.send().await).await
+        read_response(request.send().await).await
     }
 
     /// `POST path` with a JSON body.
@@ -125,7 +125,7 @@
         if let Some(key) = key {
             request = request.insert_header((IDEMPOTENCY_KEY, key));
         }
-        parse(&whole(request.send_json(body).await).await?)
+        parse(&read_response(request.send_json(body).await).await?)
     }
 
     /// Uploads a file for batch work and returns its id.
@@ -139,7 +139,7 @@
                 format!("multipart/form-data; boundary={BOUNDARY}"),
             ));
         let body = multipart(filename, content);
-        let answer: Value = parse(&whole(request.send_body(body).await).await?)?;
+        let answer: Value = parse(&read_response(request.send_body(body).await).await?)?;
         let id = answer["id"].as_str();
         id.map(str::to_owned).ok_or_else(|| {
             CallError::Broken(format!("an upload was answered without id: {answer}"))
@@ -159,7 +159,7 @@
     body
 }
 
-async fn whole<S>(
+async fn read_response<S>(
     sent: Result<awc::ClientResponse<S>, SendRequestError>,
 ) -> Result<Bytes, CallError>
 where
--- a/crates/lab/src/load/drive.rs
+++ b/crates/lab/src/load/drive.rs
@@ -13,7 +13,7 @@
 use super::client::client;
 use super::online::OnlineCallers;
 use super::plan::LoadPlan;
-use crate::ledger::Ledger;
+use crate::observations::Recorder;
 use crate::scenario::BatchScenario;
 
 /// Threads of callers.
@@ -21,7 +21,7 @@
 
 /// Moods of clients that faults switch.
 #[derive(Debug, Default)]
-pub struct ClientMoods {
+pub struct ClientBehavior {
     /// Clients send must-not-repeat requests and jobs twice.
     pub resend: AtomicBool,
     /// Clients cancel jobs that are nearly done.
@@ -34,13 +34,13 @@
     /// All arrivals.
     pub plan: Arc<LoadPlan>,
     /// Where observations go.
-    pub ledger: Ledger,
-    /// Start of the load on the ledger's clock.
+    pub recorder: Recorder,
+    /// Start of the load on the recorder's clock.
     pub start: Duration,
     /// When batch callers give up.
-    pub give_up: Duration,
+    pub give_up_at: Duration,
     /// When results are read a second time.
-    pub read_again: Duration,
+    pub reread_at: Duration,
     /// Base URLs of the sidecars.
     pub sidecars: Vec<String>,
     /// Model service.
@@ -52,7 +52,7 @@
     /// Shape of the jobs.
     pub batch: BatchScenario,
     /// Moods of clients.
-    pub moods: Arc<ClientMoods>,
+    pub client_behavior: Arc<ClientBehavior>,
     /// Seed.
     pub seed: u64,
 }
@@ -72,14 +72,14 @@
         };
         for thread in 0..CALLER_THREADS {
             let arbiter = Arbiter::new();
-            for part in [Part::Online, Part::Batch] {
+            for kind in [LoadKind::Online, LoadKind::Batch] {
                 let (done, finished) = oneshot::channel();
                 let context = context.clone();
                 arbiter.spawn_fn(move || {
                     actix_rt::spawn(async move {
-                        match part {
-                            Part::Online => drive_online(context, thread).await,
-                            Part::Batch => drive_batch(context, thread).await,
+                        match kind {
+                            LoadKind::Online => drive_online(context, thread).await,
+                            LoadKind::Batch => drive_batch(context, thread).await,
                         }
                         let _ = done.send(());
                     });
@@ -103,20 +103,20 @@
 }
 
 #[derive(Clone, Copy)]
-enum Part {
+enum LoadKind {
     Online,
     Batch,
 }
 
 async fn sleep_until(context: &LoadContext, at: Duration) {
-    let due = context.ledger.clock.instant(context.start + at);
+    let due = context.recorder.clock.instant(context.start + at);
     tokio::time::sleep_until(due.into()).await;
 }
 
 async fn drive_online(context: LoadContext, thread: usize) {
     let callers = Rc::new(OnlineCallers {
         http: client(),
-        ledger: context.ledger.clone(),
+        recorder: context.recorder.clone(),
         sidecars: Rc::new(context.sidecars.clone()),
         service: context.service.clone(),
         versions: context.versions.clone(),
@@ -130,7 +130,7 @@
         }
         sleep_until(&context, arrival.at).await;
         let (callers, plan) = (callers.clone(), context.plan.clone());
-        let always_resend = context.moods.resend.load(Ordering::Relaxed);
+        let always_resend = context.client_behavior.resend.load(Ordering::Relaxed);
         calls.push(actix_rt::spawn(async move {
             callers.call(&plan.online[index], always_resend).await;
         }));
@@ -139,16 +139,19 @@
 }
 
 async fn drive_batch(context: LoadContext, thread: usize) {
-    let (resending, cancelling) = (context.moods.clone(), context.moods.clone());
+    let (resending, cancelling) = (
+        context.client_behavior.clone(),
+        context.client_behavior.clone(),
+    );
     let callers = Rc::new(BatchCallers {
         http: client(),
-        ledger: context.ledger.clone(),
+        recorder: context.recorder.clone(),
         sidecars: Rc::new(context.sidecars.clone()),
         service: context.batch_service.clone(),
         versions: context.versions.clone(),
         batch: context.batch.clone(),
-        give_up: context.give_up,
-        read_again: context.read_again,
+        give_up_at: context.give_up_at,
+        reread_at: context.reread_at,
         always_resend: Rc::new(move || resending.resend.load(Ordering::Relaxed)),
         cancel_committing: Rc::new(move || cancelling.cancel_committing.load(Ordering::Relaxed)),
     });
--- a/crates/lab/src/load/expected.rs
+++ b/crates/lab/src/load/expected.rs
@@ -15,7 +15,7 @@
 
 impl Expected {
     /// What is wrong with a whole answer; `None` when it is right.
-    pub fn judge_whole(&self, text: &str) -> Option<String> {
+    pub fn check_complete(&self, text: &str) -> Option<String> {
         let right = self
             .versions
             .iter()
@@ -24,7 +24,7 @@
     }
 
     /// What is wrong with an interrupted answer; `None` when it is the start of a right one.
-    pub fn judge_start(&self, text: &str) -> Option<String> {
+    pub fn check_prefix(&self, text: &str) -> Option<String> {
         let right = self
             .versions
             .iter()
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`plan`] draws all arrivals from the seed before the run, so that each policy sees the same ones;
 //! [`online`] and [`batch`] carry them out against the sidecars and note what came back in the
-//! ledger; [`drive`] spreads them over threads. Texts of prompts come from [`words`]; answers are
+//! recorder; [`drive`] spreads them over threads. Texts of prompts come from [`words`]; answers are
 //! judged by [`expected`], and whole jobs by [`results`].
 
 pub mod batch;
--- a/crates/lab/src/load/online.rs
+++ b/crates/lab/src/load/online.rs
@@ -12,17 +12,17 @@
 use super::expected::{Expected, canonical};
 use super::plan::{OnceArrival, OnlineArrival};
 use super::sse::{EventReader, StreamEvent};
-use crate::ledger::{Ledger, OnlineEnd, OnlineRecord};
+use crate::observations::{OnlineEnd, OnlineRecord, Recorder};
 
 /// Time past its deadline after which a caller gives a request up.
-const PATIENCE: Duration = Duration::from_secs(10);
+const DEADLINE_GRACE: Duration = Duration::from_secs(10);
 
 /// What online callers of one thread share.
 pub struct OnlineCallers {
     /// HTTP client of this thread.
     pub http: Client,
     /// Where observations go.
-    pub ledger: Ledger,
+    pub recorder: Recorder,
     /// Base URLs of the sidecars.
     pub sidecars: Rc<Vec<String>>,
     /// Model service.
@@ -77,11 +77,11 @@
 
     async fn send(&self, arrival: &OnlineArrival, resend: bool) {
         let request_id = request_id(self.seed, &arrival.name, resend);
-        let sent = self.ledger.clock.now();
+        let sent = self.recorder.clock.now();
         let mut received = Received::default();
-        let patience = Duration::from_millis(u64::from(arrival.deadline_ms)) + PATIENCE;
+        let wait_limit = Duration::from_millis(u64::from(arrival.deadline_ms)) + DEADLINE_GRACE;
         let exchange = self.exchange(arrival, resend, &request_id, &mut received);
-        let end = tokio::time::timeout(patience, exchange)
+        let end = tokio::time::timeout(wait_limit, exchange)
             .await
             .unwrap_or_else(|_| OnlineEnd::Broken("no end of the answer in time".to_owned()));
         let record = OnlineRecord {
@@ -93,13 +93,13 @@
             resend,
             sent,
             first_token: received.first_token,
-            ended: self.ledger.clock.now(),
+            ended: self.recorder.clock.now(),
             text_bytes: received.text.len(),
-            wrong_text: self.judge(arrival, &received, &end),
+            wrong_text: self.check_text(arrival, &received, &end),
             gaps_ms: received.gaps_ms,
             end,
         };
-        self.ledger.add_online(record);
+        self.recorder.add_online(record);
     }
 
     /// A resend goes through another sidecar, as from another process of the same client.
@@ -107,7 +107,7 @@
         (arrival.sidecar + usize::from(resend)) % self.sidecars.len()
     }
 
-    fn judge(
+    fn check_text(
         &self,
         arrival: &OnlineArrival,
         received: &Received,
@@ -122,8 +122,8 @@
             max_tokens: arrival.max_tokens,
         };
         match end {
-            OnlineEnd::Whole => expected.judge_whole(&received.text),
-            _ => expected.judge_start(&received.text),
+            OnlineEnd::Whole => expected.check_complete(&received.text),
+            _ => expected.check_prefix(&received.text),
         }
     }
 
@@ -179,7 +179,7 @@
                 Ok(part) => part,
                 Err(error) => return OnlineEnd::Broken(error.to_string()),
             };
-            let now = self.ledger.clock.now();
+            let now = self.recorder.clock.now();
             for event in reader.push(&part) {
                 match event {
                     StreamEvent::Text(text) => received.add(&text, now),
--- a/crates/lab/src/load/plan.rs
+++ b/crates/lab/src/load/plan.rs
@@ -9,9 +9,9 @@
 use super::words;
 use crate::scenario::{BatchScenario, Lengths, OnlineScenario, Scenario};
 
-/// Streams of the generator, one for each kind of arrival, so that one does not move another.
+/// Streams of the rng, one for each kind of arrival, so that one does not move another.
 #[derive(Clone, Copy)]
-enum Draw {
+enum RngStream {
     Bursts = 1,
     Online = 2,
     Once = 3,
@@ -102,7 +102,7 @@
 
 impl LoadPlan {
     /// Draws the arrivals of a scenario for a seed and a length of the load.
-    pub fn draw(scenario: &Scenario, seed: u64, length: Duration) -> LoadPlan {
+    pub fn generate(scenario: &Scenario, seed: u64, length: Duration) -> LoadPlan {
         let bursts = draw_bursts(&scenario.online, seed, length);
         let mut online = draw_online(scenario, seed, length, &bursts);
         online.extend(draw_once(scenario, seed, length));
@@ -119,48 +119,48 @@
 impl JobArrival {
     /// The items of the job.
     pub fn items(&self, batch: &BatchScenario) -> Vec<ItemPlan> {
-        let mut generator = ChaCha8Rng::seed_from_u64(self.seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let system = words::text(self.seed, batch.shared_prefix);
         (0..self.items)
             .map(|index| {
-                let prompt = draw_length(&batch.prompt, &mut generator);
-                let own_words = prompt.saturating_sub(batch.shared_prefix).max(1);
+                let prompt = draw_length(&batch.prompt, &mut rng);
+                let unique_words = prompt.saturating_sub(batch.shared_prefix).max(1);
                 let custom_id = format!("{}-item-{index}", self.name);
                 ItemPlan {
-                    user: format!("{custom_id} {}", words::text(generator.random(), own_words)),
+                    user: format!("{custom_id} {}", words::text(rng.random(), unique_words)),
                     custom_id,
                     system: system.clone(),
-                    max_tokens: draw_length(&batch.output, &mut generator),
+                    max_tokens: draw_length(&batch.output, &mut rng),
                 }
             })
             .collect()
     }
 }
 
-fn generator(seed: u64, draw: Draw) -> ChaCha8Rng {
-    let mut generator = ChaCha8Rng::seed_from_u64(seed);
-    generator.set_stream(draw as u64);
-    generator
+fn rng(seed: u64, stream: RngStream) -> ChaCha8Rng {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    rng.set_stream(stream as u64);
+    rng
 }
 
 /// A time between two events that come `per_s` times a second.
-fn draw_gap(per_s: f64, generator: &mut ChaCha8Rng) -> Duration {
-    let seconds = Exp::new(per_s).map_or(f64::INFINITY, |gap| gap.sample(generator));
+fn draw_gap(per_s: f64, rng: &mut ChaCha8Rng) -> Duration {
+    let seconds = Exp::new(per_s).map_or(f64::INFINITY, |gap| gap.sample(rng));
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-fn draw_length(lengths: &Lengths, generator: &mut ChaCha8Rng) -> u32 {
+fn draw_length(lengths: &Lengths, rng: &mut ChaCha8Rng) -> u32 {
     let drawn = LogNormal::new(lengths.median.ln(), lengths.sigma)
-        .map_or(lengths.median, |spread| spread.sample(generator));
+        .map_or(lengths.median, |spread| spread.sample(rng));
     (drawn as u32).clamp(lengths.least, lengths.most)
 }
 
 /// Arrivals of a Poisson process of one rate within a span.
-fn poisson(per_s: f64, from: Duration, to: Duration, generator: &mut ChaCha8Rng) -> Vec<Duration> {
+fn poisson(per_s: f64, from: Duration, to: Duration, rng: &mut ChaCha8Rng) -> Vec<Duration> {
     let mut times = Vec::new();
     let mut at = from;
     loop {
-        at = at.saturating_add(draw_gap(per_s, generator));
+        at = at.saturating_add(draw_gap(per_s, rng));
         if at >= to {
             return times;
         }
@@ -170,12 +170,12 @@
 
 /// Bursts last between half and one and a half times the mean, and so do the gaps.
 fn draw_bursts(online: &OnlineScenario, seed: u64, length: Duration) -> Vec<(Duration, Duration)> {
-    let mut generator = generator(seed, Draw::Bursts);
+    let mut rng = rng(seed, RngStream::Bursts);
     let mut bursts = Vec::new();
     let mut at = Duration::ZERO;
     while at < length {
-        let start = at + around(online.quiet_s, &mut generator);
-        let end = start + around(online.busy_s, &mut generator);
+        let start = at + jittered(online.quiet_s, &mut rng);
+        let end = start + jittered(online.busy_s, &mut rng);
         if start < length {
             bursts.push((start, end.min(length)));
         }
@@ -184,8 +184,8 @@
     bursts
 }
 
-fn around(seconds: f64, generator: &mut ChaCha8Rng) -> Duration {
-    Duration::from_secs_f64(seconds * generator.random_range(0.5..1.5))
+fn jittered(seconds: f64, rng: &mut ChaCha8Rng) -> Duration {
+    Duration::from_secs_f64(seconds * rng.random_range(0.5..1.5))
 }
 
 fn draw_online(
@@ -195,11 +195,11 @@
     bursts: &[(Duration, Duration)],
 ) -> Vec<OnlineArrival> {
     let online = &scenario.online;
-    let mut generator = generator(seed, Draw::Online);
-    let mut times = poisson(online.quiet_per_s, Duration::ZERO, length, &mut generator);
+    let mut rng = rng(seed, RngStream::Online);
+    let mut times = poisson(online.quiet_per_s, Duration::ZERO, length, &mut rng);
     let added = (online.busy_per_s - online.quiet_per_s).max(0.0);
     for (start, end) in bursts {
-        times.extend(poisson(added, *start, *end, &mut generator));
+        times.extend(poisson(added, *start, *end, &mut rng));
     }
     times.sort();
     times
@@ -207,22 +207,22 @@
         .enumerate()
         .map(|(index, at)| {
             let name = format!("online-{index}");
-            draw_request(scenario, seed, at, name, &mut generator)
+            draw_request(scenario, seed, at, name, &mut rng)
         })
         .collect()
 }
 
 fn draw_once(scenario: &Scenario, seed: u64, length: Duration) -> Vec<OnlineArrival> {
     let once = &scenario.once;
-    let mut generator = generator(seed, Draw::Once);
-    poisson(once.per_s, Duration::ZERO, length, &mut generator)
+    let mut rng = rng(seed, RngStream::Once);
+    poisson(once.per_s, Duration::ZERO, length, &mut rng)
         .into_iter()
         .enumerate()
         .map(|(index, at)| {
             let name = format!("once-{index}");
-            let mut request = draw_request(scenario, seed, at, name, &mut generator);
-            let resend = generator.random_range(0..100) < once.resend_percent;
-            let wait = generator.random_range(0..=once.resend_within_ms);
+            let mut request = draw_request(scenario, seed, at, name, &mut rng);
+            let resend = rng.random_range(0..100) < once.resend_percent;
+            let wait = rng.random_range(0..=once.resend_within_ms);
             request.tenant = ONCE_TENANT.to_owned();
             request.once = Some(OnceArrival {
                 key: format!("order-{seed}-{index}"),
@@ -234,22 +234,17 @@
 }
 
 fn draw_refused(scenario: &Scenario, seed: u64, length: Duration) -> Vec<OnlineArrival> {
-    let mut generator = generator(seed, Draw::Refused);
-    poisson(
-        scenario.refused.per_s,
-        Duration::ZERO,
-        length,
-        &mut generator,
-    )
-    .into_iter()
-    .enumerate()
-    .map(|(index, at)| {
-        let name = format!("limited-{index}");
-        let mut request = draw_request(scenario, seed, at, name, &mut generator);
-        request.tenant.clone_from(&scenario.refused.tenant);
-        request
-    })
-    .collect()
+    let mut rng = rng(seed, RngStream::Refused);
+    poisson(scenario.refused.per_s, Duration::ZERO, length, &mut rng)
+        .into_iter()
+        .enumerate()
+        .map(|(index, at)| {
+            let name = format!("limited-{index}");
+            let mut request = draw_request(scenario, seed, at, name, &mut rng);
+            request.tenant.clone_from(&scenario.refused.tenant);
+            request
+        })
+        .collect()
 }
 
 fn draw_request(
@@ -257,21 +252,21 @@
     seed: u64,
     at: Duration,
     name: String,
-    generator: &mut ChaCha8Rng,
+    rng: &mut ChaCha8Rng,
 ) -> OnlineArrival {
     let online = &scenario.online;
-    let session = generator.random_range(0..online.sessions);
+    let session = rng.random_range(0..online.sessions);
     let topic = u64::from(session % online.topics);
-    let prompt = draw_length(&online.prompt, generator);
-    let own_words = prompt.saturating_sub(online.shared_prefix).max(1);
+    let prompt = draw_length(&online.prompt, rng);
+    let unique_words = prompt.saturating_sub(online.shared_prefix).max(1);
     OnlineArrival {
         at,
         sidecar: session as usize % scenario.sidecar_count(),
         tenant: online.tenant.clone(),
         session: format!("session-{session}"),
         system: words::text(seed ^ topic, online.shared_prefix),
-        user: format!("{name} {}", words::text(generator.random(), own_words)),
-        max_tokens: draw_length(&online.output, generator),
+        user: format!("{name} {}", words::text(rng.random(), unique_words)),
+        max_tokens: draw_length(&online.output, rng),
         deadline_ms: online.deadline_ms,
         once: None,
         name,
@@ -280,17 +275,17 @@
 
 fn draw_jobs(scenario: &Scenario, seed: u64, length: Duration) -> Vec<JobArrival> {
     let batch = &scenario.batch;
-    let mut generator = generator(seed, Draw::Batch);
+    let mut rng = rng(seed, RngStream::Batch);
     let last = length.mul_f64(f64::from(batch.until_percent) / 100.0);
     let mut jobs = Vec::new();
-    let mut heap_at = Duration::from_secs_f64(batch.first_s);
-    while heap_at < last {
+    let mut wave_at = Duration::from_secs_f64(batch.first_s);
+    while wave_at < last {
         for _ in 0..batch.jobs {
             let number = jobs.len() as u32 + 1;
-            let at = heap_at + Duration::from_millis(generator.random_range(0..300));
-            jobs.push(draw_job(scenario, seed, at, number, &mut generator));
+            let at = wave_at + Duration::from_millis(rng.random_range(0..300));
+            jobs.push(draw_job(scenario, seed, at, number, &mut rng));
         }
-        heap_at += around(batch.every_s, &mut generator).clamp(
+        wave_at += jittered(batch.every_s, &mut rng).clamp(
             Duration::from_secs_f64(batch.every_s * 0.9),
             Duration::from_secs_f64(batch.every_s * 1.1),
         );
@@ -304,20 +299,20 @@
     seed: u64,
     at: Duration,
     number: u32,
-    generator: &mut ChaCha8Rng,
+    rng: &mut ChaCha8Rng,
 ) -> JobArrival {
     let batch = &scenario.batch;
     let one_in = |every: u32| every > 0 && number.is_multiple_of(every);
-    let tenant = generator.random_range(0..batch.tenants.len());
-    let cancel_after = Duration::from_millis(generator.random_range(300..2_500));
+    let tenant = rng.random_range(0..batch.tenants.len());
+    let cancel_after = Duration::from_millis(rng.random_range(300..2_500));
     JobArrival {
         at,
         name: format!("job-{seed}-{number}"),
-        sidecar: generator.random_range(0..scenario.sidecar_count()),
+        sidecar: rng.random_range(0..scenario.sidecar_count()),
         tenant: batch.tenants[tenant].clone(),
-        items: generator.random_range(batch.items / 2..=batch.items + batch.items / 2),
+        items: rng.random_range(batch.items / 2..=batch.items + batch.items / 2),
         cancel_after: one_in(batch.cancel_every).then_some(cancel_after),
         resend: one_in(batch.resend_every),
-        seed: generator.random(),
+        seed: rng.random(),
     }
 }
--- a/crates/lab/src/load/results.rs
+++ b/crates/lab/src/load/results.rs
@@ -7,18 +7,18 @@
 
 use super::expected::{Expected, canonical};
 use super::plan::ItemPlan;
-use crate::ledger::{ItemFinding, JobResults};
+use crate::observations::{ItemFinding, JobResults};
 
 /// Most characters shown of a result that is no answer.
-const SHOWN_CHARACTERS: usize = 300;
+const MAX_SHOWN_CHARACTERS: usize = 300;
 
 /// Judges the lines of a job's output and error files.
-pub fn judge(lines: &[u8], items: &[ItemPlan], versions: &[String]) -> JobResults {
+pub fn check_results(lines: &[u8], items: &[ItemPlan], versions: &[String]) -> JobResults {
     let mut found = by_custom_id(lines);
     let mut results = JobResults::default();
     for item in items {
         let values = found.remove(&item.custom_id).unwrap_or_default();
-        match judge_item(item, &values, versions) {
+        match check_item(item, &values, versions) {
             None => {
                 results.right += 1;
                 results.fingerprint ^= hash_bytes(values[0].to_string().as_bytes());
@@ -44,7 +44,7 @@
     found
 }
 
-fn judge_item(item: &ItemPlan, values: &[Value], versions: &[String]) -> Option<ItemFinding> {
+fn check_item(item: &ItemPlan, values: &[Value], versions: &[String]) -> Option<ItemFinding> {
     let custom_id = item.custom_id.clone();
     let value = match values {
         [] => return Some(ItemFinding::Missing(custom_id)),
@@ -53,7 +53,11 @@
     };
     let body = &value["response"]["body"];
     let Some(text) = body["choices"][0]["message"]["content"].as_str() else {
-        let shown = value.to_string().chars().take(SHOWN_CHARACTERS).collect();
+        let shown = value
+            .to_string()
+            .chars()
+            .take(MAX_SHOWN_CHARACTERS)
+            .collect();
         return Some(ItemFinding::Failed(shown));
     };
     let expected = Expected {
@@ -61,6 +65,6 @@
         prompt: canonical(&item.system, &item.user),
         max_tokens: item.max_tokens,
     };
-    let wrong = expected.judge_whole(text)?;
+    let wrong = expected.check_complete(text)?;
     Some(ItemFinding::Wrong(format!("{custom_id}: {wrong}")))
 }
--- a/crates/lab/src/measures/batch.rs
+++ b/crates/lab/src/measures/batch.rs
@@ -5,31 +5,31 @@
 
 use dappleyard_report::summary::Measures;
 
-use super::Counted;
+use super::Counters;
 use crate::invariants::{EngineRun, Evidence};
 
 /// Fills in the batch measures.
-pub fn fill(measures: &mut Measures, evidence: &Evidence, counted: &Counted) {
+pub fn fill(measures: &mut Measures, evidence: &Evidence, counters: &Counters) {
     let accepted = accepted_items(evidence);
     let waiting = WaitingItems::new(evidence);
     let finished = FinishedItems::new(evidence);
     measures.batch_items_accepted = accepted;
     measures.batch_repeated_items = finished.repeated;
-    let in_load = |run: &&&EngineRun| run.ended.is_some_and(|ended| counted.in_load(ended));
+    let in_load = |run: &&&EngineRun| run.ended.is_some_and(|ended| counters.in_load(ended));
     let items = finished.last.iter().filter(in_load).count();
-    measures.batch_items_per_s = counted.per_second(items as f64);
+    measures.batch_items_per_s = counters.per_second(items as f64);
     let tokens: f64 = finished
         .useful
         .iter()
-        .map(|run| run.tokens_within(counted.load_start, counted.load_end()))
+        .map(|run| run.tokens_within(counters.load_start, counters.load_end()))
         .sum();
     // The sum of nothing is -0.
-    measures.batch_tokens_per_s = counted.per_second(tokens + 0.0);
+    measures.batch_tokens_per_s = counters.per_second(tokens + 0.0);
     if accepted > 0 {
-        let per_item = counted.store_writes as f64 / accepted as f64;
+        let per_item = counters.store_writes as f64 / accepted as f64;
         measures.store_writes_per_1000_items = Some(per_item * 1_000.0);
     }
-    fill_share(measures, counted, &waiting, &finished.useful);
+    fill_share(measures, counters, &waiting, &finished.useful);
 }
 
 fn accepted_items(evidence: &Evidence) -> u64 {
@@ -82,12 +82,12 @@
         };
         self.repeated += u64::from(finished.len() > 1);
         self.last.push(first);
-        let mut made_again_from = u32::MAX;
+        let mut regenerated_from = u32::MAX;
         for run in runs.iter().rev().filter(|run| run.started <= first.started) {
-            let to = run.to.min(made_again_from);
+            let to = run.to.min(regenerated_from);
             let tokens = to.saturating_sub(run.from);
             self.useful.push(UsefulRun { run, tokens });
-            made_again_from = made_again_from.min(run.from);
+            regenerated_from = regenerated_from.min(run.from);
         }
     }
 }
@@ -95,16 +95,16 @@
 /// Batch tokens of results, while work was waiting, as a share of the idle capacity in that time.
 fn fill_share(
     measures: &mut Measures,
-    counted: &Counted,
+    counters: &Counters,
     waiting: &WaitingItems,
     finished: &[UsefulRun<'_>],
 ) {
     let mut idle = 0.0;
     let mut spans: Vec<(Duration, Duration)> = Vec::new();
-    for (index, samples) in counted.samples.iter().enumerate() {
+    for (index, samples) in counters.samples.iter().enumerate() {
         for pair in samples.windows(2) {
             let (from, to) = (pair[0].at, pair[1].at);
-            if counted.in_load(from) && waiting.throughout(from, to) {
+            if counters.in_load(from) && waiting.throughout(from, to) {
                 idle += pair[1].sample.idle_tokens;
                 if index == 0 {
                     spans.push((from, to));
--- a/crates/lab/src/measures/mod.rs
+++ b/crates/lab/src/measures/mod.rs
@@ -13,9 +13,9 @@
 
 use crate::invariants::Evidence;
 
-/// What the stand-ins counted in a run.
+/// What the stand-ins counters in a run.
 #[derive(Debug, Default)]
-pub struct Counted {
+pub struct Counters {
     /// Start of the load on the run's clock.
     pub load_start: Duration,
     /// Length of the load.
@@ -43,7 +43,7 @@
     pub sample: Sample,
 }
 
-impl Counted {
+impl Counters {
     fn load_end(&self) -> Duration {
         self.load_start + self.load_length
     }
@@ -58,31 +58,31 @@
 }
 
 /// All measures.
-pub fn measures(evidence: &Evidence, counted: &Counted) -> Measures {
+pub fn measures(evidence: &Evidence, counters: &Counters) -> Measures {
     let mut measures = Measures {
-        store_writes_per_s: counted.per_second(counted.store_writes as f64),
-        engine_stall_share: stall_share(counted),
-        process_cores: counted.process_cores,
-        process_rss_mb: counted.process_rss_mb,
+        store_writes_per_s: counters.per_second(counters.store_writes as f64),
+        engine_stall_share: stall_share(counters),
+        process_cores: counters.process_cores,
+        process_rss_mb: counters.process_rss_mb,
         ..Measures::default()
     };
-    online::fill(&mut measures, evidence, counted);
-    batch::fill(&mut measures, evidence, counted);
+    online::fill(&mut measures, evidence, counters);
+    batch::fill(&mut measures, evidence, counters);
     measures
 }
 
 /// Time series.
-pub fn series(evidence: &Evidence, counted: &Counted) -> Series {
-    series::series(evidence, counted)
+pub fn series(evidence: &Evidence, counters: &Counters) -> Series {
+    series::series(evidence, counters)
 }
 
-fn stall_share(counted: &Counted) -> f64 {
-    let stalled = Duration::from_micros(counted.meters.stalled_us);
-    stalled.as_secs_f64() / counted.engine_time.as_secs_f64().max(f64::EPSILON)
+fn stall_share(counters: &Counters) -> f64 {
+    let stalled = Duration::from_micros(counters.meters.stalled_us);
+    stalled.as_secs_f64() / counters.engine_time.as_secs_f64().max(f64::EPSILON)
 }
 
 /// Greatest time of a histogram, microseconds: an hour.
-const GREATEST_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 /// Quantiles at which a distribution is kept.
 const CURVE_QUANTILES: [f64; 15] = [
@@ -90,14 +90,14 @@
 ];
 
 /// A histogram of milliseconds with three digits, kept in microseconds.
-struct Milliseconds {
+struct LatencyHistogram {
     histogram: Histogram<u64>,
 }
 
-impl Milliseconds {
-    fn new() -> Milliseconds {
-        Milliseconds {
-            histogram: Histogram::new_with_bounds(1, GREATEST_US, 3)
+impl LatencyHistogram {
+    fn new() -> LatencyHistogram {
+        LatencyHistogram {
+            histogram: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
                 .expect("the bounds and three digits are allowed"),
         }
     }
--- a/crates/lab/src/measures/online.rs
+++ b/crates/lab/src/measures/online.rs
@@ -4,19 +4,19 @@
 
 use dappleyard_report::summary::{Measures, Percentiles};
 
-use super::{Counted, Milliseconds};
+use super::{Counters, LatencyHistogram};
 use crate::invariants::Evidence;
-use crate::ledger::OnlineRecord;
+use crate::observations::OnlineRecord;
 
 /// Kinds of refusal by which a tenant's own limit speaks.
 const LIMIT_KINDS: [&str; 2] = ["rate_limit_exceeded", "concurrency_limit_exceeded"];
 
 /// Fills in the online measures.
-pub fn fill(measures: &mut Measures, evidence: &Evidence, counted: &Counted) {
+pub fn fill(measures: &mut Measures, evidence: &Evidence, counters: &Counters) {
     let (mut first_token, mut gaps, mut refusals) = (
-        Milliseconds::new(),
-        Milliseconds::new(),
-        Milliseconds::new(),
+        LatencyHistogram::new(),
+        LatencyHistogram::new(),
+        LatencyHistogram::new(),
     );
     for record in &evidence.observations.online {
         if let Some(refusal) = record.refusal() {
@@ -43,14 +43,14 @@
             gaps.add(f64::from(*gap));
         }
     }
-    measures.goodput_per_s = counted.per_second(measures.online_whole as f64);
+    measures.goodput_per_s = counters.per_second(measures.online_whole as f64);
     measures.ttft_ms = first_token.percentiles();
     measures.itl_ms = gaps.percentiles();
     measures.ttft_curve = first_token.curve();
     measures.itl_curve = gaps.curve();
     measures.refusal_ms = refusals.percentiles();
-    measures.steps_to_yield = steps(&counted.meters.probe.steps);
-    measures.never_yielded = counted.meters.probe.never;
+    measures.steps_to_yield = steps(&counters.meters.probe.steps);
+    measures.never_yielded = counters.meters.probe.never;
 }
 
 /// A refusal by the tenant's own limit says nothing of the system's.
--- a/crates/lab/src/measures/series.rs
+++ b/crates/lab/src/measures/series.rs
@@ -5,15 +5,15 @@
 use dappleyard_report::summary::Series;
 
 use super::batch::WaitingItems;
-use super::{Counted, Milliseconds};
+use super::{Counters, LatencyHistogram};
 use crate::invariants::Evidence;
 
 /// Length of an interval.
 const INTERVAL: Duration = Duration::from_millis(250);
 
 /// All series, over the time of the load.
-pub fn series(evidence: &Evidence, counted: &Counted) -> Series {
-    let intervals = counted
+pub fn series(evidence: &Evidence, counters: &Counters) -> Series {
+    let intervals = counters
         .load_length
         .as_millis()
         .div_ceil(INTERVAL.as_millis()) as usize;
@@ -28,33 +28,33 @@
         idle_tokens_per_s: vec![0.0; intervals],
         batch_waiting_items: vec![0; intervals],
     };
-    add_online(&mut series, evidence, counted);
-    add_engines(&mut series, counted);
+    add_online(&mut series, evidence, counters);
+    add_engines(&mut series, counters);
     let waiting = WaitingItems::new(evidence);
     for (index, items) in series.batch_waiting_items.iter_mut().enumerate() {
-        let time = counted.load_start + INTERVAL * index as u32;
+        let time = counters.load_start + INTERVAL * index as u32;
         *items = waiting.at(time).max(0) as u64;
     }
     series
 }
 
 /// The interval of a time, if it is within the load.
-fn interval(counted: &Counted, at: Duration) -> Option<usize> {
-    counted
+fn interval(counters: &Counters, at: Duration) -> Option<usize> {
+    counters
         .in_load(at)
-        .then(|| ((at - counted.load_start).as_millis() / INTERVAL.as_millis()) as usize)
+        .then(|| ((at - counters.load_start).as_millis() / INTERVAL.as_millis()) as usize)
 }
 
-fn add_online(series: &mut Series, evidence: &Evidence, counted: &Counted) {
-    let mut gaps: Vec<Milliseconds> = Vec::new();
-    gaps.resize_with(series.online_sent.len(), Milliseconds::new);
+fn add_online(series: &mut Series, evidence: &Evidence, counters: &Counters) {
+    let mut gaps: Vec<LatencyHistogram> = Vec::new();
+    gaps.resize_with(series.online_sent.len(), LatencyHistogram::new);
     for record in evidence
         .observations
         .online
         .iter()
         .filter(|record| !record.resend)
     {
-        let Some(index) = interval(counted, record.sent) else {
+        let Some(index) = interval(counters, record.sent) else {
             continue;
         };
         series.online_sent[index] += 1;
@@ -71,12 +71,12 @@
 }
 
 /// Widths are means over the samples of an interval, summed over the engines.
-fn add_engines(series: &mut Series, counted: &Counted) {
-    for samples in &counted.samples {
+fn add_engines(series: &mut Series, counters: &Counters) {
+    for samples in &counters.samples {
         let mut seen = vec![0_u32; series.online_running.len()];
         let (mut online, mut batch) = (vec![0.0; seen.len()], vec![0.0; seen.len()]);
         for sample in samples {
-            let Some(index) = interval(counted, sample.at) else {
+            let Some(index) = interval(counters, sample.at) else {
                 continue;
             };
             seen[index] += 1;
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network between processes: delays by zone, cuts and losses.
+//! The simulated network between processes: delays by zone, partitions and losses.
 //!
 //! Each process gets a [`ProcessPolicy`] that knows where it stands; the [`Network`] knows where
 //! every address and process id stands, and which faults hold at present.
@@ -15,7 +15,7 @@
 
 /// Where a process stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Spot {
+pub struct NetworkLocation {
     /// Zone.
     pub zone: String,
     /// Region.
@@ -26,7 +26,7 @@
 
 /// A part of the fleet that is cut off from the rest.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub enum Cut {
+pub enum Partition {
     /// A zone, its sidecars included.
     #[display("zone {_0}")]
     Zone(String),
@@ -35,19 +35,19 @@
     Region(String),
 }
 
-impl Cut {
-    /// Whether a spot is inside.
-    pub fn holds(&self, spot: &Spot) -> bool {
+impl Partition {
+    /// Whether a location is inside.
+    pub fn contains(&self, location: &NetworkLocation) -> bool {
         match self {
-            Cut::Zone(zone) => spot.zone == *zone,
-            Cut::Region(region) => spot.region == *region,
+            Partition::Zone(zone) => location.zone == *zone,
+            Partition::Region(region) => location.region == *region,
         }
     }
 }
 
 #[derive(Debug, Default)]
 struct Faults {
-    cuts: Vec<Cut>,
+    partitions: Vec<Partition>,
     loss: f64,
 }
 
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct Network {
     delays: NetworkScenario,
-    spots: RwLock<HashMap<String, Spot>>,
+    locations: RwLock<HashMap<String, NetworkLocation>>,
     faults: RwLock<Faults>,
 }
 
@@ -64,53 +64,56 @@
     pub fn new(delays: NetworkScenario) -> Arc<Network> {
         Arc::new(Network {
             delays,
-            spots: RwLock::default(),
+            locations: RwLock::default(),
             faults: RwLock::default(),
         })
     }
 
     /// Says where an address or process id stands.
-    pub fn place(&self, name: impl Into<String>, spot: &Spot) {
-        self.spots.write().insert(name.into(), spot.clone());
+    pub fn set_location(&self, name: impl Into<String>, location: &NetworkLocation) {
+        self.locations.write().insert(name.into(), location.clone());
     }
 
-    /// The policy of a process that stands at a spot.
-    pub fn policy(self: &Arc<Self>, spot: &Spot) -> SharedPolicy {
+    /// The policy of a process that stands at a location.
+    pub fn policy(self: &Arc<Self>, location: &NetworkLocation) -> SharedPolicy {
         Arc::new(ProcessPolicy {
             network: self.clone(),
-            own: spot.clone(),
+            location: location.clone(),
         })
     }
 
     /// Cuts a part of the fleet off.
-    pub fn cut(&self, cut: Cut) {
-        self.faults.write().cuts.push(cut);
+    pub fn add_partition(&self, partition: Partition) {
+        self.faults.write().partitions.push(partition);
     }
 
     /// Joins it again.
-    pub fn join(&self, cut: &Cut) {
-        self.faults.write().cuts.retain(|held| held != cut);
+    pub fn remove_partition(&self, partition: &Partition) {
+        self.faults
+            .write()
+            .partitions
+            .retain(|active| active != partition);
     }
 
     /// Share of datagrams lost everywhere, 0 to 1.
-    pub fn lose(&self, share: f64) {
+    pub fn set_loss(&self, share: f64) {
         self.faults.write().loss = share;
     }
 
-    /// State of the path between two spots.
-    pub fn between(&self, one: &Spot, other: &Spot) -> LinkState {
+    /// State of the path between two locations.
+    pub fn link_state(&self, one: &NetworkLocation, other: &NetworkLocation) -> LinkState {
         let faults = self.faults.read();
         LinkState {
             delay: self.delay(one, other),
             cut: faults
-                .cuts
+                .partitions
                 .iter()
-                .any(|cut| cut.holds(one) != cut.holds(other)),
+                .any(|partition| partition.contains(one) != partition.contains(other)),
             loss: faults.loss,
         }
     }
 
-    fn delay(&self, one: &Spot, other: &Spot) -> Duration {
+    fn delay(&self, one: &NetworkLocation, other: &NetworkLocation) -> Duration {
         let mut milliseconds = 0.0;
         if one.sidecar || other.sidecar {
             milliseconds += self.delays.to_clients_ms;
@@ -128,15 +131,15 @@
 #[derive(Debug)]
 struct ProcessPolicy {
     network: Arc<Network>,
-    own: Spot,
+    location: NetworkLocation,
 }
 
 impl LinkPolicy for ProcessPolicy {
     /// Peers that are not known yet are reached without delay.
     fn path(&self, peer: &str) -> LinkState {
-        let spots = self.network.spots.read();
-        spots.get(peer).map_or(LinkState::DIRECT, |spot| {
-            self.network.between(&self.own, spot)
+        let locations = self.network.locations.read();
+        locations.get(peer).map_or(LinkState::DIRECT, |location| {
+            self.network.link_state(&self.location, location)
         })
     }
 }
--- a/crates/lab/src/ledger/mod.rs
+++ b/crates/lab/src/observations/mod.rs
@@ -62,18 +62,18 @@
     pub revisions: Vec<RevisionSample>,
 }
 
-/// The ledger of a run, shared by callers, faults and samplers.
+/// The recorder of a run, shared by callers, faults and samplers.
 #[derive(Debug, Clone)]
-pub struct Ledger {
+pub struct Recorder {
     /// Clock of the run.
     pub clock: RunClock,
     observations: Arc<Mutex<Observations>>,
 }
 
-impl Ledger {
-    /// An empty ledger.
-    pub fn new(clock: RunClock) -> Ledger {
-        Ledger {
+impl Recorder {
+    /// An empty recorder.
+    pub fn new(clock: RunClock) -> Recorder {
+        Recorder {
             clock,
             observations: Arc::default(),
         }
--- a/crates/lab/src/overhead/latency.rs
+++ b/crates/lab/src/overhead/latency.rs
@@ -4,7 +4,7 @@
 
 use dappleyard_engine::HttpEngine;
 
-use super::request::{Outcome, Request, through_sidecar, to_engine};
+use super::request::{Outcome, Request, send_to_engine, send_to_sidecar};
 use super::{quantile, sorted_ms};
 use crate::error::LabError;
 use crate::load::client::client;
@@ -25,13 +25,13 @@
 }
 
 #[derive(Default)]
-struct Times {
+struct Samples {
     first: Vec<Duration>,
     total: Vec<Duration>,
     failed: u32,
 }
 
-impl Times {
+impl Samples {
     fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Whole { first, total, .. } => {
@@ -47,15 +47,15 @@
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
     let engine = HttpEngine::new(Duration::from_secs(2), Duration::from_secs(10));
     let caller = client();
-    let (mut direct, mut through) = (Times::default(), Times::default());
+    let (mut direct, mut through) = (Samples::default(), Samples::default());
     for index in 0..WARM_UP + plan.requests {
         let request = Request {
             text: format!("Which rudder stock fits hull number {index}?"),
             tokens: plan.tokens,
             deadline_ms: None,
         };
-        let by_engine = to_engine(&engine, &plan.engine, &request).await;
-        let by_sidecar = through_sidecar(&caller, &plan.sidecar, &request).await;
+        let by_engine = send_to_engine(&engine, &plan.engine, &request).await;
+        let by_sidecar = send_to_sidecar(&caller, &plan.sidecar, &request).await;
         if index >= WARM_UP {
             direct.add(by_engine);
             through.add(by_sidecar);
--- a/crates/lab/src/overhead/mod.rs
+++ b/crates/lab/src/overhead/mod.rs
@@ -26,21 +26,21 @@
         .about("Measures what sidecar and node add to an engine, and tokens for each core")
         .arg(sidecar())
         .arg(
-            text(
+            option(
                 "engine",
                 "URL",
                 "Base URL of one engine, as the machine list names it",
             )
             .required(true),
         )
-        .arg(count("requests", "400", "Requests each way"))
-        .arg(count("tokens", "16", "Tokens of each answer"))
-        .arg(count(
+        .arg(count_option("requests", "400", "Requests each way"))
+        .arg(count_option("tokens", "16", "Tokens of each answer"))
+        .arg(count_option(
             "streams",
             "200",
             "Streams at once when throughput is measured",
         ))
-        .arg(count("seconds", "8", "Time for throughput, seconds"))
+        .arg(count_option("seconds", "8", "Time for throughput, seconds"))
         .arg(
             Arg::new("processes")
                 .long("processes")
@@ -57,38 +57,38 @@
         .about("Measures goodput and refusals at several rates of arrival")
         .arg(sidecar())
         .arg(
-            text("rates", "A,B,C", "Requests a second, one phase for each")
+            option("rates", "A,B,C", "Requests a second, one phase for each")
                 .default_value("20,40,80,120"),
         )
-        .arg(count("seconds", "6", "Time of each phase, seconds"))
-        .arg(count("tokens", "32", "Tokens of each answer"))
-        .arg(count(
+        .arg(count_option("seconds", "6", "Time of each phase, seconds"))
+        .arg(count_option("tokens", "32", "Tokens of each answer"))
+        .arg(count_option(
             "deadline-ms",
             "2000",
             "Deadline of each request, milliseconds",
         ))
-        .arg(count("seed", "1", "Seed of the arrivals"))
+        .arg(count_option("seed", "1", "Seed of the arrivals"))
 }
 
 fn sidecar() -> Arg {
-    text("sidecar", "URL", "Base URL of a sidecar").default_value("http://127.0.0.1:8080")
+    option("sidecar", "URL", "Base URL of a sidecar").default_value("http://127.0.0.1:8080")
 }
 
-fn text(name: &'static str, value: &'static str, help: &'static str) -> Arg {
+fn option(name: &'static str, value: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_name(value).help(help)
 }
 
-fn count(name: &'static str, default: &'static str, help: &'static str) -> Arg {
-    text(name, "N", help)
+fn count_option(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+    option(name, "N", help)
         .default_value(default)
         .value_parser(value_parser!(u32).range(1..))
 }
 
-fn number(arguments: &ArgMatches, name: &str) -> u32 {
+fn u32_argument(arguments: &ArgMatches, name: &str) -> u32 {
     arguments.get_one::<u32>(name).copied().unwrap_or(1)
 }
 
-fn word(arguments: &ArgMatches, name: &str) -> String {
+fn string_argument(arguments: &ArgMatches, name: &str) -> String {
     arguments
         .get_one::<String>(name)
         .cloned()
@@ -97,16 +97,16 @@
 
 /// Runs `overhead`.
 pub fn run_overhead(arguments: &ArgMatches) -> ExitCode {
-    let sidecar = word(arguments, "sidecar");
+    let sidecar = string_argument(arguments, "sidecar");
     let latency = latency::Plan {
         sidecar: sidecar.clone(),
-        engine: word(arguments, "engine"),
-        requests: number(arguments, "requests"),
-        tokens: number(arguments, "tokens"),
+        engine: string_argument(arguments, "engine"),
+        requests: u32_argument(arguments, "requests"),
+        tokens: u32_argument(arguments, "tokens"),
     };
     let throughput = throughput::Plan {
         sidecar,
-        streams: number(arguments, "streams"),
+        streams: u32_argument(arguments, "streams"),
         time: seconds(arguments),
         processes: arguments
             .get_one::<PathBuf>("processes")
@@ -128,20 +128,20 @@
 }
 
 fn plan_overload(arguments: &ArgMatches) -> Result<overload::Plan, LabError> {
-    let rates = word(arguments, "rates");
+    let rates = string_argument(arguments, "rates");
     let parsed: Result<Vec<f64>, _> = rates.split(',').map(str::parse).collect();
     Ok(overload::Plan {
-        sidecar: word(arguments, "sidecar"),
+        sidecar: string_argument(arguments, "sidecar"),
         rates: parsed.map_err(|error| LabError::usage(format!("--rates {rates}: {error}")))?,
         time: seconds(arguments),
-        tokens: number(arguments, "tokens"),
-        deadline_ms: number(arguments, "deadline-ms"),
-        seed: u64::from(number(arguments, "seed")),
+        tokens: u32_argument(arguments, "tokens"),
+        deadline_ms: u32_argument(arguments, "deadline-ms"),
+        seed: u64::from(u32_argument(arguments, "seed")),
     })
 }
 
 fn seconds(arguments: &ArgMatches) -> Duration {
-    Duration::from_secs(u64::from(number(arguments, "seconds")))
+    Duration::from_secs(u64::from(u32_argument(arguments, "seconds")))
 }
 
 /// The value at a share (0 to 1) of sorted values.
--- a/crates/lab/src/overhead/overload.rs
+++ b/crates/lab/src/overhead/overload.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 
-use super::request::{Outcome, Request, through_sidecar};
+use super::request::{Outcome, Request, send_to_sidecar};
 use super::{quantile, sorted_ms};
 use crate::error::LabError;
 use crate::load::client::client;
@@ -47,13 +47,13 @@
 
 async fn phase(plan: &Plan, rate: f64) -> Result<Vec<Outcome>, LabError> {
     let gaps = Exp::new(rate).map_err(|error| LabError::usage(format!("rate {rate}: {error}")))?;
-    let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let caller = client();
     let started = Instant::now();
     let mut due = Duration::ZERO;
     let mut running = Vec::new();
     while due < plan.time {
-        due += Duration::from_secs_f64(gaps.sample(&mut random));
+        due += Duration::from_secs_f64(gaps.sample(&mut rng));
         tokio::time::sleep(due.saturating_sub(started.elapsed())).await;
         let (caller, sidecar) = (caller.clone(), plan.sidecar.clone());
         let request = Request {
@@ -62,7 +62,7 @@
             deadline_ms: Some(plan.deadline_ms),
         };
         running.push(actix_rt::spawn(async move {
-            through_sidecar(&caller, &sidecar, &request).await
+            send_to_sidecar(&caller, &sidecar, &request).await
         }));
     }
     let ended = futures::future::join_all(running).await;
--- a/crates/lab/src/overhead/request.rs
+++ b/crates/lab/src/overhead/request.rs
@@ -50,7 +50,7 @@
 }
 
 /// Sends a request through a sidecar and reads its events.
-pub async fn through_sidecar(client: &Client, base: &str, request: &Request) -> Outcome {
+pub async fn send_to_sidecar(client: &Client, base: &str, request: &Request) -> Outcome {
     let body = json!({
         "model": SERVICE,
         "messages": [
@@ -112,7 +112,7 @@
 }
 
 /// Sends the same request to an engine directly.
-pub async fn to_engine(engine: &HttpEngine, base: &str, request: &Request) -> Outcome {
+pub async fn send_to_engine(engine: &HttpEngine, base: &str, request: &Request) -> Outcome {
     let message = |role: &str, text: &str| PromptMessage {
         role: role.to_owned(),
         text: text.to_owned(),
--- a/crates/lab/src/overhead/throughput.rs
+++ b/crates/lab/src/overhead/throughput.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 
 use super::processes::processor_seconds;
-use super::request::{Outcome, Request, through_sidecar};
+use super::request::{Outcome, Request, send_to_sidecar};
 use crate::error::LabError;
 use crate::load::client::client;
 
@@ -67,7 +67,7 @@
             tokens: TOKENS,
             deadline_ms: None,
         };
-        match through_sidecar(caller, &plan.sidecar, &request).await {
+        match send_to_sidecar(caller, &plan.sidecar, &request).await {
             Outcome::Whole { .. } => tokens += u64::from(TOKENS),
             Outcome::Refused { .. } => refused += 1,
         }
--- a/crates/lab/src/replay/stepwise.rs
+++ b/crates/lab/src/replay/calls.rs
@@ -8,8 +8,8 @@
 use dappleyard_decide::once::{OnceAttempt, OnceDecision, decide, give_up, may_settle, settle};
 use dappleyard_wire::messages::{ChunkRow, JobRow, OnceOutcome, OnceRow, Repeat};
 
-use super::machine::Calls;
-use super::trace::{ChunkWish, Input};
+use super::state::PendingCalls;
+use super::trace::{ChunkAction, Input};
 
 /// A write that is on its way, with the revision that it expects. A commit compares the job too.
 enum Write {
@@ -20,14 +20,14 @@
 
 /// The rows, with their revisions, and the calls on their way.
 #[derive(Default)]
-pub struct Stepwise {
+pub struct CallReplay {
     chunk: (ChunkRow, u64),
     cancelled: bool,
     once: (Option<OnceRow>, u64),
-    calls: Calls<Write>,
+    calls: PendingCalls<Write>,
 }
 
-impl Stepwise {
+impl CallReplay {
     /// Takes one input and names the decision on it.
     pub fn step(&mut self, input: &Input) -> String {
         match input {
@@ -41,7 +41,7 @@
                     node: node.clone(),
                     incarnation: *incarnation,
                 };
-                self.wish(&claimant, wish, call)
+                self.chunk_action(&claimant, wish, call)
             }
             Input::CancelJob => {
                 self.cancelled = true;
@@ -55,7 +55,7 @@
                 writer,
                 writing,
                 call,
-            } => self.ask(writer, *writing, call),
+            } => self.request_key(writer, *writing, call),
             Input::OnceSettle {
                 writer,
                 kind,
@@ -75,30 +75,30 @@
         }
     }
 
-    fn wish(&mut self, claimant: &Claimant, wish: &ChunkWish, call: &str) -> String {
+    fn chunk_action(&mut self, claimant: &Claimant, wish: &ChunkAction, call: &str) -> String {
         let row = self.chunk.0.clone();
         match wish {
-            ChunkWish::Claim { holder_gone } => match claim(&row, claimant, *holder_gone) {
+            ChunkAction::Claim { holder_gone } => match claim(&row, claimant, *holder_gone) {
                 ClaimDecision::Write(next) => {
                     let epoch = next.epoch;
                     self.send_chunk(call, next, &format!("claims under epoch {epoch}"))
                 }
                 other => format!("claim: {}", claim_name(&other)),
             },
-            ChunkWish::Reopen { holder_gone } => match reopen(&row, claimant, *holder_gone) {
+            ChunkAction::Reopen { holder_gone } => match reopen(&row, claimant, *holder_gone) {
                 Some(next) => {
                     let epoch = next.epoch;
                     self.send_chunk(call, next, &format!("opens again under epoch {epoch}"))
                 }
                 None => "may not be opened again".to_owned(),
             },
-            ChunkWish::Start if !may_start_item(&row, 0) => "item settled as unknown".to_owned(),
-            ChunkWish::Start if row.repeat() == Repeat::Never => {
+            ChunkAction::Start if !may_start_item(&row, 0) => "item settled as unknown".to_owned(),
+            ChunkAction::Start if row.repeat() == Repeat::Never => {
                 let next = mark_started(&row, 0);
                 self.send_chunk(call, next, "item marked before it starts")
             }
-            ChunkWish::Start => "item may start".to_owned(),
-            ChunkWish::Commit { epoch } => self.commit(*epoch, call),
+            ChunkAction::Start => "item may start".to_owned(),
+            ChunkAction::Commit { epoch } => self.commit(*epoch, call),
         }
     }
 
@@ -130,7 +130,7 @@
         decision.to_owned()
     }
 
-    fn ask(&mut self, writer: &str, writing: bool, call: &str) -> String {
+    fn request_key(&mut self, writer: &str, writing: bool, call: &str) -> String {
         match decide(self.once.0.as_ref(), &attempt(writer), writing) {
             OnceDecision::Create(next) => self.send_once(call, Some(next), "takes the key"),
             OnceDecision::Run => "runs".to_owned(),
--- a/crates/lab/src/replay/mod.rs
+++ b/crates/lab/src/replay/mod.rs
@@ -2,14 +2,14 @@
 //! with the one that the trace states.
 //!
 //! A trace holds inputs, deliveries and losses in order, and what was decided on each ([`trace`]).
-//! [`machine::Machine`] keeps the rows and assemblies that the decisions rest on. Recorded traces hold
+//! [`state::ReplayState`] keeps the rows and assemblies that the decisions rest on. Recorded traces hold
 //! the transactions of the table service; [`rows`] asks which decision explains each changed row.
 
+mod calls;
 mod configuration;
-mod machine;
 mod record;
 mod rows;
-mod stepwise;
+mod state;
 pub mod trace;
 
 use std::path::{Path, PathBuf};
@@ -18,7 +18,7 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 
 use crate::error::{LabError, report};
-use machine::Machine;
+use state::ReplayState;
 use trace::{Outcome, Trace};
 
 pub use record::{PREFIXES as RECORDED_PREFIXES, write as write_recording};
@@ -89,11 +89,11 @@
 
 /// Replays a trace.
 pub fn replay(trace: &Trace) -> Replayed {
-    let mut machine = Machine::default();
+    let mut replay_state = ReplayState::default();
     let mut outcome = Outcome::new();
     let mut differences = Vec::new();
     for (number, step) in (1..).zip(&trace.steps) {
-        let decided = machine.step(&step.input);
+        let decided = replay_state.step(&step.input);
         for decision in &decided {
             *outcome.entry(decision.clone()).or_default() += 1;
         }
--- a/crates/lab/src/replay/record.rs
+++ b/crates/lab/src/replay/record.rs
@@ -7,8 +7,8 @@
 use dappleyard_standin::platform::HistoryRow;
 use dappleyard_wire::keys::{CHUNK_PREFIX, CONFIGURATION_PREFIX, EPOCH_PREFIX, JOB_PREFIX};
 
-use super::machine::Machine;
 use super::rows::ONCE_PREFIX;
+use super::state::ReplayState;
 use super::trace::{FORMAT, Header, Input, Outcome, RowChange, Step, Trace};
 use crate::error::LabError;
 
@@ -29,7 +29,7 @@
 }
 
 fn trace_of(about: &str, history: &[HistoryRow]) -> Trace {
-    let mut machine = Machine::default();
+    let mut replay_state = ReplayState::default();
     let mut outcome = Outcome::new();
     let mut steps = Vec::new();
     for rows in history.chunk_by(|left, right| left.revision == right.revision) {
@@ -37,7 +37,7 @@
             revision: rows[0].revision,
             rows: rows.iter().map(change).collect(),
         };
-        let decided = machine.step(&input);
+        let decided = replay_state.step(&input);
         for decision in &decided {
             *outcome.entry(decision.clone()).or_default() += 1;
         }
--- a/crates/lab/src/replay/rows.rs
+++ b/crates/lab/src/replay/rows.rs
@@ -146,7 +146,7 @@
     if is_committed(before, after, cancelled) {
         return "result committed";
     }
-    if is_marked(before, after) {
+    if is_item_started(before, after) {
         return "item marked before its start";
     }
     UNEXPLAINED
@@ -189,7 +189,7 @@
     }
 }
 
-fn is_marked(before: &ChunkRow, after: &ChunkRow) -> bool {
+fn is_item_started(before: &ChunkRow, after: &ChunkRow) -> bool {
     let expected = ChunkRow {
         started_items: after.started_items,
         ..before.clone()
--- a/crates/lab/src/replay/machine.rs
+++ b/crates/lab/src/replay/state.rs
@@ -5,9 +5,9 @@
 use dappleyard_decide::fence::{OrderPosition, admits};
 use dappleyard_decide::reassembly::{Assembly, AssemblyBounds};
 
+use super::calls::CallReplay;
 use super::configuration::ConfigurationReplay;
 use super::rows::RowReplay;
-use super::stepwise::Stepwise;
 use super::trace::Input;
 
 /// Bounds of a replayed answer.
@@ -17,19 +17,19 @@
 };
 
 /// All state of a replay.
-pub struct Machine {
+pub struct ReplayState {
     rows: RowReplay,
-    stepwise: Stepwise,
+    calls: CallReplay,
     configuration: ConfigurationReplay,
     applied: OrderPosition,
     assembly: Assembly,
 }
 
-impl Default for Machine {
+impl Default for ReplayState {
     fn default() -> Self {
         Self {
             rows: RowReplay::default(),
-            stepwise: Stepwise::default(),
+            calls: CallReplay::default(),
             configuration: ConfigurationReplay::default(),
             applied: OrderPosition::default(),
             assembly: Assembly::new(BOUNDS),
@@ -37,7 +37,7 @@
     }
 }
 
-impl Machine {
+impl ReplayState {
     /// Takes one input and names the decisions on it.
     pub fn step(&mut self, input: &Input) -> Vec<String> {
         match input {
@@ -49,7 +49,7 @@
             Input::Accepted { .. } | Input::Pieces { .. } | Input::Finish { .. } => {
                 vec![self.assemble(input)]
             }
-            _ => vec![self.stepwise.step(input)],
+            _ => vec![self.calls.step(input)],
         }
     }
 
@@ -90,4 +90,4 @@
 }
 
 /// Values by name of the call that is on its way.
-pub type Calls<T> = BTreeMap<String, T>;
+pub type PendingCalls<T> = BTreeMap<String, T>;
--- a/crates/lab/src/replay/trace.rs
+++ b/crates/lab/src/replay/trace.rs
@@ -53,7 +53,7 @@
         /// Its incarnation.
         incarnation: u64,
         /// What it wants.
-        wish: ChunkWish,
+        wish: ChunkAction,
         /// Name of the call to the store, for [`Input::Deliver`].
         call: String,
     },
@@ -155,7 +155,7 @@
 /// What a node wants with the chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ChunkWish {
+pub enum ChunkAction {
     /// Claim it.
     Claim {
         /// Membership believes the holder gone.
--- a/crates/lab/src/run/arguments.rs
+++ b/crates/lab/src/run/arguments.rs
@@ -110,7 +110,7 @@
         let policy_name: &String = arguments
             .get_one("policy")
             .ok_or_else(|| LabError::usage("--policy is required"))?;
-        let policy = Policy::of_name(policy_name);
+        let policy = Policy::from_name(policy_name);
         Ok(RunArguments {
             faults: faults.unwrap_or_default(),
             fault_name: file("faults").map(|path| stem(path)).unwrap_or_default(),
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -1,4 +1,4 @@
-//! Gathers the evidence of a run from the ledger and the stand-ins.
+//! Gathers the evidence of a run from the recorder and the stand-ins.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,18 +9,18 @@
 
 use crate::fleet::Fleet;
 use crate::invariants::{EngineRun, Evidence};
-use crate::ledger::{ConfigurationAccepted, Event, Observations};
-use crate::measures::{Counted, EngineSample};
+use crate::measures::{Counters, EngineSample};
+use crate::observations::{ConfigurationAccepted, Event, Observations};
 
 /// Takes all evidence at the end of a run.
 pub fn evidence(fleet: &Fleet) -> Evidence {
-    let observations = fleet.ledger.take();
+    let observations = fleet.recorder.take();
     assemble(fleet, observations)
 }
 
-/// Evidence so far; the ledger keeps its own.
+/// Evidence so far; the recorder keeps its own.
 pub fn evidence_so_far(fleet: &Fleet) -> Evidence {
-    let observations = fleet.ledger.read(|seen| Observations {
+    let observations = fleet.recorder.read(|seen| Observations {
         online: seen.online.clone(),
         jobs: Vec::new(),
         events: seen.events.clone(),
@@ -31,9 +31,10 @@
 
 fn assemble(fleet: &Fleet, mut observations: Observations) -> Evidence {
     observations.events.extend(configuration_changes(fleet));
-    let zero = fleet.engines.started();
-    let clock = fleet.ledger.clock;
-    let offset = |microseconds: u64| clock.offset(zero + Duration::from_micros(microseconds));
+    let engines_started = fleet.engines.started();
+    let clock = fleet.recorder.clock;
+    let offset =
+        |microseconds: u64| clock.offset(engines_started + Duration::from_micros(microseconds));
     let records = fleet.engines.records();
     Evidence {
         observations,
@@ -55,7 +56,7 @@
             Event::Configuration(ConfigurationAccepted {
                 key: change.keys.join(", "),
                 revision: change.revision,
-                accepted: fleet.ledger.clock.offset(change.at),
+                accepted: fleet.recorder.clock.offset(change.at),
             })
         })
         .collect()
@@ -79,13 +80,13 @@
 
 /// Samples of all engines on the run's clock.
 pub fn samples(fleet: &Fleet) -> Vec<Vec<EngineSample>> {
-    let zero: Instant = fleet.engines.started();
-    let clock = fleet.ledger.clock;
+    let engines_started: Instant = fleet.engines.started();
+    let clock = fleet.recorder.clock;
     let on_clock = |server: &str| {
         let samples = fleet.engines.samples(server).into_iter();
         samples
             .map(|sample| EngineSample {
-                at: clock.offset(zero + Duration::from_micros(sample.at_us)),
+                at: clock.offset(engines_started + Duration::from_micros(sample.at_us)),
                 sample,
             })
             .collect()
@@ -100,15 +101,15 @@
     counts.values().map(|counts| counts.transactions).sum()
 }
 
-/// What the stand-ins counted, without what is known only at the end of the load.
-pub fn counted(fleet: &Fleet, load_start: Duration, load_length: Duration) -> Counted {
-    let lived = fleet.engines.started().elapsed();
-    Counted {
+/// What the stand-ins counters, without what is known only at the end of the load.
+pub fn counters(fleet: &Fleet, load_start: Duration, load_length: Duration) -> Counters {
+    let uptime = fleet.engines.started().elapsed();
+    Counters {
         load_start,
         load_length,
         samples: samples(fleet),
         meters: fleet.engines.meters(),
-        engine_time: lived * fleet.servers.len() as u32,
-        ..Counted::default()
+        engine_time: uptime * fleet.servers.len() as u32,
+        ..Counters::default()
     }
 }
--- a/crates/lab/src/run/decisions.rs
+++ b/crates/lab/src/run/decisions.rs
@@ -7,12 +7,12 @@
 
 use crate::fleet::Fleet;
 use crate::invariants::Evidence;
-use crate::ledger::Event;
+use crate::observations::Event;
 
 /// Time around a fault in which decisions are kept.
 const MARGIN: Duration = Duration::from_secs(2);
 /// Most decisions kept for one fault.
-const KEPT_FOR_A_FAULT: usize = 60;
+const MAX_DECISIONS_PER_FAULT: usize = 60;
 
 /// Decisions of the nodes that still run, around the faults; oldest first.
 pub fn around_faults(
@@ -30,7 +30,7 @@
             let at = decisions[*index].0;
             at >= from && at <= to
         });
-        near.take(KEPT_FOR_A_FAULT)
+        near.take(MAX_DECISIONS_PER_FAULT)
             .for_each(|index| kept[index] = true);
     }
     let lines = decisions.iter().zip(kept).filter(|(_, kept)| *kept);
@@ -40,7 +40,7 @@
 }
 
 fn on_run_clock(fleet: &Fleet) -> Vec<(Duration, Decision)> {
-    let now = fleet.ledger.clock.now();
+    let now = fleet.recorder.clock.now();
     let unix_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis());
--- a/crates/lab/src/run/mod.rs
+++ b/crates/lab/src/run/mod.rs
@@ -3,9 +3,9 @@
 mod arguments;
 mod collect;
 mod decisions;
-mod one;
 mod process;
 mod progress;
+mod seed_run;
 mod table;
 
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 use crate::error::{LabError, report};
 
 pub use arguments::{RunArguments, command};
-pub use one::{RunOutcome, run_one};
+pub use seed_run::{RunOutcome, run_seed};
 
 /// Runs the scenario, once for each seed.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
@@ -26,7 +26,7 @@
     let mut failures = Vec::new();
     for seed in arguments.seeds() {
         let directory = arguments.directory(seed);
-        let outcome = actix_rt::System::new().block_on(run_one(arguments, seed, &directory))?;
+        let outcome = actix_rt::System::new().block_on(run_seed(arguments, seed, &directory))?;
         table::print(&outcome.summary, &directory);
         let found = outcome.failures.into_iter();
         failures.extend(found.map(|failure| format!("seed {seed}: {failure}")));
--- a/crates/lab/src/run/progress.rs
+++ b/crates/lab/src/run/progress.rs
@@ -8,7 +8,7 @@
 
 /// Prints the state of the run.
 pub fn print(fleet: &Fleet, since_start: Duration, phase: &str) {
-    let (online, whole, refused, jobs) = fleet.ledger.read(|seen| {
+    let (online, whole, refused, jobs) = fleet.recorder.read(|seen| {
         let whole = seen
             .online
             .iter()
@@ -36,7 +36,7 @@
 /// are judged at the end.
 fn invariants_so_far(fleet: &Fleet) -> String {
     let evidence = collect::evidence_so_far(fleet);
-    let verdicts = invariants::judge(&evidence);
+    let verdicts = invariants::check_all(&evidence);
     let checked: u64 = verdicts.values().map(|verdict| verdict.checked).sum();
     let violated: Vec<String> = verdicts
         .iter()
--- a/crates/lab/src/run/one.rs
+++ b/crates/lab/src/run/seed_run.rs
@@ -1,4 +1,4 @@
-//! One run: start the fleet, drive the load and the faults, settle, judge.
+//! One run: start the fleet, drive the load and the faults, settle, check_all.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -15,21 +15,21 @@
 use crate::faults::routine;
 use crate::fleet::Fleet;
 use crate::invariants::{self, Evidence};
-use crate::ledger::{Event, Ledger, RunClock};
-use crate::load::drive::{Callers, ClientMoods, LoadContext};
+use crate::load::drive::{Callers, ClientBehavior, LoadContext};
 use crate::load::plan::LoadPlan;
-use crate::measures::{self, Counted};
+use crate::measures::{self, Counters};
+use crate::observations::{Event, Recorder, RunClock};
 use crate::replay;
 use crate::scenario::Policy;
 
 /// Time between the fleet being ready and the start of the load.
-const LEAD: Duration = Duration::from_millis(1_500);
+const LOAD_START_DELAY: Duration = Duration::from_millis(1_500);
 /// Time between two samples of revisions.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between the end of all callers and the judgement.
-const LAST_LOOK: Duration = Duration::from_millis(300);
+const FINAL_SAMPLE_DELAY: Duration = Duration::from_millis(300);
 
 /// File with all evidence of a run that failed.
 const EVIDENCE_FILE: &str = "evidence.json";
@@ -43,19 +43,19 @@
 }
 
 /// Runs one seed and writes its summary.
-pub async fn run_one(
+pub async fn run_seed(
     arguments: &RunArguments,
     seed: u64,
     directory: &Path,
 ) -> Result<RunOutcome, LabError> {
     let started_unix_s = unix_s();
-    let ledger = Ledger::new(RunClock::start());
+    let recorder = Recorder::new(RunClock::start());
     let scenario = &arguments.scenario;
-    let fleet = Rc::new(Fleet::start(scenario, seed, arguments.policy, ledger).await?);
-    tokio::time::sleep(LEAD).await;
-    let counted = drive(arguments, seed, &fleet).await;
+    let fleet = Rc::new(Fleet::start(scenario, seed, arguments.policy, recorder).await?);
+    tokio::time::sleep(LOAD_START_DELAY).await;
+    let counters = drive(arguments, seed, &fleet).await;
     let evidence = collect::evidence(&fleet);
-    let verdicts = invariants::judge(&evidence);
+    let verdicts = invariants::check_all(&evidence);
     let failures = failures(arguments, &evidence, &verdicts);
     let summary = Summary {
         scenario: scenario.name.clone(),
@@ -65,11 +65,11 @@
         faults: arguments.fault_name.clone(),
         started_unix_s,
         invariants: verdicts,
-        measures: measures::measures(&evidence, &counted),
+        measures: measures::measures(&evidence, &counters),
         not_done: not_done(&evidence),
-        series: measures::series(&evidence, &counted),
-        events: spans(&evidence, counted.load_start),
-        decisions: decisions::around_faults(&fleet, &evidence, counted.load_start),
+        series: measures::series(&evidence, &counters),
+        events: spans(&evidence, counters.load_start),
+        decisions: decisions::around_faults(&fleet, &evidence, counters.load_start),
     };
     summary.write(directory).map_err(LabError::failed)?;
     if !failures.is_empty() {
@@ -90,30 +90,34 @@
 }
 
 /// Drives load and faults to their end.
-async fn drive(arguments: &RunArguments, seed: u64, fleet: &Rc<Fleet>) -> Counted {
-    let load_start = fleet.ledger.clock.now();
-    let moods = Arc::new(ClientMoods::default());
-    let context = load_context(arguments, seed, fleet, load_start, moods.clone());
+async fn drive(arguments: &RunArguments, seed: u64, fleet: &Rc<Fleet>) -> Counters {
+    let load_start = fleet.recorder.clock.now();
+    let client_behavior = Arc::new(ClientBehavior::default());
+    let context = load_context(arguments, seed, fleet, load_start, client_behavior.clone());
     let mut faults = routine::events(&arguments.scenario.routine, arguments.length);
     faults.extend(arguments.faults.fault.iter().cloned());
-    let injector = Injector::new(fleet.clone(), moods, load_start);
+    let injector = Injector::new(fleet.clone(), client_behavior, load_start);
     let injecting = actix_rt::spawn(injector.run(faults, seed));
-    let watching = actix_rt::spawn(watch(fleet.clone(), load_start, arguments.length));
+    let watching = actix_rt::spawn(sample_and_print(
+        fleet.clone(),
+        load_start,
+        arguments.length,
+    ));
     let process = ProcessTime::now();
     let writes_before = collect::store_writes(fleet);
     let callers = Callers::start(&context);
     tokio::time::sleep(arguments.length).await;
-    let mut counted = collect::counted(fleet, load_start, arguments.length);
-    counted.store_writes = collect::store_writes(fleet) - writes_before;
-    counted.process_cores = process.cores_since();
-    counted.process_rss_mb = rss_mb();
+    let mut counters = collect::counters(fleet, load_start, arguments.length);
+    counters.store_writes = collect::store_writes(fleet) - writes_before;
+    counters.process_cores = process.cores_since();
+    counters.process_rss_mb = rss_mb();
     callers.finish().await;
     // A fault that outlives the load holds on to the fleet; its end is awaited.
     let _ = injecting.await;
-    tokio::time::sleep(LAST_LOOK).await;
+    tokio::time::sleep(FINAL_SAMPLE_DELAY).await;
     watching.abort();
     let _ = watching.await;
-    counted
+    counters
 }
 
 fn load_context(
@@ -121,36 +125,36 @@
     seed: u64,
     fleet: &Fleet,
     start: Duration,
-    moods: Arc<ClientMoods>,
+    client_behavior: Arc<ClientBehavior>,
 ) -> LoadContext {
     let scenario = &arguments.scenario;
-    let mut plan = LoadPlan::draw(scenario, seed, arguments.length);
+    let mut plan = LoadPlan::generate(scenario, seed, arguments.length);
     if arguments.policy == Policy::OnlineOnly {
         plan.jobs.clear();
     }
     let settle = Duration::from_millis(scenario.bounds.settle_ms);
     LoadContext {
         plan: Arc::new(plan),
-        ledger: fleet.ledger.clone(),
+        recorder: fleet.recorder.clone(),
         start,
-        give_up: start + arguments.length + settle,
-        read_again: start + arguments.length,
+        give_up_at: start + arguments.length + settle,
+        reread_at: start + arguments.length,
         sidecars: fleet.sidecar_urls(),
         service: scenario.service.name.clone(),
         batch_service: scenario.batch_service(arguments.policy),
         versions: vec![scenario.service.version.clone()],
         batch: scenario.batch.clone(),
-        moods,
+        client_behavior,
         seed,
     }
 }
 
 /// Samples revisions and prints progress until it is aborted.
-async fn watch(fleet: Rc<Fleet>, load_start: Duration, length: Duration) {
+async fn sample_and_print(fleet: Rc<Fleet>, load_start: Duration, length: Duration) {
     let mut next_line = load_start + PROGRESS_INTERVAL;
     loop {
         fleet.sample_revisions();
-        let now = fleet.ledger.clock.now();
+        let now = fleet.recorder.clock.now();
         if now >= next_line {
             next_line = now + PROGRESS_INTERVAL;
             let phase = if now < load_start + length {
--- a/crates/lab/src/scenario/policy.rs
+++ b/crates/lab/src/scenario/policy.rs
@@ -37,7 +37,7 @@
     }
 
     /// The policy of a name.
-    pub fn of_name(name: &str) -> Option<Policy> {
+    pub fn from_name(name: &str) -> Option<Policy> {
         Policy::ALL.into_iter().find(|policy| policy.name() == name)
     }
 
--- a/crates/lab/tests/invariants.rs
+++ b/crates/lab/tests/invariants.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use dappleyard_lab::faults::FaultKind;
-use dappleyard_lab::invariants::{EngineRun, Evidence, judge};
-use dappleyard_lab::ledger::{
+use dappleyard_lab::invariants::{EngineRun, Evidence, check_all};
+use dappleyard_lab::observations::{
     CancelRecord, ConfigurationAccepted, Drain, Event, FaultRecord, ItemFinding, JobRecord,
     JobResults, OnlineEnd, OnlineRecord, PlannedStop, Refusal, RevisionSample, Unavailable,
 };
@@ -94,16 +94,16 @@
 }
 
 fn violated(evidence: &Evidence, name: &str) -> u64 {
-    judge(evidence)[name].violated
+    check_all(evidence)[name].violated
 }
 
 fn checked(evidence: &Evidence, name: &str) -> u64 {
-    judge(evidence)[name].checked
+    check_all(evidence)[name].checked
 }
 
 #[gtest]
 fn no_evidence_is_not_a_pass() {
-    let verdicts = judge(&evidence());
+    let verdicts = check_all(&evidence());
     expect_that!(verdicts.len(), eq(11));
     expect_that!(
         dappleyard_lab::invariants::failures(&verdicts).len(),
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn exactly_once_sees_lost_doubled_and_wrong_items() {
+fn exactly_once_detects_missing_duplicate_and_wrong_items() {
     let mut evidence = evidence();
     evidence.observations.jobs.push(finished_job());
     expect_that!(violated(&evidence, "exactly_once"), eq(0));
@@ -132,7 +132,7 @@
 }
 
 #[gtest]
-fn exactly_once_sees_unfinished_jobs_and_two_jobs_for_one_key() {
+fn exactly_once_detects_unfinished_jobs_and_two_jobs_for_one_key() {
     let mut evidence = evidence();
     let mut unfinished = finished_job();
     unfinished.results = None;
@@ -145,7 +145,7 @@
 }
 
 #[gtest]
-fn results_readable_sees_results_that_change_or_vanish() {
+fn results_readable_detects_changed_and_missing_results() {
     let mut evidence = evidence();
     let mut vanished = finished_job();
     vanished.results_again = None;
@@ -156,7 +156,7 @@
 }
 
 #[gtest]
-fn cancellation_sees_items_that_begin_later() {
+fn cancellation_detects_items_started_after_the_bound() {
     let mut evidence = evidence();
     let mut job = finished_job();
     job.status = "cancelled".to_owned();
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn online_priority_sees_batch_that_overtakes() {
+fn online_priority_detects_batch_started_first() {
     let mut evidence = evidence();
     evidence.runs.push(run("online", true, 5.0, 5.010));
     evidence.runs.push(run("same-step", false, 4.0, 5.010));
@@ -181,7 +181,7 @@
 }
 
 #[gtest]
-fn online_priority_sees_steps_behind_batch() {
+fn online_priority_detects_too_many_steps_behind_batch() {
     let mut evidence = evidence();
     let mut online = run("online", true, 5.0, 5.5);
     online.steps_behind_batch = 2;
@@ -193,7 +193,7 @@
 }
 
 #[gtest]
-fn stream_integrity_sees_wrong_text_and_silent_ends() {
+fn stream_integrity_detects_wrong_text_and_dropped_connections() {
     let mut evidence = evidence();
     let mut wrong = request("wrong", OnlineEnd::Whole);
     wrong.wrong_text = Some("different".to_owned());
@@ -208,7 +208,7 @@
 }
 
 #[gtest]
-fn truthful_rejection_sees_a_refused_request_that_ran() {
+fn truthful_rejection_detects_a_refused_request_that_ran() {
     let mut evidence = evidence();
     evidence.observations.online = vec![
         request("never-ran", refused("no", "overloaded")),
@@ -221,7 +221,7 @@
 }
 
 #[gtest]
-fn at_most_once_sees_a_key_that_ran_twice() {
+fn at_most_once_detects_a_key_that_ran_twice() {
     let mut evidence = evidence();
     for id in ["first", "second"] {
         let mut sending = request(id, OnlineEnd::Whole);
@@ -235,7 +235,7 @@
 }
 
 #[gtest]
-fn drain_sees_work_that_arrives_late() {
+fn drain_detects_work_arriving_after_the_bound() {
     let mut evidence = evidence();
     evidence.observations.events.push(Event::Drain(Drain {
         server: "server".to_owned(),
@@ -250,7 +250,7 @@
 }
 
 #[gtest]
-fn planned_stop_sees_cut_requests_unless_an_abrupt_fault_hides_them() {
+fn planned_stop_detects_interrupted_requests_unless_an_abrupt_fault_overlaps() {
     let mut evidence = evidence();
     evidence.observations.events.push(Event::Stop(PlannedStop {
         node: "node".to_owned(),
@@ -275,7 +275,7 @@
 }
 
 #[gtest]
-fn planned_stop_sees_a_missed_bound() {
+fn planned_stop_detects_an_exceeded_bound() {
     let mut evidence = evidence();
     evidence.observations.events.push(Event::Stop(PlannedStop {
         node: "node".to_owned(),
@@ -295,7 +295,7 @@
 }
 
 #[gtest]
-fn convergence_sees_a_node_that_lags() {
+fn convergence_detects_a_lagging_node() {
     let mut evidence = evidence();
     evidence.observations.events.push(accepted(5, 1.0));
     evidence.observations.revisions = vec![
@@ -308,7 +308,7 @@
 }
 
 #[gtest]
-fn convergence_waits_for_a_node_that_was_away() {
+fn convergence_allows_an_unavailable_node_to_catch_up() {
     let mut evidence = evidence();
     evidence.observations.events.push(accepted(5, 1.0));
     evidence
@@ -326,7 +326,7 @@
 }
 
 #[gtest]
-fn monotonic_sees_a_revision_that_falls_and_a_start_behind_the_fleet() {
+fn monotonic_detects_a_falling_revision_and_a_restart_behind_the_fleet() {
     let mut evidence = evidence();
     evidence.observations.revisions = vec![
         sample("one", 1, 1.0, 5),
--- a/crates/lab/tests/replay.rs
+++ b/crates/lab/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The kept traces: every outcome must be as stated.
+//! The repo_scenario traces: every outcome must be as stated.
 
 use std::path::PathBuf;
 
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn every_kept_trace_has_its_stated_outcome() {
+fn every_trace_has_its_expected_outcome() {
     expect_that!(traces(), len(ge(11)));
     for path in traces() {
         let replayed = replay_file(&path).expect("a readable trace");
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn a_changed_outcome_is_found() {
+fn a_changed_outcome_is_reported() {
     let path = traces().into_iter().next().expect("a trace");
     let mut trace = Trace::read(&path).expect("a readable trace");
     let last = trace.steps.last_mut().expect("a step");
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn a_trace_survives_writing_and_reading() {
+fn a_trace_round_trips() {
     for path in traces() {
         let trace = Trace::read(&path).expect("a readable trace");
         let text = trace.to_text().expect("text");
--- a/crates/lab/tests/results.rs
+++ b/crates/lab/tests/results.rs
@@ -1,9 +1,9 @@
 //! The check of a job's results sees what is wrong with each item.
 
-use dappleyard_lab::ledger::ItemFinding;
 use dappleyard_lab::load::expected::canonical;
 use dappleyard_lab::load::plan::ItemPlan;
-use dappleyard_lab::load::results::judge;
+use dappleyard_lab::load::results::check_results;
+use dappleyard_lab::observations::ItemFinding;
 use dappleyard_standin::text;
 use googletest::prelude::*;
 use serde_json::json;
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn each_kind_of_wrong_result_is_seen() {
+fn each_kind_of_wrong_result_is_reported() {
     let items: Vec<ItemPlan> = ["right", "doubled", "wrong", "failed", "missing"]
         .map(item)
         .to_vec();
@@ -44,7 +44,7 @@
         json!({"custom_id": "failed", "error": {"code": "internal"}}).to_string(),
         line("foreign", "text"),
     ];
-    let found = judge(lines.join("\n").as_bytes(), &items, &[VERSION.to_owned()]);
+    let found = check_results(lines.join("\n").as_bytes(), &items, &[VERSION.to_owned()]);
     expect_that!(found.right, eq(1));
     expect_that!(
         found.findings,
--- a/crates/lab/tests/scenario.rs
+++ b/crates/lab/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: those kept are sound, unsound ones are refused with the place.
+//! Scenario files: those repo_scenario are sound, unsound ones are refused with the place.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 use dappleyard_lab::scenario::Scenario;
 use googletest::prelude::*;
 
-fn kept(name: &str) -> PathBuf {
+fn repo_scenario(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("../../scenarios")
         .join(name)
 }
 
 fn small_text() -> String {
-    std::fs::read_to_string(kept("small.toml")).expect("kept scenario")
+    std::fs::read_to_string(repo_scenario("small.toml")).expect("kept scenario")
 }
 
 #[gtest]
-fn kept_scenarios_have_the_users_sizes() {
-    let hooghly = Scenario::load(&kept("hooghly.toml")).expect("hooghly");
-    let nile = Scenario::load(&kept("nile.toml")).expect("nile");
+fn repository_scenarios_have_the_expected_sizes() {
+    let hooghly = Scenario::load(&repo_scenario("hooghly.toml")).expect("hooghly");
+    let nile = Scenario::load(&repo_scenario("nile.toml")).expect("nile");
     expect_that!(hooghly.zones.len(), eq(3));
     expect_that!(hooghly.server_count(), eq(12));
     expect_that!(nile.zones.len(), eq(4));
@@ -59,11 +59,11 @@
 
 #[gtest]
 fn arrivals_depend_on_the_seed_only() {
-    let scenario = Scenario::load(&kept("small.toml")).expect("small");
+    let scenario = Scenario::load(&repo_scenario("small.toml")).expect("small");
     let length = Duration::from_secs(8);
-    let first = LoadPlan::draw(&scenario, 7, length);
-    expect_that!(LoadPlan::draw(&scenario, 7, length), eq(&first));
-    expect_that!(LoadPlan::draw(&scenario, 8, length), not(eq(&first)));
+    let first = LoadPlan::generate(&scenario, 7, length);
+    expect_that!(LoadPlan::generate(&scenario, 7, length), eq(&first));
+    expect_that!(LoadPlan::generate(&scenario, 8, length), not(eq(&first)));
     expect_that!(
         first.jobs.iter().any(|job| job.cancel_after.is_some()),
         eq(true)
@@ -74,8 +74,8 @@
 }
 
 #[gtest]
-fn kept_fault_files_are_sound() {
-    let directory = kept("faults");
+fn repository_fault_files_are_valid() {
+    let directory = repo_scenario("faults");
     let mut files = 0;
     for entry in std::fs::read_dir(directory).expect("fault files") {
         let path = entry.expect("entry").path();
--- a/crates/lab/tests/whole_path.rs
+++ b/crates/lab/tests/whole_path.rs
@@ -2,18 +2,18 @@
 
 use std::path::{Path, PathBuf};
 
-use dappleyard_lab::run::{RunArguments, command, run_one};
+use dappleyard_lab::run::{RunArguments, command, run_seed};
 use googletest::prelude::*;
 
-fn kept(name: &str) -> String {
+fn repo_scenario(name: &str) -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
     root.join("scenarios").join(name).display().to_string()
 }
 
 #[gtest]
-fn small_scenario_keeps_every_invariant() {
+fn small_scenario_holds_every_invariant() {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join("whole-path");
-    let scenario = kept("small.toml");
+    let scenario = repo_scenario("small.toml");
     let out = directory.display().to_string();
     let line = [
         "run",
@@ -26,7 +26,7 @@
     ];
     let arguments = RunArguments::read(&command().get_matches_from(line)).expect("arguments");
     let outcome = actix_rt::System::new()
-        .block_on(run_one(&arguments, 1, &directory))
+        .block_on(run_seed(&arguments, 1, &directory))
         .expect("a run");
     for (name, verdict) in &outcome.summary.invariants {
         expect_that!(verdict.violated, eq(0), "{name}: {:?}", verdict.examples);
