--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -58,12 +58,10 @@
     }
 }
 
-/// One hollow node.
 #[derive(Clone)]
 pub struct HollowNode {
     /// Number of the node; its thread and zone follow from it.
     pub index: usize,
-    /// Its tables.
     pub tables: Arc<NodeTables>,
     /// Its gossip address.
     pub address: String,
@@ -73,9 +71,7 @@
 
 /// All hollow nodes and what they share.
 pub struct HollowFleet {
-    /// The nodes.
     pub nodes: Vec<HollowNode>,
-    /// The platform.
     pub platform: MemoryPlatform,
     faults: Arc<Faults>,
     arbiters: Vec<Arbiter>,
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -22,7 +22,6 @@
 /// What one measurement is about.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Nodes.
     pub nodes: usize,
     /// Share of datagrams lost.
     pub loss: f64,
@@ -30,7 +29,6 @@
     pub servers: usize,
     /// Zones, spread over the regions in turn.
     pub zones: usize,
-    /// Regions.
     pub regions: usize,
     /// Threads that carry the hollow nodes.
     pub threads: usize,
--- a/crates/lab/src/faults/inject.rs
+++ b/crates/lab/src/faults/inject.rs
@@ -16,7 +16,7 @@
 use crate::fleet::Fleet;
 use crate::load::drive::ClientBehavior;
 use crate::network::Partition;
-use crate::observations::{Drain, Event, FaultRecord, Unavailable};
+use crate::recorder::{Drain, Event, FaultRecord, Unavailable};
 
 /// Carries out faults on one fleet.
 pub struct Injector {
@@ -177,12 +177,9 @@
             FaultKind::CacheEventsDropped => {
                 self.publication_fault(Duration::ZERO, true, length).await;
             }
-            FaultKind::ClientResend => {
-                self.set_client_behavior(&self.client_behavior.resend, length)
-                    .await
-            }
+            FaultKind::ClientResend => self.switch(&self.client_behavior.resend, length).await,
             FaultKind::CancelCommitting => {
-                self.set_client_behavior(&self.client_behavior.cancel_committing, length)
+                self.switch(&self.client_behavior.cancel_committing, length)
                     .await
             }
             FaultKind::RacingIntents => operators::race_operators(fleet, targeted.number).await,
@@ -264,14 +261,14 @@
 
     async fn partition(&self, partition: Partition, length: Duration) -> String {
         let from = self.fleet.recorder.clock.now();
-        self.fleet.network.add_partition(partition.clone());
+        self.fleet.network.partition(partition.clone());
         tokio::time::sleep(length).await;
-        self.fleet.network.remove_partition(&partition);
+        self.fleet.network.heal(&partition);
         let to = self.fleet.recorder.clock.now();
         for index in 0..self.fleet.node_count() {
-            let instance = self.fleet.node_instance(index);
-            if partition.contains(&instance.location) {
-                let node = instance.name;
+            let placed = self.fleet.node_instance(index);
+            if partition.contains(&placed.location) {
+                let node = placed.name;
                 self.fleet
                     .recorder
                     .add_event(Event::Unavailable(Unavailable { node, from, to }));
@@ -281,12 +278,12 @@
     }
 
     async fn platform_fault(&self, service: Service, fault: PlatformFault, length: Duration) {
-        let fault_number = self.active.add(service, fault);
+        let held = self.active.add(service, fault);
         self.fleet
             .platform
             .set_fault(service, self.active.combined(service));
         tokio::time::sleep(length).await;
-        self.active.remove(fault_number);
+        self.active.remove(held);
         self.fleet
             .platform
             .set_fault(service, self.active.combined(service));
@@ -319,9 +316,9 @@
         self.fleet.platform.set_machine_lag(lag);
     }
 
-    async fn set_client_behavior(&self, setting: &AtomicBool, length: Duration) {
-        setting.store(true, Ordering::Relaxed);
+    async fn switch(&self, switch: &AtomicBool, length: Duration) {
+        switch.store(true, Ordering::Relaxed);
         tokio::time::sleep(length).await;
-        setting.store(false, Ordering::Relaxed);
+        switch.store(false, Ordering::Relaxed);
     }
 }
--- a/crates/lab/src/faults/mod.rs
+++ b/crates/lab/src/faults/mod.rs
@@ -102,15 +102,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// A node.
     Node(usize),
-    /// A server.
     Server(usize),
-    /// A zone.
     Zone(usize),
 }
 
-/// One fault.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -135,13 +131,11 @@
         Duration::from_secs_f64(self.at_s)
     }
 
-    /// Length.
     pub fn length(&self) -> Duration {
         Duration::from_secs_f64(self.for_s)
     }
 }
 
-/// A fault file.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultFile {
--- a/crates/lab/src/faults/operators.rs
+++ b/crates/lab/src/faults/operators.rs
@@ -8,7 +8,7 @@
 use super::FaultKind;
 use crate::fleet::Fleet;
 use crate::fleet::admin::{self, AdminError, Operator};
-use crate::observations::{Drain, Event};
+use crate::recorder::{Drain, Event};
 
 /// Attempts of an operator whose call fails: enough to outlast an outage of the store.
 const MAX_ATTEMPTS: usize = 24;
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::error::LabError;
 use crate::network::Network;
-use crate::observations::{Event, Recorder, RevisionSample};
+use crate::recorder::{Event, Recorder, RevisionSample};
 use crate::scenario::{Policy, Scenario};
 
 pub use names::Instance;
@@ -31,15 +31,12 @@
 
 /// A running fleet. Lives on the main arbiter.
 pub struct Fleet {
-    /// Scenario.
     pub scenario: Scenario,
     /// Network between the processes.
     pub network: Arc<Network>,
     /// Where observations go.
     pub recorder: Recorder,
-    /// Platform.
     pub platform: PlatformHandle,
-    /// Engines.
     pub engines: EngineHandle,
     /// Servers, in the order of the scenario.
     pub servers: Vec<Instance>,
--- a/crates/lab/src/fleet/names.rs
+++ b/crates/lab/src/fleet/names.rs
@@ -6,7 +6,6 @@
 /// A process or server and where it stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// Name.
     pub name: String,
     /// Where it stands.
     pub location: NetworkLocation,
--- a/crates/lab/src/fleet/node.rs
+++ b/crates/lab/src/fleet/node.rs
@@ -8,7 +8,7 @@
 
 use super::{Fleet, Instance, settings};
 use crate::error::LabError;
-use crate::observations::{Event, PlannedStop, Unavailable};
+use crate::recorder::{Event, PlannedStop, Unavailable};
 
 /// A place for a node, whether it runs or not.
 pub struct NodeSlot {
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -78,7 +78,7 @@
     let processes = &fleet.scenario.processes;
     NodeSettings {
         id: instance.name.clone(),
-        place: location(instance),
+        place: place(instance),
         link_listen: ANY_PORT.to_owned(),
         gossip_listen: ANY_PORT.to_owned(),
         admin_listen: ANY_PORT.to_owned(),
@@ -112,7 +112,7 @@
 pub fn sidecar(fleet: &Fleet, instance: &Instance) -> SidecarSettings {
     SidecarSettings {
         id: instance.name.clone(),
-        place: location(instance),
+        place: place(instance),
         listen: ANY_PORT.to_owned(),
         nodes: fleet.link_addresses(),
         workers: fleet.scenario.processes.sidecar_workers,
@@ -120,7 +120,7 @@
     }
 }
 
-fn location(instance: &Instance) -> Location {
+fn place(instance: &Instance) -> Location {
     Location {
         zone: instance.location.zone.clone(),
         region: instance.location.region.clone(),
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -4,23 +4,23 @@
 use std::time::Duration;
 
 use super::{Evidence, Verdict, format_time, overlap};
-use crate::observations::{ConfigurationAccepted, Event, RevisionSample};
+use crate::recorder::{ConfigurationAccepted, Event, RevisionSample};
 
 /// Time that a node which was away gets to catch up after it is back, besides the bound.
 const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 
 /// Each accepted change is in force on each node that serves, within the bound. A node that was
-/// away, cut off or standing still in that time is checked_sample once it has been back for as long.
+/// away, cut off or standing still in that time is checked once it has been back for as long.
 pub fn config_convergence(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.configuration_ms);
     for change in accepted(evidence) {
         for (node, samples) in by_node(evidence) {
             let due = due_on(evidence, node, change.accepted, bound);
-            let checked_sample = samples
+            let checked = samples
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
-            let Some(sample) = checked_sample else {
+            let Some(sample) = checked else {
                 continue;
             };
             verdict.case(sample.revision >= change.revision, || {
--- a/crates/lab/src/invariants/jobs.rs
+++ b/crates/lab/src/invariants/jobs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{EngineRun, Evidence, Verdict, format_time};
-use crate::observations::{ItemFinding, JobRecord};
+use crate::recorder::{ItemFinding, JobRecord};
 
 /// Each item of each accepted job has exactly one right result; of a cancelled job, at most one.
 /// A job that was submitted several times with one key is one job.
--- a/crates/lab/src/invariants/leaving.rs
+++ b/crates/lab/src/invariants/leaving.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Evidence, Verdict, format_time, overlap};
-use crate::observations::{OnlineEnd, OnlineRecord, PlannedStop};
+use crate::recorder::{OnlineEnd, OnlineRecord, PlannedStop};
 
 /// Time before a planned stop within which an abrupt fault's after-effects may still end requests.
 const ABRUPT_FAULT_GRACE: Duration = Duration::from_secs(4);
@@ -13,7 +13,7 @@
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.drain_ms);
     for event in &evidence.observations.events {
-        let crate::observations::Event::Drain(drain) = event else {
+        let crate::recorder::Event::Drain(drain) = event else {
             continue;
         };
         let closed_from = drain.told + bound;
--- a/crates/lab/src/invariants/mod.rs
+++ b/crates/lab/src/invariants/mod.rs
@@ -13,7 +13,7 @@
 use dappleyard_report::summary::{Verdict, Verdicts};
 use serde::Serialize;
 
-use crate::observations::{Event, FaultRecord, Observations, PlannedStop, Unavailable};
+use crate::recorder::{Event, FaultRecord, Observations, PlannedStop, Unavailable};
 use crate::scenario::Bounds;
 
 /// Names of all invariants, as in summary.json.
@@ -34,11 +34,8 @@
 /// One attempt as an engine recorded it; times are offsets from the start of the run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EngineRun {
-    /// Server.
     pub server: String,
-    /// Request id.
     pub request_id: String,
-    /// Attempt.
     pub attempt: u32,
     /// Whether it was online work.
     pub online: bool,
--- a/crates/lab/src/invariants/requests.rs
+++ b/crates/lab/src/invariants/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{EngineRun, Evidence, Verdict, format_time};
-use crate::observations::{OnlineEnd, OnlineRecord};
+use crate::recorder::{OnlineEnd, OnlineRecord};
 
 /// No batch sequence enters an engine while an online one waits there, and an online one waits no
 /// more steps than the bound while batch work is served. Both are told by the engine's own account
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod measures;
 pub mod model;
 pub mod network;
-pub mod observations;
+pub mod recorder;
 pub mod replay;
 pub mod report;
 pub mod run;
--- a/crates/lab/src/load/batch.rs
+++ b/crates/lab/src/load/batch.rs
@@ -11,11 +11,11 @@
 use super::client::{CallError, Caller};
 use super::plan::{ItemPlan, JobArrival};
 use super::results;
-use crate::observations::{CancelRecord, JobRecord, JobResults, Recorder, Refusal};
+use crate::recorder::{CancelRecord, JobRecord, JobResults, Recorder, Refusal};
 use crate::scenario::BatchScenario;
 
 /// Wait before a failed call is made again.
-const RETRY_INTERVAL: Duration = Duration::from_millis(400);
+const RETRY_WAIT: Duration = Duration::from_millis(400);
 /// Most refusals kept of one job.
 const MAX_REFUSALS: usize = 20;
 
@@ -175,7 +175,7 @@
                 Ok(id) => return Some(id),
                 Err(error) => record_refusal(record, error.into_refusal()),
             }
-            tokio::time::sleep(RETRY_INTERVAL).await;
+            tokio::time::sleep(RETRY_WAIT).await;
         }
         None
     }
@@ -218,7 +218,7 @@
                 }
                 Err(error) => record_refusal(record, error.into_refusal()),
             }
-            tokio::time::sleep(RETRY_INTERVAL).await;
+            tokio::time::sleep(RETRY_WAIT).await;
         }
         None
     }
@@ -265,7 +265,7 @@
             if !self.has_time_left() {
                 return None;
             }
-            tokio::time::sleep(RETRY_INTERVAL).await;
+            tokio::time::sleep(RETRY_WAIT).await;
         }
     }
 
@@ -298,7 +298,7 @@
                 Ok(content) if self.is_complete(caller, file, &content).await => {
                     return Ok(content);
                 }
-                Ok(_) | Err(_) if self.has_time_left() => tokio::time::sleep(RETRY_INTERVAL).await,
+                Ok(_) | Err(_) if self.has_time_left() => tokio::time::sleep(RETRY_WAIT).await,
                 Ok(_) => return Err(CallError::Broken("shorter than its size says".to_owned())),
                 Err(error) => return Err(error),
             }
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::observations::Refusal;
+use crate::recorder::Refusal;
 
 /// Header that names the tenant.
 pub const TENANT: &str = "dappleyard-tenant";
@@ -92,7 +92,6 @@
     pub http: Client,
     /// Base URL of the sidecar.
     pub base: String,
-    /// Tenant.
     pub tenant: String,
 }
 
--- a/crates/lab/src/load/drive.rs
+++ b/crates/lab/src/load/drive.rs
@@ -13,7 +13,7 @@
 use super::client::client;
 use super::online::OnlineCallers;
 use super::plan::LoadPlan;
-use crate::observations::Recorder;
+use crate::recorder::Recorder;
 use crate::scenario::BatchScenario;
 
 /// Threads of callers.
@@ -53,7 +53,6 @@
     pub batch: BatchScenario,
     /// Moods of clients.
     pub client_behavior: Arc<ClientBehavior>,
-    /// Seed.
     pub seed: u64,
 }
 
--- a/crates/lab/src/load/online.rs
+++ b/crates/lab/src/load/online.rs
@@ -12,7 +12,7 @@
 use super::expected::{Expected, canonical};
 use super::plan::{OnceArrival, OnlineArrival};
 use super::sse::{EventReader, StreamEvent};
-use crate::observations::{OnlineEnd, OnlineRecord, Recorder};
+use crate::recorder::{OnlineEnd, OnlineRecord, Recorder};
 
 /// Time past its deadline after which a caller gives a request up.
 const DEADLINE_GRACE: Duration = Duration::from_secs(10);
--- a/crates/lab/src/load/plan.rs
+++ b/crates/lab/src/load/plan.rs
@@ -31,7 +31,6 @@
     pub name: String,
     /// Index of the sidecar that it goes to.
     pub sidecar: usize,
-    /// Tenant.
     pub tenant: String,
     /// Key of the conversation.
     pub session: String,
@@ -65,7 +64,6 @@
     pub name: String,
     /// Index of the sidecar that it goes to.
     pub sidecar: usize,
-    /// Tenant.
     pub tenant: String,
     /// Number of items.
     pub items: u32,
@@ -102,7 +100,7 @@
 
 impl LoadPlan {
     /// Draws the arrivals of a scenario for a seed and a length of the load.
-    pub fn generate(scenario: &Scenario, seed: u64, length: Duration) -> LoadPlan {
+    pub fn draw(scenario: &Scenario, seed: u64, length: Duration) -> LoadPlan {
         let bursts = draw_bursts(&scenario.online, seed, length);
         let mut online = draw_online(scenario, seed, length, &bursts);
         online.extend(draw_once(scenario, seed, length));
--- a/crates/lab/src/load/results.rs
+++ b/crates/lab/src/load/results.rs
@@ -7,7 +7,7 @@
 
 use super::expected::{Expected, canonical};
 use super::plan::ItemPlan;
-use crate::observations::{ItemFinding, JobResults};
+use crate::recorder::{ItemFinding, JobResults};
 
 /// Most characters shown of a result that is no answer.
 const MAX_SHOWN_CHARACTERS: usize = 300;
--- a/crates/lab/src/load/sse.rs
+++ b/crates/lab/src/load/sse.rs
@@ -5,7 +5,6 @@
 /// One event of a streamed answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StreamEvent {
-    /// Text.
     Text(String),
     /// The answer ends, for this reason.
     Finish(String),
--- a/crates/lab/src/measures/mod.rs
+++ b/crates/lab/src/measures/mod.rs
@@ -18,7 +18,6 @@
 pub struct Counters {
     /// Start of the load on the run's clock.
     pub load_start: Duration,
-    /// Length of the load.
     pub load_length: Duration,
     /// Samples of each engine's widths, on the run's clock.
     pub samples: Vec<Vec<EngineSample>>,
--- a/crates/lab/src/measures/online.rs
+++ b/crates/lab/src/measures/online.rs
@@ -6,7 +6,7 @@
 
 use super::{Counters, LatencyHistogram};
 use crate::invariants::Evidence;
-use crate::observations::OnlineRecord;
+use crate::recorder::OnlineRecord;
 
 /// Kinds of refusal by which a tenant's own limit speaks.
 const LIMIT_KINDS: [&str; 2] = ["rate_limit_exceeded", "concurrency_limit_exceeded"];
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -16,9 +16,7 @@
 /// Where a process stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NetworkLocation {
-    /// Zone.
     pub zone: String,
-    /// Region.
     pub region: String,
     /// The process stands beside callers.
     pub sidecar: bool,
@@ -78,17 +76,17 @@
     pub fn policy(self: &Arc<Self>, location: &NetworkLocation) -> SharedPolicy {
         Arc::new(ProcessPolicy {
             network: self.clone(),
-            location: location.clone(),
+            own_location: location.clone(),
         })
     }
 
     /// Cuts a part of the fleet off.
-    pub fn add_partition(&self, partition: Partition) {
+    pub fn partition(&self, partition: Partition) {
         self.faults.write().partitions.push(partition);
     }
 
     /// Joins it again.
-    pub fn remove_partition(&self, partition: &Partition) {
+    pub fn heal(&self, partition: &Partition) {
         self.faults
             .write()
             .partitions
@@ -131,7 +129,7 @@
 #[derive(Debug)]
 struct ProcessPolicy {
     network: Arc<Network>,
-    location: NetworkLocation,
+    own_location: NetworkLocation,
 }
 
 impl LinkPolicy for ProcessPolicy {
@@ -139,7 +137,7 @@
     fn path(&self, peer: &str) -> LinkState {
         let locations = self.network.locations.read();
         locations.get(peer).map_or(LinkState::DIRECT, |location| {
-            self.network.link_state(&self.location, location)
+            self.network.link_state(&self.own_location, location)
         })
     }
 }
--- a/crates/lab/src/overhead/mod.rs
+++ b/crates/lab/src/overhead/mod.rs
@@ -95,7 +95,6 @@
         .unwrap_or_default()
 }
 
-/// Runs `overhead`.
 pub fn run_overhead(arguments: &ArgMatches) -> ExitCode {
     let sidecar = string_argument(arguments, "sidecar");
     let latency = latency::Plan {
@@ -119,7 +118,6 @@
     }))
 }
 
-/// Runs `overload`.
 pub fn run_overload(arguments: &ArgMatches) -> ExitCode {
     report(plan_overload(arguments).and_then(|plan| {
         let system = actix_rt::System::new();
--- a/crates/lab/src/observations/events.rs
+++ b/crates/lab/src/recorder/events.rs
@@ -9,7 +9,6 @@
 /// A fault while it held.
 #[derive(Debug, Clone, Serialize)]
 pub struct FaultRecord {
-    /// Kind.
     pub kind: FaultKind,
     /// Where.
     pub place: String,
@@ -22,7 +21,6 @@
 /// A planned stop of a node.
 #[derive(Debug, Clone, Serialize)]
 pub struct PlannedStop {
-    /// Node.
     pub node: String,
     /// When it was told to stop.
     pub told: Duration,
@@ -35,7 +33,6 @@
 /// A server that was told to leave.
 #[derive(Debug, Clone, Serialize)]
 pub struct Drain {
-    /// Server.
     pub server: String,
     /// When the first source said so.
     pub told: Duration,
@@ -48,7 +45,6 @@
 pub struct ConfigurationAccepted {
     /// Row.
     pub key: String,
-    /// Revision.
     pub revision: u64,
     /// When it was accepted.
     pub accepted: Duration,
@@ -57,7 +53,6 @@
 /// A node that cannot be reached, or does not exist, for a time.
 #[derive(Debug, Clone, Serialize)]
 pub struct Unavailable {
-    /// Node.
     pub node: String,
     /// Start.
     pub from: Duration,
@@ -69,7 +64,6 @@
 #[derive(Debug, Clone, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A fault.
     Fault(FaultRecord),
     /// A planned stop.
     Stop(PlannedStop),
@@ -87,12 +81,10 @@
         accepted: u32,
         /// Plans refused since the other was accepted first.
         overtaken: u32,
-        /// The answers.
         answers: String,
     },
     /// Something that an event set out to do and could not; makes the run partial.
     NotDone {
-        /// What.
         what: String,
         /// Why.
         reason: String,
@@ -104,13 +96,11 @@
 /// The revision seen in force on a node.
 #[derive(Debug, Clone, Serialize)]
 pub struct RevisionSample {
-    /// Node.
     pub node: String,
     /// Which start of the node, counted by the experiment.
     pub start: u32,
     /// When.
     pub at: Duration,
-    /// Revision.
     pub revision: u64,
     /// The node takes new work.
     pub ready: bool,
--- a/crates/lab/src/observations/jobs.rs
+++ b/crates/lab/src/recorder/jobs.rs
@@ -40,14 +40,11 @@
     pub fingerprint: u64,
 }
 
-/// One job.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct JobRecord {
     /// Name of the arrival, also the client's key.
     pub name: String,
-    /// Tenant.
     pub tenant: String,
-    /// Items.
     pub items: u32,
     /// When it was first submitted.
     pub submitted: Duration,
--- a/crates/lab/src/observations/mod.rs
+++ b/crates/lab/src/recorder/mod.rs
@@ -19,7 +19,6 @@
 pub use jobs::{CancelRecord, ItemFinding, JobRecord, JobResults};
 pub use online::{OnlineEnd, OnlineRecord, Refusal};
 
-/// The clock of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct RunClock {
     started: Instant,
--- a/crates/lab/src/observations/online.rs
+++ b/crates/lab/src/recorder/online.rs
@@ -36,7 +36,6 @@
     pub name: String,
     /// Request id that the caller gave.
     pub request_id: String,
-    /// Tenant.
     pub tenant: String,
     /// Index of the sidecar.
     pub sidecar: usize,
--- a/crates/lab/src/replay/mod.rs
+++ b/crates/lab/src/replay/mod.rs
@@ -81,7 +81,6 @@
     )))
 }
 
-/// Replays one file.
 pub fn replay_file(path: &Path) -> Result<Replayed, LabError> {
     let trace = Trace::read(path).map_err(LabError::usage)?;
     Ok(replay(&trace))
--- a/crates/lab/src/replay/trace.rs
+++ b/crates/lab/src/replay/trace.rs
@@ -48,9 +48,7 @@
     },
     /// A node reads the chunk row and sends a claim, a reopening, a mark or a commit.
     Chunk {
-        /// Node.
         node: String,
-        /// Its incarnation.
         incarnation: u64,
         /// What it wants.
         wish: ChunkAction,
@@ -100,7 +98,6 @@
     },
     /// An order reaches an engine.
     Order {
-        /// Epoch.
         epoch: u64,
         /// Sequence number.
         sequence: u64,
@@ -111,7 +108,6 @@
         revision: u64,
         /// Revision of the change before.
         previous: u64,
-        /// Key.
         key: String,
         /// Value; absent when deleted.
         value: Option<String>,
@@ -133,7 +129,6 @@
     ConfigurationRestart,
     /// An attempt of a request was accepted by a model version.
     Accepted {
-        /// Version.
         version: String,
         /// A new attempt begins.
         new_attempt: bool,
@@ -142,7 +137,6 @@
     Pieces {
         /// Offset of the first.
         offset: u32,
-        /// The pieces.
         pieces: Vec<String>,
     },
     /// The end of an answer arrives.
@@ -156,7 +150,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChunkAction {
-    /// Claim it.
     Claim {
         /// Membership believes the holder gone.
         holder_gone: bool,
@@ -169,16 +162,12 @@
     /// Start its first item, marking it if it must not repeat.
     Start,
     /// Commit a result made under an epoch.
-    Commit {
-        /// The epoch.
-        epoch: u64,
-    },
+    Commit { epoch: u64 },
 }
 
 /// One row of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChange {
-    /// Key.
     pub key: String,
     /// New value, base64; absent when the row was removed.
     pub value: Option<String>,
--- a/crates/lab/src/run/arguments.rs
+++ b/crates/lab/src/run/arguments.rs
@@ -76,7 +76,6 @@
 /// What is to be run.
 #[derive(Debug, Clone)]
 pub struct RunArguments {
-    /// Scenario.
     pub scenario: Scenario,
     /// Faults; empty for none.
     pub faults: FaultFile,
@@ -84,7 +83,6 @@
     pub fault_name: String,
     /// Length of the load.
     pub length: Duration,
-    /// Policy.
     pub policy: Policy,
     /// File for a trace.
     pub record: Option<PathBuf>,
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::invariants::{EngineRun, Evidence};
 use crate::measures::{Counters, EngineSample};
-use crate::observations::{ConfigurationAccepted, Event, Observations};
+use crate::recorder::{ConfigurationAccepted, Event, Observations};
 
 /// Takes all evidence at the end of a run.
 pub fn evidence(fleet: &Fleet) -> Evidence {
--- a/crates/lab/src/run/decisions.rs
+++ b/crates/lab/src/run/decisions.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::Fleet;
 use crate::invariants::Evidence;
-use crate::observations::Event;
+use crate::recorder::Event;
 
 /// Time around a fault in which decisions are kept.
 const MARGIN: Duration = Duration::from_secs(2);
--- a/crates/lab/src/run/seed_run.rs
+++ b/crates/lab/src/run/seed_run.rs
@@ -18,7 +18,7 @@
 use crate::load::drive::{Callers, ClientBehavior, LoadContext};
 use crate::load::plan::LoadPlan;
 use crate::measures::{self, Counters};
-use crate::observations::{Event, Recorder, RunClock};
+use crate::recorder::{Event, Recorder, RunClock};
 use crate::replay;
 use crate::scenario::Policy;
 
@@ -128,7 +128,7 @@
     client_behavior: Arc<ClientBehavior>,
 ) -> LoadContext {
     let scenario = &arguments.scenario;
-    let mut plan = LoadPlan::generate(scenario, seed, arguments.length);
+    let mut plan = LoadPlan::draw(scenario, seed, arguments.length);
     if arguments.policy == Policy::OnlineOnly {
         plan.jobs.clear();
     }
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -60,7 +60,6 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RefusedScenario {
-    /// Tenant.
     pub tenant: String,
     /// Requests a second that it sends.
     pub per_s: f64,
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -73,17 +73,13 @@
     pub online_slowdown_percent: u32,
 }
 
-/// One zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneScenario {
-    /// Name.
     pub name: String,
-    /// Region.
     pub region: String,
     /// Servers, each with one engine.
     pub servers: usize,
-    /// Nodes.
     pub nodes: usize,
     /// Sidecars, each with its callers.
     pub sidecars: usize,
--- a/crates/lab/tests/invariants.rs
+++ b/crates/lab/tests/invariants.rs
@@ -4,7 +4,7 @@
 
 use dappleyard_lab::faults::FaultKind;
 use dappleyard_lab::invariants::{EngineRun, Evidence, check_all};
-use dappleyard_lab::observations::{
+use dappleyard_lab::recorder::{
     CancelRecord, ConfigurationAccepted, Drain, Event, FaultRecord, ItemFinding, JobRecord,
     JobResults, OnlineEnd, OnlineRecord, PlannedStop, Refusal, RevisionSample, Unavailable,
 };
--- a/crates/lab/tests/results.rs
+++ b/crates/lab/tests/results.rs
@@ -3,7 +3,7 @@
 use dappleyard_lab::load::expected::canonical;
 use dappleyard_lab::load::plan::ItemPlan;
 use dappleyard_lab::load::results::check_results;
-use dappleyard_lab::observations::ItemFinding;
+use dappleyard_lab::recorder::ItemFinding;
 use dappleyard_standin::text;
 use googletest::prelude::*;
 use serde_json::json;
--- a/crates/lab/tests/scenario.rs
+++ b/crates/lab/tests/scenario.rs
@@ -61,9 +61,9 @@
 fn arrivals_depend_on_the_seed_only() {
     let scenario = Scenario::load(&repo_scenario("small.toml")).expect("small");
     let length = Duration::from_secs(8);
-    let first = LoadPlan::generate(&scenario, 7, length);
-    expect_that!(LoadPlan::generate(&scenario, 7, length), eq(&first));
-    expect_that!(LoadPlan::generate(&scenario, 8, length), not(eq(&first)));
+    let first = LoadPlan::draw(&scenario, 7, length);
+    expect_that!(LoadPlan::draw(&scenario, 7, length), eq(&first));
+    expect_that!(LoadPlan::draw(&scenario, 8, length), not(eq(&first)));
     expect_that!(
         first.jobs.iter().any(|job| job.cancel_after.is_some()),
         eq(true)
