--- a/crates/lab/src/capacity/changes.rs
+++ b/crates/lab/src/capacity/changes.rs
@@ -1,4 +1,4 @@
-//! Configuration changes while the fleet runs, and when each is in force on each node.
+//! Writes configuration changes and measures how long each takes to reach every node.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,29 +15,29 @@
 /// Tenants whose limits are in the configuration.
 const TENANTS: u64 = 200;
 
-/// When a revision was written or came into force.
+/// When a revision was written or applied.
 #[derive(Debug, Clone, Copy)]
 struct RevisionTime {
     revision: u64,
     at: Instant,
 }
 
-/// Writes of the experiment, and what nodes saw of them.
+/// Configuration writes and when each node applied them.
 #[derive(Debug, Clone, Default)]
 pub struct ChangeTracker {
     writes: Arc<Mutex<Vec<RevisionTime>>>,
-    /// For each node by its number the revisions put in force, in order.
+    /// Applied revisions by node index, in order.
     applied: Arc<Mutex<BTreeMap<usize, Vec<RevisionTime>>>>,
 }
 
-/// Times from a write until it was in force, milliseconds.
+/// Delays from a write until it was applied, milliseconds.
 #[derive(Debug, Clone, Default)]
 pub struct PropagationTimes {
-    /// On each node, for each write.
+    /// One value for each write and node.
     pub per_node: Vec<f64>,
-    /// On the last node, for each write.
+    /// One value for each write: the delay of the last node.
     pub all_nodes: Vec<f64>,
-    /// Writes that were not in force all_nodes when the experiment ended.
+    /// Writes that some node had not applied when the experiment ended.
     pub missing: usize,
 }
 
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Fills the configuration before the experiment; not part of the times.
+    /// Writes the initial rows without recording them.
     pub async fn prepopulate(platform: &MemoryPlatform) -> Result<(), StoreError> {
         let unmeasured = ChangeTracker::default();
         for number in 0..TENANTS {
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Notes each revision that comes into force on a node. Ends with the runtime.
+    /// Records each revision that a node applies, until its table is dropped.
     pub async fn watch(self, node: usize, tables: Arc<NodeTables>) {
         let mut configuration = tables.configuration.subscribe();
         loop {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Times of all writes over the nodes that were watched throughout.
+    /// Propagation delays of all writes to the given nodes.
     pub fn times(&self, nodes: &[usize]) -> PropagationTimes {
         let applied = self.applied.lock();
         let mut times = PropagationTimes::default();
--- a/crates/lab/src/capacity/detection.rs
+++ b/crates/lab/src/capacity/detection.rs
@@ -1,4 +1,4 @@
-//! How long it takes until the loss of a node is known.
+//! Measures how long the fleet takes to detect a failed node.
 
 use std::time::{Duration, Instant};
 
@@ -6,23 +6,21 @@
 
 use super::hollow::HollowFleet;
 
-/// Time between two looks at the tables.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for a loss to be known everywhere.
 const DETECTION_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// Times from a loss until it was known, milliseconds.
+/// Time from a node failure until other nodes detected it, milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Detection {
-    /// To the first of the other nodes.
+    /// First of the other nodes.
     pub first_ms: Option<f64>,
-    /// To half of them.
+    /// Half of the other nodes.
     pub half_ms: Option<f64>,
-    /// To all of them.
+    /// All other nodes.
     pub all_ms: Option<f64>,
 }
 
-/// Cuts a node off and watches the others.
+/// Isolates a node and polls the membership tables of the others.
 pub async fn detect(fleet: &HollowFleet, lost: usize) -> Detection {
     let id = fleet.nodes[lost].tables.identity.node.clone();
     let others: Vec<_> = fleet
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow nodes: the real fleet part without requests.
+//! Hollow nodes: they run the real fleet protocol but serve no requests.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -25,21 +25,21 @@
 use super::changes::ChangeTracker;
 use crate::error::LabError;
 
-/// Services that each node carries.
+/// Services that each node reports load for.
 const SERVICES: [&str; 2] = ["fittings-llm", "yard-assist"];
-/// Bits of an incarnation below the number of the start.
+/// Low bits of an incarnation, reserved for refutations; the start time is above them.
 const REFUTATION_BITS: u32 = 16;
 
-/// Number of the first start, seconds since 1970.
+/// Unix time of the first start, seconds.
 const FIRST_START_UNIX_S: u64 = 1_780_000_000;
 
-/// Loss and cuts of the whole fleet.
+/// Datagram loss and isolated addresses, shared by all nodes.
 pub struct Faults {
     loss: f64,
     cut: RwLock<BTreeSet<String>>,
 }
 
-/// The paths of one node.
+/// Applies the shared faults to the links of one node.
 struct NodePolicy {
     faults: Arc<Faults>,
     own_address: RwLock<String>,
@@ -60,16 +60,16 @@
 
 #[derive(Clone)]
 pub struct HollowNode {
-    /// Number of the node; its thread and zone follow from it.
+    /// Index of the node; selects its thread and zone.
     pub index: usize,
     pub tables: Arc<NodeTables>,
-    /// Its gossip address.
+    /// Gossip address.
     pub address: String,
     handle: FleetHandle,
     stop: Arc<tokio::sync::watch::Sender<bool>>,
 }
 
-/// All hollow nodes and what they share.
+/// All hollow nodes and their shared state.
 pub struct HollowFleet {
     pub nodes: Vec<HollowNode>,
     pub platform: MemoryPlatform,
@@ -80,7 +80,7 @@
 }
 
 impl HollowFleet {
-    /// Starts all nodes; the first ones are the seeds of the others.
+    /// Starts all nodes; the first three are the seeds of the others.
     pub async fn start(options: &Options) -> Result<HollowFleet, LabError> {
         let platform = MemoryPlatform::default();
         platform.set_machines(servers(options));
@@ -127,7 +127,7 @@
         started.map_err(LabError::failed)
     }
 
-    /// A planned stop and start of a node under the same id.
+    /// Gracefully stops a node and starts it again under the same id.
     pub async fn restart(&mut self, index: usize) -> Result<(), LabError> {
         self.nodes[index].handle.leave().await;
         self.nodes[index].stop.send_replace(true);
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Cuts a node off from all others, which is what a kill looks like to them.
+    /// Isolates a node from all others; to them it looks like a crash.
     pub fn isolate(&self, index: usize) {
         let address = self.nodes[index].address.clone();
         self.faults.cut.write().insert(address);
@@ -159,12 +159,12 @@
         node: format!("node-{index:03}").into(),
         zone: format!("zone-{zone}").into(),
         region: format!("region-{}", zone % options.regions).into(),
-        // As long as a real one, which is made of the wall clock.
+        // Real incarnations come from the wall clock; this has the same encoded length.
         incarnation: (FIRST_START_UNIX_S + start) << REFUTATION_BITS,
     }
 }
 
-/// The servers of the machine list. It names no nodes: hollow nodes find each other by seeds.
+/// Servers of the machine list. It lists no nodes, which find each other through seeds.
 fn servers(options: &Options) -> Vec<Machine> {
     (0..options.servers)
         .map(|index| {
@@ -183,7 +183,7 @@
         .collect()
 }
 
-/// What a node needs to start on its thread.
+/// Parameters of a node, sent to the thread it starts on.
 struct NodePlan {
     index: usize,
     identity: Identity,
@@ -231,7 +231,7 @@
     }
 }
 
-/// Answers calls for a snapshot until the node stops.
+/// Serves snapshot calls until the node stops.
 async fn serve_snapshots(
     tables: &Arc<NodeTables>,
     policy: &Arc<NodePolicy>,
@@ -273,7 +273,7 @@
     Ok(address)
 }
 
-/// Puts a load that changes all the time, as the online part of a busy node does.
+/// Publishes a random load every 500 ms, as a busy node does.
 async fn vary_load(
     tables: Arc<NodeTables>,
     mut rng: ChaCha8Rng,
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -1,4 +1,4 @@
-//! One measurement: a hollow fleet of one size over one window.
+//! Measures one hollow fleet over one window.
 
 use std::time::{Duration, Instant};
 
@@ -15,23 +15,21 @@
 use super::movement::{Movement, movement};
 use crate::error::LabError;
 
-/// Longest time for a fleet to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(120);
-/// Pause before the window, so that the costs of the start are over.
+/// Pause before the window, so that start-up cost is not measured.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
-/// Time after the window for the last changes to arrive.
+/// Time after the window for the last changes to propagate.
 const PROPAGATION_WAIT: Duration = Duration::from_secs(8);
-/// Nodes lost after the window.
+/// Nodes isolated one after another after the window.
 const FAILED_NODES: usize = 3;
 
-/// What was measured.
+/// Results of one measurement.
 #[derive(Debug, Clone)]
 pub struct Measurement {
-    /// What it is about.
     pub options: Options,
-    /// Time until all nodes were ready and knew each other, seconds.
+    /// Time until all nodes were ready and listed each other, seconds.
     pub start_s: f64,
-    /// Processor time of a node, percent of a core, the in-memory platform included.
+    /// CPU time of a node, percent of a core, including its share of the in-memory platform.
     pub cpu_percent: f64,
     /// Datagram bytes a second sent by a node, mean.
     pub bytes_out: f64,
@@ -41,25 +39,25 @@
     pub datagrams_out: f64,
     /// Bytes a second sent and received by the node with the most traffic.
     pub bytes_worst: f64,
-    /// Memory of a node, MB: growth of the process divided by the nodes.
+    /// Memory of a node, MB: growth of the process divided by the number of nodes.
     pub memory_mb: f64,
-    /// Readings of the machine list by a node, a second.
+    /// Reads of the machine list by a node, per second.
     pub machine_lists: f64,
-    /// Readings of the change feed by the fleet, a second.
+    /// Reads of the change feed by the whole fleet, per second.
     pub feed_reads: f64,
-    /// Suspicions raised an hour by the whole fleet; none of them is right.
+    /// Suspicions raised per hour by the whole fleet; all are false, since no node fails.
     pub false_suspicions_per_hour: f64,
-    /// Nodes believed dead that were alive, in all nodes' views.
+    /// Live nodes declared dead, summed over the views of all nodes.
     pub false_deaths: f64,
-    /// Times until changes were in force.
+    /// Propagation delays of configuration changes.
     pub propagation: PropagationTimes,
-    /// Losses of a node.
+    /// One entry for each isolated node.
     pub detections: Vec<Detection>,
-    /// Ownership.
+    /// Balance and movement of server ownership.
     pub movement: Movement,
 }
 
-/// Totals of the fleet at one moment.
+/// Counters of the fleet at one time.
 struct Totals {
     at: Instant,
     cpu_s: f64,
@@ -72,7 +70,7 @@
     false_deaths: Vec<f64>,
 }
 
-/// Starts the fleet, measures the window, then the losses.
+/// Starts the fleet, measures the window, then the detection of failed nodes.
 pub async fn measure(options: &Options) -> Result<Measurement, LabError> {
     let memory_before = memory_bytes()?;
     let mut fleet = HollowFleet::start(options).await?;
@@ -102,7 +100,7 @@
     let window = (after.at - before.at).as_secs_f64();
     let nodes = options.nodes as f64;
     let per_node = |later: &[f64], earlier: &[f64]| -> Vec<f64> {
-        // A restarted node counts from zero again.
+        // The counters of a restarted node start from zero.
         let pairs = later.iter().zip(earlier);
         pairs
             .map(|(later, earlier)| (later - earlier).max(0.0) / window)
@@ -157,7 +155,7 @@
     }
 }
 
-/// Writes changes and restarts nodes at their rates. Returns the nodes that were restarted.
+/// Writes changes and restarts nodes at the configured rates; returns the restarted nodes.
 async fn run_window(
     fleet: &mut HollowFleet,
     options: &Options,
@@ -167,7 +165,7 @@
     let mut restarted = Vec::new();
     let began = Instant::now();
     let mut next_change = 0.0;
-    // A short window sees one restart nevertheless.
+    // Guarantees one restart in a short window.
     let every = options.restart_every.min(options.window / 2).as_secs_f64();
     let mut next_restart = every / 2.0;
     let mut number = 0;
@@ -228,7 +226,7 @@
     Ok(totals)
 }
 
-/// Sum of a counter over the series that have a label of this value; all when it is empty.
+/// Sum of a counter over the series with this label value, or over all series if it is empty.
 fn counter_sum(families: &[prometheus::proto::MetricFamily], name: &str, value: &str) -> f64 {
     let family = families
         .iter()
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! `dappleyard-lab capacity`: the control cost of a node at growing fleet sizes.
+//! `dappleyard-lab capacity`: control-plane cost of a node at growing fleet sizes.
 //!
-//! Hollow nodes are the real fleet part with real UDP sockets on loopback and an in-memory platform,
-//! many on each thread; they have the whole directory of servers, changing loads, configuration
-//! changes and restarts, but no requests. The tables written here are those of `docs/CAPACITY.md`.
+//! Hollow nodes run the real fleet protocol over UDP on loopback with an in-memory platform,
+//! many on each thread. They hold the full server directory and see load, configuration changes
+//! and restarts, but serve no requests. `docs/CAPACITY.md` shows the tables written here.
 
 mod changes;
 mod detection;
@@ -19,30 +19,29 @@
 
 use crate::error::{LabError, report as report_error};
 
-/// What one measurement is about.
+/// Parameters of one measurement.
 #[derive(Debug, Clone)]
 pub struct Options {
     pub nodes: usize,
-    /// Share of datagrams lost.
+    /// Share of datagrams lost, 0 to 1.
     pub loss: f64,
     /// Servers in the directory.
     pub servers: usize,
-    /// Zones, spread over the regions in turn.
+    /// Zones, assigned to the regions round robin.
     pub zones: usize,
     pub regions: usize,
-    /// Threads that carry the hollow nodes.
+    /// Threads that run the hollow nodes.
     pub threads: usize,
     /// Length of the measured window.
     pub window: Duration,
-    /// Configuration changes a second.
+    /// Configuration changes per second.
     pub changes_per_s: f64,
-    /// Time between two restarts of a node somewhere in the fleet.
+    /// Time between two node restarts in the fleet.
     pub restart_every: Duration,
-    /// Seed of everything random in the experiment.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// The arguments.
 pub fn command() -> Command {
     let option = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name).long(name).default_value(default).help(help)
@@ -76,7 +75,7 @@
         )
 }
 
-/// Runs the measurements and writes their tables.
+/// Runs the measurements and writes the result files.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     report_error(measure_all(arguments))
 }
--- a/crates/lab/src/capacity/movement.rs
+++ b/crates/lab/src/capacity/movement.rs
@@ -1,4 +1,4 @@
-//! How many servers change their owner when one node leaves, and how even the ownership is.
+//! Computes how many servers change owner when a node leaves, and how balanced ownership is.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,21 @@
 
 use super::Options;
 
-/// Most nodes that are tried as the one that leaves.
+/// Upper bound on the nodes tried as the leaving one.
 const MAX_TRIALS: usize = 40;
 
 /// Balance and movement of ownership.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Movement {
-    /// Servers moved when one node leaves, as a multiple of the servers it owned; mean.
+    /// Servers moved when one node leaves, as a multiple of the servers it owned: mean.
     pub mean_moved: f64,
-    /// The same; worst.
+    /// Same ratio: worst case.
     pub worst_moved: f64,
-    /// Servers of the node with the most, as a multiple of the mean.
+    /// Servers of the most loaded node, as a multiple of the mean.
     pub imbalance: f64,
 }
 
-/// Computes both for a fleet of this size.
+/// Computes balance and movement for the fleet of `options`.
 pub fn movement(options: &Options, cell_size: usize) -> Movement {
     let zone = |index: usize| format!("zone-{}", index % options.zones);
     let region = |index: usize| format!("region-{}", index % options.zones % options.regions);
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -1,4 +1,4 @@
-//! Tables of the measurements.
+//! JSON and Markdown output of the measurements.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use super::measure::Measurement;
 use crate::error::LabError;
 
-/// One line for the person who waits.
+/// One-line result for the terminal.
 pub fn summary_line(measurement: &Measurement) -> String {
     let times = &measurement.propagation;
     format!(
@@ -37,7 +37,7 @@
     std::fs::write(out.join("capacity.md"), markdown(results)).map_err(LabError::failed)
 }
 
-/// The tables of `docs/CAPACITY.md`.
+/// The Markdown table of `docs/CAPACITY.md`.
 pub fn markdown(results: &[Measurement]) -> String {
     let mut text = String::from(
         "| nodes | loss | CPU, % of a core | B/s out | B/s in | B/s worst node | datagrams/s out | \
@@ -80,7 +80,7 @@
     )
 }
 
-/// Least and greatest time of the losses; "not seen" where one was not.
+/// Smallest and largest detection time; "not seen" if any failure was not detected.
 fn detection_range(
     measurement: &Measurement,
     time: impl Fn(&super::detection::Detection) -> Option<f64>,
@@ -148,7 +148,7 @@
     })
 }
 
-/// The value at a share of the sorted values; 0 when there is none.
+/// Quantile of unsorted values; 0 if there are none.
 fn quantile(values: &[f64], share: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -1,16 +1,15 @@
-//! The command line: one line in [`SUBCOMMANDS`] for each subcommand.
+//! The command line; [`SUBCOMMANDS`] lists the subcommands.
 
 use std::process::ExitCode;
 
 use clap::{ArgMatches, Command};
 
-/// A subcommand: its arguments and what it does.
 struct Subcommand {
     command: fn() -> Command,
     run: fn(&ArgMatches) -> ExitCode,
 }
 
-/// All subcommands, in the order in which `--help` shows them.
+/// Subcommands in the order of `--help`.
 const SUBCOMMANDS: &[Subcommand] = &[
     Subcommand {
         command: crate::run::command,
@@ -54,7 +53,6 @@
     },
 ];
 
-/// The whole command line.
 pub fn command() -> Command {
     Command::new("dappleyard-lab")
         .version(clap::crate_version!())
@@ -64,7 +62,7 @@
         .subcommands(SUBCOMMANDS.iter().map(|subcommand| (subcommand.command)()))
 }
 
-/// Parses the arguments of the process and runs the subcommand named there.
+/// Parses the process arguments and runs the subcommand.
 pub fn main() -> ExitCode {
     tracing_subscriber::fmt()
         .with_env_filter(
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! `dappleyard-lab compare`: ratios of measures between runs, with the spread over seeds.
+//! `dappleyard-lab compare`: ratios of measures between runs, with their spread over seeds.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,7 +8,6 @@
 
 use crate::error::{LabError, report};
 
-/// Arguments of `compare`.
 pub fn command() -> Command {
     Command::new("compare")
         .about("Prints ratios of measures between runs and says which differences are noise")
@@ -30,7 +29,6 @@
         )
 }
 
-/// Compares the runs.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     report(print(arguments))
 }
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,46 +1,46 @@
-//! Errors of the experiment tool and the exit codes that they map to.
+//! Errors of the experiment tool and their exit codes.
 
 use std::process::ExitCode;
 
 use derive_more::{Display, Error};
 
-/// Exit code of a run in which an invariant was violated, or that could not be carried out.
+/// Exit code if an invariant was violated or the experiment failed.
 const EXIT_FAILED: u8 = 1;
-/// Exit code of bad usage or settings.
+/// Exit code for invalid arguments or settings.
 const EXIT_USAGE: u8 = 2;
 
-/// Why a subcommand did not succeed.
+/// Failure of a subcommand.
 #[derive(Debug, Display, Error)]
 pub enum LabError {
-    /// An argument or a file is wrong; the text names the place.
+    /// An argument or a file is invalid.
     #[display("{reason}")]
     Usage {
-        /// Place and cause.
+        /// Location and cause.
         reason: String,
     },
-    /// The experiment could not be carried out.
+    /// The experiment could not run.
     #[display("{reason}")]
     Failed {
-        /// What was seen.
+        /// Cause.
         reason: String,
     },
-    /// An invariant was violated or was not checked at all.
+    /// An invariant was violated or never checked.
     #[display("{reason}")]
     Violated {
-        /// Names of the invariants.
+        /// Failed invariants.
         reason: String,
     },
 }
 
 impl LabError {
-    /// An error of usage or settings.
+    /// Creates a [`LabError::Usage`].
     pub fn usage(reason: impl ToString) -> LabError {
         LabError::Usage {
             reason: reason.to_string(),
         }
     }
 
-    /// An experiment that could not be carried out.
+    /// Creates a [`LabError::Failed`].
     pub fn failed(reason: impl ToString) -> LabError {
         LabError::Failed {
             reason: reason.to_string(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Prints the error, if there is one, and gives the exit code.
+/// Prints the error, if any, and returns the exit code.
 pub fn report(result: Result<(), LabError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/lab/src/faults/inject.rs
+++ b/crates/lab/src/faults/inject.rs
@@ -1,4 +1,4 @@
-//! Carries faults out at their times.
+//! Injects faults at their scheduled times.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::network::Partition;
 use crate::recorder::{Drain, Event, FaultRecord, Unavailable};
 
-/// Carries out faults on one fleet.
+/// Injects faults into one fleet.
 pub struct Injector {
     fleet: Rc<Fleet>,
     client_behavior: Arc<ClientBehavior>,
@@ -28,7 +28,7 @@
     list_lag: Cell<Duration>,
 }
 
-/// A fault with its place drawn.
+/// A fault with its targets resolved.
 struct TargetedFault {
     fault: Fault,
     number: u32,
@@ -38,7 +38,7 @@
 }
 
 impl Injector {
-    /// An injector whose times count from `start` on the run's clock.
+    /// Creates an injector whose fault times are relative to `start` on the run's clock.
     pub fn new(
         fleet: Rc<Fleet>,
         client_behavior: Arc<ClientBehavior>,
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Carries out all faults; returns when the last has ended.
+    /// Injects all faults; returns when the last has ended.
     pub async fn run(self: Rc<Self>, faults: Vec<Fault>, seed: u64) {
         let targeted = self.assign_targets(faults, seed);
         let tasks = targeted.into_iter().map(|targeted| {
@@ -65,7 +65,7 @@
         join_all(tasks).await;
     }
 
-    /// Draws the places of faults that name none.
+    /// Resolves the target of each fault, choosing a random one if it names none.
     fn assign_targets(&self, faults: Vec<Fault>, seed: u64) -> Vec<TargetedFault> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xFA17);
         let nodes = self.fleet.node_count();
@@ -106,7 +106,7 @@
         }));
     }
 
-    /// Carries out one fault from its start to its end and says where it was.
+    /// Runs one fault from start to end and returns where it took place.
     async fn apply(&self, targeted: &TargetedFault) -> String {
         let fleet = &self.fleet;
         let (length, amount) = (targeted.fault.length(), targeted.fault.amount);
@@ -219,7 +219,7 @@
         node
     }
 
-    /// Stops and starts all nodes, one after another, spread over the length.
+    /// Restarts all nodes one after another, spread evenly over `length`.
     async fn restart_all(&self, length: Duration) {
         let running = self.fleet.running_nodes();
         let pause = length / (running.len().max(1) as u32 * 2);
@@ -243,7 +243,7 @@
         server
     }
 
-    /// The drain counts from when the list shows it.
+    /// Marks a server as leaving. The drain starts when the lagging machine list shows it.
     async fn mark_leaving(&self, index: usize, length: Duration) -> String {
         let server = self.fleet.servers[index].name.clone();
         let lag = self.list_lag.get();
--- a/crates/lab/src/faults/mod.rs
+++ b/crates/lab/src/faults/mod.rs
@@ -1,5 +1,5 @@
-//! Faults: a typed list of (at, for, what, where), read from a TOML file and carried out by
-//! [`inject`]. [`routine`] gives the mild events of every run in the same form.
+//! Fault schedules: read from a TOML file and run by [`inject`]. [`routine`] generates the routine
+//! events of every run in the same form.
 
 mod active;
 pub mod inject;
@@ -14,68 +14,69 @@
 
 use crate::error::LabError;
 
-/// What happens.
+/// Kind of a fault.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A node stops at once; a new one with the same id and a new incarnation comes after `for_s`.
+    /// A node crashes; it starts again with a new incarnation after `for_s`.
     #[display("node kill")]
     NodeKill,
-    /// All threads of a node stand still for `for_s`.
+    /// All threads of a node are blocked for `for_s`.
     #[display("node pause")]
     NodePause,
-    /// An engine dies with its work; an empty one comes after `for_s`.
+    /// An engine crashes and loses its work; it restarts empty after `for_s`.
     #[display("engine kill")]
     EngineKill,
-    /// The table service refuses every call.
+    /// The table service is unreachable.
     #[display("store down")]
     StoreDown,
     /// Calls to the table service take `amount` milliseconds longer.
     #[display("store slow")]
     StoreSlow,
-    /// `amount` percent of the table service's answers are lost after the change took effect.
+    /// `amount` percent of the table service's responses are lost after the write took effect.
     #[display("store answer lost")]
     StoreAnswerLost,
-    /// The object store refuses every call.
+    /// The object store is unreachable.
     #[display("object store down")]
     ObjectStoreDown,
     /// `amount` percent of datagrams are lost.
     #[display("UDP loss")]
     UdpLoss,
-    /// A zone is cut off from the others.
+    /// A zone is partitioned from the others.
     #[display("zone cut")]
     ZoneCut,
-    /// A region is cut off from the others.
+    /// A region is partitioned from the others.
     #[display("region cut")]
     RegionCut,
     /// The machine list lags `amount` milliseconds behind.
     #[display("machine list lag")]
     MachineListLag,
-    /// Engine reports come `amount` milliseconds later.
+    /// Engine reports are delayed by `amount` milliseconds.
     #[display("engine report lag")]
     EngineReportLag,
     /// All cache events are lost.
     #[display("cache events dropped")]
     CacheEventsDropped,
-    /// Clients send every must-not-repeat request and every job twice.
+    /// Clients send every at-most-once request and every job twice.
     #[display("client resend")]
     ClientResend,
     /// Two operators plan and confirm conflicting intents at the same time.
     #[display("racing intents")]
     RacingIntents,
-    /// A node is stopped as planned and started again.
+    /// A node is stopped gracefully and started again.
     #[display("planned node stop")]
     NodeStop,
-    /// All nodes are stopped as planned and started again, one after another.
+    /// All nodes are stopped gracefully and started again, one after another.
     #[display("rolling restart")]
     RollingRestart,
-    /// The machine list says that a server leaves, and after `for_s` that it stays.
+    /// The machine list marks a server as leaving, and clears the mark after `for_s`.
     #[display("server leaving")]
     ServerLeaving,
-    /// An operator drains a server, and takes it back after `for_s`.
+    /// An operator drains a server and undrains it after `for_s`.
     #[display("server drain")]
     ServerDrain,
-    /// Jobs that are being finished are cancelled.
+    /// Clients cancel jobs that are about to finish.
     #[display("cancel while committing")]
     CancelCommitting,
     /// An operator changes a tenant's limits.
@@ -84,8 +85,8 @@
 }
 
 impl FaultKind {
-    /// Whether requests in progress may be cut by it, so that a planned stop at the same time is
-    /// not judged by them.
+    /// Whether the fault may interrupt requests in progress. A planned stop at the same time is
+    /// then not checked against them.
     pub fn is_abrupt(self) -> bool {
         matches!(
             self,
@@ -98,7 +99,7 @@
     }
 }
 
-/// Where it happens; indexes count from 0 in the order of the scenario file.
+/// Target of a fault: an index from 0 in the order of the scenario file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
@@ -110,23 +111,22 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Start, seconds after the load's.
+    /// Start, seconds after the load started.
     pub at_s: f64,
     /// Length, seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// What happens.
     pub what: FaultKind,
-    /// Where; drawn from the seed when absent.
+    /// Chosen from the seed if absent.
     #[serde(default, rename = "where")]
     pub target: Option<Target>,
-    /// Strength, in the unit that the kind says.
+    /// Magnitude, in the unit of the kind.
     #[serde(default)]
     pub amount: f64,
 }
 
 impl Fault {
-    /// Start after the load's.
+    /// Start, relative to the start of the load.
     pub fn start(&self) -> Duration {
         Duration::from_secs_f64(self.at_s)
     }
@@ -144,7 +144,7 @@
 }
 
 impl FaultFile {
-    /// Reads and checks a fault file.
+    /// Reads and validates a fault file.
     pub fn load(path: &Path) -> Result<FaultFile, LabError> {
         let place = path.display();
         let text = std::fs::read_to_string(path)
@@ -152,7 +152,7 @@
         FaultFile::parse(&text).map_err(|problem| LabError::usage(format!("{place}: {problem}")))
     }
 
-    /// Reads and checks the text of a fault file.
+    /// Parses and validates the text of a fault file.
     pub fn parse(text: &str) -> Result<FaultFile, String> {
         let file: FaultFile = toml::from_str(text).map_err(|error| error.to_string())?;
         for (index, fault) in file.fault.iter().enumerate() {
--- a/crates/lab/src/faults/operators.rs
+++ b/crates/lab/src/faults/operators.rs
@@ -1,4 +1,4 @@
-//! Faults and events that operators bring about through the admin interface.
+//! Faults and events caused by operators through the admin API.
 
 use std::time::Duration;
 
@@ -10,30 +10,28 @@
 use crate::fleet::admin::{self, AdminError, Operator};
 use crate::recorder::{Drain, Event};
 
-/// Attempts of an operator whose call fails: enough to outlast an outage of the store.
+/// Long enough, with [`RETRY_INTERVAL`], to outlast a store outage.
 const MAX_ATTEMPTS: usize = 24;
-/// Wait between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks at whether a confirmed drain is in the configuration.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time within which a confirmed drain must be in the configuration.
+/// Time within which the row of a confirmed drain must appear.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Status of a plan that was overtaken.
+/// HTTP status of a plan that conflicts with a change made after it.
 const CONFLICT: u16 = 409;
-/// Tenant whose limits are changed for the sake of a change.
+/// Tenant used only to produce configuration changes.
 const CHANGED_TENANT: &str = "changed-often";
-/// Tenant about whose limits operators race; nothing else changes it.
+/// Tenant changed only by racing operators.
 const RACED_TENANT: &str = "raced";
 
-/// Changes a tenant's limits; the number makes each change differ.
+/// Changes a tenant's limits; `number` makes each change different.
 pub async fn change_configuration(fleet: &Fleet, number: u32) {
     let intent = admin::tenant_intent(CHANGED_TENANT, number + 1);
     let done = plan_and_confirm(fleet, &intent).await;
     record_failure(fleet, FaultKind::ConfigurationChange, done);
 }
 
-/// Drains a server, waits, and takes it back. The drain counts from the moment that its row is in
-/// the table service.
+/// Drains a server for `length`, then undrains it. The drain starts when its row is in the table
+/// service.
 pub async fn drain_server(fleet: &Fleet, server: &str, length: Duration) {
     if let Err(error) = plan_and_confirm(fleet, &admin::drain_intent(server)).await {
         return record_failure(fleet, FaultKind::ServerDrain, Err(error));
@@ -60,7 +58,8 @@
 }
 
 /// Two operators at two nodes plan conflicting intents, then confirm both at once: first_node at most may
-/// be accepted.
+/// Two operators at two nodes plan conflicting intents and confirm both concurrently; at most one
+/// may be accepted.
 pub async fn race_operators(fleet: &Fleet, number: u32) {
     let addresses = fleet.admin_addresses();
     let (Some(first_node), Some(second_node)) = (addresses.first(), addresses.last()) else {
@@ -96,7 +95,8 @@
 }
 
 /// Plans and confirms, at first_node node after another, until it is done. A confirmation that may have
-/// taken effect is repeated for the same plan; a plan that was overtaken is made anew.
+/// Plans and confirms an intent, trying the nodes in turn. A confirmation that may have taken effect
+/// is retried with the same plan; after a conflict the intent is planned again.
 async fn plan_and_confirm(fleet: &Fleet, intent: &Value) -> Result<(), String> {
     let mut last = "no node runs".to_owned();
     let mut plan: Option<String> = None;
--- a/crates/lab/src/faults/routine.rs
+++ b/crates/lab/src/faults/routine.rs
@@ -1,4 +1,5 @@
-//! The mild events of every run, so that no invariant goes unchecked: one planned stop, one drain,
+//! Routine events of every run, so that every invariant is checked: one planned stop, one drain and
+//! Routine events of every run, so that every invariant is checked: one planned stop, one drain and
 //! some configuration changes.
 
 use std::time::Duration;
@@ -6,16 +7,15 @@
 use super::{Fault, FaultKind};
 use crate::scenario::RoutineScenario;
 
-/// Time from the stop of a node to its next start, seconds.
 const RESTART_AFTER_S: f64 = 1.0;
-/// Length of the drain, as a part of the run.
+/// Length of the drain, percent of the run.
 const DRAIN_PERCENT: f64 = 45.0;
-/// Part of the run within which configuration changes, percent.
+/// Start of the configuration changes, percent of the run.
 const CHANGES_FROM_PERCENT: f64 = 5.0;
-/// End of that part.
+/// End of the configuration changes, percent of the run.
 const CHANGES_TO_PERCENT: f64 = 60.0;
 
-/// The events for a length of the load.
+/// Generates the events for a load of the given length.
 pub fn events(routine: &RoutineScenario, length: Duration) -> Vec<Fault> {
     if !routine.enabled {
         return Vec::new();
--- a/crates/lab/src/fleet/admin.rs
+++ b/crates/lab/src/fleet/admin.rs
@@ -1,4 +1,4 @@
-//! What operators do: intents, plans and confirmations over a node's admin interface.
+//! Client of a node's admin API: intents, plans and confirmations.
 
 use std::time::Duration;
 
@@ -6,36 +6,27 @@
 use derive_more::{Display, Error};
 use serde_json::{Value, json};
 
-/// Name that the experiment's operators give.
+/// Operator name sent with each plan.
 const OPERATOR: &str = "experiment";
-/// Longest time for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Why an operator's call did not succeed.
+/// Failure of an admin call.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum AdminError {
-    /// No answer.
+    /// No valid response.
     #[display("no answer from {address}: {cause}")]
-    Unreached {
-        /// Admin address.
-        address: String,
-        /// What was seen.
-        cause: String,
-    },
-    /// The answer is an error.
+    Unreached { address: String, cause: String },
+    /// Error response.
     #[display("{address} answered {status}: {body}")]
     Refused {
-        /// Admin address.
         address: String,
-        /// HTTP status.
         status: u16,
-        /// Body of the answer.
         body: String,
     },
 }
 
 impl AdminError {
-    /// Whether the same call may succeed later, or may have succeeded already.
+    /// Whether the call may be retried: it may succeed later or have succeeded already.
     pub fn may_repeat(&self) -> bool {
         match self {
             AdminError::Unreached { .. } => true,
@@ -44,14 +35,14 @@
     }
 }
 
-/// An operator who speaks to one node.
+/// Admin client of one node.
 pub struct Operator {
     http: Client,
     address: String,
 }
 
 impl Operator {
-    /// An operator at a node's admin address, `host:port`.
+    /// Creates a client for an admin address, `host:port`.
     pub fn new(address: impl Into<String>) -> Operator {
         Operator {
             http: Client::builder().timeout(ANSWER_TIMEOUT).finish(),
@@ -59,7 +50,7 @@
         }
     }
 
-    /// Asks for a plan and returns its id.
+    /// Requests a plan and returns its id.
     pub async fn plan(&self, intent: &Value) -> Result<String, AdminError> {
         let body = json!({"intent": intent, "operator": OPERATOR});
         let answer = self.post("/admin/v1/plans", &body).await?;
@@ -71,7 +62,7 @@
         })
     }
 
-    /// Confirms a plan. The plan's id is the token, so that a repeat gets the same answer.
+    /// Confirms a plan. The plan id is the idempotency token, so a retry gets the same response.
     pub async fn confirm(&self, plan: &str) -> Result<Value, AdminError> {
         self.post(
             &format!("/admin/v1/plans/{plan}/confirm"),
@@ -108,17 +99,14 @@
     }
 }
 
-/// The intent to change a tenant's limits.
 pub fn tenant_intent(tenant: &str, batch_weight: u32) -> Value {
     json!({"intent": "tenant", "tenant": tenant, "batch_weight": batch_weight})
 }
 
-/// The intent to drain a server.
 pub fn drain_intent(server: &str) -> Value {
     json!({"intent": "drain", "kind": "server", "name": server})
 }
 
-/// The intent to take a drained server back.
 pub fn undrain_intent(server: &str) -> Value {
     json!({"intent": "undrain", "kind": "server", "name": server})
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet of an experiment in one process: platform, engines, nodes and sidecars.
+//! Runs the fleet of an experiment in one process: platform, engines, nodes and sidecars.
 
 pub mod admin;
 pub mod names;
@@ -24,28 +24,25 @@
 pub use names::Instance;
 use node::NodeSlot;
 
-/// Time between two looks at whether the fleet is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time within which the fleet must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running fleet. Lives on the main arbiter.
+/// A running fleet, owned by the main arbiter.
 pub struct Fleet {
     pub scenario: Scenario,
-    /// Network between the processes.
+    /// Simulated network between the processes.
     pub network: Arc<Network>,
-    /// Where observations go.
     pub recorder: Recorder,
     pub platform: PlatformHandle,
     pub engines: EngineHandle,
-    /// Servers, in the order of the scenario.
+    /// Servers in the order of the scenario.
     pub servers: Vec<Instance>,
     policy: Policy,
     nodes: RefCell<Vec<NodeSlot>>,
     sidecars: Vec<SidecarHandle>,
 }
 
-/// Starts the platform of a scenario.
+/// Starts the platform of a scenario and writes the initial configuration.
 pub fn start_platform(
     scenario: &Scenario,
     policy: Policy,
@@ -119,7 +116,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until all nodes take work.
+    /// Starts all processes and waits until all nodes are ready.
     pub async fn start(
         scenario: &Scenario,
         seed: u64,
@@ -180,7 +177,7 @@
         }
     }
 
-    /// Nodes that do not take work, with what they wait for.
+    /// Describes the nodes that are not ready: lifecycle and number of known servers.
     fn nodes_not_ready(&self) -> Vec<String> {
         let servers = self.servers.len();
         let nodes = self.nodes.borrow();
@@ -201,7 +198,7 @@
             .collect()
     }
 
-    /// Notes that something was set out to be done and could not be.
+    /// Records that a planned action could not be performed.
     pub fn record_not_done(&self, what: impl ToString, reason: &str) {
         self.recorder.add_event(Event::NotDone {
             what: what.to_string(),
@@ -218,7 +215,7 @@
             .collect()
     }
 
-    /// Notes the revision in force on each live node.
+    /// Records the configuration revision applied on each running node.
     pub fn sample_revisions(&self) {
         let at = self.recorder.clock.now();
         for slot in self.nodes.borrow().iter() {
@@ -234,7 +231,7 @@
         }
     }
 
-    /// Stops everything.
+    /// Stops all processes; nodes are killed.
     pub async fn stop(self) {
         for sidecar in self.sidecars {
             sidecar.stop().await;
--- a/crates/lab/src/fleet/names.rs
+++ b/crates/lab/src/fleet/names.rs
@@ -1,13 +1,12 @@
-//! Names of processes and servers, from the scenario alone.
+//! Names and locations of processes and servers, derived from the scenario.
 
 use crate::network::NetworkLocation;
 use crate::scenario::{Scenario, ZoneScenario};
 
-/// A process or server and where it stands.
+/// A process or server and its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
     pub name: String,
-    /// Where it stands.
     pub location: NetworkLocation,
 }
 
--- a/crates/lab/src/fleet/node.rs
+++ b/crates/lab/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! Nodes of the fleet: start, planned stop, kill, pause.
+//! Node lifecycle: start, planned stop, kill and pause.
 
 use std::time::Duration;
 
@@ -10,9 +10,8 @@
 use crate::error::LabError;
 use crate::recorder::{Event, PlannedStop, Unavailable};
 
-/// A place for a node, whether it runs or not.
+/// A node of the scenario, running or not.
 pub struct NodeSlot {
-    /// Name and place.
     pub instance: Instance,
     handle: Option<NodeHandle>,
     starts: u32,
@@ -20,7 +19,7 @@
 }
 
 impl NodeSlot {
-    /// A place without a node.
+    /// Creates a slot whose node is not running.
     pub fn new(instance: Instance) -> NodeSlot {
         NodeSlot {
             instance,
@@ -30,17 +29,17 @@
         }
     }
 
-    /// The node, if it runs.
+    /// The node, if it is running.
     pub fn handle(&self) -> Option<&NodeHandle> {
         self.handle.as_ref()
     }
 
-    /// How often a node was started here.
+    /// Number of starts of this node.
     pub fn starts(&self) -> u32 {
         self.starts
     }
 
-    /// Ends the node at once.
+    /// Kills the node, if it is running.
     pub async fn kill(self) {
         if let Some(handle) = self.handle {
             handle.kill().await;
@@ -49,17 +48,15 @@
 }
 
 impl Fleet {
-    /// Places for nodes.
+    /// Number of node slots.
     pub fn node_count(&self) -> usize {
         self.nodes.borrow().len()
     }
 
-    /// Name and place of a node.
     pub fn node_instance(&self, index: usize) -> Instance {
         self.nodes.borrow()[index].instance.clone()
     }
 
-    /// Indexes of the nodes that run.
     pub fn running_nodes(&self) -> Vec<usize> {
         let nodes = self.nodes.borrow();
         let running = nodes
@@ -69,7 +66,7 @@
         running.map(|(index, _)| index).collect()
     }
 
-    /// Decision records of the nodes that run, at most `limit` of each.
+    /// Decision records of the running nodes, at most `limit` of each.
     pub fn decisions(&self, limit: usize) -> Vec<Decision> {
         let nodes = self.nodes.borrow();
         let running = nodes.iter().filter_map(NodeSlot::handle);
@@ -78,17 +75,17 @@
             .collect()
     }
 
-    /// Gossip addresses of the nodes that run.
+    /// Gossip addresses of the running nodes.
     pub fn gossip_addresses(&self) -> Vec<String> {
         self.addresses(NodeHandle::gossip_address)
     }
 
-    /// Link addresses of the nodes that run.
+    /// Link addresses of the running nodes.
     pub fn link_addresses(&self) -> Vec<String> {
         self.addresses(NodeHandle::link_address)
     }
 
-    /// Admin addresses of the nodes that run.
+    /// Admin addresses of the running nodes.
     pub fn admin_addresses(&self) -> Vec<String> {
         self.addresses(NodeHandle::admin_address)
     }
@@ -102,7 +99,7 @@
             .collect()
     }
 
-    /// Starts a node; a new start of the same id has a greater incarnation.
+    /// Starts a node; each start of the same id has a higher incarnation.
     pub async fn start_node(&self, index: usize) -> Result<(), LabError> {
         let instance = self.node_instance(index);
         let settings = settings::node(self, &instance);
@@ -138,7 +135,7 @@
         Some(handle)
     }
 
-    /// Stops a node as planned and notes how long it took; `false` when it does not run.
+    /// Stops a node gracefully and records how long it took; `false` if it is not running.
     pub async fn stop_node(&self, index: usize) -> bool {
         let Some(handle) = self.take_node(index) else {
             return false;
@@ -157,7 +154,7 @@
         true
     }
 
-    /// Ends a node at once; the machine list still shows it. `false` when it does not run.
+    /// Kills a node, leaving it in the machine list; `false` if it is not running.
     pub async fn kill_node(&self, index: usize) -> bool {
         let Some(handle) = self.take_node(index) else {
             return false;
@@ -166,7 +163,7 @@
         true
     }
 
-    /// Blocks a node's threads for a time; `false` when it does not run.
+    /// Blocks a node's threads for `length`; `false` if it is not running.
     pub fn pause_node(&self, index: usize, length: Duration) -> bool {
         let nodes = self.nodes.borrow();
         let Some(handle) = nodes[index].handle() else {
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes and the first configuration, from the scenario.
+//! Process settings and initial configuration, derived from the scenario.
 
 use dappleyard_settings::{
     BatchSettings, FleetSettings, Location, NodeSettings, PlatformSettings, SidecarSettings,
@@ -12,14 +12,14 @@
 use crate::load::plan::ONCE_TENANT;
 use crate::scenario::{Policy, Scenario};
 
-/// An address of loopback with a port of the operating system's choice.
+/// Loopback address with a port chosen by the operating system.
 pub const ANY_PORT: &str = "127.0.0.1:0";
-/// Limit of tenants that are not to be refused.
+/// Rate limit that the load of an experiment never reaches.
 const HIGH_RATE_LIMIT: f64 = 100_000.0;
-/// Jobs up to this many items run without a person.
+/// Jobs up to this many items need no operator approval.
 const AUTO_APPROVED_ITEMS: u32 = 400_000;
 
-/// The configuration rows that stand before the first node starts, as one change.
+/// The rows written before the first node starts, as one transaction.
 pub fn initial_configuration(scenario: &Scenario, policy: Policy) -> Transaction {
     let mut change = Transaction::default().put(keys::CONFIGURATION_HEAD, "0");
     for name in scenario.services(policy) {
@@ -73,7 +73,6 @@
     tenants
 }
 
-/// Settings of a node.
 pub fn node(fleet: &Fleet, instance: &Instance) -> NodeSettings {
     let processes = &fleet.scenario.processes;
     NodeSettings {
@@ -108,7 +107,6 @@
     }
 }
 
-/// Settings of a sidecar.
 pub fn sidecar(fleet: &Fleet, instance: &Instance) -> SidecarSettings {
     SidecarSettings {
         id: instance.name.clone(),
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -10,17 +10,17 @@
 const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 
 /// Each accepted change is in force on each node that serves, within the bound. A node that was
-/// away, cut off or standing still in that time is checked once it has been back for as long.
+/// away, cut off or standing still in that time is first once it has been back for as long.
 pub fn config_convergence(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.configuration_ms);
     for change in accepted(evidence) {
         for (node, samples) in by_node(evidence) {
             let due = due_on(evidence, node, change.accepted, bound);
-            let checked = samples
+            let first = samples
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
-            let Some(sample) = checked else {
+            let Some(sample) = first else {
                 continue;
             };
             verdict.case(sample.revision >= change.revision, || {
--- a/crates/lab/src/load/batch.rs
+++ b/crates/lab/src/load/batch.rs
@@ -295,7 +295,7 @@
                 Err(CallError::Refused(refusal)) if refusal.status < 500 => {
                     return Err(CallError::Refused(refusal));
                 }
-                Ok(content) if self.is_complete(caller, file, &content).await => {
+                Ok(content) if self.is_whole(caller, file, &content).await => {
                     return Ok(content);
                 }
                 Ok(_) | Err(_) if self.has_time_left() => tokio::time::sleep(RETRY_WAIT).await,
@@ -307,7 +307,7 @@
 
     /// Whether a download has the size that the file's state says: the HTTP client takes a
     /// connection that breaks within a body for its end.
-    async fn is_complete(&self, caller: &Caller, file: &str, content: &[u8]) -> bool {
+    async fn is_whole(&self, caller: &Caller, file: &str, content: &[u8]) -> bool {
         let state: Result<Value, _> = caller.get(&format!("/v1/files/{file}")).await;
         state.is_ok_and(|state| state["bytes"].as_u64() == Some(content.len() as u64))
     }
