--- a/crates/lab/src/faults/operators.rs
+++ b/crates/lab/src/faults/operators.rs
@@ -57,7 +57,6 @@
     record_failure(fleet, FaultKind::ServerDrain, done);
 }
 
-/// Two operators at two nodes plan conflicting intents, then confirm both at once: first_node at most may
 /// Two operators at two nodes plan conflicting intents and confirm both concurrently; at most one
 /// may be accepted.
 pub async fn race_operators(fleet: &Fleet, number: u32) {
@@ -94,9 +93,8 @@
     });
 }
 
-/// Plans and confirms, at first_node node after another, until it is done. A confirmation that may have
 /// Plans and confirms an intent, trying the nodes in turn. A confirmation that may have taken effect
-/// is retried with the same plan; after a conflict the intent is planned again.
+/// is retried with the same plan; after any other error the intent is planned again.
 async fn plan_and_confirm(fleet: &Fleet, intent: &Value) -> Result<(), String> {
     let mut last = "no node runs".to_owned();
     let mut plan: Option<String> = None;
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration: in force everywhere within the bound, and never back.
+//! Configuration invariants: changes reach every node within a bound, and revisions never decrease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,10 +6,9 @@
 use super::{Evidence, Verdict, format_time, overlap};
 use crate::recorder::{ConfigurationAccepted, Event, RevisionSample};
 
-/// Time that a node which was away gets to catch up after it is back, besides the bound.
+/// Extra time for a node to catch up after it was unavailable.
 const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 
-/// Each accepted change is in force on each node that serves, within the bound. A node that was
 /// away, cut off or standing still in that time is first once it has been back for as long.
 pub fn config_convergence(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
@@ -20,9 +19,7 @@
             let first = samples
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
-            let Some(sample) = first else {
-                continue;
-            };
+            let Some(sample) = first else { continue };
             verdict.case(sample.revision >= change.revision, || {
                 format!(
                     "revision {} ({}) accepted {}, but {node} has {} at {}",
@@ -38,7 +35,7 @@
     verdict
 }
 
-/// When a node has had the whole bound without being away.
+/// Time by which a node must have applied a change, extended by its unavailability.
 fn due_on(evidence: &Evidence, node: &str, accepted: Duration, bound: Duration) -> Duration {
     let mut due = accepted + bound;
     let mut spans: Vec<_> = evidence
@@ -54,8 +51,8 @@
     due
 }
 
-/// The revision in force on a node never falls while it runs, and a node that takes new work after
-/// a start is not behind what was in force on every node before.
+/// The revision of a running node never decreases, and a restarted node that accepts work is not
+/// behind the revision that all nodes had reached before.
 pub fn config_monotonic(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for (node, samples) in by_node(evidence) {
@@ -103,7 +100,7 @@
     }
 }
 
-/// The greatest revision that every node had in force at a time.
+/// The highest revision that every node had reached at a time.
 fn in_force_everywhere(nodes: &BTreeMap<&str, Vec<&RevisionSample>>, time: Duration) -> u64 {
     nodes
         .values()
--- a/crates/lab/src/invariants/jobs.rs
+++ b/crates/lab/src/invariants/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch: each accepted item once, results that stay readable, cancels that hold.
+//! Batch invariants: exactly-once results, readable results, effective cancellation.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use super::{EngineRun, Evidence, Verdict, format_time};
 use crate::recorder::{ItemFinding, JobRecord};
 
-/// Each item of each accepted job has exactly one right result; of a cancelled job, at most one.
-/// A job that was submitted several times with one key is one job.
+/// Each item of an accepted job has exactly one correct result, or at most one if the job was
+/// cancelled. Submissions with the same key create one job.
 pub fn exactly_once(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for job in &evidence.observations.jobs {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Results read at the end of a job are read again later, through another sidecar, unchanged.
+/// Results read when a job ended are unchanged when read later through another sidecar.
 pub fn results_readable(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for job in evidence
@@ -73,8 +73,8 @@
     verdict
 }
 
-/// After the answer to a cancel, and a bound, no engine begins an item of the job, and nothing is
-/// added to its results.
+/// Once a cancel was acknowledged and the bound has passed, no engine starts an item of the job,
+/// and the job ends as cancelled.
 pub fn cancellation_effective(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.cancel_ms);
@@ -106,7 +106,7 @@
     verdict
 }
 
-/// Batch attempts by the job that their request id names.
+/// Batch attempts of cancelled jobs, by the job id contained in their request id.
 fn runs_by_job(evidence: &Evidence) -> HashMap<&str, Vec<&EngineRun>> {
     let ids: Vec<&str> = evidence
         .observations
--- a/crates/lab/src/invariants/leaving.rs
+++ b/crates/lab/src/invariants/leaving.rs
@@ -1,14 +1,14 @@
-//! Leaving: servers that get no new work, planned stops that cut nothing.
+//! Shutdown invariants: draining servers get no new work, planned stops interrupt no request.
 
 use std::time::Duration;
 
 use super::{Evidence, Verdict, format_time, overlap};
 use crate::recorder::{OnlineEnd, OnlineRecord, PlannedStop};
 
-/// Time before a planned stop within which an abrupt fault's after-effects may still end requests.
+/// Time after an abrupt fault during which its effects may still interrupt requests.
 const ABRUPT_FAULT_GRACE: Duration = Duration::from_secs(4);
 
-/// A server that was told to leave receives nothing new after the bound, whichever source said so.
+/// A draining or leaving server receives no new work after the bound.
 pub fn drain_no_new_work(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.drain_ms);
@@ -36,8 +36,8 @@
     verdict
 }
 
-/// Requests in progress while a node stops as planned all end whole or in a refusal that has a
-/// cause of its own, and the node stops within its bound.
+/// Requests in progress during a planned stop complete or are refused for an unrelated reason, and
+/// the node stops within its bound.
 pub fn graceful_shutdown(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for stop in evidence.stops() {
@@ -86,7 +86,7 @@
         })
 }
 
-/// Kinds of refusal that a node's stop must not cause at a caller.
+/// Error kinds that a planned stop must not cause.
 const SHUTDOWN_ERROR_KINDS: [&str; 6] = [
     "node_lost",
     "not_ready",
--- a/crates/lab/src/invariants/mod.rs
+++ b/crates/lab/src/invariants/mod.rs
@@ -1,7 +1,7 @@
-//! The invariants: what must hold in every run, judged from what callers received and from what the
-//! engines and the platform say happened, never from the nodes' own counters.
+//! Invariants that must hold in every run. They are checked against what callers received and what
+//! the engines and the platform recorded, never against the nodes' own counters.
 //!
-//! Each module judges one side of the product; [`check_all`] gives all verdicts by name.
+//! Each module checks one area; [`check_all`] returns all verdicts by name.
 
 mod configuration;
 mod jobs;
@@ -16,7 +16,7 @@
 use crate::recorder::{Event, FaultRecord, Observations, PlannedStop, Unavailable};
 use crate::scenario::Bounds;
 
-/// Names of all invariants, as in summary.json.
+/// Invariant names, as in summary.json, in the order of [`check_all`].
 pub const NAMES: [&str; 11] = [
     "exactly_once",
     "results_readable",
@@ -31,42 +31,39 @@
     "config_monotonic",
 ];
 
-/// One attempt as an engine recorded it; times are offsets from the start of the run.
+/// An attempt as recorded by an engine; times are offsets from the start of the run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EngineRun {
     pub server: String,
     pub request_id: String,
     pub attempt: u32,
-    /// Whether it was online work.
+    /// Online or batch work.
     pub online: bool,
-    /// When the call arrived.
     pub arrived: Duration,
-    /// When its first step began; `None` when nothing of it ran.
+    /// When its first step began; `None` if it never ran.
     pub started: Option<Duration>,
-    /// When it ended.
     pub ended: Option<Duration>,
-    /// Steps that it waited for its first one while batch work was served.
+    /// Steps that ran batch work while it waited for its first step.
     pub steps_behind_batch: u32,
-    /// It ended whole.
+    /// It ran to completion.
     pub finished: bool,
-    /// First token of this attempt.
+    /// Index of the first generated token.
     pub from: u32,
-    /// Token after the last one made.
+    /// Index after the last generated token.
     pub to: u32,
 }
 
-/// All evidence of a run.
+/// Everything the invariants are checked against.
 #[derive(Debug, Default, Serialize)]
 pub struct Evidence {
-    /// What callers received and what was done to the fleet.
+    /// Requests and jobs as seen by callers, and events of the fleet.
     pub observations: Observations,
-    /// What the engines ran.
+    /// Attempts recorded by the engines.
     pub runs: Vec<EngineRun>,
-    /// Engine records that were dropped for lack of room: evidence is then incomplete.
+    /// Engine records dropped for lack of space; if not 0, the evidence is incomplete.
     pub dropped_runs: u64,
     /// Bounds to check_all by.
     pub bounds: Bounds,
-    /// End of the run.
     pub end: Duration,
 }
 
@@ -102,7 +99,7 @@
     }
 }
 
-/// Judges all invariants.
+/// Checks all invariants.
 pub fn check_all(evidence: &Evidence) -> Verdicts {
     let verdicts = [
         jobs::exactly_once(evidence),
@@ -124,7 +121,7 @@
         .collect()
 }
 
-/// Names of invariants that were violated, and of those that were not checked at all.
+/// Describes the invariants that were violated or never checked.
 pub fn failures(verdicts: &Verdicts) -> Vec<String> {
     verdicts
         .iter()
@@ -136,12 +133,12 @@
         .collect()
 }
 
-/// Whether two spans of time share a moment.
+/// Whether two closed time intervals overlap.
 fn overlap(one: (Duration, Duration), other: (Duration, Duration)) -> bool {
     one.0 <= other.1 && other.0 <= one.1
 }
 
-/// A time as shown in examples, seconds.
+/// Formats a time for the examples of a verdict.
 fn format_time(time: Duration) -> String {
     format!("{:.3}s", time.as_secs_f64())
 }
--- a/crates/lab/src/invariants/requests.rs
+++ b/crates/lab/src/invariants/requests.rs
@@ -1,4 +1,4 @@
-//! Online: priority over batch, whole answers, true refusals, at most one run.
+//! Online invariants: priority over batch, intact responses, truthful rejections, at-most-once runs.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use super::{EngineRun, Evidence, Verdict, format_time};
 use crate::recorder::{OnlineEnd, OnlineRecord};
 
-/// No batch sequence enters an engine while an online one waits there, and an online one waits no
-/// more steps than the bound while batch work is served. Both are told by the engine's own account
-/// of its steps, so that a machine that is late is not taken for the system.
+/// No batch sequence starts on an engine while an online one waits there, and an online one waits
+/// at most the bounded number of steps that run batch work. Counting engine steps keeps a slow test
+/// machine from causing violations.
 pub fn online_priority(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = evidence.bounds.online_wait_steps;
@@ -36,7 +36,7 @@
     verdict
 }
 
-/// Batch attempts that ran, by server, in order of their start.
+/// Batch attempts that ran, by server, ordered by start.
 fn batch_by_server(evidence: &Evidence) -> HashMap<&str, Vec<&EngineRun>> {
     let mut by_server: HashMap<&str, Vec<&EngineRun>> = HashMap::new();
     let ran = |run: &&EngineRun| !run.online && run.started.is_some();
@@ -61,9 +61,9 @@
         .filter(|run| run.started < Some(before))
 }
 
-/// A whole answer is the engine's text byte for byte; an interrupted one is the start of it, and is
-/// never passed off as whole. A connection that ends without an answer or an error is a violation:
-/// the sidecar stands beside the caller and outlives every fault.
+/// A complete response equals the engine's text byte for byte; an interrupted one is a prefix of it.
+/// A connection that ends without completion or an error is a violation, since no fault affects the
+/// sidecar.
 pub fn stream_integrity(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for record in &evidence.observations.online {
@@ -86,7 +86,7 @@
     verdict
 }
 
-/// A request refused with "not run" was run by no engine, under any attempt.
+/// No engine ran a request that was refused with `ran` set to `no`.
 pub fn truthful_rejection(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let ran: HashMap<&str, &EngineRun> = evidence
@@ -113,8 +113,8 @@
     verdict
 }
 
-/// Of all sendings with one idempotency key at most one is run by an engine. That all whole answers
-/// are the same follows from `stream_integrity`.
+/// Engines run at most one request per idempotency key. That all complete responses are equal
+/// follows from `stream_integrity`.
 pub fn at_most_once(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let mut by_key: BTreeMap<&str, Vec<&OnlineRecord>> = BTreeMap::new();
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,7 @@
-//! Experiments: load, faults, invariants, capacity, replay.
+//! Experiments: load, faults, invariants, capacity and replay.
 //!
-//! An experiment holds the platform, the engines, the nodes and the sidecars in one process; they
-//! speak real TCP and UDP on loopback. [`commands`] is the command line, with one module for each
-//! subcommand.
+//! An experiment runs the platform, engines, nodes and sidecars in one process; they communicate
+//! over TCP and UDP on loopback. [`commands`] is the command line, with one module per subcommand.
 
 pub mod capacity;
 pub mod commands;
--- a/crates/lab/src/load/batch.rs
+++ b/crates/lab/src/load/batch.rs
@@ -1,4 +1,4 @@
-//! Batch callers: upload, submit, poll, cancel, read and check the results.
+//! Batch callers: upload, submit, poll, cancel, then read and check the results.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,36 +14,31 @@
 use crate::recorder::{CancelRecord, JobRecord, JobResults, Recorder, Refusal};
 use crate::scenario::BatchScenario;
 
-/// Wait before a failed call is made again.
+/// Delay before a failed call is retried.
 const RETRY_WAIT: Duration = Duration::from_millis(400);
-/// Most refusals kept of one job.
+/// Refusals recorded per job.
 const MAX_REFUSALS: usize = 20;
 
-/// What batch callers of one thread share.
+/// State shared by the batch callers of one thread.
 pub struct BatchCallers {
-    /// HTTP client of this thread.
     pub http: Client,
-    /// Where observations go.
     pub recorder: Recorder,
-    /// Base URLs of the sidecars.
     pub sidecars: Rc<Vec<String>>,
-    /// Model service.
     pub service: String,
-    /// All versions that may be loaded in the run.
+    /// Versions that may be loaded during the run.
     pub versions: Vec<String>,
-    /// Shape of the jobs.
     pub batch: BatchScenario,
-    /// When callers give up, after the start of the run.
+    /// When callers give up, relative to the start of the run.
     pub give_up_at: Duration,
-    /// When results are read a second time, after the start of the run.
+    /// When results are read a second time, relative to the start of the run.
     pub reread_at: Duration,
-    /// Whether every job is sent twice at present.
+    /// Whether every job is currently submitted twice.
     pub always_resend: Rc<dyn Fn() -> bool>,
-    /// Whether jobs are to be cancelled while they commit at present.
+    /// Whether jobs that are about to finish are currently cancelled.
     pub cancel_committing: Rc<dyn Fn() -> bool>,
 }
 
-/// Parts of a batch object that callers use.
+/// The fields of a batch object that callers use.
 #[derive(Debug, Clone, Deserialize)]
 struct BatchObject {
     id: String,
@@ -71,7 +66,7 @@
 }
 
 impl BatchCallers {
-    /// Carries out a job from upload to its results.
+    /// Runs a job from upload to reading its results.
     pub async fn run(&self, arrival: &JobArrival) {
         let items = arrival.items(&self.batch);
         let mut record = JobRecord {
@@ -114,7 +109,7 @@
         self.recorder.clock.now() < self.give_up_at
     }
 
-    /// Submits the job and looks at it until it has ended or the caller gives up.
+    /// Submits the job and polls it until it has ended or the caller gives up.
     async fn submit_and_poll(
         &self,
         caller: &Caller,
@@ -223,7 +218,7 @@
         None
     }
 
-    /// The client submits the same job again, through another sidecar.
+    /// Submits the same job again through another sidecar.
     async fn resend(&self, arrival: &JobArrival, file: &str, record: &mut JobRecord) {
         match submit_once(&self.caller(arrival, 1), arrival, file).await {
             Ok(batch) => record.ids.push(batch.id),
@@ -249,7 +244,7 @@
         }
     }
 
-    /// Reads the results a second time, later in the run.
+    /// Reads the results again after the load.
     async fn reread_results(
         &self,
         caller: &Caller,
@@ -288,16 +283,14 @@
         Ok(results::check_results(&lines, items, &self.versions))
     }
 
-    /// Reads a file, again while the system says that it cannot now.
+    /// Reads a file, retrying server errors and truncated downloads until the caller gives up.
     async fn read_file(&self, caller: &Caller, file: &str) -> Result<bytes::Bytes, CallError> {
         loop {
             match caller.get_bytes(&format!("/v1/files/{file}/content")).await {
                 Err(CallError::Refused(refusal)) if refusal.status < 500 => {
                     return Err(CallError::Refused(refusal));
                 }
-                Ok(content) if self.is_whole(caller, file, &content).await => {
-                    return Ok(content);
-                }
+                Ok(content) if self.is_whole(caller, file, &content).await => return Ok(content),
                 Ok(_) | Err(_) if self.has_time_left() => tokio::time::sleep(RETRY_WAIT).await,
                 Ok(_) => return Err(CallError::Broken("shorter than its size says".to_owned())),
                 Err(error) => return Err(error),
@@ -305,8 +298,8 @@
         }
     }
 
-    /// Whether a download has the size that the file's state says: the HTTP client takes a
-    /// connection that breaks within a body for its end.
+    /// Whether a download has the size of the file object. The HTTP client treats a connection that
+    /// closes within the body as the end of the body.
     async fn is_whole(&self, caller: &Caller, file: &str, content: &[u8]) -> bool {
         let state: Result<Value, _> = caller.get(&format!("/v1/files/{file}")).await;
         state.is_ok_and(|state| state["bytes"].as_u64() == Some(content.len() as u64))
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of a caller to its sidecar.
+//! HTTP client for the sidecar API.
 
 use std::time::Duration;
 
@@ -11,41 +11,40 @@
 
 use crate::recorder::Refusal;
 
-/// Header that names the tenant.
+/// Request header: tenant.
 pub const TENANT: &str = "dappleyard-tenant";
-/// Header that names the conversation.
+/// Request header: session.
 pub const SESSION: &str = "dappleyard-session";
-/// Header with the deadline, milliseconds.
+/// Request header: deadline in milliseconds.
 pub const DEADLINE: &str = "dappleyard-deadline-ms";
-/// Header with the request id.
+/// Request header: request id.
 pub const REQUEST_ID: &str = "dappleyard-request-id";
-/// Header with the repeat rule.
+/// Request header: whether the request may be retried.
 pub const REPEAT: &str = "dappleyard-repeat";
-/// Header with the caller's key.
+/// Request header: idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Header of the answer with the model version.
+/// Response header: model version.
 pub const VERSION: &str = "x-dappleyard-version";
 
-/// Longest time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time for the head of an answer.
+/// Timeout for the response headers.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest body of an answer that is read as a whole, bytes.
+/// Maximum size of a response body, bytes.
 const BODY_LIMIT: usize = 512 << 20;
-/// Boundary of multipart bodies; stands in no generated text.
+/// Boundary of multipart bodies; never occurs in generated text.
 const BOUNDARY: &str = "dappleyard-lab-boundary";
 
-/// Why a call did not give its answer.
+/// Failure of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
-    /// The answer is an error.
+    /// Error response.
     Refused(Refusal),
-    /// No answer, or not a whole one.
+    /// No response, or an incomplete or invalid one.
     Broken(String),
 }
 
 impl CallError {
-    /// The error as a refusal; of a broken call nothing is known.
+    /// Converts the error to a refusal; after a broken call the request may have run.
     pub fn into_refusal(self) -> Refusal {
         match self {
             CallError::Refused(refusal) => refusal,
@@ -59,7 +58,7 @@
     }
 }
 
-/// A client for callers.
+/// Creates an HTTP client without a connection limit.
 pub fn client() -> Client {
     let connector = awc::Connector::new().timeout(CONNECT_TIMEOUT).limit(0);
     Client::builder()
@@ -68,13 +67,13 @@
         .finish()
 }
 
-/// Reads an error answer.
+/// Parses an error response.
 pub fn refusal(status: u16, body: &[u8]) -> Refusal {
     let parsed: Value = serde_json::from_slice(body).unwrap_or_default();
     error_object(status, &parsed["error"])
 }
 
-/// Reads an error object.
+/// Parses an error object.
 pub fn error_object(status: u16, error: &Value) -> Refusal {
     let text = |key: &str| error[key].as_str().unwrap_or_default().to_owned();
     Refusal {
@@ -85,23 +84,21 @@
     }
 }
 
-/// One caller beside one sidecar, as one tenant.
+/// A caller that uses one sidecar as one tenant.
 #[derive(Clone)]
 pub struct Caller {
-    /// HTTP client of this thread.
     pub http: Client,
-    /// Base URL of the sidecar.
     pub base: String,
     pub tenant: String,
 }
 
 impl Caller {
-    /// `GET path`, the body as JSON.
+    /// `GET path` with a JSON response.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CallError> {
         parse(&self.get_bytes(path).await?)
     }
 
-    /// `GET path`, the body as bytes.
+    /// `GET path` with a binary response.
     pub async fn get_bytes(&self, path: &str) -> Result<Bytes, CallError> {
         let request = self
             .http
@@ -110,7 +107,6 @@
         read_response(request.send().await).await
     }
 
-    /// `POST path` with a JSON body.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -127,7 +123,7 @@
         parse(&read_response(request.send_json(body).await).await?)
     }
 
-    /// Uploads a file for batch work and returns its id.
+    /// Uploads a batch input file and returns its id.
     pub async fn upload(&self, filename: &str, content: &[u8]) -> Result<String, CallError> {
         let request = self
             .http
--- a/crates/lab/src/load/drive.rs
+++ b/crates/lab/src/load/drive.rs
@@ -1,4 +1,4 @@
-//! Callers on their own threads, each with the arrivals of some sidecars.
+//! Runs the callers on their own threads; arrivals are divided between the threads by index.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,54 +16,45 @@
 use crate::recorder::Recorder;
 use crate::scenario::BatchScenario;
 
-/// Threads of callers.
 const CALLER_THREADS: usize = 2;
 
-/// Moods of clients that faults switch.
+/// Client behavior that faults switch on and off.
 #[derive(Debug, Default)]
 pub struct ClientBehavior {
-    /// Clients send must-not-repeat requests and jobs twice.
+    /// Clients send at-most-once requests and jobs twice.
     pub resend: AtomicBool,
-    /// Clients cancel jobs that are nearly done.
+    /// Clients cancel jobs that are about to finish.
     pub cancel_committing: AtomicBool,
 }
 
-/// What the callers need.
+/// Parameters of the callers.
 #[derive(Clone)]
 pub struct LoadContext {
-    /// All arrivals.
     pub plan: Arc<LoadPlan>,
-    /// Where observations go.
     pub recorder: Recorder,
-    /// Start of the load on the recorder's clock.
+    /// Start of the load on the run's clock.
     pub start: Duration,
-    /// When batch callers give up.
     pub give_up_at: Duration,
-    /// When results are read a second time.
     pub reread_at: Duration,
-    /// Base URLs of the sidecars.
     pub sidecars: Vec<String>,
-    /// Model service.
+    /// Model service of online requests.
     pub service: String,
     /// Model service of batch items.
     pub batch_service: String,
-    /// All versions that may be loaded.
+    /// Versions that may be loaded during the run.
     pub versions: Vec<String>,
-    /// Shape of the jobs.
     pub batch: BatchScenario,
-    /// Moods of clients.
     pub client_behavior: Arc<ClientBehavior>,
     pub seed: u64,
 }
 
-/// Callers that are at work.
+/// Running callers.
 pub struct Callers {
     arbiters: Vec<Arbiter>,
     finished: Vec<oneshot::Receiver<()>>,
 }
 
 impl Callers {
-    /// Starts all callers.
     pub fn start(context: &LoadContext) -> Callers {
         let mut callers = Callers {
             arbiters: Vec::new(),
@@ -90,7 +81,7 @@
         callers
     }
 
-    /// Waits until every request and job has ended, and stops the threads.
+    /// Waits until all requests and jobs have ended, then stops the threads.
     pub async fn finish(self) {
         for finished in self.finished {
             let _ = finished.await;
--- a/crates/lab/src/load/expected.rs
+++ b/crates/lab/src/load/expected.rs
@@ -1,20 +1,20 @@
-//! What an engine would say: the text that every answer is judged by.
+//! Checks response text against the deterministic text of the stand-in engine.
 
 use dappleyard_standin::text::TextSource;
 
-/// Judges the text of an answer.
+/// The expected response to a prompt.
 #[derive(Debug, Clone)]
 pub struct Expected {
-    /// Versions that may have answered: the one that the answer names, or all that were loaded.
+    /// Versions that may have responded: the one named in the response, or all that were loaded.
     pub versions: Vec<String>,
     /// Canonical prompt.
     pub prompt: String,
-    /// Most tokens.
+    /// Token limit of the response.
     pub max_tokens: u32,
 }
 
 impl Expected {
-    /// What is wrong with a whole answer; `None` when it is right.
+    /// Describes how a complete response differs; `None` if it is correct.
     pub fn check_complete(&self, text: &str) -> Option<String> {
         let right = self
             .versions
@@ -23,7 +23,7 @@
         (!right).then(|| self.difference(text))
     }
 
-    /// What is wrong with an interrupted answer; `None` when it is the start of a right one.
+    /// Describes how an interrupted response differs; `None` if it is a prefix of a correct one.
     pub fn check_prefix(&self, text: &str) -> Option<String> {
         let right = self
             .versions
@@ -58,7 +58,6 @@
     }
 }
 
-/// The canonical prompt of a system and a user message.
 pub fn canonical(system: &str, user: &str) -> String {
     dappleyard_wire::prompt::canonical_chat([("system", system), ("user", user)])
 }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! What callers do: seeded arrivals, and the HTTP callers that carry them out.
+//! Load generation: seeded arrivals and the HTTP callers that send them.
 //!
-//! [`plan`] draws all arrivals from the seed before the run, so that each policy sees the same ones;
-//! [`online`] and [`batch`] carry them out against the sidecars and note what came back in the
-//! recorder; [`drive`] spreads them over threads. Texts of prompts come from [`words`]; answers are
-//! judged by [`expected`], and whole jobs by [`results`].
+//! [`plan`] draws all arrivals from the seed before the run, so that each policy sees the same
+//! ones. [`online`] and [`batch`] send them to the sidecars and record the outcome; [`drive`]
+//! divides them between threads. [`words`] generates prompt text, [`expected`] checks responses and
+//! [`results`] checks the results of jobs.
 
 pub mod batch;
 pub mod client;
--- a/crates/lab/src/load/online.rs
+++ b/crates/lab/src/load/online.rs
@@ -1,4 +1,4 @@
-//! Online callers: a streamed chat request, checked byte for byte.
+//! Online callers: streamed chat requests whose responses are checked byte for byte.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,26 +14,22 @@
 use super::sse::{EventReader, StreamEvent};
 use crate::recorder::{OnlineEnd, OnlineRecord, Recorder};
 
-/// Time past its deadline after which a caller gives a request up.
+/// Time after the deadline of a request at which the caller gives up.
 const DEADLINE_GRACE: Duration = Duration::from_secs(10);
 
-/// What online callers of one thread share.
+/// State shared by the online callers of one thread.
 pub struct OnlineCallers {
-    /// HTTP client of this thread.
     pub http: Client,
-    /// Where observations go.
     pub recorder: Recorder,
-    /// Base URLs of the sidecars.
     pub sidecars: Rc<Vec<String>>,
-    /// Model service.
     pub service: String,
-    /// All versions that may be loaded in the run.
+    /// Versions that may be loaded during the run.
     pub versions: Vec<String>,
-    /// Seed, part of request ids.
+    /// Part of the request ids.
     pub seed: u64,
 }
 
-/// An answer while it is being received.
+/// The part of a response received so far.
 #[derive(Default)]
 struct Received {
     text: String,
@@ -55,7 +51,7 @@
 }
 
 impl OnlineCallers {
-    /// Carries out an arrival, with its resend if it has one.
+    /// Sends a request, and its resend if it has one.
     pub async fn call(&self, arrival: &OnlineArrival, always_resend: bool) {
         let resend_after = arrival
             .once
@@ -102,7 +98,7 @@
         self.recorder.add_online(record);
     }
 
-    /// A resend goes through another sidecar, as from another process of the same client.
+    /// A resend uses another sidecar, like another process of the same client.
     fn sidecar_index(&self, arrival: &OnlineArrival, resend: bool) -> usize {
         (arrival.sidecar + usize::from(resend)) % self.sidecars.len()
     }
@@ -198,7 +194,7 @@
     }
 }
 
-/// A request id that is the same for each run of a seed: 32 hexadecimal digits.
+/// Request id of 32 hexadecimal digits, the same in each run of a seed.
 fn request_id(seed: u64, name: &str, resend: bool) -> String {
     let low = hash_bytes(format!("{seed}/{name}/{resend}").as_bytes());
     let high = hash_bytes(format!("{resend}/{name}/{seed}").as_bytes());
--- a/crates/lab/src/load/plan.rs
+++ b/crates/lab/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Seeded arrivals: when each request and each job is sent, by whom, and what it asks.
+//! Seeded arrivals: the time, sender and content of each request and job.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::words;
 use crate::scenario::{BatchScenario, Lengths, OnlineScenario, Scenario};
 
-/// Streams of the rng, one for each kind of arrival, so that one does not move another.
+/// RNG streams: each kind of arrival has its own, so that changing one does not shift the others.
 #[derive(Clone, Copy)]
 enum RngStream {
     Bursts = 1,
@@ -19,87 +19,72 @@
     Batch = 5,
 }
 
-/// Tenant of must-not-repeat requests.
+/// Tenant of at-most-once requests.
 pub const ONCE_TENANT: &str = "orders";
 
-/// One online request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OnlineArrival {
-    /// Time after the start of the load.
     pub at: Duration,
-    /// Name, unique in the run; also the start of the user's message, so that prompts differ.
+    /// Unique in the run; the user message starts with it, so that prompts differ.
     pub name: String,
-    /// Index of the sidecar that it goes to.
+    /// Index of the sidecar it is sent to.
     pub sidecar: usize,
     pub tenant: String,
-    /// Key of the conversation.
     pub session: String,
-    /// System message, shared by the conversations of a topic.
+    /// System message, shared by the sessions of a topic.
     pub system: String,
-    /// User message.
     pub user: String,
-    /// Most tokens of the answer.
     pub max_tokens: u32,
-    /// Deadline, milliseconds.
     pub deadline_ms: u32,
-    /// For a request that must not be repeated, its key and resends.
+    /// Set for an at-most-once request.
     pub once: Option<OnceArrival>,
 }
 
-/// What is special about a request that must not be repeated.
+/// Key and resend of an at-most-once request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OnceArrival {
-    /// Idempotency key.
     pub key: String,
-    /// The client sends it again this long after the first time, whether it was answered or not.
+    /// Delay after which the client sends it again, whether or not it received a response.
     pub resend_after: Option<Duration>,
 }
 
-/// One batch job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobArrival {
-    /// Time after the start of the load.
     pub at: Duration,
-    /// Name, unique in the run; also the client's key.
+    /// Unique in the run; also the idempotency key.
     pub name: String,
-    /// Index of the sidecar that it goes to.
+    /// Index of the sidecar it is sent to.
     pub sidecar: usize,
     pub tenant: String,
-    /// Number of items.
     pub items: u32,
-    /// Cancelled this long after its acceptance.
+    /// Delay from acceptance to cancellation.
     pub cancel_after: Option<Duration>,
-    /// Submitted a second time with the same key.
+    /// Whether it is submitted a second time with the same key.
     pub resend: bool,
     seed: u64,
 }
 
-/// One item of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemPlan {
-    /// The caller's id of the item.
     pub custom_id: String,
-    /// System message, shared by the items of the job.
+    /// System message, shared by the items of a job.
     pub system: String,
-    /// User message.
     pub user: String,
-    /// Most tokens of the answer.
     pub max_tokens: u32,
 }
 
-/// All arrivals of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadPlan {
-    /// Online requests in order of time.
+    /// Online requests, ordered by time.
     pub online: Vec<OnlineArrival>,
-    /// Jobs in order of time.
+    /// Jobs, ordered by time.
     pub jobs: Vec<JobArrival>,
-    /// Bursts of online load: start and end.
+    /// Start and end of each burst of online load.
     pub bursts: Vec<(Duration, Duration)>,
 }
 
 impl LoadPlan {
-    /// Draws the arrivals of a scenario for a seed and a length of the load.
+    /// Draws the arrivals of a scenario.
     pub fn draw(scenario: &Scenario, seed: u64, length: Duration) -> LoadPlan {
         let bursts = draw_bursts(&scenario.online, seed, length);
         let mut online = draw_online(scenario, seed, length, &bursts);
@@ -115,7 +100,6 @@
 }
 
 impl JobArrival {
-    /// The items of the job.
     pub fn items(&self, batch: &BatchScenario) -> Vec<ItemPlan> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let system = words::text(self.seed, batch.shared_prefix);
@@ -141,7 +125,7 @@
     rng
 }
 
-/// A time between two events that come `per_s` times a second.
+/// Exponentially distributed time between events with a mean rate of `per_s` per second.
 fn draw_gap(per_s: f64, rng: &mut ChaCha8Rng) -> Duration {
     let seconds = Exp::new(per_s).map_or(f64::INFINITY, |gap| gap.sample(rng));
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
@@ -153,7 +137,7 @@
     (drawn as u32).clamp(lengths.least, lengths.most)
 }
 
-/// Arrivals of a Poisson process of one rate within a span.
+/// Arrival times of a Poisson process within an interval.
 fn poisson(per_s: f64, from: Duration, to: Duration, rng: &mut ChaCha8Rng) -> Vec<Duration> {
     let mut times = Vec::new();
     let mut at = from;
@@ -166,7 +150,7 @@
     }
 }
 
-/// Bursts last between half and one and a half times the mean, and so do the gaps.
+/// Bursts and the gaps between them last 0.5 to 1.5 times their mean.
 fn draw_bursts(online: &OnlineScenario, seed: u64, length: Duration) -> Vec<(Duration, Duration)> {
     let mut rng = rng(seed, RngStream::Bursts);
     let mut bursts = Vec::new();
--- a/crates/lab/src/load/results.rs
+++ b/crates/lab/src/load/results.rs
@@ -1,4 +1,4 @@
-//! The check of a job's results: each item once, with the text that the engine says.
+//! Checks a job's results: one result for each item, with the engine's text.
 
 use std::collections::HashMap;
 
@@ -9,10 +9,10 @@
 use super::plan::ItemPlan;
 use crate::recorder::{ItemFinding, JobResults};
 
-/// Most characters shown of a result that is no answer.
+/// Characters kept of a result without a response.
 const MAX_SHOWN_CHARACTERS: usize = 300;
 
-/// Judges the lines of a job's output and error files.
+/// Checks the lines of a job's output and error files.
 pub fn check_results(lines: &[u8], items: &[ItemPlan], versions: &[String]) -> JobResults {
     let mut found = by_custom_id(lines);
     let mut results = JobResults::default();
--- a/crates/lab/src/load/sse.rs
+++ b/crates/lab/src/load/sse.rs
@@ -1,27 +1,25 @@
-//! Server-sent events of a streamed answer.
+//! Parser for the server-sent events of a streamed response.
 
 use serde_json::Value;
 
-/// One event of a streamed answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StreamEvent {
     Text(String),
-    /// The answer ends, for this reason.
+    /// Finish reason.
     Finish(String),
-    /// The answer ends in an error; the error object.
+    /// Error object; ends the response.
     Error(Value),
-    /// The closing mark.
+    /// The `[DONE]` marker.
     Done,
 }
 
-/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: Vec<u8>,
 }
 
 impl EventReader {
-    /// Adds bytes and returns the events that are whole now, in order.
+    /// Appends bytes and returns the events completed by them, in order.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<StreamEvent> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
--- a/crates/lab/src/load/words.rs
+++ b/crates/lab/src/load/words.rs
@@ -1,14 +1,14 @@
-//! Texts of prompts, a pure function of a seed.
+//! Prompt text, generated deterministically from a seed.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const CONSONANTS: &[u8] = b"bdfgklmnprstvz";
 const VOWELS: &[u8] = b"aeiou";
-/// Letters of a word; with the space after it, a word is about one token long.
+/// Letters per word; with the following space a word is about one token.
 const WORD_LETTERS: usize = 3;
 
-/// A text of some words, always the same for a seed.
+/// Returns `words` pseudo-random words, always the same for a seed.
 pub fn text(seed: u64, words: u32) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut text = String::with_capacity(words as usize * (WORD_LETTERS + 1));
--- a/crates/lab/src/recorder/events.rs
+++ b/crates/lab/src/recorder/events.rs
@@ -1,4 +1,4 @@
-//! What was done to the fleet, and what was seen in force on its nodes.
+//! Events of the fleet and samples of the revision on its nodes.
 
 use std::time::Duration;
 
@@ -6,15 +6,13 @@
 
 use crate::faults::FaultKind;
 
-/// A fault while it held.
+/// A fault that took place.
 #[derive(Debug, Clone, Serialize)]
 pub struct FaultRecord {
     pub kind: FaultKind,
-    /// Where.
+    /// Affected node, server or part of the fleet.
     pub place: String,
-    /// Start.
     pub from: Duration,
-    /// End.
     pub to: Duration,
 }
 
@@ -22,86 +20,78 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct PlannedStop {
     pub node: String,
-    /// When it was told to stop.
+    /// When the stop was requested.
     pub told: Duration,
-    /// When it had stopped.
+    /// When the node had stopped.
     pub stopped: Duration,
-    /// The bound that its settings state, milliseconds.
+    /// Longest allowed duration, from the node settings, milliseconds.
     pub bound_ms: u64,
 }
 
-/// A server that was told to leave.
+/// A server that was drained or marked as leaving.
 #[derive(Debug, Clone, Serialize)]
 pub struct Drain {
     pub server: String,
-    /// When the first source said so.
+    /// When the drain took effect.
     pub told: Duration,
-    /// When it was taken back; the end of the run if it was not.
+    /// When it was undrained.
     pub taken_back: Duration,
 }
 
-/// A configuration change that was accepted.
+/// An accepted configuration change.
 #[derive(Debug, Clone, Serialize)]
 pub struct ConfigurationAccepted {
-    /// Row.
+    /// Keys of the changed rows.
     pub key: String,
     pub revision: u64,
-    /// When it was accepted.
     pub accepted: Duration,
 }
 
-/// A node that cannot be reached, or does not exist, for a time.
+/// An interval in which a node was unreachable, paused or not running.
 #[derive(Debug, Clone, Serialize)]
 pub struct Unavailable {
     pub node: String,
-    /// Start.
     pub from: Duration,
-    /// End.
     pub to: Duration,
 }
 
-/// Something that was done to the fleet.
+/// An event of the fleet.
 #[derive(Debug, Clone, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
     Fault(FaultRecord),
-    /// A planned stop.
+    /// A planned stop of a node.
     Stop(PlannedStop),
     /// A drain of a server.
     Drain(Drain),
-    /// A configuration change.
     Configuration(ConfigurationAccepted),
-    /// A node that was away.
+    /// An unavailable node.
     Unavailable(Unavailable),
-    /// Two operators confirmed conflicting plans at the same time.
+    /// Two operators confirmed conflicting plans concurrently.
     Race {
-        /// When.
         at: Duration,
-        /// Plans accepted.
+        /// Number of plans accepted.
         accepted: u32,
-        /// Plans refused since the other was accepted first.
+        /// Number of plans refused as conflicting.
         overtaken: u32,
         answers: String,
     },
-    /// Something that an event set out to do and could not; makes the run partial.
+    /// A planned action that could not be performed; makes the run partial.
     NotDone {
         what: String,
-        /// Why.
         reason: String,
-        /// When.
         at: Duration,
     },
 }
 
-/// The revision seen in force on a node.
+/// The configuration revision on a node at one time.
 #[derive(Debug, Clone, Serialize)]
 pub struct RevisionSample {
     pub node: String,
-    /// Which start of the node, counted by the experiment.
+    /// Number of starts of the node so far.
     pub start: u32,
-    /// When.
     pub at: Duration,
     pub revision: u64,
-    /// The node takes new work.
+    /// The node accepts new work.
     pub ready: bool,
 }
--- a/crates/lab/src/recorder/jobs.rs
+++ b/crates/lab/src/recorder/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as their callers saw them.
+//! Batch jobs as seen by callers.
 
 use std::time::Duration;
 
@@ -6,70 +6,69 @@
 
 use super::online::Refusal;
 
-/// A cancel and its answer.
+/// An acknowledged cancel.
 #[derive(Debug, Clone, Serialize)]
 pub struct CancelRecord {
-    /// When the answer came that the job is cancelled.
+    /// When the acknowledgement arrived.
     pub answered: Duration,
 }
 
-/// What is wrong with one item of a job's results.
+/// A problem with one item of a job's results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemFinding {
     /// The item has no result.
     Missing(String),
-    /// The item has several results.
+    /// The item has more than one result.
     Doubled(String),
-    /// The item has a result that the engine would not have given.
+    /// The result differs from the engine's text.
     Wrong(String),
-    /// The item has an error in place of a result.
+    /// The item has an error instead of a result.
     Failed(String),
-    /// A result of no item of the job.
+    /// The result belongs to no item of the job.
     Foreign(String),
 }
 
-/// A job's results as read.
+/// Check of a job's results.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct JobResults {
-    /// Items with a right result, once.
+    /// Items with exactly one result, which is correct.
     pub right: u32,
-    /// What is wrong with the others.
+    /// Problems of the other items.
     pub findings: Vec<ItemFinding>,
-    /// Hash of what was read, in order of the items.
+    /// XOR of the hashes of the correct results.
     pub fingerprint: u64,
 }
 
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct JobRecord {
-    /// Name of the arrival, also the client's key.
+    /// Job name, also the idempotency key.
     pub name: String,
     pub tenant: String,
     pub items: u32,
-    /// When it was first submitted.
+    /// When the caller started.
     pub submitted: Duration,
-    /// When it was accepted.
     pub accepted: Option<Duration>,
-    /// Ids of the accepted submissions; all must be one.
+    /// Ids returned by the accepted submissions; all must be equal.
     pub ids: Vec<String>,
-    /// Submissions that were refused or lost.
+    /// Calls that were refused or failed.
     pub refused: Vec<Refusal>,
-    /// The cancel that was answered.
+    /// Acknowledged cancel.
     pub cancel: Option<CancelRecord>,
-    /// When it was seen to have ended.
+    /// When polling showed that it had ended.
     pub ended: Option<Duration>,
-    /// The status it was last seen in.
+    /// Last status seen.
     pub status: String,
-    /// Results as read when the job ended.
+    /// Results read when the job ended.
     pub results: Option<JobResults>,
-    /// Results as read again at the end of the run, through another sidecar.
+    /// Results read at the end of the run through another sidecar.
     pub results_again: Option<JobResults>,
-    /// Why the results were not read.
+    /// Why the results could not be read.
     pub unread: Option<String>,
 }
 
 impl JobRecord {
-    /// The id under which it was accepted.
+    /// Id returned by the first accepted submission.
     pub fn id(&self) -> Option<&str> {
         self.ids.first().map(String::as_str)
     }
--- a/crates/lab/src/recorder/mod.rs
+++ b/crates/lab/src/recorder/mod.rs
@@ -1,7 +1,7 @@
-//! What callers received, and what was done to the fleet: the only evidence, besides the stand-ins'
-//! own records, that the invariants are judged from.
+//! Records what callers received and what happened to the fleet. The invariants are checked against
+//! these observations and the records of the stand-ins.
 //!
-//! All times are offsets from the start of the run, on one clock.
+//! All times are offsets from the start of the run.
 
 mod events;
 mod jobs;
@@ -25,52 +25,47 @@
 }
 
 impl RunClock {
-    /// Starts the clock.
     pub fn start() -> RunClock {
         RunClock {
             started: Instant::now(),
         }
     }
 
-    /// Time since the start.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The same time on the process's clock.
+    /// Converts an offset to an instant.
     pub fn instant(&self, at: Duration) -> Instant {
         self.started + at
     }
 
-    /// An instant of the process's clock as an offset; zero when it is before the start.
+    /// Converts an instant to an offset; zero if it is before the start.
     pub fn offset(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.started)
     }
 }
 
-/// All observations of a run.
+/// Observations of a run.
 #[derive(Debug, Default, Serialize)]
 pub struct Observations {
-    /// Online requests that have ended.
+    /// Finished online requests.
     pub online: Vec<OnlineRecord>,
-    /// Jobs, each once, when they have ended or the run has.
+    /// Jobs, added when their caller finishes.
     pub jobs: Vec<JobRecord>,
-    /// What was done to the fleet.
     pub events: Vec<Event>,
-    /// Revisions seen in force on nodes.
+    /// Samples of the revision on nodes.
     pub revisions: Vec<RevisionSample>,
 }
 
-/// The recorder of a run, shared by callers, faults and samplers.
+/// Collects the observations of a run; shared by callers, faults and samplers.
 #[derive(Debug, Clone)]
 pub struct Recorder {
-    /// Clock of the run.
     pub clock: RunClock,
     observations: Arc<Mutex<Observations>>,
 }
 
 impl Recorder {
-    /// An empty recorder.
     pub fn new(clock: RunClock) -> Recorder {
         Recorder {
             clock,
@@ -78,32 +73,29 @@
         }
     }
 
-    /// Adds an online request that has ended.
+    /// Adds a finished online request.
     pub fn add_online(&self, record: OnlineRecord) {
         self.observations.lock().online.push(record);
     }
 
-    /// Adds a job that has ended.
+    /// Adds a job whose caller has finished.
     pub fn add_job(&self, record: JobRecord) {
         self.observations.lock().jobs.push(record);
     }
 
-    /// Adds something that was done to the fleet.
     pub fn add_event(&self, event: Event) {
         self.observations.lock().events.push(event);
     }
 
-    /// Adds a sample of a node's revision.
     pub fn add_revision(&self, sample: RevisionSample) {
         self.observations.lock().revisions.push(sample);
     }
 
-    /// Reads the observations.
     pub fn read<T>(&self, reader: impl FnOnce(&Observations) -> T) -> T {
         reader(&self.observations.lock())
     }
 
-    /// Takes all observations at the end of the run.
+    /// Takes all observations, leaving the recorder empty.
     pub fn take(&self) -> Observations {
         std::mem::take(&mut self.observations.lock())
     }
--- a/crates/lab/src/recorder/online.rs
+++ b/crates/lab/src/recorder/online.rs
@@ -1,19 +1,19 @@
-//! Online requests as their callers saw them.
+//! Online requests as seen by callers.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// An error answer.
+/// An error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Refusal {
-    /// HTTP status; 0 when the error came inside a stream.
+    /// HTTP status; 0 if the error arrived inside a stream or the call failed without a response.
     pub status: u16,
-    /// Name of the error kind.
+    /// Error kind.
     pub kind: String,
-    /// Whether the request ran, as the answer says: `no`, `maybe` or `yes`.
+    /// Whether the request ran, as stated in the response: `no`, `maybe` or `yes`.
     pub ran: String,
-    /// Sentence for a person.
+    /// Human-readable message.
     pub message: String,
 }
 
@@ -21,58 +21,53 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnlineEnd {
-    /// The answer said that it is whole.
+    /// The response completed.
     Whole,
-    /// The answer was an error.
+    /// The response was an error.
     Refused(Refusal),
-    /// The connection ended without either.
+    /// The connection ended without completion or an error.
     Broken(String),
 }
 
-/// One sending of an online request.
+/// One attempt of a caller to send an online request.
 #[derive(Debug, Clone, Serialize)]
 pub struct OnlineRecord {
-    /// Name of the arrival.
+    /// Name of the planned request.
     pub name: String,
-    /// Request id that the caller gave.
+    /// Request id set by the caller.
     pub request_id: String,
     pub tenant: String,
-    /// Index of the sidecar.
+    /// Sidecar index.
     pub sidecar: usize,
-    /// Idempotency key of a request that must not be repeated.
+    /// Idempotency key of an at-most-once request.
     pub once_key: Option<String>,
-    /// The caller had sent it before with the same key.
+    /// A resend with the same key.
     pub resend: bool,
-    /// When it was sent.
     pub sent: Duration,
-    /// When the first text came.
+    /// When the first text arrived.
     pub first_token: Option<Duration>,
-    /// When it ended.
     pub ended: Duration,
-    /// Time between two texts, milliseconds.
+    /// Times between consecutive chunks of text, milliseconds.
     pub gaps_ms: Vec<f32>,
     /// Length of the text received, bytes.
     pub text_bytes: usize,
-    /// What is wrong with the text, judged against what the engine says for this request: a whole
-    /// answer must be equal to it, an interrupted one the start of it.
+    /// How the text differs from the engine's text for this request; an interrupted response must be a
+    /// prefix of it.
     pub wrong_text: Option<String>,
-    /// How it ended.
     pub end: OnlineEnd,
 }
 
 impl OnlineRecord {
-    /// Time to the first text, milliseconds.
+    /// Time to first token, milliseconds.
     pub fn first_token_ms(&self) -> Option<f64> {
         let first = self.first_token?;
         Some((first - self.sent).as_secs_f64() * 1_000.0)
     }
 
-    /// The answer is whole.
     pub fn is_whole(&self) -> bool {
         self.end == OnlineEnd::Whole
     }
 
-    /// The error answer, if it is one.
     pub fn refusal(&self) -> Option<&Refusal> {
         match &self.end {
             OnlineEnd::Refused(refusal) => Some(refusal),
