--- a/crates/lab/src/faults/operators.rs
+++ b/crates/lab/src/faults/operators.rs
@@ -93,8 +93,8 @@
     });
 }
 
-/// Plans and confirms an intent, trying the nodes in turn. A confirmation that may have taken effect
-/// is retried with the same plan; after any other error the intent is planned again.
+/// Plans and confirms an intent, trying the nodes in turn. A confirmation that may have taken
+/// effect is retried with the same plan; after any other error the intent is planned again.
 async fn plan_and_confirm(fleet: &Fleet, intent: &Value) -> Result<(), String> {
     let mut last = "no node runs".to_owned();
     let mut plan: Option<String> = None;
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -51,8 +51,8 @@
     due
 }
 
-/// The revision of a running node never decreases, and a restarted node that accepts work is not
-/// behind the revision that all nodes had reached before.
+/// The revision of a running node never decreases, and a restarted node that accepts work is
+/// not behind the revision that all nodes had reached before.
 pub fn config_monotonic(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for (node, samples) in by_node(evidence) {
--- a/crates/lab/src/invariants/requests.rs
+++ b/crates/lab/src/invariants/requests.rs
@@ -1,4 +1,4 @@
-//! Online invariants: priority over batch, intact responses, truthful rejections, at-most-once runs.
+//! Online invariants: priority over batch, intact responses, truthful rejections, at most one run.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -61,9 +61,9 @@
         .filter(|run| run.started < Some(before))
 }
 
-/// A complete response equals the engine's text byte for byte; an interrupted one is a prefix of it.
-/// A connection that ends without completion or an error is a violation, since no fault affects the
-/// sidecar.
+/// A complete response equals the engine's text byte for byte; an interrupted one is a prefix of
+/// it. A connection that ends without completion or an error is a violation, since no fault affects
+/// the sidecar.
 pub fn stream_integrity(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for record in &evidence.observations.online {
--- a/crates/lab/src/measures/mod.rs
+++ b/crates/lab/src/measures/mod.rs
@@ -1,4 +1,4 @@
-//! Measures of a run, from what callers received and what the engines and the platform recorded.
+//! Measures of a run, computed from the observations of callers and the records of the stand-ins.
 
 mod batch;
 mod online;
@@ -16,29 +16,27 @@
 /// What the stand-ins counters in a run.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Start of the load on the run's clock.
     pub load_start: Duration,
     pub load_length: Duration,
-    /// Samples of each engine's widths, on the run's clock.
+    /// Samples of each engine.
     pub samples: Vec<Vec<EngineSample>>,
-    /// Sums of all engines' meters.
+    /// Meters summed over all engines.
     pub meters: MeterSummary,
-    /// Time over which the meters summed, for all engines together.
+    /// Time covered by the meters, summed over all engines.
     pub engine_time: Duration,
-    /// Transactions that the table service applied during the load.
+    /// Transactions applied by the table service during the load.
     pub store_writes: u64,
-    /// Cores taken by the process during the load.
+    /// Mean CPU cores used by the process during the load.
     pub process_cores: f64,
-    /// Memory of the process, MB.
+    /// Resident memory of the process, MB.
     pub process_rss_mb: f64,
 }
 
-/// A sample of an engine's widths.
+/// A sample of an engine on the run's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSample {
-    /// When, on the run's clock.
     pub at: Duration,
-    /// Widths and what was made since the sample before.
+    /// Running sequences, and tokens since the previous sample.
     pub sample: Sample,
 }
 
@@ -56,7 +54,6 @@
     }
 }
 
-/// All measures.
 pub fn measures(evidence: &Evidence, counters: &Counters) -> Measures {
     let mut measures = Measures {
         store_writes_per_s: counters.per_second(counters.store_writes as f64),
@@ -70,7 +67,6 @@
     measures
 }
 
-/// Time series.
 pub fn series(evidence: &Evidence, counters: &Counters) -> Series {
     series::series(evidence, counters)
 }
@@ -80,15 +76,15 @@
     stalled.as_secs_f64() / counters.engine_time.as_secs_f64().max(f64::EPSILON)
 }
 
-/// Greatest time of a histogram, microseconds: an hour.
+/// Upper bound of a histogram, microseconds: one hour.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// Quantiles at which a distribution is kept.
+/// Quantiles stored for a distribution.
 const CURVE_QUANTILES: [f64; 15] = [
     0.0, 0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.975, 0.99, 0.995, 0.9975, 0.999, 0.9995, 1.0,
 ];
 
-/// A histogram of milliseconds with three digits, kept in microseconds.
+/// Latency histogram in microseconds with three significant digits.
 struct LatencyHistogram {
     histogram: Histogram<u64>,
 }
@@ -106,7 +102,7 @@
         self.histogram.saturating_record(microseconds);
     }
 
-    /// The distribution at [`CURVE_QUANTILES`]; empty when there is no value.
+    /// The distribution at [`CURVE_QUANTILES`]; empty if there are no values.
     fn curve(&self) -> Vec<QuantilePoint> {
         let quantiles = CURVE_QUANTILES
             .iter()
--- a/crates/lab/src/measures/online.rs
+++ b/crates/lab/src/measures/online.rs
@@ -1,5 +1,3 @@
-//! Online measures.
-
 use std::collections::BTreeMap;
 
 use dappleyard_report::summary::{Measures, Percentiles};
@@ -8,10 +6,10 @@
 use crate::invariants::Evidence;
 use crate::recorder::OnlineRecord;
 
-/// Kinds of refusal by which a tenant's own limit speaks.
+/// Error kinds of requests refused by a tenant limit.
 const LIMIT_KINDS: [&str; 2] = ["rate_limit_exceeded", "concurrency_limit_exceeded"];
 
-/// Fills in the online measures.
+/// Computes the online measures.
 pub fn fill(measures: &mut Measures, evidence: &Evidence, counters: &Counters) {
     let (mut first_token, mut gaps, mut refusals) = (
         LatencyHistogram::new(),
@@ -32,7 +30,7 @@
         measures.online_requests += 1;
         measures.online_refused += u64::from(record.refusal().is_some());
         measures.online_whole += u64::from(record.is_whole());
-        // A resend is answered from the record of the first sending, all at once.
+        // The response to a resend is replayed at once from the stored result.
         if record.resend {
             continue;
         }
@@ -53,7 +51,7 @@
     measures.never_yielded = counters.meters.probe.never;
 }
 
-/// A refusal by the tenant's own limit says nothing of the system's.
+/// Requests refused by a tenant limit do not count as load of the system.
 fn is_limited(record: &OnlineRecord) -> bool {
     record
         .refusal()
--- a/crates/lab/src/measures/series.rs
+++ b/crates/lab/src/measures/series.rs
@@ -1,5 +1,3 @@
-//! Time series of a run.
-
 use std::time::Duration;
 
 use dappleyard_report::summary::Series;
@@ -8,10 +6,9 @@
 use super::{Counters, LatencyHistogram};
 use crate::invariants::Evidence;
 
-/// Length of an interval.
 const INTERVAL: Duration = Duration::from_millis(250);
 
-/// All series, over the time of the load.
+/// Computes all series over the time of the load.
 pub fn series(evidence: &Evidence, counters: &Counters) -> Series {
     let intervals = counters
         .load_length
@@ -38,7 +35,7 @@
     series
 }
 
-/// The interval of a time, if it is within the load.
+/// Index of the interval that contains a time within the load.
 fn interval(counters: &Counters, at: Duration) -> Option<usize> {
     counters
         .in_load(at)
@@ -70,7 +67,7 @@
     }
 }
 
-/// Widths are means over the samples of an interval, summed over the engines.
+/// Running sequences are averaged over the samples of an interval and summed over the engines.
 fn add_engines(series: &mut Series, counters: &Counters) {
     for samples in &counters.samples {
         let mut seen = vec![0_u32; series.online_running.len()];
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,4 +1,4 @@
-//! `model`: explores the protocol specifications.
+//! `dappleyard-lab model`: explores the protocol specifications.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -7,7 +7,6 @@
 use dappleyard_spec::catalogue::{ALL, Entry, find};
 use dappleyard_spec::checker::Exploration;
 
-/// The subcommand's arguments.
 pub fn command() -> Command {
     let names: Vec<&str> = ALL.iter().map(|entry| entry.name).collect();
     Command::new("model")
@@ -44,8 +43,7 @@
         )
 }
 
-/// Runs the subcommand: 0 when every promise holds, or when the mutant is caught; 1 when not; 2 on bad
-/// usage.
+/// Exits with 0 if every property holds or the mutant is detected, 1 if not, 2 on invalid usage.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     let chosen = arguments.get_one::<String>("spec");
     let faults = arguments.get_one::<u8>("faults").copied();
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -1,7 +1,7 @@
-//! The simulated network between processes: delays by zone, partitions and losses.
+//! Simulated network between processes: delays by zone and region, partitions and datagram loss.
 //!
-//! Each process gets a [`ProcessPolicy`] that knows where it stands; the [`Network`] knows where
-//! every address and process id stands, and which faults hold at present.
+//! The [`Network`] maps addresses and process ids to locations and holds the active faults. Each
+//! process has a [`ProcessPolicy`] that looks up its links there.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,28 +13,27 @@
 
 use crate::scenario::NetworkScenario;
 
-/// Where a process stands.
+/// Location of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NetworkLocation {
     pub zone: String,
     pub region: String,
-    /// The process stands beside callers.
+    /// The process is a sidecar, next to callers.
     pub sidecar: bool,
 }
 
-/// A part of the fleet that is cut off from the rest.
+/// A part of the fleet that is partitioned from the rest.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Partition {
-    /// A zone, its sidecars included.
+    /// A zone, including its sidecars.
     #[display("zone {_0}")]
     Zone(String),
-    /// A region, its sidecars included.
+    /// A region, including its sidecars.
     #[display("region {_0}")]
     Region(String),
 }
 
 impl Partition {
-    /// Whether a location is inside.
     pub fn contains(&self, location: &NetworkLocation) -> bool {
         match self {
             Partition::Zone(zone) => location.zone == *zone,
@@ -49,7 +48,6 @@
     loss: f64,
 }
 
-/// The network of an experiment.
 #[derive(Debug)]
 pub struct Network {
     delays: NetworkScenario,
@@ -58,7 +56,6 @@
 }
 
 impl Network {
-    /// A network without faults.
     pub fn new(delays: NetworkScenario) -> Arc<Network> {
         Arc::new(Network {
             delays,
@@ -67,12 +64,12 @@
         })
     }
 
-    /// Says where an address or process id stands.
+    /// Sets the location of an address or process id.
     pub fn set_location(&self, name: impl Into<String>, location: &NetworkLocation) {
         self.locations.write().insert(name.into(), location.clone());
     }
 
-    /// The policy of a process that stands at a location.
+    /// Returns the link policy of a process at a location.
     pub fn policy(self: &Arc<Self>, location: &NetworkLocation) -> SharedPolicy {
         Arc::new(ProcessPolicy {
             network: self.clone(),
@@ -80,12 +77,12 @@
         })
     }
 
-    /// Cuts a part of the fleet off.
+    /// Partitions a part of the fleet from the rest.
     pub fn partition(&self, partition: Partition) {
         self.faults.write().partitions.push(partition);
     }
 
-    /// Joins it again.
+    /// Removes a partition.
     pub fn heal(&self, partition: &Partition) {
         self.faults
             .write()
@@ -93,12 +90,12 @@
             .retain(|active| active != partition);
     }
 
-    /// Share of datagrams lost everywhere, 0 to 1.
+    /// Sets the share of datagrams lost on all links, 0 to 1.
     pub fn set_loss(&self, share: f64) {
         self.faults.write().loss = share;
     }
 
-    /// State of the path between two locations.
+    /// State of the link between two locations.
     pub fn link_state(&self, one: &NetworkLocation, other: &NetworkLocation) -> LinkState {
         let faults = self.faults.read();
         LinkState {
@@ -125,7 +122,7 @@
     }
 }
 
-/// The network as one process sees it.
+/// The network as seen by one process.
 #[derive(Debug)]
 struct ProcessPolicy {
     network: Arc<Network>,
@@ -133,7 +130,7 @@
 }
 
 impl LinkPolicy for ProcessPolicy {
-    /// Peers that are not known yet are reached without delay.
+    /// Unknown peers are reached directly, without faults.
     fn path(&self, peer: &str) -> LinkState {
         let locations = self.network.locations.read();
         locations.get(peer).map_or(LinkState::DIRECT, |location| {
--- a/crates/lab/src/overhead/latency.rs
+++ b/crates/lab/src/overhead/latency.rs
@@ -1,4 +1,4 @@
-//! Latency that sidecar and node add: the same requests by turns both ways.
+//! Latency added by sidecar and node: sends each request directly to the engine and through a sidecar.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 use crate::error::LabError;
 use crate::load::client::client;
 
-/// Requests before the measurement, so that connections and caches are warm.
+/// Unmeasured requests that warm up connections and caches.
 const WARM_UP: u32 = 20;
 
-/// What is measured.
+/// Parameters of the measurement.
 pub struct Plan {
     /// Base URL of the sidecar.
     pub sidecar: String,
     /// Base URL of the engine.
     pub engine: String,
-    /// Requests each way.
+    /// Requests per path.
     pub requests: u32,
-    /// Tokens of each answer.
+    /// Tokens of each response.
     pub tokens: u32,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Measures and prints.
+/// Measures both paths and prints the quantiles.
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
     let engine = HttpEngine::new(Duration::from_secs(2), Duration::from_secs(10));
     let caller = client();
--- a/crates/lab/src/overhead/mod.rs
+++ b/crates/lab/src/overhead/mod.rs
@@ -1,10 +1,10 @@
-//! `dappleyard-lab overhead` and `dappleyard-lab overload`: what the path costs, and what it does
-//! when more is asked than the engines can give.
+//! `dappleyard-lab overhead` and `dappleyard-lab overload`: cost of the request path, and its
+//! behavior under overload.
 //!
-//! Both drive a fleet that runs as plain processes (`scripts/fleet up`), so that the cost of sidecars
-//! and nodes is read from their own processes. `overhead` sends the same requests by turns to an
-//! engine directly and through a sidecar, in one run, and then measures tokens for each core.
-//! `overload` sends an open-loop load at given rates and reports goodput and refusals.
+//! Both drive a fleet of separate processes (`scripts/fleet up`), so that CPU time can be read per
+//! process. `overhead` alternates the same requests between an engine and a sidecar, then measures
+//! tokens per core. `overload` sends an open-loop load at the given rates and reports goodput and
+//! refusals.
 
 mod latency;
 mod overload;
@@ -20,7 +20,6 @@
 
 use crate::error::{LabError, report};
 
-/// Arguments of `overhead`.
 pub fn overhead_command() -> Command {
     Command::new("overhead")
         .about("Measures what sidecar and node add to an engine, and tokens for each core")
@@ -51,7 +50,6 @@
         )
 }
 
-/// Arguments of `overload`.
 pub fn overload_command() -> Command {
     Command::new("overload")
         .about("Measures goodput and refusals at several rates of arrival")
@@ -142,14 +140,14 @@
     Duration::from_secs(u64::from(u32_argument(arguments, "seconds")))
 }
 
-/// The value at a share (0 to 1) of sorted values.
+/// Quantile of sorted values; NaN if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let index = (last as f64 * share).round() as usize;
     sorted.get(index).copied().unwrap_or(f64::NAN)
 }
 
-/// Milliseconds, sorted, for [`quantile`].
+/// Converts to milliseconds and sorts, for [`quantile`].
 fn sorted_ms(times: impl Iterator<Item = Duration>) -> Vec<f64> {
     let mut list: Vec<f64> = times.map(|time| time.as_secs_f64() * 1_000.0).collect();
     list.sort_by(f64::total_cmp);
--- a/crates/lab/src/overhead/overload.rs
+++ b/crates/lab/src/overhead/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput and refusals when more is asked than the engines can give.
+//! Goodput and refusals under overload.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,26 +12,23 @@
 use crate::error::LabError;
 use crate::load::client::client;
 
-/// Pause between two phases, so that queues of the one do not count for the next.
+/// Pause between phases in which queues drain.
 const PAUSE: Duration = Duration::from_secs(3);
 
-/// What is measured.
+/// Parameters of the measurement.
 pub struct Plan {
-    /// Base URL of the sidecar.
     pub sidecar: String,
-    /// Requests a second, one phase for each.
+    /// Requests per second, one phase per rate.
     pub rates: Vec<f64>,
-    /// Time of each phase.
+    /// Duration of each phase.
     pub time: Duration,
-    /// Tokens of each answer.
+    /// Tokens of each response.
     pub tokens: u32,
-    /// Deadline of each request, milliseconds.
     pub deadline_ms: u32,
-    /// Seed of the arrivals.
     pub seed: u64,
 }
 
-/// Measures and prints one line for each rate.
+/// Runs one phase per rate and prints its results.
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
     println!(
         "answers of {} tokens, deadline {} ms, open loop, {:?} each rate",
--- a/crates/lab/src/overhead/processes.rs
+++ b/crates/lab/src/overhead/processes.rs
@@ -1,4 +1,4 @@
-//! Processor time of the processes that `scripts/fleet` started.
+//! CPU time of the processes started by `scripts/fleet`.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,7 +13,7 @@
     pid: i32,
 }
 
-/// Processor seconds by role: `node`, `sidecar` or `standins`.
+/// CPU seconds by role: `node`, `sidecar` or `standins`.
 pub fn processor_seconds(file: &Path) -> Result<BTreeMap<String, f64>, LabError> {
     let failed = |reason: String| LabError::failed(format!("{}: {reason}", file.display()));
     let text = std::fs::read_to_string(file).map_err(|error| failed(error.to_string()))?;
--- a/crates/lab/src/overhead/request.rs
+++ b/crates/lab/src/overhead/request.rs
@@ -1,4 +1,4 @@
-//! One request, through a sidecar or to an engine directly, with its times.
+//! Sends one request through a sidecar or directly to an engine and measures its times.
 
 use std::time::{Duration, Instant};
 
@@ -12,44 +12,42 @@
 use crate::load::client::{DEADLINE, refusal};
 use crate::load::sse::{EventReader, StreamEvent};
 
-/// Service that is asked.
+/// Model service of all requests.
 pub const SERVICE: &str = "fittings-llm";
-/// Longest time for an answer of a request without a deadline, milliseconds.
+/// Deadline of requests that set none.
 const DEFAULT_DEADLINE_MS: u32 = 20_000;
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The response completed.
     Whole {
-        /// Time to the first text.
+        /// Time to first token.
         first: Duration,
-        /// Time to the end.
         total: Duration,
-        /// Pieces of text.
+        /// Number of text chunks.
         pieces: u32,
     },
-    /// It was refused, or broke off.
+    /// The request was refused or interrupted.
     Refused {
-        /// Error kind; `broken` without an error object.
+        /// Error kind; `broken` if the connection ended without one.
         kind: String,
-        /// Time to the refusal.
+        /// Time to the error.
         after: Duration,
     },
 }
 
-/// A request of the experiment.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The user's message; the system message is the same for all.
+    /// User message; the system message is the same for all requests.
     pub text: String,
-    /// Most tokens of the answer.
+    /// Token limit of the response.
     pub tokens: u32,
-    /// Deadline, milliseconds; `None` for a long one.
+    /// Deadline, milliseconds; `None` for [`DEFAULT_DEADLINE_MS`].
     pub deadline_ms: Option<u32>,
 }
 
-/// Sends a request through a sidecar and reads its events.
+/// Sends a request through a sidecar and reads the response stream.
 pub async fn send_to_sidecar(client: &Client, base: &str, request: &Request) -> Outcome {
     let body = json!({
         "model": SERVICE,
@@ -111,7 +109,7 @@
     broken(started.elapsed())
 }
 
-/// Sends the same request to an engine directly.
+/// Sends the same request directly to an engine.
 pub async fn send_to_engine(engine: &HttpEngine, base: &str, request: &Request) -> Outcome {
     let message = |role: &str, text: &str| PromptMessage {
         role: role.to_owned(),
--- a/crates/lab/src/overhead/throughput.rs
+++ b/crates/lab/src/overhead/throughput.rs
@@ -1,4 +1,4 @@
-//! Tokens for each core of sidecars and nodes, with many streams at once.
+//! Tokens per core of sidecars and nodes, with many concurrent streams.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -10,22 +10,19 @@
 use crate::error::LabError;
 use crate::load::client::client;
 
-/// Tokens of each answer.
 const TOKENS: u32 = 100;
 
-/// What is measured.
+/// Parameters of the measurement.
 pub struct Plan {
-    /// Base URL of the sidecar.
     pub sidecar: String,
-    /// Streams at once.
+    /// Concurrent streams.
     pub streams: u32,
-    /// For how long.
     pub time: Duration,
-    /// Processes of the fleet.
+    /// File with the processes of `scripts/fleet`.
     pub processes: PathBuf,
 }
 
-/// Measures and prints.
+/// Measures throughput and prints it per role.
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
     let before = processor_seconds(&plan.processes)?;
     let started = Instant::now();
@@ -52,7 +49,7 @@
     Ok(())
 }
 
-/// One stream after the other until the time is over; counts tokens and refusals.
+/// Sends requests one after another until the time is over; counts tokens and refusals.
 async fn keep_streaming(
     caller: &awc::Client,
     plan: &Plan,
--- a/crates/lab/src/recorder/online.rs
+++ b/crates/lab/src/recorder/online.rs
@@ -51,8 +51,8 @@
     pub gaps_ms: Vec<f32>,
     /// Length of the text received, bytes.
     pub text_bytes: usize,
-    /// How the text differs from the engine's text for this request; an interrupted response must be a
-    /// prefix of it.
+    /// How the text differs from the engine's text for this request; an interrupted response must
+    /// be a prefix of it.
     pub wrong_text: Option<String>,
     pub end: OnlineEnd,
 }
--- a/crates/lab/src/replay/calls.rs
+++ b/crates/lab/src/replay/calls.rs
@@ -1,5 +1,5 @@
-//! Replay of one chunk and one at-most-once record, call by call: a decision is taken on the row as
-//! it stands, and its write takes effect when the call is delivered, if the row is still as it was.
+//! Replays store calls on one chunk and one at-most-once record: a decision reads the current row,
+//! and its write takes effect on delivery if the row is unchanged.
 
 use dappleyard_decide::chunks::{
     ChunkResult, ClaimDecision, Claimant, CommitDecision, claim, commit, mark_started,
@@ -11,14 +11,14 @@
 use super::state::PendingCalls;
 use super::trace::{ChunkAction, Input};
 
-/// A write that is on its way, with the revision that it expects. A commit compares the job too.
+/// A pending write with its expected revision. A commit also requires that the job is not cancelled.
 enum Write {
     Chunk(ChunkRow, u64),
     Commit(ChunkRow, u64),
     Once(OnceRow, u64),
 }
 
-/// The rows, with their revisions, and the calls on their way.
+/// The rows with their revisions, and the pending calls.
 #[derive(Default)]
 pub struct CallReplay {
     chunk: (ChunkRow, u64),
@@ -28,7 +28,7 @@
 }
 
 impl CallReplay {
-    /// Takes one input and names the decision on it.
+    /// Applies one input and returns the name of the decision.
     pub fn step(&mut self, input: &Input) -> String {
         match input {
             Input::Chunk {
--- a/crates/lab/src/replay/configuration.rs
+++ b/crates/lab/src/replay/configuration.rs
@@ -1,11 +1,10 @@
-//! Replay of the spread of configuration on one node.
+//! Replays the application of configuration changes on one node.
 
 use dappleyard_decide::configuration::{Applied, ConfigurationState, PendingChanges};
 use dappleyard_wire::messages::ConfigurationEntry;
 
 use super::trace::Input;
 
-/// The configuration of the replayed node.
 #[derive(Default)]
 pub struct ConfigurationReplay {
     state: ConfigurationState,
@@ -13,7 +12,7 @@
 }
 
 impl ConfigurationReplay {
-    /// Takes one input and names the decision on it.
+    /// Applies one input and returns the name of the decision.
     pub fn step(&mut self, input: &Input) -> String {
         let before = self.state.revision;
         match input {
--- a/crates/lab/src/replay/mod.rs
+++ b/crates/lab/src/replay/mod.rs
@@ -1,7 +1,7 @@
-//! `replay`: feeds a recorded trace to the decision logic in virtual time, and compares every decision
-//! with the one that the trace states.
+//! `dappleyard-lab replay`: feeds a recorded trace to the decision logic in virtual time and
+//! compares each decision with the one in the trace.
 //!
-//! A trace holds inputs, deliveries and losses in order, and what was decided on each ([`trace`]).
+//! A trace holds inputs, deliveries and losses in order, with the decisions on each ([`trace`]).
 //! [`state::ReplayState`] keeps the rows and assemblies that the decisions rest on. Recorded traces hold
 //! the transactions of the table service; [`rows`] asks which decision explains each changed row.
 
@@ -23,18 +23,16 @@
 
 pub use record::{PREFIXES as RECORDED_PREFIXES, write as write_recording};
 
-/// What a replay showed.
+/// Result of a replay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replayed {
-    /// Steps replayed.
     pub steps: usize,
-    /// How often each decision was taken.
+    /// Count of each decision.
     pub outcome: Outcome,
-    /// Decisions that differ from the stated ones, in words.
+    /// Descriptions of the decisions that differ from the trace.
     pub differences: Vec<String>,
 }
 
-/// Arguments of `replay`.
 pub fn command() -> Command {
     Command::new("replay")
         .about(
@@ -51,7 +49,7 @@
         .after_help("Example:\n  dappleyard-lab replay traces/*.jsonl")
 }
 
-/// Replays the traces: 0 when every outcome is as stated, 1 when not.
+/// Exits with 0 if every outcome matches its trace, 1 if not.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     let traces = arguments.get_many::<PathBuf>("traces");
     report(replay_all(traces.into_iter().flatten()))
@@ -86,7 +84,6 @@
     Ok(replay(&trace))
 }
 
-/// Replays a trace.
 pub fn replay(trace: &Trace) -> Replayed {
     let mut replay_state = ReplayState::default();
     let mut outcome = Outcome::new();
--- a/crates/lab/src/replay/record.rs
+++ b/crates/lab/src/replay/record.rs
@@ -1,4 +1,4 @@
-//! Recording: the transactions of a run's table service as a trace, with what explains each.
+//! Records the table service's transactions of a run as a trace, with the decisions behind them.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 use super::trace::{FORMAT, Header, Input, Outcome, RowChange, Step, Trace};
 use crate::error::LabError;
 
-/// Rows that are recorded.
+/// Key prefixes of the recorded rows.
 pub const PREFIXES: [&str; 5] = [
     CHUNK_PREFIX,
     CONFIGURATION_PREFIX,
@@ -21,7 +21,7 @@
     ONCE_PREFIX,
 ];
 
-/// Writes the history of a run as a trace. The decisions that explain it become its stated outcome.
+/// Writes the history of a run as a trace; its decisions become the expected outcome.
 pub fn write(path: &Path, about: &str, history: &[HistoryRow]) -> Result<(), LabError> {
     let trace = trace_of(about, history);
     let text = trace.to_text().map_err(LabError::failed)?;
--- a/crates/lab/src/replay/rows.rs
+++ b/crates/lab/src/replay/rows.rs
@@ -1,4 +1,4 @@
-//! Replay of the table service's transactions: which decision explains each changed row.
+//! Replays the table service's transactions and finds the decision that explains each changed row.
 
 use std::collections::BTreeMap;
 
@@ -15,12 +15,12 @@
 
 use super::trace::RowChange;
 
-/// Prefix of at-most-once records.
+/// Key prefix of at-most-once records.
 pub const ONCE_PREFIX: &str = "once/";
-/// A row that no decision explains.
+/// Decision name of a change that no decision explains.
 const UNEXPLAINED: &str = "UNEXPLAINED";
 
-/// The rows so far.
+/// Rows after the transactions replayed so far.
 #[derive(Default)]
 pub struct RowReplay {
     chunks: BTreeMap<String, ChunkRow>,
@@ -31,7 +31,7 @@
 }
 
 impl RowReplay {
-    /// Takes a transaction and names what explains each row.
+    /// Applies a transaction and returns the decision names of its rows.
     pub fn transaction(&mut self, revision: u64, rows: &[RowChange]) -> Vec<String> {
         let mut decided = Vec::new();
         let mut configuration = Vec::new();
@@ -139,7 +139,7 @@
     if claim(before, &claimant, false) == ClaimDecision::Write(after.clone()) {
         return "chunk claimed";
     }
-    // By its holder, or by another node that believes the holder gone.
+    // Reopened by its holder, or by another node that considers the holder dead.
     if is_reopened(before, after, false) || is_reopened(before, after, true) {
         return "chunk opened again";
     }
@@ -152,7 +152,7 @@
     UNEXPLAINED
 }
 
-/// Whether a decision gives `after`; what its holder had finished may be noted with it.
+/// Whether reopening `before` gives `after`; the row may also record a partial result.
 fn is_reopened(before: &ChunkRow, after: &ChunkRow, holder_gone: bool) -> bool {
     let claimant = Claimant {
         node: if holder_gone {
--- a/crates/lab/src/replay/state.rs
+++ b/crates/lab/src/replay/state.rs
@@ -1,4 +1,4 @@
-//! What decisions rest on while a trace is replayed.
+//! State of the decision logic during a replay.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,11 @@
 use super::rows::RowReplay;
 use super::trace::Input;
 
-/// Bounds of a replayed answer.
 const BOUNDS: AssemblyBounds = AssemblyBounds {
     pieces: 4096,
     after_gap: 256,
 };
 
-/// All state of a replay.
 pub struct ReplayState {
     rows: RowReplay,
     calls: CallReplay,
@@ -38,7 +36,7 @@
 }
 
 impl ReplayState {
-    /// Takes one input and names the decisions on it.
+    /// Applies one input and returns the names of the decisions.
     pub fn step(&mut self, input: &Input) -> Vec<String> {
         match input {
             Input::Rows { revision, rows } => self.rows.transaction(*revision, rows),
@@ -89,5 +87,5 @@
     }
 }
 
-/// Values by name of the call that is on its way.
+/// Pending calls by name.
 pub type PendingCalls<T> = BTreeMap<String, T>;
--- a/crates/lab/src/replay/trace.rs
+++ b/crates/lab/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! The format of traces: JSON lines, a header and then one step a line.
+//! Trace format: JSON lines, a header followed by one step per line.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,183 +6,170 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Version of the format.
 pub const FORMAT: u32 = 1;
 
-/// How often each decision was taken.
+/// Count of each decision.
 pub type Outcome = BTreeMap<String, u64>;
 
-/// First line of a trace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Version of the format.
     pub format: u32,
-    /// What happened, for people.
+    /// Human-readable description.
     pub about: String,
-    /// The stated outcome: how often each decision was taken.
+    /// Expected outcome.
     pub outcome: Outcome,
 }
 
-/// One step: an input and what was decided on it.
+/// An input and the decisions on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Virtual time, milliseconds.
     pub at_ms: u64,
-    /// What came in.
     #[serde(flatten)]
     pub input: Input,
-    /// The decisions, in words, in order.
+    /// Names of the decisions, in order.
     pub decided: Vec<String>,
 }
 
-/// What comes in.
+/// Input of the decision logic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "input", rename_all = "snake_case")]
 pub enum Input {
-    /// A transaction of the table service took effect.
+    /// The table service applied a transaction.
     Rows {
-        /// Revision of the store.
         revision: u64,
-        /// Rows written by it.
+        /// Changed rows.
         rows: Vec<RowChange>,
     },
-    /// A node reads the chunk row and sends a claim, a reopening, a mark or a commit.
+    /// A node reads the chunk row and sends a claim, reopen, start mark or commit.
     Chunk {
         node: String,
         incarnation: u64,
-        /// What it wants.
+        /// Requested action.
         wish: ChunkAction,
-        /// Name of the call to the store, for [`Input::Deliver`].
+        /// Name of the store call, for [`Input::Deliver`].
         call: String,
     },
     /// The chunk's job is cancelled.
     CancelJob,
-    /// The chunk's items must not repeat.
+    /// The chunk's items become at-most-once.
     NeverRepeat,
-    /// A request asks for the at-most-once record, or reads back what became of its create.
+    /// A request looks up the at-most-once record, or reads back the result of its create.
     Once {
-        /// Token of the attempt.
+        /// Id of the attempt.
         writer: String,
-        /// The attempt has sent a create already.
+        /// The attempt has already sent a create.
         writing: bool,
-        /// Name of the call to the store.
+        /// Name of the store call.
         call: String,
     },
-    /// An attempt settles the record: kind 0 is an answer.
+    /// An attempt settles the record.
     OnceSettle {
-        /// Token of the attempt.
+        /// Id of the attempt.
         writer: String,
-        /// Error kind; 0 for an answer.
+        /// Error kind; 0 for a response.
         kind: u32,
-        /// What is known of whether it ran: 0 no, 1 maybe, 2 yes.
+        /// Whether it ran: 0 no, 1 maybe, 2 yes.
         ran: i32,
-        /// Name of the call to the store.
+        /// Name of the store call.
         call: String,
     },
-    /// An attempt gives the key up.
+    /// An attempt gives up the key.
     OnceGiveUp {
-        /// Token of the attempt.
+        /// Id of the attempt.
         writer: String,
-        /// Name of the call to the store.
+        /// Name of the store call.
         call: String,
     },
-    /// A call reaches the store, now and not before.
+    /// A pending call reaches the store.
     Deliver {
-        /// Name of the call.
+        /// Name of the store call.
         call: String,
     },
-    /// A call is lost.
+    /// A pending call is lost.
     Lose {
-        /// Name of the call.
+        /// Name of the store call.
         call: String,
     },
     /// An order reaches an engine.
-    Order {
-        epoch: u64,
-        /// Sequence number.
-        sequence: u64,
-    },
+    Order { epoch: u64, sequence: u64 },
     /// One row of a configuration change reaches a node by gossip.
     ConfigurationDelta {
         /// Revision of the change.
         revision: u64,
-        /// Revision of the change before.
+        /// Revision of the previous change.
         previous: u64,
         key: String,
-        /// Value; absent when deleted.
+        /// Absent if the row was deleted.
         value: Option<String>,
-        /// Index of the row in its change, and rows of the change.
+        /// Index of the row within its change.
         part: u32,
-        /// Rows of the change.
+        /// Number of rows in the change.
         parts: u32,
     },
-    /// The answer to a digest reaches a node.
+    /// The response to a digest reaches a node.
     ConfigurationAnswer {
-        /// Revision that the asker was at.
+        /// Revision of the requesting node.
         after: u64,
-        /// Revision of the answer.
+        /// Revision of the response.
         up_to: u64,
-        /// Rows changed in between: key, revision, value.
+        /// Rows changed between the two: key, revision, value.
         rows: Vec<(String, u64, Option<String>)>,
     },
-    /// The node restarts and has no configuration.
+    /// The node restarts without configuration.
     ConfigurationRestart,
-    /// An attempt of a request was accepted by a model version.
+    /// An engine accepted an attempt of a request.
     Accepted {
         version: String,
-        /// A new attempt begins.
+        /// Whether this starts a new attempt.
         new_attempt: bool,
     },
-    /// Pieces of an answer arrive.
+    /// Pieces of a response arrive.
     Pieces {
-        /// Offset of the first.
+        /// Offset of the first piece.
         offset: u32,
         pieces: Vec<String>,
     },
-    /// The end of an answer arrives.
+    /// The end of a response arrives.
     Finish {
-        /// Pieces of the whole answer.
+        /// Number of pieces in the complete response.
         total: u32,
     },
 }
 
-/// What a node wants with the chunk.
+/// Action of a node on the chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChunkAction {
     Claim {
-        /// Membership believes the holder gone.
+        /// Whether membership considers the holder dead.
         holder_gone: bool,
     },
-    /// Open it again.
     Reopen {
-        /// Membership believes the holder gone.
+        /// Whether membership considers the holder dead.
         holder_gone: bool,
     },
-    /// Start its first item, marking it if it must not repeat.
+    /// Start its first item, marking it first if it is at-most-once.
     Start,
-    /// Commit a result made under an epoch.
+    /// Commit a result computed under `epoch`.
     Commit { epoch: u64 },
 }
 
-/// One row of a transaction.
+/// A row changed by a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChange {
     pub key: String,
-    /// New value, base64; absent when the row was removed.
+    /// New value, base64; absent if the row was removed.
     pub value: Option<String>,
 }
 
-/// A whole trace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Trace {
-    /// First line.
     pub header: Header,
-    /// The other lines.
     pub steps: Vec<Step>,
 }
 
-/// A trace that cannot be read.
+/// Failure to read a trace.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{path}, line {line}: {cause}")]
 pub struct TraceError {
@@ -192,7 +179,6 @@
 }
 
 impl Trace {
-    /// Reads a file.
     pub fn read(path: &Path) -> Result<Trace, TraceError> {
         let failed = |line: usize, cause: String| TraceError {
             path: path.display().to_string(),
@@ -217,7 +203,7 @@
         Ok(Trace { header, steps })
     }
 
-    /// The file's text.
+    /// Serializes the trace to JSON lines.
     pub fn to_text(&self) -> Result<String, serde_json::Error> {
         let mut lines = vec![serde_json::to_string(&self.header)?];
         for step in &self.steps {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! `report`: one HTML page from the summaries of runs.
+//! `dappleyard-lab report`: generates an HTML page from the summaries of runs.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,10 +8,9 @@
 
 use crate::error::{LabError, report};
 
-/// Name of the page when no other is given.
+/// Default name of the page.
 const FILE_NAME: &str = "report.html";
 
-/// Arguments of `report`.
 pub fn command() -> Command {
     Command::new("report")
         .about("Makes one self-contained HTML page from the runs in directories and below them")
@@ -33,7 +32,6 @@
         .after_help("Example:\n  dappleyard-lab report out/hooghly out/hooghly-online-only")
 }
 
-/// Writes the page.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     report(write(arguments))
 }
--- a/crates/lab/src/run/arguments.rs
+++ b/crates/lab/src/run/arguments.rs
@@ -1,5 +1,3 @@
-//! Arguments of `run`.
-
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -10,7 +8,6 @@
 use crate::faults::FaultFile;
 use crate::scenario::{Policy, Scenario};
 
-/// Arguments of `run`.
 pub fn command() -> Command {
     Command::new("run")
         .about("Runs a scenario and checks the invariants; exits 1 on a violation, 2 on bad usage")
@@ -61,7 +58,7 @@
         .help(help)
 }
 
-/// Reads `A..B`, both inclusive.
+/// Parses `A..B`, both inclusive.
 pub fn parse_seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
     let wrong = || format!("{text:?} is not A..B with A at most B");
     let (from, to) = text.split_once("..").ok_or_else(wrong)?;
@@ -73,18 +70,16 @@
     Ok(from..=to)
 }
 
-/// What is to be run.
+/// Validated arguments of `run`.
 #[derive(Debug, Clone)]
 pub struct RunArguments {
     pub scenario: Scenario,
-    /// Faults; empty for none.
     pub faults: FaultFile,
-    /// Name of the fault file; empty for none.
+    /// File stem of the fault file; empty if none is given.
     pub fault_name: String,
-    /// Length of the load.
     pub length: Duration,
     pub policy: Policy,
-    /// File for a trace.
+    /// Trace file to write.
     pub record: Option<PathBuf>,
     out: PathBuf,
     seed: u64,
@@ -92,7 +87,7 @@
 }
 
 impl RunArguments {
-    /// Reads the command line and the files that it names.
+    /// Reads the arguments and the files they name.
     pub fn read(arguments: &ArgMatches) -> Result<RunArguments, LabError> {
         let file = |name: &str| arguments.get_one::<PathBuf>(name);
         let required =
@@ -122,12 +117,11 @@
         })
     }
 
-    /// Seeds to run.
     pub fn seeds(&self) -> RangeInclusive<u64> {
         self.seeds.clone().unwrap_or(self.seed..=self.seed)
     }
 
-    /// Directory of a seed's run.
+    /// Output directory of a seed.
     pub fn directory(&self, seed: u64) -> PathBuf {
         match self.seeds {
             Some(_) => self.out.join(format!("seed-{seed}")),
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -1,4 +1,4 @@
-//! Gathers the evidence of a run from the recorder and the stand-ins.
+//! Collects the evidence of a run from the recorder and the stand-ins.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 use crate::measures::{Counters, EngineSample};
 use crate::recorder::{ConfigurationAccepted, Event, Observations};
 
-/// Takes all evidence at the end of a run.
+/// Collects all evidence at the end of a run, emptying the recorder.
 pub fn evidence(fleet: &Fleet) -> Evidence {
     let observations = fleet.recorder.take();
     assemble(fleet, observations)
 }
 
-/// Evidence so far; the recorder keeps its own.
+/// Copies the evidence so far, without jobs.
 pub fn evidence_so_far(fleet: &Fleet) -> Evidence {
     let observations = fleet.recorder.read(|seen| Observations {
         online: seen.online.clone(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Every change that the table service applied was accepted.
+/// Events for the changes that the table service applied.
 fn configuration_changes(fleet: &Fleet) -> Vec<Event> {
     let log = fleet.platform.configuration_log();
     log.into_iter()
@@ -78,7 +78,7 @@
     }
 }
 
-/// Samples of all engines on the run's clock.
+/// Samples of each engine, on the run's clock.
 pub fn samples(fleet: &Fleet) -> Vec<Vec<EngineSample>> {
     let engines_started: Instant = fleet.engines.started();
     let clock = fleet.recorder.clock;
@@ -95,7 +95,7 @@
     servers.map(|server| on_clock(&server.name)).collect()
 }
 
-/// Transactions that the table service has applied.
+/// Number of transactions applied by the table service.
 pub fn store_writes(fleet: &Fleet) -> u64 {
     let counts: BTreeMap<String, CallCounts> = fleet.platform.table_counts();
     counts.values().map(|counts| counts.transactions).sum()
--- a/crates/lab/src/run/decisions.rs
+++ b/crates/lab/src/run/decisions.rs
@@ -1,4 +1,4 @@
-//! Decision records of the nodes around each fault, for the report.
+//! Collects the nodes' decision records around each fault, for the report.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -9,12 +9,11 @@
 use crate::invariants::Evidence;
 use crate::recorder::Event;
 
-/// Time around a fault in which decisions are kept.
+/// Time before and after a fault in which decisions are kept.
 const MARGIN: Duration = Duration::from_secs(2);
-/// Most decisions kept for one fault.
 const MAX_DECISIONS_PER_FAULT: usize = 60;
 
-/// Decisions of the nodes that still run, around the faults; oldest first.
+/// Decisions of the running nodes around the faults, oldest first.
 pub fn around_faults(
     fleet: &Fleet,
     evidence: &Evidence,
--- a/crates/lab/src/run/mod.rs
+++ b/crates/lab/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! `dappleyard-lab run`: one scenario, under one policy, with faults, judged by the invariants.
+//! `dappleyard-lab run`: runs a scenario under a policy, with faults, and checks the invariants.
 
 mod arguments;
 mod collect;
@@ -17,7 +17,7 @@
 pub use arguments::{RunArguments, command};
 pub use seed_run::{RunOutcome, run_seed};
 
-/// Runs the scenario, once for each seed.
+/// Runs the scenario once per seed.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     report(RunArguments::read(arguments).and_then(|arguments| run_all(&arguments)))
 }
--- a/crates/lab/src/run/process.rs
+++ b/crates/lab/src/run/process.rs
@@ -1,18 +1,17 @@
-//! What the process of an experiment takes from the machine.
+//! CPU and memory usage of the experiment process.
 
 use std::time::{Duration, Instant};
 
-/// Bytes of a megabyte.
 const MEGABYTE: f64 = 1_048_576.0;
 
-/// Processor time of this process at one moment.
+/// CPU time of this process at a point in time.
 pub struct ProcessTime {
     at: Instant,
     used: Duration,
 }
 
 impl ProcessTime {
-    /// Reads it now.
+    /// Reads the current CPU time.
     pub fn now() -> ProcessTime {
         ProcessTime {
             at: Instant::now(),
@@ -20,7 +19,7 @@
         }
     }
 
-    /// Cores taken since then, on average.
+    /// Mean number of cores used since then.
     pub fn cores_since(&self) -> f64 {
         let used = used().unwrap_or_default().saturating_sub(self.used);
         used.as_secs_f64() / self.at.elapsed().as_secs_f64().max(f64::EPSILON)
@@ -35,7 +34,7 @@
     ))
 }
 
-/// Memory of this process, MB.
+/// Resident memory of this process, MB.
 pub fn rss_mb() -> f64 {
     let status = procfs::process::Process::myself().and_then(|process| process.statm());
     status.map_or(0.0, |status| {
--- a/crates/lab/src/run/progress.rs
+++ b/crates/lab/src/run/progress.rs
@@ -1,4 +1,4 @@
-//! One line a second while a run goes on, with the invariants as they stand.
+//! Progress lines during a run, with the state of the invariants.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::invariants;
 use crate::run::collect;
 
-/// Prints the state of the run.
+/// Prints a progress line.
 pub fn print(fleet: &Fleet, since_start: Duration, phase: &str) {
     let (online, whole, refused, jobs) = fleet.recorder.read(|seen| {
         let whole = seen
@@ -32,8 +32,8 @@
     );
 }
 
-/// Which invariants are violated by what has been seen so far. Those about work that has yet to end
-/// are judged at the end.
+/// Lists the invariants violated so far. Job invariants are checked only at the end, since the
+/// evidence so far holds no jobs.
 fn invariants_so_far(fleet: &Fleet) -> String {
     let evidence = collect::evidence_so_far(fleet);
     let verdicts = invariants::check_all(&evidence);
--- a/crates/lab/src/run/seed_run.rs
+++ b/crates/lab/src/run/seed_run.rs
@@ -22,23 +22,22 @@
 use crate::replay;
 use crate::scenario::Policy;
 
-/// Time between the fleet being ready and the start of the load.
+/// Delay between the fleet becoming ready and the start of the load.
 const LOAD_START_DELAY: Duration = Duration::from_millis(1_500);
-/// Time between two samples of revisions.
+/// Interval between samples of the nodes' revisions.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between the end of all callers and the judgement.
+/// Delay between the end of callers and faults and the last sample of revisions.
 const FINAL_SAMPLE_DELAY: Duration = Duration::from_millis(300);
 
-/// File with all evidence of a run that failed.
+/// File with the evidence of a failed run.
 const EVIDENCE_FILE: &str = "evidence.json";
 
-/// What came of a run.
+/// Result of a run.
 pub struct RunOutcome {
-    /// Its summary, as written.
+    /// Summary as written to the output directory.
     pub summary: Summary,
-    /// Invariants that were violated or not checked.
+    /// Invariants that were violated or not checked, and other failures.
     pub failures: Vec<String>,
 }
 
@@ -83,13 +82,13 @@
     Ok(RunOutcome { summary, failures })
 }
 
-/// Keeps all evidence of a run that failed, for the search of the cause.
+/// Writes the evidence of a failed run for analysis.
 fn write_evidence(evidence: &Evidence, directory: &Path) -> Result<(), LabError> {
     let text = serde_json::to_string(evidence).map_err(LabError::failed)?;
     std::fs::write(directory.join(EVIDENCE_FILE), text).map_err(LabError::failed)
 }
 
-/// Drives load and faults to their end.
+/// Runs load and faults to completion.
 async fn drive(arguments: &RunArguments, seed: u64, fleet: &Rc<Fleet>) -> Counters {
     let load_start = fleet.recorder.clock.now();
     let client_behavior = Arc::new(ClientBehavior::default());
@@ -112,7 +111,7 @@
     counters.process_cores = process.cores_since();
     counters.process_rss_mb = rss_mb();
     callers.finish().await;
-    // A fault that outlives the load holds on to the fleet; its end is awaited.
+    // A fault that outlives the load still uses the fleet.
     let _ = injecting.await;
     tokio::time::sleep(FINAL_SAMPLE_DELAY).await;
     watching.abort();
@@ -149,7 +148,7 @@
     }
 }
 
-/// Samples revisions and prints progress until it is aborted.
+/// Samples revisions and prints progress until aborted.
 async fn sample_and_print(fleet: Rc<Fleet>, load_start: Duration, length: Duration) {
     let mut next_line = load_start + PROGRESS_INTERVAL;
     loop {
@@ -168,7 +167,7 @@
     }
 }
 
-/// Invariants about batch work cannot be checked where there is none.
+/// Invariants that cannot be checked without batch work.
 const BATCH_INVARIANTS: [&str; 3] = ["exactly_once", "results_readable", "cancellation_effective"];
 
 fn failures(
@@ -194,7 +193,7 @@
         ));
     }
     for event in &evidence.observations.events {
-        // One of the two wins, unless the store is away.
+        // At most one plan is accepted and at most one refused; neither if the store is unavailable.
         if let Event::Race {
             accepted,
             overtaken,
--- a/crates/lab/src/run/table.rs
+++ b/crates/lab/src/run/table.rs
@@ -1,11 +1,10 @@
-//! The readable end of a run.
+//! Prints the results of a run as tables.
 
 use std::path::Path;
 
 use comfy_table::{Table, presets};
 use dappleyard_report::summary::{Percentiles, Summary};
 
-/// Prints a run's invariants and measures.
 pub fn print(summary: &Summary, directory: &Path) {
     println!(
         "\n{} seed {} policy {} faults {} ({} s)",
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -1,10 +1,10 @@
-//! Checks of a scenario that types cannot state. Every problem is found at once.
+//! Validates the values of a scenario. All problems are reported together.
 
 use std::collections::BTreeSet;
 
 use super::{Lengths, Scenario};
 
-/// Problems of a scenario, each with its key and cause.
+/// Returns the problems of a scenario, each with its key and cause.
 pub fn problems(scenario: &Scenario) -> Vec<String> {
     let mut found = Problems::default();
     found.require(scenario.seconds > 0, "seconds", "must be greater than 0");
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -1,8 +1,8 @@
-//! What callers ask for.
+//! Load of a scenario.
 
 use serde::{Deserialize, Serialize};
 
-/// A log-normal distribution of lengths, cut at both ends.
+/// A log-normal distribution of lengths, clamped at both ends.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lengths {
@@ -10,89 +10,88 @@
     pub median: f64,
     /// Standard deviation of the logarithm.
     pub sigma: f64,
-    /// Shortest, tokens.
+    /// Minimum, tokens.
     pub least: u32,
-    /// Longest, tokens.
+    /// Maximum, tokens.
     pub most: u32,
 }
 
-/// Online load: busy seconds with quiet ones between them.
+/// Online load: bursts separated by quiet periods.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnlineScenario {
-    /// Tenant of these requests.
     pub tenant: String,
-    /// Requests a second in quiet times, over the fleet.
+    /// Requests per second in quiet periods, over the fleet.
     pub quiet_per_s: f64,
-    /// Requests a second in a burst.
+    /// Requests per second in bursts, over the fleet.
     pub busy_per_s: f64,
-    /// Mean length of quiet times, seconds.
+    /// Mean length of quiet periods, seconds.
     pub quiet_s: f64,
     /// Mean length of bursts, seconds.
     pub busy_s: f64,
-    /// Conversations that the requests belong to.
+    /// Number of sessions that the requests belong to.
     pub sessions: u32,
-    /// Tokens that the conversations of one topic share at the start of the prompt.
+    /// Length of the prompt prefix shared by the sessions of a topic, tokens.
     pub shared_prefix: u32,
-    /// Topics, each with its own shared start.
+    /// Number of topics, each with its own shared prefix.
     pub topics: u32,
-    /// Prompt lengths, shared start included.
+    /// Prompt lengths, including the shared prefix.
     pub prompt: Lengths,
-    /// Answer lengths.
+    /// Response lengths.
     pub output: Lengths,
     /// Deadline of a request, milliseconds.
     pub deadline_ms: u32,
 }
 
-/// Must-not-repeat requests.
+/// At-most-once requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnceScenario {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Share that the client sends again with the same key, percent.
+    /// Share of requests that the client sends again with the same key, percent.
     pub resend_percent: u32,
-    /// Time after the first sending at which it is sent again, milliseconds, at most.
+    /// Maximum delay of the resend, milliseconds.
     pub resend_within_ms: u64,
 }
 
-/// Requests of a tenant with a low limit.
+/// Requests of a tenant with a low rate limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RefusedScenario {
     pub tenant: String,
-    /// Requests a second that it sends.
+    /// Requests sent per second.
     pub per_s: f64,
-    /// Requests a second that it is allowed.
+    /// Rate limit of the tenant, requests per second.
     pub allowed_per_s: f64,
 }
 
-/// Batch load: heaps of jobs.
+/// Batch load: jobs submitted in waves.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchScenario {
-    /// Tenants that the jobs are spread over.
+    /// Each job belongs to a random one of these tenants.
     pub tenants: Vec<String>,
-    /// Time between two heaps, seconds.
+    /// Time between two waves, seconds.
     pub every_s: f64,
-    /// First heap, seconds after the start.
+    /// First wave, seconds after the start of the load.
     pub first_s: f64,
-    /// No heap after this part of the run, percent, so that the work can be finished.
+    /// No wave starts after this share of the run, percent, so that the work can finish.
     pub until_percent: u32,
-    /// Jobs in a heap.
+    /// Jobs per wave.
     pub jobs: u32,
-    /// Items of a job, the mean; each job has between half and one and a half times as many.
+    /// Mean number of items per job; each job has 0.5 to 1.5 times as many.
     pub items: u32,
-    /// Tokens of the instruction that a job's items share.
+    /// Length of the prompt prefix shared by the items of a job, tokens.
     pub shared_prefix: u32,
-    /// Prompt lengths, instruction included.
+    /// Prompt lengths, including the shared prefix.
     pub prompt: Lengths,
-    /// Answer lengths.
+    /// Response lengths.
     pub output: Lengths,
-    /// Jobs that are cancelled while they run, one in this many; 0 for none.
+    /// One in this many jobs is cancelled while it runs; 0 for none.
     pub cancel_every: u32,
-    /// Jobs that are submitted twice with the same key, one in this many; 0 for none.
+    /// One in this many jobs is submitted twice with the same key; 0 for none.
     pub resend_every: u32,
-    /// Time between two looks at a job, milliseconds.
+    /// Interval between polls of a job, milliseconds.
     pub poll_ms: u64,
 }
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -1,7 +1,6 @@
-//! Scenario files: the fleet, the engines, the load and the bounds of an experiment.
+//! Scenario files: fleet, engines, load and bounds of an experiment.
 //!
-//! Every field is required unless a default is stated, and unknown keys are refused. Times are in
-//! milliseconds or seconds as the name says, lengths in tokens.
+//! A field without a default is required, and unknown keys are rejected. Lengths are in tokens.
 
 mod check;
 mod load;
@@ -18,58 +17,53 @@
 pub use load::{BatchScenario, Lengths, OnceScenario, OnlineScenario, RefusedScenario};
 pub use policy::Policy;
 
-/// One experiment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name, as in reports.
+    /// Name shown in reports.
     pub name: String,
-    /// Seed of arrivals and engines when none is given.
+    /// Default seed of arrivals and engines.
     pub seed: u64,
-    /// Length of the load, seconds, when none is given.
+    /// Default length of the load, seconds.
     pub seconds: u64,
-    /// The model service.
     pub service: ServiceScenario,
-    /// Zones, with what stands in each.
+    /// Zones with their servers, nodes and sidecars.
     pub zones: Vec<ZoneScenario>,
-    /// Delays between processes.
+    /// Network delays between processes.
     pub network: NetworkScenario,
-    /// Cost model of the engines; its slowdown is the service's.
+    /// Cost model of the engines; the slowdown is taken from the service.
     #[serde(default)]
     pub engine: EngineModelSettings,
-    /// Platform; its seed is the run's.
+    /// Platform; the seed is taken from the run.
     #[serde(default)]
     pub platform: PlatformStandInSettings,
-    /// Processes of the system.
+    /// Settings of nodes and sidecars.
     #[serde(default)]
     pub processes: ProcessScenario,
-    /// Online load.
     pub online: OnlineScenario,
-    /// Must-not-repeat requests.
+    /// At-most-once requests.
     pub once: OnceScenario,
-    /// Requests of a tenant with a low limit, so that refusals are seen in every run.
+    /// Requests of a tenant with a low rate limit, so that every run has refusals.
     pub refused: RefusedScenario,
-    /// Batch load.
     pub batch: BatchScenario,
-    /// Events of every run.
+    /// Routine events of every run.
     #[serde(default)]
     pub routine: RoutineScenario,
-    /// Settings of the policies that batch work is compared under.
+    /// Settings of the batch policies.
     pub policy: PolicyScenario,
-    /// Bounds that the invariants are judged by.
+    /// Bounds of the invariants.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// The model service of a scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceScenario {
-    /// Name, as callers give it as the model.
+    /// Model name in requests.
     pub name: String,
-    /// Version loaded at the start.
+    /// Model version loaded at the start.
     pub version: String,
-    /// How much slower an online step may become through batch work, percent.
+    /// Allowed slowdown of an online step by batch work, percent.
     pub online_slowdown_percent: u32,
 }
 
@@ -78,14 +72,14 @@
 pub struct ZoneScenario {
     pub name: String,
     pub region: String,
-    /// Servers, each with one engine.
+    /// Number of servers, each with one engine.
     pub servers: usize,
     pub nodes: usize,
-    /// Sidecars, each with its callers.
+    /// Number of sidecars.
     pub sidecars: usize,
 }
 
-/// One-way delays.
+/// One-way network delays.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkScenario {
@@ -94,21 +88,19 @@
     /// Between two regions, milliseconds.
     #[serde(default)]
     pub between_regions_ms: f64,
-    /// Between a sidecar and a node of its zone, milliseconds.
+    /// Between a sidecar and its peers, added to the other delays, milliseconds.
     pub to_clients_ms: f64,
 }
 
-/// Settings of nodes and sidecars that differ from their defaults.
+/// Settings of nodes and sidecars.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProcessScenario {
-    /// Request threads of a node.
     pub node_workers: usize,
-    /// Threads of a sidecar.
     pub sidecar_workers: usize,
-    /// Longest time that a planned stop may take, milliseconds.
+    /// Longest allowed duration of a planned stop, milliseconds.
     pub stop_bound_ms: u64,
-    /// Work that one chunk of a job should hold, milliseconds.
+    /// Target duration of a chunk of a job, milliseconds.
     pub chunk_target_ms: u64,
 }
 
@@ -123,17 +115,16 @@
     }
 }
 
-/// Mild events of every run, as parts of the run's length.
+/// Routine events of every run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutineScenario {
-    /// Whether they take place.
     pub enabled: bool,
-    /// When one node is stopped as planned, to be started again, percent of the run.
+    /// When a node is stopped gracefully and then restarted, percent of the run.
     pub stop_node_at_percent: u32,
-    /// When one server is drained, percent of the run.
+    /// When a server is drained, percent of the run.
     pub drain_server_at_percent: u32,
-    /// Configuration changes, spread over the run.
+    /// Number of configuration changes.
     pub configuration_changes: u32,
 }
 
@@ -148,29 +139,28 @@
     }
 }
 
-/// Settings of the policies for comparison.
+/// Settings of the batch policies.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyScenario {
-    /// Share of the servers that `static-split` gives to batch work: the greatest that leaves
-    /// online requests the tail they have alone; found by measurement.
+    /// Share of the servers that `static-split` assigns to batch work. Should be the largest that
+    /// does not raise the online tail latency.
     pub static_split_percent: u32,
 }
 
-/// Bounds that the invariants are judged by.
+/// Bounds of the invariants.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Time after which a cancelled job starts no item, milliseconds.
+    /// Time after a cancel from which no item of the job may start, milliseconds.
     pub cancel_ms: u64,
-    /// Time after which a leaving server receives no new work, milliseconds.
+    /// Time after which a draining server may receive no new work, milliseconds.
     pub drain_ms: u64,
-    /// Time within which a configuration change is in force on each node that can be reached,
-    /// milliseconds.
+    /// Time within which each reachable node must apply a configuration change, milliseconds.
     pub configuration_ms: u64,
-    /// Engine steps that an online request may wait for its first one while batch work is served.
+    /// Engine steps running batch work that an online request may wait for its first step.
     pub online_wait_steps: u32,
-    /// Time after the load within which all accepted work is finished, milliseconds.
+    /// Time after the load within which all accepted work must finish, milliseconds.
     pub settle_ms: u64,
 }
 
@@ -187,7 +177,7 @@
 }
 
 impl Scenario {
-    /// Reads and checks a scenario file.
+    /// Reads and validates a scenario file.
     pub fn load(path: &Path) -> Result<Scenario, LabError> {
         let place = path.display();
         let text = std::fs::read_to_string(path)
@@ -197,7 +187,7 @@
         Ok(scenario)
     }
 
-    /// Reads and checks the text of a scenario file.
+    /// Parses and validates the text of a scenario file.
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|error| error.to_string())?;
         let problems = check::problems(&scenario);
@@ -208,12 +198,12 @@
         }
     }
 
-    /// Servers of all zones.
+    /// Number of servers in all zones.
     pub fn server_count(&self) -> usize {
         self.zones.iter().map(|zone| zone.servers).sum()
     }
 
-    /// Sidecars of all zones.
+    /// Number of sidecars in all zones.
     pub fn sidecar_count(&self) -> usize {
         self.zones.iter().map(|zone| zone.sidecars).sum()
     }
--- a/crates/lab/src/scenario/policy.rs
+++ b/crates/lab/src/scenario/policy.rs
@@ -1,24 +1,23 @@
-//! Policies by which batch work runs beside online work, and what each changes in the fleet.
+//! Policies for running batch work alongside online work, and their effect on the fleet.
 
 use dappleyard_settings::BatchPolicy;
 
 use super::Scenario;
 
-/// How batch work runs beside online work.
+/// How batch work runs alongside online work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// No batch at all.
+    /// No batch work.
     OnlineOnly,
-    /// One queue without priorities; batch is sent as fast as it fits.
+    /// One queue without priorities; batch work is sent as fast as it fits.
     SharedQueue,
-    /// A fixed part of the servers runs batch only, as a service of its own.
+    /// A fixed share of the servers runs only batch work, as a separate service.
     StaticSplit,
-    /// The product.
+    /// Online work preempts batch work; the default of the product.
     Preempt,
 }
 
 impl Policy {
-    /// All policies, the product last.
     pub const ALL: [Policy; 4] = [
         Policy::OnlineOnly,
         Policy::SharedQueue,
@@ -36,13 +35,12 @@
         }
     }
 
-    /// The policy of a name.
     pub fn from_name(name: &str) -> Option<Policy> {
         Policy::ALL.into_iter().find(|policy| policy.name() == name)
     }
 
-    /// Setting of the nodes. Under a static split the servers of batch work have no online work,
-    /// so the product's own way runs them at full width.
+    /// Policy in the node settings. Under `StaticSplit` the batch servers have no online work, so
+    /// `Preempt` uses their full capacity.
     pub const fn batch_policy(self) -> BatchPolicy {
         match self {
             Policy::OnlineOnly => BatchPolicy::OnlineOnly,
@@ -51,14 +49,14 @@
         }
     }
 
-    /// Whether engines take sequences in order of arrival.
+    /// Whether engines admit sequences in order of arrival.
     pub const fn ignores_priority(self) -> bool {
         matches!(self, Policy::SharedQueue)
     }
 }
 
 impl Scenario {
-    /// Service that batch items name.
+    /// Service that runs batch items.
     pub fn batch_service(&self, policy: Policy) -> String {
         match policy {
             Policy::StaticSplit => format!("{}-batch", self.service.name),
@@ -66,7 +64,7 @@
         }
     }
 
-    /// Service of a server, by its index in the order of the file; a split is spread evenly.
+    /// Service of the server with this index; a static split distributes batch servers evenly.
     pub fn service_of(&self, policy: Policy, index: usize) -> String {
         let percent = self.policy.static_split_percent as usize;
         let is_batch = (index + 1) * percent / 100 > index * percent / 100;
@@ -77,7 +75,6 @@
         }
     }
 
-    /// All services under a policy.
     pub fn services(&self, policy: Policy) -> Vec<String> {
         let mut services = vec![self.service.name.clone(), self.batch_service(policy)];
         services.dedup();
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -1,4 +1,4 @@
-//! `dappleyard-lab standins`: the platform and the engines of a scenario as one plain process.
+//! `dappleyard-lab standins`: runs the platform and engines of a scenario as a separate process.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,7 +12,6 @@
 use crate::fleet::{server_machines, start_engines, start_platform};
 use crate::scenario::{Policy, Scenario};
 
-/// Arguments of `standins`.
 pub fn command() -> Command {
     Command::new("standins")
         .about("Runs the platform and the engines of a scenario until it is told to stop")
@@ -49,7 +48,7 @@
         .help(help)
 }
 
-/// Runs the stand-ins until an interrupt or a termination signal.
+/// Runs the stand-ins until SIGINT or SIGTERM.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     report(serve(arguments))
 }
--- a/crates/lab/src/tradeoff.rs
+++ b/crates/lab/src/tradeoff.rs
@@ -1,4 +1,4 @@
-//! `tradeoff`: the curve of batch throughput against online harm, as an SVG file.
+//! `dappleyard-lab tradeoff`: draws batch throughput against online degradation as an SVG file.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,7 +9,6 @@
 
 use crate::error::{LabError, report};
 
-/// Arguments of `tradeoff`.
 pub fn command() -> Command {
     Command::new("tradeoff")
         .about("Draws batch throughput against online harm from runs under different settings")
@@ -57,7 +56,6 @@
         )
 }
 
-/// Draws the curve.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     report(draw(arguments))
 }
--- a/crates/lab/tests/invariants.rs
+++ b/crates/lab/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant sees the violation that it is there for.
+//! Each invariant detects its violations.
 
 use std::time::Duration;
 
--- a/crates/lab/tests/results.rs
+++ b/crates/lab/tests/results.rs
@@ -1,4 +1,4 @@
-//! The check of a job's results sees what is wrong with each item.
+//! The check of a job's results reports each kind of problem.
 
 use dappleyard_lab::load::expected::canonical;
 use dappleyard_lab::load::plan::ItemPlan;
--- a/crates/lab/tests/whole_path.rs
+++ b/crates/lab/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process: callers, sidecars, nodes, engines, platform and an operator.
+//! End-to-end run in one process: callers, sidecars, nodes, engines, platform and an operator.
 
 use std::path::{Path, PathBuf};
 
