--- a/crates/lab/src/capacity/changes.rs
+++ b/crates/lab/src/capacity/changes.rs
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Records each revision that a node applies, until its table is dropped.
+    /// Records each revision that a node applies, until the runtime stops.
     pub async fn watch(self, node: usize, tables: Arc<NodeTables>) {
         let mut configuration = tables.configuration.subscribe();
         loop {
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -54,7 +54,7 @@
                 && other.seconds == group.seconds
         };
         let Some(before) = baseline.iter().find(same) else {
-            println!("{}: the baseline has no such run", group.title());
+            println!("{}: no matching run in the baseline", group.title());
             continue;
         };
         for (policy_before, runs_before) in &before.policies {
--- a/crates/lab/src/faults/inject.rs
+++ b/crates/lab/src/faults/inject.rs
@@ -193,7 +193,7 @@
     async fn kill_node(&self, index: usize, length: Duration) -> String {
         let node = self.fleet.node_instance(index).name;
         if !self.fleet.kill_node(index).await {
-            return format!("{node} (did not run)");
+            return format!("{node} (not running)");
         }
         tokio::time::sleep(length).await;
         self.restart_node(FaultKind::NodeKill, index).await;
@@ -203,7 +203,7 @@
     async fn pause_node(&self, index: usize, length: Duration) -> String {
         let node = self.fleet.node_instance(index).name;
         if !self.fleet.pause_node(index, length) {
-            return format!("{node} (did not run)");
+            return format!("{node} (not running)");
         }
         tokio::time::sleep(length).await;
         node
@@ -212,7 +212,7 @@
     async fn stop_node(&self, index: usize, length: Duration) -> String {
         let node = self.fleet.node_instance(index).name;
         if !self.fleet.stop_node(index).await {
-            return format!("{node} (did not run)");
+            return format!("{node} (not running)");
         }
         tokio::time::sleep(length).await;
         self.restart_node(FaultKind::NodeStop, index).await;
--- a/crates/lab/src/faults/mod.rs
+++ b/crates/lab/src/faults/mod.rs
@@ -14,7 +14,6 @@
 
 use crate::error::LabError;
 
-/// Kind of a fault.
 /// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -76,7 +75,7 @@
     /// An operator drains a server and undrains it after `for_s`.
     #[display("server drain")]
     ServerDrain,
-    /// Clients cancel jobs that are about to finish.
+    /// Clients cancel jobs that are finalizing or at least half complete.
     #[display("cancel while committing")]
     CancelCommitting,
     /// An operator changes a tenant's limits.
--- a/crates/lab/src/faults/operators.rs
+++ b/crates/lab/src/faults/operators.rs
@@ -43,7 +43,10 @@
         }
     });
     if row_present.await.is_err() {
-        return fleet.record_not_done(FaultKind::ServerDrain, "its row did not appear");
+        return fleet.record_not_done(
+            FaultKind::ServerDrain,
+            "drain row did not appear before the timeout",
+        );
     }
     let told = fleet.recorder.clock.now();
     tokio::time::sleep(length).await;
@@ -62,7 +65,7 @@
 pub async fn race_operators(fleet: &Fleet, number: u32) {
     let addresses = fleet.admin_addresses();
     let (Some(first_node), Some(second_node)) = (addresses.first(), addresses.last()) else {
-        return fleet.record_not_done(FaultKind::RacingIntents, "no node runs");
+        return fleet.record_not_done(FaultKind::RacingIntents, "no node is running");
     };
     let (first_node, second_node) = (Operator::new(first_node), Operator::new(second_node));
     let (first, second) = (
@@ -96,7 +99,7 @@
 /// Plans and confirms an intent, trying the nodes in turn. A confirmation that may have taken
 /// effect is retried with the same plan; after any other error the intent is planned again.
 async fn plan_and_confirm(fleet: &Fleet, intent: &Value) -> Result<(), String> {
-    let mut last = "no node runs".to_owned();
+    let mut last = "no node is running".to_owned();
     let mut plan: Option<String> = None;
     for attempt in 0..MAX_ATTEMPTS {
         let addresses = fleet.admin_addresses();
--- a/crates/lab/src/faults/routine.rs
+++ b/crates/lab/src/faults/routine.rs
@@ -1,5 +1,4 @@
 //! Routine events of every run, so that every invariant is checked: one planned stop, one drain and
-//! Routine events of every run, so that every invariant is checked: one planned stop, one drain and
 //! some configuration changes.
 
 use std::time::Duration;
--- a/crates/lab/src/fleet/admin.rs
+++ b/crates/lab/src/fleet/admin.rs
@@ -58,7 +58,7 @@
         id.map(str::to_owned).ok_or_else(|| AdminError::Refused {
             address: self.address.clone(),
             status: 200,
-            body: format!("a plan without id: {answer}"),
+            body: format!("plan response has no id: {answer}"),
         })
     }
 
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -53,10 +53,12 @@
         ..scenario.platform.clone()
     };
     let platform = PlatformStandIn::start(settings)
-        .map_err(|error| LabError::failed(format!("the platform did not start: {error}")))?;
+        .map_err(|error| LabError::failed(format!("platform failed to start: {error}")))?;
     platform
         .transact(settings::initial_configuration(scenario, policy))
-        .map_err(|error| LabError::failed(format!("the first configuration: {error}")))?;
+        .map_err(|error| {
+            LabError::failed(format!("writing the initial configuration failed: {error}"))
+        })?;
     Ok(platform)
 }
 
@@ -90,7 +92,7 @@
         ..HostOptions::default()
     };
     EngineHost::start_with(specs, options)
-        .map_err(|error| LabError::failed(format!("the engines did not start: {error}")))
+        .map_err(|error| LabError::failed(format!("engines failed to start: {error}")))
 }
 
 /// The servers of a scenario as the machine list shows them.
@@ -171,7 +173,9 @@
                 return Ok(());
             }
             if tokio::time::Instant::now() >= deadline {
-                return Err(LabError::failed(format!("not ready in time: {waiting:?}")));
+                return Err(LabError::failed(format!(
+                    "nodes not ready before the timeout: {waiting:?}"
+                )));
             }
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -9,7 +9,8 @@
 /// Extra time for a node to catch up after it was unavailable.
 const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 
-/// away, cut off or standing still in that time is first once it has been back for as long.
+/// Each accepted change is applied on each ready node within the bound. For a node that was
+/// unavailable in that time, the bound starts again when it is back.
 pub fn config_convergence(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.configuration_ms);
@@ -91,7 +92,7 @@
             let floor = in_force_everywhere(&nodes, before.at);
             verdict.case(served.revision >= floor, || {
                 format!(
-                    "{node} serves again at {} with revision {}, but {floor} was in force everywhere",
+                    "{node} ready again at {} with revision {}, but all nodes had reached {floor}",
                     format_time(served.at),
                     served.revision
                 )
--- a/crates/lab/src/invariants/jobs.rs
+++ b/crates/lab/src/invariants/jobs.rs
@@ -14,7 +14,7 @@
         let Some(id) = job.id() else { continue };
         let one_job = job.ids.iter().all(|other| other == id);
         verdict.case(one_job, || {
-            format!("{}: one key, several jobs {:?}", job.name, job.ids)
+            format!("{}: several jobs for one key: {:?}", job.name, job.ids)
         });
         check_items(&mut verdict, job, id);
     }
--- a/crates/lab/src/invariants/leaving.rs
+++ b/crates/lab/src/invariants/leaving.rs
@@ -27,7 +27,7 @@
         });
         verdict.case(late.is_none(), || {
             format!(
-                "{} told to leave at {}: {late:?}",
+                "{} drained at {}, but received {late:?}",
                 drain.server,
                 format_time(drain.told)
             )
@@ -44,7 +44,7 @@
         let bound = Duration::from_millis(stop.bound_ms);
         verdict.case(stop.stopped - stop.told <= bound, || {
             format!(
-                "{} told at {} stopped only at {}",
+                "{}: stop requested at {}, stopped at {}",
                 stop.node,
                 format_time(stop.told),
                 format_time(stop.stopped)
--- a/crates/lab/src/invariants/mod.rs
+++ b/crates/lab/src/invariants/mod.rs
@@ -62,7 +62,6 @@
     pub runs: Vec<EngineRun>,
     /// Engine records dropped for lack of space; if not 0, the evidence is incomplete.
     pub dropped_runs: u64,
-    /// Bounds to check_all by.
     pub bounds: Bounds,
     pub end: Duration,
 }
--- a/crates/lab/src/invariants/requests.rs
+++ b/crates/lab/src/invariants/requests.rs
@@ -62,8 +62,8 @@
 }
 
 /// A complete response equals the engine's text byte for byte; an interrupted one is a prefix of
-/// it. A connection that ends without completion or an error is a violation, since no fault affects
-/// the sidecar.
+/// it. A connection that ends without completion or an error is a violation, since no fault stops a
+/// sidecar.
 pub fn stream_integrity(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for record in &evidence.observations.online {
--- a/crates/lab/src/load/batch.rs
+++ b/crates/lab/src/load/batch.rs
@@ -34,7 +34,7 @@
     pub reread_at: Duration,
     /// Whether every job is currently submitted twice.
     pub always_resend: Rc<dyn Fn() -> bool>,
-    /// Whether jobs that are about to finish are currently cancelled.
+    /// Whether jobs that are finalizing or at least half complete are currently cancelled.
     pub cancel_committing: Rc<dyn Fn() -> bool>,
 }
 
@@ -138,7 +138,7 @@
                 Ok(seen) => last = seen,
                 Err(error) => record_refusal(record, error.into_refusal()),
             }
-            if (self.cancel_committing)() && nearly_done(&last, arrival.items) {
+            if (self.cancel_committing)() && is_half_complete(&last, arrival.items) {
                 cancelling.set(Some(Duration::ZERO));
             }
         }
@@ -292,7 +292,11 @@
                 }
                 Ok(content) if self.is_whole(caller, file, &content).await => return Ok(content),
                 Ok(_) | Err(_) if self.has_time_left() => tokio::time::sleep(RETRY_WAIT).await,
-                Ok(_) => return Err(CallError::Broken("shorter than its size says".to_owned())),
+                Ok(_) => {
+                    return Err(CallError::Broken(
+                        "download size differs from the file object".to_owned(),
+                    ));
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -320,7 +324,7 @@
     caller.post("/v1/batches", Some(&arrival.name), &body).await
 }
 
-fn nearly_done(batch: &BatchObject, items: u32) -> bool {
+fn is_half_complete(batch: &BatchObject, items: u32) -> bool {
     let completed = batch
         .request_counts
         .as_ref()
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -136,9 +136,8 @@
         let body = multipart(filename, content);
         let answer: Value = parse(&read_response(request.send_body(body).await).await?)?;
         let id = answer["id"].as_str();
-        id.map(str::to_owned).ok_or_else(|| {
-            CallError::Broken(format!("an upload was answered without id: {answer}"))
-        })
+        id.map(str::to_owned)
+            .ok_or_else(|| CallError::Broken(format!("upload response has no id: {answer}")))
     }
 }
 
@@ -167,7 +166,9 @@
         let part = part.map_err(|error| CallError::Broken(error.to_string()))?;
         body.extend_from_slice(&part);
         if body.len() > BODY_LIMIT {
-            return Err(CallError::Broken("the answer is too long".to_owned()));
+            return Err(CallError::Broken(
+                "response body exceeds the size limit".to_owned(),
+            ));
         }
     }
     if (200..300).contains(&status) {
@@ -179,5 +180,5 @@
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
     serde_json::from_slice(body)
-        .map_err(|error| CallError::Broken(format!("the answer does not parse: {error}")))
+        .map_err(|error| CallError::Broken(format!("invalid response body: {error}")))
 }
--- a/crates/lab/src/load/drive.rs
+++ b/crates/lab/src/load/drive.rs
@@ -23,7 +23,7 @@
 pub struct ClientBehavior {
     /// Clients send at-most-once requests and jobs twice.
     pub resend: AtomicBool,
-    /// Clients cancel jobs that are about to finish.
+    /// Clients cancel jobs that are finalizing or at least half complete.
     pub cancel_committing: AtomicBool,
 }
 
--- a/crates/lab/src/load/online.rs
+++ b/crates/lab/src/load/online.rs
@@ -79,7 +79,9 @@
         let exchange = self.exchange(arrival, resend, &request_id, &mut received);
         let end = tokio::time::timeout(wait_limit, exchange)
             .await
-            .unwrap_or_else(|_| OnlineEnd::Broken("no end of the answer in time".to_owned()));
+            .unwrap_or_else(|_| {
+                OnlineEnd::Broken("response did not end before the timeout".to_owned())
+            });
         let record = OnlineRecord {
             name: arrival.name.clone(),
             request_id,
@@ -185,12 +187,14 @@
                     }
                     StreamEvent::Done if finished => return OnlineEnd::Whole,
                     StreamEvent::Done => {
-                        return OnlineEnd::Broken("ended without a finish reason".to_owned());
+                        return OnlineEnd::Broken(
+                            "stream ended without a finish reason".to_owned(),
+                        );
                     }
                 }
             }
         }
-        OnlineEnd::Broken("the connection ended before the answer".to_owned())
+        OnlineEnd::Broken("connection closed before the response was complete".to_owned())
     }
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,3 @@
-//! Command line of the experiment tool.
-
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/lab/src/measures/mod.rs
+++ b/crates/lab/src/measures/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::invariants::Evidence;
 
-/// What the stand-ins counters in a run.
+/// Counters of the stand-ins and of the process.
 #[derive(Debug, Default)]
 pub struct Counters {
     pub load_start: Duration,
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -12,8 +12,8 @@
     Command::new("model")
         .about("Explores the protocol specifications and prints states and counterexamples")
         .long_about(format!(
-            "Explores the protocol specifications breadth first and prints the number of states, the \
-             bounds, and the shortest run of steps that breaks a promise.\n\n{}",
+            "Explores the protocol specifications breadth first and prints the number of states, \
+             the bounds, and the shortest counterexample if a property is violated.\n\n{}",
             listing()
         ))
         .arg(
@@ -28,7 +28,7 @@
                 .long("mutant")
                 .value_name("NAME")
                 .requires("spec")
-                .help("Puts this mistake into the specification; the exploration must catch it"),
+                .help("Applies this mutant to the specification; the exploration must detect it"),
         )
         .arg(
             Arg::new("faults")
@@ -66,7 +66,7 @@
     };
     if !entry.mutants.iter().any(|known| known.name == mutant) {
         eprintln!(
-            "specification {name} has no mutant {mutant}; it has: {}",
+            "specification {name} has no mutant {mutant}; known mutants: {}",
             mutants(entry)
         );
         return ExitCode::from(2);
@@ -81,7 +81,7 @@
         found.unwrap_or_else(|| entry.explore(faults))
     });
     if !caught {
-        println!("the mutant was not caught");
+        println!("the mutant was not detected");
     }
     exit_code(caught)
 }
--- a/crates/lab/src/overhead/latency.rs
+++ b/crates/lab/src/overhead/latency.rs
@@ -1,4 +1,4 @@
-//! Latency added by sidecar and node: sends each request directly to the engine and through a sidecar.
+//! Latency added by sidecar and node: sends each request both directly and through a sidecar.
 
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
         }
     }
     if direct.first.is_empty() || through.first.is_empty() {
-        return Err(LabError::failed("no request was answered both ways"));
+        return Err(LabError::failed("no request succeeded on both paths"));
     }
     println!(
         "{} requests each way, {} tokens, one at a time; failed: {} direct, {} through",
--- a/crates/lab/src/overhead/mod.rs
+++ b/crates/lab/src/overhead/mod.rs
@@ -22,7 +22,7 @@
 
 pub fn overhead_command() -> Command {
     Command::new("overhead")
-        .about("Measures what sidecar and node add to an engine, and tokens for each core")
+        .about("Measures the overhead of sidecar and node, and tokens per core")
         .arg(sidecar())
         .arg(
             option(
@@ -52,7 +52,7 @@
 
 pub fn overload_command() -> Command {
     Command::new("overload")
-        .about("Measures goodput and refusals at several rates of arrival")
+        .about("Measures goodput and refusals at several arrival rates")
         .arg(sidecar())
         .arg(
             option("rates", "A,B,C", "Requests a second, one phase for each")
--- a/crates/lab/src/replay/calls.rs
+++ b/crates/lab/src/replay/calls.rs
@@ -11,7 +11,7 @@
 use super::state::PendingCalls;
 use super::trace::{ChunkAction, Input};
 
-/// A pending write with its expected revision. A commit also requires that the job is not cancelled.
+/// A pending write with its expected revision. A commit also requires an uncancelled job.
 enum Write {
     Chunk(ChunkRow, u64),
     Commit(ChunkRow, u64),
--- a/crates/lab/src/replay/mod.rs
+++ b/crates/lab/src/replay/mod.rs
@@ -2,8 +2,8 @@
 //! compares each decision with the one in the trace.
 //!
 //! A trace holds inputs, deliveries and losses in order, with the decisions on each ([`trace`]).
-//! [`state::ReplayState`] keeps the rows and assemblies that the decisions rest on. Recorded traces hold
-//! the transactions of the table service; [`rows`] asks which decision explains each changed row.
+//! [`state::ReplayState`] holds the state that the decisions depend on. Recorded traces hold the
+//! transactions of the table service; [`rows`] finds the decision that explains each changed row.
 
 mod calls;
 mod configuration;
@@ -74,7 +74,7 @@
         return Ok(());
     }
     Err(LabError::failed(format!(
-        "the outcome changed: {}",
+        "outcome differs from the trace: {}",
         failed.join(", ")
     )))
 }
--- a/crates/lab/src/replay/trace.rs
+++ b/crates/lab/src/replay/trace.rs
@@ -193,7 +193,7 @@
         let header: Header =
             serde_json::from_str(first).map_err(|cause| failed(1, cause.to_string()))?;
         if header.format != FORMAT {
-            return Err(failed(1, format!("format {} is not known", header.format)));
+            return Err(failed(1, format!("unsupported format {}", header.format)));
         }
         let mut steps = Vec::new();
         for (index, line) in lines.filter(|(_, line)| !line.is_empty()) {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -13,7 +13,7 @@
 
 pub fn command() -> Command {
     Command::new("report")
-        .about("Makes one self-contained HTML page from the runs in directories and below them")
+        .about("Generates a self-contained HTML page from the runs in directories and below them")
         .arg(
             Arg::new("runs")
                 .value_name("DIR")
--- a/crates/lab/src/run/arguments.rs
+++ b/crates/lab/src/run/arguments.rs
@@ -46,7 +46,7 @@
                 .value_name("NAME")
                 .default_value("preempt")
                 .value_parser(Policy::ALL.map(Policy::name))
-                .help("How batch work is run beside online work"),
+                .help("How batch work runs alongside online work"),
         )
 }
 
@@ -60,7 +60,7 @@
 
 /// Parses `A..B`, both inclusive.
 pub fn parse_seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
-    let wrong = || format!("{text:?} is not A..B with A at most B");
+    let wrong = || format!("{text:?}: expected A..B with A <= B");
     let (from, to) = text.split_once("..").ok_or_else(wrong)?;
     let from: u64 = from.parse().map_err(|_| wrong())?;
     let to: u64 = to.parse().map_err(|_| wrong())?;
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -101,7 +101,7 @@
     counts.values().map(|counts| counts.transactions).sum()
 }
 
-/// What the stand-ins counters, without what is known only at the end of the load.
+/// Counters of the stand-ins; the caller adds those of the table service and the process.
 pub fn counters(fleet: &Fleet, load_start: Duration, load_length: Duration) -> Counters {
     let uptime = fleet.engines.started().elapsed();
     Counters {
--- a/crates/lab/src/run/seed_run.rs
+++ b/crates/lab/src/run/seed_run.rs
@@ -1,4 +1,4 @@
-//! One run: start the fleet, drive the load and the faults, settle, check_all.
+//! Runs one seed: starts the fleet, drives load and faults, then checks the invariants.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -193,7 +193,7 @@
         ));
     }
     for event in &evidence.observations.events {
-        // At most one plan is accepted and at most one refused; neither if the store is unavailable.
+        // One plan is accepted and one refused, fewer if the store is unavailable.
         if let Event::Race {
             accepted,
             overtaken,
@@ -241,7 +241,7 @@
 async fn stop(fleet: Rc<Fleet>) {
     match Rc::try_unwrap(fleet) {
         Ok(fleet) => fleet.stop().await,
-        Err(_) => tracing::warn!("a task still holds the fleet; it ends with the process"),
+        Err(_) => tracing::warn!("fleet is still in use by a task and was not stopped"),
     }
 }
 
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -32,15 +32,11 @@
     }
 
     fn zones(&mut self, scenario: &Scenario) {
-        self.require(
-            !scenario.zones.is_empty(),
-            "zones",
-            "must name one at least",
-        );
+        self.require(!scenario.zones.is_empty(), "zones", "must not be empty");
         let mut names = BTreeSet::new();
         for (index, zone) in scenario.zones.iter().enumerate() {
             let key = |field: &str| format!("zones[{index}].{field}");
-            self.require(names.insert(&zone.name), &key("name"), "stands twice");
+            self.require(names.insert(&zone.name), &key("name"), "must be unique");
             self.require(zone.nodes > 0, &key("nodes"), "must be greater than 0");
         }
         self.require(scenario.server_count() > 0, "zones", "must have a server");
@@ -112,7 +108,7 @@
         self.require(
             !batch.tenants.is_empty(),
             "batch.tenants",
-            "must name one at least",
+            "must not be empty",
         );
         self.require(batch.items > 1, "batch.items", "must be greater than 1");
         self.lengths("online.prompt", &online.prompt);
--- a/crates/lab/src/standins.rs
+++ b/crates/lab/src/standins.rs
@@ -14,7 +14,7 @@
 
 pub fn command() -> Command {
     Command::new("standins")
-        .about("Runs the platform and the engines of a scenario until it is told to stop")
+        .about("Runs the platform and the engines of a scenario until SIGINT or SIGTERM")
         .arg(
             Arg::new("scenario")
                 .long("scenario")
@@ -76,8 +76,9 @@
     )?;
     platform.begin_with_machines(server_machines(&scenario, policy, &engines));
     let engines = Arc::new(engines);
-    let control = control::start(&listen("control")?, engines.clone(), platform.clone())
-        .map_err(|error| LabError::failed(format!("the control interface: {error}")))?;
+    let control = control::start(&listen("control")?, engines.clone(), platform.clone()).map_err(
+        |error| LabError::failed(format!("starting the control interface failed: {error}")),
+    )?;
     println!(
         "platform on {}, engines on {}, control on {}",
         platform.address(),
--- a/crates/lab/src/tradeoff.rs
+++ b/crates/lab/src/tradeoff.rs
@@ -88,7 +88,7 @@
     let harm = arguments.get_one::<String>("harm");
     let harm = harm
         .and_then(|name| MEASURES.iter().find(|measure| measure.name == name))
-        .ok_or_else(|| LabError::usage("no such measure"))?;
+        .ok_or_else(|| LabError::usage("unknown measure"))?;
     let svg = curve(title, harm, &path("baseline"), &settings).map_err(LabError::failed)?;
     std::fs::write(path("out"), svg).map_err(LabError::failed)
 }
--- a/crates/lab/tests/replay.rs
+++ b/crates/lab/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The repo_scenario traces: every outcome must be as stated.
+//! Replays the traces of the repository and compares their outcomes.
 
 use std::path::PathBuf;
 
--- a/crates/lab/tests/scenario.rs
+++ b/crates/lab/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: those repo_scenario are sound, unsound ones are refused with the place.
+//! Scenario files of the repository are valid; invalid ones are rejected with their location.
 
 use std::path::PathBuf;
 use std::time::Duration;
