--- a/crates/lab/src/load/batch.rs
+++ b/crates/lab/src/load/batch.rs
@@ -292,11 +292,7 @@
                 }
                 Ok(content) if self.is_whole(caller, file, &content).await => return Ok(content),
                 Ok(_) | Err(_) if self.has_time_left() => tokio::time::sleep(RETRY_WAIT).await,
-                Ok(_) => {
-                    return Err(CallError::Broken(
-                        "download size differs from the file object".to_owned(),
-                    ));
-                }
+                Ok(_) => return Err(CallError::Broken("size differs from the file".to_owned())),
                 Err(error) => return Err(error),
             }
         }
