--- a/crates/lab/src/faults/active.rs
+++ b/crates/lab/src/faults/active.rs
@@ -12,7 +12,7 @@
 }
 
 impl ActiveFaults {
-    /// Adds a fault and returns its number for [`Self::remove`].
+    /// Adds a fault and returns its number for [`Self::end`].
     pub fn add(&self, service: Service, fault: Fault) -> u64 {
         let mut active = self.active.borrow_mut();
         let number = active.last_key_value().map_or(0, |(number, _)| number + 1);
@@ -20,7 +20,7 @@
         number
     }
 
-    pub fn remove(&self, number: u64) {
+    pub fn end(&self, number: u64) {
         self.active.borrow_mut().remove(&number);
     }
 
--- a/crates/lab/src/faults/inject.rs
+++ b/crates/lab/src/faults/inject.rs
@@ -283,7 +283,7 @@
             .platform
             .set_fault(service, self.active.combined(service));
         tokio::time::sleep(length).await;
-        self.active.remove(held);
+        self.active.end(held);
         self.fleet
             .platform
             .set_fault(service, self.active.combined(service));
--- a/crates/lab/src/faults/operators.rs
+++ b/crates/lab/src/faults/operators.rs
@@ -127,7 +127,7 @@
     match operator.confirm(&id).await {
         Ok(_) => Ok(()),
         Err(error) => {
-            *plan = error.may_repeat().then_some(id);
+            *plan = error.is_retryable().then_some(id);
             Err(error)
         }
     }
--- a/crates/lab/src/fleet/admin.rs
+++ b/crates/lab/src/fleet/admin.rs
@@ -27,7 +27,7 @@
 
 impl AdminError {
     /// Whether the call may be retried: it may succeed later or have succeeded already.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self {
             AdminError::Unreached { .. } => true,
             AdminError::Refused { status, .. } => *status >= 500,
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -16,7 +16,7 @@
     let bound = Duration::from_millis(evidence.bounds.configuration_ms);
     for change in accepted(evidence) {
         for (node, samples) in by_node(evidence) {
-            let due = due_on(evidence, node, change.accepted, bound);
+            let due = due_time(evidence, node, change.accepted, bound);
             let first = samples
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
@@ -37,7 +37,7 @@
 }
 
 /// Time by which a node must have applied a change, extended by its unavailability.
-fn due_on(evidence: &Evidence, node: &str, accepted: Duration, bound: Duration) -> Duration {
+fn due_time(evidence: &Evidence, node: &str, accepted: Duration, bound: Duration) -> Duration {
     let mut due = accepted + bound;
     let mut spans: Vec<_> = evidence
         .unavailable()
@@ -89,7 +89,7 @@
                 continue;
             }
             let Some(served) = served else { continue };
-            let floor = in_force_everywhere(&nodes, before.at);
+            let floor = revision_on_all_nodes(&nodes, before.at);
             verdict.case(served.revision >= floor, || {
                 format!(
                     "{node} ready again at {} with revision {}, but all nodes had reached {floor}",
@@ -102,7 +102,7 @@
 }
 
 /// The highest revision that every node had reached at a time.
-fn in_force_everywhere(nodes: &BTreeMap<&str, Vec<&RevisionSample>>, time: Duration) -> u64 {
+fn revision_on_all_nodes(nodes: &BTreeMap<&str, Vec<&RevisionSample>>, time: Duration) -> u64 {
     nodes
         .values()
         .filter_map(|samples| samples.iter().rev().find(|sample| sample.at <= time))
--- a/crates/lab/src/invariants/mod.rs
+++ b/crates/lab/src/invariants/mod.rs
@@ -5,8 +5,8 @@
 
 mod configuration;
 mod jobs;
-mod leaving;
 mod requests;
+mod shutdown;
 
 use std::time::Duration;
 
@@ -108,8 +108,8 @@
         requests::stream_integrity(evidence),
         requests::truthful_rejection(evidence),
         requests::at_most_once(evidence),
-        leaving::drain_no_new_work(evidence),
-        leaving::graceful_shutdown(evidence),
+        shutdown::drain_no_new_work(evidence),
+        shutdown::graceful_shutdown(evidence),
         configuration::config_convergence(evidence),
         configuration::config_monotonic(evidence),
     ];
--- a/crates/lab/src/load/drive.rs
+++ b/crates/lab/src/load/drive.rs
@@ -1,4 +1,4 @@
-//! Runs the callers on their own threads; arrivals are divided between the threads by index.
+//! Runs the callers on their assigned_here threads; arrivals are divided between the threads by index.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -113,9 +113,9 @@
         seed: context.seed,
     });
     let mut calls = Vec::new();
-    let own = |index: usize| index % CALLER_THREADS == thread;
+    let assigned_here = |index: usize| index % CALLER_THREADS == thread;
     for (index, arrival) in context.plan.online.iter().enumerate() {
-        if !own(index) {
+        if !assigned_here(index) {
             continue;
         }
         sleep_until(&context, arrival.at).await;
--- a/crates/lab/src/load/expected.rs
+++ b/crates/lab/src/load/expected.rs
@@ -4,7 +4,7 @@
 
 /// The expected response to a prompt.
 #[derive(Debug, Clone)]
-pub struct Expected {
+pub struct ExpectedResponse {
     /// Versions that may have responded: the one named in the response, or all that were loaded.
     pub versions: Vec<String>,
     /// Canonical prompt.
@@ -13,7 +13,7 @@
     pub max_tokens: u32,
 }
 
-impl Expected {
+impl ExpectedResponse {
     /// Describes how a complete response differs; `None` if it is correct.
     pub fn check_complete(&self, text: &str) -> Option<String> {
         let right = self
@@ -58,6 +58,6 @@
     }
 }
 
-pub fn canonical(system: &str, user: &str) -> String {
+pub fn canonical_prompt(system: &str, user: &str) -> String {
     dappleyard_wire::prompt::canonical_chat([("system", system), ("user", user)])
 }
--- a/crates/lab/src/load/online.rs
+++ b/crates/lab/src/load/online.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::client::{self, error_object, refusal};
-use super::expected::{Expected, canonical};
+use super::expected::{ExpectedResponse, canonical_prompt};
 use super::plan::{OnceArrival, OnlineArrival};
 use super::sse::{EventReader, StreamEvent};
 use crate::recorder::{OnlineEnd, OnlineRecord, Recorder};
@@ -31,7 +31,7 @@
 
 /// The part of a response received so far.
 #[derive(Default)]
-struct Received {
+struct PartialResponse {
     text: String,
     version: Option<String>,
     first_token: Option<Duration>,
@@ -39,7 +39,7 @@
     gaps_ms: Vec<f32>,
 }
 
-impl Received {
+impl PartialResponse {
     fn add(&mut self, text: &str, now: Duration) {
         if let Some(last) = self.last_token {
             self.gaps_ms.push((now - last).as_secs_f32() * 1_000.0);
@@ -74,7 +74,7 @@
     async fn send(&self, arrival: &OnlineArrival, resend: bool) {
         let request_id = request_id(self.seed, &arrival.name, resend);
         let sent = self.recorder.clock.now();
-        let mut received = Received::default();
+        let mut received = PartialResponse::default();
         let wait_limit = Duration::from_millis(u64::from(arrival.deadline_ms)) + DEADLINE_GRACE;
         let exchange = self.exchange(arrival, resend, &request_id, &mut received);
         let end = tokio::time::timeout(wait_limit, exchange)
@@ -108,15 +108,15 @@
     fn check_text(
         &self,
         arrival: &OnlineArrival,
-        received: &Received,
+        received: &PartialResponse,
         end: &OnlineEnd,
     ) -> Option<String> {
-        let expected = Expected {
+        let expected = ExpectedResponse {
             versions: match &received.version {
                 Some(version) => vec![version.clone()],
                 None => self.versions.clone(),
             },
-            prompt: canonical(&arrival.system, &arrival.user),
+            prompt: canonical_prompt(&arrival.system, &arrival.user),
             max_tokens: arrival.max_tokens,
         };
         match end {
@@ -130,7 +130,7 @@
         arrival: &OnlineArrival,
         resend: bool,
         request_id: &str,
-        received: &mut Received,
+        received: &mut PartialResponse,
     ) -> OnlineEnd {
         let base = &self.sidecars[self.sidecar_index(arrival, resend)];
         let mut request = self
--- a/crates/lab/src/load/results.rs
+++ b/crates/lab/src/load/results.rs
@@ -5,7 +5,7 @@
 use dappleyard_wire::hash::hash_bytes;
 use serde_json::Value;
 
-use super::expected::{Expected, canonical};
+use super::expected::{ExpectedResponse, canonical_prompt};
 use super::plan::ItemPlan;
 use crate::recorder::{ItemFinding, JobResults};
 
@@ -60,9 +60,9 @@
             .collect();
         return Some(ItemFinding::Failed(shown));
     };
-    let expected = Expected {
+    let expected = ExpectedResponse {
         versions: versions.to_vec(),
-        prompt: canonical(&item.system, &item.user),
+        prompt: canonical_prompt(&item.system, &item.user),
         max_tokens: item.max_tokens,
     };
     let wrong = expected.check_complete(text)?;
--- a/crates/lab/src/measures/batch.rs
+++ b/crates/lab/src/measures/batch.rs
@@ -103,7 +103,7 @@
     for (index, samples) in counters.samples.iter().enumerate() {
         for pair in samples.windows(2) {
             let (from, to) = (pair[0].at, pair[1].at);
-            if counters.in_load(from) && waiting.throughout(from, to) {
+            if counters.in_load(from) && waiting.waiting_at_both_ends(from, to) {
                 idle += pair[1].sample.idle_tokens;
                 if index == 0 {
                     spans.push((from, to));
@@ -191,7 +191,7 @@
     }
 
     /// Whether items were waiting at both ends of an interval.
-    fn throughout(&self, from: Duration, to: Duration) -> bool {
+    fn waiting_at_both_ends(&self, from: Duration, to: Duration) -> bool {
         self.at(from) > 0 && self.at(to) > 0
     }
 }
--- a/crates/lab/src/measures/online.rs
+++ b/crates/lab/src/measures/online.rs
@@ -24,7 +24,7 @@
                 .or_default() += 1;
             refusals.add((record.ended - record.sent).as_secs_f64() * 1_000.0);
         }
-        if is_limited(record) {
+        if refused_by_tenant_limit(record) {
             continue;
         }
         measures.online_requests += 1;
@@ -52,7 +52,7 @@
 }
 
 /// Requests refused by a tenant limit do not count as load of the system.
-fn is_limited(record: &OnlineRecord) -> bool {
+fn refused_by_tenant_limit(record: &OnlineRecord) -> bool {
     record
         .refusal()
         .is_some_and(|refusal| LIMIT_KINDS.contains(&refusal.kind.as_str()))
--- a/crates/lab/src/overhead/processes.rs
+++ b/crates/lab/src/overhead/processes.rs
@@ -14,7 +14,7 @@
 }
 
 /// CPU seconds by role: `node`, `sidecar` or `standins`.
-pub fn processor_seconds(file: &Path) -> Result<BTreeMap<String, f64>, LabError> {
+pub fn cpu_seconds(file: &Path) -> Result<BTreeMap<String, f64>, LabError> {
     let failed = |reason: String| LabError::failed(format!("{}: {reason}", file.display()));
     let text = std::fs::read_to_string(file).map_err(|error| failed(error.to_string()))?;
     let entries: BTreeMap<String, Entry> =
--- a/crates/lab/src/overhead/throughput.rs
+++ b/crates/lab/src/overhead/throughput.rs
@@ -5,7 +5,7 @@
 
 use futures::future::join_all;
 
-use super::processes::processor_seconds;
+use super::processes::cpu_seconds;
 use super::request::{Outcome, Request, send_to_sidecar};
 use crate::error::LabError;
 use crate::load::client::client;
@@ -24,13 +24,13 @@
 
 /// Measures throughput and prints it per role.
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
-    let before = processor_seconds(&plan.processes)?;
+    let before = cpu_seconds(&plan.processes)?;
     let started = Instant::now();
     let caller = client();
-    let streams = (0..plan.streams).map(|stream| keep_streaming(&caller, plan, stream, started));
+    let streams = (0..plan.streams).map(|stream| run_stream(&caller, plan, stream, started));
     let counts = join_all(streams).await;
     let elapsed = started.elapsed().as_secs_f64();
-    let after = processor_seconds(&plan.processes)?;
+    let after = cpu_seconds(&plan.processes)?;
     let tokens: u64 = counts.iter().map(|(tokens, _)| tokens).sum();
     let refused: u32 = counts.iter().map(|(_, refused)| refused).sum();
     println!(
@@ -50,7 +50,7 @@
 }
 
 /// Sends requests one after another until the time is over; counts tokens and refusals.
-async fn keep_streaming(
+async fn run_stream(
     caller: &awc::Client,
     plan: &Plan,
     stream: u32,
--- a/crates/lab/tests/results.rs
+++ b/crates/lab/tests/results.rs
@@ -1,6 +1,6 @@
 //! The check of a job's results reports each kind of problem.
 
-use dappleyard_lab::load::expected::canonical;
+use dappleyard_lab::load::expected::canonical_prompt;
 use dappleyard_lab::load::plan::ItemPlan;
 use dappleyard_lab::load::results::check_results;
 use dappleyard_lab::recorder::ItemFinding;
@@ -26,7 +26,7 @@
 }
 
 fn right(item: &ItemPlan) -> String {
-    let prompt = canonical(&item.system, &item.user);
+    let prompt = canonical_prompt(&item.system, &item.user);
     text::expected(VERSION, &prompt, item.max_tokens).text
 }
 
