--- a/crates/lab/src/load/drive.rs
+++ b/crates/lab/src/load/drive.rs
@@ -1,4 +1,4 @@
-//! Runs the callers on their assigned_here threads; arrivals are divided between the threads by index.
+//! Runs the callers on dedicated threads; arrivals are divided between the threads by index.
 
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/lab/tests/scenario.rs
+++ b/crates/lab/tests/scenario.rs
@@ -15,7 +15,7 @@
 }
 
 fn small_text() -> String {
-    std::fs::read_to_string(repo_scenario("small.toml")).expect("kept scenario")
+    std::fs::read_to_string(repo_scenario("small.toml")).expect("repository scenario")
 }
 
 #[gtest]
