--- a/crates/lab/src/capacity/detection.rs
+++ b/crates/lab/src/capacity/detection.rs
@@ -1,4 +1,4 @@
-//! How long it takes until the loss of a node is known.
+//! Measures how long the fleet takes to detect a failed node.
 
 use std::time::{Duration, Instant};
 
@@ -6,23 +6,21 @@
 
 use super::hollow::HollowFleet;
 
-/// Time between two looks at the tables.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Longest wait for a loss to be known everywhere.
-const LONGEST: Duration = Duration::from_secs(45);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// Times from a loss until it was known, milliseconds.
+/// Time from a node failure until other nodes detected it, milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Detection {
-    /// To the first of the other nodes.
+    /// First of the other nodes.
     pub first_ms: Option<f64>,
-    /// To half of them.
+    /// Half of the other nodes.
     pub half_ms: Option<f64>,
-    /// To all of them.
+    /// All other nodes.
     pub all_ms: Option<f64>,
 }
 
-/// Cuts a node off and watches the others.
+/// Isolates a node and polls the membership tables of the others.
 pub async fn detect(fleet: &HollowFleet, lost: usize) -> Detection {
     let id = fleet.nodes[lost].tables.identity.node.clone();
     let others: Vec<_> = fleet
@@ -30,16 +28,16 @@
         .iter()
         .filter(|node| node.index != lost)
         .collect();
-    fleet.cut(lost);
+    fleet.isolate(lost);
     let since = Instant::now();
     let mut detection = Detection::default();
-    while since.elapsed() < LONGEST && detection.all_ms.is_none() {
-        tokio::time::sleep(LOOK_EVERY).await;
-        let knows =
+    while since.elapsed() < DETECTION_TIMEOUT && detection.all_ms.is_none() {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let is_down =
             |state: MemberState| matches!(state, MemberState::MemberDead | MemberState::MemberLeft);
         let known = others.iter().filter(|node| {
             let member = node.tables.members.get(&id);
-            member.is_none_or(|member| knows(member.state()))
+            member.is_none_or(|member| is_down(member.state()))
         });
         let known = known.count();
         let elapsed = since.elapsed().as_secs_f64() * 1000.0;
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow nodes: the real fleet part without requests.
+//! Hollow nodes: they run the real fleet protocol but serve no requests.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -22,34 +22,35 @@
 use tokio::sync::oneshot;
 
 use super::Options;
-use super::changes::Journal;
+use super::changes::ChangeTracker;
 use crate::error::LabError;
 
-/// Services that each node carries.
+/// Services that each node reports load for.
 const SERVICES: [&str; 2] = ["fittings-llm", "yard-assist"];
-/// Bits of an incarnation below the number of the start.
+/// Low bits of an incarnation, reserved for refutations; the start time is above them.
 const REFUTATION_BITS: u32 = 16;
 
-/// Number of the first start, seconds since 1970.
-const FIRST_START: u64 = 1_780_000_000;
+/// Unix time of the first start, seconds.
+const FIRST_START_UNIX_S: u64 = 1_780_000_000;
 
-/// Loss and cuts of the whole fleet.
+/// Datagram loss and isolated addresses, shared by all nodes.
 pub struct Faults {
     loss: f64,
     cut: RwLock<BTreeSet<String>>,
 }
 
-/// The paths of one node.
+/// Applies the shared faults to the links of one node.
 struct NodePolicy {
     faults: Arc<Faults>,
-    own: RwLock<String>,
+    own_address: RwLock<String>,
 }
 
 impl LinkPolicy for NodePolicy {
     fn path(&self, peer: &str) -> PathState {
         let cut = self.faults.cut.read();
-        let is_cut = !cut.is_empty() && (cut.contains(peer) || cut.contains(&*self.own.read()));
-        PathState {
+        let is_cut =
+            !cut.is_empty() && (cut.contains(peer) || cut.contains(&*self.own_address.read()));
+        LinkState {
             delay: Duration::ZERO,
             cut: is_cut,
             loss: self.faults.loss,
@@ -57,24 +58,20 @@
     }
 }
 
-/// One hollow node.
 #[derive(Clone)]
 pub struct HollowNode {
-    /// Number of the node; its thread and zone follow from it.
+    /// Index of the node; selects its thread and zone.
     pub index: usize,
-    /// Its tables.
     pub tables: Arc<NodeTables>,
-    /// Its gossip address.
+    /// Gossip address.
     pub address: String,
     handle: FleetHandle,
     stop: Arc<tokio::sync::watch::Sender<bool>>,
 }
 
-/// All hollow nodes and what they share.
+/// All hollow nodes and their shared state.
 pub struct HollowFleet {
-    /// The nodes.
     pub nodes: Vec<HollowNode>,
-    /// The platform.
     pub platform: MemoryPlatform,
     faults: Arc<Faults>,
     arbiters: Vec<Arbiter>,
@@ -83,11 +80,13 @@
 }
 
 impl HollowFleet {
-    /// Starts all nodes; the first ones are the seeds of the others.
+    /// Starts all nodes; the first three are the seeds of the others.
     pub async fn start(options: &Options) -> Result<HollowFleet, LabError> {
         let platform = MemoryPlatform::default();
         platform.set_machines(servers(options));
-        Journal::fill(&platform).await.map_err(LabError::failed)?;
+        ChangeTracker::prepopulate(&platform)
+            .await
+            .map_err(LabError::failed)?;
         let mut fleet = HollowFleet {
             nodes: Vec::new(),
             platform,
@@ -128,7 +127,7 @@
         started.map_err(LabError::failed)
     }
 
-    /// A planned stop and start of a node under the same id.
+    /// Gracefully stops a node and starts it again under the same id.
     pub async fn restart(&mut self, index: usize) -> Result<(), LabError> {
         self.nodes[index].handle.leave().await;
         self.nodes[index].stop.send_replace(true);
@@ -136,8 +135,8 @@
         Ok(())
     }
 
-    /// Cuts a node off from all others, which is what a kill looks like to them.
-    pub fn cut(&self, index: usize) {
+    /// Isolates a node from all others; to them it looks like a crash.
+    pub fn isolate(&self, index: usize) {
         let address = self.nodes[index].address.clone();
         self.faults.cut.write().insert(address);
     }
@@ -160,12 +159,12 @@
         node: format!("node-{index:03}").into(),
         zone: format!("zone-{zone}").into(),
         region: format!("region-{}", zone % options.regions).into(),
-        // As long as a real one, which is made of the wall clock.
-        incarnation: (FIRST_START + start) << REFUTATION_BITS,
+        // Real incarnations come from the wall clock; this has the same encoded length.
+        incarnation: (FIRST_START_UNIX_S + start) << REFUTATION_BITS,
     }
 }
 
-/// The servers of the machine list. It names no nodes: hollow nodes find each other by seeds.
+/// Servers of the machine list. It lists no nodes, which find each other through seeds.
 fn servers(options: &Options) -> Vec<Machine> {
     (0..options.servers)
         .map(|index| {
@@ -184,7 +183,7 @@
         .collect()
 }
 
-/// What a node needs to start on its thread.
+/// Parameters of a node, sent to the thread it starts on.
 struct NodePlan {
     index: usize,
     identity: Identity,
@@ -199,12 +198,12 @@
         let tables = NodeTables::new(self.identity);
         let policy = Arc::new(NodePolicy {
             faults: self.faults,
-            own: RwLock::default(),
+            own_address: RwLock::default(),
         });
         let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
         let socket = DatagramSocket::bind(any, policy.clone()).await?;
         let address = socket.local_address()?.to_string();
-        policy.own.write().clone_from(&address);
+        policy.own_address.write().clone_from(&address);
         let (stop, stopped) = tokio::sync::watch::channel(false);
         let link_address = serve_snapshots(&tables, &policy, stopped.clone()).await?;
         let handle = dappleyard_fleet::start(FleetContext {
@@ -220,8 +219,8 @@
             policy,
             link_settings: LinkSettings::default(),
         });
-        let random = ChaCha8Rng::seed_from_u64(self.seed.wrapping_add(self.index as u64));
-        actix_rt::spawn(vary_load(tables.clone(), random, stopped));
+        let rng = ChaCha8Rng::seed_from_u64(self.seed.wrapping_add(self.index as u64));
+        actix_rt::spawn(vary_load(tables.clone(), rng, stopped));
         Ok(HollowNode {
             index: self.index,
             tables,
@@ -232,7 +231,7 @@
     }
 }
 
-/// Answers calls for a snapshot until the node stops.
+/// Serves snapshot calls until the node stops.
 async fn serve_snapshots(
     tables: &Arc<NodeTables>,
     policy: &Arc<NodePolicy>,
@@ -254,12 +253,12 @@
         policy: policy.clone(),
         announcement,
     });
-    let answering = tables.clone();
+    let snapshot_tables = tables.clone();
     let handler = Rc::new(move |stream: ServerStream| {
         if let frame::Body::Call(call) = &stream.first
             && let Some(call::Method::CellSync(_)) = &call.method
         {
-            let answer = dappleyard_fleet::cell_sync(&answering);
+            let answer = dappleyard_fleet::cell_sync(&snapshot_tables);
             let result = Some(reply::Result::CellSync(answer));
             let _ = stream.send(frame::Body::Reply(Reply { result }));
         }
@@ -274,10 +273,10 @@
     Ok(address)
 }
 
-/// Puts a load that changes all the time, as the online part of a busy node does.
+/// Publishes a random load every 500 ms, as a busy node does.
 async fn vary_load(
     tables: Arc<NodeTables>,
-    mut random: ChaCha8Rng,
+    mut rng: ChaCha8Rng,
     stopped: tokio::sync::watch::Receiver<bool>,
 ) {
     let node = tables.identity.node.to_string();
@@ -287,9 +286,9 @@
         let services = SERVICES.map(|service| ServiceLoad {
             service: service.to_owned(),
             servers: 10,
-            online_sequences: random.random_range(100..400),
-            free_sequences: random.random_range(0..600),
-            wait_ms: random.random_range(0..40),
+            online_sequences: rng.random_range(100..400),
+            free_sequences: rng.random_range(0..600),
+            wait_ms: rng.random_range(0..40),
             versions: vec!["2026-11-30".to_owned()],
         });
         let load = NodeLoad {
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -1,4 +1,4 @@
-//! One measurement: a hollow fleet of one size over one window.
+//! Measures one hollow fleet over one window.
 
 use std::time::{Duration, Instant};
 
@@ -9,29 +9,27 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Options;
-use super::changes::{InForceTimes, Journal};
+use super::changes::{ChangeTracker, PropagationTimes};
 use super::detection::{Detection, detect};
 use super::hollow::HollowFleet;
 use super::movement::{Movement, movement};
 use crate::error::LabError;
 
-/// Longest time for a fleet to become ready.
-const LONGEST_START: Duration = Duration::from_secs(120);
-/// Pause before the window, so that the costs of the start are over.
-const SETTLING: Duration = Duration::from_secs(8);
-/// Time after the window for the last changes to arrive.
-const DRAINING: Duration = Duration::from_secs(8);
-/// Nodes lost after the window.
-const LOSSES: usize = 3;
+const START_TIMEOUT: Duration = Duration::from_secs(120);
+/// Pause before the window, so that start-up cost is not measured.
+const SETTLE_TIME: Duration = Duration::from_secs(8);
+/// Time after the window for the last changes to propagate.
+const PROPAGATION_WAIT: Duration = Duration::from_secs(8);
+/// Nodes isolated one after another after the window.
+const FAILED_NODES: usize = 3;
 
-/// What was measured.
+/// Results of one measurement.
 #[derive(Debug, Clone)]
-pub struct Measured {
-    /// What it is about.
+pub struct Measurement {
     pub options: Options,
-    /// Time until all nodes were ready and knew each other, seconds.
+    /// Time until all nodes were ready and listed each other, seconds.
     pub start_s: f64,
-    /// Processor time of a node, percent of a core, the in-memory platform included.
+    /// CPU time of a node, percent of a core, including its share of the in-memory platform.
     pub cpu_percent: f64,
     /// Datagram bytes a second sent by a node, mean.
     pub bytes_out: f64,
@@ -41,25 +39,25 @@
     pub datagrams_out: f64,
     /// Bytes a second sent and received by the node with the most traffic.
     pub bytes_worst: f64,
-    /// Memory of a node, MB: growth of the process divided by the nodes.
+    /// Memory of a node, MB: growth of the process divided by the number of nodes.
     pub memory_mb: f64,
-    /// Readings of the machine list by a node, a second.
+    /// Reads of the machine list by a node, per second.
     pub machine_lists: f64,
-    /// Readings of the change feed by the fleet, a second.
+    /// Reads of the change feed by the whole fleet, per second.
     pub feed_reads: f64,
-    /// Suspicions raised an hour by the whole fleet; none of them is right.
+    /// Suspicions raised per hour by the whole fleet; all are false, since no node fails.
     pub false_suspicions_per_hour: f64,
-    /// Nodes believed dead that were alive, in all nodes' views.
+    /// Live nodes declared dead, summed over the views of all nodes.
     pub false_deaths: f64,
-    /// Times until changes were in force.
-    pub in_force: InForceTimes,
-    /// Losses of a node.
+    /// Propagation delays of configuration changes.
+    pub propagation: PropagationTimes,
+    /// One entry for each isolated node.
     pub detections: Vec<Detection>,
-    /// Ownership.
+    /// Balance and movement of server ownership.
     pub movement: Movement,
 }
 
-/// Totals of the fleet at one moment.
+/// Counters of the fleet at one time.
 struct Totals {
     at: Instant,
     cpu_s: f64,
@@ -72,29 +70,29 @@
     false_deaths: Vec<f64>,
 }
 
-/// Starts the fleet, measures the window, then the losses.
-pub async fn measure(options: &Options) -> Result<Measured, LabError> {
+/// Starts the fleet, measures the window, then the detection of failed nodes.
+pub async fn measure(options: &Options) -> Result<Measurement, LabError> {
     let memory_before = memory_bytes()?;
     let mut fleet = HollowFleet::start(options).await?;
     let start_s = wait_ready(&fleet).await?;
     eprintln!("{} nodes ready after {start_s:.1} s", options.nodes);
-    tokio::time::sleep(SETTLING).await;
-    let journal = Journal::default();
+    tokio::time::sleep(SETTLE_TIME).await;
+    let tracker = ChangeTracker::default();
     for node in &fleet.nodes {
-        actix_rt::spawn(journal.clone().watch(node.index, node.tables.clone()));
+        actix_rt::spawn(tracker.clone().watch(node.index, node.tables.clone()));
     }
     let before = totals(&fleet)?;
-    let restarted = run_window(&mut fleet, options, &journal).await?;
+    let restarted = run_window(&mut fleet, options, &tracker).await?;
     let after = totals(&fleet)?;
     let memory_after = memory_bytes()?;
-    tokio::time::sleep(DRAINING).await;
-    let lasting: Vec<usize> = (0..options.nodes)
+    tokio::time::sleep(PROPAGATION_WAIT).await;
+    let never_restarted: Vec<usize> = (0..options.nodes)
         .filter(|n| !restarted.contains(n))
         .collect();
-    let in_force = journal.times(&lasting);
+    let propagation = tracker.times(&never_restarted);
     let mut detections = Vec::new();
-    if options.nodes > LOSSES * 2 {
-        for lost in 0..LOSSES {
+    if options.nodes > FAILED_NODES * 2 {
+        for lost in 0..FAILED_NODES {
             detections.push(detect(&fleet, options.nodes - 1 - lost).await);
         }
     }
@@ -102,7 +100,7 @@
     let window = (after.at - before.at).as_secs_f64();
     let nodes = options.nodes as f64;
     let per_node = |later: &[f64], earlier: &[f64]| -> Vec<f64> {
-        // A restarted node counts from zero again.
+        // The counters of a restarted node start from zero.
         let pairs = later.iter().zip(earlier);
         pairs
             .map(|(later, earlier)| (later - earlier).max(0.0) / window)
@@ -117,7 +115,7 @@
         .iter()
         .zip(&bytes_in)
         .map(|(out, into)| out + into);
-    Ok(Measured {
+    Ok(Measurement {
         options: options.clone(),
         start_s,
         cpu_percent: (after.cpu_s - before.cpu_s) / window / nodes * 100.0,
@@ -130,7 +128,7 @@
         feed_reads: (after.feed_reads - before.feed_reads) / window,
         false_suspicions_per_hour: suspicions.iter().sum::<f64>() * 3600.0,
         false_deaths: deaths.iter().sum::<f64>() * window,
-        in_force,
+        propagation,
         detections,
         movement: movement(options, FleetSettings::default().cell_size),
     })
@@ -148,7 +146,7 @@
         if ready == count {
             return Ok(since.elapsed().as_secs_f64());
         }
-        if since.elapsed() > LONGEST_START {
+        if since.elapsed() > START_TIMEOUT {
             return Err(LabError::failed(format!(
                 "only {ready} of {count} nodes became ready"
             )));
@@ -157,17 +155,17 @@
     }
 }
 
-/// Writes changes and restarts nodes at their rates. Returns the nodes that were restarted.
+/// Writes changes and restarts nodes at the configured rates; returns the restarted nodes.
 async fn run_window(
     fleet: &mut HollowFleet,
     options: &Options,
-    journal: &Journal,
+    tracker: &ChangeTracker,
 ) -> Result<Vec<usize>, LabError> {
-    let mut random = ChaCha8Rng::seed_from_u64(options.seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     let mut restarted = Vec::new();
     let began = Instant::now();
     let mut next_change = 0.0;
-    // A short window sees one restart nevertheless.
+    // Guarantees one restart in a short window.
     let every = options.restart_every.min(options.window / 2).as_secs_f64();
     let mut next_restart = every / 2.0;
     let mut number = 0;
@@ -175,14 +173,14 @@
         let elapsed = began.elapsed().as_secs_f64();
         if elapsed >= next_change && options.changes_per_s > 0.0 {
             number += 1;
-            journal
+            tracker
                 .write(&fleet.platform, number)
                 .await
                 .map_err(LabError::failed)?;
-            next_change += random.random_range(0.5..1.5) / options.changes_per_s;
+            next_change += rng.random_range(0.5..1.5) / options.changes_per_s;
         }
         if elapsed >= next_restart && options.nodes > 1 {
-            let index = random.random_range(0..options.nodes);
+            let index = rng.random_range(0..options.nodes);
             fleet.restart(index).await?;
             restarted.push(index);
             next_restart += options.restart_every.as_secs_f64();
@@ -228,7 +226,7 @@
     Ok(totals)
 }
 
-/// Sum of a counter over the series that have a label of this value; all when it is empty.
+/// Sum of a counter over the series with this label value, or over all series if it is empty.
 fn counter_sum(families: &[prometheus::proto::MetricFamily], name: &str, value: &str) -> f64 {
     let family = families
         .iter()
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet of an experiment in one process: platform, engines, nodes and sidecars.
+//! Runs the fleet of an experiment in one process: platform, engines, nodes and sidecars.
 
 pub mod admin;
 pub mod names;
@@ -17,38 +17,32 @@
 use dappleyard_tables::Lifecycle;
 
 use crate::error::LabError;
-use crate::ledger::{Event, Ledger, RevisionSample};
 use crate::network::Network;
+use crate::recorder::{Event, Recorder, RevisionSample};
 use crate::scenario::{Policy, Scenario};
 
-pub use names::Placed;
+pub use names::Instance;
 use node::NodeSlot;
 
-/// Time between two looks at whether the fleet is ready.
-const READY_POLL: Duration = Duration::from_millis(50);
-/// Time within which the fleet must be ready.
-const READY_BOUND: Duration = Duration::from_secs(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running fleet. Lives on the main arbiter.
+/// A running fleet, owned by the main arbiter.
 pub struct Fleet {
-    /// Scenario.
     pub scenario: Scenario,
-    /// Network between the processes.
+    /// Simulated network between the processes.
     pub network: Arc<Network>,
-    /// Where observations go.
-    pub ledger: Ledger,
-    /// Platform.
+    pub recorder: Recorder,
     pub platform: PlatformHandle,
-    /// Engines.
     pub engines: EngineHandle,
-    /// Servers, in the order of the scenario.
-    pub servers: Vec<Placed>,
+    /// Servers in the order of the scenario.
+    pub servers: Vec<Instance>,
     policy: Policy,
     nodes: RefCell<Vec<NodeSlot>>,
     sidecars: Vec<SidecarHandle>,
 }
 
-/// Starts the platform of a scenario.
+/// Starts the platform of a scenario and writes the initial configuration.
 pub fn start_platform(
     scenario: &Scenario,
     policy: Policy,
@@ -59,10 +53,12 @@
         ..scenario.platform.clone()
     };
     let platform = PlatformStandIn::start(settings)
-        .map_err(|error| LabError::failed(format!("the platform did not start: {error}")))?;
+        .map_err(|error| LabError::failed(format!("platform failed to start: {error}")))?;
     platform
-        .transact(settings::first_configuration(scenario, policy))
-        .map_err(|error| LabError::failed(format!("the first configuration: {error}")))?;
+        .transact(settings::initial_configuration(scenario, policy))
+        .map_err(|error| {
+            LabError::failed(format!("writing the initial configuration failed: {error}"))
+        })?;
     Ok(platform)
 }
 
@@ -96,7 +92,7 @@
         ..HostOptions::default()
     };
     EngineHost::start_with(specs, options)
-        .map_err(|error| LabError::failed(format!("the engines did not start: {error}")))
+        .map_err(|error| LabError::failed(format!("engines failed to start: {error}")))
 }
 
 /// The servers of a scenario as the machine list shows them.
@@ -110,10 +106,10 @@
         .enumerate()
         .map(|(index, server)| Machine {
             role: MachineRole::Server,
-            region: server.spot.region.as_str().into(),
-            zone: server.spot.zone.as_str().into(),
-            hall: server.spot.zone.clone(),
-            address: engines.base_url(&server.name),
+            region: server.location.region.as_str().into(),
+            zone: server.location.zone.as_str().into(),
+            hall: server.location.zone.clone(),
+            address: engines.base(&server.name),
             service: scenario.service_of(policy, index).into(),
             leaving: false,
             name: server.name,
@@ -122,12 +118,12 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until all nodes take work.
+    /// Starts all processes and waits until all nodes are ready.
     pub async fn start(
         scenario: &Scenario,
         seed: u64,
         policy: Policy,
-        ledger: Ledger,
+        recorder: Recorder,
     ) -> Result<Fleet, LabError> {
         let platform = start_platform(scenario, policy, seed)?;
         let engines = start_engines(scenario, policy, &platform, seed, settings::ANY_PORT)?;
@@ -143,7 +139,7 @@
             ),
             sidecars: Vec::new(),
             scenario: scenario.clone(),
-            ledger,
+            recorder,
             platform,
             engines,
             policy,
@@ -157,32 +153,35 @@
     }
 
     fn start_sidecars(&mut self) -> Result<(), LabError> {
-        for placed in names::sidecars(&self.scenario) {
-            self.network.place(placed.name.clone(), &placed.spot);
-            let policy = self.network.policy(&placed.spot);
-            let settings = settings::sidecar(self, &placed);
+        for instance in names::sidecars(&self.scenario) {
+            self.network
+                .set_location(instance.name.clone(), &instance.location);
+            let policy = self.network.policy(&instance.location);
+            let settings = settings::sidecar(self, &instance);
             let sidecar = dappleyard_sidecar::start(settings, policy)
-                .map_err(|error| LabError::failed(format!("{}: {error}", placed.name)))?;
+                .map_err(|error| LabError::failed(format!("{}: {error}", instance.name)))?;
             self.sidecars.push(sidecar);
         }
         Ok(())
     }
 
     async fn wait_until_ready(&self) -> Result<(), LabError> {
-        let deadline = tokio::time::Instant::now() + READY_BOUND;
+        let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
         loop {
             let waiting = self.nodes_not_ready();
             if waiting.is_empty() {
                 return Ok(());
             }
             if tokio::time::Instant::now() >= deadline {
-                return Err(LabError::failed(format!("not ready in time: {waiting:?}")));
+                return Err(LabError::failed(format!(
+                    "nodes not ready before the timeout: {waiting:?}"
+                )));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Nodes that do not take work, with what they wait for.
+    /// Describes the nodes that are not ready: lifecycle and number of known servers.
     fn nodes_not_ready(&self) -> Vec<String> {
         let servers = self.servers.len();
         let nodes = self.nodes.borrow();
@@ -193,18 +192,22 @@
                 let lifecycle = *tables.lifecycle.borrow();
                 let known = tables.directory.len();
                 let ready = lifecycle == Lifecycle::Ready && known >= servers;
-                (!ready)
-                    .then(|| format!("{} {lifecycle:?}, {known} servers known", slot.placed.name))
+                (!ready).then(|| {
+                    format!(
+                        "{} {lifecycle:?}, {known} servers known",
+                        slot.instance.name
+                    )
+                })
             })
             .collect()
     }
 
-    /// Notes that something was set out to be done and could not be.
-    pub fn not_done(&self, what: impl ToString, reason: &str) {
-        self.ledger.add_event(Event::NotDone {
+    /// Records that a planned action could not be performed.
+    pub fn record_not_done(&self, what: impl ToString, reason: &str) {
+        self.recorder.add_event(Event::NotDone {
             what: what.to_string(),
             reason: reason.to_owned(),
-            at: self.ledger.clock.now(),
+            at: self.recorder.clock.now(),
         });
     }
 
@@ -216,13 +219,13 @@
             .collect()
     }
 
-    /// Notes the revision in force on each live node.
+    /// Records the configuration revision applied on each running node.
     pub fn sample_revisions(&self) {
-        let at = self.ledger.clock.now();
+        let at = self.recorder.clock.now();
         for slot in self.nodes.borrow().iter() {
             if let Some(handle) = slot.handle() {
-                self.ledger.add_revision(RevisionSample {
-                    node: slot.placed.name.clone(),
+                self.recorder.add_revision(RevisionSample {
+                    node: slot.instance.name.clone(),
                     start: slot.starts(),
                     at,
                     revision: handle.tables().configuration.revision(),
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Stops everything.
+    /// Stops all processes; nodes are killed.
     pub async fn stop(self) {
         for sidecar in self.sidecars {
             sidecar.stop().await;
--- a/crates/lab/src/fleet/node.rs
+++ b/crates/lab/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! Nodes of the fleet: start, planned stop, kill, pause.
+//! Node lifecycle: start, planned stop, kill and pause.
 
 use std::time::Duration;
 
@@ -6,41 +6,40 @@
 use dappleyard_store::{Machine, MachineRole};
 use dappleyard_tables::decisions::Decision;
 
-use super::{Fleet, Placed, settings};
+use super::{Fleet, Instance, settings};
 use crate::error::LabError;
-use crate::ledger::{Event, PlannedStop, Unavailable};
+use crate::recorder::{Event, PlannedStop, Unavailable};
 
-/// A place for a node, whether it runs or not.
+/// A node of the scenario, running or not.
 pub struct NodeSlot {
-    /// Name and place.
-    pub placed: Placed,
+    pub instance: Instance,
     handle: Option<NodeHandle>,
     starts: u32,
     down_since: Option<Duration>,
 }
 
 impl NodeSlot {
-    /// A place without a node.
-    pub fn new(placed: Placed) -> NodeSlot {
+    /// Creates a slot whose node is not running.
+    pub fn new(instance: Instance) -> NodeSlot {
         NodeSlot {
-            placed,
+            instance,
             handle: None,
             starts: 0,
             down_since: None,
         }
     }
 
-    /// The node, if it runs.
+    /// The node, if it is running.
     pub fn handle(&self) -> Option<&NodeHandle> {
         self.handle.as_ref()
     }
 
-    /// How often a node was started here.
+    /// Number of starts of this node.
     pub fn starts(&self) -> u32 {
         self.starts
     }
 
-    /// Ends the node at once.
+    /// Kills the node, if it is running.
     pub async fn kill(self) {
         if let Some(handle) = self.handle {
             handle.kill().await;
@@ -49,17 +48,15 @@
 }
 
 impl Fleet {
-    /// Places for nodes.
+    /// Number of node slots.
     pub fn node_count(&self) -> usize {
         self.nodes.borrow().len()
     }
 
-    /// Name and place of a node.
-    pub fn node_place(&self, index: usize) -> Placed {
-        self.nodes.borrow()[index].placed.clone()
+    pub fn node_instance(&self, index: usize) -> Instance {
+        self.nodes.borrow()[index].instance.clone()
     }
 
-    /// Indexes of the nodes that run.
     pub fn running_nodes(&self) -> Vec<usize> {
         let nodes = self.nodes.borrow();
         let running = nodes
@@ -69,7 +66,7 @@
         running.map(|(index, _)| index).collect()
     }
 
-    /// Decision records of the nodes that run, at most `limit` of each.
+    /// Decision records of the running nodes, at most `limit` of each.
     pub fn decisions(&self, limit: usize) -> Vec<Decision> {
         let nodes = self.nodes.borrow();
         let running = nodes.iter().filter_map(NodeSlot::handle);
@@ -78,17 +75,17 @@
             .collect()
     }
 
-    /// Gossip addresses of the nodes that run.
+    /// Gossip addresses of the running nodes.
     pub fn gossip_addresses(&self) -> Vec<String> {
         self.addresses(NodeHandle::gossip_address)
     }
 
-    /// Link addresses of the nodes that run.
+    /// Link addresses of the running nodes.
     pub fn link_addresses(&self) -> Vec<String> {
         self.addresses(NodeHandle::link_address)
     }
 
-    /// Admin addresses of the nodes that run.
+    /// Admin addresses of the running nodes.
     pub fn admin_addresses(&self) -> Vec<String> {
         self.addresses(NodeHandle::admin_address)
     }
@@ -102,29 +99,29 @@
             .collect()
     }
 
-    /// Starts a node; a new start of the same id has a greater incarnation.
+    /// Starts a node; each start of the same id has a higher incarnation.
     pub async fn start_node(&self, index: usize) -> Result<(), LabError> {
-        let placed = self.node_place(index);
-        let settings = settings::node(self, &placed);
-        let policy = self.network.policy(&placed.spot);
+        let instance = self.node_instance(index);
+        let settings = settings::node(self, &instance);
+        let policy = self.network.policy(&instance.location);
         let handle = dappleyard_node::start(settings, policy)
             .await
-            .map_err(|error| LabError::failed(format!("{}: {error}", placed.name)))?;
+            .map_err(|error| LabError::failed(format!("{}: {error}", instance.name)))?;
         let addresses = [handle.link_address(), handle.gossip_address()];
-        for name in addresses.into_iter().chain([placed.name.as_str()]) {
-            self.network.place(name, &placed.spot);
+        for name in addresses.into_iter().chain([instance.name.as_str()]) {
+            self.network.set_location(name, &instance.location);
         }
         self.platform
-            .put_machine(node_machine(&placed, handle.gossip_address()));
+            .put_machine(node_machine(&instance, handle.gossip_address()));
         let mut nodes = self.nodes.borrow_mut();
         let slot = &mut nodes[index];
         slot.handle = Some(handle);
         slot.starts += 1;
         if let Some(from) = slot.down_since.take() {
-            self.ledger.add_event(Event::Unavailable(Unavailable {
-                node: placed.name,
+            self.recorder.add_event(Event::Unavailable(Unavailable {
+                node: instance.name,
                 from,
-                to: self.ledger.clock.now(),
+                to: self.recorder.clock.now(),
             }));
         }
         Ok(())
@@ -134,30 +131,30 @@
         let mut nodes = self.nodes.borrow_mut();
         let slot = &mut nodes[index];
         let handle = slot.handle.take()?;
-        slot.down_since = Some(self.ledger.clock.now());
+        slot.down_since = Some(self.recorder.clock.now());
         Some(handle)
     }
 
-    /// Stops a node as planned and notes how long it took; `false` when it does not run.
+    /// Stops a node gracefully and records how long it took; `false` if it is not running.
     pub async fn stop_node(&self, index: usize) -> bool {
         let Some(handle) = self.take_node(index) else {
             return false;
         };
-        let node = self.node_place(index).name;
-        let told = self.ledger.clock.now();
+        let node = self.node_instance(index).name;
+        let told = self.recorder.clock.now();
         self.platform.set_leaving(&node, true);
         handle.stop().await;
         self.platform.remove_machine(&node);
-        self.ledger.add_event(Event::Stop(PlannedStop {
+        self.recorder.add_event(Event::Stop(PlannedStop {
             node,
             told,
-            stopped: self.ledger.clock.now(),
+            stopped: self.recorder.clock.now(),
             bound_ms: self.scenario.processes.stop_bound_ms,
         }));
         true
     }
 
-    /// Ends a node at once; the machine list still shows it. `false` when it does not run.
+    /// Kills a node, leaving it in the machine list; `false` if it is not running.
     pub async fn kill_node(&self, index: usize) -> bool {
         let Some(handle) = self.take_node(index) else {
             return false;
@@ -166,16 +163,16 @@
         true
     }
 
-    /// Blocks a node's threads for a time; `false` when it does not run.
+    /// Blocks a node's threads for `length`; `false` if it is not running.
     pub fn pause_node(&self, index: usize, length: Duration) -> bool {
         let nodes = self.nodes.borrow();
         let Some(handle) = nodes[index].handle() else {
             return false;
         };
         handle.pause(length);
-        let from = self.ledger.clock.now();
-        self.ledger.add_event(Event::Unavailable(Unavailable {
-            node: nodes[index].placed.name.clone(),
+        let from = self.recorder.clock.now();
+        self.recorder.add_event(Event::Unavailable(Unavailable {
+            node: nodes[index].instance.name.clone(),
             from,
             to: from + length,
         }));
@@ -183,13 +180,13 @@
     }
 }
 
-fn node_machine(placed: &Placed, gossip_address: &str) -> Machine {
+fn node_machine(instance: &Instance, gossip_address: &str) -> Machine {
     Machine {
-        name: placed.name.clone(),
+        name: instance.name.clone(),
         role: MachineRole::Node,
-        region: placed.spot.region.as_str().into(),
-        zone: placed.spot.zone.as_str().into(),
-        hall: placed.spot.zone.clone(),
+        region: instance.location.region.as_str().into(),
+        zone: instance.location.zone.as_str().into(),
+        hall: instance.location.zone.clone(),
         address: gossip_address.to_owned(),
         service: "".into(),
         leaving: false,
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -1,34 +1,34 @@
-//! Configuration: in force everywhere within the bound, and never back.
+//! Configuration invariants: changes reach every node within a bound, and revisions never decrease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Evidence, Verdict, at, overlap};
-use crate::ledger::{ConfigurationAccepted, Event, RevisionSample};
+use super::{Evidence, Verdict, format_time, overlap};
+use crate::recorder::{ConfigurationAccepted, Event, RevisionSample};
 
-/// Time that a node which was away gets to catch up after it is back, besides the bound.
-const CATCH_UP: Duration = Duration::from_millis(500);
+/// Extra time for a node to catch up after it was unavailable.
+const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 
-/// Each accepted change is in force on each node that serves, within the bound. A node that was
-/// away, cut off or standing still in that time is judged once it has been back for as long.
+/// Each accepted change is applied on each ready node within the bound. For a node that was
+/// unavailable in that time, the bound starts again when it is back.
 pub fn config_convergence(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.configuration_ms);
     for change in accepted(evidence) {
         for (node, samples) in by_node(evidence) {
-            let due = due_on(evidence, node, change.accepted, bound);
-            let judged = samples
+            let due = due_time(evidence, node, change.accepted, bound);
+            let first = samples
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
-            let Some(sample) = judged else { continue };
-            verdict.count_case(sample.revision >= change.revision, || {
+            let Some(sample) = first else { continue };
+            verdict.case(sample.revision >= change.revision, || {
                 format!(
                     "revision {} ({}) accepted {}, but {node} has {} at {}",
                     change.revision,
                     change.key,
-                    at(change.accepted),
+                    format_time(change.accepted),
                     sample.revision,
-                    at(sample.at)
+                    format_time(sample.at)
                 )
             });
         }
@@ -36,8 +36,8 @@
     verdict
 }
 
-/// When a node has had the whole bound without being away.
-fn due_on(evidence: &Evidence, node: &str, accepted: Duration, bound: Duration) -> Duration {
+/// Time by which a node must have applied a change, extended by its unavailability.
+fn due_time(evidence: &Evidence, node: &str, accepted: Duration, bound: Duration) -> Duration {
     let mut due = accepted + bound;
     let mut spans: Vec<_> = evidence
         .unavailable()
@@ -46,14 +46,14 @@
     spans.sort_by_key(|away| away.from);
     for away in spans {
         if overlap((away.from, away.to), (accepted, due)) {
-            due = due.max(away.to + bound + CATCH_UP);
+            due = due.max(away.to + bound + CATCH_UP_TIME);
         }
     }
     due
 }
 
-/// The revision in force on a node never falls while it runs, and a node that takes new work after
-/// a start is not behind what was in force on every node before.
+/// The revision of a running node never decreases, and a restarted node that accepts work is
+/// not behind the revision that all nodes had reached before.
 pub fn config_monotonic(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for (node, samples) in by_node(evidence) {
@@ -66,18 +66,18 @@
                 format!(
                     "{node} had revision {} at {} and {} at {}",
                     before.revision,
-                    at(before.at),
+                    format_time(before.at),
                     after.revision,
-                    at(after.at)
+                    format_time(after.at)
                 )
             });
         }
     }
-    judge_starts(evidence, &mut verdict);
+    check_restarts(evidence, &mut verdict);
     verdict
 }
 
-fn judge_starts(evidence: &Evidence, verdict: &mut Verdict) {
+fn check_restarts(evidence: &Evidence, verdict: &mut Verdict) {
     let nodes = by_node(evidence);
     for (node, samples) in &nodes {
         for pair in samples.windows(2) {
@@ -89,11 +89,11 @@
                 continue;
             }
             let Some(served) = served else { continue };
-            let floor = in_force_everywhere(&nodes, before.at);
-            verdict.count_case(served.revision >= floor, || {
+            let floor = revision_on_all_nodes(&nodes, before.at);
+            verdict.case(served.revision >= floor, || {
                 format!(
-                    "{node} serves again at {} with revision {}, but {floor} was in force everywhere",
-                    at(served.at),
+                    "{node} ready again at {} with revision {}, but all nodes had reached {floor}",
+                    format_time(served.at),
                     served.revision
                 )
             });
@@ -101,8 +101,8 @@
     }
 }
 
-/// The greatest revision that every node had in force at a time.
-fn in_force_everywhere(nodes: &BTreeMap<&str, Vec<&RevisionSample>>, time: Duration) -> u64 {
+/// The highest revision that every node had reached at a time.
+fn revision_on_all_nodes(nodes: &BTreeMap<&str, Vec<&RevisionSample>>, time: Duration) -> u64 {
     nodes
         .values()
         .filter_map(|samples| samples.iter().rev().find(|sample| sample.at <= time))
--- a/crates/lab/src/invariants/leaving.rs
+++ b/crates/lab/src/invariants/shutdown.rs
@@ -1,19 +1,19 @@
-//! Leaving: servers that get no new work, planned stops that cut nothing.
+//! Shutdown invariants: draining servers get no new work, planned stops interrupt no request.
 
 use std::time::Duration;
 
-use super::{Evidence, Verdict, at, overlap};
-use crate::ledger::{OnlineEnd, OnlineRecord, PlannedStop};
+use super::{Evidence, Verdict, format_time, overlap};
+use crate::recorder::{OnlineEnd, OnlineRecord, PlannedStop};
 
-/// Time before a planned stop within which an abrupt fault's after-effects may still end requests.
-const ABRUPT_SHADOW: Duration = Duration::from_secs(4);
+/// Time after an abrupt fault during which its effects may still interrupt requests.
+const ABRUPT_FAULT_GRACE: Duration = Duration::from_secs(4);
 
-/// A server that was told to leave receives nothing new after the bound, whichever source said so.
+/// A draining or leaving server receives no new work after the bound.
 pub fn drain_no_new_work(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     let bound = Duration::from_millis(evidence.bounds.drain_ms);
     for event in &evidence.observations.events {
-        let crate::ledger::Event::Drain(drain) = event else {
+        let crate::recorder::Event::Drain(drain) = event else {
             continue;
         };
         let closed_from = drain.told + bound;
@@ -27,44 +27,44 @@
         });
         verdict.count_case(late.is_none(), || {
             format!(
-                "{} told to leave at {}: {late:?}",
+                "{} drained at {}, but received {late:?}",
                 drain.server,
-                at(drain.told)
+                format_time(drain.told)
             )
         });
     }
     verdict
 }
 
-/// Requests in progress while a node stops as planned all end whole or in a refusal that has a
-/// cause of its own, and the node stops within its bound.
+/// Requests in progress during a planned stop complete or are refused for an unrelated reason, and
+/// the node stops within its bound.
 pub fn graceful_shutdown(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
     for stop in evidence.stops() {
         let bound = Duration::from_millis(stop.bound_ms);
         verdict.count_case(stop.stopped - stop.told <= bound, || {
             format!(
-                "{} told at {} stopped only at {}",
+                "{}: stop requested at {}, stopped at {}",
                 stop.node,
-                at(stop.told),
-                at(stop.stopped)
+                format_time(stop.told),
+                format_time(stop.stopped)
             )
         });
-        if hidden_by_abrupt_fault(evidence, stop) {
+        if overlaps_abrupt_fault(evidence, stop) {
             continue;
         }
         for record in &evidence.observations.online {
             if overlap((record.sent, record.ended), (stop.told, stop.stopped)) {
-                verdict.count_case(!was_cut(record), || {
+                verdict.case(!was_interrupted(record), || {
                     format!(
                         "{} ({}) sent {}, ended {} while {} stopped {}..{}: {:?}",
                         record.name,
                         record.request_id,
-                        at(record.sent),
-                        at(record.ended),
+                        format_time(record.sent),
+                        format_time(record.ended),
                         stop.node,
-                        at(stop.told),
-                        at(stop.stopped),
+                        format_time(stop.told),
+                        format_time(stop.stopped),
                         record.end
                     )
                 });
@@ -74,20 +74,20 @@
     verdict
 }
 
-fn hidden_by_abrupt_fault(evidence: &Evidence, stop: &PlannedStop) -> bool {
+fn overlaps_abrupt_fault(evidence: &Evidence, stop: &PlannedStop) -> bool {
     evidence
         .faults()
         .filter(|fault| fault.kind.is_abrupt())
         .any(|fault| {
             overlap(
-                (fault.from, fault.to + ABRUPT_SHADOW),
+                (fault.from, fault.to + ABRUPT_FAULT_GRACE),
                 (stop.told, stop.stopped),
             )
         })
 }
 
-/// Kinds of refusal that a node's stop must not cause at a caller.
-const CAUSED_BY_STOP: [&str; 6] = [
+/// Error kinds that a planned stop must not cause.
+const SHUTDOWN_ERROR_KINDS: [&str; 6] = [
     "node_lost",
     "not_ready",
     "engine_lost",
@@ -96,10 +96,10 @@
     "internal",
 ];
 
-fn was_cut(record: &OnlineRecord) -> bool {
+fn was_interrupted(record: &OnlineRecord) -> bool {
     match &record.end {
         OnlineEnd::Whole => false,
         OnlineEnd::Broken(_) => true,
-        OnlineEnd::Refused(refusal) => CAUSED_BY_STOP.contains(&refusal.kind.as_str()),
+        OnlineEnd::Refused(refusal) => SHUTDOWN_ERROR_KINDS.contains(&refusal.kind.as_str()),
     }
 }
--- a/crates/lab/src/load/drive.rs
+++ b/crates/lab/src/load/drive.rs
@@ -1,4 +1,4 @@
-//! Callers on their own threads, each with the arrivals of some sidecars.
+//! Runs the callers on dedicated threads; arrivals are divided between the threads by index.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,58 +13,48 @@
 use super::client::client;
 use super::online::OnlineCallers;
 use super::plan::LoadPlan;
-use crate::ledger::Ledger;
+use crate::recorder::Recorder;
 use crate::scenario::BatchScenario;
 
-/// Threads of callers.
 const CALLER_THREADS: usize = 2;
 
-/// Moods of clients that faults switch.
+/// Client behavior that faults switch on and off.
 #[derive(Debug, Default)]
-pub struct ClientMoods {
-    /// Clients send must-not-repeat requests and jobs twice.
+pub struct ClientBehavior {
+    /// Clients send at-most-once requests and jobs twice.
     pub resend: AtomicBool,
-    /// Clients cancel jobs that are nearly done.
+    /// Clients cancel jobs that are finalizing or at least half complete.
     pub cancel_committing: AtomicBool,
 }
 
-/// What the callers need.
+/// Parameters of the callers.
 #[derive(Clone)]
 pub struct LoadContext {
-    /// All arrivals.
     pub plan: Arc<LoadPlan>,
-    /// Where observations go.
-    pub ledger: Ledger,
-    /// Start of the load on the ledger's clock.
+    pub recorder: Recorder,
+    /// Start of the load on the run's clock.
     pub start: Duration,
-    /// When batch callers give up.
-    pub give_up: Duration,
-    /// When results are read a second time.
-    pub read_again: Duration,
-    /// Base URLs of the sidecars.
+    pub give_up_at: Duration,
+    pub reread_at: Duration,
     pub sidecars: Vec<String>,
-    /// Model service.
+    /// Model service of online requests.
     pub service: String,
     /// Model service of batch items.
     pub batch_service: String,
-    /// All versions that may be loaded.
+    /// Versions that may be loaded during the run.
     pub versions: Vec<String>,
-    /// Shape of the jobs.
     pub batch: BatchScenario,
-    /// Moods of clients.
-    pub moods: Arc<ClientMoods>,
-    /// Seed.
+    pub client_behavior: Arc<ClientBehavior>,
     pub seed: u64,
 }
 
-/// Callers that are at work.
+/// Running callers.
 pub struct Callers {
     arbiters: Vec<Arbiter>,
     finished: Vec<oneshot::Receiver<()>>,
 }
 
 impl Callers {
-    /// Starts all callers.
     pub fn start(context: &LoadContext) -> Callers {
         let mut callers = Callers {
             arbiters: Vec::new(),
@@ -72,14 +62,14 @@
         };
         for thread in 0..CALLER_THREADS {
             let arbiter = Arbiter::new();
-            for part in [Part::Online, Part::Batch] {
+            for kind in [LoadKind::Online, LoadKind::Batch] {
                 let (done, finished) = oneshot::channel();
                 let context = context.clone();
                 arbiter.spawn_fn(move || {
                     actix_rt::spawn(async move {
-                        match part {
-                            Part::Online => drive_online(context, thread).await,
-                            Part::Batch => drive_batch(context, thread).await,
+                        match kind {
+                            LoadKind::Online => drive_online(context, thread).await,
+                            LoadKind::Batch => drive_batch(context, thread).await,
                         }
                         let _ = done.send(());
                     });
@@ -91,7 +81,7 @@
         callers
     }
 
-    /// Waits until every request and job has ended, and stops the threads.
+    /// Waits until all requests and jobs have ended, then stops the threads.
     pub async fn finish(self) {
         for finished in self.finished {
             let _ = finished.await;
@@ -103,34 +93,34 @@
 }
 
 #[derive(Clone, Copy)]
-enum Part {
+enum LoadKind {
     Online,
     Batch,
 }
 
 async fn sleep_until(context: &LoadContext, at: Duration) {
-    let due = context.ledger.clock.instant(context.start + at);
+    let due = context.recorder.clock.instant(context.start + at);
     tokio::time::sleep_until(due.into()).await;
 }
 
 async fn drive_online(context: LoadContext, thread: usize) {
     let callers = Rc::new(OnlineCallers {
         http: client(),
-        ledger: context.ledger.clone(),
+        recorder: context.recorder.clone(),
         sidecars: Rc::new(context.sidecars.clone()),
         service: context.service.clone(),
         versions: context.versions.clone(),
         seed: context.seed,
     });
     let mut calls = Vec::new();
-    let own = |index: usize| index % CALLER_THREADS == thread;
+    let assigned_here = |index: usize| index % CALLER_THREADS == thread;
     for (index, arrival) in context.plan.online.iter().enumerate() {
-        if !own(index) {
+        if !assigned_here(index) {
             continue;
         }
         sleep_until(&context, arrival.at).await;
         let (callers, plan) = (callers.clone(), context.plan.clone());
-        let always_resend = context.moods.resend.load(Ordering::Relaxed);
+        let always_resend = context.client_behavior.resend.load(Ordering::Relaxed);
         calls.push(actix_rt::spawn(async move {
             callers.call(&plan.online[index], always_resend).await;
         }));
@@ -139,16 +129,19 @@
 }
 
 async fn drive_batch(context: LoadContext, thread: usize) {
-    let (resending, cancelling) = (context.moods.clone(), context.moods.clone());
+    let (resending, cancelling) = (
+        context.client_behavior.clone(),
+        context.client_behavior.clone(),
+    );
     let callers = Rc::new(BatchCallers {
         http: client(),
-        ledger: context.ledger.clone(),
+        recorder: context.recorder.clone(),
         sidecars: Rc::new(context.sidecars.clone()),
         service: context.batch_service.clone(),
         versions: context.versions.clone(),
         batch: context.batch.clone(),
-        give_up: context.give_up,
-        read_again: context.read_again,
+        give_up_at: context.give_up_at,
+        reread_at: context.reread_at,
         always_resend: Rc::new(move || resending.resend.load(Ordering::Relaxed)),
         cancel_committing: Rc::new(move || cancelling.cancel_committing.load(Ordering::Relaxed)),
     });
--- a/crates/lab/src/load/online.rs
+++ b/crates/lab/src/load/online.rs
@@ -1,4 +1,4 @@
-//! Online callers: a streamed chat request, checked byte for byte.
+//! Online callers: streamed chat requests whose responses are checked byte for byte.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,33 +9,29 @@
 use serde_json::json;
 
 use super::client::{self, error_object, refusal};
-use super::expected::{Expected, canonical};
+use super::expected::{ExpectedResponse, canonical_prompt};
 use super::plan::{OnceArrival, OnlineArrival};
 use super::sse::{EventReader, StreamEvent};
-use crate::ledger::{Ledger, OnlineEnd, OnlineRecord};
+use crate::recorder::{OnlineEnd, OnlineRecord, Recorder};
 
-/// Time past its deadline after which a caller gives a request up.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Time after the deadline of a request at which the caller gives up.
+const DEADLINE_GRACE: Duration = Duration::from_secs(10);
 
-/// What online callers of one thread share.
+/// State shared by the online callers of one thread.
 pub struct OnlineCallers {
-    /// HTTP client of this thread.
     pub http: Client,
-    /// Where observations go.
-    pub ledger: Ledger,
-    /// Base URLs of the sidecars.
+    pub recorder: Recorder,
     pub sidecars: Rc<Vec<String>>,
-    /// Model service.
     pub service: String,
-    /// All versions that may be loaded in the run.
+    /// Versions that may be loaded during the run.
     pub versions: Vec<String>,
-    /// Seed, part of request ids.
+    /// Part of the request ids.
     pub seed: u64,
 }
 
-/// An answer while it is being received.
+/// The part of a response received so far.
 #[derive(Default)]
-struct Received {
+struct PartialResponse {
     text: String,
     version: Option<String>,
     first_token: Option<Duration>,
@@ -43,7 +39,7 @@
     gaps_ms: Vec<f32>,
 }
 
-impl Received {
+impl PartialResponse {
     fn add(&mut self, text: &str, now: Duration) {
         if let Some(last) = self.last_token {
             self.gaps_ms.push((now - last).as_secs_f32() * 1_000.0);
@@ -55,7 +51,7 @@
 }
 
 impl OnlineCallers {
-    /// Carries out an arrival, with its resend if it has one.
+    /// Sends a request, and its resend if it has one.
     pub async fn call(&self, arrival: &OnlineArrival, always_resend: bool) {
         let resend_after = arrival
             .once
@@ -77,13 +73,15 @@
 
     async fn send(&self, arrival: &OnlineArrival, resend: bool) {
         let request_id = request_id(self.seed, &arrival.name, resend);
-        let sent = self.ledger.clock.now();
-        let mut received = Received::default();
-        let patience = Duration::from_millis(u64::from(arrival.deadline_ms)) + PATIENCE;
+        let sent = self.recorder.clock.now();
+        let mut received = PartialResponse::default();
+        let wait_limit = Duration::from_millis(u64::from(arrival.deadline_ms)) + DEADLINE_GRACE;
         let exchange = self.exchange(arrival, resend, &request_id, &mut received);
-        let end = tokio::time::timeout(patience, exchange)
+        let end = tokio::time::timeout(wait_limit, exchange)
             .await
-            .unwrap_or_else(|_| OnlineEnd::Broken("no end of the answer in time".to_owned()));
+            .unwrap_or_else(|_| {
+                OnlineEnd::Broken("response did not end before the timeout".to_owned())
+            });
         let record = OnlineRecord {
             name: arrival.name.clone(),
             request_id,
@@ -93,37 +91,37 @@
             resend,
             sent,
             first_token: received.first_token,
-            ended: self.ledger.clock.now(),
+            ended: self.recorder.clock.now(),
             text_bytes: received.text.len(),
-            wrong_text: self.judge(arrival, &received, &end),
+            wrong_text: self.check_text(arrival, &received, &end),
             gaps_ms: received.gaps_ms,
             end,
         };
-        self.ledger.add_online(record);
+        self.recorder.add_online(record);
     }
 
-    /// A resend goes through another sidecar, as from another process of the same client.
+    /// A resend uses another sidecar, like another process of the same client.
     fn sidecar_index(&self, arrival: &OnlineArrival, resend: bool) -> usize {
         (arrival.sidecar + usize::from(resend)) % self.sidecars.len()
     }
 
-    fn judge(
+    fn check_text(
         &self,
         arrival: &OnlineArrival,
-        received: &Received,
+        received: &PartialResponse,
         end: &OnlineEnd,
     ) -> Option<String> {
-        let expected = Expected {
+        let expected = ExpectedResponse {
             versions: match &received.version {
                 Some(version) => vec![version.clone()],
                 None => self.versions.clone(),
             },
-            prompt: canonical(&arrival.system, &arrival.user),
+            prompt: canonical_prompt(&arrival.system, &arrival.user),
             max_tokens: arrival.max_tokens,
         };
         match end {
-            OnlineEnd::Whole => expected.judge_whole(&received.text),
-            _ => expected.judge_start(&received.text),
+            OnlineEnd::Whole => expected.check_complete(&received.text),
+            _ => expected.check_prefix(&received.text),
         }
     }
 
@@ -132,7 +130,7 @@
         arrival: &OnlineArrival,
         resend: bool,
         request_id: &str,
-        received: &mut Received,
+        received: &mut PartialResponse,
     ) -> OnlineEnd {
         let base = &self.sidecars[self.sidecar_index(arrival, resend)];
         let mut request = self
@@ -179,7 +177,7 @@
                 Ok(part) => part,
                 Err(error) => return OnlineEnd::Broken(error.to_string()),
             };
-            let now = self.ledger.clock.now();
+            let now = self.recorder.clock.now();
             for event in reader.push(&part) {
                 match event {
                     StreamEvent::Text(text) => received.add(&text, now),
@@ -189,16 +187,18 @@
                     }
                     StreamEvent::Done if finished => return OnlineEnd::Whole,
                     StreamEvent::Done => {
-                        return OnlineEnd::Broken("ended without a finish reason".to_owned());
+                        return OnlineEnd::Broken(
+                            "stream ended without a finish reason".to_owned(),
+                        );
                     }
                 }
             }
         }
-        OnlineEnd::Broken("the connection ended before the answer".to_owned())
+        OnlineEnd::Broken("connection closed before the response was complete".to_owned())
     }
 }
 
-/// A request id that is the same for each run of a seed: 32 hexadecimal digits.
+/// Request id of 32 hexadecimal digits, the same in each run of a seed.
 fn request_id(seed: u64, name: &str, resend: bool) -> String {
     let low = hash_bytes(format!("{seed}/{name}/{resend}").as_bytes());
     let high = hash_bytes(format!("{resend}/{name}/{seed}").as_bytes());
--- a/crates/lab/src/load/plan.rs
+++ b/crates/lab/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Seeded arrivals: when each request and each job is sent, by whom, and what it asks.
+//! Seeded arrivals: the time, sender and content of each request and job.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use super::words;
 use crate::scenario::{BatchScenario, Lengths, OnlineScenario, Scenario};
 
-/// Streams of the generator, one for each kind of arrival, so that one does not move another.
+/// RNG streams: each kind of arrival has its own, so that changing one does not shift the others.
 #[derive(Clone, Copy)]
-enum Draw {
+enum RngStream {
     Bursts = 1,
     Online = 2,
     Once = 3,
@@ -19,89 +19,72 @@
     Batch = 5,
 }
 
-/// Tenant of must-not-repeat requests.
+/// Tenant of at-most-once requests.
 pub const ONCE_TENANT: &str = "orders";
 
-/// One online request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OnlineArrival {
-    /// Time after the start of the load.
     pub at: Duration,
-    /// Name, unique in the run; also the start of the user's message, so that prompts differ.
+    /// Unique in the run; the user message starts with it, so that prompts differ.
     pub name: String,
-    /// Index of the sidecar that it goes to.
+    /// Index of the sidecar it is sent to.
     pub sidecar: usize,
-    /// Tenant.
     pub tenant: String,
-    /// Key of the conversation.
     pub session: String,
-    /// System message, shared by the conversations of a topic.
+    /// System message, shared by the sessions of a topic.
     pub system: String,
-    /// User message.
     pub user: String,
-    /// Most tokens of the answer.
     pub max_tokens: u32,
-    /// Deadline, milliseconds.
     pub deadline_ms: u32,
-    /// For a request that must not be repeated, its key and resends.
+    /// Set for an at-most-once request.
     pub once: Option<OnceArrival>,
 }
 
-/// What is special about a request that must not be repeated.
+/// Key and resend of an at-most-once request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OnceArrival {
-    /// Idempotency key.
     pub key: String,
-    /// The client sends it again this long after the first time, whether it was answered or not.
+    /// Delay after which the client sends it again, whether or not it received a response.
     pub resend_after: Option<Duration>,
 }
 
-/// One batch job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobArrival {
-    /// Time after the start of the load.
     pub at: Duration,
-    /// Name, unique in the run; also the client's key.
+    /// Unique in the run; also the idempotency key.
     pub name: String,
-    /// Index of the sidecar that it goes to.
+    /// Index of the sidecar it is sent to.
     pub sidecar: usize,
-    /// Tenant.
     pub tenant: String,
-    /// Number of items.
     pub items: u32,
-    /// Cancelled this long after its acceptance.
+    /// Delay from acceptance to cancellation.
     pub cancel_after: Option<Duration>,
-    /// Submitted a second time with the same key.
+    /// Whether it is submitted a second time with the same key.
     pub resend: bool,
     seed: u64,
 }
 
-/// One item of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemPlan {
-    /// The caller's id of the item.
     pub custom_id: String,
-    /// System message, shared by the items of the job.
+    /// System message, shared by the items of a job.
     pub system: String,
-    /// User message.
     pub user: String,
-    /// Most tokens of the answer.
     pub max_tokens: u32,
 }
 
-/// All arrivals of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadPlan {
-    /// Online requests in order of time.
+    /// Online requests, ordered by time.
     pub online: Vec<OnlineArrival>,
-    /// Jobs in order of time.
+    /// Jobs, ordered by time.
     pub jobs: Vec<JobArrival>,
-    /// Bursts of online load: start and end.
+    /// Start and end of each burst of online load.
     pub bursts: Vec<(Duration, Duration)>,
 }
 
 impl LoadPlan {
-    /// Draws the arrivals of a scenario for a seed and a length of the load.
+    /// Draws the arrivals of a scenario.
     pub fn draw(scenario: &Scenario, seed: u64, length: Duration) -> LoadPlan {
         let bursts = draw_bursts(&scenario.online, seed, length);
         let mut online = draw_online(scenario, seed, length, &bursts);
@@ -117,50 +100,49 @@
 }
 
 impl JobArrival {
-    /// The items of the job.
     pub fn items(&self, batch: &BatchScenario) -> Vec<ItemPlan> {
-        let mut generator = ChaCha8Rng::seed_from_u64(self.seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let system = words::text(self.seed, batch.shared_prefix);
         (0..self.items)
             .map(|index| {
-                let prompt = draw_length(&batch.prompt, &mut generator);
-                let own_words = prompt.saturating_sub(batch.shared_prefix).max(1);
+                let prompt = draw_length(&batch.prompt, &mut rng);
+                let unique_words = prompt.saturating_sub(batch.shared_prefix).max(1);
                 let custom_id = format!("{}-item-{index}", self.name);
                 ItemPlan {
-                    user: format!("{custom_id} {}", words::text(generator.random(), own_words)),
+                    user: format!("{custom_id} {}", words::text(rng.random(), unique_words)),
                     custom_id,
                     system: system.clone(),
-                    max_tokens: draw_length(&batch.output, &mut generator),
+                    max_tokens: draw_length(&batch.output, &mut rng),
                 }
             })
             .collect()
     }
 }
 
-fn generator(seed: u64, draw: Draw) -> ChaCha8Rng {
-    let mut generator = ChaCha8Rng::seed_from_u64(seed);
-    generator.set_stream(draw as u64);
-    generator
+fn rng(seed: u64, stream: RngStream) -> ChaCha8Rng {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    rng.set_stream(stream as u64);
+    rng
 }
 
-/// A time between two events that come `per_s` times a second.
-fn draw_gap(per_s: f64, generator: &mut ChaCha8Rng) -> Duration {
-    let seconds = Exp::new(per_s).map_or(f64::INFINITY, |gap| gap.sample(generator));
+/// Exponentially distributed time between events with a mean rate of `per_s` per second.
+fn draw_gap(per_s: f64, rng: &mut ChaCha8Rng) -> Duration {
+    let seconds = Exp::new(per_s).map_or(f64::INFINITY, |gap| gap.sample(rng));
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-fn draw_length(lengths: &Lengths, generator: &mut ChaCha8Rng) -> u32 {
+fn draw_length(lengths: &Lengths, rng: &mut ChaCha8Rng) -> u32 {
     let drawn = LogNormal::new(lengths.median.ln(), lengths.sigma)
-        .map_or(lengths.median, |spread| spread.sample(generator));
+        .map_or(lengths.median, |spread| spread.sample(rng));
     (drawn as u32).clamp(lengths.least, lengths.most)
 }
 
-/// Arrivals of a Poisson process of one rate within a span.
-fn poisson(per_s: f64, from: Duration, to: Duration, generator: &mut ChaCha8Rng) -> Vec<Duration> {
+/// Arrival times of a Poisson process within an interval.
+fn poisson(per_s: f64, from: Duration, to: Duration, rng: &mut ChaCha8Rng) -> Vec<Duration> {
     let mut times = Vec::new();
     let mut at = from;
     loop {
-        at = at.saturating_add(draw_gap(per_s, generator));
+        at = at.saturating_add(draw_gap(per_s, rng));
         if at >= to {
             return times;
         }
@@ -168,14 +150,14 @@
     }
 }
 
-/// Bursts last between half and one and a half times the mean, and so do the gaps.
+/// Bursts and the gaps between them last 0.5 to 1.5 times their mean.
 fn draw_bursts(online: &OnlineScenario, seed: u64, length: Duration) -> Vec<(Duration, Duration)> {
-    let mut generator = generator(seed, Draw::Bursts);
+    let mut rng = rng(seed, RngStream::Bursts);
     let mut bursts = Vec::new();
     let mut at = Duration::ZERO;
     while at < length {
-        let start = at + around(online.quiet_s, &mut generator);
-        let end = start + around(online.busy_s, &mut generator);
+        let start = at + jittered(online.quiet_s, &mut rng);
+        let end = start + jittered(online.busy_s, &mut rng);
         if start < length {
             bursts.push((start, end.min(length)));
         }
@@ -184,8 +166,8 @@
     bursts
 }
 
-fn around(seconds: f64, generator: &mut ChaCha8Rng) -> Duration {
-    Duration::from_secs_f64(seconds * generator.random_range(0.5..1.5))
+fn jittered(seconds: f64, rng: &mut ChaCha8Rng) -> Duration {
+    Duration::from_secs_f64(seconds * rng.random_range(0.5..1.5))
 }
 
 fn draw_online(
@@ -195,11 +177,11 @@
     bursts: &[(Duration, Duration)],
 ) -> Vec<OnlineArrival> {
     let online = &scenario.online;
-    let mut generator = generator(seed, Draw::Online);
-    let mut times = poisson(online.quiet_per_s, Duration::ZERO, length, &mut generator);
+    let mut rng = rng(seed, RngStream::Online);
+    let mut times = poisson(online.quiet_per_s, Duration::ZERO, length, &mut rng);
     let added = (online.busy_per_s - online.quiet_per_s).max(0.0);
     for (start, end) in bursts {
-        times.extend(poisson(added, *start, *end, &mut generator));
+        times.extend(poisson(added, *start, *end, &mut rng));
     }
     times.sort();
     times
@@ -207,22 +189,22 @@
         .enumerate()
         .map(|(index, at)| {
             let name = format!("online-{index}");
-            draw_request(scenario, seed, at, name, &mut generator)
+            draw_request(scenario, seed, at, name, &mut rng)
         })
         .collect()
 }
 
 fn draw_once(scenario: &Scenario, seed: u64, length: Duration) -> Vec<OnlineArrival> {
     let once = &scenario.once;
-    let mut generator = generator(seed, Draw::Once);
-    poisson(once.per_s, Duration::ZERO, length, &mut generator)
+    let mut rng = rng(seed, RngStream::Once);
+    poisson(once.per_s, Duration::ZERO, length, &mut rng)
         .into_iter()
         .enumerate()
         .map(|(index, at)| {
             let name = format!("once-{index}");
-            let mut request = draw_request(scenario, seed, at, name, &mut generator);
-            let resend = generator.random_range(0..100) < once.resend_percent;
-            let wait = generator.random_range(0..=once.resend_within_ms);
+            let mut request = draw_request(scenario, seed, at, name, &mut rng);
+            let resend = rng.random_range(0..100) < once.resend_percent;
+            let wait = rng.random_range(0..=once.resend_within_ms);
             request.tenant = ONCE_TENANT.to_owned();
             request.once = Some(OnceArrival {
                 key: format!("order-{seed}-{index}"),
@@ -234,22 +216,17 @@
 }
 
 fn draw_refused(scenario: &Scenario, seed: u64, length: Duration) -> Vec<OnlineArrival> {
-    let mut generator = generator(seed, Draw::Refused);
-    poisson(
-        scenario.refused.per_s,
-        Duration::ZERO,
-        length,
-        &mut generator,
-    )
-    .into_iter()
-    .enumerate()
-    .map(|(index, at)| {
-        let name = format!("limited-{index}");
-        let mut request = draw_request(scenario, seed, at, name, &mut generator);
-        request.tenant.clone_from(&scenario.refused.tenant);
-        request
-    })
-    .collect()
+    let mut rng = rng(seed, RngStream::Refused);
+    poisson(scenario.refused.per_s, Duration::ZERO, length, &mut rng)
+        .into_iter()
+        .enumerate()
+        .map(|(index, at)| {
+            let name = format!("limited-{index}");
+            let mut request = draw_request(scenario, seed, at, name, &mut rng);
+            request.tenant.clone_from(&scenario.refused.tenant);
+            request
+        })
+        .collect()
 }
 
 fn draw_request(
@@ -257,21 +234,21 @@
     seed: u64,
     at: Duration,
     name: String,
-    generator: &mut ChaCha8Rng,
+    rng: &mut ChaCha8Rng,
 ) -> OnlineArrival {
     let online = &scenario.online;
-    let session = generator.random_range(0..online.sessions);
+    let session = rng.random_range(0..online.sessions);
     let topic = u64::from(session % online.topics);
-    let prompt = draw_length(&online.prompt, generator);
-    let own_words = prompt.saturating_sub(online.shared_prefix).max(1);
+    let prompt = draw_length(&online.prompt, rng);
+    let unique_words = prompt.saturating_sub(online.shared_prefix).max(1);
     OnlineArrival {
         at,
         sidecar: session as usize % scenario.sidecar_count(),
         tenant: online.tenant.clone(),
         session: format!("session-{session}"),
         system: words::text(seed ^ topic, online.shared_prefix),
-        user: format!("{name} {}", words::text(generator.random(), own_words)),
-        max_tokens: draw_length(&online.output, generator),
+        user: format!("{name} {}", words::text(rng.random(), unique_words)),
+        max_tokens: draw_length(&online.output, rng),
         deadline_ms: online.deadline_ms,
         once: None,
         name,
@@ -280,17 +257,17 @@
 
 fn draw_jobs(scenario: &Scenario, seed: u64, length: Duration) -> Vec<JobArrival> {
     let batch = &scenario.batch;
-    let mut generator = generator(seed, Draw::Batch);
+    let mut rng = rng(seed, RngStream::Batch);
     let last = length.mul_f64(f64::from(batch.until_percent) / 100.0);
     let mut jobs = Vec::new();
-    let mut heap_at = Duration::from_secs_f64(batch.first_s);
-    while heap_at < last {
+    let mut wave_at = Duration::from_secs_f64(batch.first_s);
+    while wave_at < last {
         for _ in 0..batch.jobs {
             let number = jobs.len() as u32 + 1;
-            let at = heap_at + Duration::from_millis(generator.random_range(0..300));
-            jobs.push(draw_job(scenario, seed, at, number, &mut generator));
+            let at = wave_at + Duration::from_millis(rng.random_range(0..300));
+            jobs.push(draw_job(scenario, seed, at, number, &mut rng));
         }
-        heap_at += around(batch.every_s, &mut generator).clamp(
+        wave_at += jittered(batch.every_s, &mut rng).clamp(
             Duration::from_secs_f64(batch.every_s * 0.9),
             Duration::from_secs_f64(batch.every_s * 1.1),
         );
@@ -304,20 +281,20 @@
     seed: u64,
     at: Duration,
     number: u32,
-    generator: &mut ChaCha8Rng,
+    rng: &mut ChaCha8Rng,
 ) -> JobArrival {
     let batch = &scenario.batch;
     let one_in = |every: u32| every > 0 && number.is_multiple_of(every);
-    let tenant = generator.random_range(0..batch.tenants.len());
-    let cancel_after = Duration::from_millis(generator.random_range(300..2_500));
+    let tenant = rng.random_range(0..batch.tenants.len());
+    let cancel_after = Duration::from_millis(rng.random_range(300..2_500));
     JobArrival {
         at,
         name: format!("job-{seed}-{number}"),
-        sidecar: generator.random_range(0..scenario.sidecar_count()),
+        sidecar: rng.random_range(0..scenario.sidecar_count()),
         tenant: batch.tenants[tenant].clone(),
-        items: generator.random_range(batch.items / 2..=batch.items + batch.items / 2),
+        items: rng.random_range(batch.items / 2..=batch.items + batch.items / 2),
         cancel_after: one_in(batch.cancel_every).then_some(cancel_after),
         resend: one_in(batch.resend_every),
-        seed: generator.random(),
+        seed: rng.random(),
     }
 }
--- a/crates/lab/src/measures/online.rs
+++ b/crates/lab/src/measures/online.rs
@@ -1,22 +1,20 @@
-//! Online measures.
-
 use std::collections::BTreeMap;
 
 use dappleyard_report::summary::{Measures, Percentiles};
 
-use super::{Counted, Milliseconds};
+use super::{Counters, LatencyHistogram};
 use crate::invariants::Evidence;
-use crate::ledger::OnlineRecord;
+use crate::recorder::OnlineRecord;
 
-/// Kinds of refusal by which a tenant's own limit speaks.
+/// Error kinds of requests refused by a tenant limit.
 const LIMIT_KINDS: [&str; 2] = ["rate_limit_exceeded", "concurrency_limit_exceeded"];
 
-/// Fills in the online measures.
-pub fn fill(measures: &mut Measures, evidence: &Evidence, counted: &Counted) {
+/// Computes the online measures.
+pub fn fill(measures: &mut Measures, evidence: &Evidence, counters: &Counters) {
     let (mut first_token, mut gaps, mut refusals) = (
-        Milliseconds::new(),
-        Milliseconds::new(),
-        Milliseconds::new(),
+        LatencyHistogram::new(),
+        LatencyHistogram::new(),
+        LatencyHistogram::new(),
     );
     for record in &evidence.observations.online {
         if let Some(refusal) = record.refusal() {
@@ -26,13 +24,13 @@
                 .or_default() += 1;
             refusals.add((record.ended - record.sent).as_secs_f64() * 1_000.0);
         }
-        if is_limited(record) {
+        if refused_by_tenant_limit(record) {
             continue;
         }
         measures.online_requests += 1;
         measures.online_refused += u64::from(record.refusal().is_some());
         measures.online_whole += u64::from(record.is_whole());
-        // A resend is answered from the record of the first sending, all at once.
+        // The response to a resend is replayed at once from the stored result.
         if record.resend {
             continue;
         }
@@ -43,18 +41,18 @@
             gaps.add(f64::from(*gap));
         }
     }
-    measures.goodput_per_s = counted.per_second(measures.online_whole as f64);
+    measures.goodput_per_s = counters.per_second(measures.online_whole as f64);
     measures.ttft_ms = first_token.percentiles();
     measures.itl_ms = gaps.percentiles();
     measures.ttft_curve = first_token.curve();
     measures.itl_curve = gaps.curve();
     measures.refusal_ms = refusals.percentiles();
-    measures.steps_to_yield = steps(&counted.meters.probe.steps);
-    measures.never_yielded = counted.meters.probe.never;
+    measures.steps_to_yield = steps(&counters.meters.probe.steps);
+    measures.never_yielded = counters.meters.probe.never;
 }
 
-/// A refusal by the tenant's own limit says nothing of the system's.
-fn is_limited(record: &OnlineRecord) -> bool {
+/// Requests refused by a tenant limit do not count as load of the system.
+fn refused_by_tenant_limit(record: &OnlineRecord) -> bool {
     record
         .refusal()
         .is_some_and(|refusal| LIMIT_KINDS.contains(&refusal.kind.as_str()))
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,4 +1,4 @@
-//! `model`: explores the protocol specifications.
+//! `dappleyard-lab model`: explores the protocol specifications.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -7,14 +7,13 @@
 use dappleyard_spec::catalogue::{CatalogueEntry, SPECIFICATIONS, find};
 use dappleyard_spec::checker::Exploration;
 
-/// The subcommand's arguments.
 pub fn command() -> Command {
     let names: Vec<&str> = SPECIFICATIONS.iter().map(|entry| entry.name).collect();
     Command::new("model")
         .about("Explores the protocol specifications and prints states and counterexamples")
         .long_about(format!(
-            "Explores the protocol specifications breadth first and prints the number of states, the \
-             bounds, and the shortest run of steps that breaks a promise.\n\n{}",
+            "Explores the protocol specifications breadth first and prints the number of states, \
+             the bounds, and the shortest counterexample if a property is violated.\n\n{}",
             listing()
         ))
         .arg(
@@ -29,7 +28,7 @@
                 .long("mutant")
                 .value_name("NAME")
                 .requires("spec")
-                .help("Puts this mistake into the specification; the exploration must catch it"),
+                .help("Applies this mutant to the specification; the exploration must detect it"),
         )
         .arg(
             Arg::new("faults")
@@ -44,8 +43,7 @@
         )
 }
 
-/// Runs the subcommand: 0 when every promise holds, or when the mutant is caught; 1 when not; 2 on bad
-/// usage.
+/// Exits with 0 if every property holds or the mutant is detected, 1 if not, 2 on invalid usage.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     let chosen = arguments.get_one::<String>("spec");
     let faults = arguments.get_one::<u8>("faults").copied();
@@ -68,7 +66,7 @@
     };
     if !entry.mutants.iter().any(|known| known.name == mutant) {
         eprintln!(
-            "specification {name} has no mutant {mutant}; it has: {}",
+            "specification {name} has no mutant {mutant}; known mutants: {}",
             mutants(entry)
         );
         return ExitCode::from(2);
@@ -83,7 +81,7 @@
         found.unwrap_or_else(|| entry.explore(faults))
     });
     if !caught {
-        println!("the mutant was not caught");
+        println!("the mutant was not detected");
     }
     exit_code(caught)
 }
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -1,7 +1,7 @@
-//! The simulated network between processes: delays by zone, cuts and losses.
+//! Simulated network between processes: delays by zone and region, partitions and datagram loss.
 //!
-//! Each process gets a [`ProcessPolicy`] that knows where it stands; the [`Network`] knows where
-//! every address and process id stands, and which faults hold at present.
+//! The [`Network`] maps addresses and process ids to locations and holds the active faults. Each
+//! process has a [`ProcessPolicy`] that looks up its links there.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,104 +13,102 @@
 
 use crate::scenario::NetworkScenario;
 
-/// Where a process stands.
+/// Location of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Spot {
-    /// Zone.
+pub struct NetworkLocation {
     pub zone: String,
-    /// Region.
     pub region: String,
-    /// The process stands beside callers.
+    /// The process is a sidecar, next to callers.
     pub sidecar: bool,
 }
 
-/// A part of the fleet that is cut off from the rest.
+/// A part of the fleet that is partitioned from the rest.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub enum Cut {
-    /// A zone, its sidecars included.
+pub enum Partition {
+    /// A zone, including its sidecars.
     #[display("zone {_0}")]
     Zone(String),
-    /// A region, its sidecars included.
+    /// A region, including its sidecars.
     #[display("region {_0}")]
     Region(String),
 }
 
-impl Cut {
-    /// Whether a spot is inside.
-    pub fn holds(&self, spot: &Spot) -> bool {
+impl Partition {
+    pub fn contains(&self, location: &NetworkLocation) -> bool {
         match self {
-            Cut::Zone(zone) => spot.zone == *zone,
-            Cut::Region(region) => spot.region == *region,
+            Partition::Zone(zone) => location.zone == *zone,
+            Partition::Region(region) => location.region == *region,
         }
     }
 }
 
 #[derive(Debug, Default)]
 struct Faults {
-    cuts: Vec<Cut>,
+    partitions: Vec<Partition>,
     loss: f64,
 }
 
-/// The network of an experiment.
 #[derive(Debug)]
 pub struct Network {
     delays: NetworkScenario,
-    spots: RwLock<HashMap<String, Spot>>,
+    locations: RwLock<HashMap<String, NetworkLocation>>,
     faults: RwLock<Faults>,
 }
 
 impl Network {
-    /// A network without faults.
     pub fn new(delays: NetworkScenario) -> Arc<Network> {
         Arc::new(Network {
             delays,
-            spots: RwLock::default(),
+            locations: RwLock::default(),
             faults: RwLock::default(),
         })
     }
 
-    /// Says where an address or process id stands.
-    pub fn place(&self, name: impl Into<String>, spot: &Spot) {
-        self.spots.write().insert(name.into(), spot.clone());
+    /// Sets the location of an address or process id.
+    pub fn set_location(&self, name: impl Into<String>, location: &NetworkLocation) {
+        self.locations.write().insert(name.into(), location.clone());
     }
 
-    /// The policy of a process that stands at a spot.
-    pub fn policy(self: &Arc<Self>, spot: &Spot) -> SharedPolicy {
+    /// Returns the link policy of a process at a location.
+    pub fn policy(self: &Arc<Self>, location: &NetworkLocation) -> SharedPolicy {
         Arc::new(ProcessPolicy {
             network: self.clone(),
-            own: spot.clone(),
+            own_location: location.clone(),
         })
     }
 
-    /// Cuts a part of the fleet off.
-    pub fn cut(&self, cut: Cut) {
-        self.faults.write().cuts.push(cut);
+    /// Partitions a part of the fleet from the rest.
+    pub fn partition(&self, partition: Partition) {
+        self.faults.write().partitions.push(partition);
     }
 
-    /// Joins it again.
-    pub fn join(&self, cut: &Cut) {
-        self.faults.write().cuts.retain(|held| held != cut);
+    /// Removes a partition.
+    pub fn heal(&self, partition: &Partition) {
+        self.faults
+            .write()
+            .partitions
+            .retain(|active| active != partition);
     }
 
-    /// Share of datagrams lost everywhere, 0 to 1.
-    pub fn lose(&self, share: f64) {
+    /// Sets the share of datagrams lost on all links, 0 to 1.
+    pub fn set_loss(&self, share: f64) {
         self.faults.write().loss = share;
     }
 
-    /// State of the path between two spots.
-    pub fn between(&self, one: &Spot, other: &Spot) -> PathState {
+    /// State of the link between two locations.
+    pub fn link_state(&self, one: &NetworkLocation, other: &NetworkLocation) -> LinkState {
         let faults = self.faults.read();
         PathState {
             delay: self.delay(one, other),
             cut: faults
-                .cuts
+                .partitions
                 .iter()
-                .any(|cut| cut.holds(one) != cut.holds(other)),
+                .any(|partition| partition.contains(one) != partition.contains(other)),
             loss: faults.loss,
         }
     }
 
-    fn delay(&self, one: &Spot, other: &Spot) -> Duration {
+    fn delay(&self, one: &NetworkLocation, other: &NetworkLocation) -> Duration {
         let mut milliseconds = 0.0;
         if one.sidecar || other.sidecar {
             milliseconds += self.delays.to_clients_ms;
@@ -124,19 +122,19 @@
     }
 }
 
-/// The network as one process sees it.
+/// The network as seen by one process.
 #[derive(Debug)]
 struct ProcessPolicy {
     network: Arc<Network>,
-    own: Spot,
+    own_location: NetworkLocation,
 }
 
 impl LinkPolicy for ProcessPolicy {
-    /// Peers that are not known yet are reached without delay.
-    fn path(&self, peer: &str) -> PathState {
-        let spots = self.network.spots.read();
-        spots.get(peer).map_or(PathState::DIRECT, |spot| {
-            self.network.between(&self.own, spot)
+    /// Unknown peers are reached directly, without faults.
+    fn path(&self, peer: &str) -> LinkState {
+        let locations = self.network.locations.read();
+        locations.get(peer).map_or(LinkState::DIRECT, |location| {
+            self.network.link_state(&self.own_location, location)
         })
     }
 }
--- a/crates/lab/src/overhead/latency.rs
+++ b/crates/lab/src/overhead/latency.rs
@@ -1,37 +1,37 @@
-//! Latency that sidecar and node add: the same requests by turns both ways.
+//! Latency added by sidecar and node: sends each request both directly and through a sidecar.
 
 use std::time::Duration;
 
 use dappleyard_engine::HttpEngine;
 
-use super::request::{Outcome, Request, through_sidecar, to_engine};
+use super::request::{Outcome, Request, send_to_engine, send_to_sidecar};
 use super::{quantile, sorted_ms};
 use crate::error::LabError;
 use crate::load::client::client;
 
-/// Requests before the measurement, so that connections and caches are warm.
+/// Unmeasured requests that warm up connections and caches.
 const WARM_UP: u32 = 20;
 
-/// What is measured.
+/// Parameters of the measurement.
 pub struct Plan {
     /// Base URL of the sidecar.
     pub sidecar: String,
     /// Base URL of the engine.
     pub engine: String,
-    /// Requests each way.
+    /// Requests per path.
     pub requests: u32,
-    /// Tokens of each answer.
+    /// Tokens of each response.
     pub tokens: u32,
 }
 
 #[derive(Default)]
-struct Times {
+struct Samples {
     first: Vec<Duration>,
     total: Vec<Duration>,
     failed: u32,
 }
 
-impl Times {
+impl Samples {
     fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Whole { first, total, .. } => {
@@ -43,26 +43,26 @@
     }
 }
 
-/// Measures and prints.
+/// Measures both paths and prints the quantiles.
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
     let engine = HttpEngine::new(Duration::from_secs(2), Duration::from_secs(10));
     let caller = client();
-    let (mut direct, mut through) = (Times::default(), Times::default());
+    let (mut direct, mut through) = (Samples::default(), Samples::default());
     for index in 0..WARM_UP + plan.requests {
         let request = Request {
             text: format!("Which rudder stock fits hull number {index}?"),
             tokens: plan.tokens,
             deadline_ms: None,
         };
-        let by_engine = to_engine(&engine, &plan.engine, &request).await;
-        let by_sidecar = through_sidecar(&caller, &plan.sidecar, &request).await;
+        let by_engine = send_to_engine(&engine, &plan.engine, &request).await;
+        let by_sidecar = send_to_sidecar(&caller, &plan.sidecar, &request).await;
         if index >= WARM_UP {
             direct.add(by_engine);
             through.add(by_sidecar);
         }
     }
     if direct.first.is_empty() || through.first.is_empty() {
-        return Err(LabError::failed("no request was answered both ways"));
+        return Err(LabError::failed("no request succeeded on both paths"));
     }
     println!(
         "{} requests each way, {} tokens, one at a time; failed: {} direct, {} through",
--- a/crates/lab/src/overhead/overload.rs
+++ b/crates/lab/src/overhead/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput and refusals when more is asked than the engines can give.
+//! Goodput and refusals under overload.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,31 +7,28 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 
-use super::request::{Outcome, Request, through_sidecar};
+use super::request::{Outcome, Request, send_to_sidecar};
 use super::{quantile, sorted_ms};
 use crate::error::LabError;
 use crate::load::client::client;
 
-/// Pause between two phases, so that queues of the one do not count for the next.
+/// Pause between phases in which queues drain.
 const PAUSE: Duration = Duration::from_secs(3);
 
-/// What is measured.
+/// Parameters of the measurement.
 pub struct Plan {
-    /// Base URL of the sidecar.
     pub sidecar: String,
-    /// Requests a second, one phase for each.
+    /// Requests per second, one phase per rate.
     pub rates: Vec<f64>,
-    /// Time of each phase.
+    /// Duration of each phase.
     pub time: Duration,
-    /// Tokens of each answer.
+    /// Tokens of each response.
     pub tokens: u32,
-    /// Deadline of each request, milliseconds.
     pub deadline_ms: u32,
-    /// Seed of the arrivals.
     pub seed: u64,
 }
 
-/// Measures and prints one line for each rate.
+/// Runs one phase per rate and prints its results.
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
     println!(
         "answers of {} tokens, deadline {} ms, open loop, {:?} each rate",
@@ -47,13 +44,13 @@
 
 async fn phase(plan: &Plan, rate: f64) -> Result<Vec<Outcome>, LabError> {
     let gaps = Exp::new(rate).map_err(|error| LabError::usage(format!("rate {rate}: {error}")))?;
-    let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let caller = client();
     let started = Instant::now();
     let mut due = Duration::ZERO;
     let mut running = Vec::new();
     while due < plan.time {
-        due += Duration::from_secs_f64(gaps.sample(&mut random));
+        due += Duration::from_secs_f64(gaps.sample(&mut rng));
         tokio::time::sleep(due.saturating_sub(started.elapsed())).await;
         let (caller, sidecar) = (caller.clone(), plan.sidecar.clone());
         let request = Request {
@@ -62,7 +59,7 @@
             deadline_ms: Some(plan.deadline_ms),
         };
         running.push(actix_rt::spawn(async move {
-            through_sidecar(&caller, &sidecar, &request).await
+            send_to_sidecar(&caller, &sidecar, &request).await
         }));
     }
     let ended = futures::future::join_all(running).await;
--- a/crates/lab/src/overhead/processes.rs
+++ b/crates/lab/src/overhead/processes.rs
@@ -1,4 +1,4 @@
-//! Processor time of the processes that `scripts/fleet` started.
+//! CPU time of the processes started by `scripts/fleet`.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,8 +13,8 @@
     pid: i32,
 }
 
-/// Processor seconds by role: `node`, `sidecar` or `standins`.
-pub fn processor_seconds(file: &Path) -> Result<BTreeMap<String, f64>, LabError> {
+/// CPU seconds by role: `node`, `sidecar` or `standins`.
+pub fn cpu_seconds(file: &Path) -> Result<BTreeMap<String, f64>, LabError> {
     let failed = |reason: String| LabError::failed(format!("{}: {reason}", file.display()));
     let text = std::fs::read_to_string(file).map_err(|error| failed(error.to_string()))?;
     let entries: BTreeMap<String, Entry> =
--- a/crates/lab/src/overhead/throughput.rs
+++ b/crates/lab/src/overhead/throughput.rs
@@ -1,39 +1,36 @@
-//! Tokens for each core of sidecars and nodes, with many streams at once.
+//! Tokens per core of sidecars and nodes, with many concurrent streams.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
 
-use super::processes::processor_seconds;
-use super::request::{Outcome, Request, through_sidecar};
+use super::processes::cpu_seconds;
+use super::request::{Outcome, Request, send_to_sidecar};
 use crate::error::LabError;
 use crate::load::client::client;
 
-/// Tokens of each answer.
 const TOKENS: u32 = 100;
 
-/// What is measured.
+/// Parameters of the measurement.
 pub struct Plan {
-    /// Base URL of the sidecar.
     pub sidecar: String,
-    /// Streams at once.
+    /// Concurrent streams.
     pub streams: u32,
-    /// For how long.
     pub time: Duration,
-    /// Processes of the fleet.
+    /// File with the processes of `scripts/fleet`.
     pub processes: PathBuf,
 }
 
-/// Measures and prints.
+/// Measures throughput and prints it per role.
 pub async fn measure(plan: &Plan) -> Result<(), LabError> {
-    let before = processor_seconds(&plan.processes)?;
+    let before = cpu_seconds(&plan.processes)?;
     let started = Instant::now();
     let caller = client();
-    let streams = (0..plan.streams).map(|stream| keep_streaming(&caller, plan, stream, started));
+    let streams = (0..plan.streams).map(|stream| run_stream(&caller, plan, stream, started));
     let counts = join_all(streams).await;
     let elapsed = started.elapsed().as_secs_f64();
-    let after = processor_seconds(&plan.processes)?;
+    let after = cpu_seconds(&plan.processes)?;
     let tokens: u64 = counts.iter().map(|(tokens, _)| tokens).sum();
     let refused: u32 = counts.iter().map(|(_, refused)| refused).sum();
     println!(
@@ -52,8 +49,8 @@
     Ok(())
 }
 
-/// One stream after the other until the time is over; counts tokens and refusals.
-async fn keep_streaming(
+/// Sends requests one after another until the time is over; counts tokens and refusals.
+async fn run_stream(
     caller: &awc::Client,
     plan: &Plan,
     stream: u32,
@@ -67,7 +64,7 @@
             tokens: TOKENS,
             deadline_ms: None,
         };
-        match through_sidecar(caller, &plan.sidecar, &request).await {
+        match send_to_sidecar(caller, &plan.sidecar, &request).await {
             Outcome::Whole { .. } => tokens += u64::from(TOKENS),
             Outcome::Refused { .. } => refused += 1,
         }
--- a/crates/lab/src/replay/mod.rs
+++ b/crates/lab/src/replay/mod.rs
@@ -1,15 +1,15 @@
-//! `replay`: feeds a recorded trace to the decision logic in virtual time, and compares every decision
-//! with the one that the trace states.
+//! `dappleyard-lab replay`: feeds a recorded trace to the decision logic in virtual time and
+//! compares each decision with the one in the trace.
 //!
-//! A trace holds inputs, deliveries and losses in order, and what was decided on each ([`trace`]).
-//! [`machine::Machine`] keeps the rows and assemblies that the decisions rest on. Recorded traces hold
-//! the transactions of the table service; [`rows`] asks which decision explains each changed row.
+//! A trace holds inputs, deliveries and losses in order, with the decisions on each ([`trace`]).
+//! [`state::ReplayState`] holds the state that the decisions depend on. Recorded traces hold the
+//! transactions of the table service; [`rows`] finds the decision that explains each changed row.
 
+mod calls;
 mod configuration;
-mod machine;
 mod record;
 mod rows;
-mod stepwise;
+mod state;
 pub mod trace;
 
 use std::path::{Path, PathBuf};
@@ -18,23 +18,21 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 
 use crate::error::{LabError, report};
-use machine::Machine;
+use state::ReplayState;
 use trace::{Outcome, Trace};
 
 pub use record::{PREFIXES as RECORDED_PREFIXES, write as write_recording};
 
-/// What a replay showed.
+/// Result of a replay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replayed {
-    /// Steps replayed.
     pub steps: usize,
-    /// How often each decision was taken.
+    /// Count of each decision.
     pub outcome: Outcome,
-    /// Decisions that differ from the stated ones, in words.
+    /// Descriptions of the decisions that differ from the trace.
     pub differences: Vec<String>,
 }
 
-/// Arguments of `replay`.
 pub fn command() -> Command {
     Command::new("replay")
         .about(
@@ -51,7 +49,7 @@
         .after_help("Example:\n  dappleyard-lab replay traces/*.jsonl")
 }
 
-/// Replays the traces: 0 when every outcome is as stated, 1 when not.
+/// Exits with 0 if every outcome matches its trace, 1 if not.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     let traces = arguments.get_many::<PathBuf>("traces");
     report(replay_all(traces.into_iter().flatten()))
@@ -76,24 +74,22 @@
         return Ok(());
     }
     Err(LabError::failed(format!(
-        "the outcome changed: {}",
+        "outcome differs from the trace: {}",
         failed.join(", ")
     )))
 }
 
-/// Replays one file.
 pub fn replay_file(path: &Path) -> Result<Replayed, LabError> {
     let trace = Trace::read(path).map_err(LabError::usage)?;
     Ok(replay(&trace))
 }
 
-/// Replays a trace.
 pub fn replay(trace: &Trace) -> Replayed {
-    let mut machine = Machine::default();
+    let mut replay_state = ReplayState::default();
     let mut outcome = Outcome::new();
     let mut differences = Vec::new();
     for (number, step) in (1..).zip(&trace.steps) {
-        let decided = machine.step(&step.input);
+        let decided = replay_state.step(&step.input);
         for decision in &decided {
             *outcome.entry(decision.clone()).or_default() += 1;
         }
--- a/crates/lab/src/replay/record.rs
+++ b/crates/lab/src/replay/record.rs
@@ -1,4 +1,4 @@
-//! Recording: the transactions of a run's table service as a trace, with what explains each.
+//! Records the table service's transactions of a run as a trace, with the decisions behind them.
 
 use std::path::Path;
 
@@ -7,12 +7,12 @@
 use dappleyard_standin::platform::HistoryRow;
 use dappleyard_wire::keys::{CHUNK_PREFIX, CONFIGURATION_PREFIX, EPOCH_PREFIX, JOB_PREFIX};
 
-use super::machine::Machine;
 use super::rows::ONCE_PREFIX;
+use super::state::ReplayState;
 use super::trace::{FORMAT, Header, Input, Outcome, RowChange, Step, Trace};
 use crate::error::LabError;
 
-/// Rows that are recorded.
+/// Key prefixes of the recorded rows.
 pub const PREFIXES: [&str; 5] = [
     CHUNK_PREFIX,
     CONFIGURATION_PREFIX,
@@ -21,7 +21,7 @@
     ONCE_PREFIX,
 ];
 
-/// Writes the history of a run as a trace. The decisions that explain it become its stated outcome.
+/// Writes the history of a run as a trace; its decisions become the expected outcome.
 pub fn write(path: &Path, about: &str, history: &[HistoryRow]) -> Result<(), LabError> {
     let trace = trace_of(about, history);
     let text = trace.to_text().map_err(LabError::failed)?;
@@ -29,7 +29,7 @@
 }
 
 fn trace_of(about: &str, history: &[HistoryRow]) -> Trace {
-    let mut machine = Machine::default();
+    let mut replay_state = ReplayState::default();
     let mut outcome = Outcome::new();
     let mut steps = Vec::new();
     for rows in history.chunk_by(|left, right| left.revision == right.revision) {
@@ -37,7 +37,7 @@
             revision: rows[0].revision,
             rows: rows.iter().map(change).collect(),
         };
-        let decided = machine.step(&input);
+        let decided = replay_state.step(&input);
         for decision in &decided {
             *outcome.entry(decision.clone()).or_default() += 1;
         }
--- a/crates/lab/src/replay/machine.rs
+++ b/crates/lab/src/replay/state.rs
@@ -1,35 +1,33 @@
-//! What decisions rest on while a trace is replayed.
+//! State of the decision logic during a replay.
 
 use std::collections::BTreeMap;
 
 use dappleyard_decide::fence::{OrderPosition, admits};
 use dappleyard_decide::reassembly::{Assembly, AssemblyBounds};
 
+use super::calls::CallReplay;
 use super::configuration::ConfigurationReplay;
 use super::rows::RowReplay;
-use super::stepwise::Stepwise;
 use super::trace::Input;
 
-/// Bounds of a replayed answer.
 const BOUNDS: AssemblyBounds = AssemblyBounds {
     pieces: 4096,
     after_gap: 256,
 };
 
-/// All state of a replay.
-pub struct Machine {
+pub struct ReplayState {
     rows: RowReplay,
-    stepwise: Stepwise,
+    calls: CallReplay,
     configuration: ConfigurationReplay,
     applied: OrderPosition,
     assembly: Assembly,
 }
 
-impl Default for Machine {
+impl Default for ReplayState {
     fn default() -> Self {
         Self {
             rows: RowReplay::default(),
-            stepwise: Stepwise::default(),
+            calls: CallReplay::default(),
             configuration: ConfigurationReplay::default(),
             applied: OrderPosition::default(),
             assembly: Assembly::new(BOUNDS),
@@ -37,8 +35,8 @@
     }
 }
 
-impl Machine {
-    /// Takes one input and names the decisions on it.
+impl ReplayState {
+    /// Applies one input and returns the names of the decisions.
     pub fn step(&mut self, input: &Input) -> Vec<String> {
         match input {
             Input::Rows { revision, rows } => self.rows.transaction(*revision, rows),
@@ -49,7 +47,7 @@
             Input::Accepted { .. } | Input::Pieces { .. } | Input::Finish { .. } => {
                 vec![self.assemble(input)]
             }
-            _ => vec![self.stepwise.step(input)],
+            _ => vec![self.calls.step(input)],
         }
     }
 
@@ -89,5 +87,5 @@
     }
 }
 
-/// Values by name of the call that is on its way.
-pub type Calls<T> = BTreeMap<String, T>;
+/// Pending calls by name.
+pub type PendingCalls<T> = BTreeMap<String, T>;
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -1,4 +1,4 @@
-//! Gathers the evidence of a run from the ledger and the stand-ins.
+//! Collects the evidence of a run from the recorder and the stand-ins.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,18 +9,18 @@
 
 use crate::fleet::Fleet;
 use crate::invariants::{EngineRun, Evidence};
-use crate::ledger::{ConfigurationAccepted, Event, Observations};
-use crate::measures::{Counted, EngineSample};
+use crate::measures::{Counters, EngineSample};
+use crate::recorder::{ConfigurationAccepted, Event, Observations};
 
-/// Takes all evidence at the end of a run.
+/// Collects all evidence at the end of a run, emptying the recorder.
 pub fn evidence(fleet: &Fleet) -> Evidence {
-    let observations = fleet.ledger.take();
+    let observations = fleet.recorder.take();
     assemble(fleet, observations)
 }
 
-/// Evidence so far; the ledger keeps its own.
+/// Copies the evidence so far, without jobs.
 pub fn evidence_so_far(fleet: &Fleet) -> Evidence {
-    let observations = fleet.ledger.read(|seen| Observations {
+    let observations = fleet.recorder.read(|seen| Observations {
         online: seen.online.clone(),
         jobs: Vec::new(),
         events: seen.events.clone(),
@@ -31,9 +31,10 @@
 
 fn assemble(fleet: &Fleet, mut observations: Observations) -> Evidence {
     observations.events.extend(configuration_changes(fleet));
-    let zero = fleet.engines.started();
-    let clock = fleet.ledger.clock;
-    let offset = |microseconds: u64| clock.offset(zero + Duration::from_micros(microseconds));
+    let engines_started = fleet.engines.started();
+    let clock = fleet.recorder.clock;
+    let offset =
+        |microseconds: u64| clock.offset(engines_started + Duration::from_micros(microseconds));
     let records = fleet.engines.records();
     Evidence {
         observations,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Every change that the table service applied was accepted.
+/// Events for the changes that the table service applied.
 fn configuration_changes(fleet: &Fleet) -> Vec<Event> {
     let log = fleet.platform.configuration_log();
     log.into_iter()
@@ -55,7 +56,7 @@
             Event::Configuration(ConfigurationAccepted {
                 key: change.keys.join(", "),
                 revision: change.revision,
-                accepted: fleet.ledger.clock.offset(change.at),
+                accepted: fleet.recorder.clock.offset(change.at),
             })
         })
         .collect()
@@ -77,15 +78,15 @@
     }
 }
 
-/// Samples of all engines on the run's clock.
+/// Samples of each engine, on the run's clock.
 pub fn samples(fleet: &Fleet) -> Vec<Vec<EngineSample>> {
-    let zero: Instant = fleet.engines.started();
-    let clock = fleet.ledger.clock;
+    let engines_started: Instant = fleet.engines.started();
+    let clock = fleet.recorder.clock;
     let on_clock = |server: &str| {
         let samples = fleet.engines.samples(server).into_iter();
         samples
             .map(|sample| EngineSample {
-                at: clock.offset(zero + Duration::from_micros(sample.at_us)),
+                at: clock.offset(engines_started + Duration::from_micros(sample.at_us)),
                 sample,
             })
             .collect()
@@ -94,21 +95,21 @@
     servers.map(|server| on_clock(&server.name)).collect()
 }
 
-/// Transactions that the table service has applied.
+/// Number of transactions applied by the table service.
 pub fn store_writes(fleet: &Fleet) -> u64 {
     let counts: BTreeMap<String, CallCounts> = fleet.platform.table_counts();
     counts.values().map(|counts| counts.transactions).sum()
 }
 
-/// What the stand-ins counted, without what is known only at the end of the load.
-pub fn counted(fleet: &Fleet, load_start: Duration, load_length: Duration) -> Counted {
-    let lived = fleet.engines.started().elapsed();
-    Counted {
+/// Counters of the stand-ins; the caller adds those of the table service and the process.
+pub fn counters(fleet: &Fleet, load_start: Duration, load_length: Duration) -> Counters {
+    let uptime = fleet.engines.started().elapsed();
+    Counters {
         load_start,
         load_length,
         samples: samples(fleet),
         meters: fleet.engines.meters(),
-        engine_time: lived * fleet.servers.len() as u32,
-        ..Counted::default()
+        engine_time: uptime * fleet.servers.len() as u32,
+        ..Counters::default()
     }
 }
--- a/crates/lab/src/run/one.rs
+++ b/crates/lab/src/run/seed_run.rs
@@ -1,4 +1,4 @@
-//! One run: start the fleet, drive the load and the faults, settle, judge.
+//! Runs one seed: starts the fleet, drives load and faults, then checks the invariants.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -15,47 +15,46 @@
 use crate::faults::routine;
 use crate::fleet::Fleet;
 use crate::invariants::{self, Evidence};
-use crate::ledger::{Event, Ledger, RunClock};
-use crate::load::drive::{Callers, ClientMoods, LoadContext};
+use crate::load::drive::{Callers, ClientBehavior, LoadContext};
 use crate::load::plan::LoadPlan;
-use crate::measures::{self, Counted};
+use crate::measures::{self, Counters};
+use crate::recorder::{Event, Recorder, RunClock};
 use crate::replay;
 use crate::scenario::Policy;
 
-/// Time between the fleet being ready and the start of the load.
-const LEAD: Duration = Duration::from_millis(1_500);
-/// Time between two samples of revisions.
+/// Delay between the fleet becoming ready and the start of the load.
+const LOAD_START_DELAY: Duration = Duration::from_millis(1_500);
+/// Interval between samples of the nodes' revisions.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between the end of all callers and the judgement.
-const LAST_LOOK: Duration = Duration::from_millis(300);
+/// Delay between the end of callers and faults and the last sample of revisions.
+const FINAL_SAMPLE_DELAY: Duration = Duration::from_millis(300);
 
-/// File with all evidence of a run that failed.
+/// File with the evidence of a failed run.
 const EVIDENCE_FILE: &str = "evidence.json";
 
-/// What came of a run.
+/// Result of a run.
 pub struct RunOutcome {
-    /// Its summary, as written.
+    /// Summary as written to the output directory.
     pub summary: Summary,
-    /// Invariants that were violated or not checked.
+    /// Invariants that were violated or not checked, and other failures.
     pub failures: Vec<String>,
 }
 
 /// Runs one seed and writes its summary.
-pub async fn run_one(
+pub async fn run_seed(
     arguments: &RunArguments,
     seed: u64,
     directory: &Path,
 ) -> Result<RunOutcome, LabError> {
     let started_unix_s = unix_s();
-    let ledger = Ledger::new(RunClock::start());
+    let recorder = Recorder::new(RunClock::start());
     let scenario = &arguments.scenario;
-    let fleet = Rc::new(Fleet::start(scenario, seed, arguments.policy, ledger).await?);
-    tokio::time::sleep(LEAD).await;
-    let counted = drive(arguments, seed, &fleet).await;
+    let fleet = Rc::new(Fleet::start(scenario, seed, arguments.policy, recorder).await?);
+    tokio::time::sleep(LOAD_START_DELAY).await;
+    let counters = drive(arguments, seed, &fleet).await;
     let evidence = collect::evidence(&fleet);
-    let verdicts = invariants::judge(&evidence);
+    let verdicts = invariants::check_all(&evidence);
     let failures = failures(arguments, &evidence, &verdicts);
     let summary = Summary {
         scenario: scenario.name.clone(),
@@ -65,11 +64,11 @@
         faults: arguments.fault_name.clone(),
         started_unix_s,
         invariants: verdicts,
-        measures: measures::measures(&evidence, &counted),
+        measures: measures::measures(&evidence, &counters),
         not_done: not_done(&evidence),
-        series: measures::series(&evidence, &counted),
-        events: spans(&evidence, counted.load_start),
-        decisions: decisions::around_faults(&fleet, &evidence, counted.load_start),
+        series: measures::series(&evidence, &counters),
+        events: spans(&evidence, counters.load_start),
+        decisions: decisions::around_faults(&fleet, &evidence, counters.load_start),
     };
     summary.write(directory).map_err(LabError::failed)?;
     if !failures.is_empty() {
@@ -83,37 +82,41 @@
     Ok(RunOutcome { summary, failures })
 }
 
-/// Keeps all evidence of a run that failed, for the search of the cause.
+/// Writes the evidence of a failed run for analysis.
 fn write_evidence(evidence: &Evidence, directory: &Path) -> Result<(), LabError> {
     let text = serde_json::to_string(evidence).map_err(LabError::failed)?;
     std::fs::write(directory.join(EVIDENCE_FILE), text).map_err(LabError::failed)
 }
 
-/// Drives load and faults to their end.
-async fn drive(arguments: &RunArguments, seed: u64, fleet: &Rc<Fleet>) -> Counted {
-    let load_start = fleet.ledger.clock.now();
-    let moods = Arc::new(ClientMoods::default());
-    let context = load_context(arguments, seed, fleet, load_start, moods.clone());
+/// Runs load and faults to completion.
+async fn drive(arguments: &RunArguments, seed: u64, fleet: &Rc<Fleet>) -> Counters {
+    let load_start = fleet.recorder.clock.now();
+    let client_behavior = Arc::new(ClientBehavior::default());
+    let context = load_context(arguments, seed, fleet, load_start, client_behavior.clone());
     let mut faults = routine::events(&arguments.scenario.routine, arguments.length);
     faults.extend(arguments.faults.fault.iter().cloned());
-    let injector = Injector::new(fleet.clone(), moods, load_start);
+    let injector = Injector::new(fleet.clone(), client_behavior, load_start);
     let injecting = actix_rt::spawn(injector.run(faults, seed));
-    let watching = actix_rt::spawn(watch(fleet.clone(), load_start, arguments.length));
+    let watching = actix_rt::spawn(sample_and_print(
+        fleet.clone(),
+        load_start,
+        arguments.length,
+    ));
     let process = ProcessTime::now();
     let writes_before = collect::store_writes(fleet);
     let callers = Callers::start(&context);
     tokio::time::sleep(arguments.length).await;
-    let mut counted = collect::counted(fleet, load_start, arguments.length);
-    counted.store_writes = collect::store_writes(fleet) - writes_before;
-    counted.process_cores = process.cores_since();
-    counted.process_rss_mb = rss_mb();
+    let mut counters = collect::counters(fleet, load_start, arguments.length);
+    counters.store_writes = collect::store_writes(fleet) - writes_before;
+    counters.process_cores = process.cores_since();
+    counters.process_rss_mb = rss_mb();
     callers.finish().await;
-    // A fault that outlives the load holds on to the fleet; its end is awaited.
+    // A fault that outlives the load still uses the fleet.
     let _ = injecting.await;
-    tokio::time::sleep(LAST_LOOK).await;
+    tokio::time::sleep(FINAL_SAMPLE_DELAY).await;
     watching.abort();
     let _ = watching.await;
-    counted
+    counters
 }
 
 fn load_context(
@@ -121,7 +124,7 @@
     seed: u64,
     fleet: &Fleet,
     start: Duration,
-    moods: Arc<ClientMoods>,
+    client_behavior: Arc<ClientBehavior>,
 ) -> LoadContext {
     let scenario = &arguments.scenario;
     let mut plan = LoadPlan::draw(scenario, seed, arguments.length);
@@ -131,26 +134,26 @@
     let settle = Duration::from_millis(scenario.bounds.settle_ms);
     LoadContext {
         plan: Arc::new(plan),
-        ledger: fleet.ledger.clone(),
+        recorder: fleet.recorder.clone(),
         start,
-        give_up: start + arguments.length + settle,
-        read_again: start + arguments.length,
+        give_up_at: start + arguments.length + settle,
+        reread_at: start + arguments.length,
         sidecars: fleet.sidecar_urls(),
         service: scenario.service.name.clone(),
         batch_service: scenario.batch_service(arguments.policy),
         versions: vec![scenario.service.version.clone()],
         batch: scenario.batch.clone(),
-        moods,
+        client_behavior,
         seed,
     }
 }
 
-/// Samples revisions and prints progress until it is aborted.
-async fn watch(fleet: Rc<Fleet>, load_start: Duration, length: Duration) {
+/// Samples revisions and prints progress until aborted.
+async fn sample_and_print(fleet: Rc<Fleet>, load_start: Duration, length: Duration) {
     let mut next_line = load_start + PROGRESS_INTERVAL;
     loop {
         fleet.sample_revisions();
-        let now = fleet.ledger.clock.now();
+        let now = fleet.recorder.clock.now();
         if now >= next_line {
             next_line = now + PROGRESS_INTERVAL;
             let phase = if now < load_start + length {
@@ -164,7 +167,7 @@
     }
 }
 
-/// Invariants about batch work cannot be checked where there is none.
+/// Invariants that cannot be checked without batch work.
 const BATCH_INVARIANTS: [&str; 3] = ["exactly_once", "results_readable", "cancellation_effective"];
 
 fn failures(
@@ -190,7 +193,7 @@
         ));
     }
     for event in &evidence.observations.events {
-        // One of the two wins, unless the store is away.
+        // One plan is accepted and one refused, fewer if the store is unavailable.
         if let Event::Race {
             accepted,
             overtaken,
@@ -238,7 +241,7 @@
 async fn stop(fleet: Rc<Fleet>) {
     match Rc::try_unwrap(fleet) {
         Ok(fleet) => fleet.stop().await,
-        Err(_) => tracing::warn!("a task still holds the fleet; it ends with the process"),
+        Err(_) => tracing::warn!("fleet is still in use by a task and was not stopped"),
     }
 }
 
--- a/crates/lab/src/tradeoff.rs
+++ b/crates/lab/src/tradeoff.rs
@@ -1,4 +1,4 @@
-//! `tradeoff`: the curve of batch throughput against online harm, as an SVG file.
+//! `dappleyard-lab tradeoff`: draws batch throughput against online degradation as an SVG file.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,7 +9,6 @@
 
 use crate::error::{LabError, report};
 
-/// Arguments of `tradeoff`.
 pub fn command() -> Command {
     Command::new("tradeoff")
         .about("Draws batch throughput against online harm from runs under different settings")
@@ -57,7 +56,6 @@
         )
 }
 
-/// Draws the curve.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     report(draw(arguments))
 }
@@ -90,7 +88,7 @@
     let harm = arguments.get_one::<String>("harm");
     let harm = harm
         .and_then(|name| MEASURES.iter().find(|measure| measure.name == name))
-        .ok_or_else(|| LabError::usage("no such measure"))?;
-    let svg = draw_curve(title, harm, &path("baseline"), &settings).map_err(LabError::failed)?;
+        .ok_or_else(|| LabError::usage("unknown measure"))?;
+    let svg = curve(title, harm, &path("baseline"), &settings).map_err(LabError::failed)?;
     std::fs::write(path("out"), svg).map_err(LabError::failed)
 }
--- a/crates/lab/tests/results.rs
+++ b/crates/lab/tests/results.rs
@@ -1,9 +1,9 @@
-//! The check of a job's results sees what is wrong with each item.
+//! The check of a job's results reports each kind of problem.
 
-use dappleyard_lab::ledger::ItemFinding;
-use dappleyard_lab::load::expected::canonical;
+use dappleyard_lab::load::expected::canonical_prompt;
 use dappleyard_lab::load::plan::ItemPlan;
-use dappleyard_lab::load::results::judge;
+use dappleyard_lab::load::results::check_results;
+use dappleyard_lab::recorder::ItemFinding;
 use dappleyard_standin::text;
 use googletest::prelude::*;
 use serde_json::json;
@@ -26,12 +26,12 @@
 }
 
 fn right(item: &ItemPlan) -> String {
-    let prompt = canonical(&item.system, &item.user);
+    let prompt = canonical_prompt(&item.system, &item.user);
     text::expected(VERSION, &prompt, item.max_tokens).text
 }
 
 #[gtest]
-fn each_kind_of_wrong_result_is_seen() {
+fn each_kind_of_wrong_result_is_reported() {
     let items: Vec<ItemPlan> = ["right", "doubled", "wrong", "failed", "missing"]
         .map(item)
         .to_vec();
@@ -44,7 +44,7 @@
         json!({"custom_id": "failed", "error": {"code": "internal"}}).to_string(),
         line("foreign", "text"),
     ];
-    let found = judge(lines.join("\n").as_bytes(), &items, &[VERSION.to_owned()]);
+    let found = check_results(lines.join("\n").as_bytes(), &items, &[VERSION.to_owned()]);
     expect_that!(found.right, eq(1));
     expect_that!(
         found.findings,
