--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -50,7 +50,7 @@
         let cut = self.faults.cut.read();
         let is_cut =
             !cut.is_empty() && (cut.contains(peer) || cut.contains(&*self.own_address.read()));
-        LinkState {
+        PathState {
             delay: Duration::ZERO,
             cut: is_cut,
             loss: self.faults.loss,
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -109,7 +109,7 @@
             region: server.location.region.as_str().into(),
             zone: server.location.zone.as_str().into(),
             hall: server.location.zone.clone(),
-            address: engines.base(&server.name),
+            address: engines.base_url(&server.name),
             service: scenario.service_of(policy, index).into(),
             leaving: false,
             name: server.name,
--- a/crates/lab/src/invariants/configuration.rs
+++ b/crates/lab/src/invariants/configuration.rs
@@ -21,7 +21,7 @@
                 .iter()
                 .find(|sample| sample.at >= due && sample.ready);
             let Some(sample) = first else { continue };
-            verdict.case(sample.revision >= change.revision, || {
+            verdict.count_case(sample.revision >= change.revision, || {
                 format!(
                     "revision {} ({}) accepted {}, but {node} has {} at {}",
                     change.revision,
@@ -90,7 +90,7 @@
             }
             let Some(served) = served else { continue };
             let floor = revision_on_all_nodes(&nodes, before.at);
-            verdict.case(served.revision >= floor, || {
+            verdict.count_case(served.revision >= floor, || {
                 format!(
                     "{node} ready again at {} with revision {}, but all nodes had reached {floor}",
                     format_time(served.at),
--- a/crates/lab/src/invariants/jobs.rs
+++ b/crates/lab/src/invariants/jobs.rs
@@ -13,7 +13,7 @@
     for job in &evidence.observations.jobs {
         let Some(id) = job.id() else { continue };
         let one_job = job.ids.iter().all(|other| other == id);
-        verdict.case(one_job, || {
+        verdict.count_case(one_job, || {
             format!("{}: several jobs for one key: {:?}", job.name, job.ids)
         });
         check_items(&mut verdict, job, id);
@@ -26,7 +26,7 @@
         let items = u64::from(job.items);
         let unread = job.unread.as_deref().unwrap_or("it has not ended");
         let accepted = format_time(job.accepted.unwrap_or_default());
-        verdict.cases(items, false, || {
+        verdict.count_cases(items, false, || {
             format!(
                 "{} ({id}, accepted {accepted}): status {}, {items} items without result: {unread}",
                 job.name, job.status
--- a/crates/lab/src/invariants/shutdown.rs
+++ b/crates/lab/src/invariants/shutdown.rs
@@ -55,7 +55,7 @@
         }
         for record in &evidence.observations.online {
             if overlap((record.sent, record.ended), (stop.told, stop.stopped)) {
-                verdict.case(!was_interrupted(record), || {
+                verdict.count_case(!was_interrupted(record), || {
                     format!(
                         "{} ({}) sent {}, ended {} while {} stopped {}..{}: {:?}",
                         record.name,
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -96,7 +96,7 @@
     }
 
     /// State of the link between two locations.
-    pub fn link_state(&self, one: &NetworkLocation, other: &NetworkLocation) -> LinkState {
+    pub fn link_state(&self, one: &NetworkLocation, other: &NetworkLocation) -> PathState {
         let faults = self.faults.read();
         PathState {
             delay: self.delay(one, other),
@@ -131,9 +131,9 @@
 
 impl LinkPolicy for ProcessPolicy {
     /// Unknown peers are reached directly, without faults.
-    fn path(&self, peer: &str) -> LinkState {
+    fn path(&self, peer: &str) -> PathState {
         let locations = self.network.locations.read();
-        locations.get(peer).map_or(LinkState::DIRECT, |location| {
+        locations.get(peer).map_or(PathState::DIRECT, |location| {
             self.network.link_state(&self.own_location, location)
         })
     }
--- a/crates/lab/src/tradeoff.rs
+++ b/crates/lab/src/tradeoff.rs
@@ -89,6 +89,6 @@
     let harm = harm
         .and_then(|name| MEASURES.iter().find(|measure| measure.name == name))
         .ok_or_else(|| LabError::usage("unknown measure"))?;
-    let svg = curve(title, harm, &path("baseline"), &settings).map_err(LabError::failed)?;
+    let svg = draw_curve(title, harm, &path("baseline"), &settings).map_err(LabError::failed)?;
     std::fs::write(path("out"), svg).map_err(LabError::failed)
 }
