--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,3 +1,5 @@
+//! The `dappleyard-lab` binary: parses the command line and runs the selected experiment.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/lab/src/measures/batch.rs
+++ b/crates/lab/src/measures/batch.rs
@@ -1,3 +1,6 @@
+//! Batch throughput, repeated items, store writes per item and the share of idle capacity used by
+//! batch work.
+
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/lab/src/measures/online.rs
+++ b/crates/lab/src/measures/online.rs
@@ -1,3 +1,5 @@
+//! Online goodput, token latencies and refusals, and the engine steps until batch work yields.
+
 use std::collections::BTreeMap;
 
 use dappleyard_report::summary::{Measures, Percentiles};
--- a/crates/lab/src/measures/series.rs
+++ b/crates/lab/src/measures/series.rs
@@ -1,3 +1,5 @@
+//! Load, latency, token and waiting-item series over the load, one value per 250 ms interval.
+
 use std::time::Duration;
 
 use dappleyard_report::summary::Series;
--- a/crates/lab/src/run/arguments.rs
+++ b/crates/lab/src/run/arguments.rs
@@ -1,3 +1,5 @@
+//! Options of the `run` subcommand: scenario, fault file, seeds, length, policy and output paths.
+
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
