--- a/crates/cluster/src/warmup_loads.rs
+++ b/crates/cluster/src/warmup_loads.rs
@@ -20,7 +20,7 @@
 }
 
 impl LoadEntry {
-    /// Merges the health answer of another entry if it is newer. `age` is the time since that entry
+    /// Takes over the warm-up report of another entry if its health check is newer. `age` is the time since that entry
     /// was received.
     pub(crate) fn merge_newer_report(&mut self, entry: &LoadEntry, age: Duration) {
         if entry.asked_ms == 0 {
@@ -104,20 +104,22 @@
         loads.warmup.warmup_state(now)
     }
 
-    /// When the server was first seen or last returned; older connections may be dead.
+    /// When the server was first seen, or responded for the first time after it was unobserved.
+    /// Connections opened earlier may lead to a process that no longer exists.
     pub fn returned_at(&self, server: &str) -> Option<Instant> {
         let servers = self.servers.lock();
         servers.get(&server_number(server))?.warmup.returned_at()
     }
 
-    /// Whether any node received bytes from the server after it became unobserved.
+    /// Whether the server is unobserved, but some node received bytes from it since.
     pub fn is_alive(&self, server: &str) -> bool {
         let servers = self.servers.lock();
         let loads = servers.get(&server_number(server));
         loads.is_some_and(|loads| loads.warmup.is_alive(Instant::now()))
     }
 
-    /// Records a health answer that this node received, and shares it with the other nodes.
+    /// Records the warm-up state in the response to a health check sent by this node at `asked`, and
+    /// shares it with the other nodes.
     pub fn note_warmup_report(&self, server: &str, asked: Instant, cold: Duration) {
         let report = WarmupReport { at: asked, cold };
         let now = Instant::now();
@@ -131,15 +133,15 @@
         self.change.notify_one();
     }
 
-    /// Records a health answer without a warm-up state.
+    /// Records a response to a health check that did not include the warm-up state.
     pub fn note_reached(&self, server: &str) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
         loads.warmup.note_reached(Instant::now());
     }
 
-    /// Records that the operators restored the server's zone; its warm-up state is unknown from
-    /// `at` on.
+    /// Records that the operators ended the evacuation of the server's zone; its warm-up state is
+    /// unknown from `at` on.
     pub fn note_restored(&self, server: &str, at: Instant) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
--- a/crates/cluster/tests/cold_quota.rs
+++ b/crates/cluster/tests/cold_quota.rs
@@ -1,5 +1,5 @@
-//! Rate limit for a cold server over all nodes, in simulated time: fixed quotas compared with
-//! exchanged counts.
+//! Total request rate of all nodes at one cold server, in simulated time: fixed quotas per node,
+//! and the rejected alternative, in which the nodes exchange counts of the requests they sent.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,11 +11,14 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+/// The operators' limit is the server's rate times `over` plus `slack` requests, within a second.
 const BOUNDS: ColdBounds = ColdBounds {
     over: 1.5,
     slack: 5.0,
 };
+/// Requests per second that the cold server accepts.
 const PER_S: f64 = 11.0;
+/// The operators' limit for `PER_S` and `BOUNDS`: 11 * 1.5 + 5, rounded down.
 const ALLOWED: usize = 21;
 const SERVER: &str = "i-7";
 /// Requests per second offered by all nodes: far more than the server accepts.
@@ -25,14 +28,14 @@
     nodes.map(|number| format!("node-{number}")).collect()
 }
 
-/// The nodes assigned to the server if `known` are the members.
-fn chosen(known: &[String]) -> Vec<String> {
+/// The nodes assigned to the server in a membership view with these nodes.
+fn assigned_nodes(members: &[String]) -> Vec<String> {
     let nodes = ColdQuota::new(PER_S, BOUNDS).nodes;
-    let place = |own: &&String| {
-        let others = known.iter().map(String::as_str);
-        assignment_rank(SERVER, own, others, nodes).is_some()
+    let is_assigned = |own: &&String| {
+        let candidates = members.iter().map(String::as_str);
+        assignment_rank(SERVER, own, candidates, nodes).is_some()
     };
-    known.iter().filter(place).cloned().collect()
+    members.iter().filter(is_assigned).cloned().collect()
 }
 
 /// Maximum number of requests within any second.
@@ -50,14 +53,14 @@
     most
 }
 
-/// Arrivals over ten seconds if these nodes are assigned to the server. With `restarts`, single
-/// nodes restart in between.
+/// Times in milliseconds at which requests reach the server within ten seconds, if these nodes are
+/// assigned to it. With `restarts`, a random node restarts every 700 ms.
 fn arrivals(assigned: &BTreeSet<String>, restarts: bool, seed: u64) -> Vec<u64> {
-    let share = ColdQuota::new(PER_S, BOUNDS);
+    let quota = ColdQuota::new(PER_S, BOUNDS);
     let mut random = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let long_ago = start.checked_sub(Duration::from_secs(9)).unwrap_or(start);
-    let mut parts: Vec<ColdQuotaUsage> = assigned
+    let mut usages: Vec<ColdQuotaUsage> = assigned
         .iter()
         .map(|_| ColdQuotaUsage::new(long_ago))
         .collect();
@@ -65,23 +68,24 @@
     for at_ms in 0..10_000 {
         let now = start + Duration::from_millis(at_ms);
         if restarts && at_ms % 700 == 350 {
-            let node = random.random_range(0..parts.len());
-            parts[node] = ColdQuotaUsage::new(now);
+            let node = random.random_range(0..usages.len());
+            usages[node] = ColdQuotaUsage::new(now);
         }
         if random.random_range(0..1_000) >= ASKED_PER_S {
             continue;
         }
-        let node = random.random_range(0..parts.len());
-        if parts[node].take(1, share.requests, now) {
+        let node = random.random_range(0..usages.len());
+        if usages[node].take(1, quota.requests, now) {
             sent.push(at_ms);
         }
     }
     sent
 }
 
-/// The same load on nodes that exchange counts every `every_ms` and send while the known sum is
-/// below the server's rate. With `split`, the fleet is partitioned in two.
-fn arrivals_by_counts(nodes: usize, every_ms: u64, split: bool, seed: u64) -> Vec<u64> {
+/// The same load on nodes that exchange counts every `every_ms`; a node sends while the count known
+/// to it for the last second is below the server's rate. With `partitioned`, the nodes are in two
+/// halves without messages between them.
+fn arrivals_by_counts(nodes: usize, every_ms: u64, partitioned: bool, seed: u64) -> Vec<u64> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut sent: Vec<(u64, usize)> = Vec::new();
     for at_ms in 0..10_000_u64 {
@@ -89,11 +93,11 @@
             continue;
         }
         let node = random.random_range(0..nodes);
-        let told = at_ms - at_ms % every_ms;
-        let known = sent.iter().filter(|(at, by)| {
-            let same_side = !split || by % 2 == node % 2;
-            let heard = *by == node || (same_side && *at < told);
-            at_ms - at < 1_000 && heard
+        let last_exchange_ms = at_ms - at_ms % every_ms;
+        let known = sent.iter().filter(|(at, sender)| {
+            let same_side = !partitioned || sender % 2 == node % 2;
+            let is_known = *sender == node || (same_side && *at < last_exchange_ms);
+            at_ms - at < 1_000 && is_known
         });
         if known.count() < PER_S as usize {
             sent.push((at_ms, node));
@@ -103,10 +107,10 @@
 }
 
 #[gtest]
-fn quotas_add_up_to_half_of_operator_limit() {
-    let share = ColdQuota::new(PER_S, BOUNDS);
+fn quotas_add_up_to_at_most_half_of_operator_limit() {
+    let quota = ColdQuota::new(PER_S, BOUNDS);
     expect_that!(
-        share,
+        quota,
         eq(ColdQuota {
             nodes: 5,
             requests: 2
@@ -119,8 +123,8 @@
         (500.0, 2.0, 9.0),
     ] {
         let bounds = ColdBounds { over, slack };
-        let share = ColdQuota::new(per_s, bounds);
-        let total = f64::from(share.nodes * share.requests);
+        let quota = ColdQuota::new(per_s, bounds);
+        let total = f64::from(quota.nodes * quota.requests);
         expect_that!(total, le(per_s));
         expect_that!(2.0 * total, le(per_s * over + slack));
         expect_that!(total, ge(1.0));
@@ -129,7 +133,7 @@
 
 #[gtest]
 fn one_view_stays_within_server_rate() {
-    let assigned: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
+    let assigned: BTreeSet<String> = assigned_nodes(&names(0..22)).into_iter().collect();
     expect_that!(assigned.len(), eq(5));
     for seed in 0..5 {
         let most = most_in_a_second(arrivals(&assigned, false, seed));
@@ -140,8 +144,8 @@
 
 #[gtest]
 fn disjoint_views_stay_within_operator_limit() {
-    let one = chosen(&names(0..22));
-    let other = chosen(&names(22..44));
+    let one = assigned_nodes(&names(0..22));
+    let other = assigned_nodes(&names(22..44));
     let assigned: BTreeSet<String> = one.into_iter().chain(other).collect();
     expect_that!(assigned.len(), eq(10));
     for seed in 0..5 {
@@ -154,7 +158,7 @@
 
 #[gtest]
 fn restarts_do_not_add_quota() {
-    let assigned: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
+    let assigned: BTreeSet<String> = assigned_nodes(&names(0..22)).into_iter().collect();
     for seed in 0..5 {
         expect_that!(most_in_a_second(arrivals(&assigned, true, seed)), le(10));
     }
@@ -162,25 +166,25 @@
 
 #[gtest]
 fn lost_node_changes_one_assignment() {
-    let before: BTreeSet<String> = chosen(&names(0..22)).into_iter().collect();
+    let before: BTreeSet<String> = assigned_nodes(&names(0..22)).into_iter().collect();
     for lost in 0..22 {
         let left: Vec<String> = names(0..22)
             .into_iter()
             .filter(|name| *name != format!("node-{lost}"))
             .collect();
-        let after: BTreeSet<String> = chosen(&left).into_iter().collect();
+        let after: BTreeSet<String> = assigned_nodes(&left).into_iter().collect();
         expect_that!(before.union(&after).count(), le(6));
     }
 }
 
 #[gtest]
 fn exchanged_counts_exceed_operator_limit() {
-    // Justifies fixed quotas: exchanged counts exceed the limit because of their delay, and under a
-    // partition.
-    let most = |every_ms, split| {
+    // The reason for fixed quotas: nodes that exchange counts exceed the limit, because the counts
+    // arrive late and do not cross a partition.
+    let most = |every_ms, partitioned| {
         let seeds = 0..5;
         let runs =
-            seeds.map(|seed| most_in_a_second(arrivals_by_counts(22, every_ms, split, seed)));
+            seeds.map(|seed| most_in_a_second(arrivals_by_counts(22, every_ms, partitioned, seed)));
         runs.max().unwrap_or(0)
     };
     let (quick, slow, cut) = (most(25, false), most(150, false), most(150, true));
@@ -192,15 +196,16 @@
 #[gtest]
 fn quota_counts_as_used_after_start() {
     let start = Instant::now();
-    let parts = ColdQuotaUsage::new(start);
+    let usages = ColdQuotaUsage::new(start);
     expect_that!(
-        parts.take(1, 2, start + Duration::from_millis(1_000)),
+        usages.take(1, 2, start + Duration::from_millis(1_000)),
         eq(false)
     );
+    // The window of the quotas: a second plus the allowance for network delay.
     let later = start + Duration::from_millis(1_050);
-    expect_that!(parts.has_left(1, 2, later), eq(true));
+    expect_that!(usages.has_left(1, 2, later), eq(true));
     expect_that!(
-        [1, 1, 1, 2].map(|server| parts.take(server, 2, later)),
+        [1, 1, 1, 2].map(|server| usages.take(server, 2, later)),
         eq([true, true, false, true])
     );
 }
