--- a/crates/cluster/src/cadence.rs
+++ b/crates/cluster/src/cadence.rs
@@ -63,8 +63,8 @@
 /// Number of rounds until the next one in which a message is due, in a zone with this many other
 /// nodes. `sends_sums` is set for a delegate of a large fleet.
 pub fn rounds_until_due(round: u32, other_zone_nodes: usize, sends_sums: bool) -> u32 {
-    let is_due = |offset: &u32| {
-        let due_messages = due_messages(round.wrapping_add(*offset), other_zone_nodes);
+    let is_due = |rounds: &u32| {
+        let due_messages = due_messages(round.wrapping_add(*rounds), other_zone_nodes);
         due_messages.heartbeat || (sends_sums && due_messages.sums)
     };
     let max_rounds = LARGE_ZONE_HEARTBEAT_ROUNDS;
--- a/crates/cluster/src/demand.rs
+++ b/crates/cluster/src/demand.rs
@@ -11,7 +11,7 @@
 
 use crate::server_loads::Source;
 
-/// Older reports are ignored.
+/// Age from which the report of another node is ignored.
 const REPORT_LIFE: Duration = Duration::from_millis(1_500);
 /// Most tenants per service in one message; those with the least work are left out.
 const MAX_TENANTS_SENT: usize = 32;
@@ -69,7 +69,7 @@
         report.filter(|demand| !demand.is_empty()).collect()
     }
 
-    /// The report of a source and its age in spans; `None` if it has expired.
+    /// The report of a source and its age in multiples of `RETRY_INTERVAL`; `None` if it has expired.
     fn report_of(&self, source: &Source, now: Instant) -> Option<(usize, &[Demand])> {
         let (at, demands) = self.others.get(source)?;
         let age = now.saturating_duration_since(*at);
@@ -77,7 +77,7 @@
         (age < REPORT_LIFE).then_some((spans, demands.as_slice()))
     }
 
-    /// Sum of this node's demand and that of the counted sources, by service.
+    /// Sum of this node's demand and that of the sources for which `counted` holds, by service.
     fn sum(&mut self, counted: impl Fn(&Source) -> bool, now: Instant) -> HashMap<u32, Demand> {
         let own = self.own_report(now).into_iter();
         let mut sums: HashMap<u32, Demand> = own.map(|demand| (demand.service, demand)).collect();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Limits the sums to what is sent in messages.
+/// Limits the tenants of each sum to `MAX_TENANTS_SENT`, and drops empty sums.
 fn limited(sums: HashMap<u32, Demand>) -> Vec<Demand> {
     let mut sums: Vec<Demand> = sums.into_values().collect();
     sums.iter_mut()
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Records that a rejected request must retry after `after`.
+    /// Records that the caller of a rejected request was asked to retry after `after`.
     pub fn note_retry(&self, service: &str, after: Duration) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -224,7 +224,8 @@
         nodes.iter().map(without).collect()
     }
 
-    /// Updates the demand of a source from which a heartbeat was received before.
+    /// Replaces the demand of a source that is known from an earlier report; the demand of an
+    /// unknown one is ignored.
     pub(crate) fn change_source(&self, source: Source, demands: Vec<Demand>) {
         let update = (Instant::now(), demands);
         let mut state = self.state.lock();
--- a/crates/cluster/src/directory.rs
+++ b/crates/cluster/src/directory.rs
@@ -28,8 +28,9 @@
 /// Maximum age of the liveness record of a node in another region: two forwarding intervals of 450
 /// ms, one more for a lost datagram, and the network delay.
 const MAX_FAR_AGE: Duration = Duration::from_millis(1_500);
-/// Maximum age of nodes listed by a node whose zone seems partitioned. Operators rely on a node
-/// being listed no longer once it has been gone for several seconds.
+/// Maximum age of the liveness record of nodes that are not ready, but are listed because the zone
+/// of the answering node seems partitioned. Operators rely on a node that is gone not being listed
+/// for more than a few seconds.
 const MAX_LAST_KNOWN_AGE: Duration = Duration::from_millis(4_500);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -94,6 +95,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCounts {
     nodes: usize,
+    /// Nodes whose newest liveness record is older than `ZONE_SILENCE_TIMEOUT`.
     silent: usize,
 }
 
@@ -163,7 +165,7 @@
     partitioned: bool,
     nodes: &[&'a FrontNode],
 ) -> Vec<&'a FrontNode> {
-    let at = |distance: Distance| -> Vec<&'a FrontNode> {
+    let at_distance = |distance: Distance| -> Vec<&'a FrontNode> {
         let matching = |node: &&&FrontNode| context.places.distance(zone, &node.zone) == distance;
         let mut matching: Vec<&FrontNode> = nodes.iter().filter(matching).copied().collect();
         // The order depends on the caller's zone, which spreads the callers of several zones over
@@ -171,15 +173,15 @@
         matching.sort_by_key(|node| (!node.strong, hash_order(zone, node)));
         matching
     };
-    let mut own = at(Distance::SameZone);
+    let mut own = at_distance(Distance::SameZone);
     own.sort_by_key(|node| hash_order(zone, node));
-    let region = at(Distance::SameRegion);
+    let region = at_distance(Distance::SameRegion);
     let spare_count = spare_count(&own, &region, context.tolerated, partitioned);
     own.truncate(MAX_ADDRESSES - spare_count.min(MAX_ADDRESSES / 4));
     let mut chosen = own;
     chosen.extend(region.into_iter().take(spare_count));
     if chosen.len() < MIN_CHOICES {
-        let mut far = at(Distance::OtherRegion);
+        let mut far = at_distance(Distance::OtherRegion);
         if !partitioned && far.iter().any(|node| node.age <= MAX_FAR_AGE) {
             far.retain(|node| node.age <= MAX_FAR_AGE);
         }
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -102,8 +102,8 @@
             .filter(|held| rows.iter().all(|row| row.zone != held.zone))
             .map(|held| held.zone)
             .collect();
-        let given = rows.iter().filter(|row| row.readable);
-        let mut changes: Vec<EvacuationChange> = given
+        let readable = rows.iter().filter(|row| row.readable);
+        let mut changes: Vec<EvacuationChange> = readable
             .filter_map(|row| self.issue(&row.zone, row.revision, now))
             .collect();
         changes.extend(
@@ -121,7 +121,7 @@
 
     /// When this node learned that the zone was restored; `None` without a known order or while one
     /// is active. Warm-up states from before that time are invalid, since the servers may have
-    /// cooled down meanwhile.
+    /// restarted during the evacuation.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         match self.zones.get(zone)?.state {
             ZoneState::Restored(at) => Some(at),
@@ -163,7 +163,7 @@
     }
 
     /// Drops the oldest withdrawals above the limit. Their revision becomes the lower bound for new
-    /// rows, so that a stale row cannot restore an order.
+    /// rows, so that a stale row cannot activate a withdrawn order.
     fn prune_withdrawn(&mut self) {
         let withdrawn = |held: &OrderEntry| matches!(held.state, ZoneState::Restored(_));
         let mut revisions: Vec<u64> = self
@@ -176,9 +176,9 @@
             return;
         }
         revisions.sort_unstable();
-        let last = revisions[revisions.len() - MAX_WITHDRAWN - 1];
+        let newest_dropped = revisions[revisions.len() - MAX_WITHDRAWN - 1];
         self.zones
-            .retain(|_, held| !withdrawn(held) || held.revision > last);
-        self.stale_up_to = self.stale_up_to.max(last);
+            .retain(|_, held| !withdrawn(held) || held.revision > newest_dropped);
+        self.stale_up_to = self.stale_up_to.max(newest_dropped);
     }
 }
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -249,8 +249,8 @@
         let packet = Packet { kind: Some(kind) };
         let bytes = packet.encode_to_vec();
         for target in targets {
-            // The next message makes up for a lost datagram, but not for one that is always too
-            // long.
+            // A lost datagram is made up for by the next message. One that is too long is never
+            // sent, so the error is logged.
             if let Err(error) = self.socket.try_send_to(&bytes, target) {
                 self.peers.log.write("datagram_not_sent", || {
                     serde_json::json!({"to": target.to_string(), "bytes": bytes.len(),
--- a/crates/cluster/src/large_fleet.rs
+++ b/crates/cluster/src/large_fleet.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Sends this node's loads to the delegates of its zone. A random node gets a heartbeat at
-    /// times, and several random nodes do while no delegate is heard.
+    /// Sends this node's loads to the delegates of its zone. With `include_far`, one random node
+    /// gets a heartbeat too; while no delegate is heard, `FANOUT` random nodes do in each call.
     fn send_to_delegates(&self, include_far: bool) {
         let message = self.heartbeat(true, None);
         self.send(message, self.near_delegates.borrow().iter().copied());
@@ -75,7 +75,7 @@
         let sums = sums.into_iter().zip(self.loads.demand.sums_without(&all));
         for (peer, (loads, demands)) in near.iter().zip(sums) {
             let message = match delegates.contains(&peer.name) {
-                // The other delegate aggregates loads itself.
+                // Another delegate adds up the loads of the zone itself.
                 true => self.heartbeat(true, signs.clone()),
                 false => PacketKind::Summary(Summary {
                     levels: self.quotas.levels_for(node_number(&peer.name)),
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Delegates of other zones to which this delegate sends: all of the own region, and its share
-    /// of those of other regions.
+    /// Delegates of other zones to which this delegate sends: first all those of the own region,
+    /// then its share of those of other regions.
     pub(crate) fn other_delegates<'a>(
         &self,
         roster: &'a Roster,
@@ -189,7 +189,7 @@
         if delegates.is_empty() {
             return;
         }
-        // Loads are sent again once the zone is heard.
+        // The heartbeat holds no loads; these are sent again once the zone is heard.
         let addresses: Vec<SocketAddr> = delegates.iter().map(|node| node.address).collect();
         let mut signs = self
             .peers
--- a/crates/cluster/src/loads.rs
+++ b/crates/cluster/src/loads.rs
@@ -20,7 +20,8 @@
 const NODE_ORDER_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 /// Time after which a server without work or reports is dropped.
 const IDLE_RETENTION: Duration = Duration::from_secs(15);
-/// Weight of a new sample in the moving average of the delay of the first event.
+/// Weight of a new sample in the moving average of how much later than expected the first event of
+/// a response arrives.
 const EXCESS_SMOOTHING: f64 = 0.25;
 
 /// Kind of work.
@@ -45,6 +46,7 @@
     pub(crate) servers: Mutex<HashMap<u32, ServerLoads>>,
     /// Servers of suspected zones. Never locked together with `servers`.
     restricted: Mutex<HashSet<u32>>,
+    /// Signalled when online work exceeds the slots of a server where this node runs batch items.
     pressure: Notify,
     /// Signalled when this node or another finds a server silent.
     silent: Notify,
@@ -103,7 +105,8 @@
 
     /// Number of batch items this node must pause at a server so that no online request waits
     /// behind batch work. `keep` is the number of requests and items that may stay. All nodes
-    /// compute from the same loads, so their shares add up.
+    /// compute from the same loads and in the same order: a node pauses what the nodes before it do
+    /// not cover.
     pub fn pause_share(&self, server: &str, keep: u32, own: u64) -> u32 {
         let now = Instant::now();
         let number = server_number(server);
@@ -152,7 +155,7 @@
             self.silent.notify_one();
         }
         if loads.peers.values().any(|(_, entry)| entry.failed > 0) {
-            // The nodes where the requests failed write the log record.
+            // Not logged here: the nodes where the requests failed log the ejection.
             loads.evaluate(now);
         }
         self.signal_pressure(loads);
@@ -301,7 +304,7 @@
             .min()
     }
 
-    /// Adds a sample of the delay of the first event beyond the expected time.
+    /// Adds a sample of how much later than expected the first event of a response arrived.
     pub fn note_excess(&self, server: &str, excess_ms: f64) {
         let mut servers = self.servers.lock();
         let loads = servers.entry(server_number(server)).or_default();
@@ -311,7 +314,8 @@
         loads.excess_at = Some(now);
     }
 
-    /// Drops servers without work of this node and without recent reports.
+    /// Drops servers without work of this node, recent reports, recent bytes and a warm-up state
+    /// that must be kept.
     pub fn sweep(&self) {
         let now = Instant::now();
         self.servers.lock().retain(|_, loads| {
@@ -332,11 +336,12 @@
     table: Arc<LoadTable>,
     server: u32,
     kind: WorkKind,
+    /// Prompt tokens that the server has not processed yet.
     unread_tokens: u32,
 }
 
 impl InFlight {
-    /// The server has processed the prompt.
+    /// Records that the server has processed the prompt.
     pub fn prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.unread_tokens);
         if tokens == 0 {
--- a/crates/cluster/src/peers.rs
+++ b/crates/cluster/src/peers.rs
@@ -21,7 +21,7 @@
 const SAME_ZONE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Silence after which a node of another zone counts as down in a small fleet.
 pub(crate) const OTHER_ZONE_TIMEOUT: Duration = Duration::from_millis(1600);
-/// Maximum number of nodes of a small fleet, in which every node hears every other.
+/// Maximum number of nodes of a small fleet, in which every node sends heartbeats to every other.
 pub const MAX_FULL_MESH_NODES: usize = 24;
 /// Silence after which a node counts as down in a large fleet, where heartbeats are relayed.
 pub(crate) const RELAYED_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -32,7 +32,8 @@
 /// Silence of the store after which a node counts as isolated from it.
 const STORE_TIMEOUT: Duration = Duration::from_millis(3200);
 
-/// When the store last answered a direct call of the sender.
+/// When the store last answered a direct call of the sender. The heartbeat holds the age in
+/// milliseconds plus one; 0 stands for no answer.
 pub(crate) fn last_direct_answer(heartbeat: &Heartbeat, now: Instant) -> Option<Instant> {
     let age_ms = u64::from(heartbeat.direct_age_ms.checked_sub(1)?);
     now.checked_sub(Duration::from_millis(age_ms))
@@ -157,7 +158,7 @@
         self.changes.fetch_add(1, Ordering::Release);
     }
 
-    /// Waits for the next change of a node row.
+    /// Waits for the next change of any node row.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
@@ -193,13 +194,13 @@
         others.chain(own).collect()
     }
 
-    /// The other nodes that callers may be sent to: those that accept requests, and silent ones
+    /// The other nodes whose addresses callers may get: those that accept requests, and silent ones
     /// that did when they were last heard.
     pub fn front_nodes(&self) -> Vec<FrontNode> {
         let now = Instant::now();
         let peers = self.peers.lock();
         let others = peers.iter().filter(|(name, _)| **name != self.own_name);
-        let taking = others.filter_map(|(_, peer)| {
+        let listed = others.filter_map(|(_, peer)| {
             let ready = match self.evaluate_status(peer, now, peers.len()) {
                 PeerStatus::Ready => true,
                 PeerStatus::Down if peer.was_ready() => false,
@@ -214,7 +215,7 @@
                 strong: peer.row.strong,
             })
         });
-        taking.collect()
+        listed.collect()
     }
 
     /// Heartbeat targets: address, and whether the node is in the own zone.
@@ -331,7 +332,8 @@
         true
     }
 
-    /// Whether nodes exceed `MAX_FULL_MESH_NODES`, so that not every node hears every other.
+    /// Whether the fleet has more than `MAX_FULL_MESH_NODES` nodes, so that heartbeats go to
+    /// delegates instead of all nodes.
     pub fn is_large(&self) -> bool {
         self.peers.lock().len() > MAX_FULL_MESH_NODES
     }
--- a/crates/cluster/src/servers.rs
+++ b/crates/cluster/src/servers.rs
@@ -11,7 +11,7 @@
 
 use crate::zone_distances::ZoneDistances;
 
-/// Up to this many servers in one region, a node uses all of them.
+/// A node uses all servers of a service that has at most this many, all of them in its region.
 const MAX_ALL_USED: usize = 64;
 /// Servers of its own zone that a node of a large fleet uses.
 const OWN_ZONE_USED: usize = 40;
@@ -26,6 +26,7 @@
 /// Location and identity of a node, which determine the servers it uses.
 #[derive(Debug)]
 pub struct ServerSelector {
+    /// Hash of the node name.
     number: u64,
     zone_distances: Arc<ZoneDistances>,
 }
@@ -56,7 +57,7 @@
         Self::with_zone_distances(node, Arc::new(ZoneDistances::single_region(zone)))
     }
 
-    /// A node with the given network costs.
+    /// A node with the given distances to other zones.
     pub fn with_zone_distances(node: &str, zone_distances: Arc<ZoneDistances>) -> Self {
         Self {
             number: xxh3_64(node.as_bytes()),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Network costs from this node.
+    /// Distances from this node to the servers of each zone.
     pub fn zone_distances(&self) -> &Arc<ZoneDistances> {
         &self.zone_distances
     }
--- a/crates/cluster/src/view.rs
+++ b/crates/cluster/src/view.rs
@@ -99,7 +99,7 @@
         let mut known = self.known.lock();
         match known.sets_by_service.get(service) {
             None => Arc::default(),
-            Some(held) if !held.stale => held.set.clone(),
+            Some(cached) if !cached.stale => cached.set.clone(),
             Some(_) => self.build_set(&mut known, service),
         }
     }
@@ -112,15 +112,15 @@
 
     fn build_set(&self, known: &mut ViewState, service: &str) -> Arc<ServerSet> {
         let servers = known.servers.values().map(|(_, server)| server);
-        let open = servers.filter(|server| {
+        let accepting = servers.filter(|server| {
             server.service == service && Self::exclusion_of(known, server).is_none()
         });
-        let set = Arc::new(self.selector.servers(open.cloned().collect()));
-        let held = CachedSet {
+        let set = Arc::new(self.selector.servers(accepting.cloned().collect()));
+        let cached = CachedSet {
             set: set.clone(),
             stale: false,
         };
-        known.sets_by_service.insert(service.to_owned(), held);
+        known.sets_by_service.insert(service.to_owned(), cached);
         known.sets_built += 1;
         set
     }
@@ -168,7 +168,7 @@
     /// Hashes of the servers used by this node, for services of which it does not use all.
     pub(crate) fn used_servers(&self) -> Vec<u32> {
         let known = self.known.lock();
-        let sets = known.sets_by_service.values().map(|held| &held.set);
+        let sets = known.sets_by_service.values().map(|cached| &cached.set);
         let used = sets
             .filter(|set| set.is_large())
             .flat_map(|set| set.used.iter());
@@ -263,7 +263,7 @@
         known
             .sets_by_service
             .values_mut()
-            .for_each(|held| held.stale = true);
+            .for_each(|cached| cached.stale = true);
         let services: Vec<String> = known
             .servers
             .values()
@@ -279,13 +279,13 @@
     /// Marks the server set of a service for rebuilding; adds the service if it is new.
     pub(crate) fn mark_stale(known: &mut ViewState, service: &str) {
         match known.sets_by_service.get_mut(service) {
-            Some(held) => held.stale = true,
+            Some(cached) => cached.stale = true,
             None => {
-                let held = CachedSet {
+                let cached = CachedSet {
                     set: Arc::default(),
                     stale: true,
                 };
-                known.sets_by_service.insert(service.to_owned(), held);
+                known.sets_by_service.insert(service.to_owned(), cached);
             }
         }
     }
--- a/crates/cluster/src/warmup.rs
+++ b/crates/cluster/src/warmup.rs
@@ -259,7 +259,7 @@
     /// Applies a report of this node or another; the one with the latest health check wins. A check
     /// from before the server became unobserved is ignored.
     pub fn note_warmup_report(&mut self, report: WarmupReport, source: WarmupSource, now: Instant) {
-        if self.checked.is_some_and(|checked| checked.at >= report.at) {
+        if self.checked.is_some_and(|held| held.at >= report.at) {
             return;
         }
         if let Some((since, _)) = self.unobserved(now) {
@@ -277,8 +277,8 @@
 
     /// Records a response to a health check that did not include the warm-up state.
     pub fn note_reached(&mut self, now: Instant) {
-        if let Some(since_and_source) = self.unobserved(now) {
-            self.marked_unobserved = Some(since_and_source);
+        if let Some(held) = self.unobserved(now) {
+            self.marked_unobserved = Some(held);
             self.responded_without_state = true;
         }
     }
--- a/crates/cluster/src/zone_suspicion.rs
+++ b/crates/cluster/src/zone_suspicion.rs
@@ -9,9 +9,10 @@
 
 use dappleyard_clock::Instant;
 
-/// Silent servers from which a zone is suspected; all of them in a smaller zone.
+/// Minimum number of silent servers for a zone to be suspected. In a smaller zone all its servers
+/// must be silent, and at least two.
 const MIN_SILENT: usize = 3;
-/// Silent servers per responding one. High enough that independent crashes of a sixth of the
+/// Minimum ratio of silent to responding servers for a zone to be suspected. High enough that independent crashes of a sixth of the
 /// servers do not count.
 const SILENT_PER_RESPONDING: usize = 4;
 /// Time since the last bytes to any node within which a server counts as responding. Reports of
@@ -153,6 +154,7 @@
                 .states
                 .get(observation.zone)
                 .and_then(|state| state.since);
+            // In a suspected zone, a server responds if bytes arrived since the suspicion began.
             let recent = since.map_or(RESPONDING_WITHIN, |since| now.duration_since(since));
             let answering = observation.silence.is_some_and(|silence| silence < recent);
             let counts = zones.entry(observation.zone).or_default();
