--- a/crates/cluster/src/cold_assignment.rs
+++ b/crates/cluster/src/cold_assignment.rs
@@ -7,14 +7,15 @@
 
 impl PeerTable {
     /// The rank of this node among those assigned to a server in `zone`; `None` if it is not
-    /// assigned. Nodes of the same zone are assigned; as many of other zones replace them only
-    /// while all of those are silent. The choice depends on registered nodes, not on recently heard
+    /// assigned. The nodes of that zone are assigned, or those of all zones if it has fewer than
+    /// `nodes`. While all assigned nodes of the zone are silent, as many of other zones replace them.
+    /// The choice depends on registered nodes, not on recently heard
     /// ones: otherwise partitioned nodes would all assign themselves.
     pub fn assignment_rank(&self, server: &str, zone: &str, nodes: u32) -> Option<u32> {
         let now = Instant::now();
         let peers = self.peers.lock();
         let own = self.own_name.as_str();
-        // Skips nodes that have been silent for long while others were heard.
+        // Leaves out nodes that were last heard `FORGET_AFTER` before the newest one.
         let newest = peers.values().map(Peer::last_seen).max()?;
         let listed = peers.iter().filter(|(name, peer)| {
             *name == own || newest.duration_since(peer.last_seen()) < FORGET_AFTER
@@ -29,12 +30,12 @@
         if self.own_zone == zone {
             return assignment_rank(server, own, local.iter().map(|(name, _)| *name), nodes);
         }
-        let place = assignment_rank(server, own, remote.iter().map(|(name, _)| *name), nodes)?;
+        let rank = assignment_rank(server, own, remote.iter().map(|(name, _)| *name), nodes)?;
         let assigned_nodes = assigned_nodes(server, local, nodes);
         let silent = |peer: &Peer| self.evaluate_status(peer, now, peers.len()) == PeerStatus::Down;
         assigned_nodes
             .iter()
             .all(|(_, peer)| silent(peer))
-            .then_some(place)
+            .then_some(rank)
     }
 }
--- a/crates/cluster/src/crash_news.rs
+++ b/crates/cluster/src/crash_news.rs
@@ -16,7 +16,7 @@
 
 /// Maximum records per message in a small fleet: about 2.5 KB.
 const MAX_RECORDS_SMALL_FLEET: usize = 24;
-/// Maximum records per message in a large fleet: at max_records 32 KB a second to each node.
+/// Maximum records per message in a large fleet: at most 32 KB a second to each node.
 const MAX_RECORDS_LARGE_FLEET: usize = 8;
 
 impl Gossip {
@@ -63,8 +63,8 @@
         recipients.map(|peer| peer.address).collect()
     }
 
-    /// Merges records of another node. Delegates forward what they did not know, and so do all
-    /// nodes while no delegate is heard.
+    /// Merges records of another node. In a large fleet, delegates forward records that they did not
+    /// know, and so does any node that hears no delegate.
     pub(crate) fn receive_crash_news(&self, news: CrashUpdates) {
         let forwards =
             self.peers.is_large() && (self.peers.is_delegate() || !self.has_recent_summary());
--- a/crates/cluster/src/evacuated_work.rs
+++ b/crates/cluster/src/evacuated_work.rs
@@ -18,12 +18,12 @@
     pub fn is_evacuated(&self, service: &str) -> bool {
         let known = self.known.lock();
         let servers = known.servers.values().map(|(_, server)| server);
-        let mut open = servers
+        let mut exclusions = servers
             .filter(|server| server.service == service)
             .map(|server| Self::exclusion_of(&known, server))
             .filter(|exclusion| *exclusion != Some(Exclusion::Draining))
             .peekable();
-        open.peek().is_some() && open.all(|why| why == Some(Exclusion::ZoneEvacuated))
+        exclusions.peek().is_some() && exclusions.all(|why| why == Some(Exclusion::ZoneEvacuated))
     }
 
     pub fn evacuations(&self) -> Vec<Evacuation> {
@@ -86,7 +86,7 @@
     pub(crate) fn evacuated_work(&self, loads: &LoadTable) -> Vec<ZoneWork> {
         let zones = self.evacuations().into_iter();
         zones
-            .map(|entries| self.work_in(entries.zone.as_str(), loads))
+            .map(|evacuation| self.work_in(evacuation.zone.as_str(), loads))
             .collect()
     }
 
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -102,8 +102,8 @@
             .filter(|held| rows.iter().all(|row| row.zone != held.zone))
             .map(|held| held.zone)
             .collect();
-        let readable = rows.iter().filter(|row| row.readable);
-        let mut changes: Vec<EvacuationChange> = readable
+        let valid_rows = rows.iter().filter(|row| row.readable);
+        let mut changes: Vec<EvacuationChange> = valid_rows
             .filter_map(|row| self.issue(&row.zone, row.revision, now))
             .collect();
         changes.extend(
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -59,7 +59,7 @@
     /// Called after the store answered and all changes up to its revision were applied.
     fn contact(&self, contact: &Contact);
 
-    /// Revision up to which the sink already holds the whole table.
+    /// Revision up to which the sink already holds the whole table; `None` if it must be read first.
     fn held(&self) -> Option<u64> {
         None
     }
@@ -133,7 +133,7 @@
     let wait_ms = wait.as_millis() as u64;
     let feed: Feed = store.feed(sink.table(), after, wait_ms).await?;
     if feed.revision < after {
-        // The revisions restarted below the known one: read the whole table.
+        // The store's revisions restarted below the known one, so the whole table is read again.
         return Err(StoreError::Compacted);
     }
     for row in feed.rows {
@@ -192,7 +192,8 @@
     Ok(first.revision)
 }
 
-/// Appends the rows of one partition to `rows`; returns the store's state as of the first page.
+/// Appends the rows of one partition to `rows`; returns the store's state as of the first page. A
+/// page older than the `known` revision is rejected as stale.
 async fn read_partition(
     store: &dyn RowStore,
     table: &'static str,
@@ -217,6 +218,7 @@
             now_ms: page.now_ms,
             age: Duration::ZERO,
         });
+        // The next page starts after the last key of this one.
         let last = page.rows.last().map(|row| format!("{}\u{1}", row.key));
         rows.extend(page.rows.into_iter().map(|row| Row {
             part: part.to_owned(),
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -53,15 +53,15 @@
     /// Requests that the server completed in the last seconds.
     #[prost(uint32, tag = "8")]
     pub served: u32,
-    /// Time since the newest probe of the server's cold start was sent, plus one; 0 without a
-    /// recent one.
+    /// Time since the newest health check that reported the warm-up state was sent, plus one; 0
+    /// without a recent one.
     #[prost(uint32, tag = "9")]
     pub asked_ms: u32,
-    /// Remaining cold time of the server as of that probe.
+    /// Remaining warm-up time of the server as of that health check.
     #[prost(uint32, tag = "10")]
     pub cold_ms: u32,
-    /// The node has waited for the server for longer than its answers usually take, but not long
-    /// enough to count it as unresponsive.
+    /// The node has waited for the server for longer than its responses take, but not long enough to
+    /// count it as unresponsive.
     #[prost(bool, tag = "11")]
     pub doubted: bool,
     /// Age of the newest slowdown reported by the server, plus one; 0 without a recent one.
@@ -70,7 +70,7 @@
     /// The reported slowdown in percent; 100 is normal.
     #[prost(uint32, tag = "13")]
     pub pace_percent: u32,
-    /// Age of the newest measurement of how much longer answers take than the reported slowdown
+    /// Age of the newest measurement of how much longer responses take than the reported slowdown
     /// implies, plus one; 0 without a recent one.
     #[prost(uint32, tag = "14")]
     pub excess_pace_age_ms: u32,
--- a/crates/cluster/src/peers.rs
+++ b/crates/cluster/src/peers.rs
@@ -64,10 +64,11 @@
     /// Hash of its name and row.
     pub(crate) row_hash: u64,
     pub(crate) row: NodeRow,
-    /// Partition of the row.
+    /// Table partition in which the row was found.
     pub(crate) part: String,
     pub(crate) revision: u64,
     pub(crate) address: Option<SocketAddr>,
+    /// When this node first read a row of this run.
     pub(crate) row_seen_at: Instant,
     /// When its newest known message arrived, here or at another node.
     pub(crate) heard: Option<Instant>,
--- a/crates/cluster/src/receiving.rs
+++ b/crates/cluster/src/receiving.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Whether a node's waiting items compete with this node's own. Items in other regions wait for
-    /// other servers.
+    /// Whether a node is in this node's region. Waiting work in other regions waits for
+    /// other servers, so it does not compete with that of this node.
     fn is_in_own_region(&self, name: &str) -> bool {
         let zone_distances = self.view.zone_distances();
         if !zone_distances.has_regions() {
@@ -162,7 +162,7 @@
                 self.loads.demand.set_source(Source::Fleet, summary.demands);
                 self.loads.set_source(Source::Fleet, summary.loads);
             }
-            // Nodes may briefly disagree on the delegates.
+            // Ignored: nodes may disagree on the delegates for a short time.
             _ => {}
         }
     }
--- a/crates/cluster/src/server_loads.rs
+++ b/crates/cluster/src/server_loads.rs
@@ -14,7 +14,7 @@
 /// Time since the last bytes from a server during which reports of its silence are ignored: the
 /// reporting nodes may be partitioned from it, or slow themselves.
 const RECENT_BYTES: Duration = Duration::from_millis(200);
-/// Older heartbeats are ignored.
+/// Age from which the report of another node is ignored.
 pub(crate) const HEARTBEAT_LIFE: Duration = Duration::from_millis(1500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -27,7 +27,8 @@
     pub unread_tokens: u32,
     /// Whether the server is currently considered silent by any node, or is ejected.
     pub suspect: bool,
-    /// Moving average of the delay of the first event beyond the expected time.
+    /// Moving average of how much later than expected the first event of a response arrives; decays
+    /// without new samples.
     pub excess_ms: f64,
     /// Warm-up state; `None` if it is not tracked.
     pub warmup_state: Option<WarmupState>,
@@ -60,8 +61,11 @@
     pub(crate) suspect_until: Option<Instant>,
     /// The server sent nothing for longer than its responses take; avoided until this time.
     pub(crate) overdue_until: Option<Instant>,
+    /// When this node last received bytes from the server.
     pub(crate) heard: Option<Instant>,
+    /// Moving average of how much later than expected the first event of a response arrived.
     pub(crate) excess_ms: f64,
+    /// When the last sample was added to it.
     pub(crate) excess_at: Option<Instant>,
     /// Whether the loads changed since they were last sent.
     pub(crate) unsent: bool,
@@ -69,7 +73,7 @@
     pub(crate) outcomes: Outcomes,
     pub(crate) ejection: Ejection,
     pub(crate) warmup: WarmupTracker,
-    /// The newest health answer that this node received itself.
+    /// Warm-up state in the newest response to a health check of this node.
     pub(crate) own_report: Option<WarmupReport>,
     /// Slowdown estimates.
     pub(crate) slowdowns: Slowdowns,
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Sum of this node's entry and those of the counted sources.
+    /// Sum of this node's entry and those of the sources for which `counted` holds.
     pub(crate) fn sum(
         &self,
         server: u32,
--- a/crates/cluster/src/unlisted.rs
+++ b/crates/cluster/src/unlisted.rs
@@ -31,6 +31,7 @@
         unlisted_senders.insert(heartbeat.name.clone(), sender);
     }
 
+    /// The recorded senders that were heard within `OTHER_ZONE_TIMEOUT`.
     pub(crate) fn unlisted_senders(&self, now: Instant) -> Vec<RelayPeer> {
         let unlisted_senders = self.unlisted_senders.lock();
         let heard = unlisted_senders
--- a/crates/cluster/src/waiting.rs
+++ b/crates/cluster/src/waiting.rs
@@ -12,7 +12,7 @@
 
 use crate::server_loads::Source;
 
-/// Older reports are ignored.
+/// Age from which the report of another node is ignored.
 const REPORT_LIFE: Duration = Duration::from_millis(1500);
 
 #[derive(Default)]
@@ -39,7 +39,8 @@
         self.ended.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Scales a part of this node's items to all nodes, assuming the others' items are alike.
+    /// Scales a count of some of this node's waiting items to all nodes, on the assumption that the
+    /// same fraction of the other nodes' items counts.
     pub fn scale_to_fleet(&self, own_part: u32) -> u32 {
         let own = u64::from(self.own()).max(1);
         let total = own + u64::from(self.sum(|_| true));
@@ -118,11 +119,11 @@
         self.newest_report = Some(newest_report);
         let (own, others) = (f64::from(waiting.own()), f64::from(waiting.sum(|_| true)));
         let share = own / (own + others).max(1.0);
-        let part = f64::from(room) * share;
-        self.remaining = part.floor() + f64::from(u8::from(sample < part.fract()));
+        let own_slots = f64::from(room) * share;
+        self.remaining = own_slots.floor() + f64::from(u8::from(sample < own_slots.fract()));
     }
 
-    /// Takes one start; `false` if none is left.
+    /// Uses the allowance for the start of one item; `false` if it is exhausted.
     pub fn take(&mut self) -> bool {
         if self.remaining < 1.0 {
             return false;
--- a/crates/cluster/src/zone_digest.rs
+++ b/crates/cluster/src/zone_digest.rs
@@ -20,11 +20,11 @@
 /// regions only send work there once they are full, and then small changes matter little.
 const MIN_CHANGE: u32 = 2;
 
-/// The sums sent last.
+/// Selects the load sums to send, from the current ones and those sent last.
 #[derive(Debug, Default)]
 pub struct ZoneDigest {
     sent: HashMap<u32, LoadEntry>,
-    /// Only large changes are sent between two full messages.
+    /// Between two full messages, only changes by `MIN_CHANGE` or of a server's health are sent.
     coarse: bool,
 }
 
@@ -80,7 +80,7 @@
         }
         last.is_none_or(|last| {
             let (heard_ms, served) = (sum.heard_ms, sum.served);
-            // The age of one probe only grows; a lower one belongs to a newer probe.
+            // The age of a health check only grows; a lower one belongs to a newer check.
             let asked_again =
                 sum.asked_ms > 0 && (last.asked_ms == 0 || sum.asked_ms < last.asked_ms);
             let (asked_ms, cold_ms) = (sum.asked_ms, sum.cold_ms);
--- a/crates/cluster/src/zone_distances.rs
+++ b/crates/cluster/src/zone_distances.rs
@@ -1,5 +1,5 @@
-//! Network cost from a node to the servers of each zone, from the configured places and the
-//! measured connection times.
+//! Network cost from a node to the servers of each zone, from the configured region of each zone
+//! and the measured connection times.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Costs from a zone of a deployment with unknown places: all zones count as one region.
+    /// Costs from a zone of a deployment without configured regions: all zones count as one region.
     pub fn single_region(zone: &str) -> Self {
         Self::new(zone, &Topology::default())
     }
 
-    /// The configured places.
+    /// The configured region of each zone.
     pub fn places(&self) -> &Topology {
         &self.places
     }
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Whether a zone is in the own region.
     pub fn is_near(&self, zone: &str) -> bool {
         self.distance(zone) != Distance::OtherRegion
     }
--- a/crates/cluster/tests/cadence.rs
+++ b/crates/cluster/tests/cadence.rs
@@ -97,7 +97,7 @@
         count_due(79, SCHEDULE_PERIOD, |due_messages| due_messages.heartbeat),
         eq(12)
     );
-    // A large zone sends half as many, and some of them go to a random node as well.
+    // A node of a large zone sends half as many; one in three goes to a random node as well.
     expect_that!(
         count_due(200, SCHEDULE_PERIOD, |due_messages| due_messages.heartbeat),
         eq(6)
--- a/crates/cluster/tests/warmup.rs
+++ b/crates/cluster/tests/warmup.rs
@@ -137,7 +137,7 @@
         warmup_state(&server, now + ms(2_000)),
         eq(WarmupState::Warm)
     );
-    // This row was written after the health check.
+    // A row that arrives 2.5 s after the health check is newer than it.
     server.note_heard(now + ms(2_600));
     server.note_row(2_900, now + ms(2_700));
     expect_that!(
@@ -232,7 +232,7 @@
     server.note_warmup_report(asked, WarmupSource::Health, back + ms(30));
     server.note_restored(back, back);
     expect_that!(warmup_state(&server, back + ms(30)), eq(WarmupState::Cold));
-    // Evacuated and restored again.
+    // The zone is evacuated and restored again.
     server.note_restored(back + ms(9_000), back + ms(9_000));
     expect_that!(
         warmup_state(&server, back + ms(9_000)),
