--- a/crates/cluster/src/cadence.rs
+++ b/crates/cluster/src/cadence.rs
@@ -26,8 +26,9 @@
 const NODES_PER_ROUND: usize = 20;
 /// Longest interval between the load sums of a zone below `LARGE_ZONE_NODES`: 75 ms.
 const MAX_SUMS_ROUNDS: u32 = 3;
-/// Interval between the load sums of a large zone: 150 ms. Nodes of a large zone share few servers with each other, so
-/// their loads matter less to each other, and the delegates send half as many messages.
+/// Interval between the load sums of a large zone: 150 ms. Nodes of a large zone share few servers
+/// with each other, so their loads matter less to each other, and the delegates send half as many
+/// messages.
 const LARGE_ZONE_SUMS_ROUNDS: u32 = 2 * MAX_SUMS_ROUNDS;
 /// A zone is large if a node has at least this many other nodes in it.
 const LARGE_ZONE_NODES: usize = 80;
@@ -62,9 +63,9 @@
 
 /// Number of rounds until the next one in which a message is due, in a zone with this many other
 /// nodes. `sends_sums` is set for a delegate of a large fleet.
-pub fn rounds_until_due(round: u32, other_zone_nodes: usize, sends_sums: bool) -> u32 {
+pub fn rounds_until_due(round: u32, own_zone_peers: usize, sends_sums: bool) -> u32 {
     let is_due = |rounds: &u32| {
-        let due_messages = due_messages(round.wrapping_add(*rounds), other_zone_nodes);
+        let due_messages = due_messages(round.wrapping_add(*rounds), own_zone_peers);
         due_messages.heartbeat || (sends_sums && due_messages.sums)
     };
     let max_rounds = LARGE_ZONE_HEARTBEAT_ROUNDS;
@@ -72,15 +73,15 @@
 }
 
 /// Messages due in a round, in a zone with this many other nodes.
-pub fn due_messages(round: u32, other_zone_nodes: usize) -> DueMessages {
-    let (heartbeat, far, sums_rounds) = match other_zone_nodes >= LARGE_ZONE_NODES {
+pub fn due_messages(round: u32, own_zone_peers: usize) -> DueMessages {
+    let (heartbeat, far, sums_rounds) = match own_zone_peers >= LARGE_ZONE_NODES {
         true => (
             LARGE_ZONE_HEARTBEAT_ROUNDS,
             LARGE_ZONE_FAR_ROUNDS,
             LARGE_ZONE_SUMS_ROUNDS,
         ),
         false => {
-            let sums_rounds = other_zone_nodes.div_ceil(NODES_PER_ROUND) as u32;
+            let sums_rounds = own_zone_peers.div_ceil(NODES_PER_ROUND) as u32;
             (
                 HEARTBEAT_ROUNDS,
                 FAR_HEARTBEAT_ROUNDS,
--- a/crates/cluster/src/evacuations.rs
+++ b/crates/cluster/src/evacuations.rs
@@ -121,7 +121,7 @@
 
     /// When this node learned that the zone was restored; `None` without a known order or while one
     /// is active. Warm-up states from before that time are invalid, since the servers may have
-    /// restarted during the evacuation.
+    /// become cold during the evacuation.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         match self.zones.get(zone)?.state {
             ZoneState::Restored(at) => Some(at),
--- a/crates/cluster/src/loads.rs
+++ b/crates/cluster/src/loads.rs
@@ -207,7 +207,7 @@
         let now = Instant::now();
         let mut servers = self.servers.lock();
         for number in added {
-            // The server may restart and respond again before it is found silent by itself.
+            // The server may become cold and respond again before it is found silent by itself.
             let loads = servers.entry(number).or_default();
             loads.warmup.note_silent(now);
         }
--- a/crates/cluster/src/warmup.rs
+++ b/crates/cluster/src/warmup.rs
@@ -1,9 +1,9 @@
 //! Warm-up state of one server as a node knows it. Reads no clock: time is an argument.
 //!
-//! A server that restarts is cold: for a while it accepts only a limited request rate. Its
-//! registration row shows this seconds later, only the response to a health check shows it at once.
-//! A server from which no node received bytes for as long as a restart takes is therefore in an
-//! unknown state until it responds to a health check.
+//! After a start or an outage, and at times without one, a server is cold: for a while it accepts
+//! only a limited request rate. Its registration row shows this seconds later, only the response to
+//! a health check shows it at once. The state of a server from which no node has received bytes for
+//! `UNOBSERVED_AFTER` is therefore unknown until the server responds to a health check.
 
 use std::time::Duration;
 
@@ -156,7 +156,7 @@
     /// worth sending. `false` for a server that is not unobserved.
     pub fn is_alive(&self, now: Instant) -> bool {
         let since = self.unobserved(now).map(|(since, _)| since);
-        // Other nodes' times of received bytes and of silence are off by the report delay.
+        // Bytes from before the silence may be reported after it, so only clearly later ones count.
         let later = |since: Instant| {
             self.heard
                 .is_some_and(|heard| heard > since + 2 * PEER_REPORT_DELAY)
@@ -192,9 +192,9 @@
         self.source = Some(WarmupSource::Row);
     }
 
-    /// Marks the server as unobserved if no node has received bytes from it for `UNOBSERVED_AFTER`.
-    /// Only a report of its warm-up state removes the mark: bytes received later may come from
-    /// requests of a node that takes a restarted server for warm.
+    /// Marks the server as unobserved if it is not cold and no node has received bytes from it for
+    /// `UNOBSERVED_AFTER`. Only a report of its warm-up state removes the mark: bytes received later
+    /// may come from requests of a node that takes a cold server for warm.
     pub fn note_unused(&mut self, now: Instant) {
         let is_cold = self.cold_until.is_some_and(|until| until > now);
         if !is_cold && self.is_tracked() {
@@ -239,7 +239,7 @@
     }
 
     /// Records that operators ended the evacuation of the server's zone at `at`. The server becomes
-    /// unobserved, since it may have restarted while it had no work. Repeated calls with the same
+    /// unobserved, since it may have become cold while it had no work. Repeated calls with the same
     /// time have no effect.
     pub fn note_restored(&mut self, at: Instant, now: Instant) {
         if self.restored_at.replace(at) == Some(at) {
--- a/crates/cluster/src/warmup_loads.rs
+++ b/crates/cluster/src/warmup_loads.rs
@@ -20,8 +20,8 @@
 }
 
 impl LoadEntry {
-    /// Takes over the warm-up report of another entry if its health check is newer. `age` is the time since that entry
-    /// was received.
+    /// Takes over the warm-up report of another entry if its health check is newer. `age` is the
+    /// time since that entry was received.
     pub(crate) fn merge_newer_report(&mut self, entry: &LoadEntry, age: Duration) {
         if entry.asked_ms == 0 {
             return;
--- a/crates/cluster/src/zone_suspicion.rs
+++ b/crates/cluster/src/zone_suspicion.rs
@@ -12,8 +12,8 @@
 /// Minimum number of silent servers for a zone to be suspected. In a smaller zone all its servers
 /// must be silent, and at least two.
 const MIN_SILENT: usize = 3;
-/// Minimum ratio of silent to responding servers for a zone to be suspected. High enough that independent crashes of a sixth of the
-/// servers do not count.
+/// Minimum ratio of silent to responding servers for a zone to be suspected. High enough that
+/// independent crashes of a sixth of the servers do not count.
 const SILENT_PER_RESPONDING: usize = 4;
 /// Time since the last bytes to any node within which a server counts as responding. Reports of
 /// other nodes are up to 250 ms old.
