--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -173,10 +173,11 @@
         let request = self.request(server, attempt);
         let mut connection = self.connect(server).await?;
         // The server may have been excluded while the connection was opened.
-        let listed = self.node.view.exclusion(&server.id);
-        let listed =
-            listed.or_else(|| home_regions::check_exclusion(&self.node, server, attempt.homes));
-        if let Some(exclusion) = listed.or_else(|| cold_limit::check_exclusion(&self.node, server))
+        let known_exclusion = self.node.view.exclusion(&server.id);
+        let known_exclusion = known_exclusion
+            .or_else(|| home_regions::check_exclusion(&self.node, server, attempt.homes));
+        if let Some(exclusion) =
+            known_exclusion.or_else(|| cold_limit::check_exclusion(&self.node, server))
         {
             self.pool.put(server.address, connection);
             return Err(AttemptError::local(
@@ -225,8 +226,9 @@
         })
     }
 
-    /// Waits for data from a server. A server that has sent nothing to any node for the first limit
-    /// is marked as suspect; at the second limit the attempt fails.
+    /// Waits for data from a server. A server that sends nothing to any node for `suspect_after` is
+    /// marked as suspect, and the attempt fails after `abandon_after`. Silence before the start of
+    /// the wait does not count.
     pub async fn with_silence_limits<T>(
         &self,
         server: &ServerRecord,
@@ -241,17 +243,17 @@
             match tokio::time::timeout(check_interval, &mut waiting).await {
                 Ok(done) => return done,
                 Err(_) => {
-                    let own = started.elapsed();
-                    let unheard = self
+                    let waited = started.elapsed();
+                    let since_received = self
                         .node
                         .loads
                         .time_since_received(&server.id)
-                        .unwrap_or(own);
-                    let silence = unheard.min(own);
-                    let slow = || {
+                        .unwrap_or(waited);
+                    let silence = since_received.min(waited);
+                    let suspect_time = || {
                         limits.suspect_time(self.node.loads.slowdown(&server.id), UNREACHABLE_AFTER)
                     };
-                    if silence >= next_suspect && unheard >= slow() {
+                    if silence >= next_suspect && since_received >= suspect_time() {
                         next_suspect += SUSPECT_DURATION / 2;
                         match silence >= UNREACHABLE_AFTER {
                             true => self.node.loads.mark_suspect(&server.id, SUSPECT_DURATION),
@@ -284,6 +286,8 @@
         }
     }
 
+    /// Sends the request and returns the head of its response. Late responses to earlier requests on
+    /// the connection are discarded.
     async fn receive_head(
         &self,
         connection: &mut Connection,
@@ -319,6 +323,7 @@
         Err(invalid_response("only responses to other requests"))
     }
 
+    /// Reads the rest of a short response, so that the connection can be reused.
     async fn drain(&self, mut connection: Connection, address: SocketAddr) {
         let reading = connection.whole_body(MAX_STALE_RESPONSE_BYTES);
         let read = tokio::time::timeout(SILENCE_CHECK_INTERVAL, reading).await;
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Unread prompt tokens that weigh as much as one request.
+/// Prompt tokens not yet processed that weigh as much as one request.
 const TOKENS_PER_REQUEST: f64 = 1_000.0;
 /// Bonus of the server that caches the shared prompt parts.
 const AFFINITY_BONUS: f64 = 30.0;
@@ -116,8 +116,9 @@
     chosen
 }
 
-/// Whether a candidate may be chosen from a sample. Full servers may: if nodes considered all
-/// servers whenever a sample is full, they would all choose the same one during a burst.
+/// Whether a candidate may be chosen from a sample. Full servers may be
+/// chosen: if nodes considered all servers whenever a sample is full, they would all choose the same
+/// one during a burst.
 pub fn is_healthy(candidate: &Candidate) -> bool {
     !candidate.load.suspect
 }
@@ -163,7 +164,8 @@
     let mut weight = load_weight(candidate);
     weight += load.excess_ms / EXCESS_MS_PER_REQUEST;
     weight += match load.warmup_state {
-        // The rate limit keeps further requests away.
+        // The rate limit of cold servers keeps further requests away, so the remaining warm-up time
+        // does not count.
         Some(WarmupState::Warm) => 0.0,
         Some(_) => COLD_WEIGHT,
         None => candidate.server.cold_left_ms as f64 / COLD_MS_PER_REQUEST,
--- a/crates/ingress/src/response_buffer.rs
+++ b/crates/ingress/src/response_buffer.rs
@@ -2,8 +2,8 @@
 //!
 //! Servers abort responses that are not read for some seconds, and buffering without a limit would
 //! exhaust the memory of the node. Each response therefore has a limited buffer, and so have all
-//! responses together. At a limit the node stops reading the response; if the client reads nothing
-//! for a further while, the response is ended and the client gets only what is buffered. A response
+//! responses together. At a limit the node stops reading the response; if the client then
+//! reads nothing for `MAX_STALL`, the response is ended and the client gets only what is buffered. A response
 //! with an empty buffer is always read, so slow clients cannot stall fast ones.
 
 use std::cell::{Cell, RefCell};
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The limit reached with these amounts buffered, if any.
+    /// The limit reached with these amounts buffered, if any. A response with an empty buffer has
+    /// reached none.
     pub fn limit_reached(&self, answer_bytes: usize, node_bytes: usize) -> Option<BufferLimit> {
         if answer_bytes == 0 {
             return None;
@@ -100,7 +101,8 @@
         }
     }
 
-    /// The last chunk with free capacity, or a new one. ChunkQueue are never reallocated.
+    /// The last chunk if it has free capacity, or else a new one. Chunks are never
+    /// reallocated.
     fn chunk_with_space(&mut self, needed: usize) -> &mut Vec<u8> {
         let last = self.chunks.back();
         if last.is_none_or(|chunk| chunk.len() == chunk.capacity()) {
@@ -134,7 +136,9 @@
     chunks: RefCell<ChunkQueue>,
     /// Result of the response, set after its last piece is buffered.
     end: RefCell<Option<Result<(), TruncatedResponse>>>,
+    /// Signals that data or the end of the response is available.
     filled: Notify,
+    /// Signals that the client has taken a chunk.
     taken: Notify,
     stalled: StallFlag,
 }
@@ -178,7 +182,7 @@
                 return Err(limit);
             }
             self.stalled.set(true);
-            // On a timeout too: other responses may have freed space.
+            // Rechecks after a timeout too, since other responses may have freed space.
             let taken = tokio::time::timeout(RECHECK_INTERVAL, self.taken.notified()).await;
             if taken.is_ok() {
                 waiting_since = Instant::now();
@@ -220,7 +224,8 @@
 }
 
 impl BufferedResponse {
-    /// Starts to read the pieces of a request's response. Sets `stalled` at each stop.
+    /// Starts to read the pieces of a request's response. Sets `stalled` whenever
+    /// reading stops at a limit.
     pub fn start(
         node: Arc<Node>,
         request: String,
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -37,6 +37,7 @@
 struct ServiceUsage {
     /// Slots of healthy servers.
     slots: u32,
+    /// Online requests in flight at these servers.
     online: u32,
     demand: Demand,
 }
@@ -45,7 +46,8 @@
 struct ShareSnapshot {
     at: Instant,
     shares: Shares,
-    /// Requests by tenant number, including those admitted by this node since.
+    /// Requests by tenant number: those of all nodes when the shares were computed, plus those that
+    /// this node has admitted since.
     requests: HashMap<u32, u32>,
 }
 
@@ -150,7 +152,8 @@
     // All clients without a key count as one tenant.
     let number = tenant_number(caller.tenant_name());
     refresh(node, configuration, service);
-    // For a tenant, the retry queue already spreads the delays.
+    // `point` adds a random part to the retry delay. The delays of a tenant are already spread by its
+    // retry queue.
     let point = caller.tenant().map_or_else(rand::random, |_| 0.0);
     if let Err(over) = node.shares.admit(service, number, point) {
         return Err(refuse_over_share(node, caller, &over, facts));
@@ -164,7 +167,7 @@
     }))
 }
 
-/// Refuses a request over its tenant's share and returns its quota.
+/// Builds the refusal of a request over its tenant's share and refunds the quota charged for it.
 fn refuse_over_share(
     node: &Node,
     caller: &Caller,
@@ -232,7 +235,8 @@
         let mut state = self.state.lock();
         if state.weights.version != Some(configuration.version) {
             let tenants = configuration.tenants.as_ref();
-            let known = |name: &str| tenants.is_some_and(|held| held.named(name).is_some());
+            let known =
+                |name: &str| tenants.is_some_and(|configured| configured.named(name).is_some());
             state.refused.retain(|name, _| known(name.as_str()));
         }
         state.weights.adopt(configuration);
@@ -247,6 +251,7 @@
             .fold(0, |sum: u32, claim| sum.saturating_add(claim.requests));
         let snapshot = ShareSnapshot {
             at: now,
+            // The other online requests are of tenants too small to be reported individually.
             shares: Shares::new(&claims, usage.online.saturating_sub(reported), usage.slots),
             requests: tenants.map(|work| (work.tenant, work.requests)).collect(),
         };
