--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -227,8 +227,8 @@
     }
 
     /// Waits for data from a server. A server that sends nothing to any node for `suspect_after` is
-    /// marked as suspect, and the attempt fails after `abandon_after`. Silence before the start of
-    /// the wait does not count.
+    /// marked as suspect, a slow one later, and the attempt fails after `abandon_after`. Silence
+    /// before the start of the wait does not count.
     pub async fn with_silence_limits<T>(
         &self,
         server: &ServerRecord,
@@ -250,10 +250,10 @@
                         .time_since_received(&server.id)
                         .unwrap_or(waited);
                     let silence = since_received.min(waited);
-                    let suspect_time = || {
+                    let adjusted_limit = || {
                         limits.suspect_time(self.node.loads.slowdown(&server.id), UNREACHABLE_AFTER)
                     };
-                    if silence >= next_suspect && since_received >= suspect_time() {
+                    if silence >= next_suspect && since_received >= adjusted_limit() {
                         next_suspect += SUSPECT_DURATION / 2;
                         match silence >= UNREACHABLE_AFTER {
                             true => self.node.loads.mark_suspect(&server.id, SUSPECT_DURATION),
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Sends the request and returns the head of its response. Late responses to earlier requests on
-    /// the connection are discarded.
+    /// Sends the request and returns the head of its response. Late responses to earlier requests
+    /// on the connection are discarded.
     async fn receive_head(
         &self,
         connection: &mut Connection,
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -20,9 +20,9 @@
 use crate::slot_usage::{SlotUsage, slot_usage};
 use crate::urgency::due_age;
 
-/// How long a computed capacity is reused; few own requests start in the meantime.
+/// How long a computed capacity is reused; this node starts few requests in that time.
 const CAPACITY_TTL: Duration = Duration::from_millis(10);
-/// Minimum retry delay, several times the cost of a connection and a refusal.
+/// Minimum retry delay, several times as long as it takes to connect and be refused.
 pub(crate) const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Time to the first event, excluding the prompt.
@@ -87,8 +87,9 @@
             .record(held);
     }
 
-    /// Retry delay for a tenant's refused request. Each request gets its own time, after those
-    /// refused before by this node, at the rate at which capacity becomes available over all nodes.
+    /// Retry delay for a tenant's refused request. The requests that this node refuses get
+    /// successive retry times, spaced so that all nodes together match the rate at which capacity
+    /// becomes available.
     pub(crate) fn tenant_retry_delay(
         &self,
         tenant: &TenantName,
@@ -173,8 +174,8 @@
 /// Capacity of a request's service; `None` if too few other nodes are known or no server is
 /// healthy.
 fn service_capacity(node: &Node, request: &Request) -> Option<Arc<Capacity>> {
-    let bound = request.homes.is_restricted();
-    if !bound
+    let restricted = request.homes.is_restricted();
+    if !restricted
         && let Some((at, capacity)) = node.capacities.capacities.lock().get(&request.service)
         && at.elapsed() < CAPACITY_TTL
     {
@@ -184,24 +185,26 @@
         return None;
     }
     let capacity = Arc::new(compute_capacity(node, &request.service, &request.homes)?);
-    if !bound {
-        let held = (Instant::now(), capacity.clone());
+    if !restricted {
+        let cached = (Instant::now(), capacity.clone());
         node.capacities
             .capacities
             .lock()
-            .insert(request.service.clone(), held);
+            .insert(request.service.clone(), cached);
     }
     Some(capacity)
 }
 
 fn compute_capacity(node: &Node, service: &str, homes: &HomeRegions) -> Option<Capacity> {
     let SlotUsage { slots, online } = slot_usage(node, &node.view.servers(service), homes);
-    // Queue lengths are only exchanged within a region.
+    // Demand is only exchanged within a region, so it is unknown if the request may not be served
+    // in this one.
     let demand_known = homes.allows_zone(&node.settings.zone, &node.settings.places);
     let demand = match demand_known {
         true => node.loads.demand.pressure_on(service),
         false => Demand::default(),
     };
+    // The trend is only recorded for the servers of all regions together.
     let trend_per_s = match homes.is_restricted() {
         true => 0.0,
         false => node.capacities.trend_per_s(service, online),
@@ -264,7 +267,7 @@
 ) {
     Metrics::count(&node.metrics.refused_for_room);
     match request.is_retry {
-        // The client may not retry again.
+        // A client that was refused twice may give up, so no further retry is expected.
         true => Metrics::count(&node.metrics.returns_refused),
         false => node.loads.demand.note_retry(&request.service, retry_after),
     }
--- a/crates/ingress/src/cold_limit.rs
+++ b/crates/ingress/src/cold_limit.rs
@@ -83,8 +83,8 @@
     node.loads.warmup_state(server)
 }
 
-/// Reason why no request may be sent to a server. If there is none, the request counts towards the
-/// limit.
+/// Reason why the limit on cold servers forbids a request to a server. If there is none, the
+/// request is counted towards the limit.
 pub(crate) fn check_exclusion(node: &Node, server: &ServerRecord) -> Option<Exclusion> {
     let limit = ColdLimit::of(node, &server.service)?;
     if limit.try_acquire(server) {
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -129,8 +129,8 @@
         }
     }
 
-    /// A crashing process may close its connections before its port, or restart within
-    /// milliseconds.
+    /// Checks again later, since a crashing process may close its connections before its port, or
+    /// restart within milliseconds.
     fn check_again(&self, mut run: RunGuard, server: Arc<ServerRecord>, output: Option<Duration>) {
         run.note_doubt();
         let upstreams = self.clone();
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -162,7 +162,8 @@
             Err(Unplaced::Late { retry_after }) => return Dispatched::Late(retry_after),
         };
         let Ok(run) = node.crashes.begin(request.fingerprint, &server.id) else {
-            // Another node reported a crash or started a run in the meantime.
+            // Another node has reported a crash or started a run since the check, which is
+            // repeated.
             tokio::time::sleep(RUN_CHECK_INTERVAL.min(request.remaining())).await;
             continue;
         };
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -325,7 +325,7 @@
             let out_of_homes = none && request.homes.is_restricted() && request.tried.is_empty();
             let detail = || format!("{} servers asked", request.tried.len());
             let refused = match none && node.view.is_evacuated(&request.service) {
-                // Only the evacuation orders leave the request without a server.
+                // The request has no server only because of the evacuation orders.
                 true => Refusal::new(ErrorKind::ZonesEvacuated, orders_text(&node)),
                 false if out_of_homes => Refusal::new(ErrorKind::HomesCannotServe, detail()),
                 false => Refusal::new(kind, detail()),
--- a/crates/ingress/src/placement.rs
+++ b/crates/ingress/src/placement.rs
@@ -116,9 +116,8 @@
     chosen
 }
 
-/// Whether a candidate may be chosen from a sample. Full servers may be
-/// chosen: if nodes considered all servers whenever a sample is full, they would all choose the same
-/// one during a burst.
+/// Whether a candidate may be chosen from a sample. Full servers may be chosen: if nodes considered
+/// all servers whenever a sample is full, they would all choose the same one during a burst.
 pub fn is_healthy(candidate: &Candidate) -> bool {
     !candidate.load.suspect
 }
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -36,11 +36,11 @@
     let (node, id) = (upstreams.node().clone(), request.facts.id.clone());
     let stalled = StallFlag::default();
     let relay = Relay::new(upstreams, request, started, stalled.clone());
-    let ahead = BufferedResponse::start(node, id, stalled, relay.into_pieces());
+    let buffered = BufferedResponse::start(node, id, stalled, relay.into_pieces());
     async_stream::stream! {
         let _in_flight = in_flight;
         loop {
-            match ahead.next().await {
+            match buffered.next().await {
                 Ok(Some(piece)) => yield Ok(piece),
                 Ok(None) => {
                     disconnect_logger.end();
@@ -48,7 +48,7 @@
                 }
                 Err(cut) => {
                     disconnect_logger.end();
-                    // Lets the pieces yielded before be flushed.
+                    // Lets the pieces yielded so far be sent before the connection is closed.
                     tokio::task::yield_now().await;
                     yield Err(cut);
                     break;
@@ -64,13 +64,13 @@
     started: Option<Started>,
     splitter: EventSplitter,
     gaps: EventGaps,
-    /// Set when the response was not read for a while.
+    /// Set when this node stopped reading the response at a buffer limit.
     stalled: StallFlag,
     last_event: Option<u64>,
     events: u64,
-    /// First event of the current run.
+    /// Time of the first event of the current run.
     output_since: Option<Instant>,
-    /// From the arrival of the request, in milliseconds.
+    /// Time from the arrival of the request to its first event, in milliseconds.
     first_event_ms: Option<u64>,
     ended: bool,
 }
@@ -149,7 +149,7 @@
         };
         let node = upstreams.node();
         node.loads.note_received(&server.id);
-        // A gap that contains a stop of the reader says nothing about the server.
+        // A gap in which this node stopped reading says nothing about the server.
         let was_stalled = self.stalled.take();
         if self.events > 0 && piece.is_some() && !was_stalled {
             let (service, pause) = (&self.request.service, since.elapsed());
--- a/crates/ingress/src/response_buffer.rs
+++ b/crates/ingress/src/response_buffer.rs
@@ -2,9 +2,9 @@
 //!
 //! Servers abort responses that are not read for some seconds, and buffering without a limit would
 //! exhaust the memory of the node. Each response therefore has a limited buffer, and so have all
-//! responses together. At a limit the node stops reading the response; if the client then
-//! reads nothing for `MAX_STALL`, the response is ended and the client gets only what is buffered. A response
-//! with an empty buffer is always read, so slow clients cannot stall fast ones.
+//! responses together. At a limit the node stops reading the response; if the client then reads
+//! nothing for `MAX_STALL`, the response is ended and the client gets only what is buffered. A
+//! response with an empty buffer is always read, so slow clients cannot stall fast ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -101,8 +101,7 @@
         }
     }
 
-    /// The last chunk if it has free capacity, or else a new one. Chunks are never
-    /// reallocated.
+    /// The last chunk if it has free capacity, or else a new one. Chunks are never reallocated.
     fn chunk_with_space(&mut self, needed: usize) -> &mut Vec<u8> {
         let last = self.chunks.back();
         if last.is_none_or(|chunk| chunk.len() == chunk.capacity()) {
@@ -224,8 +223,8 @@
 }
 
 impl BufferedResponse {
-    /// Starts to read the pieces of a request's response. Sets `stalled` whenever
-    /// reading stops at a limit.
+    /// Starts to read the pieces of a request's response. Sets `stalled` whenever reading stops at
+    /// a limit.
     pub fn start(
         node: Arc<Node>,
         request: String,
--- a/crates/ingress/src/server_selection.rs
+++ b/crates/ingress/src/server_selection.rs
@@ -52,7 +52,7 @@
 }
 
 /// Selects the server for the next attempt, waiting for a slot if necessary. A stream that has
-/// already started does not wait.
+/// already started, for which `starts` is false, does not wait.
 pub(crate) async fn select_server(
     upstreams: &Upstreams,
     request: &Request,
@@ -89,7 +89,8 @@
                     log_placed(upstreams, request, &placement);
                     return Some(Ok(placement));
                 }
-                // It waits for the rate limit of cold servers, not for a slot.
+                // Only the rate limit of cold servers holds the request back, so it does not count
+                // as waiting for a slot.
                 None if !is_due(request) && is_cold_limited(upstreams, request) => {
                     (CHECK_INTERVAL, false)
                 }
@@ -210,25 +211,26 @@
     }
     let zone_distances = node.view.zone_distances();
     let affinity_id = affinity_server.map(|affinity_server| affinity_server.id.as_str());
-    let some_of = |servers: &[&Arc<ServerRecord>]| -> Vec<Candidate> {
+    let sample_candidates = |servers: &[&Arc<ServerRecord>]| -> Vec<Candidate> {
         let sampled = sample(servers, zone_distances, affinity_id, &mut rand::rng());
         limit_by_region(sampled.into_iter().map(candidate).collect(), zone_distances)
     };
     let large = node.peers.is_large();
     let mut candidates = match large {
-        true => some_of(&open),
+        true => sample_candidates(&open),
         false => Vec::new(),
     };
     let free_near =
-        |held: &Candidate| zone_distances.is_near(&held.server.zone) && has_free_slot(held);
+        |entry: &Candidate| zone_distances.is_near(&entry.server.zone) && has_free_slot(entry);
     if large && zone_distances.has_regions() && !candidates.iter().any(free_near) {
-        // Checks all servers of the region before the request leaves it.
+        // No sampled server of this region has a free slot: checks the whole region before the
+        // request leaves it.
         let free = open.iter().copied();
         let free: Vec<_> = free
             .filter(|server| free_near(&candidate(server)))
             .collect();
         if !free.is_empty() {
-            candidates = some_of(&free);
+            candidates = sample_candidates(&free);
         }
     }
     let healthy = |chosen: &&Candidate| is_healthy(chosen);
@@ -261,7 +263,7 @@
     });
     let candidates: Vec<Candidate> = candidates.collect();
     let choices: [fn(&Candidate) -> bool; 3] = [
-        |held| is_healthy(held) && has_free_slot(held),
+        |entry| is_healthy(entry) && has_free_slot(entry),
         is_healthy,
         |_| true,
     ];
@@ -279,17 +281,17 @@
     })
 }
 
-/// Whether only the limits on cold servers keep a request from some server.
+/// Whether some server would be eligible if it were not for the rate limit of cold servers.
 fn is_cold_limited(upstreams: &Upstreams, request: &Request) -> bool {
     let node = upstreams.node();
     let Some(limit) = ColdLimit::of(node, &request.service) else {
         return false;
     };
-    let left = request.tried.len() < MAX_SERVERS_TRIED;
+    let may_try_more = request.tried.len() < MAX_SERVERS_TRIED;
     let servers = node.view.servers(&request.service);
     let places = &node.settings.places;
     let mut open = candidate_servers(&servers, &request.homes, node)
         .filter(|server| request.homes.allows_zone(&server.zone, places))
         .filter(|server| !request.tried.contains(&server.id));
-    left && open.any(|server| !limit.allows(server))
+    may_try_more && open.any(|server| !limit.allows(server))
 }
--- a/crates/ingress/src/shares.rs
+++ b/crates/ingress/src/shares.rs
@@ -152,8 +152,8 @@
     // All clients without a key count as one tenant.
     let number = tenant_number(caller.tenant_name());
     refresh(node, configuration, service);
-    // `point` adds a random part to the retry delay. The delays of a tenant are already spread by its
-    // retry queue.
+    // `point` adds a random part to the retry delay. The delays of a tenant are already spread by
+    // its retry queue.
     let point = caller.tenant().map_or_else(rand::random, |_| 0.0);
     if let Err(over) = node.shares.admit(service, number, point) {
         return Err(refuse_over_share(node, caller, &over, facts));
--- a/crates/ingress/src/urgency.rs
+++ b/crates/ingress/src/urgency.rs
@@ -87,9 +87,9 @@
     }
 
     /// Whether a request may be sent now, with `mean_excess` as the mean number of online requests
-    /// beyond the slots. The mean is used because the chosen server only appears less loaded in
-    /// outdated information. Batch items do not count, since they are preempted. `point` is uniform
-    /// in [0, 1).
+    /// beyond the slots. The mean is used rather than the load of the chosen server, which may
+    /// appear least loaded only because information is outdated. Batch items do not count, since
+    /// they are preempted. `point` is uniform in [0, 1).
     pub fn admits(self, urgency: Urgency, mean_excess: f64, point: f64) -> bool {
         let reserve = match urgency {
             Urgency::Fresh => 0.0,
--- a/crates/ingress/src/warmup_monitor.rs
+++ b/crates/ingress/src/warmup_monitor.rs
@@ -18,8 +18,8 @@
 use crate::metrics::Metrics;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Additional delay per rank of the responsible nodes, and the minimum time between two health
-/// checks by one node. Results reach the other nodes within half of it.
+/// Delay of a check per rank among the nodes responsible for a server, and the minimum time between
+/// two health checks by one node. Results reach the other nodes within half of it.
 const CHECK_STEP: Duration = Duration::from_millis(400);
 /// Delay after which a node that is not responsible checks a server itself, if others hear from it
 /// but no result has arrived.
@@ -31,6 +31,7 @@
 struct ObservedServer {
     server_warmup_state: WarmupState,
     next_check: Option<Instant>,
+    /// Time of the last poll that included the server.
     seen: Instant,
 }
 
@@ -154,16 +155,16 @@
             .request_health(&server, &path, HEALTH_TIMEOUT)
             .await;
         let (status, facts) = response.unwrap_or_default();
-        let other = facts
+        let is_other_instance = facts
             .instance
             .as_ref()
             .is_some_and(|name| *name != server.instance);
         node.log.write("server_health", || {
             serde_json::json!({"server": server.id, "status": status, "cold_ms": facts.cold_left_ms,
-                "not_run": facts.not_run, "other_server": other,
+                "not_run": facts.not_run, "other_server": is_other_instance,
                 "took_ms": sent_at.elapsed().as_millis() as u64})
         });
-        if status == 0 || other {
+        if status == 0 || is_other_instance {
             return;
         }
         let cold = match facts.cold_left_ms {
@@ -175,7 +176,8 @@
         };
         let cold = match cold.is_zero() {
             true => cold,
-            // The remaining time counts from the response, not from the request.
+            // The report is dated at the sending of the request, but the remaining time counts from
+            // the response.
             false => cold + sent_at.elapsed(),
         };
         node.loads.note_warmup_report(&server.id, sent_at, cold);
--- a/crates/ingress/src/zone_monitor.rs
+++ b/crates/ingress/src/zone_monitor.rs
@@ -18,7 +18,7 @@
 /// Probes of a suspect zone per interval, over all nodes. A recovered zone is detected within 0.1
 /// s, and a 4 s outage costs 80 failed connections.
 const PROBES_PER_INTERVAL: f64 = 2.0;
-/// Servers probed in sequence, as long as each responds.
+/// Maximum number of servers probed in sequence; the first that does not respond ends the sequence.
 const MAX_PROBES: usize = 8;
 
 /// Monitors the servers this node uses until the process ends.
@@ -33,14 +33,15 @@
         tokio::time::sleep(CHECK_INTERVAL).await;
         let sets = server_sets(&node);
         let used = sets.iter().flat_map(|set| &set.used);
-        let signs: Vec<ServerObservation<'_>> = used.map(|server| sign(&node, server)).collect();
-        for change in zones.evaluate(&signs, Instant::now()) {
+        let observations: Vec<ServerObservation<'_>> =
+            used.map(|server| observation(&node, server)).collect();
+        for change in zones.evaluate(&observations, Instant::now()) {
             log_change(&node, &change);
         }
-        let held = sets.iter().flat_map(|set| &set.all);
-        let held = held.filter(|server| zones.is_restricted(&server.zone));
+        let restricted = sets.iter().flat_map(|set| &set.all);
+        let restricted = restricted.filter(|server| zones.is_restricted(&server.zone));
         node.loads
-            .restrict(held.map(|server| server.id.as_str()).collect());
+            .restrict(restricted.map(|server| server.id.as_str()).collect());
         for zone in zones.suspected() {
             probe_zone(&upstreams, zone, &sets);
         }
@@ -57,7 +58,7 @@
         .collect()
 }
 
-fn sign<'a>(node: &Node, server: &'a ServerRecord) -> ServerObservation<'a> {
+fn observation<'a>(node: &Node, server: &'a ServerRecord) -> ServerObservation<'a> {
     ServerObservation {
         zone: &server.zone,
         suspect: node.loads.is_silent(&server.id),
@@ -80,11 +81,12 @@
     });
 }
 
-/// Probes a suspect zone at random, so that the fleet shares the probes.
+/// Probes servers of a suspect zone, with a probability that makes `PROBES_PER_INTERVAL` probes
+/// over all nodes.
 fn probe_zone(upstreams: &Upstreams, zone: &str, sets: &[Arc<ServerSet>]) {
-    let fleet = upstreams.node().peers.count().max(1) as f64;
+    let nodes = upstreams.node().peers.count().max(1) as f64;
     let mut random = rand::rng();
-    if !random.random_bool((PROBES_PER_INTERVAL / fleet).min(1.0)) {
+    if !random.random_bool((PROBES_PER_INTERVAL / nodes).min(1.0)) {
         return;
     }
     let in_zone = sets.iter().flat_map(|set| &set.used);
--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -23,8 +23,8 @@
 /// Time over which free slots are filled: twice the age of the information, so that nodes do not
 /// fill the same slots repeatedly.
 const CORRECTION_PERIOD: Duration = Duration::from_millis(150);
-/// Amount of work queued at servers, as time to process it: one check interval plus the delay of
-/// its information.
+/// Work kept queued at servers while all slots are in use, as the time to process it: one check
+/// interval plus the delay of its information.
 const SERVER_QUEUE: Duration = Duration::from_millis(50);
 /// Fraction of the target after which a request that cannot be served is refused. With network
 /// time, the client then has lost a quarter of its target and can use the rest of its deadline for
@@ -82,12 +82,13 @@
     /// Latest age to start and still meet the target.
     fn latest_start(&self) -> Duration {
         let by_target = self.target.mul_f64(SLOT_FRACTION);
-        // Requests with long prompts may wait as long as others.
+        // However long its prompt, a request may wait as long as others before it is refused.
         let shortest = self.target.mul_f64(REFUSE_FRACTION);
         by_target.saturating_sub(self.first_event).max(shortest)
     }
 
-    /// Age at which it stops waiting for a slot in time.
+    /// Age at which it is refused unless a slot is free. After a failed attempt it may wait until
+    /// its latest start.
     fn give_up_age(&self) -> Duration {
         match self.failed {
             true => self.latest_start(),
--- a/crates/room/src/capacity.rs
+++ b/crates/room/src/capacity.rs
@@ -38,6 +38,7 @@
     pub waiting: u32,
     /// Expected retries by interval from now on.
     pub expected_retries: Vec<u32>,
+    /// Mean time for which a request holds a slot.
     pub hold_time: Duration,
 }
 
@@ -82,9 +83,9 @@
         f64::from(due) / RETRY_INTERVAL.as_secs_f64()
     }
 
-    /// Retry delay, at most `most`: the earliest interval with reserved slots left, or a late
-    /// random time if there is none. Intervals fill up by chance, so that nodes with outdated
-    /// information do not all choose the same one.
+    /// Retry delay, at most `most`: the earliest interval with reserved slots left, or a random
+    /// time in the second half of `most` if there is none. The fuller an interval, the less likely
+    /// it is chosen, so that nodes with outdated information do not all choose the same one.
     pub fn retry_delay(&self, most: Duration, random: &mut impl Rng) -> Duration {
         let most = most.min(RETRY_INTERVAL * RETRY_INTERVALS as u32);
         let reserved = self.completions_per_s() * RETRY_RESERVE * RETRY_INTERVAL.as_secs_f64();
--- a/crates/room/src/shares.rs
+++ b/crates/room/src/shares.rs
@@ -90,8 +90,9 @@
         self.level.map(|level| level * weight.max(MIN_WEIGHT))
     }
 
-    /// Whether another request of a tenant may pass. `claim` is its current demand, `mean_duration` the mean
-    /// duration of a request, and `point` is uniform in [0, 1).
+    /// Allows another request of a tenant, or fails if its share is used up. `claim` is the
+    /// tenant's current demand, `mean_duration` that of a request, and `point` is uniform in [0,
+    /// 1).
     pub fn admit(
         &self,
         claim: Claim,
@@ -118,11 +119,11 @@
 /// The level at which the tenants' limited demand fills the slots (water-filling). Requires demand
 /// above the slots.
 fn water_level(claims: &[Claim], slots: u32) -> f64 {
-    let mut rising: Vec<&Claim> = claims.iter().collect();
-    rising.sort_by(|a, b| a.requests_per_weight().total_cmp(&b.requests_per_weight()));
-    let mut weight: f64 = rising.iter().map(|claim| claim.weight()).sum();
+    let mut ascending: Vec<&Claim> = claims.iter().collect();
+    ascending.sort_by(|a, b| a.requests_per_weight().total_cmp(&b.requests_per_weight()));
+    let mut weight: f64 = ascending.iter().map(|claim| claim.weight()).sum();
     let mut left = f64::from(slots);
-    for claim in rising {
+    for claim in ascending {
         let level = left / weight;
         if claim.requests_per_weight() >= level {
             return level;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -22,6 +22,7 @@
 #[derive(Debug)]
 pub struct Pool {
     limit: IdleLimit,
+    /// Maximum number of idle connections per peer.
     most: usize,
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
