--- a/crates/ingress/src/cold_limit.rs
+++ b/crates/ingress/src/cold_limit.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Uses up one request of the limit. Returns `false` if none is left.
+    /// Uses up one request of the limit unless the server is warm. Returns `false` if the request
+    /// may not be sent.
     fn try_acquire(&self, server: &ServerRecord) -> bool {
         match server_warmup_state(self.node, server).0 {
             WarmupState::Warm => true,
@@ -84,7 +85,7 @@
 }
 
 /// Reason why the limit on cold servers forbids a request to a server. If there is none, the
-/// request is counted towards the limit.
+/// request is counted towards the limit unless the server is warm.
 pub(crate) fn check_exclusion(node: &Node, server: &ServerRecord) -> Option<Exclusion> {
     let limit = ColdLimit::of(node, &server.service)?;
     if limit.try_acquire(server) {
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -85,9 +85,9 @@
 
 fn list(node: &Node) -> HttpResponse {
     let (refused, suspects) = node.crashes.refused();
-    let refused = refused.into_iter().map(|held| {
-        serde_json::json!({"fingerprint": held.fingerprint.to_string(), "servers": held.ended,
-            "age_ms": held.age.as_millis() as u64})
+    let refused = refused.into_iter().map(|refusal| {
+        serde_json::json!({"fingerprint": refusal.fingerprint.to_string(), "servers": refusal.ended,
+            "age_ms": refusal.age.as_millis() as u64})
     });
     let refused: Vec<serde_json::Value> = refused.collect();
     HttpResponse::Ok().json(serde_json::json!({"refused": refused, "suspects": suspects}))
--- a/crates/ingress/src/evacuated_zones.rs
+++ b/crates/ingress/src/evacuated_zones.rs
@@ -26,17 +26,17 @@
     let in_force = Duration::from_millis(node.settings.bounds.evacuation_ms);
     let zones = node.view.evacuations().into_iter();
     zones
-        .map(|held| {
+        .map(|evacuation| {
             let work = node
                 .view
-                .zone_work(held.zone.as_str(), &node.loads, &node.peers)
+                .zone_work(evacuation.zone.as_str(), &node.loads, &node.peers)
                 .map(|work| (work.online, work.batch));
-            let age = held.since.elapsed();
+            let age = evacuation.since.elapsed();
             EvacuatedZone {
                 // Other nodes may send requests there until the order has reached them.
                 empty: work == Some((0, 0)) && age >= in_force,
-                zone: held.zone,
-                revision: held.revision,
+                zone: evacuation.zone,
+                revision: evacuation.revision,
                 age,
                 work,
             }
@@ -70,9 +70,9 @@
 
 /// Human-readable list of the active orders.
 pub(crate) fn orders_text(node: &Node) -> String {
-    let held = node.view.evacuations().into_iter();
-    let orders: Vec<String> = held
-        .map(|held| format!("{} (revision {})", held.zone, held.revision))
+    let evacuations = node.view.evacuations().into_iter();
+    let orders: Vec<String> = evacuations
+        .map(|evacuation| format!("{} (revision {})", evacuation.zone, evacuation.revision))
         .collect();
     format!("evacuated: {}", orders.join(", "))
 }
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -325,7 +325,7 @@
             let out_of_homes = none && request.homes.is_restricted() && request.tried.is_empty();
             let detail = || format!("{} servers asked", request.tried.len());
             let refused = match none && node.view.is_evacuated(&request.service) {
-                // The request has no server only because of the evacuation orders.
+                // All servers that are not draining are in evacuated zones.
                 true => Refusal::new(ErrorKind::ZonesEvacuated, orders_text(&node)),
                 false if out_of_homes => Refusal::new(ErrorKind::HomesCannotServe, detail()),
                 false => Refusal::new(kind, detail()),
--- a/crates/ingress/src/refusals.rs
+++ b/crates/ingress/src/refusals.rs
@@ -25,7 +25,7 @@
     Refusal::new(kind, configuration_info(node, configuration))
 }
 
-/// Returns the quota of a request that did not run.
+/// Refunds the quota charged for a request that did not run.
 pub(crate) fn refund_quota(node: &Node, request: &Request) {
     if let Some(tenant) = request.caller.tenant().filter(|_| request.ran == Ran::No) {
         node.quotas.refund(&tenant.name);
--- a/crates/ingress/src/response_times.rs
+++ b/crates/ingress/src/response_times.rs
@@ -28,7 +28,7 @@
 const WINDOW: Duration = Duration::from_secs(10);
 /// Histogram buckets per doubling of the time.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Covers 1 ms to 16 s.
+/// Number of buckets, which cover 1 ms to 16 s.
 const BUCKETS: usize = 57;
 
 /// Histogram of durations over the current and the previous window.
--- a/crates/ingress/src/slot_usage.rs
+++ b/crates/ingress/src/slot_usage.rs
@@ -20,8 +20,9 @@
     pub(crate) online: u32,
 }
 
-/// Sums up the servers that requests with these home regions may use. Queue lengths are reported
-/// per region, so the sampled servers are scaled up to the whole region.
+/// Sums up the servers that requests with these home regions may use. Without home regions only the
+/// own region counts, since queue lengths are reported per region. The sums over the sample are
+/// scaled up to all these servers.
 pub(crate) fn slot_usage(node: &Node, servers: &ServerSet, homes: &HomeRegions) -> SlotUsage {
     let (places, zone_distances) = (&node.settings.places, node.view.zone_distances());
     let allowed = |server: &&Arc<ServerRecord>| match homes.is_restricted() {
--- a/crates/ingress/src/warmup_monitor.rs
+++ b/crates/ingress/src/warmup_monitor.rs
@@ -21,8 +21,8 @@
 /// Delay of a check per rank among the nodes responsible for a server, and the minimum time between
 /// two health checks by one node. Results reach the other nodes within half of it.
 const CHECK_STEP: Duration = Duration::from_millis(400);
-/// Delay after which a node that is not responsible checks a server itself, if others hear from it
-/// but no result has arrived.
+/// Delay after which a node that is not responsible checks a server itself, if any node has
+/// received bytes from the server but no result of a check has arrived.
 const FALLBACK_DELAY: Duration = Duration::from_millis(1_500);
 /// Unused servers are checked only if a client request arrived within this time.
 const IDLE_AFTER: Duration = Duration::from_secs(2);
--- a/crates/ingress/tests/response_times.rs
+++ b/crates/ingress/tests/response_times.rs
@@ -73,6 +73,6 @@
     (0..60).for_each(|_| times.record(ms(30), now));
     // A minority of slow responses does not move the median.
     (0..40).for_each(|_| times.record(ms(180), now));
-    let median = times.median().expect("enough are known");
+    let median = times.median().expect("enough samples for a median");
     expect_that!(median.as_secs_f64(), near(0.03, 0.004));
 }
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -48,7 +48,7 @@
         actix_web::rt::spawn(server);
         let mut caller = TcpStream::connect(address).await.expect("a connection");
         let request = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-        caller.write_all(request).await.expect("sent");
+        caller.write_all(request).await.expect("send the request");
         received.notified().await;
         let closing = actix_web::rt::spawn(async move {
             finish_requests(
@@ -62,7 +62,7 @@
         // Lets the shutdown start while the request is in flight.
         tokio::task::yield_now().await;
         answer.notify_one();
-        closing.await.expect("closed");
+        closing.await.expect("shut down the server");
         let mut text = String::new();
         // A connection reset shows as missing text.
         let _ = caller.read_to_string(&mut text).await;
--- a/crates/ingress/tests/slowdown_placement.rs
+++ b/crates/ingress/tests/slowdown_placement.rs
@@ -86,7 +86,10 @@
     for _ in 0..20 {
         let id = chosen(&candidates);
         let taken = candidates.iter_mut().find(|held| held.server.id == id);
-        taken.expect("chosen").load.online += 1;
+        taken
+            .expect("the chosen candidate is in the list")
+            .load
+            .online += 1;
     }
     expect_that!(candidates[3].load.online, le(2));
 }
--- a/crates/room/src/demand.rs
+++ b/crates/room/src/demand.rs
@@ -51,17 +51,18 @@
         self.waiting == 0 && self.returns.is_empty() && self.tenants.is_empty()
     }
 
-    /// Adds another demand that was sent `intervals_ago` whole intervals ago.
+    /// Adds another demand that was sent `intervals_ago` whole intervals ago. Retries that were due
+    /// in these intervals are dropped.
     pub fn add(&mut self, other: &Demand, intervals_ago: usize) {
         self.add_without_tenants(other, intervals_ago);
         for work in &other.tenants {
             let place = self
                 .tenants
-                .binary_search_by_key(&work.tenant, |held| held.tenant);
+                .binary_search_by_key(&work.tenant, |entry| entry.tenant);
             match place {
                 Ok(index) => {
-                    let held = &mut self.tenants[index].requests;
-                    *held = held.saturating_add(work.requests);
+                    let requests = &mut self.tenants[index].requests;
+                    *requests = requests.saturating_add(work.requests);
                 }
                 Err(index) => self.tenants.insert(index, *work),
             }
@@ -92,15 +93,15 @@
             .iter()
             .take(RETRY_INTERVALS)
             .skip(intervals_ago);
-        for (held, requests) in self.returns.iter_mut().zip(due) {
-            *held = held.saturating_sub(*requests);
+        for (expected, requests) in self.returns.iter_mut().zip(due) {
+            *expected = expected.saturating_sub(*requests);
         }
         for work in &other.tenants {
-            let held = self.tenants.iter_mut();
-            let held = held.filter(|held| held.tenant == work.tenant);
-            held.for_each(|held| held.requests = held.requests.saturating_sub(work.requests));
+            let entries = self.tenants.iter_mut();
+            let entries = entries.filter(|entry| entry.tenant == work.tenant);
+            entries.for_each(|entry| entry.requests = entry.requests.saturating_sub(work.requests));
         }
-        self.tenants.retain(|held| held.requests > 0);
+        self.tenants.retain(|entry| entry.requests > 0);
         while self.returns.last() == Some(&0) {
             self.returns.pop();
         }
--- a/crates/room/src/retry_queue.rs
+++ b/crates/room/src/retry_queue.rs
@@ -11,13 +11,14 @@
 /// Assigns each refused request of one tenant at one node its own retry time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RetryQueue {
+    /// Latest retry time assigned, without its random part.
     last: Option<Instant>,
 }
 
 impl RetryQueue {
-    /// Retry delay of the next refused request: one `step` after the previous one, or a random
-    /// delay if that is later than `most`. `step` is the time in which quota for one request of
-    /// this node accrues.
+    /// Retry delay of the next refused request: one `step` after the previous one, but not before
+    /// `until_credit` has passed, plus a random part of a step; or a random delay of at most `most`
+    /// if that is too late. `step` is the time in which quota for one request of this node accrues.
     pub fn next(
         &mut self,
         until_credit: Duration,
--- a/crates/room/src/shares.rs
+++ b/crates/room/src/shares.rs
@@ -91,8 +91,8 @@
     }
 
     /// Allows another request of a tenant, or fails if its share is used up. `claim` is the
-    /// tenant's current demand, `mean_duration` that of a request, and `point` is uniform in [0,
-    /// 1).
+    /// tenant's current demand, `mean_duration` is that of a request, and `point` is uniform
+    /// between 0 and 1.
     pub fn admit(
         &self,
         claim: Claim,
