--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -78,6 +78,7 @@
         let Ok(connection) = self.open(server).await else {
             return false;
         };
+        // Older connections may be dead, so only the new one is kept.
         self.pool.forget(server.address);
         self.pool.put(server.address, connection);
         true
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -120,6 +120,8 @@
         self.route.may_repeat()
     }
 
+    /// Whether it may be sent to another server: it has not run, or its route allows repeated runs
+    /// and it has fewer than the maximum.
     fn may_run_again(&self) -> bool {
         self.ran == Ran::No || (self.may_repeat() && self.runs < self.route.max_attempts)
     }
--- a/crates/ingress/src/evacuated_zones.rs
+++ b/crates/ingress/src/evacuated_zones.rs
@@ -70,8 +70,8 @@
 
 /// Human-readable list of the active orders.
 pub(crate) fn orders_text(node: &Node) -> String {
-    let evacuations = node.view.evacuations().into_iter();
-    let orders: Vec<String> = evacuations
+    let held = node.view.evacuations().into_iter();
+    let orders: Vec<String> = held
         .map(|evacuation| format!("{} (revision {})", evacuation.zone, evacuation.revision))
         .collect();
     format!("evacuated: {}", orders.join(", "))
--- a/crates/ingress/src/event_gaps.rs
+++ b/crates/ingress/src/event_gaps.rs
@@ -35,8 +35,8 @@
     }
 }
 
-/// Ratio of the measured gap to the one expected at the reported slowdown, or `Slowdown::NORMAL` if the
-/// ratio is small.
+/// Ratio of the measured gap to the one expected at the reported slowdown, or `Slowdown::NORMAL` if
+/// the ratio is below `MIN_RATIO`.
 pub fn excess_slowdown(gap: Duration, expected: Duration, reported: Slowdown) -> Slowdown {
     let ratio = gap.as_secs_f64() / (expected.as_secs_f64() * reported.times());
     match ratio >= MIN_RATIO {
--- a/crates/ingress/src/home_regions.rs
+++ b/crates/ingress/src/home_regions.rs
@@ -19,7 +19,7 @@
     let in_home = |zone: &str| homes.allows_zone(zone, places);
     let used = || servers.used.iter();
     match !homes.is_restricted()
-        || (in_home(&node.settings.zone) && used().any(|server| in_home(&server.zone)))
+        || (in_home(&node.settings.zone) && used().any(|used_server| in_home(&used_server.zone)))
     {
         true => used(),
         false => servers.all.iter(),
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -196,6 +196,7 @@
         node.metrics.note_first_event(since_arrival);
     }
 
+    /// Ends the response and returns the bytes after the last complete event, if any.
     fn finish(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         self.ended = true;
         let node = self.upstreams.node().clone();
@@ -224,9 +225,12 @@
         Ok((!rest.is_empty()).then_some(rest))
     }
 
+    /// Continues the stream at another server after the last event. Fails if the route is not
+    /// resumable or no server continues it.
     async fn resume(&mut self, error: AttemptError) -> Result<(), TruncatedResponse> {
         let node = self.upstreams.node().clone();
         let failed = self.started.take();
+        // Discards an incomplete event, which the other server sends again.
         self.splitter.rest();
         let mut server = None;
         if let Some(started) = failed {
--- a/crates/ingress/src/shutdown.rs
+++ b/crates/ingress/src/shutdown.rs
@@ -11,7 +11,7 @@
 /// accepted just before the pause may still deliver one.
 const IDLE_POLLS: u32 = 4;
 
-/// Stops accepting connections and waits until no request is in flight, or until `last`.
+/// Stops accepting connections and waits until no request is in flight, but no later than `last`.
 pub async fn finish_requests(server: &ServerHandle, in_flight: &AtomicU64, last: Instant) {
     server.pause().await;
     let mut idle_polls = 0;
--- a/crates/room/src/demand.rs
+++ b/crates/room/src/demand.rs
@@ -61,8 +61,8 @@
                 .binary_search_by_key(&work.tenant, |entry| entry.tenant);
             match place {
                 Ok(index) => {
-                    let requests = &mut self.tenants[index].requests;
-                    *requests = requests.saturating_add(work.requests);
+                    let held = &mut self.tenants[index].requests;
+                    *held = held.saturating_add(work.requests);
                 }
                 Err(index) => self.tenants.insert(index, *work),
             }
@@ -93,13 +93,13 @@
             .iter()
             .take(RETRY_INTERVALS)
             .skip(intervals_ago);
-        for (expected, requests) in self.returns.iter_mut().zip(due) {
-            *expected = expected.saturating_sub(*requests);
+        for (held, requests) in self.returns.iter_mut().zip(due) {
+            *held = held.saturating_sub(*requests);
         }
         for work in &other.tenants {
-            let entries = self.tenants.iter_mut();
-            let entries = entries.filter(|entry| entry.tenant == work.tenant);
-            entries.for_each(|entry| entry.requests = entry.requests.saturating_sub(work.requests));
+            let held = self.tenants.iter_mut();
+            let held = held.filter(|entry| entry.tenant == work.tenant);
+            held.for_each(|entry| entry.requests = entry.requests.saturating_sub(work.requests));
         }
         self.tenants.retain(|entry| entry.requests > 0);
         while self.returns.last() == Some(&0) {
--- a/crates/room/tests/goodput.rs
+++ b/crates/room/tests/goodput.rs
@@ -37,7 +37,7 @@
 struct Load {
     /// Demand as a fraction of the capacity, by time.
     demand: fn(u64) -> f64,
-    /// Age of a node's information on the others, by time; `None` while it has none.
+    /// Age of a node's information on the others, by node and time; `None` while it has none.
     information_age_ms: fn(usize, u64) -> Option<u64>,
 }
 
--- a/crates/room/tests/shares.rs
+++ b/crates/room/tests/shares.rs
@@ -218,7 +218,9 @@
         // Counts by node and tenant, the newest at the back.
         let idle = vec![vec![0_u32; self.tenants.len()]; self.nodes];
         let mut counts = VecDeque::from(vec![idle; self.information_delay + 1]);
+        // End time, node and tenant of each running request.
         let mut running: VecDeque<(usize, usize, usize)> = VecDeque::new();
+        // Arrival time, node and tenant of each waiting request.
         let mut waiting: VecDeque<(usize, usize, usize)> = VecDeque::new();
         for step in 0..STEPS {
             let mut now = counts.back().expect("counts").clone();
