--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -227,8 +227,8 @@
     }
 
     /// Waits for data from a server. A server that sends nothing to any node for `suspect_after` is
-    /// marked as suspect, a slow one later, and the attempt fails after `abandon_after`. Silence
-    /// before the start of the wait does not count.
+    /// marked as suspect, a slow one later, and the attempt fails after `abandon_after`, if set.
+    /// Silence before the start of the wait does not count.
     pub async fn with_silence_limits<T>(
         &self,
         server: &ServerRecord,
--- a/crates/ingress/src/capacity.rs
+++ b/crates/ingress/src/capacity.rs
@@ -204,7 +204,7 @@
         true => node.loads.demand.pressure_on(service),
         false => Demand::default(),
     };
-    // The trend is only recorded for the servers of all regions together.
+    // The trend is only recorded for requests without home regions.
     let trend_per_s = match homes.is_restricted() {
         true => 0.0,
         false => node.capacities.trend_per_s(service, online),
--- a/crates/room/src/admission.rs
+++ b/crates/room/src/admission.rs
@@ -87,8 +87,8 @@
         by_target.saturating_sub(self.first_event).max(shortest)
     }
 
-    /// Age at which it is refused unless a slot is free. After a failed attempt it may wait until
-    /// its latest start.
+    /// Age at which it is refused, if it may be, unless a slot is free. After a failed attempt it
+    /// may wait until its latest start.
     fn give_up_age(&self) -> Duration {
         match self.failed {
             true => self.latest_start(),
--- a/crates/room/tests/goodput.rs
+++ b/crates/room/tests/goodput.rs
@@ -56,8 +56,11 @@
 #[derive(Debug, Default)]
 struct Outcome {
     asked: u32,
+    /// Served in time at the first attempt.
     first: u32,
+    /// Served in time as a retry.
     second: u32,
+    /// Served after the target.
     late: u32,
     /// Refusals later than a quarter of the target.
     slow: u32,
