--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -85,9 +85,9 @@
 
 fn list(node: &Node) -> HttpResponse {
     let (refused, suspects) = node.crashes.refused();
-    let refused = refused.into_iter().map(|held| {
-        serde_json::json!({"fingerprint": held.fingerprint.to_string(), "servers": held.ended,
-            "age_ms": held.age.as_millis() as u64})
+    let refused = refused.into_iter().map(|refusal| {
+        serde_json::json!({"fingerprint": refusal.fingerprint.to_string(), "servers": refusal.ended,
+            "age_ms": refusal.age.as_millis() as u64})
     });
     let refused: Vec<serde_json::Value> = refused.collect();
     HttpResponse::Ok().json(serde_json::json!({"refused": refused, "suspects": suspects}))
@@ -129,8 +129,8 @@
         }
     }
 
-    /// A crashing process may close its connections before its port, or restart within
-    /// milliseconds.
+    /// Checks again later, since a crashing process may close its connections before its port, or
+    /// restart within milliseconds.
     fn check_again(&self, mut run: RunGuard, server: Arc<ServerRecord>, output: Option<Duration>) {
         run.note_doubt();
         let upstreams = self.clone();
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -120,6 +120,8 @@
         self.route.may_repeat()
     }
 
+    /// Whether it may be sent to another server: it has not run, or its route allows repeated runs
+    /// and it has fewer than the maximum.
     fn may_run_again(&self) -> bool {
         self.ran == Ran::No || (self.may_repeat() && self.runs < self.route.max_attempts)
     }
@@ -162,7 +164,8 @@
             Err(Unplaced::Late { retry_after }) => return Dispatched::Late(retry_after),
         };
         let Ok(run) = node.crashes.begin(request.fingerprint, &server.id) else {
-            // Another node reported a crash or started a run in the meantime.
+            // Another node has reported a crash or started a run since the check, which is
+            // repeated.
             tokio::time::sleep(RUN_CHECK_INTERVAL.min(request.remaining())).await;
             continue;
         };
