--- a/crates/report/src/compare.rs
+++ b/crates/report/src/compare.rs
@@ -76,7 +76,7 @@
         read: |run| Some(run.measures.store_writes_per_s),
     },
     Measure {
-        name: "engine stall share",
+        name: "machine too late, share",
         machine_independent: false,
         read: |run| Some(run.measures.engine_stall_share),
     },
--- a/crates/transport/src/link/server.rs
+++ b/crates/transport/src/link/server.rs
@@ -77,7 +77,7 @@
         let sent = self.outgoing.send(self.id, body);
         if let Err(LinkError::TooLarge { bytes }) = &sent {
             let message =
-                format!("answer frame of {bytes} bytes exceeds the link's frame size limit");
+                format!("the answer has a frame of {bytes} bytes, more than a link carries");
             let failure = Failure::maybe_ran(ErrorKind::Internal, message);
             let _ = self
                 .outgoing
@@ -224,7 +224,7 @@
     fn open(&self, id: u64, first: frame::Body) {
         if self.streams.len() >= self.server.settings.maximum_streams {
             self.server.settings.metrics.streams_refused.inc();
-            let message = "too many open streams on this link";
+            let message = "too many streams are open on this link";
             let failure = Failure::not_run(ErrorKind::Overloaded, message)
                 .retry_after(REFUSED_RETRY_AFTER_MS);
             let _ = self
