--- a/crates/batch/tests/batch/drains.rs
+++ b/crates/batch/tests/batch/drains.rs
@@ -1,4 +1,4 @@
-//! A drained server receives no batch work, and its chunks run on other nodes.
+//! A drained server receives no batch items, and the job completes on the other servers.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 const ITEMS: usize = 40;
 
-/// Applies an operator's drain of a server on all nodes.
+/// Applies an operator's drain of a server to the configuration of all nodes.
 fn drain(fleet: &Fleet, server: &str) {
     let row = DrainRow {
         kind: "server".to_owned(),
@@ -31,6 +31,7 @@
     }
 }
 
+/// Number of items that were started on the server at `base`.
 fn runs_of(fleet: &Fleet, base: &str) -> usize {
     let runs = fleet.engine.runs.borrow();
     runs.iter().filter(|run| run.base == base).count()
--- a/crates/batch/tests/batch/faults.rs
+++ b/crates/batch/tests/batch/faults.rs
@@ -29,10 +29,11 @@
     }
 }
 
-/// Reads the result files of a job. Returns the error code of each result line by `custom_id`; the
-/// code is `ok` for items without an error.
+/// Reads the result files of a job, and checks that its committed chunks point to the result objects
+/// of their epochs. Returns the error code of each result line by `custom_id`; the code is `ok` for
+/// items without an error.
 pub async fn results(fleet: &Fleet, node: usize, job: &JobState) -> BTreeMap<String, Vec<String>> {
-    expect_results_under_their_epochs(fleet, &job.job_id);
+    expect_result_objects_of_row_epochs(fleet, &job.job_id);
     let mut found: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for file in [&job.output_file_id, &job.error_file_id] {
         for line in fleet.nodes[node].read_file(file).await.lines() {
@@ -46,12 +47,12 @@
 }
 
 /// Checks that each committed chunk points to the result object of the epoch in its row.
-fn expect_results_under_their_epochs(fleet: &Fleet, job: &str) {
+fn expect_result_objects_of_row_epochs(fleet: &Fleet, job: &str) {
     for key in fleet.platform.keys(&format!("chunk/{job}/")) {
         let row: ChunkRow = fleet.platform.row(&key).expect("a chunk row");
         if row.phase() == ChunkPhase::ChunkDone {
-            let own = keys::result_object(&job.into(), row.index, row.epoch);
-            expect_that!(row.result_object, eq(&own));
+            let expected_object = keys::result_object(&job.into(), row.index, row.epoch);
+            expect_that!(row.result_object, eq(&expected_object));
         }
     }
 }
@@ -64,7 +65,8 @@
     );
 }
 
-/// Number of items that were started from the first token more than once.
+/// Number of items that were started from the first token more than once; a resumed item does not
+/// count.
 pub fn repeated_item_count(fleet: &Fleet) -> usize {
     let mut counts = BTreeMap::new();
     for run in fleet.engine.runs.borrow().iter() {
@@ -206,7 +208,7 @@
                 .await
                 .expect("accepted");
             tokio::time::sleep(Duration::from_millis(300)).await;
-            // Its member table is empty, as right after a start.
+            // The member table of the added node is empty, as right after a start.
             fleet.add_isolated_node(2);
             let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
             expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
@@ -257,12 +259,12 @@
                 .submit(submit(&file, "key"))
                 .await
                 .expect("accepted");
-            // The response to every commit is lost. Whether the commit takes effect alternates with
-            // the number of transactions.
-            let turn = Cell::new(0);
+            // The response to every commit of a chunk is lost. Every second transaction, counting those
+            // that are not commits, takes effect if it is a commit; the others are lost before.
+            let transaction_count = Cell::new(0);
             fleet.platform.inject_transact_faults(move |transaction| {
-                turn.set(turn.get() + 1);
-                let lost = match turn.get() % 2 {
+                transaction_count.set(transaction_count.get() + 1);
+                let lost = match transaction_count.get() % 2 {
                     0 => Fault::LostAfterEffect,
                     _ => Fault::LostBeforeEffect,
                 };
@@ -364,8 +366,8 @@
                     ..small_chunk_settings()
                 };
                 let fleet = Fleet::start(2, settings);
-                // Few of these items fit on a server at once, so some are still queued at the
-                // drain.
+                // Items of 1,500 tokens are so long that few fit on a server at once, and some are still
+                // queued at the drain.
                 let text = lines(ITEMS, 1_500);
                 let file = upload(&fleet.nodes[0], &text).await;
                 let call = at_most_once_submit(&file, "key");
--- a/crates/emulator/src/rows.rs
+++ b/crates/emulator/src/rows.rs
@@ -1,4 +1,4 @@
-//! In-memory row store with lost answers, delayed effects, refusals and a compacted history.
+//! In-memory row store with lost responses, delayed effects, refusals and a compacted history.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 pub enum RowFault {
     /// The transaction is refused without effect.
     Refused,
-    /// The answer is lost, and the transaction has no effect.
+    /// The transaction is lost before it takes effect: the caller gets no response, and nothing changes.
     LostBefore,
-    /// The answer is lost after the transaction took effect.
+    /// The response is lost after the transaction took effect.
     LostAfter,
-    /// The answer is lost, and the transaction is applied before the next one if its conditions still
-    /// hold.
+    /// The caller gets no response, and the transaction takes effect late: it is applied before the
+    /// next one if its conditions still hold then.
     LostLate,
 }
 
@@ -43,8 +43,8 @@
     faults: VecDeque<Option<RowFault>>,
     delayed: Vec<Transaction>,
     down: bool,
-    random: Option<(ChaCha8Rng, f64)>,
-    random_reads: Option<(ChaCha8Rng, f64)>,
+    transaction_faults: Option<(ChaCha8Rng, f64)>,
+    read_faults: Option<(ChaCha8Rng, f64)>,
     transactions: u64,
     feed_calls: u64,
 }
@@ -75,12 +75,12 @@
 
     /// Fails a fraction `share` of the transactions at random, from a seed.
     pub fn fail_at_random(&self, seed: u64, share: f64) {
-        self.state.lock().random = Some((ChaCha8Rng::seed_from_u64(seed), share));
+        self.state.lock().transaction_faults = Some((ChaCha8Rng::seed_from_u64(seed), share));
     }
 
     /// Refuses a fraction `share` of the row reads at random, from a seed.
     pub fn refuse_reads_at_random(&self, seed: u64, share: f64) {
-        self.state.lock().random_reads = Some((ChaCha8Rng::seed_from_u64(seed), share));
+        self.state.lock().read_faults = Some((ChaCha8Rng::seed_from_u64(seed), share));
     }
 
     /// Sets whether all calls are refused.
@@ -88,7 +88,8 @@
         self.state.lock().down = down;
     }
 
-    /// Discards the history up to the current revision; older feed positions become compacted.
+    /// Discards the history up to the current revision; a feed that starts at an older revision then
+    /// fails with [`StoreError::Compacted`].
     pub fn compact_history(&self) {
         let mut state = self.state.lock();
         state.compacted_revision = state.revision;
@@ -105,7 +106,7 @@
         self.state.lock().feed_calls
     }
 
-    /// Writes a row as another client of the store.
+    /// Writes a row without conditions or faults, as if another client of the store had written it.
     pub fn write(&self, table: &'static str, part: &str, key: &str, value: impl Into<Bytes>) {
         let mut state = self.state.lock();
         let revision = state.revision + 1;
@@ -115,7 +116,7 @@
         self.changed.send_replace(revision);
     }
 
-    /// Removes a row as another client of the store.
+    /// Removes a row without conditions or faults, as if another client of the store had removed it.
     pub fn remove(&self, table: &'static str, part: &str, key: &str) {
         let mut state = self.state.lock();
         let revision = state.revision + 1;
@@ -155,7 +156,7 @@
         if let Some(fault) = self.faults.pop_front() {
             return fault;
         }
-        let (random, share) = self.random.as_mut()?;
+        let (random, share) = self.transaction_faults.as_mut()?;
         if !random.random_bool(*share) {
             return None;
         }
@@ -169,10 +170,12 @@
     }
 
     fn refuses_read(&mut self) -> bool {
-        let generator = self.random_reads.as_mut();
+        let generator = self.read_faults.as_mut();
         generator.is_some_and(|(random, share)| random.random_bool(*share))
     }
 
+    /// Applies a transaction and returns its revision, or the current rows of its conditions if one of
+    /// them does not hold.
     fn apply(&mut self, transaction: &Transaction) -> Result<u64, Vec<Row>> {
         let fails = transaction.conditions.iter().any(|condition| {
             let row = &condition.row;
@@ -331,6 +334,8 @@
                     return Err(StoreError::Compacted);
                 }
                 let mut rows: Vec<Row> = Vec::new();
+                // One entry per row, at the position of its latest change. A removed row has revision
+                // 0, so it is reported with the revision of the change.
                 for (revision, row_key) in &state.history {
                     if *revision > after && row_key.0 == table {
                         rows.retain(|row| (&row.part, &row.key) != (&row_key.1, &row_key.2));
@@ -347,7 +352,8 @@
                     });
                 }
             }
-            // On a timeout the next iteration returns an empty feed.
+            // Whether a row changed or the wait timed out, the next iteration checks again; after the
+            // timeout it returns even an empty feed.
             let _ = tokio::time::timeout_at(until, changed.changed()).await;
         }
     }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! Client for calls to other nodes.
+//! Client for row store operations that other nodes execute on behalf of this node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,17 +16,18 @@
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// Idle connections kept per node.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// How long an idle connection may be reused.
+/// How long an idle connection is kept for reuse: `default` if the peer announces no idle timeout, otherwise the
+/// announced timeout less `margin`.
 const IDLE_LIMIT: IdleLimit = IdleLimit {
     default: Duration::from_secs(20),
     margin: Duration::from_millis(500),
 };
 
-/// Longest gap between two chunks of an answer. There is no limit on the whole answer: the sender of a snapshot may be
-/// serving many nodes at once.
+/// Longest gap between two chunks of a response body. The total time is not limited, because a node that sends many
+/// rows may be serving many other nodes at once.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Connection pool of one thread to other nodes.
+/// One thread's pool of connections to other nodes.
 pub(crate) struct PeerCalls {
     pool: Pool,
 }
@@ -38,17 +39,18 @@
         }
     }
 
-    /// Makes a call. [`StoreError::Unavailable`] means that it had no effect.
+    /// Makes a call; the response head must arrive within `head_timeout`. Fails with [`StoreError::Unavailable`] if the
+    /// call had no effect and with [`StoreError::Ambiguous`] if it may have had one.
     pub async fn call(
         &self,
         address: SocketAddr,
         kind: CallKind,
-        limit: Duration,
+        head_timeout: Duration,
     ) -> Result<AnswerKind, StoreError> {
         let call = RelayCall { kind: Some(kind) };
         let body = Bytes::from(call.encode_to_vec());
-        let answer = match self.exchange(address, &body, limit).await {
-            Ok(answer) => answer,
+        let response = match self.exchange(address, &body, head_timeout).await {
+            Ok(response) => response,
             Err(error) if error.stage == Stage::Connect => {
                 return Err(StoreError::Unavailable {
                     reason: format!("node at {address}: {error}"),
@@ -56,7 +58,7 @@
             }
             Err(error) => return Err(ambiguous(address, &error.to_string())),
         };
-        let answer = RelayAnswer::decode(answer)
+        let answer = RelayAnswer::decode(response)
             .ok()
             .and_then(|decoded| decoded.kind);
         match answer {
@@ -66,12 +68,12 @@
         }
     }
 
-    /// Sends a call; the head of the answer must arrive within `limit`.
+    /// Sends a call and reads the response body. The response head must arrive within `head_timeout`.
     async fn exchange(
         &self,
         address: SocketAddr,
         body: &Bytes,
-        limit: Duration,
+        head_timeout: Duration,
     ) -> Result<Bytes, ExchangeError> {
         let host = HeaderValue::from_static("node");
         let headers = [(&HOST, &host)];
@@ -80,27 +82,27 @@
             Some(connection) => connection,
             None => Connection::open(address, CONNECT_TIMEOUT).await?,
         };
-        let sending = connection.send(&request);
-        let head = dappleyard_clock::timeout(limit, sending).await;
+        let response_head = connection.send(&request);
+        let head = dappleyard_clock::timeout(head_timeout, response_head).await;
         head.map_err(|_| exchange_error(Stage::Head, "no answer in time"))??;
-        let answer = read_answer(&mut connection).await?;
+        let response = read_body(&mut connection).await?;
         self.pool.put(address, connection);
-        Ok(answer)
+        Ok(response)
     }
 }
 
-async fn read_answer(connection: &mut Connection) -> Result<Bytes, ExchangeError> {
-    let mut answer = BytesMut::new();
+async fn read_body(connection: &mut Connection) -> Result<Bytes, ExchangeError> {
+    let mut body = BytesMut::new();
     loop {
         let chunk = dappleyard_clock::timeout(STALL_TIMEOUT, connection.next_piece()).await;
         let chunk = chunk.map_err(|_| exchange_error(Stage::Body, "the answer has stalled"))??;
         let Some(chunk) = chunk else {
-            return Ok(answer.freeze());
+            return Ok(body.freeze());
         };
-        if answer.len() + chunk.len() > MAX_ANSWER_BYTES {
+        if body.len() + chunk.len() > MAX_ANSWER_BYTES {
             return Err(exchange_error(Stage::Body, "answer too long"));
         }
-        answer.extend_from_slice(&chunk);
+        body.extend_from_slice(&chunk);
     }
 }
 
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -1,9 +1,10 @@
-//! The at-most-once record with two concurrent attempts for one key.
+//! Models the at-most-once record while two attempts run concurrently for one key.
 //!
-//! An attempt asks the recorder of its cell to create the record and, on a timeout, writes the record
-//! itself with the same token, so two read-and-create loops of one attempt may run at once. An attempt
-//! that stops waiting answers its caller "not run" and releases the key. The failure detector may
-//! suspect the node of a live attempt, and calls may take effect after their sender timed out.
+//! An attempt asks the recorder, a node of its cell that writes records for others, to create the
+//! record. On a timeout the attempt also writes the record itself, with the same token. Each of the two
+//! reads the record and creates it in a loop, and both loops may run at once. An attempt that stops
+//! waiting for the create reports "not run" to its caller and releases the key. The failure detector
+//! may suspect the node of a live attempt, and calls may take effect after their sender timed out.
 
 mod protocol;
 mod state;
@@ -21,26 +22,27 @@
 /// Bugs that can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A run whose answer was lost is recorded as not run, so that the key can run again.
+    /// A run whose response was lost is recorded as not run, so that a retry with the key runs again.
     RetryAfterMaybe,
-    /// An attempt treats any started record as its own.
+    /// An attempt treats any started record as its own, without comparing the writer's token.
     WriterNotCompared,
-    /// An attempt does not release the key after an unconfirmed create.
+    /// An attempt that stops waiting for an unconfirmed create does not release the key.
     NotGivenUp,
-    /// A loop still creates the record after its attempt has stopped waiting for it.
+    /// A loop still creates the record after its attempt has stopped waiting.
     LoopOutlivesWait,
 }
 
-/// Bounds of the exploration.
+/// Bounds on the faults in one trace.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Maximum faults in one trace: lost calls and answers, early timeouts, lost engines, crashes.
+    /// Maximum faults in one trace: lost calls and responses, timeouts before the response arrives,
+    /// lost engines and crashes of attempts.
     pub faults: u8,
-    /// Maximum suspicions of a live attempt in one trace.
+    /// Maximum wrong suspicions, those of a live attempt's node, in one trace.
     pub suspicions: u8,
 }
 
-/// Specification of the protocol in this module.
+/// Specification of the at-most-once record.
 #[derive(Debug, Clone)]
 pub struct Once {
     /// The injected bug; `None` for the unmodified protocol.
@@ -86,7 +88,7 @@
     fn violation(&self, state: &State) -> Option<String> {
         let runs = state.attempts.iter().filter(|attempt| attempt.ran).count();
         let wrongly_reported = |attempt: &Attempt| attempt.reported_not_run && attempt.ran;
-        let answered = state.row.value.as_ref().is_some_and(|row| {
+        let response_recorded = state.row.value.as_ref().is_some_and(|row| {
             let outcome = row.outcome.as_ref();
             outcome.is_some_and(|outcome| outcome.kind == 0)
         });
@@ -94,7 +96,7 @@
             "the request ran twice"
         } else if state.attempts.iter().any(wrongly_reported) {
             "an attempt that was reported as not run has run"
-        } else if answered && runs == 0 {
+        } else if response_recorded && runs == 0 {
             "an answer is recorded although the request never ran"
         } else if !self.terminates(state) {
             "the key stays in progress although no attempt runs the request"
@@ -112,7 +114,7 @@
                 .is_some_and(|outcome| *outcome == unknown_outcome())
         });
         let gave_up = |attempt: &Attempt| attempt.phase == Phase::GivingUp;
-        let holds = [
+        let conditions = [
             ("settled", phase == Some(OncePhase::OnceSettled)),
             ("released", phase == Some(OncePhase::OnceReleased)),
             ("recorded as unknown", unknown),
@@ -123,9 +125,9 @@
                 state.attempts.iter().any(|attempt| attempt.crashed),
             ),
         ];
-        holds
+        conditions
             .into_iter()
-            .filter_map(|(name, holds)| holds.then_some(name))
+            .filter_map(|(name, covered)| covered.then_some(name))
             .collect()
     }
 
--- a/crates/transport/src/link/mod.rs
+++ b/crates/transport/src/link/mod.rs
@@ -45,7 +45,7 @@
         peer: String,
     },
     /// The frame exceeds the size limit and was not sent.
-    #[display("frame of {bytes} bytes exceeds the link's frame size limit")]
+    #[display("a frame of {bytes} bytes is larger than a link carries")]
     TooLarge {
         /// Size of the frame, bytes.
         bytes: usize,
