--- a/crates/batch/tests/batch/crashes.rs
+++ b/crates/batch/tests/batch/crashes.rs
@@ -18,7 +18,7 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             let ended = fleet.nodes[0].wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobCompleted));
             expect_that!(fleet.engine.crashes.get(), eq(3));
--- a/crates/batch/tests/batch/drains.rs
+++ b/crates/batch/tests/batch/drains.rs
@@ -25,6 +25,7 @@
             revision: 1,
             key: keys::drain("server", server),
             value: row.encode_to_vec(),
+            // The only row of its transaction.
             parts: 1,
             ..ConfigurationEntry::default()
         }]);
@@ -48,12 +49,12 @@
                 let job = fleet.nodes[0]
                     .submit(submit(&file, "key"))
                     .await
-                    .expect("accepted");
+                    .expect("job should be accepted");
                 tokio::time::sleep(Duration::from_millis(drained_after_ms)).await;
                 drain(&fleet, "server-0");
-                let before = runs_of(&fleet, "http://server-0");
+                let started_before_drain = runs_of(&fleet, "http://server-0");
                 let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
-                expect_that!(runs_of(&fleet, "http://server-0"), eq(before));
+                expect_that!(runs_of(&fleet, "http://server-0"), eq(started_before_drain));
                 expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
             })
             .await;
--- a/crates/batch/tests/batch/faults.rs
+++ b/crates/batch/tests/batch/faults.rs
@@ -21,6 +21,8 @@
 
 pub const ITEMS: usize = 60;
 
+/// Settings with few items per chunk, so that a job has many chunks. `once_chunk_items` applies to
+/// at-most-once items.
 pub fn small_chunk_settings() -> BatchSettings {
     BatchSettings {
         chunk_minimum_items: 4,
@@ -29,7 +31,7 @@
     }
 }
 
-/// Reads the result files of a job, and checks that its committed chunks point to the result objects
+/// Reads the result files of a job from the node with index `node`, and checks that its committed chunks point to the result objects
 /// of their epochs. Returns the error code of each result line by `custom_id`; the code is `ok` for
 /// items without an error.
 pub async fn results(fleet: &Fleet, node: usize, job: &JobState) -> BTreeMap<String, Vec<String>> {
@@ -37,8 +39,12 @@
     let mut found: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for file in [&job.output_file_id, &job.error_file_id] {
         for line in fleet.nodes[node].read_file(file).await.lines() {
-            let value: serde_json::Value = serde_json::from_str(line).expect("a JSON line");
-            let name = value["custom_id"].as_str().expect("a name").to_owned();
+            let value: serde_json::Value =
+                serde_json::from_str(line).expect("result line should be JSON");
+            let name = value["custom_id"]
+                .as_str()
+                .expect("custom_id should be a string")
+                .to_owned();
             let code = value["error"]["code"].as_str().unwrap_or("ok").to_owned();
             found.entry(name).or_default().push(code);
         }
@@ -49,7 +55,7 @@
 /// Checks that each committed chunk points to the result object of the epoch in its row.
 fn expect_result_objects_of_row_epochs(fleet: &Fleet, job: &str) {
     for key in fleet.platform.keys(&format!("chunk/{job}/")) {
-        let row: ChunkRow = fleet.platform.row(&key).expect("a chunk row");
+        let row: ChunkRow = fleet.platform.row(&key).expect("chunk row should decode");
         if row.phase() == ChunkPhase::ChunkDone {
             let expected_object = keys::result_object(&job.into(), row.index, row.epoch);
             expect_that!(row.result_object, eq(&expected_object));
@@ -57,6 +63,7 @@
     }
 }
 
+/// Checks that each of `items` items has exactly one result line.
 pub fn expect_one_result_each(found: &BTreeMap<String, Vec<String>>, items: usize) {
     expect_that!(found.len(), eq(items));
     expect_that!(
@@ -112,6 +119,7 @@
                         3 => Some(Fault::Down),
                         _ => None,
                     });
+                // A submission that fails with an injected fault is resent under the same key.
                 let job = loop {
                     if let Ok(job) = fleet.nodes[0].submit(submit(&file, "key")).await {
                         break job;
@@ -136,13 +144,13 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             fleet.kill(0);
             fleet.declare_dead(0);
             let resent = fleet.nodes[1]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("the same");
+                .expect("resent submission should be accepted");
             expect_that!(resent.job_id, eq(&job.job_id));
             let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
             expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
@@ -161,7 +169,7 @@
                 let job = fleet.nodes[0]
                     .submit(submit(&file, "key"))
                     .await
-                    .expect("accepted");
+                    .expect("job should be accepted");
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
                 fleet.kill(0);
                 fleet.declare_dead(0);
@@ -182,13 +190,13 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             tokio::time::sleep(Duration::from_millis(300)).await;
             fleet.declare_dead(0);
             let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
             expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
+            // Leaves time to delete the results of the fenced holder; one object per chunk remains.
             tokio::time::sleep(Duration::from_secs(30)).await;
-            // The results of the fenced holder were deleted: one object per chunk is left.
             let chunks = fleet.platform.keys("chunk/").len();
             expect_that!(fleet.platform.object_names("results/").len(), eq(chunks));
             expect_that!(fleet.platform.keys("held-chunk/").len(), eq(0));
@@ -206,7 +214,7 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             tokio::time::sleep(Duration::from_millis(300)).await;
             // The member table of the added node is empty, as right after a start.
             fleet.add_isolated_node(2);
@@ -228,16 +236,22 @@
                 let job = fleet.nodes[0]
                     .submit(submit(&file, "key"))
                     .await
-                    .expect("accepted");
+                    .expect("job should be accepted");
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
-                let cancelled = fleet.nodes[2].cancel(&job.job_id).await.expect("cancelled");
+                let cancelled = fleet.nodes[2]
+                    .cancel(&job.job_id)
+                    .await
+                    .expect("cancel should succeed");
                 expect_that!(cancelled.phase(), eq(JobPhase::JobCancelled));
                 let done = done_chunks(&fleet, &job.job_id);
+                // Nodes may start items until they learn of the cancel, so starts are compared from two
+                // seconds after it.
                 tokio::time::sleep(Duration::from_secs(2)).await;
                 let started = fleet.engine.runs.borrow().len();
                 tokio::time::sleep(Duration::from_secs(60)).await;
                 expect_that!(fleet.engine.runs.borrow().len(), eq(started));
                 expect_that!(done_chunks(&fleet, &job.job_id), eq(done));
+                // The cancel also removes the index rows of the job.
                 expect_that!(fleet.platform.keys("open-chunk/").len(), eq(0));
                 expect_that!(fleet.platform.keys("held-chunk/").len(), eq(0));
                 expect_that!(fleet.platform.keys("active-job/").len(), eq(0));
@@ -258,7 +272,7 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             // The response to every commit of a chunk is lost. Every second transaction, counting those
             // that are not commits, takes effect if it is a commit; the others are lost before.
             let transaction_count = Cell::new(0);
@@ -271,7 +285,10 @@
                 writes_done_chunk(transaction).then_some(lost)
             });
             tokio::time::sleep(Duration::from_millis(400)).await;
-            fleet.nodes[1].cancel(&job.job_id).await.expect("cancelled");
+            fleet.nodes[1]
+                .cancel(&job.job_id)
+                .await
+                .expect("cancel should succeed");
             let done = done_chunks(&fleet, &job.job_id);
             tokio::time::sleep(Duration::from_secs(30)).await;
             expect_that!(done_chunks(&fleet, &job.job_id), eq(done));
@@ -289,7 +306,7 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             tokio::time::sleep(Duration::from_millis(60)).await;
             fleet.platform.set_down(true);
             let refused = fleet.nodes[1].submit(submit(&file, "other")).await;
@@ -314,13 +331,17 @@
                     let mut fleet = Fleet::start(3, small_chunk_settings());
                     let file = upload(&fleet.nodes[0], &lines(ITEMS, 40)).await;
                     let call = at_most_once_submit(&file, "key");
-                    let job = fleet.nodes[0].submit(call).await.expect("accepted");
+                    let job = fleet.nodes[0]
+                        .submit(call)
+                        .await
+                        .expect("job should be accepted");
                     tokio::time::sleep(Duration::from_millis(after_ms)).await;
                     if killed {
                         fleet.kill(0);
                     }
                     fleet.declare_dead(0);
                     let ended = fleet.nodes[2].wait_until_ended(&job.job_id).await;
+                    // Leaves time for a wrong second run to start.
                     tokio::time::sleep(Duration::from_secs(10)).await;
                     expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
                     expect_that!(repeated_item_count(&fleet), eq(0));
@@ -340,15 +361,19 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             tokio::time::sleep(Duration::from_millis(100)).await;
-            let handle = fleet.nodes[0].handle.as_ref().expect("runs");
+            let handle = fleet.nodes[0]
+                .handle
+                .as_ref()
+                .expect("node should be running");
             handle.drain().await;
             let held = fleet.platform.keys("held-chunk/node-0/");
             expect_that!(held.len(), eq(0));
             let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
             expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
             expect_that!(repeated_item_count(&fleet), eq(0));
+            // Partial results are deleted after the job has ended.
             tokio::time::sleep(Duration::from_secs(5)).await;
             expect_that!(fleet.platform.object_names("partial/").len(), eq(0));
         })
@@ -371,9 +396,17 @@
                 let text = lines(ITEMS, 1_500);
                 let file = upload(&fleet.nodes[0], &text).await;
                 let call = at_most_once_submit(&file, "key");
-                let job = fleet.nodes[0].submit(call).await.expect("accepted");
+                let job = fleet.nodes[0]
+                    .submit(call)
+                    .await
+                    .expect("job should be accepted");
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
-                fleet.nodes[0].handle.as_ref().expect("runs").drain().await;
+                fleet.nodes[0]
+                    .handle
+                    .as_ref()
+                    .expect("node should be running")
+                    .drain()
+                    .await;
                 let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
                 expect_that!(ended.items_failed, eq(0));
                 expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
--- a/crates/batch/tests/batch/jobs.rs
+++ b/crates/batch/tests/batch/jobs.rs
@@ -31,7 +31,7 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobCompleted));
             expect_that!(ended.items_total, eq(100));
@@ -58,7 +58,7 @@
             let job = fleet.nodes[0]
                 .submit(submit(&first, "key"))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             let same = fleet.nodes[1]
                 .submit(submit(&first, "key"))
                 .await
@@ -91,7 +91,7 @@
             let job = fleet.nodes[0]
                 .submit(submit(&file, ""))
                 .await
-                .expect("accepted");
+                .expect("job should be accepted");
             let ended = fleet.nodes[0].wait_until_ended(&job.job_id).await;
             expect_that!(ended.phase(), eq(JobPhase::JobFailed));
             let places: Vec<(u32, &str)> = ended
@@ -117,7 +117,10 @@
             let fleet = Fleet::start(2, settings);
             let node = &fleet.nodes[0];
             let file = upload(node, &lines(21, 5)).await;
-            let job = node.submit(submit(&file, "key")).await.expect("accepted");
+            let job = node
+                .submit(submit(&file, "key"))
+                .await
+                .expect("job should be accepted");
             tokio::time::sleep(Duration::from_secs(20)).await;
             let planned = node.job(&job.job_id).await;
             expect_that!(planned.phase(), eq(JobPhase::JobPlanned));
@@ -159,7 +162,10 @@
             }]);
             let node = &fleet.nodes[0];
             let file = upload(node, &lines(300, 20)).await;
-            let job = node.submit(submit(&file, "key")).await.expect("accepted");
+            let job = node
+                .submit(submit(&file, "key"))
+                .await
+                .expect("job should be accepted");
             node.wait_until_ended(&job.job_id).await;
             let peak_running = fleet.engine.peak_running.borrow()["http://server-0"];
             expect_that!(peak_running, all!(ge(8), le(12)));
--- a/crates/batch/tests/batch/support/harness.rs
+++ b/crates/batch/tests/batch/support/harness.rs
@@ -214,7 +214,8 @@
     }
 }
 
-/// Input lines of chat items with the ids `item-0`, `item-1` and so on.
+/// Input lines of chat items with the ids `item-0`, `item-1` and so on; each generates at most
+/// `max_tokens` tokens.
 pub fn lines(count: usize, max_tokens: u32) -> String {
     let line = |index: usize| {
         format!(
--- a/crates/batch/tests/batch/suspended.rs
+++ b/crates/batch/tests/batch/suspended.rs
@@ -37,7 +37,10 @@
 
 /// Submits through node 1 and waits until node 0 runs items, at most one second.
 async fn begin(fleet: &Fleet, call: JobSubmit) -> String {
-    let job = fleet.nodes[1].submit(call).await.expect("accepted");
+    let job = fleet.nodes[1]
+        .submit(call)
+        .await
+        .expect("job should be accepted");
     for _ in 0..500 {
         tokio::time::sleep(Duration::from_millis(2)).await;
         if fleet.engine.running_on("http://server-0") > 0 {
@@ -56,7 +59,10 @@
             let job = begin(&fleet, submit(&file, "key")).await;
             suspension.suspend();
             // There is no gossip in these tests, so node 0 learns of the cancel from the feed only.
-            fleet.nodes[1].cancel(&job).await.expect("cancelled");
+            fleet.nodes[1]
+                .cancel(&job)
+                .await
+                .expect("cancel should succeed");
             tokio::time::sleep(Duration::from_millis(suspended_ms)).await;
             let before = runs_of_node_0(&fleet);
             suspension.resume();
@@ -103,7 +109,10 @@
         with_suspendable_node(small_chunk_settings(), async |fleet, suspension| {
             let file = upload(&fleet.nodes[1], &lines(ITEMS, 100)).await;
             let call = at_most_once_submit(&file, "key");
-            let job = fleet.nodes[1].submit(call).await.expect("accepted");
+            let job = fleet.nodes[1]
+                .submit(call)
+                .await
+                .expect("job should be accepted");
             for _ in 0..1_000 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
                 if !fleet.platform.keys("held-chunk/node-0/").is_empty() {
--- a/crates/emulator/src/rows.rs
+++ b/crates/emulator/src/rows.rs
@@ -134,6 +134,7 @@
             .collect()
     }
 
+    /// Store time, milliseconds; never 0.
     fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64 + 1
     }
@@ -216,13 +217,13 @@
 
 fn ambiguous() -> StoreError {
     StoreError::Ambiguous {
-        reason: "emulated".to_owned(),
+        reason: "injected fault: no response".to_owned(),
     }
 }
 
 fn unavailable() -> StoreError {
     StoreError::Unavailable {
-        reason: "emulated".to_owned(),
+        reason: "injected fault: call refused".to_owned(),
     }
 }
 
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! Client for row store operations that other nodes execute on behalf of this node.
+//! Client for calls to other nodes that stand in for calls to the row store, so they fail with [`StoreError`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -1,10 +1,10 @@
 //! Models the at-most-once record while two attempts run concurrently for one key.
 //!
-//! An attempt asks the recorder, a node of its cell that writes records for others, to create the
-//! record. On a timeout the attempt also writes the record itself, with the same token. Each of the two
-//! reads the record and creates it in a loop, and both loops may run at once. An attempt that stops
-//! waiting for the create reports "not run" to its caller and releases the key. The failure detector
-//! may suspect the node of a live attempt, and calls may take effect after their sender timed out.
+//! An attempt asks the recorder, the node of its cell that reserves the key, to create the record. On a
+//! timeout the attempt also writes the record itself, with the same token. Each of the two reads the
+//! record and creates it in a loop, and both loops may run at once. An attempt that stops waiting for
+//! the create reports "not run" to its caller and releases the key. The failure detector may suspect
+//! the node of a live attempt, and calls may take effect after their sender timed out.
 
 mod protocol;
 mod state;
@@ -90,6 +90,7 @@
         let wrongly_reported = |attempt: &Attempt| attempt.reported_not_run && attempt.ran;
         let response_recorded = state.row.value.as_ref().is_some_and(|row| {
             let outcome = row.outcome.as_ref();
+            // An error kind of 0 means that the outcome is a response.
             outcome.is_some_and(|outcome| outcome.kind == 0)
         });
         let message = if runs > 1 {
