--- a/crates/emulator/src/rows.rs
+++ b/crates/emulator/src/rows.rs
@@ -217,13 +217,13 @@
 
 fn ambiguous() -> StoreError {
     StoreError::Ambiguous {
-        reason: "injected fault: no response".to_owned(),
+        reason: "emulated".to_owned(),
     }
 }
 
 fn unavailable() -> StoreError {
     StoreError::Unavailable {
-        reason: "injected fault: call refused".to_owned(),
+        reason: "emulated".to_owned(),
     }
 }
 
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -85,24 +85,24 @@
         let response_head = connection.send(&request);
         let head = dappleyard_clock::timeout(head_timeout, response_head).await;
         head.map_err(|_| exchange_error(Stage::Head, "no answer in time"))??;
-        let response = read_body(&mut connection).await?;
+        let response = read_response(&mut connection).await?;
         self.pool.put(address, connection);
         Ok(response)
     }
 }
 
-async fn read_body(connection: &mut Connection) -> Result<Bytes, ExchangeError> {
-    let mut body = BytesMut::new();
+async fn read_response(connection: &mut Connection) -> Result<Bytes, ExchangeError> {
+    let mut response = BytesMut::new();
     loop {
         let chunk = dappleyard_clock::timeout(STALL_TIMEOUT, connection.next_piece()).await;
         let chunk = chunk.map_err(|_| exchange_error(Stage::Body, "the answer has stalled"))??;
         let Some(chunk) = chunk else {
-            return Ok(body.freeze());
+            return Ok(response.freeze());
         };
-        if body.len() + chunk.len() > MAX_ANSWER_BYTES {
+        if response.len() + chunk.len() > MAX_ANSWER_BYTES {
             return Err(exchange_error(Stage::Body, "answer too long"));
         }
-        body.extend_from_slice(&chunk);
+        response.extend_from_slice(&chunk);
     }
 }
 
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -128,7 +128,7 @@
         ];
         conditions
             .into_iter()
-            .filter_map(|(name, covered)| covered.then_some(name))
+            .filter_map(|(name, holds)| holds.then_some(name))
             .collect()
     }
 
