--- a/crates/batch/tests/batch/drains.rs
+++ b/crates/batch/tests/batch/drains.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Number of items that were started on the server at `base`.
+/// Number of runs that were started on the server at `base`.
 fn runs_of(fleet: &Fleet, base: &str) -> usize {
     let runs = fleet.engine.runs.borrow();
     runs.iter().filter(|run| run.base == base).count()
