--- a/crates/batch/tests/batch/drains.rs
+++ b/crates/batch/tests/batch/drains.rs
@@ -1,4 +1,4 @@
-//! A drained server receives no batch work, and its chunks run on other nodes.
+//! A drained server receives no batch items, and the job completes on the other servers.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 const ITEMS: usize = 40;
 
-/// Applies an operator's drain of a server on all nodes.
+/// Applies an operator's drain of a server to the configuration of all nodes.
 fn drain(fleet: &Fleet, server: &str) {
     let row = DrainRow {
         kind: "server".to_owned(),
@@ -25,12 +25,14 @@
             revision: 1,
             key: keys::drain("server", server),
             value: row.encode_to_vec(),
+            // The only row of its transaction.
             parts: 1,
             ..ConfigurationEntry::default()
         }]);
     }
 }
 
+/// Number of runs that were started on the server at `base`.
 fn runs_of(fleet: &Fleet, base: &str) -> usize {
     let runs = fleet.engine.runs.borrow();
     runs.iter().filter(|run| run.base == base).count()
@@ -47,12 +49,12 @@
                 let job = fleet.nodes[0]
                     .submit(submit(&file, "key"))
                     .await
-                    .expect("accepted");
+                    .expect("job should be accepted");
                 tokio::time::sleep(Duration::from_millis(drained_after_ms)).await;
                 drain(&fleet, "server-0");
-                let before = runs_of(&fleet, "http://server-0");
+                let started_before_drain = runs_of(&fleet, "http://server-0");
                 let ended = fleet.nodes[1].wait_until_ended(&job.job_id).await;
-                expect_that!(runs_of(&fleet, "http://server-0"), eq(before));
+                expect_that!(runs_of(&fleet, "http://server-0"), eq(started_before_drain));
                 expect_one_result_each(&results(&fleet, 1, &ended).await, ITEMS);
             })
             .await;
