--- a/crates/crashes/src/ledger.rs
+++ b/crates/crashes/src/ledger.rs
@@ -12,8 +12,8 @@
 use crate::record::{MAX_ENDED_SERVERS, Record};
 use crate::server_failures::ServerFailures;
 
-/// Limit on the records, about 1 MB. It covers the loss of one server in fifty in a fleet of 7,900 servers with 26
-/// requests each.
+/// Limit on the records, about 1 MB. It covers the loss of about one server in fifty in a fleet of 7,900 servers
+/// with 26 requests each.
 const MAX_RECORDS: usize = 4_096;
 /// Retention of a suspect, a request with ended servers that is not refused. It covers automatic and manual retries.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
@@ -156,15 +156,15 @@
     /// Identifier of the server incarnation on which a run that began at the given time was running. If the known
     /// incarnation ended before, the server has restarted but has not registered under its new identifier yet.
     pub fn incarnation_that_ran(&self, server: &str, began: Instant) -> String {
-        let has_ended = |start: &str| {
-            let ended = self.server_failures.ended_at(start);
+        let has_ended = |incarnation: &str| {
+            let ended = self.server_failures.ended_at(incarnation);
             ended.is_some_and(|ended| began > ended + OBSERVATION_SKEW)
         };
-        let mut start = server.to_owned();
-        while has_ended(&start) {
-            start.push(RESTART_SUFFIX);
+        let mut incarnation = server.to_owned();
+        while has_ended(&incarnation) {
+            incarnation.push(RESTART_SUFFIX);
         }
-        start
+        incarnation
     }
 
     /// Records that a server ended while it ran a request; `brought_output` tells whether that run had produced output.
@@ -258,10 +258,11 @@
     }
 
     /// Servers that run other requests in the state [`Permit::LastRun`].
-    pub fn last_run_servers(&self, but: &Fingerprint, now: Instant) -> HashSet<String> {
+    pub fn last_run_servers(&self, except: &Fingerprint, now: Instant) -> HashSet<String> {
         let others = self.records.iter();
         let others = others.filter(|(request, record)| {
-            *request != but && record.counted_ends(&self.server_failures) + 1 == MAX_ENDED_SERVERS
+            *request != except
+                && record.counted_ends(&self.server_failures) + 1 == MAX_ENDED_SERVERS
         });
         let mut servers = HashSet::new();
         for (request, record) in others {
@@ -272,6 +273,7 @@
         servers
     }
 
+    /// Servers that ended while they ran a request.
     pub fn ended_under(&self, request: &Fingerprint) -> Vec<String> {
         let record = self.records.get(request);
         record.map(Record::servers).unwrap_or_default()
@@ -323,6 +325,7 @@
         self.unstored.insert(request);
     }
 
+    /// Removes the records whose retention is over and those without information.
     pub fn sweep(&mut self, now: Instant) {
         self.records.retain(|_, record| {
             let age = now.saturating_duration_since(record.changed);
--- a/crates/crashes/src/record.rs
+++ b/crates/crashes/src/record.rs
@@ -35,6 +35,7 @@
 /// Limit on the nodes whose runs of one request are kept or sent; runs beyond [`MAX_ENDED_SERVERS`] make no difference.
 const MAX_REPORTING_NODES: usize = 8;
 
+/// Servers on which another node runs the request.
 struct ReportedRuns {
     sequence: u64,
     servers: Vec<String>,
@@ -50,6 +51,7 @@
 }
 
 pub(crate) struct Record {
+    /// Number of times that the record was cleared; a record with a higher epoch replaces one with a lower.
     pub(crate) epoch: u32,
     /// Servers that ended in this epoch, in the order in which this node learned of them.
     pub(crate) ended: Vec<ServerEnd>,
--- a/crates/jobs/src/accept.rs
+++ b/crates/jobs/src/accept.rs
@@ -15,12 +15,14 @@
 
 /// Total time for the attempts of one submission.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before a submission is tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Longest wait for the table to include another node's submission.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
 /// Size limit of a job's encoded items, which are written in one transaction.
 const MAX_JOB_BYTES: usize = 700_000;
-/// With fewer free tokens than this, submissions to a quota are serialized.
+/// With fewer free tokens than this, submissions to a quota are serialized by a conditional write to the quota's row, so
+/// that concurrent submissions on several nodes cannot exceed it together.
 const SERIALIZE_BELOW_TOKENS: u64 = 300_000;
 
 struct Submission<'a> {
@@ -30,11 +32,15 @@
     job: &'a str,
     tokens: u64,
     items: Vec<StoredItem>,
+    /// The encoded items, one chunk per row.
     chunks: Vec<Bytes>,
+    /// Last known revision of the quota's row; 0 if it does not exist.
     quota_revision: u64,
+    /// Whether an earlier attempt had an unknown outcome, so the job may exist.
     in_doubt: bool,
 }
 
+/// Result of one attempt.
 enum StepOutcome {
     Reply(JobReply),
     Retry,
@@ -106,6 +112,7 @@
         }
     }
 
+    /// Makes one attempt to write the job.
     async fn step(&mut self) -> StepOutcome {
         let table = &self.service.table;
         if let Some(known) = table.get(self.job) {
@@ -161,6 +168,8 @@
         Metrics::count(&self.service.node.metrics.jobs_accepted);
     }
 
+    /// Replies if the job exists already. Otherwise another submission has changed the quota's row; waits until the table
+    /// includes it before the next attempt.
     async fn handle_conflict(&mut self, rows: &[dappleyard_model::Row]) -> StepOutcome {
         if self.service.table.put_from_conflict(self.job, rows) {
             let found = self.service.table.get(self.job);
@@ -192,7 +201,7 @@
 
     fn row(&self, now_ms: u64) -> JobRow {
         let node = &self.service.node;
-        // A node that shuts down leaves the job to the others.
+        // A node that is shutting down stores the job without an owner, so that another node claims it.
         let (owner, life) = match node.is_leaving() {
             true => (String::new(), 0),
             false => (node.settings.name.clone(), node.life),
--- a/crates/jobs/src/owned.rs
+++ b/crates/jobs/src/owned.rs
@@ -16,6 +16,7 @@
 use crate::runner::Runner;
 use dappleyard_clock::Instant;
 
+/// Limits on the results in one commit.
 const MAX_COMMIT_BYTES: usize = 500_000;
 const MAX_COMMIT_ROWS: usize = 80;
 /// Initial delay before a commit is retried.
@@ -38,12 +39,19 @@
     pub stored: StoredItem,
     pub fingerprint: Fingerprint,
     pub progress: Progress,
+    /// Output of all runs so far, including restored output; dropped once the result is committed.
     pub text: String,
+    /// Number of events with data, which `text` joins.
     pub events: u64,
+    /// Identifier of the last event received, after which the next run resumes.
     pub last_event: Option<u64>,
+    /// Number of failure responses, which the route limits.
     pub failures: u32,
+    /// Number of ended runs on this node, without preempted ones.
     pub runs: u32,
+    /// Time before which the item is not started again.
     pub not_before: Option<Instant>,
+    /// Server of the last interrupted run; used only if there is no other.
     pub avoided_server: Option<String>,
     pub last_server: Option<String>,
     pub saved: SavedOutput,
@@ -74,7 +82,7 @@
 }
 
 impl Item {
-    /// Creates the state of an item of the given job; `listed` items are finished already.
+    /// Creates the state of an item of the given job; `listed` tells whether its result is committed already.
     pub(crate) fn new(stored: StoredItem, row: &JobRow, listed: bool) -> Self {
         let fingerprint = Fingerprint::of(&RequestParts {
             caller: &row.tenant,
@@ -116,9 +124,15 @@
     pub row: JobRow,
     pub revision: u64,
     pub items: Vec<Item>,
+    /// Finished items whose results are not committed yet, in the order in which they finished, and whether each was
+    /// completed (otherwise it was abandoned).
     pub finished: VecDeque<(usize, bool)>,
+    /// Whether a task commits results of this job.
     pub committing: bool,
+    /// Whether this node must not commit anything more, because another node has taken or changed the job or it has
+    /// ended.
     pub lost: bool,
+    /// When unfinished output was last saved.
     pub saved_at: Instant,
 }
 
@@ -201,6 +215,8 @@
         }
     }
 
+    /// Builds the next commit from the finished items, as far as they fit, and from the output that is due to be saved;
+    /// `None` if there is nothing to commit.
     fn build_commit(&self) -> Option<Commit> {
         let state = self.state.borrow();
         let mut row = state.row.clone();
@@ -221,6 +237,7 @@
             let chunks = value.len().div_ceil(CHUNK_BYTES).max(1);
             let full = bytes + value.len() > MAX_COMMIT_BYTES
                 || transaction.puts.len() + chunks > MAX_COMMIT_ROWS;
+            // A result that exceeds the limits alone is committed on its own.
             if full && !items.is_empty() {
                 break;
             }
@@ -285,7 +302,8 @@
         if job.state.borrow().lost {
             break;
         }
-        // A commit whose outcome is unknown is retried unchanged.
+        // A commit whose outcome is unknown is retried unchanged, so that a conflict with its own earlier effect can be
+        // recognized.
         let Some(commit) = pending.take().or_else(|| job.build_commit()) else {
             break;
         };
@@ -340,14 +358,17 @@
         .and_then(|value| JobRow::decode(value).ok());
     let revision = found.map_or(0, |row| row.revision);
     match row {
+        // An earlier attempt of this commit took effect.
         Some(row) if row == commit.row && commit.writes_row(job) => {
             record_commit(runner, job, commit, revision);
             true
         }
+        // The row is unchanged but for its revision; the commit is built again with that revision.
         Some(row) if row == job.state.borrow().row => {
             job.state.borrow_mut().revision = revision;
             true
         }
+        // Another node has changed or deleted the row.
         row => {
             runner.node.log.write("job_lost", || {
                 serde_json::json!({"job": job.job, "epoch": commit.row.epoch,
--- a/crates/jobs/src/partials.rs
+++ b/crates/jobs/src/partials.rs
@@ -18,6 +18,7 @@
 
 /// Row limit of one transaction, results and segments together.
 const MAX_TRANSACTION_ROWS: usize = 90;
+/// Limit on the segment bytes in one transaction.
 const MAX_SEGMENT_BYTES: usize = 400_000;
 /// Limit on the value bytes in one transaction. The store accepts 1 MB after base64 encoding, which adds a third.
 const MAX_TRANSACTION_BYTES: usize = 700_000;
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -62,13 +62,16 @@
     started_run: StartedRun,
 ) {
     let started = Instant::now();
-    let events = job.state.borrow().items[index].events;
+    let events_before = job.state.borrow().items[index].events;
     let end = run(&runner, &job, index, &server, &route, started_run).await;
-    let now_events = job.state.borrow().items[index].events;
+    let events_after = job.state.borrow().items[index].events;
     let mut estimate = runner.estimate.get();
-    estimate.record_run(now_events - events, started.elapsed().as_millis() as u64);
+    estimate.record_run(
+        events_after - events_before,
+        started.elapsed().as_millis() as u64,
+    );
     if matches!(end, RunOutcome::Completed) {
-        estimate.record_events(now_events);
+        estimate.record_events(events_after);
     }
     runner.estimate.set(estimate);
     record_outcome(&runner, &job, index, &server, &route, end);
@@ -179,11 +182,12 @@
             let piece = connection.next_piece().await;
             piece.map_err(|error| AttemptError::truncated_response(&error))
         };
-        let notice = runner
+        let suspect_after = runner
             .node
             .response_times
             .gap_timeout(&exchange.server.service);
-        let limits = SilenceLimits::abandoning_after(SERVER_IDLE_TIMEOUT).suspecting_after(notice);
+        let limits =
+            SilenceLimits::abandoning_after(SERVER_IDLE_TIMEOUT).suspecting_after(suspect_after);
         let waiting = runner
             .upstreams
             .with_silence_limits(&exchange.server, limits, reading);
@@ -310,13 +314,13 @@
                 }
             }
             RunOutcome::Interrupted(error) => {
-                let ended = runner.node.crashes.ended_under(&item.fingerprint).len() as u32;
-                let pause = match error.ran {
+                let crashed = runner.node.crashes.ended_under(&item.fingerprint).len() as u32;
+                let retry_delay = match error.ran {
                     Ran::No => RETRY_DELAY_NOT_RUN,
-                    _ if error.broken_off && ended > 0 => RETRY_DELAY_PER_CRASH * ended,
+                    _ if error.broken_off && crashed > 0 => RETRY_DELAY_PER_CRASH * crashed,
                     _ => RETRY_DELAY_BROKEN,
                 };
-                item.not_before = Some(Instant::now() + pause);
+                item.not_before = Some(Instant::now() + retry_delay);
                 item.avoided_server = Some(server.id.clone());
             }
         }
--- a/crates/jobs/src/scheduling.rs
+++ b/crates/jobs/src/scheduling.rs
@@ -26,12 +26,14 @@
     /// Service chosen from the targets of the route.
     service: String,
     rank: Rank,
+    /// Server of the last interrupted run; used only if there is no other.
     avoided_server: Option<String>,
+    /// Server of the last run.
     last: Option<String>,
     homes: HomeRegions,
     fingerprint: Fingerprint,
     permit: Permit,
-    /// It must start now to meet its deadline.
+    /// Whether it must start now to meet its deadline.
     urgent: bool,
 }
 
@@ -82,7 +84,7 @@
             if candidate.homes.is_restricted() && self.pick(service, &candidate).is_none() {
                 continue;
             }
-            // The allowance was granted for the capacity of an earlier pass.
+            // The allowance may have been granted in an earlier pass, so the current capacity is checked too.
             let may_start = *capacity > 0 && allowance.take();
             *capacity -= u32::from(may_start);
             drop(allowances);
@@ -141,22 +143,22 @@
     ) -> Vec<Candidate> {
         let now = Instant::now();
         let mut candidates = Vec::new();
-        let mut over = None;
+        let mut abandon_cause = None;
         let state = job.state.borrow();
         for (index, item) in state.items.iter().enumerate() {
             if item.progress == Progress::Finished {
                 continue;
             }
             let Some(route) = state.route(configuration, item) else {
-                over = Some("the configuration has no batch route for the item");
+                abandon_cause = Some("the configuration has no batch route for the item");
                 break;
             };
             if is_expired(state.row.accepted_ms, route.max_wait_s, now_ms) {
-                over = Some("the maximum wait was exceeded");
+                abandon_cause = Some("the maximum wait was exceeded");
                 break;
             }
-            let resting = item.not_before.is_some_and(|at| at > now);
-            if item.progress == Progress::Running || resting {
+            let is_delayed = item.not_before.is_some_and(|at| at > now);
+            if item.progress == Progress::Running || is_delayed {
                 continue;
             }
             // An item that crashes servers is held until it may run again or be abandoned.
@@ -184,7 +186,7 @@
             });
         }
         drop(state);
-        match over {
+        match abandon_cause {
             Some(cause) => {
                 abandon_items(self, job, cause);
                 Vec::new()
@@ -193,6 +195,7 @@
         }
     }
 
+    /// Starts an item on a server, unless crash tracking refuses it.
     fn start(
         self: &Rc<Self>,
         job: &Rc<OwnedJob>,
@@ -234,6 +237,7 @@
         }
     }
 
+    /// Chooses the server for an item; `None` if none with capacity is allowed.
     fn pick(&self, service: &str, candidate: &Candidate) -> Option<Arc<ServerRecord>> {
         let servers = self.node.view.servers(service);
         let places = &self.node.settings.places;
@@ -251,8 +255,8 @@
         if candidate.permit == Permit::LastRun {
             let free = capacities
                 .iter()
-                .filter(|held| capacity(held.slots, &held.load) > 0);
-            let free: HashSet<&str> = free.map(|held| held.id).collect();
+                .filter(|usable| capacity(usable.slots, &usable.load) > 0);
+            let free: HashSet<&str> = free.map(|usable| usable.id).collect();
             let open = open
                 .into_iter()
                 .filter(|server| free.contains(server.id.as_str()));
@@ -271,6 +275,7 @@
     }
 }
 
+/// Number of urgent items of each service.
 fn urgent_by_service(candidates: &[Candidate]) -> HashMap<String, u32> {
     let mut urgent: HashMap<String, u32> = HashMap::new();
     for candidate in candidates.iter().filter(|candidate| candidate.urgent) {
--- a/crates/jobs/tests/policies.rs
+++ b/crates/jobs/tests/policies.rs
@@ -1,4 +1,5 @@
-//! Batch capacity, ranking, server choice, claim policy and the bitmap of listed items.
+//! Batch capacity, ranking, server choice, claim policy and the bitmap of the items
+//! whose results are committed.
 
 use std::time::Duration;
 
@@ -35,20 +36,24 @@
 }
 
 #[gtest]
-fn suspect_or_busy_servers_accept_no_items() {
+fn suspect_servers_and_servers_with_queued_prompts_accept_no_items() {
     let suspect = LoadSummary {
         suspect: true,
         ..Default::default()
     };
-    let reading = LoadSummary {
+    let with_queued_prompts = LoadSummary {
         unread_tokens: 9_000,
         ..Default::default()
     };
-    expect_that!((capacity(12, &suspect), capacity(12, &reading)), eq((0, 0)));
+    expect_that!(
+        (capacity(12, &suspect), capacity(12, &with_queued_prompts)),
+        eq((0, 0))
+    );
 }
 
 #[gtest]
 fn cold_servers_accept_no_items() {
+    // Capacity of an idle server with this warm-up state.
     let at = |warmup_state| {
         let load = LoadSummary {
             warmup_state,
@@ -56,7 +61,7 @@
         };
         capacity(8, &load)
     };
-    // Without a limit for cold servers, the warm-up state is not tracked.
+    // `None`: no limit for cold servers is configured, so the state is not tracked and every server counts as warm.
     let warm = [None, Some(WarmupState::Warm)].map(at);
     expect_that!(warm, each(eq(7)));
     let other = [
@@ -71,7 +76,7 @@
 }
 
 #[gtest]
-fn prefers_last_server_unless_busier() {
+fn prefers_server_of_previous_run_unless_busier() {
     let server = |id, online| ServerCapacity {
         id,
         zone: "north",
@@ -80,11 +85,11 @@
     };
     let servers = [server("a", 0), server("b", 0)];
     for last in ["a", "b"] {
-        let chosen = pick_server(&servers, "node", "north", Some(last)).map(|capacity| capacity.id);
+        let chosen = pick_server(&servers, "node", "north", Some(last)).map(|picked| picked.id);
         expect_that!(chosen, some(eq(last)));
     }
     let servers = [server("a", 9), server("b", 0)];
-    let chosen = pick_server(&servers, "node", "north", Some("a")).map(|capacity| capacity.id);
+    let chosen = pick_server(&servers, "node", "north", Some("a")).map(|picked| picked.id);
     expect_that!(chosen, some(eq("b")));
     let servers = [server("a", 11), server("b", 12)];
     expect_that!(
@@ -95,6 +100,7 @@
 
 #[gtest]
 fn on_time_items_rank_before_late_ones() {
+    // Arguments: due time, estimated run time, current time (all in ms) and priority. Due at 9,000, the first is late.
     let mut ranks = [
         rank(9_000, 2_000, 10_000, 0),
         rank(15_000, 2_000, 10_000, 0),
@@ -107,6 +113,7 @@
 
 #[gtest]
 fn priority_orders_on_time_items() {
+    // Priority 0 is the highest. The item due at 9,000 is late, so it comes last in spite of its priority.
     let mut ranks = [
         rank(12_500, 2_000, 10_000, 2),
         rank(15_000, 2_000, 10_000, 0),
@@ -120,6 +127,7 @@
 #[gtest]
 fn estimate_follows_recorded_runs() {
     let mut estimate = RunEstimate::default();
+    // Each item has 100 events and takes 1,000 ms.
     for _ in 0..200 {
         estimate.record_events(100);
         estimate.record_run(100, 1_000);
@@ -129,12 +137,13 @@
     expect_that!(near(estimate.remaining_ms(60), 400), eq(true));
     // An item that has exceeded the average still has some estimated time left.
     expect_that!(estimate.remaining_ms(150), ge(50));
+    // A run without events says nothing about the time per event.
     estimate.record_run(0, 5_000);
     expect_that!(near(estimate.remaining_ms(0), 1_000), eq(true));
 }
 
 #[gtest]
-fn listed_items_bitmap() {
+fn bitmap_of_listed_items() {
     let mut row = JobRow::default();
     for item in [0, 9, 199] {
         row.listed_items = row.with_listed(item);
@@ -156,19 +165,21 @@
     };
     // A released job is claimed at once.
     expect_that!(claims(None, 0, 0), eq(true));
-    // The owner's process was replaced: claimed once row updates in transit are ruled out.
+    // A job whose owner was restarted is claimed after 250 ms, when updates of its row are no longer in transit.
     let replaced = Some(PeerStatus::Replaced);
     expect_that!(
         (claims(replaced, 100, 9_000), claims(replaced, 300, 0)),
         eq((false, true))
     );
-    // An owner that is down: only if this node has not stalled recently.
+    // A job whose owner is down is claimed only by a node that has not stalled for 1,000 ms, since a stalled node has
+    // missed heartbeats itself.
     let down = Some(PeerStatus::Down);
     expect_that!(
         (claims(down, 300, 500), claims(down, 300, 1_000)),
         eq((false, true))
     );
-    // An isolated owner: after a store outage every node appears isolated to the others for a while.
+    // A job whose owner cannot reach the store is claimed only by a node that has been stable for 2,500 ms: right after
+    // a store outage, all nodes still appear isolated to each other.
     let isolated = Some(PeerStatus::Isolated);
     expect_that!(
         (claims(isolated, 900, 1_500), claims(isolated, 900, 2_500)),
@@ -180,7 +191,7 @@
 }
 
 #[gtest]
-fn lost_job_is_not_reclaimed_at_once() {
+fn job_lost_to_another_node_is_not_reclaimed_at_once() {
     let context = ClaimContext {
         owner: Some(PeerStatus::Down),
         suspected_for: Duration::from_secs(3),
@@ -197,13 +208,14 @@
         }),
         eq(false)
     );
+    // This node lost the job to another node so many milliseconds ago.
     let since_lost = |ms| ClaimContext {
         since_lost: Some(Duration::from_millis(ms)),
         ..context
     };
     expect_that!(may_claim(since_lost(1_000)), eq(false));
     expect_that!(may_claim(since_lost(6_000)), eq(true));
-    // A new process under the owner's name no longer owns the job.
+    // The delay does not apply if the owner was restarted: its new process does not own the job.
     let replaced = ClaimContext {
         owner: Some(PeerStatus::Replaced),
         ..since_lost(1_000)
@@ -213,6 +225,7 @@
 
 #[gtest]
 fn slow_servers_reserve_more_slots() {
+    // Run time in percent of normal: at 70 the server is faster than normal, at 300 three times slower.
     let at = |percent| LoadSummary {
         long_term_slowdown: Slowdown::of_percent(percent).unwrap_or_default(),
         ..load(2, 2)
@@ -235,7 +248,7 @@
 
 #[gtest]
 fn prefers_faster_servers() {
-    let at = |id, batch, percent| ServerCapacity {
+    let server_with_load = |id, batch, percent| ServerCapacity {
         id,
         zone: "north",
         slots: 8,
@@ -244,11 +257,17 @@
             ..load(0, batch)
         },
     };
-    let servers = [at("slow", 1, 300), at("fast", 4, 100)];
+    let servers = [
+        server_with_load("slow", 1, 300),
+        server_with_load("fast", 4, 100),
+    ];
     let chosen = pick_server(&servers, "front-a", "north", None).map(|server| server.id);
     expect_that!(chosen, some(eq("fast")));
     // A slow server is used once the fast ones are full.
-    let servers = [at("slow", 1, 300), at("fast", 7, 100)];
+    let servers = [
+        server_with_load("slow", 1, 300),
+        server_with_load("fast", 7, 100),
+    ];
     let chosen = pick_server(&servers, "front-a", "north", None).map(|server| server.id);
     expect_that!(chosen, some(eq("slow")));
 }
--- a/crates/tenants/src/account.rs
+++ b/crates/tenants/src/account.rs
@@ -14,7 +14,7 @@
 /// Smallest depth of a bucket; with less than one request it would never admit any.
 const MIN_DEPTH: f64 = 1.0;
 /// During a partition, a side with at least `FULL_CREDIT_FRACTION` of the fleet may spend all credit, and one with at
-/// most `NO_CREDIT_FRACTION` none beyond its rate. They add up to one, see [`Partition::credit_share`].
+/// most `NO_CREDIT_FRACTION` none beyond its rate. They add up to one, so that the credit shares of two sides do too.
 const FULL_CREDIT_FRACTION: f64 = 0.75;
 const NO_CREDIT_FRACTION: f64 = 0.25;
 /// Longest retry delay given to a caller.
@@ -130,6 +130,7 @@
         self.add(seconds * self.refill.per_s);
     }
 
+    /// Time until the bucket holds one request.
     fn until_credit(&self) -> Duration {
         let missing = (1.0 - self.level).max(0.0);
         Duration::try_from_secs_f64(missing / self.refill.per_s)
@@ -245,15 +246,18 @@
         self.part = Some((part, Bucket::new(refill, level)));
     }
 
-    pub(crate) fn is_low(&self, part: f64) -> bool {
-        self.fleet.level < part * self.fleet.depth()
+    /// Whether the fleet's credit is below a fraction of the depth.
+    pub(crate) fn is_low(&self, fraction: f64) -> bool {
+        self.fleet.level < fraction * self.fleet.depth()
     }
 
+    /// Remaining credit of the fleet, or of this side during a partition; includes withheld credit.
     pub(crate) fn level(&self) -> f64 {
         let part = self.part.map_or(f64::MAX, |(_, bucket)| bucket.level);
         self.fleet.level.min(part)
     }
 
+    /// Remaining credit that may be spent now.
     pub(crate) fn spendable(&self) -> f64 {
         self.level().min(self.fleet.level - self.withheld)
     }
@@ -263,8 +267,8 @@
     }
 
     /// Raises the level to a fraction of the depth, for a tenant that is no longer reported as low.
-    pub(crate) fn raise_to_fraction(&mut self, part: f64) {
-        self.set_level(self.fleet.level.max(part * self.fleet.depth()));
+    pub(crate) fn raise_to_fraction(&mut self, fraction: f64) {
+        self.set_level(self.fleet.level.max(fraction * self.fleet.depth()));
     }
 
     /// Starts a new allowance after a delegate's report.
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -44,7 +44,9 @@
     started_at: Instant,
     /// When this node started to aggregate; `None` while it receives levels.
     aggregating_since: Option<Instant>,
+    /// When a delegate last reported levels to this node.
     levels_at: Option<Instant>,
+    /// Share of the fleet that this node hears, including itself.
     share: f64,
     growth_tracker: GrowthTracker,
     limits: HashMap<u32, RateLimit>,
@@ -196,9 +198,9 @@
         let window = Duration::from_millis(self.bounds.window_ms);
         let recently_started = now.duration_since(self.started_at) < window;
         // Requests admitted before this process started may have used up the quota.
-        let in_doubt = INITIAL_TOLERANCE_FRACTION * tolerance(limit, self.bounds);
+        let initial_level = INITIAL_TOLERANCE_FRACTION * tolerance(limit, self.bounds);
         let level = match (recently_started, self.aggregating_since) {
-            (true, _) => in_doubt,
+            (true, _) => initial_level,
             // A tenant that is not reported is not low.
             (false, None) => LOW_FRACTION * refill.depth,
             (false, Some(_)) => Refill::new(limit, self.bounds, 1.0).depth,
@@ -214,8 +216,8 @@
 
     /// Deducts one request of a tenant; on failure returns the time until there is credit for it.
     pub fn take(&mut self, tenant: u32, now: Instant) -> Result<(), Duration> {
-        let unreported = self.lacks_levels(now);
-        let max_requests = if unreported {
+        let levels_outdated = self.lacks_levels(now);
+        let max_requests = if levels_outdated {
             MAX_WITHOUT_LEVELS
         } else {
             u64::MAX
@@ -305,8 +307,8 @@
         if self.aggregating_since.is_none() {
             return;
         }
-        let follow = || ZoneCounts::new(delegate, now);
-        let peer_counts = self.reports.zones.entry(zone).or_insert_with(follow);
+        let new_counts = || ZoneCounts::new(delegate, now);
+        let peer_counts = self.reports.zones.entry(zone).or_insert_with(new_counts);
         let mut changes = Vec::new();
         if peer_counts.should_switch(delegate, now) {
             changes = peer_counts.switch_to(delegate, now);
@@ -338,8 +340,8 @@
                 if account.is_low(LOW_FRACTION) {
                     account.low_at = Some(now);
                 }
-                let reported_from = account.low_at?;
-                (now.duration_since(reported_from) < LOW_REPORT_DURATION).then(|| CreditLevel {
+                let last_low = account.low_at?;
+                (now.duration_since(last_low) < LOW_REPORT_DURATION).then(|| CreditLevel {
                     tenant: *tenant,
                     level_milli: (level * 1_000.0) as i64,
                     included: counts.and_then(|counts| counts.of(*tenant)),
