--- a/crates/crashes/src/recently_served.rs
+++ b/crates/crashes/src/recently_served.rs
@@ -7,8 +7,8 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// A request that completed within this time does not crash every server. A request that many callers send is
-/// repeated within seconds.
+/// Time for which a completed run is evidence that the request does not crash every server. It is long enough for a
+/// request that many callers send, since one of them repeats it within seconds.
 const RECENT_WINDOW: Duration = Duration::from_secs(60);
 /// Entries per generation; two generations are kept, at most 0.4 MB.
 const GENERATION_SIZE: usize = 4_096;
@@ -21,6 +21,7 @@
 }
 
 impl RecentlyServed {
+    /// Records a completed run.
     pub(crate) fn note(&mut self, request: Fingerprint, now: Instant) {
         if self.current.len() >= GENERATION_SIZE {
             self.previous = std::mem::take(&mut self.current);
--- a/crates/crashes/src/server_failures.rs
+++ b/crates/crashes/src/server_failures.rs
@@ -9,7 +9,8 @@
 /// Servers that end within this time of each other count as correlated. It covers the difference with which nodes
 /// observe the loss of a rack or zone, and is shorter than the usual interval between two crashes by one request.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(100);
-/// Number of correlated ends of servers that did not run the request from which the request is not blamed.
+/// If at least this number of servers that did not run the request end together with one that did, the request is not
+/// blamed.
 const MIN_OTHER_FAILURES: usize = 2;
 /// Limit on the recorded ends.
 const MAX_FAILURES: usize = 4_096;
@@ -35,6 +36,7 @@
         self.by_time.insert((at, server.to_owned()));
     }
 
+    /// When a server's end was first observed.
     pub(crate) fn ended_at(&self, server: &str) -> Option<Instant> {
         self.by_server.get(server).copied()
     }
--- a/crates/crashes/tests/ledger.rs
+++ b/crates/crashes/tests/ledger.rs
@@ -29,6 +29,7 @@
     ledger.end(request, server, now);
 }
 
+/// Merges the records that another node has sent.
 fn apply(ledger: &mut Ledger, updates: &CrashUpdates, now: Instant) {
     for record in &updates.records {
         ledger.merge(record.clone(), false, now);
@@ -166,8 +167,8 @@
         crash(&mut ledger, &request(2), server, now);
     }
     expect_that!(ledger.begin(&request(1), "i-3", now), eq(Permit::LastRun));
-    let taken = ledger.last_run_servers(&request(2), now);
-    expect_that!(taken.contains("i-3"), eq(true));
+    let last_run_servers = ledger.last_run_servers(&request(2), now);
+    expect_that!(last_run_servers.contains("i-3"), eq(true));
     expect_that!(ledger.begin(&request(2), "i-3", now), eq(Permit::Wait));
     expect_that!(ledger.begin(&request(2), "i-4", now), eq(Permit::LastRun));
     // Each of them may have only one active run.
@@ -468,7 +469,9 @@
 fn crash_table_tracks_restarts_and_long_runs() {
     let table = Arc::new(CrashTable::new(1));
     let run_and_end = |output| {
-        let run = table.begin(request(1), "i-1").expect("it may run");
+        let run = table
+            .begin(request(1), "i-1")
+            .expect("the run should be permitted");
         run.note_ended(output).ended
     };
     assert_that!(run_and_end(None), eq(1));
--- a/crates/jobs/src/accept.rs
+++ b/crates/jobs/src/accept.rs
@@ -21,8 +21,8 @@
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
 /// Size limit of a job's encoded items, which are written in one transaction.
 const MAX_JOB_BYTES: usize = 700_000;
-/// With fewer free tokens than this, submissions to a quota are serialized by a conditional write to the quota's row, so
-/// that concurrent submissions on several nodes cannot exceed it together.
+/// With fewer free tokens than this, submissions to a quota are serialized by a conditional write to the quota's row,
+/// so that concurrent submissions on several nodes cannot exceed it together.
 const SERIALIZE_BELOW_TOKENS: u64 = 300_000;
 
 struct Submission<'a> {
@@ -168,8 +168,8 @@
         Metrics::count(&self.service.node.metrics.jobs_accepted);
     }
 
-    /// Replies if the job exists already. Otherwise another submission has changed the quota's row; waits until the table
-    /// includes it before the next attempt.
+    /// Replies if the job exists already. Otherwise another submission has changed the quota's row; waits until the
+    /// table includes it before the next attempt.
     async fn handle_conflict(&mut self, rows: &[dappleyard_model::Row]) -> StepOutcome {
         if self.service.table.put_from_conflict(self.job, rows) {
             let found = self.service.table.get(self.job);
--- a/crates/jobs/src/admission.rs
+++ b/crates/jobs/src/admission.rs
@@ -37,7 +37,9 @@
     pub returning: u32,
     /// Slots of the servers that accept items.
     pub slots: u32,
+    /// Online requests in progress on these servers.
     pub online: u32,
+    /// Batch items in progress on these servers.
     pub batch: u32,
     /// Free slots, summed over these servers.
     pub free: u32,
@@ -80,9 +82,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct BatchAdmission {
     closed_since: Option<Instant>,
+    /// When admission reopens unless online requests need slots again.
     opens_at: Option<Instant>,
     ramp: Option<Ramp>,
     observed_at: Option<Instant>,
+    /// Expected run time of an item, at the last observation.
     item_time: Duration,
 }
 
@@ -177,13 +181,13 @@
 pub fn apportion(preempted: u32, items: &[u32]) -> Vec<u32> {
     let total: u64 = items.iter().copied().map(u64::from).sum();
     let preempted = u64::from(preempted).min(total);
-    let mut before = 0;
-    let mut given = 0;
+    let mut items_so_far = 0;
+    let mut assigned = 0;
     let part = |count: &u32| {
-        before += u64::from(*count);
-        let until = (preempted * before).checked_div(total).unwrap_or(0);
-        let part = until - given;
-        given = until;
+        items_so_far += u64::from(*count);
+        let until = (preempted * items_so_far).checked_div(total).unwrap_or(0);
+        let part = until - assigned;
+        assigned = until;
         part as u32
     };
     items.iter().map(part).collect()
--- a/crates/jobs/src/end.rs
+++ b/crates/jobs/src/end.rs
@@ -37,6 +37,7 @@
     }
 }
 
+/// Makes one attempt to end the job.
 async fn try_end(service: &JobService, caller: &Caller, job: &str) -> Result<JobReply, StoreError> {
     let known = match service.table.get(job) {
         Some(known) => known,
--- a/crates/jobs/src/expiry.rs
+++ b/crates/jobs/src/expiry.rs
@@ -8,10 +8,11 @@
 
 /// Abandons all unfinished items of a job.
 pub(crate) fn abandon_items(runner: &Runner, job: &OwnedJob, cause: &str) {
-    let open: Vec<usize> = {
+    let unfinished: Vec<usize> = {
         let mut state = job.state.borrow_mut();
-        let open = state.items.iter_mut().enumerate();
-        open.filter(|(_, item)| item.progress != Progress::Finished)
+        let unfinished = state.items.iter_mut().enumerate();
+        unfinished
+            .filter(|(_, item)| item.progress != Progress::Finished)
             .map(|(index, item)| {
                 if let Some(active_run) = item.active_run.take() {
                     active_run.abort();
@@ -20,14 +21,14 @@
             })
             .collect()
     };
-    if open.is_empty() {
+    if unfinished.is_empty() {
         return;
     }
     runner.node.log.write(
         "items_given_up",
-        || serde_json::json!({"job": job.job, "items": open.len(), "cause": cause}),
+        || serde_json::json!({"job": job.job, "items": unfinished.len(), "cause": cause}),
     );
-    for index in open {
+    for index in unfinished {
         job.finish(index, false);
     }
 }
--- a/crates/jobs/src/garbage_collection.rs
+++ b/crates/jobs/src/garbage_collection.rs
@@ -14,6 +14,7 @@
 const GC_INTERVAL: Duration = Duration::from_secs(10);
 /// Added to the retention period of results.
 const RETENTION_MARGIN_MS: u64 = 60_000;
+/// Number of rows that one transaction deletes.
 const GC_BATCH_ROWS: usize = 90;
 
 impl Runner {
@@ -22,13 +23,13 @@
             return;
         }
         self.last_gc.set(Instant::now());
-        let kept_ms = self.node.settings.bounds.status_ms + RETENTION_MARGIN_MS;
+        let retention_ms = self.node.settings.bounds.status_ms + RETENTION_MARGIN_MS;
         let Some(now_ms) = self.table.now_ms() else {
             return;
         };
         let old = self
             .table
-            .select(|row| !row.is_open() && row.accepted_ms + kept_ms < now_ms);
+            .select(|row| !row.is_open() && row.accepted_ms + retention_ms < now_ms);
         for (name, known) in old {
             if self.table.is_fresh() && self.is_preferred(&name, &known.row, &HomeRegions::Anywhere)
             {
@@ -62,6 +63,7 @@
                 self.store.transact(&removal).await?;
             }
         }
+        // The job's row is deleted last: after an interruption, the next collection still finds the job.
         let key = job_key(name);
         let removal = Transaction::default()
             .expect(key.clone(), revision)
--- a/crates/jobs/src/partials.rs
+++ b/crates/jobs/src/partials.rs
@@ -162,28 +162,31 @@
     Some((item, segment))
 }
 
+/// Joins the segments of one item, up to the first that does not continue the output before it.
 fn join_item(mut segments: Vec<(usize, StoredPartial)>) -> RestoredOutput {
     segments.sort_by_key(|(number, _)| *number);
     let mut restored = RestoredOutput::default();
     let mut epoch = 0;
     // Continued segments count only together with the segment that completes them.
-    let mut open = String::new();
-    let mut open_segments = 0;
+    let mut incomplete_text = String::new();
+    let mut incomplete_segments = 0;
     for (number, segment) in segments {
-        let follows = number == restored.saved.segments + open_segments
+        let follows = number == restored.saved.segments + incomplete_segments
             && segment.after_event == restored.saved.last_event
             && segment.epoch >= epoch;
         if !follows {
             break;
         }
         epoch = segment.epoch;
-        open.push_str(&segment.text);
+        incomplete_text.push_str(&segment.text);
         if segment.continued {
-            open_segments += 1;
+            incomplete_segments += 1;
             continue;
         }
-        restored.text.push_str(&std::mem::take(&mut open));
-        open_segments = 0;
+        restored
+            .text
+            .push_str(&std::mem::take(&mut incomplete_text));
+        incomplete_segments = 0;
         restored.failures = segment.failures;
         restored.saved = SavedOutput {
             bytes: restored.text.len(),
@@ -207,6 +210,7 @@
     let mut rows = Vec::new();
     loop {
         let page = retry(|| store.read(PARTIALS_TABLE, &part, &start, &end, PAGE_ROWS)).await?;
+        // The first key after the last row of the page.
         let last = page.rows.last().map(|row| format!("{}\u{1}", row.key));
         rows.extend(page.rows);
         match last.filter(|_| page.more) {
--- a/crates/jobs/src/read.rs
+++ b/crates/jobs/src/read.rs
@@ -23,6 +23,7 @@
 /// Longest time for which a request waits for new results.
 const MAX_WAIT_MS: u64 = 1_000;
 
+/// Reads a page of results from a position on; waits for up to `wait_ms` if there are none yet.
 pub(crate) async fn results(
     service: &JobService,
     caller: &Caller,
@@ -72,8 +73,8 @@
     }
 }
 
-/// Age limit of a cached row from which callers are told that there are no further results: half of the time after
-/// which a result reported by one node must be visible on every node.
+/// Largest age of a cached row that suffices to tell a caller that there are no further results: half of the time
+/// within which a result that one node has reported must be visible on every node.
 fn max_listing_age(service: &JobService) -> Duration {
     Duration::from_millis(service.node.settings.bounds.settle_ms / 2)
 }
@@ -125,8 +126,8 @@
 pub(crate) fn assemble(rows: &[Row]) -> BTreeMap<u64, Bytes> {
     let mut values: BTreeMap<u64, BytesMut> = BTreeMap::new();
     for row in rows {
-        let mut segments = row.key.rsplit('/');
-        let number = segments.nth(1).and_then(|text| text.parse().ok());
+        let mut key_parts = row.key.rsplit('/');
+        let number = key_parts.nth(1).and_then(|text| text.parse().ok());
         if let (Some(number), Some(value)) = (number, &row.value) {
             values.entry(number).or_default().extend_from_slice(value);
         }
--- a/crates/jobs/src/release.rs
+++ b/crates/jobs/src/release.rs
@@ -30,6 +30,8 @@
             "outcome": outcome.as_ref().map_or_else(ToString::to_string, |_| "released".to_owned())})
     });
     match outcome {
+        // A conflict means that the row has changed, by an earlier attempt with unknown outcome or by another node, so
+        // there is nothing left to release.
         Ok(_) | Err(StoreError::Conflict { .. }) => Ok(()),
         Err(error) => Err(error),
     }
--- a/crates/jobs/src/residency.rs
+++ b/crates/jobs/src/residency.rs
@@ -16,6 +16,7 @@
         HomeRegions::of(route, tenant.map(AsRef::as_ref))
     }
 
+    /// Regions whose nodes may own a job.
     pub(crate) fn job_homes(&self, row: &JobRow) -> HomeRegions {
         let configuration = self.node.view.configuration();
         let configuration = configuration.as_deref();
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -36,6 +36,7 @@
     pub(crate) table: Arc<JobTable>,
     pub(crate) store: Rc<dyn RowStore>,
     pub(crate) upstreams: Upstreams,
+    /// Starts the next pass.
     pub(crate) wake: Notify,
     pub(crate) estimate: Cell<RunEstimate>,
     pub(crate) owned: RefCell<HashMap<String, Rc<OwnedJob>>>,
@@ -45,6 +46,7 @@
     pub(crate) suspected: RefCell<HashMap<String, Instant>>,
     /// Times at which this node lost jobs to another one.
     pub(crate) taken: RefCell<HashMap<String, Instant>>,
+    /// Start of the time without a stall of this node or a loss of the store.
     pub(crate) stable_since: Cell<Instant>,
     last_pass: Cell<Instant>,
     pub(crate) last_gc: Cell<Instant>,
@@ -114,6 +116,7 @@
         tokio::time::sleep(remaining).await;
     }
 
+    /// Longest wait for the next pass.
     fn tick(&self) -> Duration {
         let idle = self.owned.borrow().is_empty() && self.suspected.borrow().is_empty();
         match idle && self.in_transition.borrow().is_empty() {
@@ -130,6 +133,7 @@
         futures::future::join_all(released).await;
     }
 
+    /// Cancels the runs of a job, commits its finished results and releases it, within half of the grace period.
     async fn release_job(self: &Rc<Self>, job: &Rc<OwnedJob>) {
         for item in &mut job.state.borrow_mut().items {
             if let Some(active_run) = item.active_run.take() {
@@ -163,6 +167,7 @@
         }
     }
 
+    /// Starts a task that commits, for each job that has something to commit and no such task.
     fn start_commits(self: &Rc<Self>) {
         for job in self.owned.borrow().values() {
             let mut state = job.state.borrow_mut();
--- a/crates/jobs/src/service_state.rs
+++ b/crates/jobs/src/service_state.rs
@@ -67,11 +67,11 @@
     let demand = runner.node.loads.demand.pressure_on(service);
     let servers = runner.node.view.servers(service);
     // Demand is reported for the whole fleet; it is scaled to the share of the servers that this node uses.
-    let part = servers.used.len() as f64 / servers.all.len().max(1) as f64;
-    let here = |requests: u32| (f64::from(requests) * part).ceil() as u32;
+    let used_fraction = servers.used.len() as f64 / servers.all.len().max(1) as f64;
+    let scale = |requests: u32| (f64::from(requests) * used_fraction).ceil() as u32;
     let mut total = ServiceLoad {
-        waiting: here(demand.waiting),
-        returning: here(demand.returns.iter().sum()),
+        waiting: scale(demand.waiting),
+        returning: scale(demand.returns.iter().sum()),
         ..ServiceLoad::default()
     };
     let mut items: Vec<(&str, u32)> = Vec::new();
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -29,8 +29,11 @@
 #[derive(Default)]
 struct State {
     jobs: HashMap<String, CachedJob>,
+    /// Revision up to which the table is complete.
     revision: u64,
+    /// When the table was last known to be in sync with the store.
     contact: Option<Instant>,
+    /// The store's time in milliseconds, and when this node received it.
     clock: Option<(u64, Instant)>,
     stashed_items: HashMap<String, Vec<StoredItem>>,
 }
@@ -132,6 +135,7 @@
         let _ = tokio::time::timeout(limit, self.changed.notified()).await;
     }
 
+    /// Adds a row, unless the table has a later revision of it.
     fn store(state: &mut State, job: &str, row: JobRow, revision: u64) {
         let newer = state
             .jobs
--- a/crates/jobs/tests/admission.rs
+++ b/crates/jobs/tests/admission.rs
@@ -6,10 +6,12 @@
 use dappleyard_jobs::{AdmissionChange, BatchAdmission, ServiceLoad, apportion, is_urgent};
 use googletest::prelude::*;
 
+/// Run time of an item.
 const ITEM: Duration = Duration::from_secs(4);
 const PASS_INTERVAL: Duration = Duration::from_millis(50);
 const SLOTS: u32 = 100;
 
+/// Load of a service with so many waiting online requests, running online requests and running items.
 fn load(waiting: u32, online: u32, batch: u32) -> ServiceLoad {
     ServiceLoad {
         waiting,
@@ -21,7 +23,8 @@
     }
 }
 
-/// Closes a service at `now` and observes the load `after` until it reopens.
+/// Closes admission at `now`, then observes the load `after` in each pass until admission reopens; also returns the
+/// time at which it does.
 fn reopened(now: Instant, after: ServiceLoad) -> (BatchAdmission, Instant) {
     let mut admission = BatchAdmission::default();
     admission.observe(&load(5, 100, after.batch), ITEM, now);
@@ -212,7 +215,7 @@
     let (mut first, mut second) = (BatchAdmission::default(), BatchAdmission::default());
     first.observe(&load(5, 100, 0), ITEM, now);
     second.observe(&load(0, 20, 0), ITEM, now);
-    let capacities = [&first, &second].map(|held| held.capacity(&load(0, 20, 0), 0, now));
+    let capacities = [&first, &second].map(|admission| admission.capacity(&load(0, 20, 0), 0, now));
     expect_that!(capacities, eq([0, 80]));
 }
 
--- a/crates/jobs/tests/regions.rs
+++ b/crates/jobs/tests/regions.rs
@@ -134,21 +134,21 @@
 #[tokio::test(start_paused = true)]
 async fn other_regions_replace_unreachable_region() {
     let of_region = |number: usize| number % 3 == 1;
-    // Region "b" is partitioned from the other nodes, from the store, or from both.
-    let cuts: [(bool, bool, PeerStatus); 3] = [
+    // Region "b" is partitioned from the other nodes, from the store, or from both; with the status that its nodes get.
+    let partitions: [(bool, bool, PeerStatus); 3] = [
         (true, false, PeerStatus::Down),
         (false, true, PeerStatus::Isolated),
         (true, true, PeerStatus::Down),
     ];
-    for (nodes, store, expected) in cuts {
+    for (nodes, store, expected) in partitions {
         let (one, other) = (table(0), table(2));
         let is_heard = |number| !(nodes && of_region(number));
         deliver_heartbeats(&[&one, &other], 1..30, is_heard, |number| {
             store && of_region(number)
         })
         .await;
-        for held in [&one, &other] {
-            assert_that!(held.status(&name(1), 1), eq(expected));
+        for peers in [&one, &other] {
+            assert_that!(peers.status(&name(1), 1), eq(expected));
         }
         assert_that!(may_claim(context(expected)), eq(true));
         let chosen = preferred_workers(&one, 0);
@@ -165,12 +165,12 @@
 async fn no_claims_without_store() {
     let table = table(1);
     deliver_heartbeats(&[&table], 1..30, |number| number % 3 == 1, |_| true).await;
-    let cut = ClaimContext {
+    let without_store = ClaimContext {
         store_reachable: false,
         ..context(PeerStatus::Down)
     };
     assert_that!(table.status(&name(0), 1), eq(PeerStatus::Down));
-    assert_that!(may_claim(cut), eq(false));
+    assert_that!(may_claim(without_store), eq(false));
 }
 
 #[gtest]
@@ -201,6 +201,7 @@
     }
 }
 
+/// Servers that a node in zone "a1" considers: one of its own region with the given load, and an idle one of another.
 fn server_ids_in_reach(near: LoadSummary) -> Vec<&'static str> {
     let servers = vec![server("near", "a2", near), server("far", "b1", online(0))];
     let server_ids_in_reach = prefer_local_region(servers, &zone_distances("a1"));
--- a/crates/jobs/tests/zones.rs
+++ b/crates/jobs/tests/zones.rs
@@ -23,14 +23,14 @@
 fn jobs_of_a_failed_zone_are_claimed() {
     // A job whose owner is alive is not claimed.
     expect_that!(may_claim(STABLE), eq(false));
-    let lost = |suspected| ClaimContext {
+    let with_failed_owner = |suspected| ClaimContext {
         owner: Some(PeerStatus::Down),
         suspected_for: ms(suspected),
         ..STABLE
     };
     // Once the owner has been down for the minimum time, the job is claimed.
     expect_that!(
-        [0, 200, 250].map(|suspected| may_claim(lost(suspected))),
+        [0, 200, 250].map(|suspected| may_claim(with_failed_owner(suspected))),
         eq([false, false, true])
     );
     // After a restart, the process that owned the job is known to be gone.
@@ -54,19 +54,19 @@
     };
     expect_that!(may_claim(partitioned), eq(false));
     // If the store recovers before the peers are heard again, their silence is ignored for a second.
-    let healed = |stable_for| ClaimContext {
+    let with_store = |stable_for| ClaimContext {
         stable_for: ms(stable_for),
         store_reachable: true,
         ..partitioned
     };
     expect_that!(
-        [0, 900, 1_000].map(|stable_for| may_claim(healed(stable_for))),
+        [0, 900, 1_000].map(|stable_for| may_claim(with_store(stable_for))),
         eq([false, false, true])
     );
     // A job that was claimed by another node in the meantime is not reclaimed.
     let since_lost = ClaimContext {
         since_lost: Some(ms(3_000)),
-        ..healed(2_000)
+        ..with_store(2_000)
     };
     expect_that!(may_claim(since_lost), eq(false));
 }
--- a/crates/tenants/src/counts.rs
+++ b/crates/tenants/src/counts.rs
@@ -16,8 +16,8 @@
 /// A tenant and the change of its count; negative if requests were refunded.
 pub(crate) type CountDelta = (u32, i64);
 
-/// Change of one count. The first count of a tenant is charged as far as it is recent. Until the receiver has
-/// settled, it is charged only if the sender has just started, because a previous aggregator has charged it already.
+/// Change of one count. For the first count of a tenant, `first` is charged. Until the receiver has settled, it is
+/// charged only if the sender has just started; otherwise a previous aggregator has charged it already.
 fn delta(before: Option<u64>, count: &PassedCount, first: u64, settled: bool) -> i64 {
     match before {
         Some(before) => count.passed as i64 - before as i64,
@@ -28,6 +28,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct NodeCounts {
+    /// Process incarnation of the node, whose totals start at zero.
     life: u64,
     last_heard: Option<Instant>,
     passed: HashMap<u32, u64>,
--- a/crates/tenants/src/growth.rs
+++ b/crates/tenants/src/growth.rs
@@ -13,13 +13,14 @@
     pub(crate) withheld_s: f64,
 }
 
-/// Growth since the last update, as fractions of the fleet's rate.
+/// Fractions of the fleet's rate at which credit grows, and the credit withheld for late zones.
 #[derive(Debug)]
 pub(crate) struct GrowthTracker {
     /// Fraction of the fleet that counts as heard.
     heard: f64,
     /// Fraction of the fleet whose last report is not late.
     prompt: f64,
+    /// Time of the last update.
     at: Instant,
     /// Credit withheld so far, as time at the fleet's rate.
     withheld: Duration,
@@ -44,8 +45,8 @@
     /// Updates the fractions. Withheld credit is released once all reports are in time again, and is forfeited when a
     /// reporting node or zone falls silent.
     pub(crate) fn update(&mut self, heard: f64, prompt: f64, now: Instant) -> HeldCredit {
-        let passed = now.saturating_duration_since(self.at);
-        self.withheld += passed.mul_f64((self.heard - self.prompt).max(0.0));
+        let elapsed = now.saturating_duration_since(self.at);
+        self.withheld += elapsed.mul_f64((self.heard - self.prompt).max(0.0));
         let forfeited = match heard < self.heard {
             true => std::mem::take(&mut self.withheld),
             false => Duration::ZERO,
--- a/crates/tenants/src/reports.rs
+++ b/crates/tenants/src/reports.rs
@@ -39,6 +39,7 @@
         self.fraction_within(MAX_PROMPT_REPORT_AGE, now)
     }
 
+    /// Fraction of the fleet whose last report is recent; for other zones, newer than `age` plus their extra delay.
     fn fraction_within(&self, age: Duration, now: Instant) -> f64 {
         let (mut fresh, mut known) = (self.own_zone_fraction(now), 1.0);
         let zones = self.zones.values();
--- a/crates/tenants/tests/schedules.rs
+++ b/crates/tenants/tests/schedules.rs
@@ -14,7 +14,7 @@
 /// Time after which tenants at five times their quota have used up their burst.
 const BURST_USED_MS: u64 = 6_000;
 const FAULTS: usize = 8;
-/// Length of the quota window, after which the effects of the last fault have passed.
+/// Time to run after the last fault: one quota window, so that its effects are measured.
 const SPAN_MS: u64 = 5_000;
 
 /// Quotas of the tenants in requests per second; each tenant sends five times as many.
@@ -39,12 +39,12 @@
             format!("split into {parts}")
         }
         3 => {
-            let alone = random.random_range(2..5);
-            fleet.set_partition(|node| match node % alone {
+            let divisor = random.random_range(2..5);
+            fleet.set_partition(|node| match node % divisor {
                 0 => node + 1,
                 _ => 0,
             });
-            format!("one of {alone} isolated")
+            format!("one of {divisor} isolated")
         }
         4 => {
             fleet.set_partition(|_| 0);
--- a/crates/tenants/tests/support/mod.rs
+++ b/crates/tenants/tests/support/mod.rs
@@ -95,6 +95,7 @@
     up: bool,
     paused_until_ms: u64,
     levels_at_ms: Option<u64>,
+    /// Whether it has admitted requests since its last report.
     changed: bool,
 }
 
@@ -108,15 +109,21 @@
     heard_ms: Vec<Vec<u64>>,
     demands: Vec<Demand>,
     tenants: Tenants,
+    /// Bucket of each tenant that would admit exactly its quota.
     reference_buckets: Vec<ReferenceBucket>,
+    /// Buckets of each node and tenant, for [`Strategy::EqualShares`].
     shares: Vec<Vec<ReferenceBucket>>,
+    /// Bucket of each tenant, for [`Strategy::HomeNode`].
     homes: Vec<ReferenceBucket>,
     outcomes: Vec<Outcome>,
+    /// Times of each tenant's admitted requests in the last quota window.
     window: Vec<VecDeque<u64>>,
+    /// Messages under way: delivery time, sender, receiver, process incarnation of the sender, and content.
     in_flight: Vec<(u64, usize, usize, u64, Message)>,
     random: ChaCha8Rng,
     began: Instant,
     pub now_ms: u64,
+    /// Fraction of the messages that are lost.
     pub loss: f64,
 }
 
