--- a/crates/crashes/tests/ledger.rs
+++ b/crates/crashes/tests/ledger.rs
@@ -167,8 +167,8 @@
         crash(&mut ledger, &request(2), server, now);
     }
     expect_that!(ledger.begin(&request(1), "i-3", now), eq(Permit::LastRun));
-    let last_run_servers = ledger.last_run_servers(&request(2), now);
-    expect_that!(last_run_servers.contains("i-3"), eq(true));
+    let occupied = ledger.last_run_servers(&request(2), now);
+    expect_that!(occupied.contains("i-3"), eq(true));
     expect_that!(ledger.begin(&request(2), "i-3", now), eq(Permit::Wait));
     expect_that!(ledger.begin(&request(2), "i-4", now), eq(Permit::LastRun));
     // Each of them may have only one active run.
@@ -469,9 +469,7 @@
 fn crash_table_tracks_restarts_and_long_runs() {
     let table = Arc::new(CrashTable::new(1));
     let run_and_end = |output| {
-        let run = table
-            .begin(request(1), "i-1")
-            .expect("the run should be permitted");
+        let run = table.begin(request(1), "i-1").expect("it may run");
         run.note_ended(output).ended
     };
     assert_that!(run_and_end(None), eq(1));
--- a/crates/jobs/tests/admission.rs
+++ b/crates/jobs/tests/admission.rs
@@ -215,7 +215,7 @@
     let (mut first, mut second) = (BatchAdmission::default(), BatchAdmission::default());
     first.observe(&load(5, 100, 0), ITEM, now);
     second.observe(&load(0, 20, 0), ITEM, now);
-    let capacities = [&first, &second].map(|admission| admission.capacity(&load(0, 20, 0), 0, now));
+    let capacities = [&first, &second].map(|service| service.capacity(&load(0, 20, 0), 0, now));
     expect_that!(capacities, eq([0, 80]));
 }
 
