--- a/crates/crashes/src/ledger.rs
+++ b/crates/crashes/src/ledger.rs
@@ -40,6 +40,7 @@
     Refused,
 }
 
+/// Effect of a server's end on the record of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndOutcome {
     /// Number of servers that have ended while they ran the request.
@@ -48,6 +49,7 @@
     pub now_refused: bool,
 }
 
+/// Effect of merging a record.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
     /// Whether the record contained new information.
@@ -66,6 +68,7 @@
     pub age: Duration,
 }
 
+/// Crash records of all requests, the runs of this node, and the changes still to be sent or stored.
 pub struct Ledger {
     pub(crate) node_id: u64,
     pub(crate) sequence: u64,
--- a/crates/crashes/src/messages.rs
+++ b/crates/crashes/src/messages.rs
@@ -15,6 +15,7 @@
     pub servers: Vec<String>,
 }
 
+/// Crash record of one request; see [`Ledger`](crate::Ledger).
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CrashRecord {
     #[prost(bytes = "vec", tag = "1")]
--- a/crates/crashes/src/table.rs
+++ b/crates/crashes/src/table.rs
@@ -16,7 +16,9 @@
 /// Shared crash ledger. The lock is never held across an await or together with another lock.
 pub struct CrashTable {
     ledger: Mutex<Ledger>,
+    /// Notified of a change to write to the store.
     unstored: Notify,
+    /// Notified of a change to send to other nodes.
     unsent: Notify,
 }
 
@@ -44,21 +46,22 @@
     fn change<T>(&self, change: impl FnOnce(&mut Ledger) -> T) -> T {
         let mut ledger = self.ledger.lock();
         let before = ledger.unsent.len();
-        let done = change(&mut ledger);
+        let result = change(&mut ledger);
         if ledger.unsent.len() > before {
             self.unsent.notify_one();
         }
-        done
+        result
     }
 
+    /// Decides on the next run of a request.
     pub fn permit(&self, request: &Fingerprint) -> Permit {
         self.ledger.lock().permit(request, Instant::now())
     }
 
     /// Starts a run on a server; returns the permit as an error if the request must wait or is refused.
     pub fn begin(self: &Arc<Self>, request: Fingerprint, server: &str) -> Result<RunGuard, Permit> {
-        let begun = self.change(|ledger| ledger.begin(&request, server, Instant::now()));
-        match begun {
+        let decision = self.change(|ledger| ledger.begin(&request, server, Instant::now()));
+        match decision {
             Permit::Free | Permit::LastRun => Ok(RunGuard {
                 table: self.clone(),
                 request,
@@ -66,15 +69,16 @@
                 began: Instant::now(),
                 is_over: false,
             }),
-            Permit::Wait | Permit::Refused => Err(begun),
+            Permit::Wait | Permit::Refused => Err(decision),
         }
     }
 
     /// Servers that run other requests in the state [`Permit::LastRun`].
-    pub fn last_run_servers(&self, but: &Fingerprint) -> HashSet<String> {
-        self.ledger.lock().last_run_servers(but, Instant::now())
+    pub fn last_run_servers(&self, except: &Fingerprint) -> HashSet<String> {
+        self.ledger.lock().last_run_servers(except, Instant::now())
     }
 
+    /// Servers that ended while they ran a request.
     pub fn ended_under(&self, request: &Fingerprint) -> Vec<String> {
         self.ledger.lock().ended_under(request)
     }
@@ -123,6 +127,7 @@
         self.unstored.notify_one();
     }
 
+    /// Removes the records whose retention is over and those without information.
     pub fn sweep(&self) {
         self.ledger.lock().sweep(Instant::now());
     }
--- a/crates/jobs/src/api.rs
+++ b/crates/jobs/src/api.rs
@@ -30,6 +30,7 @@
     /// Reads a job's row from the store and updates the table.
     pub(crate) async fn fetch(&self, job: &str) -> Result<Option<CachedJob>, StoreError> {
         let key = job_key(job);
+        // The smallest key above the job's own, as the exclusive end of the range.
         let after = format!("{job}\u{1}");
         let read = self
             .store
--- a/crates/jobs/src/keys.rs
+++ b/crates/jobs/src/keys.rs
@@ -25,6 +25,7 @@
 /// Tables that hold request bodies.
 pub const BODY_TABLES: [&str; 1] = [ITEMS_TABLE];
 
+/// Number of partitions over which the jobs are spread.
 const PARTITIONS: u64 = 4;
 /// Size limit of a row's value in bytes, before the store encodes it.
 pub const CHUNK_BYTES: usize = 48_000;
--- a/crates/jobs/src/messages.rs
+++ b/crates/jobs/src/messages.rs
@@ -174,6 +174,7 @@
     /// Epoch of the job in which the segment was written.
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
+    /// Number of events in this segment.
     #[prost(uint64, tag = "6")]
     pub events: u64,
     /// Whether the next segment continues this one; without it the text ends inside an event.
--- a/crates/jobs/src/partials.rs
+++ b/crates/jobs/src/partials.rs
@@ -26,6 +26,7 @@
 const RESERVED_JOB_ROW_BYTES: usize = 4_000;
 /// Bytes reserved in a segment's row for fields other than the text.
 const RESERVED_FIELD_BYTES: usize = 100;
+/// Row limit of one read.
 const PAGE_ROWS: usize = 400;
 
 /// The part of an item's output that is saved in the store.
--- a/crates/jobs/src/placement.rs
+++ b/crates/jobs/src/placement.rs
@@ -76,6 +76,7 @@
         .min_by(|a, b| cost(a, node, zone, last).total_cmp(&cost(b, node, zone, last)))
 }
 
+/// Cost of running the item on a server, in concurrent requests; the server with the lowest cost is chosen.
 fn cost(server: &ServerCapacity<'_>, node: &str, zone: &str, last: Option<&str>) -> f64 {
     let work = f64::from(server.load.online + server.load.batch);
     let zone_cost = match server.zone == zone {
--- a/crates/jobs/src/read.rs
+++ b/crates/jobs/src/read.rs
@@ -14,6 +14,7 @@
 use crate::messages::{ItemsBlob, JobState, StoredItem, StoredResult};
 use dappleyard_clock::Instant;
 
+/// Row limit of one read.
 const PAGE_ROWS: usize = 400;
 /// Limit on the text bytes in one page of results.
 const MAX_PAGE_BYTES: usize = 900_000;
@@ -138,6 +139,7 @@
         .collect()
 }
 
+/// Reads all items of a job.
 pub(crate) async fn read_items(
     store: &dyn RowStore,
     job: &str,
@@ -164,6 +166,7 @@
         })
 }
 
+/// Reads the body of one submitted item.
 pub(crate) async fn item(service: &JobService, caller: &Caller, job: &str, item: &str) -> JobReply {
     let known = match retry(|| service.find(caller, job)).await {
         Ok(Some(known)) => known,
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -48,6 +48,7 @@
     Completed,
     /// The server rejected the item permanently.
     Unprocessable,
+    /// The server responded with this status.
     Failed(u16),
     /// The run was interrupted or could not be started.
     Interrupted(AttemptError),
@@ -63,18 +64,18 @@
 ) {
     let started = Instant::now();
     let events_before = job.state.borrow().items[index].events;
-    let end = run(&runner, &job, index, &server, &route, started_run).await;
+    let run_outcome = run(&runner, &job, index, &server, &route, started_run).await;
     let events_after = job.state.borrow().items[index].events;
     let mut estimate = runner.estimate.get();
     estimate.record_run(
         events_after - events_before,
         started.elapsed().as_millis() as u64,
     );
-    if matches!(end, RunOutcome::Completed) {
+    if matches!(run_outcome, RunOutcome::Completed) {
         estimate.record_events(events_after);
     }
     runner.estimate.set(estimate);
-    record_outcome(&runner, &job, index, &server, &route, end);
+    record_outcome(&runner, &job, index, &server, &route, run_outcome);
     runner.wake.notify_one();
 }
 
@@ -220,6 +221,7 @@
     AttemptError::local(Ran::Yes, reason)
 }
 
+/// Appends an event to the item's text. An event that the item has already means that the server did not resume.
 fn add_event(item: &mut Item, event: &dappleyard_ingress::Event) -> Result<(), AttemptError> {
     if event.id.is_some() && event.id <= item.last_event {
         return Err(interrupted("the server repeated an event"));
@@ -258,6 +260,7 @@
     }
 }
 
+/// Headers of the request for an item, without invalid ones.
 fn item_headers(runner: &Runner, item: &StoredItem, host: &str) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if let Ok(host) = HeaderValue::from_str(host) {
@@ -274,19 +277,20 @@
         }
     }
     if !headers.contains_key(CONTENT_TYPE) {
-        let octets = HeaderValue::from_static("application/octet-stream");
-        headers.insert(CONTENT_TYPE, octets);
+        let octet_stream = HeaderValue::from_static("application/octet-stream");
+        headers.insert(CONTENT_TYPE, octet_stream);
     }
     headers
 }
 
+/// Finishes the item or schedules its next run, depending on the outcome of the last one.
 fn record_outcome(
     runner: &Runner,
     job: &OwnedJob,
     index: usize,
     server: &ServerRecord,
     route: &Route,
-    end: RunOutcome,
+    run_outcome: RunOutcome,
 ) {
     let mut outcome = "again";
     let mut finished = None;
@@ -296,7 +300,7 @@
         item.active_run = None;
         item.runs += 1;
         item.progress = Progress::Waiting;
-        match &end {
+        match &run_outcome {
             RunOutcome::Completed => {
                 outcome = "completed";
                 finished = Some(true);
@@ -328,18 +332,19 @@
     if let Some(completed) = finished {
         job.finish(index, completed);
     }
-    log_outcome(runner, job, index, server, &end, outcome);
+    log_outcome(runner, job, index, server, &run_outcome, outcome);
 }
 
+/// Logs the end of a run and updates the metrics; marks an unreachable server as suspect.
 fn log_outcome(
     runner: &Runner,
     job: &OwnedJob,
     index: usize,
     server: &ServerRecord,
-    end: &RunOutcome,
+    run_outcome: &RunOutcome,
     outcome: &str,
 ) {
-    let (status, cause) = match end {
+    let (status, cause) = match run_outcome {
         RunOutcome::Completed => (200, String::new()),
         RunOutcome::Unprocessable => (STATUS_UNPROCESSABLE, String::new()),
         RunOutcome::Failed(status) => (*status, String::new()),
--- a/crates/tenants/src/account.rs
+++ b/crates/tenants/src/account.rs
@@ -262,6 +262,7 @@
         self.level().min(self.fleet.level - self.withheld)
     }
 
+    /// Sets the fleet's credit.
     pub(crate) fn set_level(&mut self, level: f64) {
         self.fleet = Bucket::new(self.fleet.refill, level);
     }
--- a/crates/tenants/src/table.rs
+++ b/crates/tenants/src/table.rs
@@ -70,6 +70,7 @@
         state.counts.retain(|name, _| known(name));
     }
 
+    /// Deducts one request of a tenant, or refuses it.
     pub fn take(&self, tenant: &TenantName) -> Result<(), Shortage> {
         let mut state = self.state.lock();
         let outcome = state
@@ -138,10 +139,12 @@
         self.state.lock().ledger.zone_heard(Instant::now())
     }
 
+    /// Levels to report to a node of this zone: those that are low, or were recently.
     pub fn levels_for(&self, node: u64) -> Vec<CreditLevel> {
         self.state.lock().ledger.levels_for(node, Instant::now())
     }
 
+    /// Deducts the requests that another node has reported.
     pub fn note_node(&self, node: u64, life: u64, counts: &[PassedCount]) {
         let now = Instant::now();
         self.state.lock().ledger.note_node(node, life, counts, now);
@@ -162,6 +165,7 @@
         state.ledger.set_extra_delay(zone, extra_delay);
     }
 
+    /// Applies the levels that a delegate has reported; a tenant that is not included is not low.
     pub fn note_levels(&self, levels: &[CreditLevel]) {
         self.state.lock().ledger.note_levels(levels, Instant::now());
     }
