--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -48,7 +48,7 @@
     Completed,
     /// The server rejected the item permanently.
     Unprocessable,
-    /// The server responded with this status.
+    /// The server responded with this failure status.
     Failed(u16),
     /// The run was interrupted or could not be started.
     Interrupted(AttemptError),
--- a/crates/tenants/src/identity.rs
+++ b/crates/tenants/src/identity.rs
@@ -61,8 +61,8 @@
 impl ConfigurationStatus {
     /// Whether no newer configuration can be in force.
     fn is_current(&self, bounds: &Bounds) -> bool {
-        let apply_time = Duration::from_millis(bounds.config_apply_ms);
-        self.age.is_some_and(|age| age < apply_time)
+        let in_force = Duration::from_millis(bounds.config_apply_ms);
+        self.age.is_some_and(|age| age < in_force)
     }
 
     /// Whether keys of this configuration may still be accepted. While no node reaches the store, no newer
