--- a/crates/jobs/tests/policies.rs
+++ b/crates/jobs/tests/policies.rs
@@ -1,5 +1,4 @@
-//! Batch capacity, ranking, server choice, claim policy and the bitmap of the items
-//! whose results are committed.
+//! Batch capacity, ranking, server choice, claim policy and the bitmap of the items whose results are committed.
 
 use std::time::Duration;
 
@@ -225,7 +224,7 @@
 
 #[gtest]
 fn slow_servers_reserve_more_slots() {
-    // Run time in percent of normal: at 70 the server is faster than normal, at 300 three times slower.
+    // Run time in percent of normal: at 70 the server is faster than normal, at 300 it takes three times as long.
     let at = |percent| LoadSummary {
         long_term_slowdown: Slowdown::of_percent(percent).unwrap_or_default(),
         ..load(2, 2)
