--- a/crates/jobs/src/partials.rs
+++ b/crates/jobs/src/partials.rs
@@ -18,6 +18,7 @@
 
 /// Row limit of one transaction, results and segments together.
 const MAX_TRANSACTION_ROWS: usize = 90;
+/// Limit on the segment bytes in one transaction.
 const MAX_SEGMENT_BYTES: usize = 400_000;
 /// Limit on the value bytes in one transaction. The store accepts 1 MB after base64 encoding, which adds a third.
 const MAX_TRANSACTION_BYTES: usize = 700_000;
@@ -25,6 +26,7 @@
 const RESERVED_JOB_ROW_BYTES: usize = 4_000;
 /// Bytes reserved in a segment's row for fields other than the text.
 const RESERVED_FIELD_BYTES: usize = 100;
+/// Row limit of one read.
 const PAGE_ROWS: usize = 400;
 
 /// The part of an item's output that is saved in the store.
@@ -161,28 +163,31 @@
     Some((item, segment))
 }
 
+/// Joins the segments of one item, up to the first that does not continue the output before it.
 fn join_item(mut segments: Vec<(usize, StoredPartial)>) -> RestoredOutput {
     segments.sort_by_key(|(number, _)| *number);
     let mut restored = RestoredOutput::default();
     let mut epoch = 0;
     // Continued segments count only together with the segment that completes them.
-    let mut open = String::new();
-    let mut open_segments = 0;
+    let mut incomplete_text = String::new();
+    let mut incomplete_segments = 0;
     for (number, segment) in segments {
-        let follows = number == restored.saved.segments + open_segments
+        let follows = number == restored.saved.segments + incomplete_segments
             && segment.after_event == restored.saved.last_event
             && segment.epoch >= epoch;
         if !follows {
             break;
         }
         epoch = segment.epoch;
-        open.push_str(&segment.text);
+        incomplete_text.push_str(&segment.text);
         if segment.continued {
-            open_segments += 1;
+            incomplete_segments += 1;
             continue;
         }
-        restored.text.push_str(&std::mem::take(&mut open));
-        open_segments = 0;
+        restored
+            .text
+            .push_str(&std::mem::take(&mut incomplete_text));
+        incomplete_segments = 0;
         restored.failures = segment.failures;
         restored.saved = SavedOutput {
             bytes: restored.text.len(),
@@ -206,6 +211,7 @@
     let mut rows = Vec::new();
     loop {
         let page = retry(|| store.read(PARTIALS_TABLE, &part, &start, &end, PAGE_ROWS)).await?;
+        // The first key after the last row of the page.
         let last = page.rows.last().map(|row| format!("{}\u{1}", row.key));
         rows.extend(page.rows);
         match last.filter(|_| page.more) {
--- a/crates/jobs/src/read.rs
+++ b/crates/jobs/src/read.rs
@@ -14,6 +14,7 @@
 use crate::messages::{ItemsBlob, JobState, StoredItem, StoredResult};
 use dappleyard_clock::Instant;
 
+/// Row limit of one read.
 const PAGE_ROWS: usize = 400;
 /// Limit on the text bytes in one page of results.
 const MAX_PAGE_BYTES: usize = 900_000;
@@ -23,6 +24,7 @@
 /// Longest time for which a request waits for new results.
 const MAX_WAIT_MS: u64 = 1_000;
 
+/// Reads a page of results from a position on; waits for up to `wait_ms` if there are none yet.
 pub(crate) async fn results(
     service: &JobService,
     caller: &Caller,
@@ -72,8 +74,8 @@
     }
 }
 
-/// Age limit of a cached row from which callers are told that there are no further results: half of the time after
-/// which a result reported by one node must be visible on every node.
+/// Largest age of a cached row that suffices to tell a caller that there are no further results: half of the time
+/// within which a result that one node has reported must be visible on every node.
 fn max_listing_age(service: &JobService) -> Duration {
     Duration::from_millis(service.node.settings.bounds.settle_ms / 2)
 }
@@ -125,8 +127,8 @@
 pub(crate) fn assemble(rows: &[Row]) -> BTreeMap<u64, Bytes> {
     let mut values: BTreeMap<u64, BytesMut> = BTreeMap::new();
     for row in rows {
-        let mut segments = row.key.rsplit('/');
-        let number = segments.nth(1).and_then(|text| text.parse().ok());
+        let mut key_parts = row.key.rsplit('/');
+        let number = key_parts.nth(1).and_then(|text| text.parse().ok());
         if let (Some(number), Some(value)) = (number, &row.value) {
             values.entry(number).or_default().extend_from_slice(value);
         }
@@ -137,6 +139,7 @@
         .collect()
 }
 
+/// Reads all items of a job.
 pub(crate) async fn read_items(
     store: &dyn RowStore,
     job: &str,
@@ -163,6 +166,7 @@
         })
 }
 
+/// Reads the body of one submitted item.
 pub(crate) async fn item(service: &JobService, caller: &Caller, job: &str, item: &str) -> JobReply {
     let known = match retry(|| service.find(caller, job)).await {
         Ok(Some(known)) => known,
